--- a/yewcross-lab/src/proof/evidence.rs
+++ b/yewcross-lab/src/proof/evidence.rs
@@ -42,7 +42,10 @@
     /// Budgets are small enough to be spent: being told so is being served.
     pub capped: bool,
     pub end: u64,
+    /// Over the words of the log.
     pub hash: u64,
+    /// Over what happened, whatever was logged.
+    pub fingerprint: u128,
     pub figures: Value,
     pub founded: bool,
     /// Frames that a node refused for their version.
--- a/yewcross-lab/src/proof/long_day.rs
+++ b/yewcross-lab/src/proof/long_day.rs
@@ -103,6 +103,7 @@
         capped: false,
         end: lab.sim.now(),
         hash: lab.sim.hash(),
+        fingerprint: lab.sim.fingerprint(),
         figures: Value::Null,
         founded: true,
         odd: 0,
--- a/yewcross-lab/src/proof/run.rs
+++ b/yewcross-lab/src/proof/run.rs
@@ -181,6 +181,7 @@
         capped: p.budget.is_some(),
         end,
         hash: lab.sim.hash(),
+        fingerprint: lab.sim.fingerprint(),
         figures,
         founded,
         odd,
@@ -223,7 +224,8 @@
         let acts: Vec<&str> = p.acts.iter().map(|a| a.into()).collect();
         let word = if v.is_empty() { "holds" } else { "BROKEN" };
         let back = back_ms(&e).map(|b| format!(" back {b} ms")).unwrap_or_default();
-        let mut out = format!("seed {} {} {}: {word} hash {:016x}{back}", p.seed, p.shape, acts.join("+"), e.hash);
+        let mut out =
+            format!("seed {} {} {}: {word} hash {:016x} fingerprint {:032x}{back}", p.seed, p.shape, acts.join("+"), e.hash, e.fingerprint);
         if trace {
             e.log.iter().for_each(|(t, n, l)| out += &format!("\n  {:>10.3} {n}: {l}", *t as f64 / 1e6));
             e.seen.iter().filter(|s| s.heard != Heard::Done).for_each(|s| {
--- a/yewcross-lab/src/sim.rs
+++ b/yewcross-lab/src/sim.rs
@@ -12,8 +12,10 @@
 use yewcross::world::*;
 
 mod disk;
+mod fingerprint;
 
 pub use disk::Disk;
+use fingerprint::{DiskKind, DiskStep, Event, Fingerprint};
 
 type Task = Pin<Box<dyn Future<Output = ()> + Send>>;
 
@@ -105,6 +107,8 @@
 }
 
 struct Wire {
+    /// Which connection of the world it is, by the order of opening.
+    number: u64,
     ends: [(usize, u32); 2],
     dirs: [Dir; 2],
 }
@@ -142,6 +146,9 @@
     weather: Weather,
     log: Vec<(u64, String, String)>,
     hash: u64,
+    fingerprint: Fingerprint,
+    /// Connections opened so far.
+    opened: u64,
     pub polls: u64,
 }
 
@@ -187,6 +194,17 @@
         self.hash = yewcross::hash::weigh(&format!("{} {who} {line}", self.now), &self.hash.to_string());
         self.log.push((self.now, who.into(), line.into()));
     }
+    /// Takes what the machine does into the fingerprint.
+    fn did(&mut self, m: usize, event: Event) {
+        self.fingerprint.add(self.now, &self.machines[m].name, event);
+    }
+    /// The same for an event on a connection: `event` is told the connection's number and the name of the machine at its other end.
+    fn did_on<'a>(&'a mut self, id: u64, side: usize, event: impl FnOnce(u64, &'a str) -> Event<'a>) {
+        if let Some(wire) = self.wires.get(&id) {
+            let [me, other] = [side, 1 - side].map(|end| self.machines[wire.ends[end].0].name.as_str());
+            self.fingerprint.add(self.now, me, event(wire.number, other));
+        }
+    }
 }
 
 impl Sim {
@@ -206,6 +224,8 @@
             weather: Weather::default(),
             log: vec![],
             hash: seed,
+            fingerprint: Fingerprint::default(),
+            opened: 0,
             polls: 0,
         };
         Sim { i: Arc::new(Mutex::new(i)), ready: Default::default() }
@@ -241,6 +261,7 @@
         x.up = true;
         x.frozen = false;
         let who = (m, x.life);
+        g.did(m, Event::Booted);
         drop(g);
         World(Arc::new(SimHost { sim: self.clone(), who }))
     }
@@ -272,9 +293,14 @@
     pub fn log(&self) -> Vec<(u64, String, String)> {
         self.i.lock().unwrap().log.clone()
     }
+    /// Over every line that was logged, in its words.
     pub fn hash(&self) -> u64 {
         self.i.lock().unwrap().hash
     }
+    /// Over what the machines did on connections and disks, and when: whatever is logged does not enter.
+    pub fn fingerprint(&self) -> u128 {
+        self.i.lock().unwrap().fingerprint.value()
+    }
     pub fn polls(&self) -> u64 {
         self.i.lock().unwrap().polls
     }
@@ -304,6 +330,7 @@
         let mut g = self.i.lock().unwrap();
         let name = g.machines[m].name.clone();
         g.note(&name, if power { "loses power" } else { "killed" });
+        g.did(m, if power { Event::LostPower } else { Event::Killed });
         g.machines[m].up = false;
         g.machines[m].frozen = false;
         g.machines[m].parked.clear();
@@ -354,6 +381,7 @@
         let mut g = self.i.lock().unwrap();
         let name = g.machines[m].name.clone();
         g.note(&name, "loses its disk");
+        g.did(m, Event::LostDisk);
         g.machines[m].disk = Disk::default();
     }
 
@@ -361,6 +389,7 @@
         let mut g = self.i.lock().unwrap();
         let name = g.machines[m].name.clone();
         g.note(&name, "freezes");
+        g.did(m, Event::Froze);
         g.machines[m].frozen = true;
     }
 
@@ -368,6 +397,7 @@
         let mut g = self.i.lock().unwrap();
         let name = g.machines[m].name.clone();
         g.note(&name, "wakes");
+        g.did(m, Event::Woke);
         g.machines[m].frozen = false;
         let v = std::mem::take(&mut g.machines[m].parked);
         drop(g);
@@ -398,6 +428,7 @@
         g.cuts.clear();
         g.note("lab", "cuts heal");
         let t = g.now;
+        g.fingerprint.add(t, "", Event::Healed);
         let ids: Vec<u64> = g.wires.keys().cloned().collect();
         for w in ids {
             for d in 0..2 {
@@ -639,6 +670,7 @@
             d.last = at;
         }
         d.chunks.push_back((at, buf.to_vec()));
+        g.did_on(id, side, |wire, to| Event::Wrote { wire, to, data: buf });
         if !held {
             g.at(at, Due::Reader(id, side));
         }
@@ -664,6 +696,7 @@
         if w.dirs[side].closed.is_none() {
             let at = if cut { u64::MAX } else { (t + hop).max(w.dirs[side].last) };
             w.dirs[side].closed = Some(at);
+            g.did_on(id, side, |wire, to| Event::Closed { wire, to });
             if !cut {
                 g.at(at, Due::Reader(id, side));
             }
@@ -676,6 +709,7 @@
         self.shut();
         let mut g = self.sim.i.lock().unwrap();
         let (id, side) = (self.id, self.side);
+        g.did_on(id, side, |wire, to| Event::Left { wire, to });
         let mut writer = None;
         let over = g.wires.get_mut(&id).is_some_and(|w| {
             w.dirs[1 - side].reader_gone = true;
@@ -720,7 +754,10 @@
 
 impl Drop for SimDoor {
     fn drop(&mut self) {
-        let d = self.sim.i.lock().unwrap().doors.remove(&self.at);
+        let mut g = self.sim.i.lock().unwrap();
+        let d = g.doors.remove(&self.at);
+        d.iter().for_each(|d| g.did(d.who.0, Event::Unbound { at: self.at }));
+        drop(g);
         drop(d);
     }
 }
@@ -734,15 +771,17 @@
     fn on_disk<T: Send + 'static>(
         &self,
         us: u64,
+        step: DiskStep,
         f: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
     ) -> Fut<'static, io::Result<T>> {
         let us = us + self.sim.rand() % (us / 2 + 1);
-        self.on_disk_for(us, f)
+        self.on_disk_for(us, step, f)
     }
 
     fn on_disk_for<T: Send + 'static>(
         &self,
         us: u64,
+        step: DiskStep,
         f: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
     ) -> Fut<'static, io::Result<T>> {
         let (sim, m) = (self.sim.clone(), self.who.0);
@@ -753,7 +792,9 @@
                 let at = sim.now() + 50 * MS;
                 Nap { sim: sim.clone(), at, set: false }.await;
             }
-            sim.disk(m, |d| if d.failing { Err(io::Error::other("input/output error")) } else { f(d) })
+            let r = sim.disk(m, |d| if d.failing { Err(io::Error::other("input/output error")) } else { f(d) });
+            sim.i.lock().unwrap().did(m, Event::Stored { step: &step, ok: r.is_ok() });
+            r
         })
     }
 }
@@ -789,6 +830,7 @@
                 };
                 let Some((b, hop, cut)) = wait else {
                     // Nobody at that address: packets vanish.
+                    sim.i.lock().unwrap().did(me.0, Event::Unheard { at: to });
                     std::future::pending::<()>().await;
                     continue;
                 };
@@ -799,11 +841,16 @@
                 }
                 let mut g = sim.i.lock().unwrap();
                 let Some(who) = g.doors.get(&to).map(|d| d.who).filter(|w| w.0 == b) else {
+                    let name = g.machines[b].name.clone();
+                    g.did(me.0, Event::Refused { to: &name, at: to });
                     return Err(io::ErrorKind::ConnectionRefused.into());
                 };
                 g.next += 1;
                 let id = g.next;
-                g.wires.insert(id, Wire { ends: [me, who], dirs: Default::default() });
+                g.opened += 1;
+                let number = g.opened;
+                g.wires.insert(id, Wire { number, ends: [me, who], dirs: Default::default() });
+                g.did_on(id, 0, |wire, name| Event::Opened { wire, to: name, at: to });
                 let ip = g.machines[me.0].ip;
                 let end = |side| Arc::new(End { sim: sim.clone(), id, side });
                 let (mine, theirs) = (Conn::new(end(0), to), Conn::new(end(1), SocketAddr::new(ip, 1)));
@@ -827,6 +874,8 @@
             g.doors.insert(at, DoorState { who, line: VecDeque::new(), waker: None });
             Ok(Box::new(SimDoor { sim: self.sim.clone(), at }) as Box<dyn Door>)
         };
+        g.did(who.0, Event::Bound { at, ok: !taken });
+        drop(g);
         Box::pin(async move { r })
     }
     fn fate(&self, _: SocketAddr) -> Fate {
@@ -841,14 +890,14 @@
     }
     fn put(&self, path: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
         let p = path.to_string();
-        self.on_disk(60, move |d| d.write(p, data))
+        self.on_disk(60, DiskStep::new(DiskKind::Put, path, &data), move |d| d.write(p, data))
     }
     fn sync(&self, path: &str) -> Fut<'static, io::Result<()>> {
         let p = path.to_string();
         let (sim, m) = (self.sim.clone(), self.who.0);
         let each = sim.i.lock().unwrap().machines[m].cpu.costs.sync;
         let us = if each > 0 { 0 } else { 400 + sim.rand() % 201 };
-        let f = self.on_disk_for(us, move |d| {
+        let f = self.on_disk_for(us, DiskStep::new(DiskKind::Sync, path, &[]), move |d| {
             d.sync(&p);
             let due = d.trip.iter_mut().find_map(|t| {
                 t.0 = t.0.saturating_sub(1);
@@ -877,8 +926,9 @@
         })
     }
     fn rename(&self, a: &str, b: &str) -> Fut<'static, io::Result<()>> {
+        let step = DiskStep::new(DiskKind::Rename, a, b.as_bytes());
         let (a, b) = (a.to_string(), b.to_string());
-        self.on_disk(20, move |d| d.rename(&a, b))
+        self.on_disk(20, step, move |d| d.rename(&a, b))
     }
     fn keep(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
         let (me, aside, at, dir) = (self.clone(), aside.to_string(), at.to_string(), dir.to_string());
@@ -891,11 +941,11 @@
     }
     fn remove(&self, path: &str) -> Fut<'static, io::Result<()>> {
         let p = path.to_string();
-        self.on_disk(20, move |d| d.remove(&p))
+        self.on_disk(20, DiskStep::new(DiskKind::Remove, path, &[]), move |d| d.remove(&p))
     }
     fn append(&self, path: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
         let (p, dir) = (path.to_string(), path.rsplit_once('/').map_or("", |x| x.0).to_string());
-        let write = self.on_disk(60, move |d| d.append(p, data));
+        let write = self.on_disk(60, DiskStep::new(DiskKind::Append, path, &data), move |d| d.append(p, data));
         let (safe, named) = (self.sync(path), self.sync(&dir));
         Box::pin(async move {
             let new = write.await?;
@@ -905,15 +955,17 @@
     }
     fn get(&self, path: &str) -> Fut<'static, io::Result<Vec<u8>>> {
         let p = path.to_string();
-        self.on_disk(60, move |d| d.read(&p))
+        self.on_disk(60, DiskStep::new(DiskKind::Get, path, &[]), move |d| d.read(&p))
     }
     fn list(&self, dir: &str) -> Fut<'static, io::Result<Vec<String>>> {
+        let step = DiskStep::new(DiskKind::List, dir, &[]);
         let dir = dir.to_string();
-        self.on_disk(60, move |d| d.list(&dir))
+        self.on_disk(60, step, move |d| d.list(&dir))
     }
     fn mkdir(&self, dir: &str) -> Fut<'static, io::Result<()>> {
+        let step = DiskStep::new(DiskKind::MakeFolder, dir, &[]);
         let dir = dir.to_string();
-        self.on_disk_for(0, move |d| {
+        self.on_disk_for(0, step, move |d| {
             d.make_folder(&dir);
             Ok(())
         })
