--- /dev/null
+++ b/yewcross-lab/tests/stored_data.rs
@@ -0,0 +1,950 @@
+//! Data folders written by an earlier state of the code are read by this one, and what is stored keeps its bytes.
+//!
+//! A rename in the code must not reach the disks: names of stored fields, order of stored variants, names of files. The
+//! fixtures below `fixtures/disk/` are the folders of a small tier, what that tier had acknowledged, and one sample of each
+//! stored struct. They are written only where `YEWCROSS_WRITE_FIXTURES=1` is set, and the test that writes them then fails.
+
+use bytes::Bytes;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::net::IpAddr;
+use std::path::PathBuf;
+use std::sync::atomic::Ordering::SeqCst;
+use std::sync::{Arc, Mutex, OnceLock};
+use strum::IntoEnumIterator;
+use yewcross::ask::*;
+use yewcross::book::owners;
+use yewcross::chain::Turn;
+use yewcross::chain_wire::{Entry, LedgerRow, Row, decode, encode};
+use yewcross::code::Code;
+use yewcross::consts::*;
+use yewcross::lease::*;
+use yewcross::register::{Ballot, RegisterReply, RegisterRequest, Replica};
+use yewcross::startup::Role;
+use yewcross::tree::{Budget, Family, Rule, Service, Tree};
+use yewcross::vault::{Vault, seal};
+use yewcross::world::{Fut, World};
+use yewcross_control::Control;
+use yewcross_control::api::{PutAnswer, ReadAnswer};
+use yewcross_control::chain::Shelf;
+use yewcross_control::chain_log::{self, Item};
+use yewcross_control::lease::KeptGrant;
+use yewcross_control::store::{Head, Mark, Open, Purse, Record, Run, purse_key};
+use yewcross_lab::proof::Lab;
+use yewcross_lab::script::on_fleet;
+use yewcross_lab::sim::Sim;
+use yewcross_lab::tier::{Tier, play, tell, up};
+
+/// Files of a folder, or named values, in the order of their names.
+type Files = BTreeMap<String, Vec<u8>>;
+
+const COUNTS: [usize; 3] = [4, 4, 1];
+const SESSION: &str = "session/program/one";
+const BUDGET: &str = "purse";
+/// Bytes of a batch of the log that a loss of power cut short.
+const TORN_BYTES: usize = 9;
+
+// ---- Fixture files: a line is a name, a tab, and the content in hex.
+
+fn fixture_path(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/disk").join(name)
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+}
+
+fn write_fixture(name: &str, files: &Files) {
+    let lines: String = files.iter().map(|(path, bytes)| format!("{path}\t{}\n", to_hex(bytes))).collect();
+    std::fs::write(fixture_path(name), lines).unwrap();
+}
+
+/// Reads a fixture, after all were written anew where that is asked for.
+fn read_fixture(name: &str) -> Files {
+    let written = written_anew();
+    let text = std::fs::read_to_string(fixture_path(name)).unwrap();
+    let files = text.lines().map(|line| line.split_once('\t').unwrap()).map(|(path, hex)| (path.into(), from_hex(hex))).collect();
+    assert!(!written, "fixtures were written anew: look at what changed, and run the test without YEWCROSS_WRITE_FIXTURES");
+    files
+}
+
+fn written_anew() -> bool {
+    static WRITTEN: OnceLock<bool> = OnceLock::new();
+    *WRITTEN.get_or_init(|| {
+        let asked = std::env::var("YEWCROSS_WRITE_FIXTURES").is_ok_and(|value| value == "1");
+        if asked {
+            write_folders();
+            write_operated_folder();
+            write_fixture("samples.txt", &samples());
+        }
+        asked
+    })
+}
+
+/// Text of a fixture's value.
+fn text_of(files: &Files, name: &str) -> String {
+    let bytes = files.get(name).unwrap_or_else(|| panic!("{name} is not in the fixture"));
+    String::from_utf8(bytes.clone()).unwrap()
+}
+
+// ---- Machines and their files.
+
+/// Runs a task as a process of its own on the machine, and ends that process.
+fn run_on<T: Send + 'static>(sim: &Sim, machine: usize, task: impl FnOnce(World) -> Fut<'static, T>) -> T {
+    let world = sim.boot(machine);
+    let done: Arc<Mutex<Option<T>>> = Default::default();
+    let (result, task) = (done.clone(), task(world.clone()));
+    world.go(async move {
+        let outcome = task.await;
+        *result.lock().unwrap() = Some(outcome);
+    });
+    sim.run(sim.now() + 60 * SEC, || done.lock().unwrap().is_some());
+    sim.kill(machine, false);
+    let outcome = done.lock().unwrap().take();
+    outcome.expect("the task ends")
+}
+
+/// Folders of a data disk as they have always been named.
+fn stored_folders() -> Vec<String> {
+    let shards = (0..64).map(|shard| format!("keys/{shard:02x}"));
+    ["local", "chain", "keys"].into_iter().map(String::from).chain(shards).collect()
+}
+
+fn files_of(sim: &Sim, machine: usize) -> Files {
+    let names = sim.disk(machine, |disk| disk.names(""));
+    run_on(sim, machine, move |w| {
+        Box::pin(async move {
+            let mut files = Files::new();
+            for name in names {
+                let bytes = w.get(&name).await.unwrap();
+                files.insert(name, bytes);
+            }
+            files
+        })
+    })
+}
+
+fn fill(sim: &Sim, machine: usize, files: Files) {
+    run_on(sim, machine, move |w| {
+        Box::pin(async move {
+            for folder in stored_folders() {
+                w.mkdir(&folder).await.unwrap();
+            }
+            for (path, bytes) in files {
+                w.put(&path, bytes).await.unwrap();
+                w.sync(&path).await.unwrap();
+            }
+            for folder in stored_folders().iter().map(String::as_str).chain([""]) {
+                w.sync(folder).await.unwrap();
+            }
+        })
+    })
+}
+
+/// The files of one machine of a fixture.
+fn folder_of(fixture: &Files, machine: &str) -> Files {
+    let prefix = format!("{machine}/");
+    fixture.iter().filter_map(|(path, bytes)| Some((path.strip_prefix(&prefix)?.to_string(), bytes.clone()))).collect()
+}
+
+fn machines_with_disks() -> Vec<String> {
+    ["core", "store"].into_iter().flat_map(|tag| (1..=4).map(move |n| format!("{tag}{n}"))).collect()
+}
+
+fn stored_folder(machine: &str) -> Files {
+    let role = machine.trim_end_matches(char::is_numeric);
+    folder_of(&read_fixture(&format!("{role}.txt")), machine)
+}
+
+/// One machine that holds the files, and no process yet.
+fn machine_with(files: Files) -> (Sim, usize) {
+    let sim = Sim::new(1, 900);
+    let machine = sim.machine("m", "z1", IpAddr::from([10, 1, 0, 1]));
+    fill(&sim, machine, files);
+    (sim, machine)
+}
+
+/// A tier of machines that hold the stored folders, and no process yet.
+fn stored_tier(seed: u64) -> Arc<Tier> {
+    let tier = Tier::new(seed, COUNTS, 1);
+    for name in machines_with_disks() {
+        fill(&tier.sim, tier.sim.find(&name), stored_folder(&name));
+    }
+    tier
+}
+
+// ---- What is told in words of this test alone, so that no rename in the code changes them.
+
+fn tell_group(group: &Group) -> String {
+    format!("now {} old {} since {}", group.now.join(" "), group.old.join(" "), group.since)
+}
+
+fn tell_layout(layout: &Layout) -> String {
+    let (core, store) = (tell_group(&layout.core), tell_group(&layout.store));
+    let rest = format!("names {:?} sites {:?} retired {:?}", layout.names, layout.sites, layout.retired);
+    format!("core {core}; store {store}; {rest} turn {} term {}", layout.turn, layout.term)
+}
+
+fn tell_config(document: &ConfigDoc) -> String {
+    let orders: Vec<String> = document.orders.iter().map(|o| format!("{} {} {}", o.number, o.digest, o.taken_ms)).collect();
+    let head = format!("number {} text {} put {} note {}", document.number, document.text, document.put, document.note);
+    format!("{head} past {:?} forgotten {} orders {orders:?}", document.past, document.forgotten)
+}
+
+fn tell_list(list: &List) -> String {
+    let line = |s: &Listed| format!("{} {} {} {} {}", s.server, s.service, s.addr, s.site, s.leaving);
+    let servers: Vec<String> = list.servers.iter().map(line).collect();
+    format!("rev {} term {} servers {servers:?}", list.rev, list.term)
+}
+
+fn tell_place(place: &Option<Place>) -> String {
+    let words = |p: &Place| format!("{} {} {} {} {} {}", p.server, p.inst, p.weights, p.tokens, p.digest, p.mark);
+    place.as_ref().map(words).unwrap_or_default()
+}
+
+fn tell_record(record: &Record) -> String {
+    let head = &record.head;
+    let mark = |m: &Mark| format!("{} {} {} {} {}", m.job, m.digest, m.nonce, m.code.number(), m.used);
+    let marks: Vec<String> = head.marks.iter().map(mark).collect();
+    let run = |r: &Run| format!("{} {} {} {} {} {} {:?}", r.job, r.digest, r.nonce, r.front, r.until, r.max_out, r.budget);
+    let running = head.running.as_ref().map(run).unwrap_or_default();
+    let kv = format!("{} / {} / {}", tell_place(&head.kv.home), tell_place(&head.kv.replica), head.kv.program);
+    let texts = format!("history {} old {}", String::from_utf8_lossy(&record.hist), String::from_utf8_lossy(&record.old));
+    let rest = format!("touched {} keep {} barred {:?}", head.touched, head.keep, head.barred);
+    format!("{texts} epoch {} running {running} marks {marks:?} kept {:?} kv {kv} {rest}", head.epoch, head.kept)
+}
+
+fn tell_purse(purse: &Purse) -> String {
+    let open = |(entry, o): (&String, &Open)| format!("{entry}: {} {} {} {} {} {}", o.amount, o.key, o.job, o.nonce, o.at, o.keep);
+    let open: Vec<String> = purse.open.iter().map(open).collect();
+    format!("spent {} open {open:?} settled {:?}", purse.spent, purse.recent)
+}
+
+fn tell_row(row: &Row) -> String {
+    let turn = &row.turn;
+    let texts = format!("{:?} {:?} {}", turn.input, turn.output, turn.server);
+    format!("{} after {:?}: {texts} {} {} {} {}", turn.id, turn.prev, turn.tokens, turn.retain_ms, row.program, row.end)
+}
+
+fn tell_entry(entry: &Entry) -> String {
+    match entry {
+        Entry::Open(amount) => format!("open {amount}"),
+        Entry::Done(amount) => format!("done {amount}"),
+    }
+}
+
+fn tell_shelf(shelf: &Shelf) -> String {
+    let mut lines: Vec<String> = shelf.turns.values().map(|kept| format!("turn {}", tell_row(&kept.row))).collect();
+    for (program, ledger) in &shelf.ledgers {
+        let row = ledger.row(program);
+        let mut entries: Vec<String> = row.entries.iter().map(|(turn, entry)| format!("{turn} {}", tell_entry(entry))).collect();
+        entries.sort();
+        lines.push(format!("ledger {program} {} {} keep {} spent {} {entries:?}", row.epoch.n, row.epoch.by, row.keep, ledger.spent));
+    }
+    lines.sort();
+    lines.join("\n")
+}
+
+fn tell_value(key: &str, value: &[u8]) -> String {
+    match key {
+        "config" => tell_config(&ConfigDoc::decode(value).unwrap()),
+        "layout" => tell_layout(&serde_json::from_slice(value).unwrap()),
+        "list" => tell_list(&serde_json::from_slice(value).unwrap()),
+        SESSION => tell_record(&Record::read(value)),
+        _ => tell_purse(&Purse::read(value)),
+    }
+}
+
+/// Registers with a value in the fixtures, and the role that holds them.
+fn stored_keys() -> [(&'static str, String); 5] {
+    [("core", "config".into()), ("core", "layout".into()), ("core", "list".into()), ("store", SESSION.into()), ("store", purse_key(BUDGET))]
+}
+
+// ---- Writing the folders.
+
+fn begin(job: &str, nonce: u64) -> Begin {
+    Begin {
+        key: SESSION.into(),
+        job: job.into(),
+        digest: format!("digest-{job}"),
+        nonce,
+        front: "front1".into(),
+        left: 50_000,
+        budget: Some((BUDGET.into(), 1000)),
+        max_out: 100,
+        keep: 3_600_000,
+        hand: None,
+    }
+}
+
+fn place(name: &str, number: u64) -> Place {
+    Place {
+        server: name.into(),
+        inst: number,
+        weights: format!("weights-{name}"),
+        tokens: number + 1,
+        digest: format!("digest-{name}"),
+        mark: number + 2,
+    }
+}
+
+fn transfer_state() -> Kv {
+    Kv { home: Some(place("s1", 10)), replica: Some(place("s2", 20)), program: "program".into() }
+}
+
+/// The store that owns a key.
+fn owner_of(tier: &Tier, key: &str) -> Arc<Control> {
+    let any = tier.at("store1").unwrap();
+    let at = owners(&any.book, &any.members, key)[0];
+    tier.names(Role::Store).iter().filter_map(|name| tier.at(name)).find(|c| c.st.peer == at).unwrap()
+}
+
+async fn ask(tier: &Tier, key: &str, ask: Ask, blob: &[u8]) -> (Tell, Vec<u8>) {
+    owner_of(tier, key).store.hear(ask, blob.to_vec()).await
+}
+
+/// One turn of the session is finished, and the next runs.
+async fn run_session(tier: &Tier) {
+    let (Tell::Begun(begun), _) = ask(tier, SESSION, Ask::Begin(begin("job1", 1)), &[]).await else { panic!("not begun") };
+    let commit = Commit {
+        key: SESSION.into(),
+        job: "job1".into(),
+        epoch: begun.epoch,
+        nonce: 1,
+        code: Code::Done,
+        used: 30,
+        rule: Rule::All,
+        kv: transfer_state(),
+        hist: 8,
+    };
+    let (told, _) = ask(tier, SESSION, Ask::Commit(commit), b"\"first\"\n\"outcome\"").await;
+    assert!(matches!(told, Tell::Committed), "{told:?}");
+    let settle = Ask::Settle { budget: BUDGET.into(), entry: format!("{SESSION}|job1|1"), used: Some(30) };
+    let (told, _) = ask(tier, &purse_key(BUDGET), settle, &[]).await;
+    assert!(matches!(told, Tell::Ok), "{told:?}");
+    let (told, _) = ask(tier, SESSION, Ask::Begin(begin("job2", 2)), &[]).await;
+    assert!(matches!(told, Tell::Begun(_)), "{told:?}");
+}
+
+fn row(id: &str, prev: &str) -> Row {
+    let turn = Turn {
+        id: id.into(),
+        prev: prev.into(),
+        input: Bytes::from(format!("input of {id}")),
+        output: Bytes::from(format!("output of {id}\n")),
+        server: "s1".into(),
+        tokens: 70,
+        retain_ms: 900_000_000_000,
+    };
+    Row { turn: Arc::new(turn), program: "p1".into(), end: 1_790_000_000_000 }
+}
+
+fn ledger(program: &str, entry: (&str, Entry)) -> Item {
+    let epoch = Ballot { n: 4, by: 6 };
+    let row = LedgerRow { program: program.into(), epoch, entries: vec![(entry.0.into(), entry.1)], keep: 900_000_000_000 };
+    Item::Ledger(row, 1_790_000_000_000)
+}
+
+async fn keep_turns(tier: &Tier, items: Vec<Item>) {
+    let store = tier.at("store1").unwrap();
+    assert_eq!(store.chain.keep(items).recv().await, Ok(true));
+}
+
+/// The last batch that the machine wrote is cut short.
+async fn tear_log(tier: &Tier, machine: &str) {
+    let world = tier.sim.boot(tier.sim.find(machine));
+    let newest = world.list("chain").await.unwrap().into_iter().max().unwrap();
+    let batch = seal(&encode(&vec![ledger("torn", ("t9", Entry::Open(9)))]));
+    let (sent, done) = async_channel::bounded(1);
+    world.clone().go(async move {
+        let appended = world.append(&format!("chain/{newest}"), batch[..TORN_BYTES].to_vec()).await;
+        let _ = sent.try_send(appended.is_ok());
+    });
+    assert_eq!(done.recv().await, Ok(true));
+    tier.kill(machine, false);
+}
+
+/// Turns in two segments of the log: the end of the first was torn, and is marked so in the second.
+async fn write_log(tier: &Arc<Tier>) {
+    let first = vec![Item::Turn(row("t1", "")), Item::Turn(row("t2", "t1")), ledger("p1", ("t1", Entry::Done(40)))];
+    keep_turns(tier, first).await;
+    tier.kill("store1", false);
+    tear_log(tier, "store1").await;
+    tier.boot("store1", false);
+    tier.op.sleep(5 * SEC).await;
+    keep_turns(tier, vec![ledger("p1", ("t2", Entry::Open(50))), ledger("p2", ("t3", Entry::Open(60)))]).await;
+}
+
+/// What the tier has acknowledged, and what its disks vouch for.
+async fn acknowledged(tier: &Tier) -> Files {
+    let mut told: BTreeMap<String, String> = BTreeMap::new();
+    for name in machines_with_disks() {
+        told.insert(format!("identity {name}"), tier.at(&name).unwrap().vault.id.clone());
+    }
+    for (role, key) in stored_keys() {
+        let control = if role == "core" { tier.at("core1").unwrap() } else { owner_of(tier, &key) };
+        let (seq, _, value) = control.owner.newest(&key, SEC).await.unwrap();
+        told.insert(format!("number {key}"), seq.to_string());
+        told.insert(format!("value {key}"), tell_value(&key, &value));
+    }
+    let peers: Vec<String> = machines_with_disks().iter().map(|n| tier.at(n).unwrap().st.peer.to_string()).collect();
+    told.insert("peers".into(), peers.join(" "));
+    told.insert("log".into(), tell_shelf(&tier.at("store1").unwrap().chain.st.lock().unwrap()));
+    let holder = tier.at(&tier.on_duty()[0]).unwrap();
+    told.insert("lease term".into(), holder.lease_term().unwrap().to_string());
+    told.insert("lease holder".into(), holder.vault.id.clone());
+    told.into_iter().map(|(name, text)| (name, text.into_bytes())).collect()
+}
+
+fn listed() -> Vec<Listed> {
+    let server = |n: u8, leaving| Listed {
+        server: format!("s{n}"),
+        service: "llm".into(),
+        addr: format!("10.2.0.{n}:80").parse().unwrap(),
+        site: "z1".into(),
+        leaving,
+    };
+    vec![server(1, false), server(2, true)]
+}
+
+fn write_folders() {
+    let tier = Tier::new(77, COUNTS, 1);
+    let told = play(&tier, |t| {
+        Box::pin(async move {
+            let _platform = t.list_servers(listed()).await;
+            up(&t).await;
+            t.put_surely(0, "5 first").await;
+            t.put_surely(5, "9 second").await;
+            t.put_surely(9, "12 third").await;
+            write_log(&t).await;
+            t.op.sleep(20 * SEC).await;
+            run_session(&t).await;
+            t.op.sleep(2 * SEC).await;
+            let told = acknowledged(&t).await;
+            machines_with_disks().iter().for_each(|name| t.kill(name, false));
+            tear_log(&t, "store1").await;
+            told
+        })
+    });
+    write_fixture("acknowledged.txt", &told);
+    for role in ["core", "store"] {
+        let names = machines_with_disks().into_iter().filter(|name| name.starts_with(role));
+        let folders = names.flat_map(|name| {
+            let files = files_of(&tier.sim, tier.sim.find(&name));
+            files.into_iter().map(move |(path, bytes)| (format!("{name}/{path}"), bytes))
+        });
+        write_fixture(&format!("{role}.txt"), &folders.collect());
+    }
+}
+
+/// What a core of a tier that an operator keeps holds of the documents, and the newest version proved in force.
+fn tell_operated(core: &Control) -> Files {
+    let page = |name: &str| (core.book.page(name).seq, tell_value(name, &core.book.page(name).raw));
+    let mut told: Files = ["config", "layout", "list"].into_iter().map(|n| (n.to_string(), format!("{:?}", page(n)).into())).collect();
+    told.insert("proved".into(), core.proved.load(SeqCst).to_string().into());
+    told
+}
+
+/// A core whose tier numbers the versions keeps all documents, those in force before, and what was proved.
+fn write_operated_folder() {
+    let (lab, told) = on_fleet(
+        81,
+        |_| (),
+        |lab| {
+            Box::pin(async move {
+                let version = lab.version().await;
+                assert_eq!(lab.put("core1", version, "second").await.code, Code::Done.number());
+                lab.op.sleep(5 * SEC).await;
+                let core = lab.control("core1").unwrap();
+                let told = tell_operated(&core);
+                lab.sim.kill(lab.sim.find("core1"), false);
+                (lab, told)
+            })
+        },
+    );
+    write_fixture("operated-acknowledged.txt", &told);
+    write_fixture("operated.txt", &files_of(&lab.sim, lab.sim.find("core1")));
+}
+
+// ---- The folders are read.
+
+#[test]
+fn a_folder_written_before_bears_its_identity() {
+    let told = read_fixture("acknowledged.txt");
+    for name in machines_with_disks() {
+        let (sim, machine) = machine_with(stored_folder(&name));
+        let id = run_on(&sim, machine, |w| Box::pin(async move { Vault::open(&w).await.unwrap().id.clone() }));
+        assert_eq!(id, text_of(&told, &format!("identity {name}")), "{name}");
+    }
+}
+
+/// Each record of a folder: its number and value, where it is held.
+fn stored_record(name: &str, key: &str) -> Option<(u64, Vec<u8>)> {
+    let (sim, machine) = machine_with(stored_folder(name));
+    let key = key.to_string();
+    run_on(&sim, machine, move |w| {
+        Box::pin(async move {
+            let replica = Replica::open(&Vault::open(&w).await.unwrap()).await.unwrap();
+            assert_eq!(replica.keys().await.1, 0, "damaged records");
+            replica.peek(&key).await.map(|record| (record.seq, record.value.to_vec()))
+        })
+    })
+}
+
+#[test]
+fn registers_written_before_give_back_their_decided_values() {
+    let told = read_fixture("acknowledged.txt");
+    for (role, key) in stored_keys() {
+        let names = machines_with_disks().into_iter().filter(|name| name.starts_with(role));
+        let held: Vec<(u64, Vec<u8>)> = names.filter_map(|name| stored_record(&name, &key)).collect();
+        let number: u64 = text_of(&told, &format!("number {key}")).parse().unwrap();
+        assert!(held.iter().all(|record| record.0 <= number), "{key}: newer than what was decided");
+        let newest: Vec<&Vec<u8>> = held.iter().filter(|record| record.0 == number).map(|record| &record.1).collect();
+        assert!(newest.len() >= 2, "{key}: held by {} only", newest.len());
+        newest.iter().for_each(|value| assert_eq!(tell_value(&key, value), text_of(&told, &format!("value {key}")), "{key}"));
+    }
+}
+
+#[test]
+fn a_store_folder_written_before_gives_back_its_turns() {
+    let told = read_fixture("acknowledged.txt");
+    let (sim, machine) = machine_with(stored_folder("store1"));
+    let (words, torn, hurt) = run_on(&sim, machine, |w| {
+        Box::pin(async move {
+            let (shelf, found) = Shelf::read(&w).await.unwrap();
+            (tell_shelf(&shelf), found.torn, found.hurt)
+        })
+    });
+    assert_eq!(words, text_of(&told, "log"));
+    assert!(words.contains("turn t2 after \"t1\"") && words.contains("ledger p1") && words.contains("ledger p2"), "{words}");
+    assert!(hurt.is_empty(), "the mark of the first torn end is not read: {hurt:?}");
+    assert_eq!(torn.len(), 1, "the end torn last is dropped, and the one marked before is no news");
+}
+
+#[test]
+fn a_core_folder_written_before_gives_back_its_lease_grant() {
+    let told = read_fixture("acknowledged.txt");
+    let (term, holder) = (text_of(&told, "lease term"), text_of(&told, "lease holder"));
+    let mut granters = 0;
+    for name in machines_with_disks().into_iter().filter(|name| name.starts_with("core")) {
+        let (sim, machine) = machine_with(stored_folder(&name));
+        let body = run_on(&sim, machine, |w| Box::pin(async move { Vault::open(&w).await.unwrap().load("local", "lease").await.unwrap() }));
+        let grant = body.map(|(_, body)| serde_json::from_slice::<KeptGrant>(&body).unwrap()).unwrap_or_default();
+        let is_granted = grant.term.to_string() == term && grant.seats > 0;
+        granters += (is_granted && grant.holder.is_some_and(|c| c.disk == holder && c.life > 0 && c.process > 0)) as usize;
+    }
+    assert!(granters >= 3, "{granters} of 4 remember the grant");
+}
+
+/// A node that starts on the folder refuses the term that was granted before, and starts its next life.
+#[test]
+fn a_core_started_on_a_folder_written_before_grants_no_term_twice() {
+    let told = read_fixture("acknowledged.txt");
+    let term: u64 = text_of(&told, "lease term").parse().unwrap();
+    let tier = stored_tier(78);
+    let lease = play(&tier, move |t| {
+        Box::pin(async move {
+            t.boot("core1", false);
+            t.op.sleep(2 * SEC).await;
+            let core = t.at("core1").unwrap_or_else(|| panic!("{}", tell(&t)));
+            let candidate = Candidate { disk: "other".into(), process: 1, life: 1 };
+            let seats = yewcross_control::lease::seats_digest(&core.book.layout.load().1);
+            let call = LeaseCall::Request { term };
+            let ask = LeaseAsk { granter: core.vault.id.clone(), candidate, seats, call, wants_holder: false };
+            let (Tell::Lease(lease), _) = core.hear(Ask::Lease(ask), vec![], "core2").await else { panic!("no answer") };
+            assert_eq!(core.vault.load("local", "life").await.unwrap().map(|kept| kept.0), Some(2));
+            lease
+        })
+    });
+    assert_eq!((lease.term, lease.verdict), (term, Verdict::Refused(Refusal::OldTerm)));
+}
+
+#[test]
+fn a_node_started_on_a_folder_written_before_knows_its_peers_and_layout() {
+    let told = read_fixture("acknowledged.txt");
+    let expected: Vec<String> = text_of(&told, "peers").split(' ').map(String::from).collect();
+    for name in machines_with_disks() {
+        let tier = stored_tier(79);
+        let machine = name.clone();
+        let (peers, number, layout) = play(&tier, move |t| {
+            Box::pin(async move {
+                t.boot(&machine, false);
+                t.op.sleep(SEC).await;
+                let node = t.at(&machine).unwrap();
+                let known: Vec<String> = node.members.known.lock().unwrap().iter().map(|a| a.to_string()).collect();
+                let layout = node.book.layout.load();
+                (known, layout.0, tell_layout(&layout.1))
+            })
+        });
+        assert_eq!(peers, expected, "{name}");
+        assert_eq!(number.to_string(), text_of(&told, "number layout"), "{name}");
+        assert_eq!(layout, text_of(&told, "value layout"), "{name}");
+    }
+}
+
+#[test]
+fn a_core_folder_of_an_operated_tier_gives_back_its_documents_and_what_was_proved() {
+    let told = read_fixture("operated-acknowledged.txt");
+    assert!(text_of(&told, "config").contains("mark-second") && text_of(&told, "config").contains("mark-first"), "no past");
+    assert_ne!(text_of(&told, "proved"), "0");
+    let lab = Lab::new(82, "small");
+    fill(&lab.sim, lab.sim.find("core1"), read_fixture("operated.txt"));
+    lab.boot("core1");
+    lab.sim.run(lab.sim.now() + SEC, || lab.control("core1").is_some());
+    let now = tell_operated(&lab.control("core1").unwrap());
+    told.keys().for_each(|name| assert_eq!(text_of(&now, name), text_of(&told, name), "{name}"));
+}
+
+/// Why there is no folder of a front among the fixtures.
+#[test]
+fn a_front_keeps_nothing_on_its_disk() {
+    let files = on_fleet(
+        83,
+        |_| (),
+        |lab| Box::pin(async move { lab.names(Role::Front).iter().map(|f| lab.sim.disk(lab.sim.find(f), |d| d.files())).sum::<usize>() }),
+    );
+    assert_eq!(files, 0);
+}
+
+/// The newest value of the budget's register.
+async fn purse_value(tier: &Tier) -> Vec<u8> {
+    owner_of(tier, &purse_key(BUDGET)).owner.newest(&purse_key(BUDGET), SEC).await.unwrap().2.to_vec()
+}
+
+#[test]
+fn a_tier_started_on_folders_written_before_goes_on_from_what_it_acknowledged() {
+    // A tier whose records are all damaged would never come up: that is told here, at once.
+    machines_with_disks().iter().for_each(|name| _ = stored_record(name, SESSION));
+    let tier = stored_tier(80);
+    play(&tier, |t| {
+        Box::pin(async move {
+            machines_with_disks().iter().for_each(|name| t.boot(name, false));
+            let (cores, stores) = (t.names(Role::Core), t.names(Role::Store));
+            t.seated(&cores, &stores, 20 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+            t.op.sleep(3 * SEC).await;
+            assert_eq!(t.read("core2").await, Some(ReadAnswer::Text(12, "12 third".into())));
+            t.put_surely(5, "9 second").await;
+            assert_eq!(t.put("core1", 5, "10 other").await, Some(PutAnswer::Conflict(12)));
+
+            let before = purse_value(&t).await;
+            let (told, kept) = ask(&t, SESSION, Ask::Begin(begin("job1", 3)), &[]).await;
+            assert!(matches!(told, Tell::Kept { code: Code::Done }), "{told:?}");
+            assert_eq!(kept, b"\"outcome\"");
+            let (told, _) = ask(&t, SESSION, Ask::Begin(begin("job2", 4)), &[]).await;
+            assert!(matches!(told, Tell::No(Code::StillRunning)), "{told:?}");
+            t.op.sleep(SEC).await;
+
+            let reserve = |entry: &str, limit| Ask::Reserve {
+                budget: BUDGET.into(),
+                entry: entry.into(),
+                amount: 5,
+                limit,
+                key: SESSION.into(),
+                job: "job9".into(),
+                nonce: 9,
+                keep: 1,
+            };
+            let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z1", 130), &[]).await;
+            assert!(matches!(told, Tell::No(Code::BudgetSpent)), "{told:?}: 30 are spent and 100 reserved");
+            let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z2", 131), &[]).await;
+            assert!(matches!(told, Tell::Ok), "{told:?}");
+            let after = purse_value(&t).await;
+            let lines: Vec<&[u8]> = after.split(|b| *b == b'\n').collect();
+            let missing = before.split(|b| *b == b'\n').find(|line| !lines.contains(line));
+            assert_eq!(missing.map(String::from_utf8_lossy), None, "a line is written otherwise than before");
+
+            t.put_surely(12, "13 fourth").await;
+        })
+    });
+}
+
+// ---- Samples: each stored struct with all its fields distinct.
+
+fn group(tag: &str, since: u64) -> Group {
+    Group { now: vec![format!("{tag}1"), format!("{tag}2")], old: vec![format!("{tag}3")], since }
+}
+
+fn layout() -> Layout {
+    Layout {
+        core: group("c", 11),
+        store: group("s", 12),
+        names: [("c1".into(), "core1".into())].into(),
+        sites: [("c1".into(), "z1".into())].into(),
+        turn: 13,
+        retired: ["store9".into()].into(),
+        term: 14,
+    }
+}
+
+fn taken_order() -> TakenOrder {
+    TakenOrder { number: 21, digest: "mark".into(), taken_ms: 22 }
+}
+
+fn config() -> ConfigDoc {
+    ConfigDoc {
+        text: "31 text".into(),
+        put: "attempt".into(),
+        note: "why".into(),
+        past: vec![(32, "earlier".into(), "30 text".into())],
+        number: 31,
+        forgotten: 33,
+        orders: vec![taken_order(), TakenOrder { number: 20, ..taken_order() }],
+    }
+}
+
+fn list() -> List {
+    List { rev: 41, term: 42, servers: listed() }
+}
+
+fn candidate() -> Candidate {
+    Candidate { disk: "d1".into(), process: 51, life: 52 }
+}
+
+fn grant() -> KeptGrant {
+    KeptGrant { term: 53, holder: Some(candidate()), seats: 54 }
+}
+
+fn running() -> Run {
+    Run {
+        job: "job".into(),
+        digest: "digest".into(),
+        nonce: 61,
+        front: "front".into(),
+        until: 62,
+        max_out: 63,
+        budget: Some("budget".into()),
+    }
+}
+
+fn mark() -> Mark {
+    Mark { job: "job0".into(), digest: "digest0".into(), nonce: 64, code: Code::Cancelled, used: 65 }
+}
+
+fn session_head() -> Head {
+    let mut head = Head::default();
+    head.epoch = 66;
+    head.running = Some(running());
+    head.kv = transfer_state();
+    head.touched = 67;
+    head.keep = 68;
+    head.barred = [69].into();
+    head
+}
+
+fn session_record() -> Record {
+    let mut head = session_head();
+    head.marks = [mark()].into();
+    head.kept = [("job0".into(), "outcome".into())].into();
+    Record { hist: b"\"said\"\n".to_vec(), old: b"0123456789abcdef\n".to_vec(), head }
+}
+
+fn reservation() -> Open {
+    Open { amount: 71, key: "key".into(), job: "job".into(), nonce: 72, at: 73, keep: 74 }
+}
+
+fn items() -> Vec<Item> {
+    let entries = vec![("t1".into(), Entry::Open(81)), ("t2".into(), Entry::Done(82))];
+    let ledger = LedgerRow { program: "p".into(), epoch: Ballot { n: 83, by: 84 }, entries, keep: 85 };
+    vec![Item::Turn(row("t2", "t1")), Item::Ledger(ledger, 86), Item::Torn(87, 88)]
+}
+
+/// Number, epoch and text of a document on a node's own disk.
+fn page() -> (u64, Ballot, String) {
+    (91, Ballot { n: 92, by: 93 }, "document".into())
+}
+
+fn json_of(value: &impl Serialize) -> Vec<u8> {
+    serde_json::to_vec(value).unwrap()
+}
+
+/// A register's file: promised, accepted and number differ.
+fn register_file() -> (String, Vec<u8>) {
+    let (sim, machine) = machine_with(Files::new());
+    run_on(&sim, machine, |w| {
+        Box::pin(async move {
+            let replica = Replica::open(&Vault::open(&w).await.unwrap()).await.unwrap();
+            let (key, lay) = ("session/a".to_string(), 0);
+            let (first, second) = (Ballot { n: 3, by: 4 }, Ballot { n: 5, by: 6 });
+            replica.hear(RegisterRequest::Promise { key: key.clone(), epoch: first, lay }, vec![]).await;
+            let accept = RegisterRequest::Accept { key: key.clone(), epoch: first, seq: 7, lay, delta: false };
+            assert_eq!(replica.hear(accept, b"value".to_vec()).await.0, RegisterReply::Accepted);
+            replica.hear(RegisterRequest::Promise { key, epoch: second, lay }, vec![]).await;
+        })
+    });
+    files_of(&sim, machine).into_iter().find(|(path, _)| path.starts_with("keys/")).unwrap()
+}
+
+/// Keys of an operator's configuration text, which is stored as it was put.
+fn setting_keys() -> String {
+    let keys = [("family", Family::DEFS), ("service", Service::DEFS), ("budget", Budget::DEFS)];
+    keys.iter().flat_map(|(name, settings)| settings.iter().map(move |s| format!("{name} {} {}\n", s.key, s.kind))).collect()
+}
+
+fn samples() -> Files {
+    let (register_path, register) = register_file();
+    let codes: Vec<Code> = Code::iter().collect();
+    let peers = vec![listed()[0].addr, listed()[1].addr];
+    [
+        ("layout", json_of(&layout())),
+        ("taken order", json_of(&taken_order())),
+        ("config", config().encode().unwrap()),
+        ("list", json_of(&list())),
+        ("candidate", json_of(&candidate())),
+        ("lease grant", json_of(&grant())),
+        ("running", json_of(&running())),
+        ("mark", json_of(&mark())),
+        ("session head", json_of(&session_head())),
+        ("session record", session_record().write()),
+        ("reservation", json_of(&reservation())),
+        ("codes", json_of(&codes)),
+        ("page", json_of(&page())),
+        ("peers", json_of(&peers)),
+        ("log items", encode(&items())),
+        ("log path", chain_log::path(0x1f).into_bytes()),
+        ("sealed", seal(b"body")),
+        ("register path", register_path.into_bytes()),
+        ("register file", register),
+        ("setting keys", setting_keys().into_bytes()),
+        ("setting defaults", json_of(&(Family::default(), Service::default(), Budget::default()))),
+    ]
+    .map(|(name, bytes)| (name.to_string(), bytes))
+    .into()
+}
+
+#[test]
+fn stored_structs_are_written_with_the_bytes_of_before() {
+    let (stored, now) = (read_fixture("samples.txt"), samples());
+    assert_eq!(stored.keys().collect::<Vec<_>>(), now.keys().collect::<Vec<_>>());
+    for (name, bytes) in &stored {
+        assert_eq!(String::from_utf8_lossy(&now[name]), String::from_utf8_lossy(bytes), "{name}");
+        assert_eq!(&now[name], bytes, "{name}");
+    }
+}
+
+fn assert_reads<T: DeserializeOwned + Debug>(stored: &Files, name: &str, expected: &T) {
+    let read: T = serde_json::from_slice(&stored[name]).unwrap_or_else(|e| panic!("{name}: {e}"));
+    assert_eq!(format!("{read:?}"), format!("{expected:?}"), "{name}");
+}
+
+#[test]
+fn bytes_of_before_are_read_as_the_structs_that_were_written() {
+    let stored = read_fixture("samples.txt");
+    assert_reads(&stored, "layout", &layout());
+    assert_reads(&stored, "taken order", &taken_order());
+    assert_reads(&stored, "config", &config());
+    assert_reads(&stored, "list", &list());
+    assert_reads(&stored, "candidate", &candidate());
+    assert_reads(&stored, "lease grant", &grant());
+    assert_reads(&stored, "running", &running());
+    assert_reads(&stored, "mark", &mark());
+    assert_reads(&stored, "session head", &session_head());
+    assert_reads(&stored, "reservation", &reservation());
+    assert_reads(&stored, "page", &page());
+    assert_reads(&stored, "codes", &Code::iter().collect::<Vec<_>>());
+    assert_eq!(tell_record(&Record::read(&stored["session record"])), tell_record(&session_record()));
+    let read: Vec<Item> = decode(&stored["log items"]).unwrap();
+    assert_eq!(format!("{read:?}"), format!("{:?}", items()));
+}
+
+// ---- Fields that are missing, and fields that nobody knows.
+
+/// Takes each field away in turn: one of `defaults` gets its default, and without any other the value is refused. A field
+/// that is not known is passed over.
+fn check_fields<T: DeserializeOwned + Serialize>(sample: &impl Serialize, defaults: &[(&str, Value)]) {
+    let whole = serde_json::to_value(sample).unwrap();
+    let name = std::any::type_name::<T>();
+    for field in whole.as_object().unwrap().keys() {
+        let mut cut = whole.clone();
+        cut.as_object_mut().unwrap().remove(field);
+        let read = serde_json::from_value::<T>(cut.clone());
+        match defaults.iter().find(|default| default.0 == field) {
+            Some((_, default)) => {
+                cut[field] = default.clone();
+                let read = read.unwrap_or_else(|e| panic!("{name} without {field}: {e}"));
+                assert_eq!(serde_json::to_value(read).unwrap(), cut, "{name} without {field}");
+            }
+            None => assert!(read.is_err(), "{name} without {field} is read"),
+        }
+    }
+    assert!(defaults.iter().all(|default| whole.get(default.0).is_some()), "{name} lost a field");
+    let mut more = whole.clone();
+    more["unknown"] = json!(1);
+    let read: T = serde_json::from_value(more).unwrap_or_else(|e| panic!("{name} with a field more: {e}"));
+    assert_eq!(serde_json::to_value(read).unwrap(), whole, "{name} with a field more");
+}
+
+#[test]
+fn a_missing_field_of_a_document_is_an_error_or_gets_its_default() {
+    check_fields::<Layout>(&layout(), &[("sites", json!({})), ("retired", json!([])), ("term", json!(0))]);
+    check_fields::<Group>(&group("c", 11), &[("since", json!(0))]);
+    check_fields::<ConfigDoc>(&config(), &[("number", json!(0)), ("forgotten", json!(0)), ("orders", json!([]))]);
+    check_fields::<TakenOrder>(&taken_order(), &[]);
+    check_fields::<List>(&list(), &[("term", json!(0))]);
+    check_fields::<Listed>(&listed()[1], &[("leaving", json!(false))]);
+}
+
+#[test]
+fn a_missing_field_of_a_grant_is_an_error_or_gets_its_default() {
+    check_fields::<KeptGrant>(&grant(), &[("holder", Value::Null)]);
+    check_fields::<Candidate>(&candidate(), &[("life", json!(0))]);
+}
+
+#[test]
+fn a_missing_field_of_a_session_or_budget_is_an_error_or_gets_its_default() {
+    let head = [("running", Value::Null), ("keep", json!(0)), ("barred", json!([])), ("olds", json!(0))];
+    check_fields::<Head>(&session_head(), &head);
+    check_fields::<Run>(&running(), &[("budget", Value::Null)]);
+    check_fields::<Mark>(&mark(), &[]);
+    check_fields::<Kv>(&transfer_state(), &[("home", Value::Null), ("replica", Value::Null)]);
+    check_fields::<Place>(&place("s1", 10), &[]);
+    check_fields::<Open>(&reservation(), &[("keep", json!(0))]);
+    check_fields::<Ballot>(&Ballot { n: 1, by: 2 }, &[]);
+}
+
+/// The head of a register's file has no defaults: without one of its fields the record counts as damaged.
+#[test]
+fn a_register_file_that_lacks_a_field_is_damaged() {
+    let stored = read_fixture("samples.txt");
+    let (path, file) = (text_of(&stored, "register path"), &stored["register file"]);
+    let body = &file[12..file.len() - 4];
+    let length = u32::from_le_bytes(body[..4].try_into().unwrap()) as usize;
+    let head: Value = serde_json::from_slice(&body[4..4 + length]).unwrap();
+    let fields: Vec<String> = head.as_object().unwrap().keys().cloned().collect();
+    assert_eq!(fields, ["accepted", "key", "promised", "seq"]);
+    for lacking in fields.iter().map(Some).chain([None]) {
+        let mut cut = head.clone();
+        lacking.into_iter().for_each(|field| _ = cut.as_object_mut().unwrap().remove(field));
+        let cut = json_of(&cut);
+        let bytes = [&(cut.len() as u32).to_le_bytes()[..], &cut, b"value"].concat();
+        let (sim, machine) = machine_with([(path.clone(), seal(&bytes))].into());
+        let (keys, damaged) =
+            run_on(&sim, machine, |w| Box::pin(async move { Replica::open(&Vault::open(&w).await.unwrap()).await.unwrap().keys().await }));
+        assert_eq!((keys.len(), damaged), if lacking.is_some() { (0, 1) } else { (1, 0) }, "without {lacking:?}");
+    }
+}
+
+/// The sections of an operator's text, each of which may be missing.
+#[test]
+fn a_configuration_text_written_before_is_read() {
+    let text = json!({
+        "families": {"a": {"set": {"service": "llm", "max_output": 7}, "under": {"b": {"set": {"history": {"turns": 3}}}}}},
+        "services": {"llm": {"kind": "model", "allow": ["s*"]}},
+        "budgets": {"purse": {"tokens": 9}},
+        "fronts": ["front1"],
+        "routing": {},
+    });
+    let tree = Tree::read(text.to_string().as_bytes()).unwrap();
+    let family = tree.families.values().find(|family| family.path.ends_with('b')).unwrap();
+    assert_eq!((family.eff.max_output, family.eff.history), (7, Rule::Turns(3)));
+    assert_eq!((tree.services["llm"].allow[0].as_str(), tree.budgets["purse"].tokens), ("s*", 9));
+    assert_eq!(tree.fronts, ["front1"]);
+    assert!(Tree::read(b"{}").is_ok());
+    assert!(Tree::read(b"{\"unknown\":1}").is_err());
+}
