--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -3,9 +3,9 @@
 use crate::{Control, config, layout, quorum_contact};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-pub use yewcross::orders::{PutAnswer, RetireBegin};
-use yewcross::port::{Catalogue, Dialect, Native};
-use yewcross::startup::Role;
+use yewcross::adapter::{ConfigurationFormat, NativeFormat, ServerCatalogue};
+use yewcross::process_settings::Role;
+pub use yewcross::protocol::operator_orders::{PutAnswer, RetireBegin};
 
 /// When a put is acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -19,11 +19,11 @@
 
 #[derive(Clone)]
 pub struct Options {
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn ConfigurationFormat>,
     /// How the platform's list is asked; none for the product's own JSON.
-    pub catalogue: Option<Arc<dyn Catalogue>>,
+    pub catalogue: Option<Arc<dyn ServerCatalogue>>,
     pub rollout: Rollout,
-    /// Serve the product's own operators' interface at `Startup::http`.
+    /// Serve the product's own operators' interface at `ProcessSettings::http`.
     pub bind_http: bool,
     /// Keep the seats without an operator: found the tier, admit new disks, replace lost ones.
     pub tends: bool,
@@ -33,7 +33,7 @@
 
 impl Default for Options {
     fn default() -> Self {
-        Options { dialect: Arc::new(Native), catalogue: None, rollout: Rollout::Proved, bind_http: true, tends: false, stays: false }
+        Options { dialect: Arc::new(NativeFormat), catalogue: None, rollout: Rollout::Proved, bind_http: true, tends: false, stays: false }
     }
 }
 
@@ -62,7 +62,7 @@
     /// within `Bounds::ack`.
     pub async fn put(self: &Arc<Self>, base: u64, text: Vec<u8>) -> PutAnswer {
         if !quorum_contact::reach_quorum(self).await {
-            return if self.book.layout.load().0 == 0 { PutAnswer::NotFounded } else { PutAnswer::NoMajority };
+            return if self.documents.layout.load().0 == 0 { PutAnswer::NotFounded } else { PutAnswer::NoMajority };
         }
         config::order(self, base, text).await
     }
@@ -92,8 +92,8 @@
 
     /// The tier is founded, this disk works, and no younger process carries this name.
     pub fn ready(&self) -> bool {
-        let l = self.book.layout.load();
-        let founded = l.0 > 0 && (self.st.role != Role::Core || self.founded.load(SeqCst));
-        founded && !self.vault.failed.load(SeqCst) && !self.members.replaced.is_set()
+        let l = self.documents.layout.load();
+        let founded = l.0 > 0 && (self.settings.role != Role::Core || self.founded.load(SeqCst));
+        founded && !self.storage.failed.load(SeqCst) && !self.members.replaced.is_set()
     }
 }
--- a/yewcross-control/src/chain.rs
+++ b/yewcross-control/src/chain.rs
@@ -8,26 +8,26 @@
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::book::Book;
-use yewcross::chain_wire::*;
-use yewcross::consts::*;
-use yewcross::hash::wide;
-use yewcross::member::Members;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::hash::key_128;
+use yewcross::membership::Membership;
+use yewcross::process_settings::ProcessSettings;
 use yewcross::register::Ballot;
-use yewcross::startup::Startup;
-use yewcross::vault::Vault;
-use yewcross::world::*;
+use yewcross::runtime::*;
+use yewcross::storage::DurableStorage;
+use yewcross::turn_log::store_client::*;
 
 /// A turn on this disk; `until` is in ms of the middle clock, the longest that it or one after it is kept.
 pub struct Kept {
-    pub row: Row,
+    pub row: StoredTurn,
     pub until: u64,
     seg: u64,
 }
 
 pub struct Ledger {
     pub promised: Ballot,
-    pub entries: HashMap<String, Entry>,
+    pub entries: HashMap<String, LedgerEntry>,
     pub spent: u64,
     /// ms of the middle clock of its last change.
     at: u64,
@@ -43,7 +43,7 @@
 }
 
 impl Ledger {
-    fn merge(&mut self, es: &[(String, Entry)], at: u64, keep: u64) {
+    fn merge(&mut self, es: &[(String, LedgerEntry)], at: u64, keep: u64) {
         es.iter().for_each(|(k, e)| match self.entries.get_mut(k) {
             Some(x) => {
                 let n = x.merge(*e);
@@ -59,9 +59,9 @@
         self.keep = self.keep.max(keep);
     }
 
-    pub fn row(&self, program: &str) -> LedgerRow {
+    pub fn row(&self, program: &str) -> LedgerRecord {
         let entries = self.entries.iter().map(|(k, e)| (k.clone(), *e)).collect();
-        LedgerRow { program: program.into(), epoch: self.promised, entries, keep: self.keep }
+        LedgerRecord { program: program.into(), epoch: self.promised, entries, retain_ms: self.keep }
     }
 
     fn bytes(&self) -> usize {
@@ -80,7 +80,7 @@
 
 impl Shelf {
     /// All that the disk's log holds.
-    pub async fn read(w: &World) -> io::Result<(Shelf, chain_log::Found)> {
+    pub async fn read(w: &Runtime) -> io::Result<(Shelf, chain_log::Found)> {
         let mut shelf = Shelf::default();
         let found = chain_log::read(w, |item, segment| shelf.apply(item, segment)).await?;
         let ends: Vec<(String, u64)> = shelf.turns.values().map(|k| (k.row.turn.prev.clone(), k.until)).collect();
@@ -89,14 +89,14 @@
     }
 
     pub fn get(&self, id: &str) -> Option<&Kept> {
-        self.turns.get(&wide(id.as_bytes())).filter(|k| k.row.turn.id == id)
+        self.turns.get(&key_128(id.as_bytes())).filter(|k| k.row.turn.id == id)
     }
 
     pub fn apply(&mut self, i: &Item, seg: u64) {
         match i {
             Item::Turn(r) => {
-                let until = r.end + r.turn.retain_ms;
-                let k = self.turns.entry(wide(r.turn.id.as_bytes())).or_insert_with(|| {
+                let until = r.ended_at_ms + r.turn.retain_ms;
+                let k = self.turns.entry(key_128(r.turn.id.as_bytes())).or_insert_with(|| {
                     self.bytes += r.bytes();
                     Kept { row: r.clone(), until, seg }
                 });
@@ -106,7 +106,7 @@
             Item::Ledger(l, at) => {
                 let x = self.ledgers.entry(l.program.clone()).or_default();
                 x.promised = x.promised.max(l.epoch);
-                x.merge(&l.entries, *at, l.keep);
+                x.merge(&l.entries, *at, l.retain_ms);
                 x.seg = x.seg.min(seg);
             }
             Item::Torn(..) => {}
@@ -116,14 +116,14 @@
     /// What comes before a turn is kept as long as the turn.
     fn lengthen(&mut self, prev: &str, until: u64) {
         let mut at = prev.to_string();
-        while let Some(k) = self.turns.get_mut(&wide(at.as_bytes())).filter(|k| k.until < until) {
+        while let Some(k) = self.turns.get_mut(&key_128(at.as_bytes())).filter(|k| k.until < until) {
             k.until = until;
             at = k.row.turn.prev.clone();
         }
     }
 
     /// The chain that ends in `id`, newest first, and the first turn of it that is not here.
-    pub fn walk(&self, id: &str) -> (Vec<Row>, String) {
+    pub fn walk(&self, id: &str) -> (Vec<StoredTurn>, String) {
         let (mut v, mut at) = (vec![], id.to_string());
         while let Some(k) = self.get(&at).filter(|_| !at.is_empty()) {
             at = k.row.turn.prev.clone();
@@ -198,9 +198,9 @@
 }
 
 pub struct Engine {
-    pub w: World,
-    pub line: Arc<Line>,
-    pub vault: Arc<Vault>,
+    pub w: Runtime,
+    pub line: Arc<StoreClient>,
+    pub vault: Arc<DurableStorage>,
     pub me: String,
     pub st: Mutex<Shelf>,
     pub log: Mutex<Log>,
@@ -225,21 +225,27 @@
 
 impl Engine {
     /// Reads what the disk holds, and runs the upkeep. Errors are those of the disk.
-    pub async fn start(w: &World, st: &Startup, members: &Arc<Members>, book: &Arc<Book>, vault: &Arc<Vault>) -> io::Result<Arc<Engine>> {
+    pub async fn start(
+        w: &Runtime,
+        st: &ProcessSettings,
+        members: &Arc<Membership>,
+        book: &Arc<DocumentCache>,
+        vault: &Arc<DurableStorage>,
+    ) -> io::Result<Arc<Engine>> {
         let (shelf, f) = Shelf::read(w).await?;
         f.hurt.iter().for_each(|s| w.log(&format!("damaged segment {s:x} of the log; asking the other disks")));
         let seg = f.sizes.keys().last().map_or(1, |s| s + 1);
         let max = if st.bounds.memory_mb == 0 { CHAIN_HELD } else { (st.bounds.memory_mb as usize) * (3 << 17) };
         let e = Arc::new(Engine {
             w: w.clone(),
-            line: Line::new(members, book, &st.name, st.bounds.lost),
+            line: StoreClient::new(members, book, &st.name, st.bounds.lost),
             vault: vault.clone(),
-            me: vault.id.clone(),
+            me: vault.disk_id.clone(),
             st: Mutex::new(shelf),
             log: Mutex::new(Log::new(seg, f.sizes)),
             own: Default::default(),
             counts: Default::default(),
-            mark: mark_of(&vault.id) | (w.rand() & 0xffff),
+            mark: epoch_owner_id(&vault.disk_id) | (w.random() & 0xffff),
             busy: AtomicUsize::new(0),
             max,
             doubt: AtomicBool::new(!f.hurt.is_empty()),
@@ -252,8 +258,8 @@
             let marks = f.torn.iter().map(|(s, n)| Item::Torn(*s, *n)).collect();
             e.keep(marks);
         }
-        w.go(e.clone().upkeep());
-        w.go(e.clone().watch());
+        w.spawn(e.clone().upkeep());
+        w.spawn(e.clone().watch());
         Ok(e)
     }
 
@@ -315,20 +321,20 @@
 
     /// The layout that every disk answers by.
     fn lay(&self) -> u64 {
-        self.line.book.layout.load().0
+        self.line.documents.layout.load().0
     }
 
     fn clock(&self) -> u64 {
         self.line.members.clock().0
     }
 
-    pub async fn hear(self: &Arc<Self>, blob: Vec<u8>) -> Vec<u8> {
-        let Some(a) = decode::<ChainAsk>(&blob) else { return encode(&Told::Away) };
+    pub async fn handle(self: &Arc<Self>, blob: Vec<u8>) -> Vec<u8> {
+        let Some(a) = decode::<TurnLogRequest>(&blob) else { return encode(&TurnLogResponse::Unavailable) };
         drop(blob);
         let n = self.busy.fetch_add(1, SeqCst);
         let t = if n >= CHAIN_BUSY || self.clogged() {
             self.counts.busy.fetch_add(1, Relaxed);
-            Told::Away
+            TurnLogResponse::Unavailable
         } else {
             self.answer(a).await
         };
@@ -336,162 +342,172 @@
         encode(&t)
     }
 
-    async fn answer(self: &Arc<Self>, a: ChainAsk) -> Told {
-        let until = self.w.now() + a.left;
+    async fn answer(self: &Arc<Self>, a: TurnLogRequest) -> TurnLogResponse {
+        let until = self.w.now() + a.timeout_us;
         if a.disk != self.me || self.vault.failed.load(SeqCst) {
-            return Told::Away;
+            return TurnLogResponse::Unavailable;
         }
-        if a.lay > self.lay() {
+        if a.layout_version > self.lay() {
             let me = self.clone();
-            let f = async move { me.line.catch_up(a.lay).await };
+            let f = async move { me.line.catch_up(a.layout_version).await };
             // Only an owner counts disks itself; the others can answer before they have the layout.
-            if matches!(a.what, What::Open { .. }) { f.await } else { self.w.go(f) }
-        } else if !self.line.seats().has(&self.me) {
-            return if a.lay < self.lay() { Told::Newer(self.lay()) } else { Told::Away };
+            if matches!(a.operation, TurnLogOperation::OpenTurn { .. }) { f.await } else { self.w.spawn(f) }
+        } else if !self.line.replicas().has(&self.me) {
+            return if a.layout_version < self.lay() { TurnLogResponse::NewerLayout(self.lay()) } else { TurnLogResponse::Unavailable };
         }
-        match a.what {
-            What::Open { program, turn, max, budget, need, take } => {
-                if a.lay < self.lay() {
-                    return Told::Newer(self.lay());
+        match a.operation {
+            TurnLogOperation::OpenTurn { program, turn, max_output_tokens: max, budget, parent: need, take_over: take } => {
+                if a.layout_version < self.lay() {
+                    return TurnLogResponse::NewerLayout(self.lay());
                 }
                 self.counts.opens.fetch_add(1, Relaxed);
                 self.open(&program, &turn, max, budget, &need, take, until).await
             }
-            What::Find { id } => self.find(a.lay, &id),
-            What::Take { ledger } => self.promise(a.lay, ledger).await,
-            What::Add { ledger } => self.add(a.lay, ledger).await,
-            What::Write { rows, ledger } => {
+            TurnLogOperation::FindHistory { id } => self.find(a.layout_version, &id),
+            TurnLogOperation::AcquireLedger { ledger } => self.promise(a.layout_version, ledger).await,
+            TurnLogOperation::AppendEntries { ledger } => self.add(a.layout_version, ledger).await,
+            TurnLogOperation::StoreTurns { rows, ledger } => {
                 ledger.iter().for_each(|l| self.pass_on(l));
-                self.take_in(a.lay, rows, ledger.into_iter().collect()).await
+                self.take_in(a.layout_version, rows, ledger.into_iter().collect()).await
             }
-            What::Push { rows, ledgers } => self.take_in(a.lay, rows, ledgers).await,
-            What::Have { ids } => {
+            TurnLogOperation::TransferRecords { rows, ledgers } => self.take_in(a.layout_version, rows, ledgers).await,
+            TurnLogOperation::ContainsTurns { ids } => {
                 let g = self.st.lock().unwrap();
-                Told::Have(ids.iter().map(|i| g.turns.contains_key(i)).collect())
+                TurnLogResponse::Contains(ids.iter().map(|i| g.turns.contains_key(i)).collect())
             }
-            What::Mend => self.mend().await,
+            TurnLogOperation::Repair => self.mend().await,
         }
     }
 
-    fn find(&self, lay: u64, id: &str) -> Told {
+    fn find(&self, lay: u64, id: &str) -> TurnLogResponse {
         let g = self.st.lock().unwrap();
         if lay < self.lay() {
-            return Told::Newer(self.lay());
+            return TurnLogResponse::NewerLayout(self.lay());
         }
         match g.walk(id).0 {
-            v if !v.is_empty() => Told::Rows(v),
-            _ if self.doubt.load(SeqCst) => Told::Away,
-            _ => Told::No,
+            v if !v.is_empty() => TurnLogResponse::History(v),
+            _ if self.doubt.load(SeqCst) => TurnLogResponse::Unavailable,
+            _ => TurnLogResponse::NotStored,
         }
     }
 
-    async fn promise(self: &Arc<Self>, lay: u64, l: LedgerRow) -> Told {
+    async fn promise(self: &Arc<Self>, lay: u64, l: LedgerRecord) -> TurnLogResponse {
         let at = self.clock();
         let (rx, all) = {
             let mut g = self.st.lock().unwrap();
             if lay < self.lay() {
-                return Told::Newer(self.lay());
+                return TurnLogResponse::NewerLayout(self.lay());
             }
             if self.doubt.load(SeqCst) {
-                return Told::Away;
+                return TurnLogResponse::Unavailable;
             }
             let x = g.ledgers.entry(l.program.clone()).or_default();
             if l.epoch < x.promised {
                 self.counts.refused.fetch_add(1, Relaxed);
-                return Told::Refused(x.promised);
+                return TurnLogResponse::StaleEpoch(x.promised);
             }
             // The same again adds nothing, and waits only for what is under way to the disk.
             let again = x.promised == l.epoch && l.entries.is_empty();
             x.promised = l.epoch;
-            x.merge(&l.entries, at, l.keep);
+            x.merge(&l.entries, at, l.retain_ms);
             let all = x.row("").entries;
             (self.keep(if again { vec![] } else { vec![Item::Ledger(l, at)] }), all)
         };
-        if self.safe(rx).await { Told::Taken(all) } else { Told::Away }
+        if self.safe(rx).await { TurnLogResponse::LedgerAcquired(all) } else { TurnLogResponse::Unavailable }
     }
 
-    async fn add(self: &Arc<Self>, lay: u64, l: LedgerRow) -> Told {
+    async fn add(self: &Arc<Self>, lay: u64, l: LedgerRecord) -> TurnLogResponse {
         let at = self.clock();
         let rx = {
             let mut g = self.st.lock().unwrap();
             if lay < self.lay() {
-                return Told::Newer(self.lay());
+                return TurnLogResponse::NewerLayout(self.lay());
             }
             // Only what was promised is accepted: a disk that forgot, or never knew, does not vouch for the owner.
             let was = g.ledgers.get(&l.program).map(|x| x.promised).unwrap_or_default();
             let Some(x) = g.ledgers.get_mut(&l.program).filter(|x| x.promised == l.epoch) else {
                 self.counts.refused.fetch_add(1, Relaxed);
-                return Told::Refused(was);
+                return TurnLogResponse::StaleEpoch(was);
             };
-            x.merge(&l.entries, at, l.keep);
+            x.merge(&l.entries, at, l.retain_ms);
             self.keep(vec![Item::Ledger(l, at)])
         };
-        if self.safe(rx).await { Told::Ok } else { Told::Away }
+        if self.safe(rx).await { TurnLogResponse::Ok } else { TurnLogResponse::Unavailable }
     }
 
     /// What is told to a disk by one who does not know the program's owner goes on to that owner.
-    fn pass_on(self: &Arc<Self>, l: &LedgerRow) {
+    fn pass_on(self: &Arc<Self>, l: &LedgerRecord) {
         let by = |e: Ballot| e.by & !0xffff;
         let Some(real) = self.st.lock().unwrap().ledgers.get(&l.program).map(|x| by(x.promised)) else { return };
-        let seats = self.line.seats();
-        let to = seats.all().into_iter().find(|d| mark_of(d) == real && *d != self.me && real != by(l.epoch));
+        let seats = self.line.replicas();
+        let to = seats.all().into_iter().find(|d| epoch_owner_id(d) == real && *d != self.me && real != by(l.epoch));
         let Some(d) = to else { return };
         self.counts.passed.fetch_add(1, Relaxed);
         let (me, mut l) = (self.clone(), l.clone());
         l.epoch.by = real;
-        self.w.go(async move {
-            let _ = me.line.ask(&d, seats.lay, &What::Write { rows: vec![], ledger: Some(l) }, PEER_WAIT).await;
+        self.w.spawn(async move {
+            let _ =
+                me.line.request(&d, seats.layout_version, &TurnLogOperation::StoreTurns { rows: vec![], ledger: Some(l) }, PEER_WAIT).await;
         });
     }
 
     /// Turns, oldest first, and entries that need no epoch.
-    pub async fn take_in(self: &Arc<Self>, lay: u64, rows: Vec<Row>, ledgers: Vec<LedgerRow>) -> Told {
+    pub async fn take_in(self: &Arc<Self>, lay: u64, rows: Vec<StoredTurn>, ledgers: Vec<LedgerRecord>) -> TurnLogResponse {
         let at = self.clock();
         self.counts.writes.fetch_add(1, Relaxed);
         let rx = {
             let mut g = self.st.lock().unwrap();
             if lay < self.lay() {
-                return Told::Newer(self.lay());
+                return TurnLogResponse::NewerLayout(self.lay());
             }
             if !rows.is_empty() && g.bytes > self.max {
-                return Told::Away;
+                return TurnLogResponse::Unavailable;
             }
             let mut new: BTreeSet<&str> = BTreeSet::new();
             for r in &rows {
                 let p = r.turn.prev.as_str();
                 if !p.is_empty() && !new.contains(p) && g.get(p).is_none() {
-                    return Told::Lacks(p.into());
+                    return TurnLogResponse::MissingParent(p.into());
                 }
                 new.insert(&r.turn.id);
             }
             let mut items: Vec<Item> = rows.iter().filter(|r| g.get(&r.turn.id).is_none()).cloned().map(Item::Turn).collect();
             ledgers.into_iter().for_each(|mut l| {
                 l.epoch = Ballot::default();
-                g.ledgers.entry(l.program.clone()).or_default().merge(&l.entries, at, l.keep);
+                g.ledgers.entry(l.program.clone()).or_default().merge(&l.entries, at, l.retain_ms);
                 items.push(Item::Ledger(l, at));
             });
             self.keep(items)
         };
-        if self.safe(rx).await { Told::Ok } else { Told::Away }
+        if self.safe(rx).await { TurnLogResponse::Ok } else { TurnLogResponse::Unavailable }
     }
 
     #[allow(clippy::too_many_arguments)]
-    async fn open(self: &Arc<Self>, program: &str, turn: &str, max: u64, budget: Option<u64>, need: &str, take: bool, until: u64) -> Told {
+    async fn open(
+        self: &Arc<Self>,
+        program: &str,
+        turn: &str,
+        max: u64,
+        budget: Option<u64>,
+        need: &str,
+        take: bool,
+        until: u64,
+    ) -> TurnLogResponse {
         if let Some(d) = budget.and_then(|_| self.elsewhere(program, take)) {
-            return Told::Owner(d);
+            return TurnLogResponse::Owner(d);
         }
         let chain = async { if need.is_empty() { Ok(vec![]) } else { self.look(program, need, until).await } };
         let room = async {
             match budget {
                 Some(b) => self.reserve(program, turn, max, b, take, until).await,
-                None => Told::Ok,
+                None => TurnLogResponse::Ok,
             }
         };
         match futures_lite::future::zip(room, chain).await {
-            (Told::Ok, Ok(rows)) => Told::Opened { rows },
-            (Told::Ok, Err(t)) => {
+            (TurnLogResponse::Ok, Ok(rows)) => TurnLogResponse::Opened { rows },
+            (TurnLogResponse::Ok, Err(t)) => {
                 // Where it cannot be told, another store may yet open the same turn.
-                if budget.is_some() && t == Told::Unknown {
+                if budget.is_some() && t == TurnLogResponse::UnknownTurn {
                     self.undo(program, turn);
                 }
                 t
@@ -504,13 +520,13 @@
     fn elsewhere(&self, program: &str, take: bool) -> Option<String> {
         let p = self.st.lock().unwrap().ledgers.get(program).map(|l| l.promised)?;
         let by = p.by & !0xffff;
-        let d = self.line.seats().all().into_iter().find(|d| mark_of(d) == by)?;
-        (!take && p.n > 0 && d != self.me && self.line.well(&d)).then_some(d)
+        let d = self.line.replicas().all().into_iter().find(|d| epoch_owner_id(d) == by)?;
+        (!take && p.n > 0 && d != self.me && self.line.is_alive(&d)).then_some(d)
     }
 
     /// The chain that ends in `need`, newest first.
-    async fn look(self: &Arc<Self>, program: &str, need: &str, until: u64) -> Result<Vec<Row>, Told> {
-        let mut rows: Vec<Row> = vec![];
+    async fn look(self: &Arc<Self>, program: &str, need: &str, until: u64) -> Result<Vec<StoredTurn>, TurnLogResponse> {
+        let mut rows: Vec<StoredTurn> = vec![];
         let mut at = need.to_string();
         loop {
             let (v, rest) = self.st.lock().unwrap().walk(&at);
@@ -520,32 +536,32 @@
                 return Ok(rows);
             }
             if self.w.now() >= until {
-                return Err(Told::Away);
+                return Err(TurnLogResponse::Unavailable);
             }
             self.counts.lookups.fetch_add(1, Relaxed);
-            let seats = self.line.seats();
+            let seats = self.line.replicas();
             let key = if program.is_empty() { need } else { program };
             let order: Vec<String> = self.line.order(key, &seats, None).into_iter().filter(|d| *d != self.me).collect();
             let mine = seats.has(&self.me) && !self.doubt.load(SeqCst);
-            let (me, id, lay) = (self.clone(), at.clone(), seats.lay);
-            let ask = move |d: &str| -> Fut<'static, Told> {
+            let (me, id, lay) = (self.clone(), at.clone(), seats.layout_version);
+            let ask = move |d: &str| -> BoxFuture<'static, TurnLogResponse> {
                 let (me, d, id) = (me.clone(), d.to_string(), id.clone());
                 Box::pin(async move {
                     let us = until.saturating_sub(me.w.now()).min(PEER_WAIT);
-                    me.line.ask(&d, lay, &What::Find { id }, us).await.unwrap_or(Told::Away)
+                    me.line.request(&d, lay, &TurnLogOperation::FindHistory { id }, us).await.unwrap_or(TurnLogResponse::Unavailable)
                 })
             };
             let mut hit = None;
-            let enough = |s: &BTreeSet<String>| seats.read(|d| s.contains(d) || (mine && d == self.me));
+            let enough = |s: &BTreeSet<String>| seats.is_read_quorum(|d| s.contains(d) || (mine && d == self.me));
             let g = self
                 .line
                 .gather(order, false, lay, until, ask, enough, |_, t| match t {
-                    Told::Rows(v) if !v.is_empty() => {
+                    TurnLogResponse::History(v) if !v.is_empty() => {
                         hit = Some(v);
-                        Took::Stop
+                        GatherStep::Stop
                     }
-                    Told::No => Took::Yes,
-                    _ => Took::No,
+                    TurnLogResponse::NotStored => GatherStep::Accept,
+                    _ => GatherStep::Reject,
                 })
                 .await;
             if let Some(v) = hit {
@@ -560,30 +576,30 @@
                 self.line.catch_up(g.newer).await;
                 continue;
             }
-            return Err(if g.enough && rows.is_empty() { Told::Unknown } else { Told::Away });
+            return Err(if g.enough && rows.is_empty() { TurnLogResponse::UnknownTurn } else { TurnLogResponse::Unavailable });
         }
     }
 
-    async fn reserve(self: &Arc<Self>, program: &str, turn: &str, max: u64, budget: u64, take: bool, until: u64) -> Told {
+    async fn reserve(self: &Arc<Self>, program: &str, turn: &str, max: u64, budget: u64, take: bool, until: u64) -> TurnLogResponse {
         let own = self.own.lock().unwrap().entry(program.into()).or_default().clone();
-        let entry = vec![(turn.to_string(), Entry::Open(max))];
+        let entry = vec![(turn.to_string(), LedgerEntry::Open(max))];
         let keep = LEDGER_KEPT;
         while self.w.now() < until {
             let mut h = own.lock().await;
-            let seats = self.line.seats();
+            let seats = self.line.replicas();
             if self.w.now() >= until || !seats.has(&self.me) || self.doubt.load(SeqCst) {
-                return Told::Away;
+                return TurnLogResponse::Unavailable;
             }
             let promised = self.st.lock().unwrap().ledgers.get(program).map(|l| l.promised).unwrap_or_default();
-            let holds = h.epoch == Some(promised) && seats.read(|d| h.by.contains(d));
+            let holds = h.epoch == Some(promised) && seats.is_read_quorum(|d| h.by.contains(d));
             if !holds {
                 if let Some(d) = self.elsewhere(program, take) {
-                    return Told::Owner(d);
+                    return TurnLogResponse::Owner(d);
                 }
-                let row = LedgerRow { program: program.into(), epoch: Ballot::default(), entries: entry.clone(), keep };
+                let row = LedgerRecord { program: program.into(), epoch: Ballot::default(), entries: entry.clone(), retain_ms: keep };
                 match self.take(&mut h, &seats, row, until).await {
                     Taken::Yes => {}
-                    Taken::Away => return Told::Away,
+                    Taken::Away => return TurnLogResponse::Unavailable,
                     Taken::Newer(n) => {
                         drop(h);
                         self.line.catch_up(n).await;
@@ -591,7 +607,7 @@
                     }
                     Taken::Refused => {
                         drop(h);
-                        self.w.sleep(CHAIN_AGAIN / 4 + self.w.rand() % CHAIN_AGAIN).await;
+                        self.w.sleep(CHAIN_AGAIN / 4 + self.w.random() % CHAIN_AGAIN).await;
                         continue;
                     }
                 }
@@ -599,24 +615,24 @@
                     let g = self.st.lock().unwrap();
                     g.ledgers.get(program).map(|l| (l.spent, l.entries.get(turn).cloned())).unwrap_or_default()
                 };
-                if mine != Some(Entry::Open(max)) {
-                    return Told::Away;
+                if mine != Some(LedgerEntry::Open(max)) {
+                    return TurnLogResponse::Unavailable;
                 }
                 if spent > budget {
                     self.undo(program, turn);
-                    return Told::Spent;
+                    return TurnLogResponse::BudgetSpent;
                 }
-                return Told::Ok;
+                return TurnLogResponse::Ok;
             }
             let epoch = promised;
             let full =
                 self.st.lock().unwrap().ledgers.get(program).is_some_and(|l| l.spent + max > budget && !l.entries.contains_key(turn));
             if full && self.w.now() >= h.fresh + CHAIN_FRESH {
                 // Ends of turns may have been told to others only.
-                let row = LedgerRow { program: program.into(), epoch, entries: vec![], keep };
+                let row = LedgerRecord { program: program.into(), epoch, entries: vec![], retain_ms: keep };
                 match self.round(&mut h, &seats, row, None, until).await {
                     Taken::Yes | Taken::Refused => continue,
-                    Taken::Away => return Told::Away,
+                    Taken::Away => return TurnLogResponse::Unavailable,
                     Taken::Newer(n) => {
                         drop(h);
                         self.line.catch_up(n).await;
@@ -624,17 +640,17 @@
                     }
                 }
             }
-            let row = LedgerRow { program: program.into(), epoch, entries: entry.clone(), keep };
+            let row = LedgerRecord { program: program.into(), epoch, entries: entry.clone(), retain_ms: keep };
             let at = self.clock();
             let rx = {
                 let mut g = self.st.lock().unwrap();
                 let Some(l) = g.ledgers.get_mut(program).filter(|l| l.promised == epoch) else { continue };
                 let left = l.entries.get(turn).copied();
                 match left {
-                    Some(Entry::Done(_)) => return Told::Away,
+                    Some(LedgerEntry::Done(_)) => return TurnLogResponse::Unavailable,
                     // Left by an opening that was not answered: it was never weighed against the budget.
                     Some(_) if l.spent > budget => {}
-                    None if l.spent + max > budget => return Told::Spent,
+                    None if l.spent + max > budget => return TurnLogResponse::BudgetSpent,
                     _ => {
                         l.merge(&entry, at, keep);
                     }
@@ -643,7 +659,7 @@
                     drop(g);
                     drop(h);
                     self.undo(program, turn);
-                    return Told::Away;
+                    return TurnLogResponse::Unavailable;
                 }
                 self.keep(vec![Item::Ledger(row.clone(), at)])
             };
@@ -652,25 +668,25 @@
             self.counts.adds.fetch_add(1, Relaxed);
             let mut order = self.line.order(program, &seats, Some(&self.me));
             order.retain(|d| *d != self.me);
-            order.sort_by_cached_key(|d| (!self.line.prompt(d), !by.contains(d)));
-            let ask = self.asker(seats.lay, What::Add { ledger: row }, until);
+            order.sort_by_cached_key(|d| (!self.line.is_prompt(d), !by.contains(d)));
+            let ask = self.asker(seats.layout_version, TurnLogOperation::AppendEntries { ledger: row }, until);
             let mut refused = Ballot::default();
-            let enough = |s: &BTreeSet<String>| seats.wrote(|d| s.contains(d) || d == self.me);
+            let enough = |s: &BTreeSet<String>| seats.is_write_quorum(|d| s.contains(d) || d == self.me);
             let g = self
                 .line
-                .gather(order, false, seats.lay, until, ask, enough, |_, t| match t {
-                    Told::Ok => Took::Yes,
-                    Told::Refused(e) => {
+                .gather(order, false, seats.layout_version, until, ask, enough, |_, t| match t {
+                    TurnLogResponse::Ok => GatherStep::Accept,
+                    TurnLogResponse::StaleEpoch(e) => {
                         refused = refused.max(e);
-                        if e > epoch { Took::Stop } else { Took::No }
+                        if e > epoch { GatherStep::Stop } else { GatherStep::Reject }
                     }
-                    _ => Took::No,
+                    _ => GatherStep::Reject,
                 })
                 .await;
             if g.enough {
-                return if self.safe(rx).await { Told::Ok } else { Told::Away };
+                return if self.safe(rx).await { TurnLogResponse::Ok } else { TurnLogResponse::Unavailable };
             }
-            if g.newer > seats.lay {
+            if g.newer > seats.layout_version {
                 self.line.catch_up(g.newer).await;
                 continue;
             }
@@ -682,25 +698,30 @@
             }
             drop(h);
             if refused == Ballot::default() {
-                return Told::Away;
+                return TurnLogResponse::Unavailable;
             }
         }
-        Told::Away
+        TurnLogResponse::Unavailable
     }
 
-    fn asker(self: &Arc<Self>, lay: u64, what: What, until: u64) -> impl Fn(&str) -> Fut<'static, Told> + use<> {
+    fn asker(
+        self: &Arc<Self>,
+        lay: u64,
+        what: TurnLogOperation,
+        until: u64,
+    ) -> impl Fn(&str) -> BoxFuture<'static, TurnLogResponse> + use<> {
         let (me, what) = (self.clone(), Arc::new(what));
-        move |d: &str| -> Fut<'static, Told> {
+        move |d: &str| -> BoxFuture<'static, TurnLogResponse> {
             let (me, d, what) = (me.clone(), d.to_string(), what.clone());
             Box::pin(async move {
                 let us = until.saturating_sub(me.w.now()).min(PEER_WAIT);
-                me.line.ask(&d, lay, &what, us).await.unwrap_or(Told::Away)
+                me.line.request(&d, lay, &what, us).await.unwrap_or(TurnLogResponse::Unavailable)
             })
         }
     }
 
     /// Becomes the program's owner, with a first entry.
-    async fn take(self: &Arc<Self>, h: &mut Hold, seats: &Seats, mut row: LedgerRow, until: u64) -> Taken {
+    async fn take(self: &Arc<Self>, h: &mut Hold, seats: &StoreReplicas, mut row: LedgerRecord, until: u64) -> Taken {
         self.counts.takes.fetch_add(1, Relaxed);
         let at = self.clock();
         let rx = {
@@ -708,7 +729,7 @@
             let l = g.ledgers.entry(row.program.clone()).or_default();
             row.epoch = Ballot { n: l.promised.n.max(h.top) + 1, by: self.mark };
             l.promised = row.epoch;
-            l.merge(&row.entries, at, row.keep);
+            l.merge(&row.entries, at, row.retain_ms);
             self.keep(vec![Item::Ledger(row.clone(), at)])
         };
         self.round(h, seats, row, Some(rx), until).await
@@ -718,8 +739,8 @@
     async fn round(
         self: &Arc<Self>,
         h: &mut Hold,
-        seats: &Seats,
-        row: LedgerRow,
+        seats: &StoreReplicas,
+        row: LedgerRecord,
         rx: Option<async_channel::Receiver<bool>>,
         until: u64,
     ) -> Taken {
@@ -728,25 +749,25 @@
         let epoch = row.epoch;
         let mut order = self.line.order(&program, seats, Some(&self.me));
         order.retain(|d| *d != self.me);
-        let ask = self.asker(seats.lay, What::Take { ledger: row }, until);
-        let mut known: Vec<(String, Entry)> = vec![];
+        let ask = self.asker(seats.layout_version, TurnLogOperation::AcquireLedger { ledger: row }, until);
+        let mut known: Vec<(String, LedgerEntry)> = vec![];
         let mut refused = Ballot::default();
-        let enough = |s: &BTreeSet<String>| seats.read(|d| s.contains(d) || d == self.me);
+        let enough = |s: &BTreeSet<String>| seats.is_read_quorum(|d| s.contains(d) || d == self.me);
         let g = self
             .line
-            .gather(order, true, seats.lay, until, ask, enough, |_, t| match t {
-                Told::Taken(es) => {
+            .gather(order, true, seats.layout_version, until, ask, enough, |_, t| match t {
+                TurnLogResponse::LedgerAcquired(es) => {
                     known.extend(es);
-                    Took::Yes
+                    GatherStep::Accept
                 }
-                Told::Refused(e) => {
+                TurnLogResponse::StaleEpoch(e) => {
                     refused = refused.max(e);
-                    Took::Stop
+                    GatherStep::Stop
                 }
-                _ => Took::No,
+                _ => GatherStep::Reject,
             })
             .await;
-        if g.newer > seats.lay {
+        if g.newer > seats.layout_version {
             return Taken::Newer(g.newer);
         }
         if refused > Ballot::default() {
@@ -774,21 +795,25 @@
 
     /// A reservation that was not answered for is given back, wherever it may have got to.
     fn undo(self: &Arc<Self>, program: &str, turn: &str) {
-        let l =
-            LedgerRow { program: program.into(), entries: vec![(turn.into(), Entry::Done(0))], keep: LEDGER_KEPT, ..Default::default() };
+        let l = LedgerRecord {
+            program: program.into(),
+            entries: vec![(turn.into(), LedgerEntry::Done(0))],
+            retain_ms: LEDGER_KEPT,
+            ..Default::default()
+        };
         let me = self.clone();
         // Here at once: the next one must not find it.
-        me.st.lock().unwrap().ledgers.entry(l.program.clone()).or_default().merge(&l.entries, me.clock(), l.keep);
-        self.w.go(async move {
+        me.st.lock().unwrap().ledgers.entry(l.program.clone()).or_default().merge(&l.entries, me.clock(), l.retain_ms);
+        self.w.spawn(async move {
             for _ in 0..5 {
-                let seats = me.line.seats();
+                let seats = me.line.replicas();
                 let until = me.w.now() + PEER_WAIT;
-                let mine = me.take_in(seats.lay, vec![], vec![l.clone()]).await == Told::Ok;
+                let mine = me.take_in(seats.layout_version, vec![], vec![l.clone()]).await == TurnLogResponse::Ok;
                 let order: Vec<String> = seats.all().into_iter().filter(|d| *d != me.me).collect();
-                let ask = me.asker(seats.lay, What::Write { rows: vec![], ledger: Some(l.clone()) }, until);
-                let enough = |s: &BTreeSet<String>| seats.wrote(|d| s.contains(d) || (mine && d == me.me));
-                let took = |_: &str, t| if t == Told::Ok { Took::Yes } else { Took::No };
-                let g = me.line.gather(order, true, seats.lay, until, ask, enough, took).await;
+                let ask = me.asker(seats.layout_version, TurnLogOperation::StoreTurns { rows: vec![], ledger: Some(l.clone()) }, until);
+                let enough = |s: &BTreeSet<String>| seats.is_write_quorum(|d| s.contains(d) || (mine && d == me.me));
+                let took = |_: &str, t| if t == TurnLogResponse::Ok { GatherStep::Accept } else { GatherStep::Reject };
+                let g = me.line.gather(order, true, seats.layout_version, until, ask, enough, took).await;
                 if g.enough {
                     return;
                 }
--- a/yewcross-control/src/chain_log.rs
+++ b/yewcross-control/src/chain_log.rs
@@ -7,15 +7,15 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross::chain_wire::*;
-use yewcross::consts::*;
-use yewcross::vault::*;
+use yewcross::constants::*;
+use yewcross::storage::*;
+use yewcross::turn_log::store_client::*;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Item {
-    Turn(Row),
+    Turn(StoredTurn),
     /// Entries are added; the epoch is a promise where it is higher than the one before.
-    Ledger(LedgerRow, u64),
+    Ledger(LedgerRecord, u64),
     /// This segment was found torn after so many bytes: what follows was never answered.
     Torn(u64, u64),
 }
@@ -79,17 +79,17 @@
 /// Sealed bodies from the start, the bytes they take, and whether another one follows what is broken.
 fn bodies(b: &[u8]) -> (Vec<&[u8]>, usize, bool) {
     let (mut v, mut at) = (vec![], 0);
-    while let Some((x, n)) = unseal_first(&b[at..]) {
+    while let Some((x, n)) = decode_first_frame(&b[at..]) {
         v.push(x);
         at += n;
     }
     let mark = DISK_FORMAT.to_le_bytes();
-    let more = (at + 1..b.len()).any(|i| b[i..].starts_with(&mark) && unseal_first(&b[i..]).is_some());
+    let more = (at + 1..b.len()).any(|i| b[i..].starts_with(&mark) && decode_first_frame(&b[i..]).is_some());
     (v, at, more)
 }
 
 /// Hands over each item with its segment, one segment in memory at a time.
-pub async fn read(w: &yewcross::world::World, mut take: impl FnMut(&Item, u64)) -> io::Result<Found> {
+pub async fn read(w: &yewcross::runtime::Runtime, mut take: impl FnMut(&Item, u64)) -> io::Result<Found> {
     let mut segs: Vec<u64> = w.list(DIR).await?.iter().filter_map(|f| u64::from_str_radix(f.strip_prefix("s-")?, 16).ok()).collect();
     segs.sort();
     if let Some(newest) = segs.last() {
@@ -100,7 +100,7 @@
     let mut f = Found::default();
     let (mut broken, mut known, mut last) = (vec![], vec![], None);
     for s in segs {
-        let b = w.get(&path(s)).await?;
+        let b = w.read_file(&path(s)).await?;
         let (v, n, more) = bodies(&b);
         f.sizes.insert(s, b.len() as u64);
         if n < b.len() {
@@ -142,7 +142,7 @@
         g.line.push((items, tx));
         if !std::mem::replace(&mut g.busy, true) {
             let me = self.clone();
-            self.w.go(async move { me.write().await });
+            self.w.spawn(async move { me.write().await });
         }
         rx
     }
@@ -155,7 +155,7 @@
 
     /// Whether it is safe on the disk, as far as that is known within the time a disk has.
     pub async fn safe(&self, rx: Receiver<bool>) -> bool {
-        self.w.within(SYNC_WAIT, rx.recv()).await == Some(Ok(true))
+        self.w.timeout(SYNC_WAIT, rx.recv()).await == Some(Ok(true))
     }
 
     async fn write(self: Arc<Self>) {
@@ -177,7 +177,7 @@
             let written = if items.is_empty() {
                 Ok(())
             } else {
-                let b = seal(&encode(&items));
+                let b = encode_frame(&encode(&items));
                 let n = b.len() as u64;
                 let new = {
                     let mut g = self.log.lock().unwrap();
--- a/yewcross-control/src/chain_restore.rs
+++ b/yewcross-control/src/chain_restore.rs
@@ -6,9 +6,9 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::chain_wire::encode;
-use yewcross::consts::*;
-use yewcross::vault::seal;
+use yewcross::constants::*;
+use yewcross::storage::encode_frame;
+use yewcross::turn_log::store_client::encode;
 
 impl Engine {
     /// Replaces what is in memory, which may be ahead of the disk, by what the log holds. Only called while the disk counts
@@ -40,7 +40,7 @@
             return Ok(());
         }
         let marks: Vec<Item> = torn.iter().map(|(segment, bytes)| Item::Torn(*segment, *bytes)).collect();
-        let body = seal(&encode(&marks));
+        let body = encode_frame(&encode(&marks));
         let bytes = body.len() as u64;
         self.w.append(&path(segment), body).await?;
         sizes.insert(segment, bytes);
--- a/yewcross-control/src/chain_sweep.rs
+++ b/yewcross-control/src/chain_sweep.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross::chain_wire::*;
-use yewcross::consts::*;
+use yewcross::constants::*;
 use yewcross::hash::ranked;
-use yewcross::world::*;
+use yewcross::runtime::*;
+use yewcross::turn_log::store_client::*;
 
 /// us. Longest wait for a disk that something is brought to: its own sync, and the way there and back.
 const PUSH_WAIT: u64 = PEER_WAIT + SYNC_WAIT;
@@ -16,31 +16,31 @@
     /// Whether all that this disk held when it adopted the layout is where that layout needs it, and how much is not yet. A disk
     /// without a seat has nothing to bring.
     pub fn swept(&self, layout: u64) -> (bool, u64) {
-        let seated = self.line.seats().has(&self.me);
+        let seated = self.line.replicas().has(&self.me);
         (!seated || self.swept.load(SeqCst) >= layout, self.left.load(SeqCst))
     }
 
     pub(crate) async fn watch(self: Arc<Self>) {
         loop {
-            let moved = self.line.book.moved.listen();
-            let seats = self.line.seats();
+            let moved = self.line.documents.changed.listen();
+            let seats = self.line.replicas();
             let seated = seats.has(&self.me);
             if seated && self.doubt.load(SeqCst) {
                 self.ask_mend(&seats).await;
             }
             if seated && self.swept.load(SeqCst) < seats.since {
                 let begun = self.w.now();
-                let done = seats.old.is_empty() || self.sweep(&seats).await;
-                if done && self.line.seats().since == seats.since {
+                let done = seats.previous.is_empty() || self.sweep(&seats).await;
+                if done && self.line.replicas().since == seats.since {
                     self.swept.fetch_max(seats.since, SeqCst);
-                    if !seats.old.is_empty() {
+                    if !seats.previous.is_empty() {
                         self.w.log(&format!("swept for layout {} in {} ms", seats.since, (self.w.now() - begun) / MS));
                     }
                     continue;
                 }
             }
             if seated && (self.swept.load(SeqCst) < seats.since || self.doubt.load(SeqCst)) {
-                self.w.within(2 * CHAIN_AGAIN, moved).await;
+                self.w.timeout(2 * CHAIN_AGAIN, moved).await;
             } else {
                 moved.await;
             }
@@ -48,21 +48,27 @@
     }
 
     /// Another disk was damaged: it is brought up to date.
-    pub(crate) async fn mend(self: &Arc<Self>) -> Told {
-        let seats = self.line.seats();
-        if self.doubt.load(SeqCst) || !self.sweep_to(&seats, &seats.now.clone()).await { Told::Away } else { Told::Ok }
+    pub(crate) async fn mend(self: &Arc<Self>) -> TurnLogResponse {
+        let seats = self.line.replicas();
+        if self.doubt.load(SeqCst) || !self.sweep_to(&seats, &seats.current.clone()).await {
+            TurnLogResponse::Unavailable
+        } else {
+            TurnLogResponse::Ok
+        }
     }
 
-    async fn ask_mend(self: &Arc<Self>, seats: &Seats) {
+    async fn ask_mend(self: &Arc<Self>, seats: &StoreReplicas) {
         let order: Vec<String> = seats.all().into_iter().filter(|d| *d != self.me).collect();
         let until = self.w.now() + 10 * SEC;
-        let (me, lay) = (self.clone(), seats.lay);
-        let ask = move |d: &str| -> Fut<'static, Told> {
+        let (me, lay) = (self.clone(), seats.layout_version);
+        let ask = move |d: &str| -> BoxFuture<'static, TurnLogResponse> {
             let (me, d) = (me.clone(), d.to_string());
-            Box::pin(async move { me.line.ask(&d, lay, &What::Mend, 10 * SEC).await.unwrap_or(Told::Away) })
+            Box::pin(
+                async move { me.line.request(&d, lay, &TurnLogOperation::Repair, 10 * SEC).await.unwrap_or(TurnLogResponse::Unavailable) },
+            )
         };
-        let enough = |s: &BTreeSet<String>| seats.read(|d| s.contains(d));
-        let took = |_: &str, t| if t == Told::Ok { Took::Yes } else { Took::No };
+        let enough = |s: &BTreeSet<String>| seats.is_read_quorum(|d| s.contains(d));
+        let took = |_: &str, t| if t == TurnLogResponse::Ok { GatherStep::Accept } else { GatherStep::Reject };
         let g = self.line.gather(order, true, lay, until, ask, enough, took).await;
         if g.enough {
             self.doubt.store(false, SeqCst);
@@ -70,17 +76,18 @@
         }
     }
 
-    async fn push(self: &Arc<Self>, d: &str, lay: u64, rows: Vec<Row>, ledgers: Vec<LedgerRow>) -> bool {
+    async fn push(self: &Arc<Self>, d: &str, lay: u64, rows: Vec<StoredTurn>, ledgers: Vec<LedgerRecord>) -> bool {
         let n = rows.len() + ledgers.len();
-        let ok = self.line.ask(d, lay, &What::Push { rows, ledgers }, PUSH_WAIT).await == Ok(Told::Ok);
+        let ok =
+            self.line.request(d, lay, &TurnLogOperation::TransferRecords { rows, ledgers }, PUSH_WAIT).await == Ok(TurnLogResponse::Ok);
         self.counts.pushed.fetch_add(if ok { n as u64 } else { 0 }, Relaxed);
         ok
     }
 
     async fn push_ledgers(self: &Arc<Self>, d: &str) -> bool {
-        let all: Vec<LedgerRow> = self.st.lock().unwrap().ledgers.iter().map(|(p, l)| l.row(p)).collect();
+        let all: Vec<LedgerRecord> = self.st.lock().unwrap().ledgers.iter().map(|(p, l)| l.row(p)).collect();
         for part in all.chunks(1024) {
-            if !self.push(d, self.line.seats().lay, vec![], part.to_vec()).await {
+            if !self.push(d, self.line.replicas().layout_version, vec![], part.to_vec()).await {
                 return false;
             }
         }
@@ -89,15 +96,15 @@
 
     /// Brings all ledgers to these disks at once; how many of them have it.
     async fn push_ledgers_to(self: &Arc<Self>, disks: &[&String]) -> usize {
-        let pushes: Vec<Fut<'static, bool>> = disks
+        let pushes: Vec<BoxFuture<'static, bool>> = disks
             .iter()
             .map(|d| {
                 let (me, d) = (self.clone(), d.to_string());
-                let push: Fut<'static, bool> = Box::pin(async move { me.push_ledgers(&d).await });
+                let push: BoxFuture<'static, bool> = Box::pin(async move { me.push_ledgers(&d).await });
                 push
             })
             .collect();
-        let (n, rx) = (pushes.len(), self.w.fan(pushes));
+        let (n, rx) = (pushes.len(), self.w.spawn_all(pushes));
         let mut reached = 0;
         for _ in 0..n {
             reached += (rx.recv().await == Ok(true)) as usize;
@@ -107,31 +114,33 @@
 
     /// Brings all ledgers to the disks that lack them. Where one of those cannot be reached, to every disk of the incoming set,
     /// of which as many may then be missed as may be lost: what is read meets the rest.
-    async fn sweep_ledgers(self: &Arc<Self>, seats: &Seats, to: &[String]) -> bool {
+    async fn sweep_ledgers(self: &Arc<Self>, seats: &StoreReplicas, to: &[String]) -> bool {
         let lacking: Vec<&String> = to.iter().filter(|d| **d != self.me).collect();
         if self.push_ledgers_to(&lacking).await == lacking.len() {
             return true;
         }
-        let others: Vec<&String> = seats.now.iter().filter(|d| **d != self.me).collect();
-        let mine = seats.now.len() - others.len();
-        self.push_ledgers_to(&others).await + mine + seats.spare() >= seats.now.len()
+        let others: Vec<&String> = seats.current.iter().filter(|d| **d != self.me).collect();
+        let mine = seats.current.len() - others.len();
+        self.push_ledgers_to(&others).await + mine + seats.may_miss() >= seats.current.len()
     }
 
     /// Which of these turns each of the other disks holds.
-    async fn holders(self: &Arc<Self>, seats: &Seats, ids: &[u128]) -> HashMap<String, BTreeSet<u128>> {
+    async fn holders(self: &Arc<Self>, seats: &StoreReplicas, ids: &[u128]) -> HashMap<String, BTreeSet<u128>> {
         // One that does not answer at all holds nothing that counts, and is not waited for in every pass.
-        let others: Vec<String> = seats.now.iter().filter(|d| **d != self.me && self.line.fit(d)).cloned().collect();
+        let others: Vec<String> = seats.current.iter().filter(|d| **d != self.me && self.line.is_responsive(d)).cloned().collect();
         let n = others.len();
         let fs = others
             .into_iter()
             .map(|d| {
-                let (me, ids, lay) = (self.clone(), ids.to_vec(), self.line.seats().lay);
-                let f: Fut<'static, _> = Box::pin(async move {
+                let (me, ids, lay) = (self.clone(), ids.to_vec(), self.line.replicas().layout_version);
+                let f: BoxFuture<'static, _> = Box::pin(async move {
                     let mut has = BTreeSet::new();
                     let asked = me.w.now();
                     for part in ids.chunks(CHAIN_IDS) {
-                        let Ok(Told::Have(v)) = me.line.ask(&d, lay, &What::Have { ids: part.to_vec() }, PEER_WAIT).await else {
-                            me.line.silent(&d, asked);
+                        let Ok(TurnLogResponse::Contains(v)) =
+                            me.line.request(&d, lay, &TurnLogOperation::ContainsTurns { ids: part.to_vec() }, PEER_WAIT).await
+                        else {
+                            me.line.has_not_answered_since(&d, asked);
                             me.line.mark_slow(&d);
                             break;
                         };
@@ -142,7 +151,7 @@
                 f
             })
             .collect();
-        let rx = self.w.fan(fs);
+        let rx = self.w.spawn_all(fs);
         let mut m = HashMap::new();
         for _ in 0..n {
             m.extend(rx.recv().await);
@@ -151,15 +160,15 @@
     }
 
     /// Makes the change of disks that is under way good for what this disk holds.
-    async fn sweep(self: &Arc<Self>, seats: &Seats) -> bool {
-        let fresh: Vec<String> = seats.now.iter().filter(|d| !seats.old.contains(d)).cloned().collect();
+    async fn sweep(self: &Arc<Self>, seats: &StoreReplicas) -> bool {
+        let fresh: Vec<String> = seats.current.iter().filter(|d| !seats.previous.contains(d)).cloned().collect();
         // Fewer disks than before: what was enough on the old ones may not be on those that stay.
-        let fewer = seats.now.len() < seats.old.len();
-        self.sweep_to(seats, if fewer { &seats.now } else { &fresh }).await
+        let fewer = seats.current.len() < seats.previous.len();
+        self.sweep_to(seats, if fewer { &seats.current } else { &fresh }).await
     }
 
     /// Brings ledgers to these disks, and every turn to as many present disks as it needs.
-    async fn sweep_to(self: &Arc<Self>, seats: &Seats, to: &[String]) -> bool {
+    async fn sweep_to(self: &Arc<Self>, seats: &StoreReplicas, to: &[String]) -> bool {
         // Whatever was checked against an older layout is on the disk after this.
         let rx = {
             let _g = self.st.lock().unwrap();
@@ -169,7 +178,7 @@
             return false;
         }
         for pass in 0.. {
-            if self.line.seats().since != seats.since || self.vault.failed.load(SeqCst) || pass > 50 {
+            if self.line.replicas().since != seats.since || self.vault.failed.load(SeqCst) || pass > 50 {
                 return false;
             }
             let now = self.line.members.clock();
@@ -178,9 +187,11 @@
                 g.turns.iter().filter(|(_, k)| !now.1 || k.until >= now.0).map(|x| *x.0).collect()
             };
             let has = self.holders(seats, &ids).await;
-            let mine = seats.now.contains(&self.me);
-            let short: Vec<u128> =
-                ids.into_iter().filter(|i| mine as usize + has.values().filter(|s| s.contains(i)).count() < seats.copies()).collect();
+            let mine = seats.current.contains(&self.me);
+            let short: Vec<u128> = ids
+                .into_iter()
+                .filter(|i| mine as usize + has.values().filter(|s| s.contains(i)).count() < seats.replica_count())
+                .collect();
             self.left.store(short.len() as u64, SeqCst);
             if short.is_empty() {
                 return true;
@@ -191,11 +202,11 @@
                 .into_iter()
                 .map(|(d, rows)| {
                     let me = self.clone();
-                    let f: Fut<'static, bool> = Box::pin(async move { me.push_turns(&d, rows).await });
+                    let f: BoxFuture<'static, bool> = Box::pin(async move { me.push_turns(&d, rows).await });
                     f
                 })
                 .collect::<Vec<_>>();
-            let (n, rx) = (fs.len(), self.w.fan(fs));
+            let (n, rx) = (fs.len(), self.w.spawn_all(fs));
             let mut ok = true;
             for _ in 0..n {
                 ok &= rx.recv().await == Ok(true);
@@ -207,13 +218,15 @@
         false
     }
 
-    async fn push_turns(self: &Arc<Self>, d: &str, rows: Vec<Row>) -> bool {
+    async fn push_turns(self: &Arc<Self>, d: &str, rows: Vec<StoredTurn>) -> bool {
         let (mut part, mut size) = (vec![], 0);
         let n = rows.len();
         for (i, r) in rows.into_iter().enumerate() {
             size += r.bytes();
             part.push(r);
-            if (size >= CHAIN_PUSH || i + 1 == n) && !self.push(d, self.line.seats().lay, std::mem::take(&mut part), vec![]).await {
+            if (size >= CHAIN_PUSH || i + 1 == n)
+                && !self.push(d, self.line.replicas().layout_version, std::mem::take(&mut part), vec![]).await
+            {
                 return false;
             }
             if part.is_empty() {
@@ -227,14 +240,14 @@
     /// the others join in after some passes.
     fn plan(
         &self,
-        seats: &Seats,
+        seats: &StoreReplicas,
         fresh: &[String],
         short: &[u128],
         has: &HashMap<String, BTreeSet<u128>>,
         pass: usize,
-    ) -> BTreeMap<String, Vec<Row>> {
+    ) -> BTreeMap<String, Vec<StoredTurn>> {
         let g = self.st.lock().unwrap();
-        let mut jobs: BTreeMap<String, (Vec<Row>, BTreeSet<u128>)> = BTreeMap::new();
+        let mut jobs: BTreeMap<String, (Vec<StoredTurn>, BTreeSet<u128>)> = BTreeMap::new();
         for i in short {
             let Some(k) = g.turns.get(i) else { continue };
             let holds: Vec<&str> = has.iter().filter(|x| x.1.contains(i)).map(|x| x.0.as_str()).chain([self.me.as_str()]).collect();
@@ -242,19 +255,19 @@
             if pass < 3 && ranked(key, holds.iter().cloned()).first() != Some(&self.me.as_str()) {
                 continue;
             }
-            let want = seats.copies().saturating_sub(holds.iter().filter(|d| seats.now.iter().any(|x| x == *d)).count());
-            let mut to: Vec<&str> = ranked(key, seats.now.iter().map(|d| d.as_str()));
-            to.retain(|d| !holds.contains(d) && *d != self.me && self.line.well(d));
+            let want = seats.replica_count().saturating_sub(holds.iter().filter(|d| seats.current.iter().any(|x| x == *d)).count());
+            let mut to: Vec<&str> = ranked(key, seats.current.iter().map(|d| d.as_str()));
+            to.retain(|d| !holds.contains(d) && *d != self.me && self.line.is_alive(d));
             to.sort_by_key(|d| !fresh.iter().any(|x| x == d));
             for d in to.into_iter().take(want) {
                 let (rows, sent) = jobs.entry(d.into()).or_default();
                 let there = has.get(d);
-                let mut chain: Vec<Row> = g
+                let mut chain: Vec<StoredTurn> = g
                     .walk(&k.row.turn.id)
                     .0
                     .into_iter()
                     .filter(|r| {
-                        let h = yewcross::hash::wide(r.turn.id.as_bytes());
+                        let h = yewcross::hash::key_128(r.turn.id.as_bytes());
                         !there.is_some_and(|s| s.contains(&h)) && sent.insert(h)
                     })
                     .collect();
--- a/yewcross-control/src/config.rs
+++ b/yewcross-control/src/config.rs
@@ -19,51 +19,51 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::book::DOCS;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::documents::cache::DOCS;
+use yewcross::error_code::Code;
+use yewcross::process_settings::Role;
+use yewcross::protocol::*;
 
 /// Grants are written down before the disk is looked at, so that a put that follows cannot miss one.
-pub async fn newer(c: &Arc<Control>, have: Vec<(String, u64)>, front: bool, departed: u64, who: &str) -> Tell {
+pub async fn newer(c: &Arc<Control>, have: Vec<(String, u64)>, front: bool, departed: u64, who: &str) -> PeerResponse {
     if front && !who.is_empty() {
-        c.grants.lock().unwrap().insert(who.into(), c.w.now() + SERVE_LEASE + 100 * MS);
+        c.serving_leases.lock().unwrap().insert(who.into(), c.runtime.now() + SERVE_LEASE + 100 * MS);
     }
     let mut newest = vec![];
     for d in DOCS {
         // Where one core is believed, it tells of what it holds, which is decided; of anything else, whoever asks could only find
         // that it is not to be had yet.
         let on_disk = if c.options.tends { 0 } else { c.replica.peek(d).await.map_or(0, |record| record.seq) };
-        newest.push((d.to_string(), on_disk.max(c.book.page(d).seq)));
+        newest.push((d.to_string(), on_disk.max(c.documents.document(d).version)));
     }
-    let l = c.book.layout.load();
-    let seat = l.1.core.now.contains(&c.vault.id);
-    let sure = seat && !c.vault.failed.load(SeqCst) && c.replica.peek("config").await.is_some() && !have.is_empty();
+    let l = c.documents.layout.load();
+    let seat = l.1.core.current.contains(&c.storage.disk_id);
+    let sure = seat && !c.storage.failed.load(SeqCst) && c.replica.peek("config").await.is_some() && !have.is_empty();
     // Where fronts hold leases, majorities of cores are asked; where they don't, one core is, and must itself have a majority.
     let sure = sure && (!c.options.tends || c.has_quorum_contact());
     let behind = c.options.tends && late_documents::is_behind(c).await;
-    Tell::Newer { newest, sure, behind, departed: c.book.departures_beyond(departed) }
+    PeerResponse::DocumentVersions { newest, authoritative: sure, behind, leaving: c.documents.leaving_servers_unless(departed) }
 }
 
-pub async fn doc(c: &Arc<Control>, name: &str) -> (Tell, Vec<u8>) {
+pub async fn doc(c: &Arc<Control>, name: &str) -> (PeerResponse, Vec<u8>) {
     if !DOCS.contains(&name) {
-        return (Tell::No(Code::BadField), vec![]);
+        return (PeerResponse::Rejected(Code::BadField), vec![]);
     }
-    if c.st.role != Role::Core || c.book.layout.load().0 == 0 {
-        return (Tell::No(Code::NotFounded), vec![]);
+    if c.settings.role != Role::Core || c.documents.layout.load().0 == 0 {
+        return (PeerResponse::Rejected(Code::NotFounded), vec![]);
     }
     // A core whose answers are lost on their way would only take the key from the one that has a majority.
     if !c.has_quorum_contact() {
-        return (Tell::No(Code::NoMajority), vec![]);
+        return (PeerResponse::Rejected(Code::NoMajority), vec![]);
     }
-    match c.owner.newest(name, PEER_WAIT).await {
+    match c.registers.newest(name, PEER_WAIT).await {
         Ok((seq, epoch, v)) => {
             if seq > 0 {
-                c.book.adopt(name, seq, epoch, v.to_vec());
+                c.documents.apply(name, seq, epoch, v.to_vec());
             }
-            (Tell::Doc { seq, epoch }, v.to_vec())
+            (PeerResponse::Document { version: seq, epoch }, v.to_vec())
         }
-        Err(_) => (Tell::No(Code::NoMajority), vec![]),
+        Err(_) => (PeerResponse::Rejected(Code::NoMajority), vec![]),
     }
 }
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -10,13 +10,13 @@
 use crate::Control;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::{Ask, Tell};
-use yewcross::book::Page;
-use yewcross::consts::{PEER_WAIT, PUSH_EVERY};
-use yewcross::member::Node;
+use yewcross::constants::{PEER_WAIT, PUSH_EVERY};
+use yewcross::documents::cache::DocumentVersion;
+use yewcross::membership::Node;
+use yewcross::process_settings::Role;
+use yewcross::protocol::{PeerRequest, PeerResponse};
 use yewcross::register::Ballot;
-use yewcross::startup::Role;
-use yewcross::wire::Lost;
+use yewcross::transport::SendError;
 
 /// count. Times that the whole document is sent to a node whose answer is lost; it asks for news itself soon.
 const SENT_WHOLE: usize = 2;
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct Outbox {
     /// The version sent last, by document; a document stands here while it is being sent.
-    sending: Mutex<BTreeMap<&'static str, Arc<Page>>>,
+    sending: Mutex<BTreeMap<&'static str, Arc<DocumentVersion>>>,
 }
 
 /// What is told to every node.
@@ -46,29 +46,29 @@
 
 impl Change {
     /// None where the whole document is hardly longer.
-    fn between(before: &Page, now: &Page) -> Option<Arc<Change>> {
-        if before.seq == 0 {
+    fn between(before: &DocumentVersion, now: &DocumentVersion) -> Option<Arc<Change>> {
+        if before.version == 0 {
             return None;
         }
-        let delta = yewcross::delta::diff(&before.raw, &now.raw);
-        let worth_it = 2 * delta.len() < now.raw.len();
-        worth_it.then(|| Arc::new(Change { base: before.seq, base_digest: yewcross::hash::mark(&before.raw), delta }))
+        let delta = yewcross::documents::delta::encode(&before.content, &now.content);
+        let worth_it = 2 * delta.len() < now.content.len();
+        worth_it.then(|| Arc::new(Change { base: before.version, base_digest: yewcross::hash::content_digest(&before.content), delta }))
     }
 }
 
 /// Takes a decided document on hand and tells every node of it; whoever misses it asks for it soon.
 pub fn push(c: &Arc<Control>, name: &'static str, seq: u64, document: Vec<u8>) {
-    let before = c.book.page(name);
-    c.book.adopt(name, seq, Ballot::default(), document);
+    let before = c.documents.document(name);
+    c.documents.apply(name, seq, Ballot::default(), document);
     if c.outbox.sending.lock().unwrap().contains_key(name) {
         return;
     }
     c.outbox.sending.lock().unwrap().insert(name, before);
     let control = c.clone();
-    c.w.go(async move {
+    c.runtime.spawn(async move {
         while let Some(notice) = next_notice(&control, name) {
             tell_all(&control, notice);
-            control.w.sleep(PUSH_EVERY).await;
+            control.runtime.sleep(PUSH_EVERY).await;
         }
     });
 }
@@ -76,23 +76,23 @@
 /// What has come since the version sent last; none ends the sending.
 fn next_notice(c: &Control, name: &'static str) -> Option<Notice> {
     let mut sending = c.outbox.sending.lock().unwrap();
-    let (now, sent) = (c.book.page(name), sending.get(name)?.clone());
-    if now.seq <= sent.seq {
+    let (now, sent) = (c.documents.document(name), sending.get(name)?.clone());
+    if now.version <= sent.version {
         sending.remove(name);
         return None;
     }
     sending.insert(name, now.clone());
-    Some(Notice::Document { name: name.into(), seq: now.seq, change: Change::between(&sent, &now) })
+    Some(Notice::Document { name: name.into(), seq: now.version, change: Change::between(&sent, &now) })
 }
 
 /// Tells every node of the version on hand, whole.
 pub fn tell_all_of(c: &Arc<Control>, name: &str) {
-    tell_all(c, Notice::Document { name: name.into(), seq: c.book.page(name).seq, change: None });
+    tell_all(c, Notice::Document { name: name.into(), seq: c.documents.document(name).version, change: None });
 }
 
 /// Tells all nodes at once that the platform shows servers as leaving.
 pub fn push_departures(c: &Arc<Control>, servers: Vec<String>) {
-    if c.book.depart(&servers) {
+    if c.documents.mark_leaving(&servers) {
         tell_all(c, Notice::Departed(Arc::new(servers)));
     }
 }
@@ -100,25 +100,25 @@
 /// Tells the other cores, which tell it on, and this process's own share of the nodes.
 fn tell_all(c: &Arc<Control>, notice: Notice) {
     let view = c.members.view.load();
-    let cores: Vec<Node> = view.values().filter(|node| node.role == Role::Core && node.name != c.st.name).cloned().collect();
+    let cores: Vec<Node> = view.values().filter(|node| node.role == Role::Core && node.name != c.settings.name).cloned().collect();
     let mut relays: Vec<String> = cores.iter().map(|core| core.name.clone()).collect();
-    relays.push(c.st.name.clone());
+    relays.push(c.settings.name.clone());
     let relays = Arc::new(relays);
     for core in cores {
         let (control, notice, relays) = (c.clone(), notice.clone(), relays.clone());
-        c.w.go(async move {
+        c.runtime.spawn(async move {
             if !notice.tell(&control, &core, &relays).await {
                 tell_share(&control, &notice, &relays, &core.name);
             }
         });
     }
-    tell_share(c, &notice, &relays, &c.st.name);
+    tell_share(c, &notice, &relays, &c.settings.name);
 }
 
 /// Tells on what another process sent to all.
 pub fn relay(c: &Arc<Control>, notice: Notice, relays: &[String]) {
-    if relays.contains(&c.st.name) {
-        tell_share(c, &notice, relays, &c.st.name);
+    if relays.contains(&c.settings.name) {
+        tell_share(c, &notice, relays, &c.settings.name);
     }
 }
 
@@ -128,7 +128,7 @@
     let view = c.members.view.load();
     for node in view.values().filter(|node| node.role != Role::Core && falls_to_relay(node)) {
         let (control, node, notice) = (c.clone(), node.clone(), notice.clone());
-        c.w.go(async move {
+        c.runtime.spawn(async move {
             notice.tell(&control, &node, &[]).await;
         });
     }
@@ -139,8 +139,8 @@
     async fn tell(&self, c: &Arc<Control>, node: &Node, relays: &[String]) -> bool {
         match self {
             Notice::Departed(servers) => {
-                let question = Ask::Departed { servers: servers.to_vec(), relays: relays.to_vec() };
-                c.peers.ask(node.peer, &question, &[], PEER_WAIT).await.is_ok()
+                let question = PeerRequest::ServersLeaving { servers: servers.to_vec(), relays: relays.to_vec() };
+                c.peers.request(node.peer, &question, &[], PEER_WAIT).await.is_ok()
             }
             Notice::Document { name, seq, change } => tell_document(c, node, name, *seq, change.as_deref(), relays).await,
         }
@@ -150,18 +150,18 @@
 async fn tell_document(c: &Arc<Control>, node: &Node, name: &str, seq: u64, change: Option<&Change>, relays: &[String]) -> bool {
     let mut relays = relays.to_vec();
     if let Some(change) = change {
-        let patch = Ask::Patch {
+        let patch = PeerRequest::PublishDelta {
             name: name.into(),
-            seq,
+            version: seq,
             epoch: Ballot::default(),
             base: change.base,
             base_digest: change.base_digest.clone(),
             relays: std::mem::take(&mut relays),
         };
-        match c.peers.ask(node.peer, &patch, &change.delta, PEER_WAIT).await {
-            Ok((Tell::Adopted { seq: held }, _)) if held >= seq => return true,
+        match c.peers.request(node.peer, &patch, &change.delta, PEER_WAIT).await {
+            Ok((PeerResponse::DocumentApplied { version: held }, _)) if held >= seq => return true,
             Ok(_) => {}
-            Err(Lost::Unsent | Lost::Unknown) => return false,
+            Err(SendError::NotSent | SendError::OutcomeUnknown) => return false,
         }
     }
     tell_whole(c, node, name, seq, relays).await
@@ -169,16 +169,16 @@
 
 /// Sends the version on hand, where that is the one meant or a newer one.
 async fn tell_whole(c: &Arc<Control>, node: &Node, name: &str, seq: u64, relays: Vec<String>) -> bool {
-    let page = c.book.page(name);
-    if page.seq < seq {
+    let page = c.documents.document(name);
+    if page.version < seq {
         return true;
     }
-    let whole = Ask::Adopt { name: name.into(), seq: page.seq, epoch: Ballot::default(), relays };
+    let whole = PeerRequest::PublishDocument { name: name.into(), version: page.version, epoch: Ballot::default(), relays };
     for _ in 0..SENT_WHOLE {
-        match c.peers.ask(node.peer, &whole, &page.raw, PEER_WAIT).await {
+        match c.peers.request(node.peer, &whole, &page.content, PEER_WAIT).await {
             Ok(_) => return true,
-            Err(Lost::Unsent) => return false,
-            Err(Lost::Unknown) => {}
+            Err(SendError::NotSent) => return false,
+            Err(SendError::OutcomeUnknown) => {}
         }
     }
     false
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -3,8 +3,8 @@
 use crate::{Control, proposer};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use yewcross::book::DOCS;
-use yewcross::consts::*;
+use yewcross::constants::*;
+use yewcross::documents::cache::DOCS;
 
 /// The newest version of a document that this core has heard of, decided or not.
 async fn version_told(c: &Control, name: &str) -> u64 {
@@ -15,7 +15,7 @@
 /// Whether this core has heard of a newer version of a document than it holds.
 pub async fn is_behind(c: &Control) -> bool {
     for name in DOCS {
-        if version_told(c, name).await > c.book.page(name).seq {
+        if version_told(c, name).await > c.documents.document(name).version {
             return true;
         }
     }
@@ -27,21 +27,21 @@
 pub async fn find_late_documents(c: Arc<Control>) {
     let mut late: BTreeMap<&str, Late> = BTreeMap::new();
     loop {
-        c.w.sleep(DOCUMENT_LOOK).await;
+        c.runtime.sleep(DOCUMENT_LOOK).await;
         for name in DOCS {
-            let held = c.book.page(name).seq;
+            let held = c.documents.document(name).version;
             if version_told(&c, name).await <= held {
                 late.remove(name);
                 continue;
             }
-            let now = c.w.now();
+            let now = c.runtime.now();
             let wait = if held == 0 { 0 } else { DOCUMENT_LATE };
             let due = late.entry(name).or_insert(Late { at: now + wait, pause: DOCUMENT_LATE });
             if now < due.at || !c.has_quorum_contact() {
                 continue;
             }
             find(&c, name).await;
-            due.at = c.w.now() + due.pause;
+            due.at = c.runtime.now() + due.pause;
             due.pause = (2 * due.pause).min(DOCUMENT_LATE_MOST);
         }
     }
@@ -56,7 +56,7 @@
 async fn find(c: &Arc<Control>, name: &str) {
     if let Ok((seq, epoch, raw)) = proposer::newest(c, name, PEER_WAIT).await {
         if seq > 0 {
-            c.book.adopt(name, seq, epoch, raw.to_vec());
+            c.documents.apply(name, seq, epoch, raw.to_vec());
         }
     } else if name == "layout" {
         crate::layout::catch_up(c).await;
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -12,12 +12,12 @@
 use crate::proposer::{self, NotAnswered};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::{Ask, ConfigDoc, TakenOrder, Tell};
-use yewcross::code::Code;
-use yewcross::consts::*;
+use yewcross::configuration::InvalidSetting;
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::process_settings::Bounds;
+use yewcross::protocol::{ConfigDoc, PeerRequest, PeerResponse, TakenOrder};
 use yewcross::register::{ChangeError, Step};
-use yewcross::startup::Bounds;
-use yewcross::tree::Bad;
 
 /// An operator's order, as it is decided.
 pub struct Order<'a> {
@@ -43,7 +43,7 @@
     /// It builds on another version than the current one.
     Conflict { current: u64 },
     /// It builds on the current version, and its number is not above that.
-    Invalid(Vec<Bad>),
+    Invalid(Vec<InvalidSetting>),
     /// It may have been taken so long ago that its digest is gone.
     Forgotten,
     /// The document in the register cannot be read; nothing is put in its place.
@@ -84,7 +84,7 @@
     }
     let number = order.number.unwrap_or(seq + 1);
     if number <= current {
-        return Step::Keep(Decision::Invalid(vec![Bad { path: "number".into(), why: format!("must be above {current}") }]));
+        return Step::Keep(Decision::Invalid(vec![InvalidSetting { path: "number".into(), why: format!("must be above {current}") }]));
     }
     let next = successor(&document, earlier, order);
     match next.encode() {
@@ -106,7 +106,7 @@
     }
     ConfigDoc {
         text: order.text.into(),
-        put: order.attempt.into(),
+        put_id: order.attempt.into(),
         number: order.number.unwrap_or(0),
         forgotten,
         orders: earlier,
@@ -129,7 +129,7 @@
 }
 
 fn digest(text: &str) -> String {
-    yewcross::hash::mark(text.as_bytes())
+    yewcross::hash::content_digest(text.as_bytes())
 }
 
 /// ms that digests of taken orders are kept: an operator asks again for a few times the time for an answer.
@@ -139,14 +139,14 @@
 
 /// us. An order that finds no majority is told so within this, so that the operator moves on.
 fn answer_within(c: &Control) -> u64 {
-    (c.st.bounds.ack * MS / 4).min(1_500 * MS)
+    (c.settings.bounds.ack * MS / 4).min(1_500 * MS)
 }
 
 /// Checks an operator's text on top of version `base`, has it decided by a majority of core disks, and sends it out.
 /// Answers within a quarter of `Bounds::ack`.
 pub async fn order(c: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
     let Ok(text) = String::from_utf8(text) else {
-        return PutAnswer::Bad(vec![Bad { path: String::new(), why: "not UTF-8".into() }]);
+        return PutAnswer::Bad(vec![InvalidSetting { path: String::new(), why: "not UTF-8".into() }]);
     };
     if c.options.rollout == Rollout::Proved {
         return order_under_leases(c, base, text).await;
@@ -154,7 +154,7 @@
     if let Err(faults) = c.options.dialect.read(text.as_bytes()) {
         return PutAnswer::Bad(faults);
     }
-    if c.book.layout.load().0 == 0 {
+    if c.documents.layout.load().0 == 0 {
         return PutAnswer::NotFounded;
     }
     c.counts.puts.fetch_add(1, SeqCst);
@@ -164,19 +164,19 @@
     let (answer_tx, answer) = async_channel::bounded(1);
     let control = c.clone();
     // It runs on its own: whoever asked may go, and half a change is never dropped.
-    c.w.go(async move {
+    c.runtime.spawn(async move {
         let _ = answer_tx.try_send(order_by_proposer(&control, base, text).await);
     });
-    let answer = c.w.within(answer_within(c), answer.recv()).await;
+    let answer = c.runtime.timeout(answer_within(c), answer.recv()).await;
     answer.and_then(|a| a.ok()).unwrap_or(PutAnswer::Undecided)
 }
 
 /// What a decided document tells of an order for good: what it knows as taken stays taken. That an order is in conflict is told
 /// with the newest version, which only the proposer knows.
 fn answer_by_what_is_held(c: &Control, base: u64, text: &str) -> Option<PutAnswer> {
-    let page = c.book.page("config");
+    let page = c.documents.document("config");
     let order = Order { base, number: c.options.dialect.number(text.as_bytes()), text, attempt: "", now_ms: 0, kept_ms: 0 };
-    match decide(page.seq, &page.raw, &order) {
+    match decide(page.version, &page.content, &order) {
         Step::Keep(Decision::Taken(taken)) => Some(PutAnswer::InForce(taken.number)),
         _ => None,
     }
@@ -184,14 +184,14 @@
 
 /// Has an order decided by the process that proposes, this one or another.
 async fn order_by_proposer(c: &Arc<Control>, base: u64, text: String) -> PutAnswer {
-    let until = c.w.now() + answer_within(c) * 9 / 10;
+    let until = c.runtime.now() + answer_within(c) * 9 / 10;
     let mut may_be_taken = false;
-    while c.w.now() < until {
-        let left = until.saturating_sub(c.w.now());
+    while c.runtime.now() < until {
+        let left = until.saturating_sub(c.runtime.now());
         let answer = match c.duty_term() {
             Some(_) => order_here(c, base, &text, left).await,
-            None => match proposer::forward(c, &Ask::Order { base }, text.as_bytes(), left).await {
-                Ok((Tell::Order(answer), _)) => Some(answer),
+            None => match proposer::forward(c, &PeerRequest::ForwardPut { base }, text.as_bytes(), left).await {
+                Ok((PeerResponse::PutAnswer(answer), _)) => Some(answer),
                 Err(NotAnswered::Unknown) => {
                     may_be_taken = true;
                     None
@@ -209,20 +209,20 @@
 }
 
 /// An order that another core passed on, which has checked its text.
-pub async fn take_forwarded(c: &Arc<Control>, base: u64, text: Vec<u8>) -> Tell {
-    let Ok(text) = String::from_utf8(text) else { return Tell::No(Code::BadConfig) };
+pub async fn take_forwarded(c: &Arc<Control>, base: u64, text: Vec<u8>) -> PeerResponse {
+    let Ok(text) = String::from_utf8(text) else { return PeerResponse::Rejected(Code::BadConfig) };
     if c.duty_term().is_none() {
-        return Tell::No(Code::NotOnDuty);
+        return PeerResponse::Rejected(Code::NotOnDuty);
     }
     let (answer_tx, answer) = async_channel::bounded(1);
     let control = c.clone();
-    c.w.go(async move {
+    c.runtime.spawn(async move {
         let limit = answer_within(&control) * 9 / 10;
         let _ = answer_tx.try_send(order_here(&control, base, &text, limit).await);
     });
     match answer.recv().await {
-        Ok(Some(answer)) => Tell::Order(answer),
-        _ => Tell::No(Code::NotOnDuty),
+        Ok(Some(answer)) => PeerResponse::PutAnswer(answer),
+        _ => PeerResponse::Rejected(Code::NotOnDuty),
     }
 }
 
@@ -238,11 +238,17 @@
 }
 
 async fn order_by_majority(c: &Arc<Control>, base: u64, text: &str, us: u64) -> Option<PutAnswer> {
-    let attempt = format!("{}-{:016x}", c.st.name, c.w.rand());
+    let attempt = format!("{}-{:016x}", c.settings.name, c.runtime.random());
     let (now_ms, _) = c.members.clock();
-    let order =
-        Order { base, number: c.options.dialect.number(text.as_bytes()), text, attempt: &attempt, now_ms, kept_ms: kept_ms(&c.st.bounds) };
-    let answer = match c.owner.change("config", us, |seq, value| decide(seq, value, &order)).await {
+    let order = Order {
+        base,
+        number: c.options.dialect.number(text.as_bytes()),
+        text,
+        attempt: &attempt,
+        now_ms,
+        kept_ms: kept_ms(&c.settings.bounds),
+    };
+    let answer = match c.registers.change("config", us, |seq, value| decide(seq, value, &order)).await {
         Ok(Decision::Taken(taken)) => {
             push(c, "config", taken.seq, taken.document);
             PutAnswer::InForce(taken.number)
@@ -251,7 +257,7 @@
         Ok(Decision::Invalid(faults)) => PutAnswer::Bad(faults),
         Ok(Decision::Forgotten) => PutAnswer::Forgotten,
         Ok(Decision::Unreadable) => {
-            c.w.log("the configuration in the register cannot be read");
+            c.runtime.log("the configuration in the register cannot be read");
             PutAnswer::Undecided
         }
         Err(ChangeError::NotProposer) => return None,
@@ -266,7 +272,7 @@
     match put(c, base, text, String::new(), false).await {
         Put::InForce(version) => PutAnswer::InForce(version),
         Put::No(Code::BadConfig, _, faults) => PutAnswer::Bad(faults),
-        Put::No(Code::Conflict, _, _) => PutAnswer::Conflict(c.book.config.load().0),
+        Put::No(Code::Conflict, _, _) => PutAnswer::Conflict(c.documents.config.load().0),
         Put::No(Code::NotFounded, ..) => PutAnswer::NotFounded,
         Put::No(Code::NoMajority, ..) => PutAnswer::NoMajority,
         Put::No(..) => PutAnswer::Undecided,
--- a/yewcross-control/src/config/read.rs
+++ b/yewcross-control/src/config/read.rs
@@ -3,16 +3,16 @@
 use crate::api::ReadAnswer;
 use crate::{Control, proposer};
 use std::sync::Arc;
-use yewcross::ask::ConfigDoc;
-use yewcross::consts::READ_BACK_WITHIN;
+use yewcross::constants::READ_BACK_WITHIN;
+use yewcross::protocol::ConfigDoc;
 
 /// The newest decided configuration: linearizable with the orders, for a majority of the core disks is asked each time.
 pub async fn newest(c: &Arc<Control>) -> ReadAnswer {
-    if c.book.layout.load().0 == 0 {
+    if c.documents.layout.load().0 == 0 {
         return ReadAnswer::Away;
     }
     let Ok((seq, epoch, raw)) = proposer::newest(c, "config", READ_BACK_WITHIN).await else { return ReadAnswer::Away };
-    c.book.adopt("config", seq, epoch, raw.to_vec());
+    c.documents.apply("config", seq, epoch, raw.to_vec());
     let Ok(document) = ConfigDoc::decode(&raw) else { return ReadAnswer::Away };
     if document.text.is_empty() {
         return ReadAnswer::None;
--- a/yewcross-control/src/contact.rs
+++ b/yewcross-control/src/contact.rs
@@ -2,7 +2,7 @@
 
 use crate::lease::quorum;
 use std::collections::BTreeMap;
-use yewcross::ask::Group;
+use yewcross::protocol::ReplicaGroup;
 
 /// When each core seat last answered, and what its disk held. A pure record: no clock, no network.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
     }
 
     /// Every change decided before this moment is among `versions`: a majority of the seats answered later questions.
-    pub fn since(&self, seats: &Group) -> u64 {
+    pub fn since(&self, seats: &ReplicaGroup) -> u64 {
         let mut times: Vec<u64> = self.answered.values().copied().collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         let met = |at: u64| quorum(seats, |d| self.answered.get(d).is_some_and(|t| *t >= at));
@@ -37,7 +37,7 @@
     }
 
     /// Seats that are no longer in the layout are forgotten.
-    pub fn retain(&mut self, seats: &Group) {
-        self.answered.retain(|d, _| seats.now.contains(d) || seats.old.contains(d));
+    pub fn retain(&mut self, seats: &ReplicaGroup) {
+        self.answered.retain(|d, _| seats.current.contains(d) || seats.previous.contains(d));
     }
 }
--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
+use yewcross::constants::*;
 
 enum Outcome {
     Restored {
@@ -20,33 +20,33 @@
 /// Waits for failures and tries the disk until it is restored.
 pub async fn run(c: Arc<Control>) {
     loop {
-        let failure = c.vault.failure.listen();
-        if !c.vault.failed.load(SeqCst) {
+        let failure = c.storage.failure.listen();
+        if !c.storage.failed.load(SeqCst) {
             failure.await;
             continue;
         }
-        let since = c.w.now();
+        let since = c.runtime.now();
         if !restore_until_done(&c).await {
-            c.w.log("the disk is not the one that was opened; it takes no part until restart");
+            c.runtime.log("the disk is not the one that was opened; it takes no part until restart");
             return;
         }
-        c.w.log(&format!("disk works again after {} ms", (c.w.now() - since) / MS));
-        c.book.moved.notify(usize::MAX);
+        c.runtime.log(&format!("disk works again after {} ms", (c.runtime.now() - since) / MS));
+        c.documents.changed.notify(usize::MAX);
     }
 }
 
 /// `false` where only a restart helps.
 async fn restore_until_done(c: &Arc<Control>) -> bool {
     loop {
-        c.w.sleep(DISK_RETRY).await;
-        let failures = c.vault.failures.load(SeqCst);
+        c.runtime.sleep(DISK_RETRY).await;
+        let failures = c.storage.failures.load(SeqCst);
         match restore(c).await {
             Ok(Outcome::OtherDisk) => return false,
             // A write that was under way may have failed meanwhile.
-            Ok(Outcome::Restored { rewritten }) if c.vault.failures.load(SeqCst) == failures => {
-                c.vault.failed.store(false, SeqCst);
+            Ok(Outcome::Restored { rewritten }) if c.storage.failures.load(SeqCst) == failures => {
+                c.storage.failed.store(false, SeqCst);
                 if rewritten > 0 {
-                    c.w.log(&format!("{rewritten} files of unknown outcome put right"));
+                    c.runtime.log(&format!("{rewritten} files of unknown outcome put right"));
                 }
                 return true;
             }
@@ -56,8 +56,8 @@
 }
 
 async fn restore(c: &Arc<Control>) -> io::Result<Outcome> {
-    c.vault.probe().await?;
-    if !c.vault.bears_identity().await? {
+    c.storage.probe().await?;
+    if !c.storage.bears_identity().await? {
         return Ok(Outcome::OtherDisk);
     }
     let rewritten = c.replica.restore().await?;
--- a/yewcross-control/src/duty.rs
+++ b/yewcross-control/src/duty.rs
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::book::Book;
-use yewcross::consts::*;
-use yewcross::lease::*;
-use yewcross::startup::Role;
-use yewcross::vault::Vault;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::process_settings::Role;
+use yewcross::protocol::lease::*;
+use yewcross::runtime::*;
+use yewcross::storage::DurableStorage;
 
 pub const DUTIES: [&str; 2] = ["list", "layout"];
 
@@ -58,12 +58,12 @@
 
 impl Duties {
     /// Reads the last grant that this disk has given.
-    pub async fn open(w: &World, vault: &Arc<Vault>, book: &Book, process: u64, role: Role) -> io::Result<Duties> {
+    pub async fn open(w: &Runtime, vault: &Arc<DurableStorage>, book: &DocumentCache, process: u64, role: Role) -> io::Result<Duties> {
         let kept = GrantFile::read(vault).await?;
         let life = if role == Role::Core { begin_life(w, vault).await? } else { 0 };
         let fresh = book.layout.load().0 == 0;
         Ok(Duties {
-            candidate: Candidate { disk: vault.id.clone(), process, life },
+            candidate: Candidate { disk: vault.disk_id.clone(), process, life },
             granter: Mutex::new(Granter::new(LEASE_TIMES, w.now(), kept.grant.clone(), fresh)),
             holder: Mutex::new(Holder::new(LEASE_TIMES)),
             contact: Default::default(),
@@ -89,9 +89,9 @@
 /// Where the process is that holds the lease, as far as this seat granted it or was told lately; none if it is this one.
 pub fn holder_address(c: &Control) -> Option<SocketAddr> {
     let granted = with_granter(c, |granter, now| granter.holder(now).cloned());
-    let told = || c.duties.told_holder.lock().unwrap().clone().filter(|(_, at)| c.w.now() < at + LEASE_LENGTH).map(|told| told.0);
+    let told = || c.duties.told_holder.lock().unwrap().clone().filter(|(_, at)| c.runtime.now() < at + LEASE_LENGTH).map(|told| told.0);
     let holder = granted.or_else(told)?;
-    let is_other = holder.disk != c.vault.id;
+    let is_other = holder.disk != c.storage.disk_id;
     is_other.then(|| c.members.by_disk(&holder.disk).map(|node| node.peer)).flatten()
 }
 
@@ -105,8 +105,8 @@
 
     /// The term of the lease that this process holds, whether or not it has taken the documents yet. It may propose.
     pub fn lease_term(&self) -> Option<u64> {
-        let ready = !self.members.replaced.is_set() && !self.vault.failed.load(SeqCst);
-        self.duties.holder.lock().unwrap().held(self.w.now()).filter(|_| ready)
+        let ready = !self.members.replaced.is_set() && !self.storage.failed.load(SeqCst);
+        self.duties.holder.lock().unwrap().held(self.runtime.now()).filter(|_| ready)
     }
 
     /// Both duties lie with the holder of the one lease.
@@ -124,16 +124,16 @@
 async fn keep_seats(c: Arc<Control>) {
     let mut was = false;
     loop {
-        let (adopted, members, lease) = (c.book.moved.listen(), c.members.moved.listen(), c.duties.changed.listen());
+        let (adopted, members, lease) = (c.documents.changed.listen(), c.members.changed.listen(), c.duties.changed.listen());
         let now = c.on_duty();
         if was != now {
             was = now;
-            c.w.log(if now { "on duty" } else { "off duty" });
+            c.runtime.log(if now { "on duty" } else { "off duty" });
         }
         let rest = if now { layout::tend_seats(&c).await } else { SEC };
         if rest > 0 {
             let any = futures_lite::future::or(lease, futures_lite::future::or(adopted, members));
-            c.w.within(rest, any).await;
+            c.runtime.timeout(rest, any).await;
         }
     }
 }
@@ -144,9 +144,9 @@
         // The list is read as soon as the lease is held: that a server leaves is told before anything can be decided.
         if c.lease_term().is_some() {
             let rest = platform_list::poll(&c).await;
-            c.w.sleep(rest).await;
+            c.runtime.sleep(rest).await;
         } else {
-            c.w.within(SEC, lease).await;
+            c.runtime.timeout(SEC, lease).await;
         }
     }
 }
@@ -156,28 +156,28 @@
         if c.on_duty() {
             layout::tend_layout(&c).await;
         }
-        c.w.sleep(500 * MS).await;
+        c.runtime.sleep(500 * MS).await;
     }
 }
 
 pub async fn run(c: Arc<Control>) {
-    c.w.go(quorum_contact::keep_contact(c.clone()));
-    c.w.go(lease_holder::run(c.clone()));
-    c.w.go(keep_list(c.clone()));
+    c.runtime.spawn(quorum_contact::keep_contact(c.clone()));
+    c.runtime.spawn(lease_holder::run(c.clone()));
+    c.runtime.spawn(keep_list(c.clone()));
     if c.options.tends {
-        c.w.go(config::find_late_documents(c.clone()));
-        c.w.go(layout::found_self(c.clone()));
-        c.w.go(keep_seats(c.clone()));
+        c.runtime.spawn(config::find_late_documents(c.clone()));
+        c.runtime.spawn(layout::found_self(c.clone()));
+        c.runtime.spawn(keep_seats(c.clone()));
     } else {
         c.founded.store(true, SeqCst);
-        c.w.go(tend_layout(c.clone()));
+        c.runtime.spawn(tend_layout(c.clone()));
     }
 }
 
 /// The machine and process that hold the lease, as far as this seat knows.
 pub fn holder_name(c: &Control) -> Option<String> {
     let holder = with_granter(c, |granter, now| granter.holder(now).cloned())?;
-    let l = c.book.layout.load();
+    let l = c.documents.layout.load();
     let name = l.1.names.get(&holder.disk).cloned().unwrap_or(holder.disk.clone());
     Some(format!("{name}#{:x}", holder.process))
 }
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -1,7 +1,7 @@
 //! The duty of keeping the seats of a tier that has no operator's hand.
 //!
 //! The core's and the stores' changes run beside each other: one may begin, be amended and end while the other is under way.
-//! A step that begins or amends is bound to the layout's version, one that ends to the group's sets (`Group::since`), and
+//! A step that begins or amends is bound to the layout's version, one that ends to the group's sets (`ReplicaGroup::since`), and
 //! every step to the term of the duty lease under which it was planned.
 
 use super::planning::{self, IN_ORDER_OF_DANGER, Known, SeatReport, group};
@@ -10,20 +10,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::book::DOCS;
-use yewcross::consts::*;
-use yewcross::member::{Node, State};
+use yewcross::constants::*;
+use yewcross::documents::cache::DOCS;
+use yewcross::membership::{MemberState, Node};
+use yewcross::process_settings::Role;
+use yewcross::protocol::*;
 use yewcross::register::Ballot;
 use yewcross::register::Step;
-use yewcross::startup::Role;
 
 /// Layout and its version.
 type Versioned = Arc<(u64, Layout)>;
 
 /// Looks once at the seats and does the next step of each group. Returns how long to rest if nothing moves, us.
 pub async fn tend_seats(c: &Arc<Control>) -> u64 {
-    let l: Versioned = c.book.layout.load_full();
+    let l: Versioned = c.documents.layout.load_full();
     if l.0 == 0 || !c.founded.load(SeqCst) {
         return SEC;
     }
@@ -32,9 +32,9 @@
     let mut rest = if missing_since.is_empty() { SEC } else { SEATS_LOOK };
     for role in IN_ORDER_OF_DANGER {
         let next = {
-            let t = c.w.now();
+            let t = c.runtime.now();
             let missing = |d: &str| missing_since.get(d).map_or(0, |since| (t - since).max(1));
-            let known = Known { live: &live, heard: &c.members.all(), missing: &missing, lost: c.st.bounds.lost };
+            let known = Known { live: &live, heard: &c.members.all(), missing: &missing, lost: c.settings.bounds.lost };
             planning::next_step(&l.1, l.0, &known, role)
         };
         let Some(next) = next else { continue };
@@ -43,7 +43,7 @@
             None => return if decide(c, l.0, &next).await { 0 } else { rest.min(STEP_AGAIN) },
         }
     }
-    if !l.1.core.changing() && !l.1.store.changing() {
+    if !l.1.core.is_changing() && !l.1.store.is_changing() {
         return rest;
     }
     if end_changes(c, &l).await { 0 } else { rest.min(MOVE_LOOK) }
@@ -51,9 +51,9 @@
 
 /// Since when the machine of each seat, incoming or outgoing, is missing, us.
 fn note_missing(c: &Control, layout: &Layout, live: &[Node]) -> BTreeMap<String, u64> {
-    let t = c.w.now();
-    let is_here = |disk: &String| live.iter().any(|n| n.disk == *disk && n.state == State::Alive);
-    let seats: Vec<&String> = [&layout.core, &layout.store].into_iter().flat_map(|g| g.now.iter().chain(&g.old)).collect();
+    let t = c.runtime.now();
+    let is_here = |disk: &String| live.iter().any(|n| n.disk == *disk && n.state == MemberState::Alive);
+    let seats: Vec<&String> = [&layout.core, &layout.store].into_iter().flat_map(|g| g.current.iter().chain(&g.previous)).collect();
     let mut missing = c.duties.missing.lock().unwrap();
     missing.retain(|disk, _| seats.contains(&disk) && !is_here(disk));
     for disk in seats.into_iter().filter(|d| !is_here(d)) {
@@ -65,31 +65,31 @@
 /// How long a step must wait, us: for more of the first stores, or for a seat that does not answer.
 async fn held_back(c: &Arc<Control>, l: &Versioned, next: &Layout, role: Role, live: &[Node]) -> Option<u64> {
     let (was, to) = (group(&l.1, role), group(next, role));
-    if was.changing() {
+    if was.is_changing() {
         return None;
     }
-    if was.now.is_empty() {
+    if was.current.is_empty() {
         // The first stores are seated together.
-        let stores = live.iter().filter(|n| n.role == Role::Store && n.state == State::Alive).count();
-        let early = role == Role::Store && stores > 0 && c.w.now() < c.duties.since.load(SeqCst) + FOUND_WAIT;
+        let stores = live.iter().filter(|n| n.role == Role::Store && n.state == MemberState::Alive).count();
+        let early = role == Role::Store && stores > 0 && c.runtime.now() < c.duties.since.load(SeqCst) + FOUND_WAIT;
         return early.then_some(STEP_AGAIN);
     }
-    if to.now.len() <= was.now.len() {
+    if to.current.len() <= was.current.len() {
         return None;
     }
     // A seat more is given only while all that keep theirs answer: a newcomer may stand for one whose loss is not yet seen.
-    let staying: Vec<String> = was.now.iter().filter(|d| to.now.contains(d)).cloned().collect();
+    let staying: Vec<String> = was.current.iter().filter(|d| to.current.contains(d)).cloned().collect();
     let reports = survey(c, &staying, l.1.since(was, l.0), SEAT_REPORT_WAIT, |_| false).await;
     let mute: Vec<&String> = staying.iter().filter(|d| !reports.iter().any(|r| r.disk == **d)).collect();
     if mute.is_empty() {
         return None;
     }
-    let t = c.w.now();
+    let t = c.runtime.now();
     for disk in &mute {
         c.duties.missing.lock().unwrap().entry(disk.to_string()).or_insert(t);
     }
     for node in mute.iter().filter_map(|d| c.members.by_disk(d)).collect::<Vec<_>>() {
-        c.members.clone().check(node).await;
+        c.members.clone().probe_or_suspect(node).await;
     }
     Some(STEP_AGAIN / 2)
 }
@@ -102,10 +102,10 @@
     let raw = serde_json::to_vec(next).unwrap_or_default();
     let may = |seq| seq == at && c.may_write(term, written);
     let step = |seq, _: &[u8]| if may(seq) { Step::Write(raw.clone(), true) } else { Step::Keep(false) };
-    let decided = c.owner.change("layout", STEP_WAIT, step).await;
+    let decided = c.registers.change("layout", STEP_WAIT, step).await;
     match decided {
         Ok(true) => {
-            c.w.log(&format!("seats change: core {:?} store {:?}", machines(next, &next.core), machines(next, &next.store)));
+            c.runtime.log(&format!("seats change: core {:?} store {:?}", machines(next, &next.core), machines(next, &next.store)));
             config::push(c, "layout", at + 1, raw);
         }
         // Another's version, or one of ours whose answers were lost.
@@ -114,15 +114,15 @@
     decided == Ok(true)
 }
 
-fn machines(layout: &Layout, seats: &Group) -> String {
-    let names: Vec<&str> = seats.now.iter().map(|d| layout.names.get(d).map_or("?", |n| n.as_str())).collect();
+fn machines(layout: &Layout, seats: &ReplicaGroup) -> String {
+    let names: Vec<&str> = seats.current.iter().map(|d| layout.names.get(d).map_or("?", |n| n.as_str())).collect();
     names.join(" ")
 }
 
 /// Ends the changes that may end, each by itself.
 async fn end_changes(c: &Arc<Control>, l: &Versioned) -> bool {
-    let core = async { l.1.core.changing() && end_core(c, l).await };
-    let store = async { l.1.store.changing() && end_store(c, l).await };
+    let core = async { l.1.core.is_changing() && end_core(c, l).await };
+    let store = async { l.1.store.is_changing() && end_store(c, l).await };
     let (core, store) = futures_lite::future::zip(core, store).await;
     core || store
 }
@@ -131,9 +131,9 @@
 /// and so written to both.
 async fn end_core(c: &Arc<Control>, l: &Versioned) -> bool {
     let (seats, since) = (&l.1.core, l.1.since(&l.1.core, l.0));
-    let known = seats.old.iter().filter(|d| c.members.by_disk(d).is_some()).count();
+    let known = seats.previous.iter().filter(|d| c.members.by_disk(d).is_some()).count();
     let is_joint = |reports: &[SeatReport]| planning::core_is_joint(seats, since, reports);
-    let reports = survey(c, &seats.old, since, SEAT_REPORT_WAIT, |r| r.len() == known && is_joint(r)).await;
+    let reports = survey(c, &seats.previous, since, SEAT_REPORT_WAIT, |r| r.len() == known && is_joint(r)).await;
     if !is_joint(&reports) {
         tell_again(c, &reports, since);
         return false;
@@ -142,7 +142,7 @@
         if is_on_both(c, document, seats, since, &reports).await {
             continue;
         }
-        if c.duty_term().is_none() || c.owner.change(document, SEC, |_, _| Step::Keep(())).await.is_err() {
+        if c.duty_term().is_none() || c.registers.change(document, SEC, |_, _| Step::Keep(())).await.is_err() {
             return false;
         }
     }
@@ -151,16 +151,16 @@
 
 /// Whether majorities of both sets hold the document alike. Of the outgoing set only disks count that had kept the joint layout
 /// before: what was decided without the incoming set, they had accepted by then. So operators' orders go on undisturbed.
-async fn is_on_both(c: &Arc<Control>, document: &str, seats: &Group, since: u64, reports: &[SeatReport]) -> bool {
+async fn is_on_both(c: &Arc<Control>, document: &str, seats: &ReplicaGroup, since: u64, reports: &[SeatReport]) -> bool {
     let may_vote = |disk: &str| {
         let has_kept = reports.iter().any(|r| r.disk == disk && r.kept >= since);
-        has_kept || !seats.old.iter().any(|d| d == disk)
+        has_kept || !seats.previous.iter().any(|d| d == disk)
     };
     for look in 0..READ_LOOKS {
         if look > 0 {
-            c.w.sleep(READ_LOOK_AGAIN).await;
+            c.runtime.sleep(READ_LOOK_AGAIN).await;
         }
-        if c.w.within(SEAT_REPORT_WAIT, c.owner.is_settled(document, may_vote)).await == Some(true) {
+        if c.runtime.timeout(SEAT_REPORT_WAIT, c.registers.is_settled(document, may_vote)).await == Some(true) {
             return true;
         }
     }
@@ -169,8 +169,8 @@
 
 async fn end_store(c: &Arc<Control>, l: &Versioned) -> bool {
     let (seats, since) = (&l.1.store, l.1.since(&l.1.store, l.0));
-    let both: Vec<String> = seats.old.iter().chain(seats.now.iter().filter(|d| !seats.old.contains(d))).cloned().collect();
-    let may_end = |reports: &[SeatReport]| planning::store_may_end(seats, since, c.st.bounds.lost, reports);
+    let both: Vec<String> = seats.previous.iter().chain(seats.current.iter().filter(|d| !seats.previous.contains(d))).cloned().collect();
+    let may_end = |reports: &[SeatReport]| planning::store_may_end(seats, since, c.settings.bounds.lost, reports);
     let reports = survey(c, &both, since, SEAT_REPORT_WAIT, may_end).await;
     if !may_end(&reports) {
         tell_again(c, &reports, since);
@@ -181,12 +181,12 @@
 
 /// Tells the layout to those that have not kept it.
 fn tell_again(c: &Arc<Control>, reports: &[SeatReport], since: u64) {
-    let page = c.book.page("layout");
+    let page = c.documents.document("layout");
     for node in reports.iter().filter(|r| r.kept < since).filter_map(|r| c.members.by_disk(&r.disk)) {
-        let (me, raw) = (c.clone(), page.raw.clone());
-        let told = Ask::Adopt { name: "layout".into(), seq: page.seq, epoch: Ballot::default(), relays: vec![] };
-        c.w.go(async move {
-            let _ = me.peers.ask(node.peer, &told, &raw, PEER_WAIT).await;
+        let (me, raw) = (c.clone(), page.content.clone());
+        let told = PeerRequest::PublishDocument { name: "layout".into(), version: page.version, epoch: Ballot::default(), relays: vec![] };
+        c.runtime.spawn(async move {
+            let _ = me.peers.request(node.peer, &told, &raw, PEER_WAIT).await;
         });
     }
 }
@@ -202,11 +202,11 @@
 async fn end_change(c: &Arc<Control>, role: Role, since: u64) -> bool {
     let Some(term) = c.duty_term() else { return false };
     let ended = c
-        .owner
+        .registers
         .change("layout", STEP_WAIT, |seq, v| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(None) };
             let seats = group(&layout, role);
-            if !seats.changing() || layout.since(seats, seq) != since || !c.may_write(term, layout.term) {
+            if !seats.is_changing() || layout.since(seats, seq) != since || !c.may_write(term, layout.term) {
                 return Step::Keep(None);
             }
             layout.term = term;
@@ -217,7 +217,7 @@
         .await;
     match ended {
         Ok(Some((seq, raw))) => {
-            c.w.log(&format!("change of {} disks done", if role == Role::Core { "core" } else { "store" }));
+            c.runtime.log(&format!("change of {} disks done", if role == Role::Core { "core" } else { "store" }));
             config::push(c, "layout", seq, raw);
             true
         }
--- a/yewcross-control/src/layout/founding.rs
+++ b/yewcross-control/src/layout/founding.rs
@@ -4,32 +4,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::member::Node;
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::membership::Node;
+use yewcross::process_settings::Role;
+use yewcross::protocol::*;
 use yewcross::register::*;
-use yewcross::startup::Role;
 
 /// A core disk takes part only after it was founded, or once a decided layout names it.
-pub async fn found_here(c: &Arc<Control>, blob: Vec<u8>) -> Tell {
+pub async fn found_here(c: &Arc<Control>, blob: Vec<u8>) -> PeerResponse {
     let _one = c.finding.lock().await;
     // The message goes to an address: only a disk that the layout names may found.
-    let names_us = serde_json::from_slice::<Layout>(&blob).is_ok_and(|l| l.core.now.contains(&c.vault.id));
+    let names_us = serde_json::from_slice::<Layout>(&blob).is_ok_and(|l| l.core.current.contains(&c.storage.disk_id));
     if !names_us {
-        return Tell::No(Code::Conflict);
+        return PeerResponse::Rejected(Code::Conflict);
     }
-    let p = c.book.page("layout");
-    if p.seq > 0 {
-        return if *p.raw == blob { Tell::Ok } else { Tell::No(Code::Conflict) };
+    let p = c.documents.document("layout");
+    if p.version > 0 {
+        return if *p.content == blob { PeerResponse::Ok } else { PeerResponse::Rejected(Code::Conflict) };
     }
     let b = serde_json::to_vec(&(1u64, Ballot::default(), String::from_utf8_lossy(&blob))).unwrap_or_default();
-    if c.vault.keep("local", "layout", 1, &b).await.is_err() {
-        return Tell::No(Code::StoreAway);
+    if c.storage.persist("local", "layout", 1, &b).await.is_err() {
+        return PeerResponse::Rejected(Code::StoreAway);
     }
-    c.book.adopt("layout", 1, Ballot::default(), blob);
-    c.replica.lay.fetch_max(1, SeqCst);
-    Tell::Ok
+    c.documents.apply("layout", 1, Ballot::default(), blob);
+    c.replica.layout_version.fetch_max(1, SeqCst);
+    PeerResponse::Ok
 }
 
 /// Founds the tier from the machines named; all of them must be there and new.
@@ -47,31 +47,35 @@
             })
             .collect()
     };
-    let core = Group { now: ids(cores, Role::Core)?, ..Default::default() };
-    let store = Group { now: ids(stores, Role::Store)?, ..Default::default() };
-    if core.now.len() < 3 || store.now.len() < STORE_COPIES {
+    let core = ReplicaGroup { current: ids(cores, Role::Core)?, ..Default::default() };
+    let store = ReplicaGroup { current: ids(stores, Role::Store)?, ..Default::default() };
+    if core.current.len() < 3 || store.current.len() < STORE_COPIES {
         return Err((Code::BadLayout, "at least three core and three store machines are needed".into()));
     }
-    let raw = serde_json::to_vec(&Layout { core, store, names, sites, turn: 1, ..Default::default() }).unwrap_or_default();
+    let raw = serde_json::to_vec(&Layout { core, store, names, sites, change_started: 1, ..Default::default() }).unwrap_or_default();
     for n in cores.iter().filter_map(|n| view.get(n)) {
-        let t = if n.name == c.st.name {
+        let t = if n.name == c.settings.name {
             found_here(c, raw.clone()).await
         } else {
-            c.peers.ask(n.peer, &Ask::Found, &raw, PEER_WAIT).await.map(|x| x.0).unwrap_or(Tell::No(Code::StoreAway))
+            c.peers
+                .request(n.peer, &PeerRequest::Bootstrap, &raw, PEER_WAIT)
+                .await
+                .map(|x| x.0)
+                .unwrap_or(PeerResponse::Rejected(Code::StoreAway))
         };
-        if !matches!(t, Tell::Ok) {
+        if !matches!(t, PeerResponse::Ok) {
             return Err((Code::Conflict, format!("{} is founded otherwise or cannot be reached", n.name)));
         }
     }
-    let got = c.owner.change("layout", PUT_WAIT, |s, _| if s == 0 { Step::Write(raw.clone(), ()) } else { Step::Keep(()) }).await;
+    let got = c.registers.change("layout", PUT_WAIT, |s, _| if s == 0 { Step::Write(raw.clone(), ()) } else { Step::Keep(()) }).await;
     got.map_err(|_| (Code::Undecided, "founding is not yet decided; send it again".to_string()))?;
     let empty = serde_json::to_vec(&ConfigDoc::default()).unwrap_or_default();
-    let first = c.owner.change("config", PUT_WAIT, |s, _| if s == 0 { Step::Write(empty.clone(), ()) } else { Step::Keep(()) }).await;
+    let first = c.registers.change("config", PUT_WAIT, |s, _| if s == 0 { Step::Write(empty.clone(), ()) } else { Step::Keep(()) }).await;
     first.map_err(|_| (Code::Undecided, "founding is not yet decided; send it again".to_string()))?;
     for d in ["layout", "config"] {
-        if let Ok((seq, epoch, v)) = c.owner.read(d, PEER_WAIT).await {
+        if let Ok((seq, epoch, v)) = c.registers.read(d, PEER_WAIT).await {
             let (me, d) = (c.clone(), d.to_string());
-            c.w.go(async move {
+            c.runtime.spawn(async move {
                 config::carry(&me, &d, seq, epoch, &v).await;
             });
         }
@@ -82,37 +86,37 @@
 /// Founds the tier without a hand: the first core disks are those of the three machines that every node was told of, so
 /// that all who try write the same. Ends once the first layout and the empty configuration are decided.
 pub async fn found_self(c: Arc<Control>) {
-    let told = serde_json::to_vec(&c.st.seeds).unwrap_or_default();
-    let mut seeds = c.st.seeds.clone();
-    let mut founds = c.st.found;
-    if c.book.layout.load().0 == 0 {
+    let told = serde_json::to_vec(&c.settings.seeds).unwrap_or_default();
+    let mut seeds = c.settings.seeds.clone();
+    let mut founds = c.settings.found;
+    if c.documents.layout.load().0 == 0 {
         // A founder that restarts in the middle goes on.
-        match c.vault.load("local", "founding").await {
+        match c.storage.load("local", "founding").await {
             Ok(Some((_, b))) => {
                 founds = true;
                 seeds = serde_json::from_slice(&b).unwrap_or(seeds);
             }
             _ if founds => {
-                let _ = c.vault.keep("local", "founding", 1, &told).await;
+                let _ = c.storage.persist("local", "founding", 1, &told).await;
             }
             _ => {}
         }
     }
-    let nth = seeds.iter().position(|a| *a == c.st.peer);
+    let nth = seeds.iter().position(|a| *a == c.settings.peer);
     loop {
-        let (l, m) = (c.book.moved.listen(), c.members.moved.listen());
-        let lay = c.book.layout.load_full();
+        let (l, m) = (c.documents.changed.listen(), c.members.changed.listen());
+        let lay = c.documents.layout.load_full();
         if lay.0 == 0 {
             if let Some(raw) = nth.filter(|_| founds).and_then(|_| first(&c, &seeds)) {
                 propose_first(&c, &seeds, raw).await;
             }
         } else if is_founded(&c) {
-            c.duties.since.store(c.w.now(), SeqCst);
+            c.duties.since.store(c.runtime.now(), SeqCst);
             c.founded.store(true, SeqCst);
-            c.book.moved.notify(usize::MAX);
+            c.documents.changed.notify(usize::MAX);
             return;
         }
-        c.w.within(300 * MS, futures_lite::future::or(l, m)).await;
+        c.runtime.timeout(300 * MS, futures_lite::future::or(l, m)).await;
     }
 }
 
@@ -126,10 +130,10 @@
     core.sort();
     core.dedup();
     let l = Layout {
-        core: Group { now: core, ..Default::default() },
+        core: ReplicaGroup { current: core, ..Default::default() },
         names: ns.iter().map(|n| (n.disk.clone(), n.name.clone())).collect(),
         sites: ns.iter().map(|n| (n.disk.clone(), n.site.clone())).collect(),
-        turn: 1,
+        change_started: 1,
         ..Default::default()
     };
     serde_json::to_vec(&l).ok()
@@ -138,12 +142,16 @@
 /// In the order of the seeds: where two differ, the first seed's word decides before any other has kept one.
 async fn propose_first(c: &Arc<Control>, seeds: &[std::net::SocketAddr], raw: Vec<u8>) {
     for a in seeds {
-        let t = if *a == c.st.peer {
+        let t = if *a == c.settings.peer {
             found_here(c, raw.clone()).await
         } else {
-            c.peers.ask(*a, &Ask::Found, &raw, PEER_WAIT).await.map(|x| x.0).unwrap_or(Tell::No(Code::StoreAway))
+            c.peers
+                .request(*a, &PeerRequest::Bootstrap, &raw, PEER_WAIT)
+                .await
+                .map(|x| x.0)
+                .unwrap_or(PeerResponse::Rejected(Code::StoreAway))
         };
-        if !matches!(t, Tell::Ok) {
+        if !matches!(t, PeerResponse::Ok) {
             return;
         }
     }
@@ -152,17 +160,17 @@
 /// Decides the first layout and the empty configuration where nothing is decided yet. The process that proposes does it; it
 /// brings both under its own ballots by the way.
 pub async fn first_documents(c: &Arc<Control>) -> bool {
-    let page = c.book.page("layout");
-    let layout = |seq, _: &[u8]| if seq == 0 && page.seq == 1 { Step::Write(page.raw.to_vec(), true) } else { Step::Keep(seq > 0) };
-    if c.owner.change("layout", SEC, layout).await != Ok(true) {
+    let page = c.documents.document("layout");
+    let layout = |seq, _: &[u8]| if seq == 0 && page.version == 1 { Step::Write(page.content.to_vec(), true) } else { Step::Keep(seq > 0) };
+    if c.registers.change("layout", SEC, layout).await != Ok(true) {
         return false;
     }
     let empty = serde_json::to_vec(&ConfigDoc::default()).unwrap_or_default();
     let configuration = |seq, _: &[u8]| if seq == 0 { Step::Write(empty.clone(), true) } else { Step::Keep(false) };
-    let founded_now = c.owner.change("config", SEC, configuration).await;
+    let founded_now = c.registers.change("config", SEC, configuration).await;
     if founded_now == Ok(true) {
-        c.w.log("founded");
-        c.book.adopt("config", 1, Ballot::default(), empty);
+        c.runtime.log("founded");
+        c.documents.apply("config", 1, Ballot::default(), empty);
         config::tell_all_of(c, "layout");
         config::tell_all_of(c, "config");
     }
@@ -172,5 +180,5 @@
 /// Whether it is known here that the first layout and configuration are decided. Both documents are written after that only,
 /// and a disk keeps the layout that it was told of.
 fn is_founded(c: &Control) -> bool {
-    c.book.page("config").seq > 0 || c.book.layout.load().0 > 1
+    c.documents.document("config").version > 0 || c.documents.layout.load().0 > 1
 }
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -3,12 +3,12 @@
 use super::{planning, report, spread};
 use crate::Control;
 use std::sync::Arc;
-use yewcross::ask::*;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::member::Node;
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::membership::Node;
+use yewcross::process_settings::Role;
+use yewcross::protocol::*;
 use yewcross::register::*;
-use yewcross::startup::Role;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Move {
@@ -20,7 +20,7 @@
 /// The layout that a change would begin with, `None` if it already stands; the planner asks the same.
 pub fn propose(l: &Layout, seq: u64, m: &Move, of: impl Fn(&str) -> Option<Node>) -> Result<Option<Layout>, String> {
     let mut l = l.clone();
-    let seated = |d: &String| l.store.now.contains(d) || l.core.now.contains(d);
+    let seated = |d: &String| l.store.current.contains(d) || l.core.current.contains(d);
     let seat = |d: &str| {
         let by_name = l.names.iter().find(|x| x.1 == d && seated(x.0)).map(|x| x.0.clone());
         if l.names.contains_key(d) { Some(d.to_string()) } else { by_name }
@@ -32,9 +32,9 @@
     };
     let out = out.map(|d| seat(d).ok_or(format!("{d} has no seat"))).transpose()?;
     let put = put.map(|d| of(d).filter(|n| !n.disk.is_empty()).ok_or(format!("{d} is not a live machine with a disk"))).transpose()?;
-    let of_core = |d: &String| l.core.now.contains(d) || l.core.old.contains(d);
+    let of_core = |d: &String| l.core.current.contains(d) || l.core.previous.contains(d);
     let core = out.as_ref().map(of_core).unwrap_or(put.as_ref().is_some_and(|n| n.role == Role::Core));
-    let mut was = if core { l.core.now.clone() } else { l.store.now.clone() };
+    let mut was = if core { l.core.current.clone() } else { l.store.current.clone() };
     was.sort();
     let mut now = was.clone();
     now.retain(|d| Some(d) != out.as_ref());
@@ -43,7 +43,7 @@
     if now == was {
         return Ok(None);
     }
-    if !l.core.old.is_empty() || !l.store.old.is_empty() {
+    if !l.core.previous.is_empty() || !l.store.previous.is_empty() {
         return Err("another change of disks is under way".into());
     }
     if put.as_ref().is_some_and(|n| (n.role == Role::Core) != core) {
@@ -55,9 +55,9 @@
     l.names.extend(put.iter().map(|n| (n.disk.clone(), n.name.clone())));
     l.sites.extend(put.iter().map(|n| (n.disk.clone(), n.site.clone())));
     let g = if core { &mut l.core } else { &mut l.store };
-    g.old = std::mem::replace(&mut g.now, now);
+    g.previous = std::mem::replace(&mut g.current, now);
     g.since = seq + 1;
-    l.turn = seq + 1;
+    l.change_started = seq + 1;
     Ok(Some(l))
 }
 
@@ -66,7 +66,7 @@
     let view = c.members.view.load_full();
     let of = |d: &str| view.values().find(|n| n.disk == d || n.name == d).cloned();
     let got = c
-        .owner
+        .registers
         .change("layout", PUT_WAIT, |seq, v| {
             let Ok(l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(Err((Code::NotFounded, String::new()))) };
             match propose(&l, seq, &m, of) {
@@ -84,11 +84,11 @@
 /// Of each outgoing seat of the changes under way: whether it has kept this layout and found all its keys whole under it, and
 /// how many it has yet to bring.
 pub async fn progress(c: &Arc<Control>) -> (u64, Vec<(String, bool, u64)>) {
-    let l = c.book.layout.load_full();
+    let l = c.documents.layout.load_full();
     let mut filled = vec![];
     for role in planning::IN_ORDER_OF_DANGER {
         let seats = planning::group(&l.1, role);
-        for disk in &seats.old {
+        for disk in &seats.previous {
             let told = report::ask(c, disk, l.1.since(seats, l.0), SEAT_REPORT_WAIT).await;
             filled.push(told.map_or((disk.clone(), false, 0), |(r, left)| (r.disk, r.swept, left)));
         }
@@ -98,30 +98,30 @@
 
 /// The layout duty: finishes changes, and replaces the disk of a machine that came back empty.
 pub async fn tend_layout(c: &Arc<Control>) {
-    let l = c.book.layout.load_full();
+    let l = c.documents.layout.load_full();
     if l.0 == 0 {
         return;
     }
-    if l.1.core.old.is_empty() && l.1.store.old.is_empty() {
+    if l.1.core.previous.is_empty() && l.1.store.previous.is_empty() {
         let back = c.members.view.load().values().find_map(|n| {
-            let seats = if n.role == Role::Core { &l.1.core.now } else { &l.1.store.now };
+            let seats = if n.role == Role::Core { &l.1.core.current } else { &l.1.store.current };
             let lost = l.1.names.iter().find(|x| *x.1 == n.name && seats.contains(x.0) && *x.0 != n.disk)?.0.clone();
             (n.role != Role::Front && !n.disk.is_empty() && !l.1.names.contains_key(&n.disk)).then(|| (lost, n.disk.clone()))
         });
         if let Some((a, b)) = back.filter(|_| c.duty_term().is_some()) {
-            c.w.log(&format!("disk {a} came back empty as {b}"));
+            c.runtime.log(&format!("disk {a} came back empty as {b}"));
             let _ = begin(c, Move::Replace(a, b)).await;
         }
         return;
     }
     let (at, v) = progress(c).await;
     let done = v.iter().filter(|x| x.1).count();
-    if at != l.0 || done + c.st.bounds.lost < v.len() {
+    if at != l.0 || done + c.settings.bounds.lost < v.len() {
         return;
     }
     let Some(term) = c.duty_term() else { return };
     let got = c
-        .owner
+        .registers
         .change("layout", PUT_WAIT, |seq, v| {
             let Ok(mut l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(()) };
             if seq != at || !c.may_write(term, l.term) {
@@ -129,7 +129,7 @@
             }
             l.term = term;
             for role in planning::IN_ORDER_OF_DANGER {
-                if planning::group(&l, role).changing() {
+                if planning::group(&l, role).is_changing() {
                     planning::end(&mut l, seq, role);
                 }
             }
@@ -137,7 +137,7 @@
         })
         .await;
     if got.is_ok() {
-        c.w.log("change of disks done");
+        c.runtime.log("change of disks done");
     }
     spread(c).await;
 }
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -4,11 +4,11 @@
 //! way, whatever is decided needs enough of the incoming set (`now`) and enough of the outgoing one (`old`). The outgoing
 //! set stays in force until the change ends, so the incoming one may be amended at any time.
 
-use yewcross::ask::{Group, Layout};
-use yewcross::consts::{SEAT_LOST, SEAT_MISSING};
-use yewcross::member::{Node, State};
+use yewcross::constants::{SEAT_LOST, SEAT_MISSING};
+use yewcross::membership::{MemberState, Node};
+use yewcross::process_settings::Role;
+use yewcross::protocol::{Layout, ReplicaGroup};
 use yewcross::register::majority;
-use yewcross::startup::Role;
 
 /// The core first: nothing can be decided without its majority.
 pub const IN_ORDER_OF_DANGER: [Role; 2] = [Role::Core, Role::Store];
@@ -37,7 +37,7 @@
 /// The layout that the group's next step leads to: the beginning of a change, or an amendment of the one under way. `None`
 /// where nothing is to be done, or nothing yet. It takes effect only if layout number `seq` is still the newest.
 pub fn next_step(layout: &Layout, seq: u64, known: &Known, role: Role) -> Option<Layout> {
-    match group(layout, role).old.is_empty() {
+    match group(layout, role).previous.is_empty() {
         true => begin(layout, seq, known, role),
         false => amend(layout, seq, known, role),
     }
@@ -50,39 +50,41 @@
 
 /// Whether so many outgoing core seats refuse older layouts that no majority of them is left for anyone who knows only the
 /// outgoing set.
-pub fn core_is_joint(group: &Group, since: u64, reports: &[SeatReport]) -> bool {
-    let kept = reports.iter().filter(|r| group.old.contains(&r.disk) && r.kept >= since).count();
-    kept >= majority(group.old.len()) && group.old.len() - kept < majority(group.old.len())
+pub fn core_is_joint(group: &ReplicaGroup, since: u64, reports: &[SeatReport]) -> bool {
+    let kept = reports.iter().filter(|r| group.previous.contains(&r.disk) && r.kept >= since).count();
+    kept >= majority(group.previous.len()) && group.previous.len() - kept < majority(group.previous.len())
 }
 
 /// Whether the stores' outgoing set is no longer needed: whatever was written under it is on one of these at least, and they
 /// brought what they held to the incoming set; and enough of that set refuse older layouts.
-pub fn store_may_end(group: &Group, since: u64, lost: usize, reports: &[SeatReport]) -> bool {
+pub fn store_may_end(group: &ReplicaGroup, since: u64, lost: usize, reports: &[SeatReport]) -> bool {
     let count = |set: &[String], ok: &dyn Fn(&SeatReport) -> bool| reports.iter().filter(|r| set.contains(&r.disk) && ok(r)).count();
-    let swept = count(&group.old, &|r| r.swept);
-    let kept = count(&group.now, &|r| r.kept >= since);
-    swept + tolerated(group.old.len(), lost) >= group.old.len() && kept + tolerated(group.now.len(), lost) >= group.now.len()
+    let swept = count(&group.previous, &|r| r.swept);
+    let kept = count(&group.current, &|r| r.kept >= since);
+    swept + tolerated(group.previous.len(), lost) >= group.previous.len()
+        && kept + tolerated(group.current.len(), lost) >= group.current.len()
 }
 
 /// Ends the group's change: only the incoming set stays in force.
 pub fn end(layout: &mut Layout, seq: u64, role: Role) {
     let ended = group_mut(layout, role);
-    ended.old.clear();
+    ended.previous.clear();
     ended.since = seq + 1;
     forget_unseated(layout);
 }
 
 fn forget_unseated(layout: &mut Layout) {
-    let seated: Vec<String> = [&layout.core, &layout.store].into_iter().flat_map(|g| g.now.iter().chain(&g.old)).cloned().collect();
+    let seated: Vec<String> =
+        [&layout.core, &layout.store].into_iter().flat_map(|g| g.current.iter().chain(&g.previous)).cloned().collect();
     layout.names.retain(|disk, _| seated.contains(disk));
     layout.sites.retain(|disk, _| seated.contains(disk));
 }
 
-pub fn group(layout: &Layout, role: Role) -> &Group {
+pub fn group(layout: &Layout, role: Role) -> &ReplicaGroup {
     if role == Role::Core { &layout.core } else { &layout.store }
 }
 
-pub fn group_mut(layout: &mut Layout, role: Role) -> &mut Group {
+pub fn group_mut(layout: &mut Layout, role: Role) -> &mut ReplicaGroup {
     if role == Role::Core { &mut layout.core } else { &mut layout.store }
 }
 
@@ -98,18 +100,18 @@
         let came_back = known.live.iter().any(|n| n.disk != *disk && layout.names.get(disk) == Some(&n.name));
         came_back || (known.missing)(disk) >= SEAT_MISSING
     };
-    if !under_way.now.iter().any(is_lost) {
+    if !under_way.current.iter().any(is_lost) {
         return None;
     }
-    let newcomer_is_lost = under_way.now.iter().any(|d| !under_way.old.contains(d) && is_lost(d));
-    let base = if newcomer_is_lost { &under_way.old } else { &under_way.now };
+    let newcomer_is_lost = under_way.current.iter().any(|d| !under_way.previous.contains(d) && is_lost(d));
+    let base = if newcomer_is_lost { &under_way.previous } else { &under_way.current };
     let mut from = layout.clone();
-    *group_mut(&mut from, role) = Group { now: base.clone(), old: vec![], since: under_way.since };
+    *group_mut(&mut from, role) = ReplicaGroup { current: base.clone(), previous: vec![], since: under_way.since };
     let planned = if newcomer_is_lost { begin(&from, seq, known, role) } else { plan(&from, seq, known, role, false) };
     match planned {
         Some(mut next) => {
-            group_mut(&mut next, role).old = under_way.old.clone();
-            (group(&next, role).now != under_way.now).then_some(next)
+            group_mut(&mut next, role).previous = under_way.previous.clone();
+            (group(&next, role).current != under_way.current).then_some(next)
         }
         None if newcomer_is_lost => {
             end(&mut from, seq, role);
@@ -121,11 +123,11 @@
 
 /// A change from a settled group: retired and lost seats first, then seats for disks that have none.
 fn plan(layout: &Layout, seq: u64, known: &Known, role: Role, retire: bool) -> Option<Layout> {
-    let seats = &group(layout, role).now;
+    let seats = &group(layout, role).current;
     let free: Vec<&Node> = known
         .live
         .iter()
-        .filter(|n| n.role == role && n.state == State::Alive && !n.disk.is_empty())
+        .filter(|n| n.role == role && n.state == MemberState::Alive && !n.disk.is_empty())
         .filter(|n| !seats.contains(&n.disk) && !layout.retired.contains(&n.name))
         .collect();
     let name = |disk: &String| layout.names.get(disk).cloned().unwrap_or_default();
@@ -174,8 +176,8 @@
     next.names.extend(joining.iter().map(|n| (n.disk.clone(), n.name.clone())));
     next.sites.extend(joining.iter().map(|n| (n.disk.clone(), n.site.clone())));
     let changed = group_mut(&mut next, role);
-    changed.old = std::mem::replace(&mut changed.now, now);
+    changed.previous = std::mem::replace(&mut changed.current, now);
     changed.since = seq + 1;
-    next.turn = seq + 1;
+    next.change_started = seq + 1;
     Some(next)
 }
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -5,32 +5,32 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::{Ask, Tell};
-use yewcross::consts::WIRE_NAMED_DISKS;
-use yewcross::world::Fut;
+use yewcross::constants::WIRE_NAMED_DISKS;
+use yewcross::protocol::{PeerRequest, PeerResponse};
+use yewcross::runtime::BoxFuture;
 
 /// This disk's own report of the change that layout number `since` began.
-pub fn report(c: &Control, since: u64) -> Tell {
+pub fn report(c: &Control, since: u64) -> PeerResponse {
     let (chains_swept, chains_left) = c.chain.swept(since);
     let kept = c.layout_kept();
     let done = c.swept.load(SeqCst) >= since && kept >= since && chains_swept;
-    Tell::Swept { done, left: c.sweep_left.load(SeqCst) + chains_left, kept, disk: c.vault.id.clone() }
+    PeerResponse::SweepProgress { done, left: c.sweep_left.load(SeqCst) + chains_left, kept, disk: c.storage.disk_id.clone() }
 }
 
 /// Asks one disk; also how many keys it has yet to bring.
 pub async fn ask(c: &Arc<Control>, disk: &str, since: u64, us: u64) -> Option<(SeatReport, u64)> {
     let mut may_be_unnamed = false;
-    let answer = if disk == c.vault.id {
+    let answer = if disk == c.storage.disk_id {
         report(c, since)
     } else {
         let node = c.members.by_disk(disk)?;
-        let question = Ask::SweepDone { layout: since, disk: disk.into() };
-        let answer = c.peers.ask(node.peer, &question, &[], us).await.ok()?.0;
+        let question = PeerRequest::SweepProgress { layout: since, disk: disk.into() };
+        let answer = c.peers.request(node.peer, &question, &[], us).await.ok()?.0;
         may_be_unnamed = c.peers.version(node.peer) < WIRE_NAMED_DISKS;
         answer
     };
     match answer {
-        Tell::Swept { done, left, kept, disk: by } if by == disk || (by.is_empty() && may_be_unnamed) => {
+        PeerResponse::SweepProgress { done, left, kept, disk: by } if by == disk || (by.is_empty() && may_be_unnamed) => {
             Some((SeatReport { disk: disk.into(), kept, swept: done }, left))
         }
         _ => None,
@@ -39,15 +39,15 @@
 
 /// Asks all of the disks at once; ends when what was reported is `enough`, all have answered, or the wait is over.
 pub async fn survey(c: &Arc<Control>, disks: &[String], since: u64, us: u64, enough: impl Fn(&[SeatReport]) -> bool) -> Vec<SeatReport> {
-    let questions: Vec<Fut<'static, Option<SeatReport>>> = disks
+    let questions: Vec<BoxFuture<'static, Option<SeatReport>>> = disks
         .iter()
         .map(|disk| {
             let (me, disk) = (c.clone(), disk.clone());
-            let question: Fut<'static, _> = Box::pin(async move { ask(&me, &disk, since, us).await.map(|x| x.0) });
+            let question: BoxFuture<'static, _> = Box::pin(async move { ask(&me, &disk, since, us).await.map(|x| x.0) });
             question
         })
         .collect();
-    let (asked, answers) = (questions.len(), c.w.fan(questions));
+    let (asked, answers) = (questions.len(), c.runtime.spawn_all(questions));
     let mut reports = vec![];
     for _ in 0..asked {
         reports.extend(answers.recv().await.ok().flatten());
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -4,22 +4,22 @@
 use crate::proposer::{self, NotAnswered};
 use crate::{Control, config};
 use std::sync::Arc;
-use yewcross::ask::*;
-use yewcross::code::Code;
-use yewcross::consts::*;
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::process_settings::Role;
+use yewcross::protocol::*;
 use yewcross::register::*;
-use yewcross::startup::Role;
 
 /// Has it written down that a store machine is to be emptied, here or by the process that proposes.
 pub async fn retire(c: &Arc<Control>, node: &str) -> RetireBegin {
-    let until = c.w.now() + PEER_WAIT;
-    while c.w.now() < until {
+    let until = c.runtime.now() + PEER_WAIT;
+    while c.runtime.now() < until {
         if c.duty_term().is_some() {
             return retire_here(c, node).await;
         }
-        let question = Ask::Retire { node: node.into() };
-        match proposer::forward(c, &question, &[], until.saturating_sub(c.w.now())).await {
-            Ok((Tell::Retire(answer), _)) => return answer,
+        let question = PeerRequest::ForwardRetire { node: node.into() };
+        match proposer::forward(c, &question, &[], until.saturating_sub(c.runtime.now())).await {
+            Ok((PeerResponse::RetireAnswer(answer), _)) => return answer,
             Err(NotAnswered::NoProposer) => proposer::wait_for_one(c).await,
             _ => return RetireBegin::Away,
         }
@@ -28,33 +28,33 @@
 }
 
 /// The same for an order that another core passed on.
-pub async fn retire_forwarded(c: &Arc<Control>, node: &str) -> Tell {
+pub async fn retire_forwarded(c: &Arc<Control>, node: &str) -> PeerResponse {
     match c.duty_term() {
-        Some(_) => Tell::Retire(retire_here(c, node).await),
-        None => Tell::No(Code::NotOnDuty),
+        Some(_) => PeerResponse::RetireAnswer(retire_here(c, node).await),
+        None => PeerResponse::Rejected(Code::NotOnDuty),
     }
 }
 
 /// Writes down that a store machine is to be emptied; the layout duty does it.
 async fn retire_here(c: &Arc<Control>, node: &str) -> RetireBegin {
-    if c.book.layout.load().0 == 0 {
+    if c.documents.layout.load().0 == 0 {
         return RetireBegin::Away;
     }
-    let fewest = 2 * c.st.bounds.lost + 1;
+    let fewest = 2 * c.settings.bounds.lost + 1;
     let known = c.members.all().iter().any(|n| n.name == node && n.role == Role::Store);
     let got = c
-        .owner
+        .registers
         .change("layout", SEC, |seq, v| {
             let Ok(mut l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep((RetireBegin::Away, 0, vec![])) };
             if l.retired.contains(node) {
                 return Step::Keep((RetireBegin::Begun, 0, vec![]));
             }
             let named = |d: &&String| l.names.get(*d).is_some_and(|n| n == node);
-            let seated = l.store.now.iter().chain(&l.store.old).any(|d| named(&d));
+            let seated = l.store.current.iter().chain(&l.store.previous).any(|d| named(&d));
             if !seated && !known {
                 return Step::Keep((RetireBegin::Unknown, 0, vec![]));
             }
-            let left = l.store.now.iter().filter(|d| !named(d) && !l.names.get(*d).is_some_and(|n| l.retired.contains(n))).count();
+            let left = l.store.current.iter().filter(|d| !named(d) && !l.names.get(*d).is_some_and(|n| l.retired.contains(n))).count();
             if left < fewest {
                 return Step::Keep((RetireBegin::TooFew, 0, vec![]));
             }
@@ -66,7 +66,7 @@
     match got {
         Ok((r, seq, raw)) => {
             if seq > 0 {
-                c.w.log(&format!("{node} is to retire"));
+                c.runtime.log(&format!("{node} is to retire"));
                 config::push(c, "layout", seq, raw);
             }
             r
@@ -76,13 +76,13 @@
 }
 
 pub async fn retired(c: &Arc<Control>, node: &str) -> RetireState {
-    if c.book.layout.load().0 == 0 {
+    if c.documents.layout.load().0 == 0 {
         return RetireState::Away;
     }
     let Ok((seq, epoch, raw)) = proposer::newest(c, "layout", PEER_WAIT).await else { return RetireState::Away };
     let Ok(l) = serde_json::from_slice::<Layout>(&raw) else { return RetireState::Away };
-    c.book.adopt("layout", seq, epoch, raw.to_vec());
-    let there = |g: &Group| g.now.iter().chain(&g.old).any(|d| l.names.get(d).is_some_and(|n| n == node));
+    c.documents.apply("layout", seq, epoch, raw.to_vec());
+    let there = |g: &ReplicaGroup| g.current.iter().chain(&g.previous).any(|d| l.names.get(d).is_some_and(|n| n == node));
     match (l.retired.contains(node), there(&l.store)) {
         (false, _) => RetireState::Unknown,
         (true, true) => RetireState::Running,
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use yewcross::ask::{Group, Layout};
-use yewcross::lease::*;
+use yewcross::protocol::lease::*;
+use yewcross::protocol::{Layout, ReplicaGroup};
 use yewcross::register::majority;
 
 /// Rounds that a holder may ask for beyond the last one it saw confirmed.
@@ -24,16 +24,16 @@
 
 /// Digest of the core seats, new and old. Grants count only among nodes that know the same.
 pub fn seats_digest(l: &Layout) -> u64 {
-    if l.core.now.is_empty() {
+    if l.core.current.is_empty() {
         return 0;
     }
-    yewcross::hash::weigh(&l.core.now.join(" "), &l.core.old.join(" "))
+    yewcross::hash::rendezvous_weight(&l.core.current.join(" "), &l.core.previous.join(" "))
 }
 
 /// Whether the disks are a majority of the seats, and of the old ones while a change is under way.
-pub fn quorum(seats: &Group, has: impl Fn(&str) -> bool) -> bool {
+pub fn quorum(seats: &ReplicaGroup, has: impl Fn(&str) -> bool) -> bool {
     let most = |disks: &[String]| disks.iter().filter(|d| has(d)).count() >= majority(disks.len());
-    !seats.now.is_empty() && most(&seats.now) && (seats.old.is_empty() || most(&seats.old))
+    !seats.current.is_empty() && most(&seats.current) && (seats.previous.is_empty() || most(&seats.previous))
 }
 
 /// What a granter remembers across its own restarts: it is on disk before a grant under a new term is told.
@@ -135,16 +135,16 @@
     }
 
     /// A grant under a new term must be on disk before the answer leaves.
-    pub fn answer(&mut self, now: u64, asker: &Candidate, seats: u64, call: LeaseCall) -> Verdict {
+    pub fn answer(&mut self, now: u64, asker: &Candidate, seats: u64, call: LeaseOperation) -> LeaseVerdict {
         if seats != self.seats || seats == 0 {
-            return Verdict::Refused(Refusal::OtherSeats);
+            return LeaseVerdict::Refused(LeaseDenial::OtherSeats);
         }
         match call {
-            LeaseCall::Look if now < self.free_at() => Verdict::Held,
-            LeaseCall::Look => Verdict::Free,
-            LeaseCall::Request { term } => self.request(now, asker, term),
-            LeaseCall::Renew { term, round, confirmed } => self.renew(now, asker, term, round, confirmed),
-            LeaseCall::Release { term } => self.release(asker, term),
+            LeaseOperation::Look if now < self.free_at() => LeaseVerdict::Held,
+            LeaseOperation::Look => LeaseVerdict::Free,
+            LeaseOperation::Request { term } => self.request(now, asker, term),
+            LeaseOperation::Renew { term, round, confirmed } => self.renew(now, asker, term, round, confirmed),
+            LeaseOperation::Release { term } => self.release(asker, term),
         }
     }
 
@@ -152,30 +152,30 @@
         self.grant.as_ref().is_some_and(|g| g.holder == *asker && g.term == term)
     }
 
-    fn request(&mut self, now: u64, asker: &Candidate, term: u64) -> Verdict {
+    fn request(&mut self, now: u64, asker: &Candidate, term: u64) -> LeaseVerdict {
         if self.is_granted_to(asker, term) {
-            return Verdict::Granted;
+            return LeaseVerdict::Granted;
         }
         self.grant_anew(now, asker, term, 0)
     }
 
-    fn grant_anew(&mut self, now: u64, asker: &Candidate, term: u64, round: u64) -> Verdict {
+    fn grant_anew(&mut self, now: u64, asker: &Candidate, term: u64, round: u64) -> LeaseVerdict {
         if term <= self.term {
-            return Verdict::Refused(Refusal::OldTerm);
+            return LeaseVerdict::Refused(LeaseDenial::OldTerm);
         }
         if now < self.free_at() {
-            return Verdict::Refused(Refusal::NotFree);
+            return LeaseVerdict::Refused(LeaseDenial::NotFree);
         }
         self.term = term;
         self.grant = Some(Grant { holder: asker.clone(), term, round, until: now + self.times.length });
-        Verdict::Granted
+        LeaseVerdict::Granted
     }
 
     /// A holder whose answers are lost on their way must not keep the lease from the others: it is extended only for one
     /// that lately saw a majority's answers.
-    fn renew(&mut self, now: u64, asker: &Candidate, term: u64, round: u64, confirmed: u64) -> Verdict {
+    fn renew(&mut self, now: u64, asker: &Candidate, term: u64, round: u64, confirmed: u64) -> LeaseVerdict {
         if round > confirmed + UNCONFIRMED_ROUNDS {
-            return Verdict::Refused(Refusal::Unconfirmed);
+            return LeaseVerdict::Refused(LeaseDenial::Unconfirmed);
         }
         if !self.is_granted_to(asker, term) {
             return self.grant_anew(now, asker, term, round);
@@ -185,23 +185,23 @@
             g.round = round;
             g.until = until;
         }
-        Verdict::Granted
+        LeaseVerdict::Granted
     }
 
-    fn release(&mut self, asker: &Candidate, term: u64) -> Verdict {
+    fn release(&mut self, asker: &Candidate, term: u64) -> LeaseVerdict {
         if self.is_granted_to(asker, term) {
             self.grant = None;
         }
         // A request that is still on its way comes too late.
         self.term = self.term.max(term);
-        Verdict::Released
+        LeaseVerdict::Released
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Hash)]
 struct Round {
     sent: u64,
-    seats: Group,
+    seats: ReplicaGroup,
     granted: BTreeSet<String>,
 }
 
@@ -228,20 +228,20 @@
     }
 
     /// Begins a request for a term, at the moment before it is sent.
-    pub fn request(&mut self, now: u64, term: u64, seats: &Group) -> LeaseCall {
+    pub fn request(&mut self, now: u64, term: u64, seats: &ReplicaGroup) -> LeaseOperation {
         let first = Round { sent: now, seats: seats.clone(), granted: BTreeSet::new() };
         self.tenure = Some(Tenure { term, round: 0, confirmed: None, until: 0, rounds: [(0, first)].into() });
-        LeaseCall::Request { term }
+        LeaseOperation::Request { term }
     }
 
     /// Begins the next round, at the moment before it is sent. `None` if the lease is not held any more.
-    pub fn renew(&mut self, now: u64, seats: &Group) -> Option<LeaseCall> {
+    pub fn renew(&mut self, now: u64, seats: &ReplicaGroup) -> Option<LeaseOperation> {
         let t = self.tenure.as_mut().filter(|t| now < t.until)?;
         let confirmed = t.confirmed?;
         t.round += 1;
         t.rounds.retain(|r, _| *r > confirmed);
         t.rounds.insert(t.round, Round { sent: now, seats: seats.clone(), granted: BTreeSet::new() });
-        Some(LeaseCall::Renew { term: t.term, round: t.round, confirmed })
+        Some(LeaseOperation::Renew { term: t.term, round: t.round, confirmed })
     }
 
     /// A granter granted what was asked under this term in this round. True if that made the majority of the round.
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -5,12 +5,12 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::Layout;
-use yewcross::book::DOCS;
-use yewcross::consts::SYNC_WAIT;
-use yewcross::lease::*;
-use yewcross::vault::Vault;
-use yewcross::world::World;
+use yewcross::constants::SYNC_WAIT;
+use yewcross::documents::cache::DOCS;
+use yewcross::protocol::Layout;
+use yewcross::protocol::lease::*;
+use yewcross::runtime::Runtime;
+use yewcross::storage::DurableStorage;
 
 /// Name of the file that keeps the highest term granted.
 const TERM_FILE: &str = "lease";
@@ -25,22 +25,22 @@
 }
 
 /// Counts this process among those that have started on the disk; 0 where the disk cannot say or keep it.
-pub async fn begin_life(w: &World, vault: &Arc<Vault>) -> io::Result<u64> {
+pub async fn begin_life(w: &Runtime, vault: &Arc<DurableStorage>) -> io::Result<u64> {
     let before = vault.load("local", LIFE_FILE).await?.map_or(0, |kept| kept.0);
     let life = before + 1;
     let (done_tx, done) = async_channel::bounded(1);
     let kept_vault = vault.clone();
     // On its own: a write under way is never abandoned halfway, and a slow disk holds no start up.
-    w.go(async move {
-        let _ = done_tx.try_send(kept_vault.keep("local", LIFE_FILE, life, &life.to_le_bytes()).await);
+    w.spawn(async move {
+        let _ = done_tx.try_send(kept_vault.persist("local", LIFE_FILE, life, &life.to_le_bytes()).await);
     });
-    let kept = w.within(SYNC_WAIT, done.recv()).await;
+    let kept = w.timeout(SYNC_WAIT, done.recv()).await;
     Ok(if matches!(kept, Some(Ok(Ok(())))) { life } else { 0 })
 }
 
 impl GrantFile {
     /// Reads the last grant that this disk has given.
-    pub async fn read(vault: &Vault) -> io::Result<GrantFile> {
+    pub async fn read(vault: &DurableStorage) -> io::Result<GrantFile> {
         let kept = vault.load("local", TERM_FILE).await?;
         let grant = kept.as_ref().map(|(_, body)| read_grant(body)).unwrap_or_default();
         Ok(GrantFile { version: kept.map_or(0, |file| file.0), grant })
@@ -55,30 +55,30 @@
 
 /// Runs `f` on this seat's granter, which first hears of the core seats as they are known now.
 pub fn with_granter<T>(c: &Control, f: impl FnOnce(&mut Granter, u64) -> T) -> T {
-    let l = c.book.layout.load();
+    let l = c.documents.layout.load();
     let mut granter = c.duties.granter.lock().unwrap();
-    let now = c.w.now();
+    let now = c.runtime.now();
     granter.see_seats(now, seats_digest(&l.1), l.1.term, l.0 == 1);
     f(&mut granter, now)
 }
 
 /// Answers for this disk, which alone gives its grants.
-pub async fn answer(c: &Control, ask: &LeaseAsk) -> LeaseTell {
-    let verdict = if ask.granter == c.vault.id { decide(c, ask).await } else { Verdict::Refused(Refusal::OtherDisk) };
-    if verdict == Verdict::Released {
+pub async fn answer(c: &Control, ask: &LeaseRequest) -> LeaseResponse {
+    let verdict = if ask.granter == c.storage.disk_id { decide(c, ask).await } else { LeaseVerdict::Refused(LeaseDenial::OtherDisk) };
+    if verdict == LeaseVerdict::Released {
         c.duties.changed.notify(usize::MAX);
     }
     let (term, holder) = with_granter(c, |granter, now| (granter.term(), granter.holder(now).cloned()));
     let holder = holder.filter(|_| ask.wants_holder);
-    LeaseTell { granter: c.vault.id.clone(), term, verdict, versions: versions(c).await, holder }
+    LeaseResponse { granter: c.storage.disk_id.clone(), term, verdict, versions: versions(c).await, holder }
 }
 
-async fn decide(c: &Control, ask: &LeaseAsk) -> Verdict {
-    if c.vault.failed.load(SeqCst) {
-        return Verdict::Refused(Refusal::DiskFailed);
+async fn decide(c: &Control, ask: &LeaseRequest) -> LeaseVerdict {
+    if c.storage.failed.load(SeqCst) {
+        return LeaseVerdict::Refused(LeaseDenial::DiskFailed);
     }
-    if !has_seat(&c.book.layout.load().1, &c.vault.id) {
-        return Verdict::Refused(Refusal::OtherSeats);
+    if !has_seat(&c.documents.layout.load().1, &c.storage.disk_id) {
+        return LeaseVerdict::Refused(LeaseDenial::OtherSeats);
     }
     let (is_freed, verdict, to_keep) = with_granter(c, |granter, now| {
         let is_freed = granter.meet(&ask.candidate);
@@ -88,8 +88,8 @@
     if is_freed {
         c.duties.changed.notify(usize::MAX);
     }
-    if verdict == Verdict::Granted && !keep_grant(c, &to_keep).await {
-        return Verdict::Refused(Refusal::DiskFailed);
+    if verdict == LeaseVerdict::Granted && !keep_grant(c, &to_keep).await {
+        return LeaseVerdict::Refused(LeaseDenial::DiskFailed);
     }
     verdict
 }
@@ -102,7 +102,7 @@
     }
     let version = kept.version + 1;
     let body = serde_json::to_vec(grant).unwrap_or_default();
-    if c.vault.keep("local", TERM_FILE, version, &body).await.is_err() {
+    if c.storage.persist("local", TERM_FILE, version, &body).await.is_err() {
         return false;
     }
     *kept = GrantFile { version, grant: grant.clone() };
@@ -110,14 +110,14 @@
 }
 
 pub fn has_seat(l: &Layout, disk: &str) -> bool {
-    l.core.now.iter().chain(&l.core.old).any(|d| d == disk)
+    l.core.current.iter().chain(&l.core.previous).any(|d| d == disk)
 }
 
 async fn versions(c: &Control) -> Vec<(String, u64)> {
     let mut v = vec![];
     for document in DOCS {
         let on_disk = c.replica.peek(document).await.map_or(0, |slot| slot.seq);
-        v.push((document.to_string(), on_disk.max(c.book.page(document).seq)));
+        v.push((document.to_string(), on_disk.max(c.documents.document(document).version)));
     }
     v
 }
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -6,13 +6,13 @@
 use crate::{Control, config, layout};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::book::DOCS;
-use yewcross::consts::*;
-use yewcross::lease::*;
-use yewcross::member::State;
+use yewcross::constants::*;
+use yewcross::documents::cache::DOCS;
+use yewcross::membership::MemberState;
+use yewcross::protocol::lease::*;
+use yewcross::protocol::*;
 use yewcross::register::{Ballot, Step};
-use yewcross::world::Fut;
+use yewcross::runtime::BoxFuture;
 
 /// Documents that only the holder of the lease writes where operators' orders are decided by any core.
 const FENCED: [&str; 2] = ["layout", "list"];
@@ -21,8 +21,8 @@
 pub async fn run(c: Arc<Control>) {
     while !c.members.replaced.is_set() {
         if !may_hold(&c) {
-            let (adopted, lease) = (c.book.moved.listen(), c.duties.changed.listen());
-            c.w.within(SEC.min(UNFIT_FOR / 4), futures_lite::future::or(adopted, lease)).await;
+            let (adopted, lease) = (c.documents.changed.listen(), c.duties.changed.listen());
+            c.runtime.timeout(SEC.min(UNFIT_FOR / 4), futures_lite::future::or(adopted, lease)).await;
             continue;
         }
         wait_until_free(&c).await;
@@ -31,15 +31,15 @@
         }
         match campaign(&c).await {
             Some(term) => hold(&c, term).await,
-            None => c.w.sleep(LEASE_RETRY + c.w.rand() % LEASE_RETRY).await,
+            None => c.runtime.sleep(LEASE_RETRY + c.runtime.random() % LEASE_RETRY).await,
         }
     }
 }
 
 fn may_hold(c: &Control) -> bool {
-    let seated = c.book.layout.load().1.core.now.contains(&c.vault.id);
-    let is_fit = c.w.now() >= c.duties.unfit_until.load(SeqCst);
-    seated && is_fit && !c.vault.failed.load(SeqCst) && !c.members.replaced.is_set() && !c.duties.resigned.load(SeqCst)
+    let seated = c.documents.layout.load().1.core.current.contains(&c.storage.disk_id);
+    let is_fit = c.runtime.now() >= c.duties.unfit_until.load(SeqCst);
+    seated && is_fit && !c.storage.failed.load(SeqCst) && !c.members.replaced.is_set() && !c.duties.resigned.load(SeqCst)
 }
 
 fn is_free_here(c: &Control) -> bool {
@@ -51,27 +51,27 @@
     let changed = c.duties.changed.listen();
     let left = with_granter(c, |granter, now| granter.free_at().saturating_sub(now));
     if left > 0 {
-        c.w.within(left, changed).await;
+        c.runtime.timeout(left, changed).await;
     }
-    c.w.sleep(rank(c) * LEASE_STAGGER + c.w.rand() % (LEASE_STAGGER / 2)).await;
+    c.runtime.sleep(rank(c) * LEASE_STAGGER + c.runtime.random() % (LEASE_STAGGER / 2)).await;
 }
 
 /// This process among the core seats that seem alive, in an order that all know.
 fn rank(c: &Control) -> u64 {
-    let layout = c.book.layout.load();
-    let alive = |d: &str| c.members.by_disk(d).is_some_and(|n| n.state == State::Alive);
-    let candidates = layout.1.core.now.iter().map(|d| d.as_str()).filter(|d| *d == c.vault.id || alive(d));
+    let layout = c.documents.layout.load();
+    let alive = |d: &str| c.members.by_disk(d).is_some_and(|n| n.state == MemberState::Alive);
+    let candidates = layout.1.core.current.iter().map(|d| d.as_str()).filter(|d| *d == c.storage.disk_id || alive(d));
     let ranked = yewcross::hash::ranked("duty", candidates);
-    ranked.iter().position(|d| *d == c.vault.id).unwrap_or(0) as u64
+    ranked.iter().position(|d| *d == c.storage.disk_id).unwrap_or(0) as u64
 }
 
 /// First looks whether a majority calls the lease free, and only then asks for it: a process whose answers are lost on their
 /// way never locks the granters. The term, if it was got.
 async fn campaign(c: &Arc<Control>) -> Option<u64> {
-    let seats = c.book.layout.load().1.core.clone();
+    let seats = c.documents.layout.load().1.core.clone();
     let highest = look(c, &seats).await?;
-    let term = highest.max(c.book.layout.load().1.term) + 1;
-    let call = c.duties.holder.lock().unwrap().request(c.w.now(), term, &seats);
+    let term = highest.max(c.documents.layout.load().1.term) + 1;
+    let call = c.duties.holder.lock().unwrap().request(c.runtime.now(), term, &seats);
     let disks = all_seats(&seats);
     let (asked, answers) = (disks.len(), ask_seats(c, disks, call));
     for _ in 0..asked {
@@ -85,14 +85,14 @@
 }
 
 /// The highest term known to a majority that calls the lease free.
-async fn look(c: &Arc<Control>, seats: &Group) -> Option<u64> {
+async fn look(c: &Arc<Control>, seats: &ReplicaGroup) -> Option<u64> {
     let disks = all_seats(seats);
-    let (asked, answers) = (disks.len(), ask_seats(c, disks, LeaseCall::Look));
+    let (asked, answers) = (disks.len(), ask_seats(c, disks, LeaseOperation::Look));
     let (mut free, mut highest) = (vec![], 0);
     for _ in 0..asked {
         let Some(tell) = answers.recv().await.ok()? else { continue };
         highest = highest.max(tell.term);
-        if tell.verdict == Verdict::Free {
+        if tell.verdict == LeaseVerdict::Free {
             free.push(tell.granter);
         }
         if quorum(seats, |d| free.iter().any(|f| f == d)) {
@@ -103,32 +103,32 @@
 }
 
 /// Counts a grant. True once the lease is held by it.
-fn count(c: &Control, term: u64, round: u64, tell: &LeaseTell) -> bool {
-    tell.verdict == Verdict::Granted && c.duties.holder.lock().unwrap().granted(term, round, &tell.granter)
+fn count(c: &Control, term: u64, round: u64, tell: &LeaseResponse) -> bool {
+    tell.verdict == LeaseVerdict::Granted && c.duties.holder.lock().unwrap().granted(term, round, &tell.granter)
 }
 
 /// Renews until the lease is lost or given up.
 async fn hold(c: &Arc<Control>, term: u64) {
     c.duties.taken.fetch_add(1, SeqCst);
-    c.w.log(&format!("lease taken, term {term}"));
-    c.w.go(fence(c.clone(), term));
+    c.runtime.log(&format!("lease taken, term {term}"));
+    c.runtime.spawn(fence(c.clone(), term));
     while may_hold(c) && renew(c, term) {
-        c.w.sleep(LEASE_RENEW).await;
+        c.runtime.sleep(LEASE_RENEW).await;
     }
     c.duties.lost.fetch_add(1, SeqCst);
-    c.w.log(&format!("lease lost, term {term}"));
-    give_up(c, &c.book.layout.load().1.core.clone());
+    c.runtime.log(&format!("lease lost, term {term}"));
+    give_up(c, &c.documents.layout.load().1.core.clone());
     c.duties.changed.notify(usize::MAX);
 }
 
 /// Begins a round. False once the lease is not held any more.
 fn renew(c: &Arc<Control>, term: u64) -> bool {
-    let seats = c.book.layout.load().1.core.clone();
-    let Some(call) = c.duties.holder.lock().unwrap().renew(c.w.now(), &seats) else { return false };
-    let LeaseCall::Renew { round, .. } = call else { return false };
+    let seats = c.documents.layout.load().1.core.clone();
+    let Some(call) = c.duties.holder.lock().unwrap().renew(c.runtime.now(), &seats) else { return false };
+    let LeaseOperation::Renew { round, .. } = call else { return false };
     for disk in all_seats(&seats) {
         let me = c.clone();
-        c.w.go(async move {
+        c.runtime.spawn(async move {
             if let Some(tell) = ask_seat(&me, &disk, call).await {
                 count(&me, term, round, &tell);
             }
@@ -140,9 +140,9 @@
 /// Takes the documents under new epochs, so that nothing that an earlier holder still has under way can be accepted any
 /// more. Only then does this holder act; one that cannot in time lets another one try.
 async fn fence(c: Arc<Control>, term: u64) {
-    let until = c.w.now() + FENCE_WITHIN;
+    let until = c.runtime.now() + FENCE_WITHIN;
     let holds = |c: &Control| c.lease_term() == Some(term);
-    while holds(&c) && c.w.now() < until {
+    while holds(&c) && c.runtime.now() < until {
         if take_documents(&c).await {
             c.duties.fenced.store(term, SeqCst);
             // Copies that missed the new ballot are brought to it now: readers find all alike.
@@ -152,11 +152,11 @@
         }
         // Disks that keep a newer layout answer nobody who goes by an older one.
         layout::catch_up(&c).await;
-        c.w.sleep(20 * MS).await;
+        c.runtime.sleep(20 * MS).await;
     }
     if holds(&c) {
-        c.w.log(&format!("the documents cannot be taken, term {term}"));
-        c.duties.unfit_until.store(c.w.now() + UNFIT_FOR, SeqCst);
+        c.runtime.log(&format!("the documents cannot be taken, term {term}"));
+        c.duties.unfit_until.store(c.runtime.now() + UNFIT_FOR, SeqCst);
     }
 }
 
@@ -166,12 +166,12 @@
         return false;
     }
     let documents: &[&'static str] = if c.options.tends { &DOCS } else { &FENCED };
-    let takes = documents.iter().map(|document| -> Fut<'static, bool> {
+    let takes = documents.iter().map(|document| -> BoxFuture<'static, bool> {
         let control = c.clone();
         let document = *document;
         Box::pin(async move { take_document(&control, document).await })
     });
-    let taken = c.w.fan(takes.collect());
+    let taken = c.runtime.spawn_all(takes.collect());
     for _ in documents {
         if taken.recv().await != Ok(true) {
             return false;
@@ -182,12 +182,12 @@
 
 /// What an earlier holder had decided and nobody was told of is told now.
 async fn take_document(c: &Arc<Control>, name: &'static str) -> bool {
-    let held = c.book.page(name).seq;
-    let Ok((seq, document)) = c.owner.change(name, SEC, |seq, value| Step::Keep((seq, value.to_vec()))).await else { return false };
+    let held = c.documents.document(name).version;
+    let Ok((seq, document)) = c.registers.change(name, SEC, |seq, value| Step::Keep((seq, value.to_vec()))).await else { return false };
     if c.options.tends && seq > held {
         match held {
             0 => {
-                c.book.adopt(name, seq, Ballot::default(), document);
+                c.documents.apply(name, seq, Ballot::default(), document);
             }
             _ => config::push(c, name, seq, document),
         }
@@ -196,21 +196,21 @@
 }
 
 /// Stops holding or asking, and tells the granters, so that nobody waits for the lease to run out.
-fn give_up(c: &Arc<Control>, seats: &Group) {
+fn give_up(c: &Arc<Control>, seats: &ReplicaGroup) {
     let Some(term) = c.duties.holder.lock().unwrap().give_up() else { return };
-    ask_seats(c, all_seats(seats), LeaseCall::Release { term });
+    ask_seats(c, all_seats(seats), LeaseOperation::Release { term });
 }
 
 /// A planned stop: the lease is free at once.
 pub async fn resign(c: &Arc<Control>) {
     c.duties.resigned.store(true, SeqCst);
     let Some(term) = c.duties.holder.lock().unwrap().give_up() else { return };
-    let seats = all_seats(&c.book.layout.load().1.core);
-    let (asked, answers) = (seats.len(), ask_seats(c, seats, LeaseCall::Release { term }));
+    let seats = all_seats(&c.documents.layout.load().1.core);
+    let (asked, answers) = (seats.len(), ask_seats(c, seats, LeaseOperation::Release { term }));
     let told = async {
         for _ in 0..asked {
             let _ = answers.recv().await;
         }
     };
-    c.w.within(LEASE_WAIT / 2, told).await;
+    c.runtime.timeout(LEASE_WAIT / 2, told).await;
 }
--- a/yewcross-control/src/main.rs
+++ b/yewcross-control/src/main.rs
@@ -1,6 +1,6 @@
 use futures_lite::StreamExt;
-use yewcross::real::Real;
-use yewcross::startup::{Role, exit};
+use yewcross::process_settings::{Role, exit};
+use yewcross::runtime::os::OsRuntime;
 
 xflags::xflags! {
     /// Control plane of the yewcross serving tier.
@@ -14,12 +14,12 @@
 
 fn main() {
     let f = YewcrossControl::from_env_or_exit();
-    let s = yewcross::startup::load(&f.startup, false, f.check);
+    let s = yewcross::process_settings::load(&f.startup, false, f.check);
     if let Err(e) = std::fs::create_dir_all(&s.data) {
         eprintln!("data {}: {e}", s.data);
         std::process::exit(exit::BAD_DISK);
     }
-    let w = Real::world(&s.data, s.threads);
+    let w = OsRuntime::world(&s.data, s.threads);
     let code = smol::block_on(async {
         let role = s.role;
         let c = match yewcross_control::Control::start(&w, s).await {
@@ -39,7 +39,7 @@
         let told = async {
             while let Some(Ok(x)) = sigs.next().await {
                 match x {
-                    async_signal::Signal::Hup => match c.st.reload(&f.startup) {
+                    async_signal::Signal::Hup => match c.settings.reload(&f.startup) {
                         Ok(n) => {
                             *c.members.seeds.lock().unwrap() = n.seeds;
                             *c.platform.lock().unwrap() = n.platform;
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -7,28 +7,28 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::http::{Job, refuse, reply};
+use yewcross::buffered_http::{BufferedRequest, refuse, reply};
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::protocol::*;
 
 fn no(c: Code, why: &str) -> Response {
     refuse(c, why, c.back())
 }
 
-pub async fn answer(c: Arc<Control>, j: Job) -> Response {
+pub async fn answer(c: Arc<Control>, j: BufferedRequest) -> Response {
     let seg: Vec<String> = j.path.trim_matches('/').split('/').map(|s| s.to_string()).collect();
     let parts: Vec<&str> = seg.iter().map(|s| s.as_str()).collect();
     match (j.verb, parts.as_slice()) {
         (Method::Get, ["health"]) => {
-            let ok = !c.vault.failed.load(SeqCst);
-            reply(if ok { 200 } else { 503 }, &json!({"ok": ok, "founded": c.book.layout.load().0 > 0}))
+            let ok = !c.storage.failed.load(SeqCst);
+            reply(if ok { 200 } else { 503 }, &json!({"ok": ok, "founded": c.documents.layout.load().0 > 0}))
         }
         (Method::Get, ["metrics"]) => metrics(&c),
         (Method::Get, ["v1", "status"]) => status(&c).await,
         (Method::Get, ["v1", "checkpoint"]) => checkpoint(&c).await,
         (Method::Get, ["v1", "layout"]) => {
-            let l = c.book.layout.load();
+            let l = c.documents.layout.load();
             let (_, p) = layout::progress(&c).await;
             reply(200, &json!({"version": l.0, "layout": l.1, "filling": p}))
         }
@@ -49,7 +49,7 @@
     }
 }
 
-async fn found(c: &Arc<Control>, j: &Job) -> Response {
+async fn found(c: &Arc<Control>, j: &BufferedRequest) -> Response {
     let v: Option<Value> = serde_json::from_slice(&j.body).ok();
     let names = |k: &str| -> Option<Vec<String>> { serde_json::from_value(v.as_ref()?.get(k)?.clone()).ok() };
     match (names("cores"), names("stores")) {
@@ -62,32 +62,32 @@
 }
 
 async fn read_config(c: &Arc<Control>, effective: bool) -> Response {
-    match c.owner.read("config", PEER_WAIT).await {
+    match c.registers.read("config", PEER_WAIT).await {
         Ok((seq, _, v)) => {
             let d: ConfigDoc = serde_json::from_slice(&v).unwrap_or_default();
             let mut r = if effective {
-                reply(200, &json!({"version": seq, "tree": yewcross::tree::Tree::read(d.text.as_bytes()).ok()}))
+                reply(200, &json!({"version": seq, "tree": yewcross::configuration::Configuration::read(d.text.as_bytes()).ok()}))
             } else {
                 let tree: Value = serde_json::from_str(&d.text).unwrap_or(Value::Null);
                 reply(
                     200,
-                    &json!({"version": seq, "put": d.put, "note": d.note,
+                    &json!({"version": seq, "put": d.put_id, "note": d.note,
                     "past": d.past.iter().map(|p| json!({"version": p.0, "put": p.1})).collect::<Vec<_>>(), "config": tree}),
                 )
             };
             r.insert_header("etag", format!("\"{seq}\""));
             r
         }
-        Err(_) if c.book.layout.load().0 == 0 => no(Code::NotFounded, ""),
+        Err(_) if c.documents.layout.load().0 == 0 => no(Code::NotFounded, ""),
         Err(_) => no(Code::NoMajority, ""),
     }
 }
 
 async fn past(c: &Arc<Control>, v: &str) -> Option<(u64, String, String)> {
     let n: u64 = v.parse().ok()?;
-    let (seq, _, raw) = c.owner.read("config", PEER_WAIT).await.ok()?;
+    let (seq, _, raw) = c.registers.read("config", PEER_WAIT).await.ok()?;
     let d: ConfigDoc = serde_json::from_slice(&raw).ok()?;
-    if n == seq { Some((seq, d.put, d.text)) } else { d.past.into_iter().find(|p| p.0 == n) }
+    if n == seq { Some((seq, d.put_id, d.text)) } else { d.past.into_iter().find(|p| p.0 == n) }
 }
 
 async fn old_config(c: &Arc<Control>, v: &str) -> Response {
@@ -98,7 +98,7 @@
 }
 
 /// An old text as a new put: it wins or loses against others like any other.
-async fn rollback(c: &Arc<Control>, v: &str, j: &Job) -> Response {
+async fn rollback(c: &Arc<Control>, v: &str, j: &BufferedRequest) -> Response {
     let Some(base) = j.if_match.as_ref().and_then(|s| s.parse().ok()) else { return no(Code::NoVersion, "") };
     let Some((_, _, text)) = past(c, v).await else { return no(Code::UnknownPath, "no such version is on hand") };
     told(config::put(c, base, text, format!("rollback to {v}"), false).await, false)
@@ -112,7 +112,7 @@
     }
 }
 
-async fn put_config(c: &Arc<Control>, j: Job) -> Response {
+async fn put_config(c: &Arc<Control>, j: BufferedRequest) -> Response {
     let Some(base) = j.if_match.as_ref().and_then(|s| s.parse().ok()) else { return no(Code::NoVersion, "") };
     let Ok(text) = String::from_utf8(j.body) else { return no(Code::BadBody, "") };
     let dry = j.query.as_deref().is_some_and(|q| q.split('&').any(|x| x == "dry=1"));
@@ -127,10 +127,10 @@
 }
 
 async fn disk(c: &Arc<Control>, d: &str) -> Response {
-    let l = c.book.layout.load_full();
+    let l = c.documents.layout.load_full();
     let id = l.1.names.iter().find(|x| x.1 == d).map(|x| x.0.as_str()).unwrap_or(d);
-    let inn = l.1.core.now.iter().chain(&l.1.store.now).any(|x| x == id);
-    let was = l.1.core.old.iter().chain(&l.1.store.old).any(|x| x == id);
+    let inn = l.1.core.current.iter().chain(&l.1.store.current).any(|x| x == id);
+    let was = l.1.core.previous.iter().chain(&l.1.store.previous).any(|x| x == id);
     let (_, p) = layout::progress(c).await;
     let left: u64 = p.iter().map(|x| x.2).sum();
     reply(200, &json!({"disk": id, "seated": inn, "emptying": was && !inn, "safe_to_remove": !inn && !was, "keys_left": left}))
@@ -139,10 +139,10 @@
 async fn status(c: &Arc<Control>) -> Response {
     let holder = duty::holder_name(c);
     let duties: Vec<Value> = duty::DUTIES.iter().map(|d| json!({"duty": d, "held_here": c.on_duty(), "given": holder})).collect();
-    let versions: serde_json::Map<String, Value> = c.book.have().into_iter().map(|(k, v)| (k, v.into())).collect();
+    let versions: serde_json::Map<String, Value> = c.documents.versions().into_iter().map(|(k, v)| (k, v.into())).collect();
     reply(
         200,
-        &json!({"name": c.st.name, "role": c.st.role, "disk": c.vault.id, "disk_failed": c.vault.failed.load(SeqCst),
+        &json!({"name": c.settings.name, "role": c.settings.role, "disk": c.storage.disk_id, "disk_failed": c.storage.failed.load(SeqCst),
             "nodes": c.members.all(), "versions": versions, "duties": duties, "lease": duty::status(c),
             "swept": c.swept.load(SeqCst), "sweep_left": c.sweep_left.load(SeqCst)}),
     )
@@ -155,25 +155,25 @@
     for k in keys {
         if let Some(s) = c.replica.peek(&k).await.filter(|s| s.seq > 0) {
             let kv = k.starts_with("session/").then(|| crate::store::Record::read(&s.value).head.kv);
-            held.push(HeldKey { key: k, seq: s.seq, bytes: s.value.len() as u64, kv });
+            held.push(CheckpointKey { key: k, seq: s.seq, bytes: s.value.len() as u64, kv });
         }
     }
-    let page = |d| String::from_utf8_lossy(&c.book.page(d).raw).into_owned();
+    let page = |d| String::from_utf8_lossy(&c.documents.document(d).content).into_owned();
     reply(
         200,
-        &json!({"disk": c.vault.id, "name": c.st.name, "damaged": hurt, "held": held, "nodes": c.members.view.load().values().collect::<Vec<_>>(),
-            "versions": c.book.have(), "config": page("config"), "layout": page("layout"), "list": page("list"),
+        &json!({"disk": c.storage.disk_id, "name": c.settings.name, "damaged": hurt, "held": held, "nodes": c.members.view.load().values().collect::<Vec<_>>(),
+            "versions": c.documents.versions(), "config": page("config"), "layout": page("layout"), "list": page("list"),
             "duties": duty::DUTIES.iter().map(|d| (d.to_string(), duty::holder_name(c))).collect::<Vec<_>>()}),
     )
 }
 
 fn metrics(c: &Control) -> Response {
-    let t = &c.peers.tally;
+    let t = &c.peers.metrics;
     reply(
         200,
         &json!({
-            "odd_frames": c.peers.odd.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst), "bytes_across": t.bytes_across.load(SeqCst),
-            "kinds": *t.kinds.lock().unwrap(), "syncs": c.vault.syncs.load(SeqCst), "disk_bytes": c.vault.bytes.load(SeqCst), "takes": c.owner.takes.load(SeqCst),
+            "odd_frames": c.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst), "bytes_across": t.bytes_across.load(SeqCst),
+            "kinds": *t.kinds.lock().unwrap(), "syncs": c.storage.syncs.load(SeqCst), "disk_bytes": c.storage.bytes.load(SeqCst), "takes": c.registers.takes.load(SeqCst),
             "tended": c.counts.tended.load(SeqCst), "puts": c.counts.puts.load(SeqCst), "list_polls": c.duties.polls.load(SeqCst), "lease": duty::counters(c),
             "chains": c.chain.figures(),
         }),
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::consts::*;
-use yewcross::http;
-use yewcross::port::Catalogue;
+use yewcross::adapter::ServerCatalogue;
+use yewcross::buffered_http;
+use yewcross::constants::*;
+use yewcross::protocol::*;
 use yewcross::register::*;
-use yewcross::web;
+use yewcross::streaming_http;
 
 /// Asks the platform, in its own time, and decides a list that differs. Returns how long to wait.
 pub async fn poll(c: &Arc<Control>) -> u64 {
@@ -20,30 +20,31 @@
     c.duties.polls.fetch_add(1, SeqCst);
     let tag = c.duties.etag.lock().unwrap().clone();
     let heads: Vec<(&str, String)> = if tag.is_empty() { vec![] } else { vec![("if-none-match", tag)] };
-    let Ok((status, r, b)) = http::fetch(&c.w, to, http_types::Method::Get, "/servers", &heads, vec![], BACK_WAIT).await else {
+    let Ok((status, r, b)) = buffered_http::fetch(&c.runtime, to, http_types::Method::Get, "/servers", &heads, vec![], BACK_WAIT).await
+    else {
         return LIST_EVERY;
     };
     let patience = r.header("retry-after").and_then(|v| v.as_str().parse::<u64>().ok()).map(|s| s.saturating_mul(SEC).min(LIST_PATIENCE));
     if status != 200 {
         return patience.unwrap_or(LIST_EVERY);
     }
-    let Ok(mut list) = serde_json::from_slice::<List>(&b) else { return LIST_EVERY };
+    let Ok(mut list) = serde_json::from_slice::<ServerList>(&b) else { return LIST_EVERY };
     let Some(term) = c.duty_term() else { return LIST_EVERY };
     list.term = term;
     let got = c
-        .owner
+        .registers
         .change("list", PEER_WAIT, |seq, v| {
-            let old: List = serde_json::from_slice(v).unwrap_or_default();
-            if (old.rev >= list.rev && seq > 0) || !c.may_write(term, old.term) {
+            let old: ServerList = serde_json::from_slice(v).unwrap_or_default();
+            if (old.revision >= list.revision && seq > 0) || !c.may_write(term, old.term) {
                 return Step::Keep(());
             }
             Step::Write(serde_json::to_vec(&list).unwrap_or_default(), ())
         })
         .await;
     if got.is_ok()
-        && let Ok((seq, epoch, raw)) = c.owner.read("list", PEER_WAIT).await
+        && let Ok((seq, epoch, raw)) = c.registers.read("list", PEER_WAIT).await
     {
-        if seq > c.book.page("list").seq {
+        if seq > c.documents.document("list").version {
             config::carry(c, "list", seq, epoch, &raw).await;
         }
         *c.duties.etag.lock().unwrap() = r.header("etag").map(|v| v.as_str().to_string()).unwrap_or_default();
@@ -53,15 +54,15 @@
 
 /// The same in a catalogue's own words, page by page; the tier numbers the lists. A list read after version `at` was known
 /// replaces that one only: one that waited somewhere replaces nothing.
-async fn poll_catalogue(c: &Arc<Control>, to: SocketAddr, k: &dyn Catalogue) -> u64 {
-    let at = c.book.page("list").seq;
+async fn poll_catalogue(c: &Arc<Control>, to: SocketAddr, k: &dyn ServerCatalogue) -> u64 {
+    let at = c.documents.document("list").version;
     let (mut servers, mut page) = (vec![], None);
     for _ in 0..LIST_PAGES {
         c.duties.polls.fetch_add(1, SeqCst);
         let mut q = hyper::Request::new(Default::default());
         let Ok(uri) = k.target(page.as_deref()).parse() else { return PAGES_EVERY };
         *q.uri_mut() = uri;
-        let Ok(r) = web::fetch(&c.w, to, q, FRAME_MAX, PAGE_WAIT).await else { return PAGES_EVERY };
+        let Ok(r) = streaming_http::fetch(&c.runtime, to, q, FRAME_MAX, PAGE_WAIT).await else { return PAGES_EVERY };
         if r.status() != 200 {
             let told = r.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok()).map(|s| (s.max(0.0) * 1e6) as u64);
             let n = c.duties.refused.fetch_add(1, SeqCst).min(3);
@@ -84,18 +85,18 @@
     }
     let Some(term) = c.duty_term() else { return DECIDE_AGAIN };
     let got = c
-        .owner
+        .registers
         .change("list", PEER_WAIT, |seq, v| {
-            let old: List = serde_json::from_slice(v).unwrap_or_default();
+            let old: ServerList = serde_json::from_slice(v).unwrap_or_default();
             if seq > at || old.servers == servers || !c.may_write(term, old.term) {
                 return Step::Keep((seq, v.to_vec()));
             }
-            let raw = lines(&List { rev: old.rev + 1, term, servers: servers.clone() });
+            let raw = lines(&ServerList { revision: old.revision + 1, term, servers: servers.clone() });
             Step::Write(raw.clone(), (seq + 1, raw))
         })
         .await;
     if let Ok((seq, raw)) = got
-        && seq > c.book.page("list").seq
+        && seq > c.documents.document("list").version
     {
         config::push(c, "list", seq, raw);
     }
@@ -103,12 +104,12 @@
 }
 
 /// The servers of the list on hand as it was decided, without what was told of them since.
-fn decided_servers(c: &Control) -> Vec<Listed> {
-    serde_json::from_slice::<List>(&c.book.page("list").raw).map(|list| list.servers).unwrap_or_default()
+fn decided_servers(c: &Control) -> Vec<ListedServer> {
+    serde_json::from_slice::<ServerList>(&c.documents.document("list").content).map(|list| list.servers).unwrap_or_default()
 }
 
 /// A server a line, so that a change travels as the lines that changed.
-fn lines(l: &List) -> Vec<u8> {
+fn lines(l: &ServerList) -> Vec<u8> {
     let v: Vec<String> = l.servers.iter().map(|s| serde_json::to_string(s).unwrap_or_default()).collect();
-    format!("{{\"rev\":{},\"term\":{},\"servers\":[\n{}\n]}}", l.rev, l.term, v.join(",\n")).into_bytes()
+    format!("{{\"rev\":{},\"term\":{},\"servers\":[\n{}\n]}}", l.revision, l.term, v.join(",\n")).into_bytes()
 }
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -6,12 +6,12 @@
 
 use crate::{Control, duty};
 use std::sync::Arc;
-use yewcross::ask::{Ask, Tell};
-use yewcross::code::Code;
-use yewcross::consts::{LOOKS_WITHIN, MS, PROPOSER_AGAIN};
+use yewcross::constants::{LOOKS_WITHIN, MS, PROPOSER_AGAIN};
+use yewcross::error_code::Code;
+use yewcross::protocol::{PeerRequest, PeerResponse};
 use yewcross::register::ChangeError;
 use yewcross::register::client::Decided;
-use yewcross::wire::Lost;
+use yewcross::transport::SendError;
 
 /// Why the proposer has not answered.
 pub enum NotAnswered {
@@ -22,36 +22,36 @@
 }
 
 /// Puts a question to the process that proposes, once.
-pub async fn forward(c: &Arc<Control>, question: &Ask, blob: &[u8], us: u64) -> Result<(Tell, Vec<u8>), NotAnswered> {
+pub async fn forward(c: &Arc<Control>, question: &PeerRequest, blob: &[u8], us: u64) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
     let to = duty::holder_address(c).ok_or(NotAnswered::NoProposer)?;
-    match c.peers.ask(to, question, blob, us).await {
-        Ok((Tell::No(Code::NotOnDuty | Code::BadBody), _)) | Err(Lost::Unsent) => Err(NotAnswered::NoProposer),
+    match c.peers.request(to, question, blob, us).await {
+        Ok((PeerResponse::Rejected(Code::NotOnDuty | Code::BadBody), _)) | Err(SendError::NotSent) => Err(NotAnswered::NoProposer),
         Ok(answer) => Ok(answer),
-        Err(Lost::Unknown) => Err(NotAnswered::Unknown),
+        Err(SendError::OutcomeUnknown) => Err(NotAnswered::Unknown),
     }
 }
 
 /// Returns once the lease has changed hands, or a little later.
 pub async fn wait_for_one(c: &Arc<Control>) {
     let changed = c.duties.changed.listen();
-    c.w.within(PROPOSER_AGAIN + c.w.rand() % PROPOSER_AGAIN, changed).await;
+    c.runtime.timeout(PROPOSER_AGAIN + c.runtime.random() % PROPOSER_AGAIN, changed).await;
 }
 
 /// The newest decided version of a document: what a majority of the core disks holds alike, or what the proposer proves.
 pub async fn newest(c: &Arc<Control>, name: &str, us: u64) -> Result<Decided, ChangeError> {
-    let until = c.w.now() + us;
+    let until = c.runtime.now() + us;
     loop {
-        match c.owner.newest(name, until.saturating_sub(c.w.now()).min(LOOKS_WITHIN)).await {
+        match c.registers.newest(name, until.saturating_sub(c.runtime.now()).min(LOOKS_WITHIN)).await {
             Err(ChangeError::NotProposer) => {}
             found => return found,
         }
-        let left = until.saturating_sub(c.w.now());
+        let left = until.saturating_sub(c.runtime.now());
         if left < MS {
             return Err(ChangeError::NotDone);
         }
-        let question = Ask::Doc { name: name.into(), hops: 1 };
+        let question = PeerRequest::ReadDecidedDocument { name: name.into(), hops: 1 };
         match forward(c, &question, &[], left.min(LOOKS_WITHIN)).await {
-            Ok((Tell::Doc { seq, epoch }, raw)) => return Ok((seq, epoch, Arc::new(raw))),
+            Ok((PeerResponse::Document { version: seq, epoch }, raw)) => return Ok((seq, epoch, Arc::new(raw))),
             _ => wait_for_one(c).await,
         }
     }
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -5,27 +5,28 @@
 use crate::lease_granter::{answer, has_seat, with_granter};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::consts::*;
-use yewcross::lease::*;
-use yewcross::world::Fut;
+use yewcross::constants::*;
+use yewcross::protocol::lease::*;
+use yewcross::protocol::*;
+use yewcross::runtime::BoxFuture;
 
 /// Puts one question to one seat. Its answer counts as contact.
-pub async fn ask_seat(c: &Arc<Control>, disk: &str, call: LeaseCall) -> Option<LeaseTell> {
-    let seats = seats_digest(&c.book.layout.load().1);
+pub async fn ask_seat(c: &Arc<Control>, disk: &str, call: LeaseOperation) -> Option<LeaseResponse> {
+    let seats = seats_digest(&c.documents.layout.load().1);
     let wants_holder = with_granter(c, |granter, now| granter.holder(now).is_none());
-    let ask = LeaseAsk { granter: disk.into(), candidate: c.duties.candidate.clone(), seats, call, wants_holder };
-    let sent = c.w.now();
-    let tell = if disk == c.vault.id {
+    let ask = LeaseRequest { granter: disk.into(), candidate: c.duties.candidate.clone(), seats, call, wants_holder };
+    let sent = c.runtime.now();
+    let tell = if disk == c.storage.disk_id {
         answer(c, &ask).await
     } else {
         let peer = c.members.by_disk(disk)?.peer;
-        match c.peers.ask(peer, &Ask::Lease(ask), &[], LEASE_WAIT).await {
-            Ok((Tell::Lease(tell), _)) => tell,
+        match c.peers.request(peer, &PeerRequest::Lease(ask), &[], LEASE_WAIT).await {
+            Ok((PeerResponse::Lease(tell), _)) => tell,
             _ => return None,
         }
     };
-    let speaks_for_disk = tell.granter == disk && !matches!(tell.verdict, Verdict::Refused(Refusal::OtherDisk | Refusal::DiskFailed));
+    let speaks_for_disk =
+        tell.granter == disk && !matches!(tell.verdict, LeaseVerdict::Refused(LeaseDenial::OtherDisk | LeaseDenial::DiskFailed));
     if !speaks_for_disk {
         return None;
     }
@@ -37,22 +38,22 @@
 }
 
 /// Puts one question to several seats at once.
-pub fn ask_seats(c: &Arc<Control>, disks: Vec<String>, call: LeaseCall) -> async_channel::Receiver<Option<LeaseTell>> {
+pub fn ask_seats(c: &Arc<Control>, disks: Vec<String>, call: LeaseOperation) -> async_channel::Receiver<Option<LeaseResponse>> {
     let questions = disks
         .into_iter()
         .map(|disk| {
             let me = c.clone();
-            let question: Fut<'static, _> = Box::pin(async move { ask_seat(&me, &disk, call).await });
+            let question: BoxFuture<'static, _> = Box::pin(async move { ask_seat(&me, &disk, call).await });
             question
         })
         .collect();
-    c.w.fan(questions)
+    c.runtime.spawn_all(questions)
 }
 
 /// All core seats, new and old.
-pub fn all_seats(g: &Group) -> Vec<String> {
-    let mut v = g.now.clone();
-    v.extend(g.old.iter().filter(|d| !g.now.contains(d)).cloned());
+pub fn all_seats(g: &ReplicaGroup) -> Vec<String> {
+    let mut v = g.current.clone();
+    v.extend(g.previous.iter().filter(|d| !g.current.contains(d)).cloned());
     v
 }
 
@@ -66,8 +67,8 @@
     /// Whether a majority of the core seats answered this process lately; of both sets while core seats change. Whatever
     /// was decided before the bound is then known here at least by number.
     pub fn has_quorum_contact(&self) -> bool {
-        let since = self.duties.contact.lock().unwrap().since(&self.book.layout.load().1.core);
-        since > 0 && self.w.now() < since + contact_bound(self.st.bounds.apply)
+        let since = self.duties.contact.lock().unwrap().since(&self.documents.layout.load().1.core);
+        since > 0 && self.runtime.now() < since + contact_bound(self.settings.bounds.apply)
     }
 
     /// The newest version of a document that any core seat was heard to hold.
@@ -81,8 +82,8 @@
     if c.has_quorum_contact() {
         return true;
     }
-    let seats = all_seats(&c.book.layout.load().1.core);
-    let (asked, answers) = (seats.len(), ask_seats(c, seats, LeaseCall::Look));
+    let seats = all_seats(&c.documents.layout.load().1.core);
+    let (asked, answers) = (seats.len(), ask_seats(c, seats, LeaseOperation::Look));
     let met = async {
         for _ in 0..asked {
             if answers.recv().await.is_err() || c.has_quorum_contact() {
@@ -90,50 +91,50 @@
             }
         }
     };
-    c.w.within(QUORUM_WAIT, met).await;
+    c.runtime.timeout(QUORUM_WAIT, met).await;
     c.has_quorum_contact()
 }
 
 /// Asks a majority of the core seats, in turns, three times in the bound; all seats once a round left it short, since with as
 /// many missing as are tolerated the turns alone would leave it short again and again.
 pub async fn keep_contact(c: Arc<Control>) {
-    let every = contact_bound(c.st.bounds.apply) / 3;
-    let mut turn = c.w.rand() as usize % 64;
+    let every = contact_bound(c.settings.bounds.apply) / 3;
+    let mut turn = c.runtime.random() as usize % 64;
     let mut soon = CONTACT_AGAIN.min(every / 2);
     loop {
-        let layout = c.book.layout.load_full();
-        let others: Vec<String> = all_seats(&layout.1.core).into_iter().filter(|d| *d != c.vault.id).collect();
+        let layout = c.documents.layout.load_full();
+        let others: Vec<String> = all_seats(&layout.1.core).into_iter().filter(|d| *d != c.storage.disk_id).collect();
         c.duties.contact.lock().unwrap().retain(&layout.1.core);
         let heard_at = c.duties.contact.lock().unwrap().since(&layout.1.core);
-        let last_round_was_enough = c.w.now() < heard_at + every * 3 / 2;
-        let asked = seats_in_turn(&layout.1.core, others, &c.vault.id, turn, last_round_was_enough);
+        let last_round_was_enough = c.runtime.now() < heard_at + every * 3 / 2;
+        let asked = seats_in_turn(&layout.1.core, others, &c.storage.disk_id, turn, last_round_was_enough);
         turn += 1;
-        if has_seat(&layout.1, &c.vault.id) {
-            ask_seat(&c, &c.vault.id, LeaseCall::Look).await;
+        if has_seat(&layout.1, &c.storage.disk_id) {
+            ask_seat(&c, &c.storage.disk_id, LeaseOperation::Look).await;
         }
         // The holder's renewals are its heartbeat.
         if c.lease_term().is_none() {
-            ask_seats(&c, asked, LeaseCall::Look);
+            ask_seats(&c, asked, LeaseOperation::Look);
         }
         // Seats that start together, or meet again after a cut, are a moment away: they are asked again soon at first.
         let has_contact = c.has_quorum_contact();
         let rest = if has_contact { every } else { soon };
         soon = if has_contact { CONTACT_AGAIN.min(every / 2) } else { (2 * soon).min(every / 2) };
-        let moved = c.book.moved.listen();
+        let moved = c.documents.changed.listen();
         match layout.0 {
-            0 => futures_lite::future::or(moved, c.w.sleep(every)).await,
-            _ => c.w.sleep(rest).await,
+            0 => futures_lite::future::or(moved, c.runtime.sleep(every)).await,
+            _ => c.runtime.sleep(rest).await,
         }
         note_contact(&c);
     }
 }
 
 /// As many as a majority needs, in turns; all where the last round was not enough, or while core seats change.
-fn seats_in_turn(g: &Group, mut others: Vec<String>, own: &str, turn: usize, last_round_was_enough: bool) -> Vec<String> {
-    if others.is_empty() || !last_round_was_enough || !g.old.is_empty() {
+fn seats_in_turn(g: &ReplicaGroup, mut others: Vec<String>, own: &str, turn: usize, last_round_was_enough: bool) -> Vec<String> {
+    if others.is_empty() || !last_round_was_enough || !g.previous.is_empty() {
         return others;
     }
-    let needed = yewcross::register::majority(g.now.len()) - g.now.iter().any(|d| d == own) as usize;
+    let needed = yewcross::register::majority(g.current.len()) - g.current.iter().any(|d| d == own) as usize;
     let n = others.len();
     others.rotate_left(turn % n);
     others.truncate(needed);
@@ -148,5 +149,5 @@
     if !now {
         c.duties.contact_lost.fetch_add(1, SeqCst);
     }
-    c.w.log(if now { "contact with a majority of core seats" } else { "no contact with a majority of core seats" });
+    c.runtime.log(if now { "contact with a majority of core seats" } else { "no contact with a majority of core seats" });
 }
--- a/yewcross-control/src/store/budgets.rs
+++ b/yewcross-control/src/store/budgets.rs
@@ -3,35 +3,35 @@
 use crate::store::Store;
 use crate::store::purse::{Open, Purse, purse_key};
 use std::sync::Arc;
-use yewcross::ask::{Ask, Tell};
-use yewcross::code::Code;
-use yewcross::consts::{AUDIT_AFTER, MS, PEER_WAIT};
+use yewcross::constants::{AUDIT_AFTER, MS, PEER_WAIT};
+use yewcross::error_code::Code;
+use yewcross::protocol::{PeerRequest, PeerResponse};
 use yewcross::register::Step;
 
 impl Store {
-    pub async fn reserve(&self, budget: &str, e: &str, o: Open, limit: u64) -> Tell {
+    pub async fn reserve(&self, budget: &str, e: &str, o: Open, limit: u64) -> PeerResponse {
         let got = self
             .owner
             .change(&purse_key(budget), PEER_WAIT, |_, v| {
                 let mut p = Purse::read(v);
                 if p.open.contains_key(e) {
-                    return Step::Keep(Tell::Ok);
+                    return Step::Keep(PeerResponse::Ok);
                 }
                 if p.recent.iter().any(|x| x == e) {
-                    return Step::Keep(Tell::No(Code::Conflict));
+                    return Step::Keep(PeerResponse::Rejected(Code::Conflict));
                 }
                 let held = p.open.values().fold(0u64, |n, o| n.saturating_add(o.amount));
                 if p.spent.saturating_add(held) >= limit {
-                    return Step::Keep(Tell::No(Code::BudgetSpent));
+                    return Step::Keep(PeerResponse::Rejected(Code::BudgetSpent));
                 }
                 p.open.insert(e.into(), o.clone());
-                Step::Write(p.write(), Tell::Ok)
+                Step::Write(p.write(), PeerResponse::Ok)
             })
             .await;
-        got.unwrap_or(Tell::No(Code::StoreAway))
+        got.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
     }
 
-    pub async fn settle(&self, budget: &str, e: &str, used: Option<u64>) -> Tell {
+    pub async fn settle(&self, budget: &str, e: &str, used: Option<u64>) -> PeerResponse {
         let got = self
             .owner
             .change(&purse_key(budget), PEER_WAIT, |_, v| {
@@ -49,16 +49,16 @@
                 }
             })
             .await;
-        got.map(|_| Tell::Ok).unwrap_or(Tell::No(Code::Undecided))
+        got.map(|_| PeerResponse::Ok).unwrap_or(PeerResponse::Rejected(Code::Undecided))
     }
 
     /// Until this is through, the reservation counts in full.
     pub(super) fn settle_soon(self: &Arc<Self>, budget: &str, entry: String, used: Option<u64>) {
         let (me, b) = (self.clone(), budget.to_string());
-        self.w.go(async move {
-            let a = Ask::Settle { budget: b.clone(), entry, used };
+        self.w.spawn(async move {
+            let a = PeerRequest::SettleBudget { budget: b.clone(), entry, used };
             for i in 0..4u64 {
-                if let Some(Tell::Ok) = (me.route)(purse_key(&b), a.clone()).await {
+                if let Some(PeerResponse::Ok) = (me.route)(purse_key(&b), a.clone()).await {
                     return;
                 }
                 me.w.sleep((100 << i) * MS).await;
@@ -71,7 +71,11 @@
         let Some(v) = self.owner.hint(&purse_key(budget)) else { return };
         let wall = self.wall();
         for (e, o) in Purse::read(&v).open.into_iter().filter(|x| wall > x.1.at + AUDIT_AFTER) {
-            let Some(Tell::Look { open, done }) = (self.route)(o.key.clone(), Ask::Look { key: o.key.clone() }).await else { continue };
+            let Some(PeerResponse::SessionReservations { open, done }) =
+                (self.route)(o.key.clone(), PeerRequest::InspectSession { key: o.key.clone() }).await
+            else {
+                continue;
+            };
             if open.iter().any(|x| x.0 == o.job && x.1 == o.nonce) {
                 continue;
             }
@@ -79,10 +83,10 @@
             // Never begun, as far as the record tells, and the record cannot have been forgotten since: once it is
             // barred it never will be.
             if used.is_none() && wall < o.at.saturating_add(o.keep) {
-                let a = Ask::Abort { key: o.key.clone(), job: o.job.clone(), nonce: o.nonce, budget: None };
+                let a = PeerRequest::AbortTurn { key: o.key.clone(), request_id: o.job.clone(), nonce: o.nonce, budget: None };
                 match (self.route)(o.key.clone(), a).await {
-                    Some(Tell::Ok) => used = Some(0),
-                    Some(Tell::No(Code::Conflict)) => {}
+                    Some(PeerResponse::Ok) => used = Some(0),
+                    Some(PeerResponse::Rejected(Code::Conflict)) => {}
                     _ => continue,
                 }
             }
--- a/yewcross-control/src/store/mod.rs
+++ b/yewcross-control/src/store/mod.rs
@@ -9,15 +9,15 @@
 pub use record::{Head, Mark, Record, Run};
 
 use std::sync::Arc;
-use yewcross::ask::{Ask, Tell};
+use yewcross::protocol::{PeerRequest, PeerResponse};
 use yewcross::register::RegisterClient;
 
 pub struct Store {
     pub owner: Arc<RegisterClient>,
-    pub members: Arc<yewcross::member::Members>,
-    pub w: yewcross::world::World,
+    pub members: Arc<yewcross::membership::Membership>,
+    pub w: yewcross::runtime::Runtime,
     /// Asks the owner of another key.
-    pub route: Arc<dyn Fn(String, Ask) -> yewcross::world::Fut<'static, Option<Tell>> + Send + Sync>,
+    pub route: Arc<dyn Fn(String, PeerRequest) -> yewcross::runtime::BoxFuture<'static, Option<PeerResponse>> + Send + Sync>,
 }
 
 impl Store {
--- a/yewcross-control/src/store/record.rs
+++ b/yewcross-control/src/store/record.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
-use yewcross::ask::Kv;
-use yewcross::code::Code;
-use yewcross::consts::{BARS_KEPT, MARKS_KEPT, OLD_KEPT, OLD_LINE};
+use yewcross::constants::{BARS_KEPT, MARKS_KEPT, OLD_KEPT, OLD_LINE};
+use yewcross::error_code::Code;
+use yewcross::protocol::SessionCacheState;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
@@ -34,7 +34,7 @@
     pub marks: VecDeque<Mark>,
     #[serde(skip)]
     pub kept: VecDeque<(String, String)>,
-    pub kv: Kv,
+    pub kv: SessionCacheState,
     pub touched: u64,
     /// ms after `touched` until the record may be forgotten.
     #[serde(default)]
@@ -58,7 +58,7 @@
 }
 
 fn bare(job: &str) -> String {
-    format!("{:016x}", yewcross::hash::weigh(job, ""))
+    format!("{:016x}", yewcross::hash::rendezvous_weight(job, ""))
 }
 
 pub(super) fn line(v: &mut Vec<u8>, x: &impl Serialize) {
