--- a/yewcross-control/src/store/sessions.rs
+++ b/yewcross-control/src/store/sessions.rs
@@ -4,46 +4,46 @@
 use crate::store::purse::purse_key;
 use crate::store::record::{Record, Run};
 use std::sync::Arc;
-use yewcross::ask::{Ask, Begin, Begun, Commit, Kv, Tell};
-use yewcross::code::Code;
-use yewcross::consts::{BAR_KEPT, HORIZON_MAX, KEEP_MAX, MS, OUTCOMES_KEPT, PEER_WAIT, RUN_GRACE};
+use yewcross::constants::{BAR_KEPT, HORIZON_MAX, KEEP_MAX, MS, OUTCOMES_KEPT, PEER_WAIT, RUN_GRACE};
+use yewcross::error_code::Code;
+use yewcross::protocol::{BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState, TurnBegun};
 use yewcross::register::{ChangeError, Step};
 
 #[allow(clippy::large_enum_variant)]
 enum Pre {
-    Go(Begun, Vec<u8>, Option<Run>),
+    Go(TurnBegun, Vec<u8>, Option<Run>),
     Kept(Code, String),
     No(Code),
 }
 
-fn entry(b: &Begin) -> String {
-    format!("{}|{}|{}", b.key, b.job, b.nonce)
+fn entry(b: &BeginTurn) -> String {
+    format!("{}|{}|{}", b.key, b.request_id, b.nonce)
 }
 
 impl Store {
-    pub async fn begin(self: &Arc<Self>, b: Begin) -> (Tell, Vec<u8>) {
+    pub async fn begin(self: &Arc<Self>, b: BeginTurn) -> (PeerResponse, Vec<u8>) {
         let seen = self.owner.hint(&b.key).is_some_and(|v| {
             let r = Record::read(&v);
-            r.head.marks.iter().any(|m| m.job == b.job) || r.head.running.as_ref().is_some_and(|x| self.wall() < x.until)
+            r.head.marks.iter().any(|m| m.job == b.request_id) || r.head.running.as_ref().is_some_and(|x| self.wall() < x.until)
         });
         let mut reserve = b.budget.clone().filter(|_| !seen);
         if let Some((name, limit)) = reserve.clone() {
-            let a = Ask::Reserve {
+            let a = PeerRequest::ReserveBudget {
                 budget: name.clone(),
                 entry: entry(&b),
-                amount: b.max_out,
+                amount: b.max_output_tokens,
                 limit,
                 key: b.key.clone(),
-                job: b.job.clone(),
+                request_id: b.request_id.clone(),
                 nonce: b.nonce,
-                keep: b.keep,
+                retain_ms: b.retain_ms,
             };
             match (self.route)(purse_key(&name), a).await {
-                Some(Tell::Ok) => {}
+                Some(PeerResponse::Ok) => {}
                 // Given back already: this shot may be looked at, and not begun.
-                Some(Tell::No(Code::Conflict)) => reserve = None,
-                Some(Tell::No(c)) => return (Tell::No(c), vec![]),
-                _ => return (Tell::No(Code::StoreAway), vec![]),
+                Some(PeerResponse::Rejected(Code::Conflict)) => reserve = None,
+                Some(PeerResponse::Rejected(c)) => return (PeerResponse::Rejected(c), vec![]),
+                _ => return (PeerResponse::Rejected(Code::StoreAway), vec![]),
             }
         }
         let wall = self.wall();
@@ -51,11 +51,11 @@
             .owner
             .change(&b.key, PEER_WAIT, |_, v| {
                 let mut r = Record::read(v);
-                if let Some(m) = r.head.marks.iter().find(|m| m.job == b.job) {
+                if let Some(m) = r.head.marks.iter().find(|m| m.job == b.request_id) {
                     if m.digest != b.digest {
                         return Step::Keep(Pre::No(Code::OtherBody));
                     }
-                    let kept = r.head.kept.iter().find(|k| k.0 == b.job).map(|k| k.1.clone());
+                    let kept = r.head.kept.iter().find(|k| k.0 == b.request_id).map(|k| k.1.clone());
                     return Step::Keep(match (m.code, kept) {
                         (Code::Done, Some(k)) => Pre::Kept(m.code, k),
                         (Code::Done, None) => Pre::No(Code::Forgotten),
@@ -65,22 +65,27 @@
                 if r.head.barred.contains(&b.nonce) {
                     return Step::Keep(Pre::No(Code::StoreAway));
                 }
-                if r.ran_before(&b.job) {
+                if r.ran_before(&b.request_id) {
                     return Step::Keep(Pre::No(Code::Forgotten));
                 }
                 let mut closed = None;
                 if let Some(x) = &r.head.running {
-                    if x.job == b.job && x.digest != b.digest {
+                    if x.job == b.request_id && x.digest != b.digest {
                         return Step::Keep(Pre::No(Code::OtherBody));
                     }
-                    if x.nonce == b.nonce && x.job == b.job {
-                        let g = Begun { epoch: r.head.epoch, kv: r.head.kv.clone(), hist: r.hist.len() as u64, whole: true };
+                    if x.nonce == b.nonce && x.job == b.request_id {
+                        let g = TurnBegun {
+                            epoch: r.head.epoch,
+                            cache: r.head.kv.clone(),
+                            history_bytes: r.hist.len() as u64,
+                            history_complete: true,
+                        };
                         return Step::Keep(Pre::Go(g, r.hist, None));
                     }
                     if wall < x.until {
-                        return Step::Keep(Pre::No(if x.job == b.job { Code::StillRunning } else { Code::SessionBusy }));
+                        return Step::Keep(Pre::No(if x.job == b.request_id { Code::StillRunning } else { Code::SessionBusy }));
                     }
-                    let (same, used) = (x.job == b.job, x.max_out);
+                    let (same, used) = (x.job == b.request_id, x.max_out);
                     closed = r.close(Code::MayHaveRun, used);
                     if same {
                         return Step::Write(r.write(), Pre::No(Code::MayHaveRun));
@@ -94,17 +99,18 @@
                 }
                 r.head.epoch += 1;
                 r.head.touched = wall;
-                r.head.keep = b.keep.min(KEEP_MAX);
+                r.head.keep = b.retain_ms.min(KEEP_MAX);
                 r.head.running = Some(Run {
-                    job: b.job.clone(),
+                    job: b.request_id.clone(),
                     digest: b.digest.clone(),
                     nonce: b.nonce,
                     front: b.front.clone(),
-                    until: wall + b.left.min(HORIZON_MAX) + RUN_GRACE / MS,
-                    max_out: b.max_out,
+                    until: wall + b.remaining_ms.min(HORIZON_MAX) + RUN_GRACE / MS,
+                    max_out: b.max_output_tokens,
                     budget: b.budget.as_ref().map(|x| x.0.clone()),
                 });
-                let g = Begun { epoch: r.head.epoch, kv: r.head.kv.clone(), hist: r.hist.len() as u64, whole: true };
+                let g =
+                    TurnBegun { epoch: r.head.epoch, cache: r.head.kv.clone(), history_bytes: r.hist.len() as u64, history_complete: true };
                 Step::Write(r.write(), Pre::Go(g, r.hist, closed))
             })
             .await;
@@ -117,64 +123,67 @@
                     let e = format!("{}|{}|{}", b.key, x.job, x.nonce);
                     x.budget.iter().for_each(|n| self.settle_soon(n, e.clone(), None));
                 });
-                let same = b.hand.as_ref().is_some_and(|(n, d)| *n == hist.len() as u64 && *d == yewcross::hash::mark(&hist));
-                g.whole = !same;
-                (Tell::Begun(g), if same { vec![] } else { hist })
+                let same =
+                    b.known_history.as_ref().is_some_and(|(n, d)| *n == hist.len() as u64 && *d == yewcross::hash::content_digest(&hist));
+                g.history_complete = !same;
+                (PeerResponse::TurnBegun(g), if same { vec![] } else { hist })
             }
             Ok(Pre::Kept(code, k)) => {
                 free(self);
-                (Tell::Kept { code }, k.into_bytes())
+                (PeerResponse::StoredOutcome { code }, k.into_bytes())
             }
             // The front may ask again with this very shot: it keeps its reservation until it is barred.
-            Ok(Pre::No(Code::StoreAway)) | Err(ChangeError::NotDone | ChangeError::NotProposer) => (Tell::No(Code::StoreAway), vec![]),
+            Ok(Pre::No(Code::StoreAway)) | Err(ChangeError::NotDone | ChangeError::NotProposer) => {
+                (PeerResponse::Rejected(Code::StoreAway), vec![])
+            }
             Ok(Pre::No(c)) => {
                 free(self);
-                (Tell::No(c), vec![])
+                (PeerResponse::Rejected(c), vec![])
             }
-            Err(ChangeError::Undecided) => (Tell::No(Code::Undecided), vec![]),
+            Err(ChangeError::Undecided) => (PeerResponse::Rejected(Code::Undecided), vec![]),
         }
     }
 
-    pub async fn commit(self: &Arc<Self>, c: Commit, blob: Vec<u8>) -> Tell {
-        let n = (c.hist as usize).min(blob.len());
+    pub async fn commit(self: &Arc<Self>, c: CommitTurn, blob: Vec<u8>) -> PeerResponse {
+        let n = (c.history_bytes as usize).min(blob.len());
         let (line, kept) = (blob[..n].to_vec(), String::from_utf8_lossy(&blob[n..]).into_owned());
         let got = self
             .owner
             .change(&c.key, PEER_WAIT, |_, v| {
                 let mut r = Record::read(v);
-                if let Some(m) = r.head.marks.iter().find(|m| m.job == c.job) {
+                if let Some(m) = r.head.marks.iter().find(|m| m.job == c.request_id) {
                     return Step::Keep((m.nonce == c.nonce && m.code == c.code).then_some(None));
                 }
-                if r.head.epoch != c.epoch || r.head.running.as_ref().is_none_or(|x| x.nonce != c.nonce || x.job != c.job) {
+                if r.head.epoch != c.epoch || r.head.running.as_ref().is_none_or(|x| x.nonce != c.nonce || x.job != c.request_id) {
                     return Step::Keep(None);
                 }
-                let run = r.close(c.code, c.used);
+                let run = r.close(c.code, c.used_tokens);
                 r.hist.extend(&line);
                 c.rule.trim(&mut r.hist);
                 if !kept.is_empty() {
-                    r.head.kept.push_back((c.job.clone(), kept.clone()));
+                    r.head.kept.push_back((c.request_id.clone(), kept.clone()));
                     while r.head.kept.len() > OUTCOMES_KEPT {
                         r.head.kept.pop_front();
                     }
                 }
-                r.head.kv = c.kv.clone();
+                r.head.kv = c.cache.clone();
                 Step::Write(r.write(), Some(run.and_then(|x| x.budget)))
             })
             .await;
         match got {
             Ok(Some(b)) => {
-                b.into_iter().for_each(|n| self.settle_soon(&n, format!("{}|{}|{}", c.key, c.job, c.nonce), Some(c.used)));
-                Tell::Committed
+                b.into_iter().for_each(|n| self.settle_soon(&n, format!("{}|{}|{}", c.key, c.request_id, c.nonce), Some(c.used_tokens)));
+                PeerResponse::Committed
             }
-            Ok(None) => Tell::No(Code::MayHaveRun),
-            Err(ChangeError::NotDone | ChangeError::NotProposer) => Tell::No(Code::StoreAway),
-            Err(ChangeError::Undecided) => Tell::No(Code::Undecided),
+            Ok(None) => PeerResponse::Rejected(Code::MayHaveRun),
+            Err(ChangeError::NotDone | ChangeError::NotProposer) => PeerResponse::Rejected(Code::StoreAway),
+            Err(ChangeError::Undecided) => PeerResponse::Rejected(Code::Undecided),
         }
     }
 
     /// This shot will never be dispatched: as if it had not begun, and it never can begin any more. Only then is its
     /// reservation given back.
-    pub async fn abort(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) -> Tell {
+    pub async fn abort(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) -> PeerResponse {
         let wall = self.wall();
         let got = self
             .owner
@@ -197,14 +206,14 @@
         match got {
             Ok(true) => {
                 budget.iter().for_each(|n| self.settle_soon(n, format!("{key}|{job}|{nonce}"), Some(0)));
-                Tell::Ok
+                PeerResponse::Ok
             }
-            Ok(false) => Tell::No(Code::Conflict),
-            Err(_) => Tell::No(Code::Undecided),
+            Ok(false) => PeerResponse::Rejected(Code::Conflict),
+            Err(_) => PeerResponse::Rejected(Code::Undecided),
         }
     }
 
-    pub async fn note(&self, key: &str, epoch: u64, kv: Kv) -> Tell {
+    pub async fn note(&self, key: &str, epoch: u64, kv: SessionCacheState) -> PeerResponse {
         let got = self
             .owner
             .change(key, PEER_WAIT, |_, v| {
@@ -216,11 +225,11 @@
                 Step::Write(r.write(), true)
             })
             .await;
-        if got == Ok(true) { Tell::Ok } else { Tell::No(Code::Conflict) }
+        if got == Ok(true) { PeerResponse::Ok } else { PeerResponse::Rejected(Code::Conflict) }
     }
 
     /// The session is over: history and transfer state go, marks and kept outcomes stay.
-    pub async fn end(&self, key: &str) -> Tell {
+    pub async fn end(&self, key: &str) -> PeerResponse {
         let got = self
             .owner
             .change(key, PEER_WAIT, |_, v| {
@@ -229,7 +238,7 @@
                     return Step::Keep(Err(Code::SessionBusy));
                 }
                 let kv = std::mem::take(&mut r.head.kv);
-                if v.is_empty() || (r.hist.is_empty() && kv == Kv::default()) {
+                if v.is_empty() || (r.hist.is_empty() && kv == SessionCacheState::default()) {
                     return Step::Keep(Ok(kv));
                 }
                 r.hist.clear();
@@ -238,10 +247,10 @@
             })
             .await;
         match got {
-            Ok(Ok(kv)) => Tell::Ended { kv },
-            Ok(Err(c)) => Tell::No(c),
-            Err(ChangeError::NotDone | ChangeError::NotProposer) => Tell::No(Code::StoreAway),
-            Err(ChangeError::Undecided) => Tell::No(Code::Undecided),
+            Ok(Ok(kv)) => PeerResponse::SessionEnded { cache: kv },
+            Ok(Err(c)) => PeerResponse::Rejected(c),
+            Err(ChangeError::NotDone | ChangeError::NotProposer) => PeerResponse::Rejected(Code::StoreAway),
+            Err(ChangeError::Undecided) => PeerResponse::Rejected(Code::Undecided),
         }
     }
 
@@ -252,11 +261,11 @@
         h.keep > 0 && h.running.is_none() && sure && wall > h.touched + h.keep
     }
 
-    pub async fn expire(&self, key: &str) -> Tell {
-        if self.owner.erase(key, |v| self.outlived(v)).await { Tell::Ok } else { Tell::No(Code::Undecided) }
+    pub async fn expire(&self, key: &str) -> PeerResponse {
+        if self.owner.erase(key, |v| self.outlived(v)).await { PeerResponse::Ok } else { PeerResponse::Rejected(Code::Undecided) }
     }
 
-    pub async fn look(&self, key: &str) -> Tell {
+    pub async fn look(&self, key: &str) -> PeerResponse {
         let wall = self.wall();
         let got = self
             .owner
@@ -269,10 +278,10 @@
                 }
                 let open = r.head.running.iter().map(|x| (x.job.clone(), x.nonce)).collect();
                 let done = r.head.marks.iter().map(|m| (m.job.clone(), m.nonce, m.used)).collect();
-                let t = Tell::Look { open, done };
+                let t = PeerResponse::SessionReservations { open, done };
                 if late { Step::Write(r.write(), t) } else { Step::Keep(t) }
             })
             .await;
-        got.unwrap_or(Tell::No(Code::StoreAway))
+        got.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
     }
 }
--- a/yewcross-front/src/admission.rs
+++ b/yewcross-front/src/admission.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
-use yewcross::code::Code;
-use yewcross::consts::{BACK_SOON, MS, PACE_AFTER, SEC};
-use yewcross::tree::Class;
-use yewcross::world::World;
+use yewcross::configuration::Class;
+use yewcross::constants::{BACK_SOON, MS, PACE_AFTER, SEC};
+use yewcross::error_code::Code;
+use yewcross::runtime::Runtime;
 
 /// us. The longest a waiting request sleeps before it looks again.
 const LOOK_AGAIN: u64 = 100 * MS;
@@ -211,7 +211,7 @@
     }
 
     /// Waits until a server has room. `slots` is asked again at each look.
-    pub async fn admit(&self, world: &World, request: Request<'_>, slots: impl Fn() -> Slots) -> Result<Permit<'_>, Refused> {
+    pub async fn admit(&self, world: &Runtime, request: Request<'_>, slots: impl Fn() -> Slots) -> Result<Permit<'_>, Refused> {
         let (wake, woken) = async_channel::bounded(1);
         let position = self.with(request.service, |queue| queue.join(&request, slots(), world.now(), wake))?;
         let waiter = Waiter { admission: self, service: request.service, position };
@@ -226,12 +226,12 @@
             if now > end {
                 return Err(Refused { code: Code::TooLate, retry_after: BACK_SOON });
             }
-            world.within((end - now).clamp(MS, LOOK_AGAIN), woken.recv()).await;
+            world.timeout((end - now).clamp(MS, LOOK_AGAIN), woken.recv()).await;
         }
     }
 
     /// Whether the request may go now; what has become hopeless is refused now, not when its time is up.
-    fn try_admit(&self, world: &World, request: &Request, position: Position, slots: impl Fn() -> Slots) -> Result<bool, Refused> {
+    fn try_admit(&self, world: &Runtime, request: &Request, position: Position, slots: impl Fn() -> Slots) -> Result<bool, Refused> {
         self.with(request.service, |queue| {
             // Read under the queue's lock: a request that reaches its server leaves the one count only after it is in the other.
             let slots = slots();
--- a/yewcross-front/src/back.rs
+++ b/yewcross-front/src/back.rs
@@ -8,9 +8,9 @@
 use std::marker::PhantomData;
 use std::net::SocketAddr;
 use std::sync::Mutex;
-use yewcross::consts::*;
-use yewcross::http;
-use yewcross::world::*;
+use yewcross::buffered_http;
+use yewcross::constants::*;
+use yewcross::runtime::*;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stamp {
@@ -27,24 +27,24 @@
 pub struct Verified;
 
 pub struct Back<S> {
-    conn: Conn,
+    conn: Connection,
     who: Stamp,
     _s: PhantomData<S>,
 }
 
 impl Back<Unverified> {
-    pub async fn dial(w: &World, to: SocketAddr) -> io::Result<Back<Unverified>> {
-        let conn = w.dial(to, DIAL_WAIT).await?;
+    pub async fn dial(w: &Runtime, to: SocketAddr) -> io::Result<Back<Unverified>> {
+        let conn = w.connect_within(to, DIAL_WAIT).await?;
         let who = Stamp { service: String::new(), server: String::new(), inst: 0, weights: String::new(), job: String::new() };
         Ok(Back { conn, who, _s: PhantomData })
     }
 
     /// Only the server that the pick named, of the service that was meant, gets through.
-    pub async fn verify(self, w: &World, service: &str, server: &str) -> io::Result<Back<Verified>> {
+    pub async fn verify(self, w: &Runtime, service: &str, server: &str) -> io::Result<Back<Verified>> {
         let got = w
-            .within(BACK_WAIT, async {
-                let mut r = http::exchange(&self.conn, Method::Get, "/identity", &[], vec![]).await?;
-                http::body(&mut r, 64 << 10).await
+            .timeout(BACK_WAIT, async {
+                let mut r = buffered_http::exchange(&self.conn, Method::Get, "/identity", &[], vec![]).await?;
+                buffered_http::body(&mut r, 64 << 10).await
             })
             .await
             .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
@@ -72,8 +72,8 @@
         s.service == self.who.service && s.server == self.who.server && s.inst == self.who.inst && s.job == job
     }
 
-    pub async fn send(&self, w: &World, path: &str, body: Vec<u8>, us: u64) -> Sent {
-        match w.within(us, http::exchange(&self.conn, Method::Post, path, &[], body)).await {
+    pub async fn send(&self, w: &Runtime, path: &str, body: Vec<u8>, us: u64) -> Sent {
+        match w.timeout(us, buffered_http::exchange(&self.conn, Method::Post, path, &[], body)).await {
             Some(Ok(r)) => Sent::Answered(r),
             _ => Sent::Lost,
         }
@@ -92,7 +92,7 @@
 const IDLE_US: u64 = 10 * SEC;
 
 impl Pool {
-    pub async fn get(&self, w: &World, service: &str, server: &str, to: SocketAddr) -> io::Result<Back<Verified>> {
+    pub async fn get(&self, w: &Runtime, service: &str, server: &str, to: SocketAddr) -> io::Result<Back<Verified>> {
         let t = w.now();
         let kept = {
             let mut g = self.idle.lock().unwrap();
@@ -113,7 +113,7 @@
         }
     }
 
-    pub fn put(&self, w: &World, b: Back<Verified>) {
+    pub fn put(&self, w: &Runtime, b: Back<Verified>) {
         let mut g = self.idle.lock().unwrap();
         let v = g.entry((b.who.server.clone(), b.conn.peer)).or_default();
         if v.len() < IDLE_EACH {
@@ -136,21 +136,21 @@
     }
 
     /// One whole line, or nothing if the stream ended, broke, or went silent.
-    pub async fn next(&mut self, w: &World, us: u64) -> Option<Vec<u8>> {
+    pub async fn next(&mut self, w: &Runtime, us: u64) -> Option<Vec<u8>> {
         let mut v = vec![];
-        let n = w.within(us, self.0.read_until(b'\n', &mut v)).await?.ok()?;
+        let n = w.timeout(us, self.0.read_until(b'\n', &mut v)).await?.ok()?;
         (n > 0 && v.pop() == Some(b'\n')).then_some(v)
     }
 
-    pub async fn drained(&mut self, w: &World) -> bool {
+    pub async fn drained(&mut self, w: &Runtime) -> bool {
         let mut v = vec![];
-        matches!(w.within(50 * MS, self.0.read_until(b'\n', &mut v)).await, Some(Ok(0)))
+        matches!(w.timeout(50 * MS, self.0.read_until(b'\n', &mut v)).await, Some(Ok(0)))
     }
 }
 
 #[allow(clippy::too_many_arguments)]
 pub async fn ask_once(
-    w: &World,
+    w: &Runtime,
     p: &Pool,
     service: &str,
     server: &str,
@@ -162,7 +162,7 @@
     let b = p.get(w, service, server, to).await.ok()?;
     let Sent::Answered(mut r) = b.send(w, path, body, us).await else { return None };
     let ok = r.status().is_success();
-    let v = w.within(us, http::body(&mut r, FRAME_MAX)).await?.ok()?;
+    let v = w.timeout(us, buffered_http::body(&mut r, FRAME_MAX)).await?.ok()?;
     p.put(w, b);
     ok.then_some(v)
 }
--- a/yewcross-front/src/balance/claim.rs
+++ b/yewcross-front/src/balance/claim.rs
@@ -4,16 +4,16 @@
 use super::server::ServerState;
 use crate::policy::{Mechanism, Policies};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::world::World;
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::Runtime;
 
 /// A place taken at a server; given back when dropped.
 pub struct Claim {
     pub(super) service: Arc<Mutex<ServiceState>>,
-    pub(super) w: World,
+    pub(super) w: Runtime,
     pub(super) policies: Policies,
-    pub to: Listed,
+    pub to: ListedServer,
     /// us. When it was taken.
     pub(super) at: u64,
     /// Tokens that the server has to read before the first event, the request's own and all.
--- a/yewcross-front/src/balance/mod.rs
+++ b/yewcross-front/src/balance/mod.rs
@@ -21,11 +21,11 @@
 use server::ServerState;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, RwLock};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::hash::weigh;
-use yewcross::route::Engine;
-use yewcross::world::World;
+use yewcross::configuration::route::Engine;
+use yewcross::constants::*;
+use yewcross::hash::rendezvous_weight;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::Runtime;
 
 /// What is known of one service.
 #[derive(Default)]
@@ -87,41 +87,41 @@
     }
 
     /// Those that are neither ejected nor silent; all where none is well.
-    fn sound<'a>(&self, servers: Vec<&'a Listed>, now: u64, policies: Policies) -> Vec<&'a Listed> {
-        let is_well = |server: &&&Listed| {
+    fn sound<'a>(&self, servers: Vec<&'a ListedServer>, now: u64, policies: Policies) -> Vec<&'a ListedServer> {
+        let is_well = |server: &&&ListedServer| {
             let ejection = &self.servers[&server.server].ejection;
             let ejected = policies.has(Mechanism::Ejection) && ejection.is_ejected(now);
             let silent = policies.has(Mechanism::Silence) && ejection.is_silent(now, self.usual);
             !ejected && !silent
         };
-        let sound: Vec<&Listed> = servers.iter().filter(is_well).copied().collect();
+        let sound: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
         let sound = if sound.is_empty() { servers } else { sound };
         if policies.has(Mechanism::SharedEjection) { self.well_by_others(sound, now) } else { sound }
     }
 
     /// Those that other fronts do not leave alone; all where that would be too few: what so many fail at is no server's own.
-    fn well_by_others<'a>(&self, servers: Vec<&'a Listed>, now: u64) -> Vec<&'a Listed> {
-        let is_well = |server: &&&Listed| !self.servers[&server.server].ejection.is_ejected_by_others(now);
-        let well: Vec<&Listed> = servers.iter().filter(is_well).copied().collect();
+    fn well_by_others<'a>(&self, servers: Vec<&'a ListedServer>, now: u64) -> Vec<&'a ListedServer> {
+        let is_well = |server: &&&ListedServer| !self.servers[&server.server].ejection.is_ejected_by_others(now);
+        let well: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
         if well.len() * 100 < servers.len() * (100 - EJECTED_MOST_PERCENT) { servers } else { well }
     }
 }
 
 /// Fronts that all saw the same load must not all choose the same server. One of the two is near.
-fn two_at_random<'a>(w: &World, need: &Need, free: Vec<&'a Listed>) -> Vec<&'a Listed> {
+fn two_at_random<'a>(w: &Runtime, need: &Need, free: Vec<&'a ListedServer>) -> Vec<&'a ListedServer> {
     if free.len() < 3 {
         return free;
     }
     let near: Vec<usize> = (0..free.len()).filter(|i| free[*i].site == need.site).collect();
-    let first = near.get(w.pick(near.len())).copied().unwrap_or_else(|| w.pick(free.len()));
-    let second = (first + 1 + w.pick(free.len() - 1)) % free.len();
+    let first = near.get(w.random_index(near.len())).copied().unwrap_or_else(|| w.random_index(free.len()));
+    let second = (first + 1 + w.random_index(free.len() - 1)) % free.len();
     vec![free[first], free[second]]
 }
 
 /// The one for the request's affinity key, of those that are free: the same at all fronts, by rendezvous hashing.
-fn affine<'a>(need: &Need, free: &[&'a Listed], policies: Policies) -> Option<&'a Listed> {
+fn affine<'a>(need: &Need, free: &[&'a ListedServer], policies: Policies) -> Option<&'a ListedServer> {
     let is_asked = !need.affinity.is_empty() && need.engine.is_none() && policies.has(Mechanism::Affinity);
-    free.iter().copied().filter(|_| is_asked).max_by_key(|server| weigh(&need.affinity, &server.server))
+    free.iter().copied().filter(|_| is_asked).max_by_key(|server| rendezvous_weight(&need.affinity, &server.server))
 }
 
 impl Balance {
@@ -152,10 +152,18 @@
     }
 
     /// The best place at this moment, or why there is none.
-    pub fn pick(&self, w: &World, n: &Need, servers: &[Listed], tried: &[String], kept: impl Fn(&str) -> bool) -> Result<Claim, NoSeat> {
+    pub fn pick(
+        &self,
+        w: &Runtime,
+        n: &Need,
+        servers: &[ListedServer],
+        tried: &[String],
+        kept: impl Fn(&str) -> bool,
+    ) -> Result<Claim, NoSeat> {
         let (service, now, policies) = (self.service(&n.service), w.now(), self.policies);
         let mut g = service.lock().unwrap();
-        let may: Vec<&Listed> = servers.iter().filter(|s| s.service == n.service && !s.leaving && !tried.contains(&s.server)).collect();
+        let may: Vec<&ListedServer> =
+            servers.iter().filter(|s| s.service == n.service && !s.leaving && !tried.contains(&s.server)).collect();
         for server in &may {
             g.servers.entry(server.server.clone()).or_default();
         }
@@ -163,10 +171,10 @@
         if sound.is_empty() {
             return Err(NoSeat::None);
         }
-        let is_free = |server: &&&Listed| !g.servers[&server.server].full(n, &server.server, now, g.usual, policies);
-        let free: Vec<&Listed> = sound.iter().filter(is_free).copied().collect();
+        let is_free = |server: &&&ListedServer| !g.servers[&server.server].full(n, &server.server, now, g.usual, policies);
+        let free: Vec<&ListedServer> = sound.iter().filter(is_free).copied().collect();
         let pricing = Pricing { need: n, observed: &g.observed, usual: g.usual, now, policies };
-        let work = |server: &Listed| pricing.work(&g.servers[&server.server], &server.server);
+        let work = |server: &ListedServer| pricing.work(&g.servers[&server.server], &server.server);
         let by_affinity = affine(n, &free, policies);
         let candidates = match n.engine.is_none() && policies.has(Mechanism::ChoiceOfTwo) {
             true => two_at_random(w, n, free),
@@ -174,8 +182,8 @@
         };
         // Those that cost about the same take turns: what is known of the load is a little old, and the same at all fronts.
         let jitter = if n.engine.is_some() { pricing.neighbour_us().max(1.0) as usize } else { 1 };
-        let price = |server: &&&Listed| {
-            (work(server) + pricing.distance(&server.site) + pricing.dial(kept(&server.server))) as u64 + w.pick(jitter) as u64
+        let price = |server: &&&ListedServer| {
+            (work(server) + pricing.distance(&server.site) + pricing.dial(kept(&server.server))) as u64 + w.random_index(jitter) as u64
         };
         let Some(best) = candidates.iter().min_by_key(price).copied() else {
             return Err(NoSeat::Full(g.due(n, sound.len(), now)));
@@ -196,10 +204,10 @@
     }
 
     /// Waits for a place to come free, until `until`; false if none did.
-    pub async fn wait(&self, w: &World, n: &Need, until: u64) -> bool {
+    pub async fn wait(&self, w: &Runtime, n: &Need, until: u64) -> bool {
         let rank = self.policies.has(Mechanism::WaitingOrder).then_some(n.rank);
         let rx = self.service(&n.service).lock().unwrap().queue.join(rank);
-        w.within(until.saturating_sub(w.now()), rx.recv()).await.is_some()
+        w.timeout(until.saturating_sub(w.now()), rx.recv()).await.is_some()
     }
 
     /// What we have under way and whom we leave alone, by server.
--- a/yewcross-front/src/judge.rs
+++ b/yewcross-front/src/judge.rs
@@ -1,9 +1,9 @@
 //! Small judges vote on every server for every job; the highest sum is picked.
 
 use crate::server_table::Server;
-use yewcross::ask::{Kv, Place};
-use yewcross::consts::*;
-use yewcross::tree::Family;
+use yewcross::configuration::ProgramClass;
+use yewcross::constants::*;
+use yewcross::protocol::{CachedPrefix, SessionCacheState};
 
 /// What the judges know of a job.
 pub struct Case<'a> {
@@ -11,7 +11,7 @@
     pub site: &'a str,
     pub tokens: u64,
     pub max_out: u64,
-    pub kv: &'a Kv,
+    pub kv: &'a SessionCacheState,
     /// us left for the server's part.
     pub left: u64,
 }
@@ -20,7 +20,7 @@
 pub enum Warmth {
     Held(u64),
     /// A replica stands there, not yet in its cache: a turn that comes now is served cold.
-    Import(Place),
+    Import(CachedPrefix),
     Cold,
 }
 
@@ -38,8 +38,8 @@
     pub site: u64,
 }
 
-impl From<&Family> for Weights {
-    fn from(f: &Family) -> Weights {
+impl From<&ProgramClass> for Weights {
+    fn from(f: &ProgramClass) -> Weights {
         Weights { load: f.judge_load, standing: f.judge_standing, prefix: f.judge_prefix, site: f.judge_site }
     }
 }
@@ -49,22 +49,22 @@
 }
 
 fn prefill(s: &Server, tokens: u64) -> u64 {
-    tokens.saturating_mul(s.report.per_k) / 1000
+    tokens.saturating_mul(s.report.prefill_us_per_1000) / 1000
 }
 
 /// Whether importing a replica is quicker than reading its tokens anew.
-pub fn pays(s: &Server, p: &Place) -> bool {
+pub fn pays(s: &Server, p: &CachedPrefix) -> bool {
     import_takes(p.tokens) < prefill(s, p.tokens)
 }
 
 /// What of the prompt the server would not have to read again, and how it would come by it.
 pub fn warmth(s: &Server, c: &Case) -> Warmth {
-    let placed = c.kv.home.iter().chain(c.kv.replica.iter().filter(|p| p.mark > 0));
+    let placed = c.kv.home.iter().chain(c.kv.replica.iter().filter(|p| p.placed_tokens > 0));
     let held = placed.filter(|p| s.holds(p)).map(|p| p.tokens).max();
     let stored =
-        c.kv.replica
-            .as_ref()
-            .filter(|p| !p.digest.is_empty() && p.server == s.at.server && p.inst == s.report.inst && p.weights == s.report.weights);
+        c.kv.replica.as_ref().filter(|p| {
+            !p.digest.is_empty() && p.server == s.at.server && p.instance == s.report.instance && p.weights == s.report.weights
+        });
     match (held, stored) {
         (Some(t), _) => Warmth::Held(t.min(c.tokens)),
         (None, Some(p)) if pays(s, p) => Warmth::Import(p.clone()),
@@ -78,7 +78,7 @@
         Warmth::Held(t) => *t,
         Warmth::Import(_) | Warmth::Cold => 0,
     };
-    prefill(s, c.tokens.saturating_sub(saved)).saturating_add(c.max_out * s.report.per_out)
+    prefill(s, c.tokens.saturating_sub(saved)).saturating_add(c.max_out * s.report.decode_us_per_token)
 }
 
 fn load(s: &Server) -> u64 {
@@ -118,7 +118,9 @@
         .filter_map(|s| {
             let (v, m) = vote(s, c, w);
             let t = takes(s, c, &m);
-            (t <= c.left).then(|| (v / 4096, yewcross::hash::weigh(c.key, &s.at.server), Pick { server: s.clone(), warmth: m, takes: t }))
+            (t <= c.left).then(|| {
+                (v / 4096, yewcross::hash::rendezvous_weight(c.key, &s.at.server), Pick { server: s.clone(), warmth: m, takes: t })
+            })
         })
         .max_by_key(|x| (x.0, x.1))
         .map(|x| x.2)
@@ -126,9 +128,9 @@
 
 /// Where the session would go were its home away: the judges' own pick without it, occupancy left out so that it stays put.
 pub fn spill<'a>(servers: &'a [Server], key: &str, home: &Home, w: &Weights) -> Option<&'a Server> {
-    servers.iter().filter(|s| s.at.server != home.server && s.report.cache > 0).max_by_key(|s| {
+    servers.iter().filter(|s| s.at.server != home.server && s.report.cache_tokens > 0).max_by_key(|s| {
         let near = (s.at.site == home.site) as u64;
-        (w.standing * standing(s) / 4096, near * w.site, yewcross::hash::weigh(key, &s.at.server))
+        (w.standing * standing(s) / 4096, near * w.site, yewcross::hash::rendezvous_weight(key, &s.at.server))
     })
 }
 
@@ -140,32 +142,48 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use yewcross::ask::{Listed, Report};
+    use yewcross::protocol::{ListedServer, LoadReport};
 
     fn server(n: &str, site: &str, running: u32) -> Server {
-        let at = Listed { server: n.into(), service: "llm".into(), addr: ([127, 0, 0, 1], 1).into(), site: site.into(), leaving: false };
-        let report =
-            Report { server: n.into(), inst: 1, slots: 4, running, cache: 100_000, per_k: 120_000, per_out: 1000, ..Default::default() };
+        let at =
+            ListedServer { server: n.into(), service: "llm".into(), addr: ([127, 0, 0, 1], 1).into(), site: site.into(), leaving: false };
+        let report = LoadReport {
+            server: n.into(),
+            instance: 1,
+            slots: 4,
+            running,
+            cache_tokens: 100_000,
+            prefill_us_per_1000: 120_000,
+            decode_us_per_token: 1000,
+            ..Default::default()
+        };
         Server { at, report, age: 0, mine: 0, slow: 0 }
     }
 
     #[test]
     fn judges_prefer_the_held_prefix_until_it_is_full_then_the_replica() {
-        let place = |s: &str| Place { server: s.into(), inst: 1, weights: "".into(), tokens: 10_000, digest: "x".into(), mark: 0 };
-        let kv = Kv { home: Some(place("m1")), replica: Some(place("m2")), program: "p".into() };
+        let place = |s: &str| CachedPrefix {
+            server: s.into(),
+            instance: 1,
+            weights: "".into(),
+            tokens: 10_000,
+            digest: "x".into(),
+            placed_tokens: 0,
+        };
+        let kv = SessionCacheState { home: Some(place("m1")), replica: Some(place("m2")), program: "p".into() };
         let c = Case { key: "k", site: "a", tokens: 11_000, max_out: 50, kv: &kv, left: 6_000_000 };
-        let w = Weights::from(&Family::default());
+        let w = Weights::from(&ProgramClass::default());
         let mut v = vec![server("m1", "a", 1), server("m2", "a", 0), server("m3", "a", 0)];
         let p = pick(&v, &c, &w, &[]).unwrap();
         assert_eq!((p.server.at.server.as_str(), p.warmth), ("m1", Warmth::Held(10_000)));
         v[0].report.running = 4;
         let p = pick(&v, &c, &w, &[]).unwrap();
         assert_eq!((p.server.at.server.as_str(), p.warmth), ("m2", Warmth::Import(place("m2"))));
-        v[1].report.inst = 2;
+        v[1].report.instance = 2;
         let p = pick(&v, &c, &w, &[]).unwrap();
         assert_eq!(p.warmth, Warmth::Cold);
         v[0].report.running = 1;
-        v[0].report.placed = 95_000;
+        v[0].report.placed_tokens = 95_000;
         assert_eq!(pick(&v, &c, &w, &[]).unwrap().warmth, Warmth::Cold, "evicted by what was placed since");
         let short = Case { left: 1_000_000, ..c };
         assert!(pick(&v, &short, &w, &[]).is_none());
--- a/yewcross-front/src/kv.rs
+++ b/yewcross-front/src/kv.rs
@@ -10,9 +10,9 @@
 use std::num::NonZeroUsize;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::*;
-use yewcross::consts::*;
-use yewcross::tree::Family;
+use yewcross::configuration::ProgramClass;
+use yewcross::constants::*;
+use yewcross::protocol::*;
 
 #[derive(Deserialize)]
 struct Saved {
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug)]
 pub struct Spare {
     pub epoch: u64,
-    pub kv: Kv,
+    pub kv: SessionCacheState,
     /// Prefixes that turns and imports seen here have placed, newest first, one a server.
-    pub placed: Vec<Place>,
+    pub placed: Vec<CachedPrefix>,
 }
 
 /// A replica that is to be brought into its server's cache.
@@ -53,7 +53,7 @@
 pub struct Due {
     pub key: String,
     pub service: String,
-    pub replica: Place,
+    pub replica: CachedPrefix,
     /// The record is told of it. A turn under way carries it into its own commit instead.
     pub tell: bool,
 }
@@ -90,7 +90,7 @@
 
 impl Spares {
     fn shard(&self, key: &str) -> &Mutex<LruCache<String, Spare>> {
-        &self.shards[yewcross::hash::weigh(key, "") as usize % KV_SHARDS]
+        &self.shards[yewcross::hash::rendezvous_weight(key, "") as usize % KV_SHARDS]
     }
 
     pub fn get(&self, key: &str) -> Option<Spare> {
@@ -98,14 +98,14 @@
     }
 
     /// A turn that ended here.
-    pub fn ran(&self, key: &str, epoch: u64, kv: &Kv) {
+    pub fn ran(&self, key: &str, epoch: u64, kv: &SessionCacheState) {
         let mut g = self.shard(key).lock().unwrap();
         let s = g.get_or_insert_mut(key.to_string(), || Spare { epoch, kv: kv.clone(), placed: vec![] });
         (s.epoch, s.kv) = (epoch, kv.clone());
         kv.home.iter().for_each(|h| place(&mut s.placed, h));
     }
 
-    fn imported(&self, key: &str, p: &Place) {
+    fn imported(&self, key: &str, p: &CachedPrefix) {
         self.shard(key).lock().unwrap().peek_mut(key).into_iter().for_each(|s| place(&mut s.placed, p));
     }
 
@@ -116,8 +116,8 @@
     fn flows(&self, t: u64, servers: &[server_table::Server]) {
         let mut g = self.flow.lock().unwrap();
         g.retain(|n, _| servers.iter().any(|s| s.at.server == *n));
-        servers.iter().filter(|s| s.report.cache > 0).for_each(|s| {
-            let (inst, placed) = (s.report.inst, s.report.placed);
+        servers.iter().filter(|s| s.report.cache_tokens > 0).for_each(|s| {
+            let (inst, placed) = (s.report.instance, s.report.placed_tokens);
             let e = g.entry(s.at.server.clone()).or_default();
             if e.inst != inst {
                 *e = Flow { inst, since: t, from: placed, last: None };
@@ -130,9 +130,9 @@
     /// Whether what is placed there now is likely to stand for `KV_STANDS`.
     fn roomy(&self, s: &server_table::Server, tokens: u64) -> bool {
         let g = self.flow.lock().unwrap();
-        let Some(e) = g.get(&s.at.server).filter(|e| e.inst == s.report.inst) else { return false };
-        let fast = s.report.placed.saturating_sub(e.from).max(e.last.unwrap_or(0));
-        fast.saturating_mul(KV_STANDS / KV_FLOW_OVER).saturating_add(tokens) <= s.report.cache
+        let Some(e) = g.get(&s.at.server).filter(|e| e.inst == s.report.instance) else { return false };
+        let fast = s.report.placed_tokens.saturating_sub(e.from).max(e.last.unwrap_or(0));
+        fast.saturating_mul(KV_STANDS / KV_FLOW_OVER).saturating_add(tokens) <= s.report.cache_tokens
     }
 
     /// Sessions whose home is one of these, the latest used of each shard first.
@@ -145,7 +145,7 @@
     }
 }
 
-fn place(v: &mut Vec<Place>, p: &Place) {
+fn place(v: &mut Vec<CachedPrefix>, p: &CachedPrefix) {
     v.retain(|o| o.server != p.server);
     v.insert(0, p.clone());
     v.truncate(KV_PLACES);
@@ -154,19 +154,24 @@
 /// The record's state and what this front saw itself: an import made ahead, or a prefix that a turn or an import placed
 /// at the replica's server and that covers most of it. Whether it is still held is for the judges. A place without a digest is
 /// a held prefix alone: nothing stands there that could be imported.
-pub fn known(f: &Front, key: &str, kv: &Kv) -> Kv {
-    let away = |p: &&Place| kv.home.as_ref().is_none_or(|h| h.server != p.server);
+pub fn known(f: &Front, key: &str, kv: &SessionCacheState) -> SessionCacheState {
+    let away = |p: &&CachedPrefix| kv.home.as_ref().is_none_or(|h| h.server != p.server);
     let pushed = f.replicas.lock().unwrap().get(key).filter(away).cloned();
     let placed = f.spares.get(key).map(|s| s.placed).unwrap_or_default();
     let Some(r) = pushed.or(kv.replica.clone()) else {
         // Nothing stands anywhere; yet the home before may still hold most of it.
-        let most = |p: &&Place| kv.home.as_ref().is_some_and(|h| h.weights == p.weights && p.tokens * 100 >= h.tokens * KV_WARM);
-        let before = placed.iter().filter(away).find(most).map(|p| Place { digest: String::new(), ..p.clone() });
-        return Kv { replica: before, ..kv.clone() };
+        let most = |p: &&CachedPrefix| kv.home.as_ref().is_some_and(|h| h.weights == p.weights && p.tokens * 100 >= h.tokens * KV_WARM);
+        let before = placed.iter().filter(away).find(most).map(|p| CachedPrefix { digest: String::new(), ..p.clone() });
+        return SessionCacheState { replica: before, ..kv.clone() };
     };
-    let covers = |p: &&Place| (&p.server, p.inst, &p.weights) == (&r.server, r.inst, &r.weights) && p.tokens * 100 >= r.tokens * KV_WARM;
-    let p = Some(r.clone()).filter(|r| r.mark > 0).or_else(|| placed.iter().find(covers).cloned());
-    Kv { replica: p.map(|p| Place { tokens: p.tokens, mark: p.mark, ..r.clone() }).or(Some(r)), ..kv.clone() }
+    let covers = |p: &&CachedPrefix| {
+        (&p.server, p.instance, &p.weights) == (&r.server, r.instance, &r.weights) && p.tokens * 100 >= r.tokens * KV_WARM
+    };
+    let p = Some(r.clone()).filter(|r| r.placed_tokens > 0).or_else(|| placed.iter().find(covers).cloned());
+    SessionCacheState {
+        replica: p.map(|p| CachedPrefix { tokens: p.tokens, placed_tokens: p.placed_tokens, ..r.clone() }).or(Some(r)),
+        ..kv.clone()
+    }
 }
 
 /// A turn begins here under this epoch: what was known of the session is void if other turns began elsewhere since.
@@ -193,7 +198,7 @@
     }
     if idle {
         let me = f.clone();
-        f.w.go(async move {
+        f.runtime.spawn(async move {
             let next = || {
                 let mut g = me.spares.due.lock().unwrap();
                 let x = g.get_mut(&to).and_then(|l| l.pop_front());
@@ -214,11 +219,11 @@
     let Due { key, service, replica, tell } = x;
     let newer = f.replicas.lock().unwrap().get(&key).is_some_and(|p| p.digest != replica.digest);
     let servers = server_table::fit(f, &service);
-    let Some(s) = servers.iter().find(|s| s.at.server == replica.server && s.report.inst == replica.inst).filter(|_| !newer) else {
+    let Some(s) = servers.iter().find(|s| s.at.server == replica.server && s.report.instance == replica.instance).filter(|_| !newer) else {
         return;
     };
-    let kv = known(f, &key, &Kv { replica: Some(replica.clone()), ..Default::default() });
-    if let Some(p) = kv.replica.filter(|p| p.mark > 0 && s.holds(p)) {
+    let kv = known(f, &key, &SessionCacheState { replica: Some(replica.clone()), ..Default::default() });
+    if let Some(p) = kv.replica.filter(|p| p.placed_tokens > 0 && s.holds(p)) {
         f.counts.imports_skipped.fetch_add(1, SeqCst);
         return stands(f, &key, p, tell).await;
     }
@@ -227,43 +232,43 @@
     }
     let body = serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
     f.counts.imports.fetch_add(1, SeqCst);
-    let t0 = f.w.now();
-    let got = back::ask_once(&f.w, &f.pool, &service, &replica.server, s.at.addr, "/kv/import", body, KV_IMPORT_WAIT).await;
-    f.counts.import_us.fetch_add(f.w.now() - t0, SeqCst);
+    let t0 = f.runtime.now();
+    let got = back::ask_once(&f.runtime, &f.pool, &service, &replica.server, s.at.addr, "/kv/import", body, KV_IMPORT_WAIT).await;
+    f.counts.import_us.fetch_add(f.runtime.now() - t0, SeqCst);
     let Some(i) = got.and_then(|b| serde_json::from_slice::<Imported>(&b).ok()).filter(|i| i.ok) else {
         f.counts.imports_failed.fetch_add(1, SeqCst);
         return;
     };
     // The count from before the import errs to the safe side.
-    let p = Place { mark: if i.placed > 0 { i.placed } else { s.report.placed.max(1) }, ..replica };
+    let p = CachedPrefix { placed_tokens: if i.placed > 0 { i.placed } else { s.report.placed_tokens.max(1) }, ..replica };
     f.spares.imported(&key, &p);
     stands(f, &key, p, tell).await;
 }
 
 /// The replica is in its server's cache: kept in mind and, where others have to know, told to the record.
-async fn stands(f: &Arc<Front>, key: &str, p: Place, tell: bool) {
+async fn stands(f: &Arc<Front>, key: &str, p: CachedPrefix, tell: bool) {
     if f.replicas.lock().unwrap().get(key).is_some_and(|o| o.digest != p.digest) {
         return;
     }
     remember(f, key, &p);
     if let Some(s) = f.spares.get(key).filter(|s| tell && s.kv.replica.as_ref() != Some(&p)) {
-        note(f, key, s.epoch, Kv { replica: Some(p), ..s.kv }).await;
+        note(f, key, s.epoch, SessionCacheState { replica: Some(p), ..s.kv }).await;
     }
 }
 
 /// Writes transfer state into the record. Refused once a later turn has begun; then that turn's front holds it.
-async fn note(f: &Arc<Front>, key: &str, epoch: u64, kv: Kv) {
-    let told = f.store(key, &Ask::Note { key: key.into(), epoch, kv }, &[], 2).await;
-    if !matches!(told, Some((Tell::Ok, _))) {
+async fn note(f: &Arc<Front>, key: &str, epoch: u64, kv: SessionCacheState) {
+    let told = f.store(key, &PeerRequest::RecordCacheState { key: key.into(), epoch, cache: kv }, &[], 2).await;
+    if !matches!(told, Some((PeerResponse::Ok, _))) {
         f.counts.note_refused.fetch_add(1, SeqCst);
     }
 }
 
 /// Sessions whose home has begun to leave or has fallen silent since the last look: their replicas are brought in.
 pub fn watch(f: &Arc<Front>) {
-    let conf = f.book.config.load_full();
+    let conf = f.documents.config.load_full();
     let servers: Vec<server_table::Server> = conf.1.services.keys().flat_map(|s| server_table::fit(f, s)).collect();
-    f.spares.flows(f.w.now(), &servers);
+    f.spares.flows(f.runtime.now(), &servers);
     let fit: BTreeSet<String> = servers.into_iter().map(|s| s.at.server).collect();
     let was = std::mem::replace(&mut *f.spares.fit.lock().unwrap(), fit.clone());
     let gone: BTreeSet<String> = was.difference(&fit).cloned().collect();
@@ -281,7 +286,7 @@
 
 /// A replica has just arrived: it is brought in at once where the target's cache turns over slowly, and else where the home
 /// is nearly full, or no longer takes turns, and the target has places.
-fn after(f: &Arc<Front>, x: &Fresh, replica: Place) {
+fn after(f: &Arc<Front>, x: &Fresh, replica: CachedPrefix) {
     let servers = server_table::fit(f, &x.fam.service);
     let at = |n: &str| servers.iter().find(|s| s.at.server == n);
     let full = |s: &server_table::Server| s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL;
@@ -293,7 +298,7 @@
 }
 
 /// How a finished turn began: counted for all turns and for those that changed server.
-pub fn count(f: &Front, fam: &Family, kv: &Kv, server: &str, prompt: u64, reused: u64) {
+pub fn count(f: &Front, fam: &ProgramClass, kv: &SessionCacheState, server: &str, prompt: u64, reused: u64) {
     let moved = kv.home.as_ref().is_some_and(|h| h.server != server);
     let pct = reused.saturating_mul(100) / prompt.max(1);
     let c = &f.counts;
@@ -315,8 +320,8 @@
 pub struct Fresh {
     pub key: String,
     pub epoch: u64,
-    pub kv: Kv,
-    pub fam: Family,
+    pub kv: SessionCacheState,
+    pub fam: ProgramClass,
 }
 
 /// One push a session at a time; a turn that ends meanwhile waits, and only the newest of those is pushed.
@@ -341,7 +346,7 @@
         if let Some(p) = push(&f, &x).await {
             remember(&f, &key, &p);
             if f.pushing.lock().unwrap().get(&key).is_some_and(|n| n.is_none()) {
-                note(&f, &key, x.epoch, Kv { replica: Some(p.clone()), ..x.kv.clone() }).await;
+                note(&f, &key, x.epoch, SessionCacheState { replica: Some(p.clone()), ..x.kv.clone() }).await;
             }
             after(&f, &x, p);
         }
@@ -353,7 +358,7 @@
     }
 }
 
-fn remember(f: &Front, key: &str, p: &Place) {
+fn remember(f: &Front, key: &str, p: &CachedPrefix) {
     let mut g = f.replicas.lock().unwrap();
     g.insert(key.into(), p.clone());
     while g.len() > KV_RECORDS {
@@ -362,7 +367,7 @@
 }
 
 /// Save at the turn's server, send what is new to exactly one spill target; gives the replica that stands there.
-async fn push(f: &Arc<Front>, x: &Fresh) -> Option<Place> {
+async fn push(f: &Arc<Front>, x: &Fresh) -> Option<CachedPrefix> {
     let Fresh { key, kv, fam, .. } = x;
     let home = kv.home.clone()?;
     let big = home.tokens >= fam.kv_min_tokens && home.tokens * KV_TOKEN_BYTES <= fam.kv_session_bytes;
@@ -373,12 +378,12 @@
     let at = servers.iter().find(|s| s.at.server == home.server).cloned()?;
     let here = judge::Home { server: home.server.clone(), site: at.at.site.clone() };
     let to = judge::spill(&servers, key, &here, &Weights::from(fam)).cloned()?;
-    let old = kv.replica.clone().filter(|r| r.server == to.at.server && r.inst == to.report.inst && r.weights == home.weights);
+    let old = kv.replica.clone().filter(|r| r.server == to.at.server && r.instance == to.report.instance && r.weights == home.weights);
     if let Some(gone) = kv.replica.clone().filter(|r| r.server != to.at.server) {
         f.replicas.lock().unwrap().remove(key);
         drop_at(f, &fam.service, key, &gone.server).await;
     }
-    let Some(_line) = f.links.take(&f.w, &home.server, &to.at.server).await else {
+    let Some(_line) = f.links.take(&f.runtime, &home.server, &to.at.server).await else {
         f.counts.push_skipped.fetch_add(1, SeqCst);
         return None;
     };
@@ -387,7 +392,7 @@
         let (f, svc, at) = (f.clone(), fam.service.clone(), at.at.clone());
         async move {
             let b = serde_json::to_vec(&v).unwrap_or_default();
-            back::ask_once(&f.w, &f.pool, &svc, &at.server, at.addr, path, b, KV_PUSH_WAIT).await
+            back::ask_once(&f.runtime, &f.pool, &svc, &at.server, at.addr, path, b, KV_PUSH_WAIT).await
         }
     };
     let saved = ask("/kv/save", json!({"session": key, "digest": home.digest, "base": base})).await;
@@ -395,8 +400,8 @@
         f.counts.push_failed.fetch_add(1, SeqCst);
         return None;
     };
-    let limit = f.book.config.load().1.services.get(&fam.service).map(|s| s.link_bytes).unwrap_or(u64::MAX);
-    f.links.spend(f.w.now(), &home.server, s.bytes, limit);
+    let limit = f.documents.config.load().1.services.get(&fam.service).map(|s| s.link_bytes).unwrap_or(u64::MAX);
+    f.links.spend(f.runtime.now(), &home.server, s.bytes, limit);
     let v = json!({"session": key, "digest": s.digest, "base": base, "to": to.at.addr, "target": to.at.server, "service": fam.service});
     let sent = ask("/kv/send", v).await.and_then(|b| serde_json::from_slice::<Pushed>(&b).ok()).filter(|p| p.ok);
     let Some(p) = sent else {
@@ -406,15 +411,22 @@
     let c = &f.counts;
     c.pushes.fetch_add(1, SeqCst);
     if to.at.site == at.at.site { &c.push_within } else { &c.push_across }.fetch_add(p.bytes, SeqCst);
-    let inst = if p.inst > 0 { p.inst } else { to.report.inst };
-    Some(Place { server: to.at.server.clone(), inst, weights: home.weights, tokens: s.tokens, digest: s.digest, mark: 0 })
+    let inst = if p.inst > 0 { p.inst } else { to.report.instance };
+    Some(CachedPrefix {
+        server: to.at.server.clone(),
+        instance: inst,
+        weights: home.weights,
+        tokens: s.tokens,
+        digest: s.digest,
+        placed_tokens: 0,
+    })
 }
 
 pub async fn drop_at(f: &Arc<Front>, svc: &str, key: &str, server: &str) {
-    let list = f.book.list.load_full();
+    let list = f.documents.list.load_full();
     if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
         let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
         f.counts.drops.fetch_add(1, SeqCst);
-        back::ask_once(&f.w, &f.pool, svc, server, l.addr, "/kv/drop", b, BACK_WAIT).await;
+        back::ask_once(&f.runtime, &f.pool, svc, server, l.addr, "/kv/drop", b, BACK_WAIT).await;
     }
 }
--- a/yewcross-front/src/lib.rs
+++ b/yewcross-front/src/lib.rs
@@ -21,19 +21,19 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, OnceLock};
-use yewcross::ask::*;
-use yewcross::book::{Book, owners};
-use yewcross::chain::Chains;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::follow::Follow;
-use yewcross::http::{Gate, Job, refuse, reply};
-use yewcross::member::Members;
-use yewcross::port::{BackEnd, Caller, Dialect};
-use yewcross::startup::{Role, Startup};
-use yewcross::web;
-use yewcross::wire::*;
-use yewcross::world::*;
+use yewcross::adapter::{Caller, ConfigurationFormat, UpstreamProtocol};
+use yewcross::buffered_http::{BufferedRequest, ConnectionTracker, refuse, reply};
+use yewcross::constants::*;
+use yewcross::documents::cache::{DocumentCache, replicas_by_preference};
+use yewcross::documents::watcher::DocumentWatcher;
+use yewcross::error_code::Code;
+use yewcross::membership::Membership;
+use yewcross::process_settings::{ProcessSettings, Role};
+use yewcross::protocol::*;
+use yewcross::runtime::*;
+use yewcross::streaming_http;
+use yewcross::transport::*;
+use yewcross::turn_log::TurnLogService;
 
 macro_rules! counts {
     ($($f:ident),*) => {
@@ -81,20 +81,20 @@
 );
 
 pub struct Front {
-    pub w: World,
-    pub st: Startup,
-    pub peers: Arc<Peers>,
-    pub members: Arc<Members>,
-    pub book: Arc<Book>,
-    pub follow: Arc<Follow>,
-    pub gate: Arc<Gate>,
+    pub runtime: Runtime,
+    pub settings: ProcessSettings,
+    pub peers: Arc<PeerClient>,
+    pub members: Arc<Membership>,
+    pub documents: Arc<DocumentCache>,
+    pub watcher: Arc<DocumentWatcher>,
+    pub connections: Arc<ConnectionTracker>,
     pub pool: back::Pool,
     /// Requests that wait for a server with room.
     pub admission: admission::Admission,
     pub links: Links,
     pub heard: Mutex<BTreeMap<String, server_table::Heard>>,
     /// What this node last told of each server as its home.
-    pub told: Mutex<BTreeMap<String, Report>>,
+    pub told: Mutex<BTreeMap<String, LoadReport>>,
     /// Jobs sent to a server since its last report.
     pub sent: Mutex<BTreeMap<String, u32>>,
     /// Breakdowns in a row, and until when they count.
@@ -104,21 +104,21 @@
     /// Sessions with a push under way, each with the newest turn that ended meanwhile.
     pub pushing: Mutex<BTreeMap<String, Option<kv::Fresh>>>,
     /// Replicas this front has pushed.
-    pub replicas: Mutex<BTreeMap<String, Place>>,
+    pub replicas: Mutex<BTreeMap<String, CachedPrefix>>,
     pub spares: kv::Spares,
     pub counts: Counts,
     /// Where routed requests are served instead of the product's own paths.
     pub relay: OnceLock<Arc<relay::Relay>>,
     load_exchange: OnceLock<Arc<load_exchange::LoadExchange>>,
-    web: Arc<web::Gate>,
+    web: Arc<streaming_http::ConnectionTracker>,
     leaving: AtomicBool,
 }
 
 /// Another platform's ports. Chains of turns are refused where no stores are given.
 pub struct FrontOptions {
     pub caller: Arc<dyn Caller>,
-    pub back: Arc<dyn BackEnd>,
-    pub chains: Option<Arc<dyn Chains>>,
+    pub back: Arc<dyn UpstreamProtocol>,
+    pub chains: Option<Arc<dyn TurnLogService>>,
 }
 
 #[derive(Debug, Snafu)]
@@ -144,7 +144,7 @@
 }
 
 impl Links {
-    pub async fn take(&self, w: &World, from: &str, to: &str) -> Option<LinkPass<'_>> {
+    pub async fn take(&self, w: &Runtime, from: &str, to: &str) -> Option<LinkPass<'_>> {
         let end = w.now() + KV_PUSH_WAIT;
         loop {
             let at = self.free_at.lock().unwrap().get(from).cloned().unwrap_or(0);
@@ -183,13 +183,13 @@
 
 struct Ear(Arc<Front>);
 
-impl Listener for Ear {
-    fn hear(self: Arc<Self>, p: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
+impl RequestHandler for Ear {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
-            let (tell, blob) = match p.read::<Ask>() {
-                Some(Ask::InFlight { by_site }) => self.0.hear_load(&p, by_site),
-                Some(ask) => (self.0.hear(ask, p.blob).await, vec![]),
-                None => (Tell::No(Code::BadBody), vec![]),
+            let (tell, blob) = match p.decode::<PeerRequest>() {
+                Some(PeerRequest::ExchangeLoads { by_site }) => self.0.hear_load(&p, by_site),
+                Some(ask) => (self.0.hear(ask, p.payload).await, vec![]),
+                None => (PeerResponse::Rejected(Code::BadBody), vec![]),
             };
             (serde_json::to_vec(&tell).unwrap_or_default(), blob)
         })
@@ -198,19 +198,19 @@
 
 impl Front {
     /// A front with the product's own doors.
-    pub async fn start(w: &World, st: Startup) -> Result<Arc<Front>, BindFault> {
+    pub async fn start(w: &Runtime, st: ProcessSettings) -> Result<Arc<Front>, BindFault> {
         let f = Front::open(w, st);
         let http = f.listen().await?;
         let me = f.clone();
-        let h: yewcross::http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.go(yewcross::http::serve(w.clone(), http, h, f.gate.clone()));
+        let h: yewcross::buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
+        w.spawn(yewcross::buffered_http::serve(w.clone(), http, h, f.connections.clone()));
         f.run();
-        w.go(news::run(f.clone()));
+        w.spawn(news::run(f.clone()));
         Ok(f)
     }
 
     /// A front that serves routed requests through another platform's ports.
-    pub async fn start_with(w: &World, st: Startup, o: FrontOptions) -> Result<Arc<Front>, BindFault> {
+    pub async fn start_with(w: &Runtime, st: ProcessSettings, o: FrontOptions) -> Result<Arc<Front>, BindFault> {
         let f = Front::open(w, st);
         f.serve_routes(o).await?;
         Ok(f)
@@ -218,13 +218,13 @@
 
     /// The same in two steps, for ports that need the front's peers, members and book first.
     pub async fn serve_routes(self: &Arc<Self>, o: FrontOptions) -> Result<(), BindFault> {
-        let (f, w) = (self, &self.w);
+        let (f, w) = (self, &self.runtime);
         let http = f.listen().await?;
         let m = f.members.clone();
         let relay = Arc::new(relay::Relay {
-            w: w.clone(),
-            book: f.book.clone(),
-            site: f.st.site.clone(),
+            runtime: w.clone(),
+            documents: f.documents.clone(),
+            site: f.settings.site.clone(),
             caller: o.caller,
             back: o.back,
             chains: o.chains,
@@ -236,17 +236,17 @@
         });
         let _ = f.relay.set(relay.clone());
         let r = relay.clone();
-        let h: web::Handler = Arc::new(move |q, _| Box::pin(r.clone().serve(q)));
-        let b = f.book.clone();
-        w.go(web::serve(w.clone(), http, h, Arc::new(move || b.config.load().1.routing.limits.clone()), f.web.clone()));
+        let h: streaming_http::Handler = Arc::new(move |q, _| Box::pin(r.clone().serve(q)));
+        let b = f.documents.clone();
+        w.spawn(streaming_http::serve(w.clone(), http, h, Arc::new(move || b.config.load().1.routing.limits.clone()), f.web.clone()));
         f.run();
         if relay.balance.policies.has(Mechanism::LoadExchange) {
-            let exchange = LoadExchange::new(&f.members, &f.book, &f.st.name, &f.st.site);
+            let exchange = LoadExchange::new(&f.members, &f.documents, &f.settings.name, &f.settings.site);
             let _ = f.load_exchange.set(exchange.clone());
-            w.go(exchange.run(relay.clone()));
+            w.spawn(exchange.run(relay.clone()));
         }
         let w = w.clone();
-        self.w.go(async move {
+        self.runtime.spawn(async move {
             loop {
                 w.sleep(TIDY_EVERY).await;
                 relay.tidy(m.view.load().values().filter(|n| n.role == Role::Front).count());
@@ -261,50 +261,50 @@
     }
 
     fn run(self: &Arc<Self>) {
-        self.w.go(self.members.clone().run());
-        self.w.go(self.follow.clone().run());
+        self.runtime.spawn(self.members.clone().run());
+        self.runtime.spawn(self.watcher.clone().run());
     }
 
-    async fn listen(self: &Arc<Self>) -> Result<Box<dyn Door>, BindFault> {
+    async fn listen(self: &Arc<Self>) -> Result<Box<dyn Listener>, BindFault> {
         let bind = |at: std::net::SocketAddr| move |source| BindFault { at: at.to_string(), source };
-        let door = self.w.bind(self.st.peer).await.map_err(bind(self.st.peer))?;
-        let http = self.w.bind(self.st.http).await.map_err(bind(self.st.http))?;
-        self.w.go(self.peers.clone().serve(door, Arc::new(Ear(self.clone()))));
+        let door = self.runtime.bind(self.settings.peer).await.map_err(bind(self.settings.peer))?;
+        let http = self.runtime.bind(self.settings.http).await.map_err(bind(self.settings.http))?;
+        self.runtime.spawn(self.peers.clone().serve(door, Arc::new(Ear(self.clone()))));
         Ok(http)
     }
 
     /// A front that nobody can reach yet.
-    pub fn open(w: &World, st: Startup) -> Arc<Front> {
+    pub fn open(w: &Runtime, st: ProcessSettings) -> Arc<Front> {
         Front::open_by(w, st, None)
     }
 
     /// The same, where configurations are written in another dialect and fronts serve without leases, by what they hold.
-    pub fn open_unleased(w: &World, st: Startup, dialect: Arc<dyn Dialect>) -> Arc<Front> {
+    pub fn open_unleased(w: &Runtime, st: ProcessSettings, dialect: Arc<dyn ConfigurationFormat>) -> Arc<Front> {
         Front::open_by(w, st, Some(dialect))
     }
 
-    fn open_by(w: &World, st: Startup, dialect: Option<Arc<dyn Dialect>>) -> Arc<Front> {
-        let peers = Peers::new(w, &st.name, &st.site, st.wire);
-        let members = Members::new(w, &st, &peers, "");
+    fn open_by(w: &Runtime, st: ProcessSettings, dialect: Option<Arc<dyn ConfigurationFormat>>) -> Arc<Front> {
+        let peers = PeerClient::new(w, &st.name, &st.site, st.wire);
+        let members = Membership::new(w, &st, &peers, "");
         let (book, follow) = match dialect {
             None => {
-                let book = Book::new(w);
-                let follow = Follow::new(&members, &book, &st.name, true);
+                let book = DocumentCache::new(w);
+                let follow = DocumentWatcher::new(&members, &book, &st.name, true);
                 (book, follow)
             }
             Some(d) => {
-                let book = Book::of(w, d);
-                let follow = Follow::unleased(&members, &book, &st.name, true, st.bounds.apply * MS);
+                let book = DocumentCache::of(w, d);
+                let follow = DocumentWatcher::without_leases(&members, &book, &st.name, true, st.bounds.apply * MS);
                 (book, follow)
             }
         };
         Arc::new(Front {
-            w: w.clone(),
+            runtime: w.clone(),
             peers,
             members,
-            book,
-            follow,
-            gate: Default::default(),
+            documents: book,
+            watcher: follow,
+            connections: Default::default(),
             pool: Default::default(),
             admission: Default::default(),
             links: Default::default(),
@@ -321,69 +321,79 @@
             load_exchange: Default::default(),
             web: Default::default(),
             leaving: Default::default(),
-            st,
+            settings: st,
         })
     }
 
     /// A report of what another front, or another site, has under way.
-    fn hear_load(&self, report: &Parcel, by_site: bool) -> (Tell, Vec<u8>) {
+    fn hear_load(&self, report: &Envelope, by_site: bool) -> (PeerResponse, Vec<u8>) {
         let from = if by_site { &report.site } else { &report.from };
-        match self.load_exchange.get().and_then(|exchange| exchange.answer(from, by_site, &report.blob)) {
-            Some(loads) => (Tell::InFlight, loads),
-            None => (Tell::No(Code::BadField), vec![]),
+        match self.load_exchange.get().and_then(|exchange| exchange.answer(from, by_site, &report.payload)) {
+            Some(loads) => (PeerResponse::Loads, loads),
+            None => (PeerResponse::Rejected(Code::BadField), vec![]),
         }
     }
 
-    async fn hear(self: &Arc<Self>, a: Ask, blob: Vec<u8>) -> Tell {
+    async fn hear(self: &Arc<Self>, a: PeerRequest, blob: Vec<u8>) -> PeerResponse {
         match a {
-            Ask::Probe { .. } | Ask::Second { .. } | Ask::Table { .. } | Ask::Heard { .. } => self.members.hear(a).await,
-            Ask::Newer { .. } => self.follow.newer(),
-            Ask::Departed { servers, .. } => {
-                self.book.depart(&servers);
-                Tell::Ok
+            PeerRequest::Probe { .. }
+            | PeerRequest::ProbeOnBehalf { .. }
+            | PeerRequest::ExchangeMembership { .. }
+            | PeerRequest::MembershipUpdate { .. } => self.members.handle(a).await,
+            PeerRequest::PollDocuments { .. } => self.watcher.poll_response(),
+            PeerRequest::ServersLeaving { servers, .. } => {
+                self.documents.mark_leaving(&servers);
+                PeerResponse::Ok
             }
-            Ask::Patch { name, seq, epoch, base, base_digest, .. } => {
-                if self.book.patch(&name, base, &base_digest, seq, epoch, &blob).is_ok() && name != "list" {
-                    self.follow.reset();
+            PeerRequest::PublishDelta { name, version: seq, epoch, base, base_digest, .. } => {
+                if self.documents.apply_delta(&name, base, &base_digest, seq, epoch, &blob).is_ok() && name != "list" {
+                    self.watcher.reset();
                 }
-                Tell::Adopted { seq: self.book.page(&name).seq }
+                PeerResponse::DocumentApplied { version: self.documents.document(&name).version }
             }
-            Ask::Adopt { name, seq, epoch, .. } => {
-                if self.book.adopt(&name, seq, epoch, blob) && name != "list" {
-                    self.follow.reset();
+            PeerRequest::PublishDocument { name, version: seq, epoch, .. } => {
+                if self.documents.apply(&name, seq, epoch, blob) && name != "list" {
+                    self.watcher.reset();
                 }
-                Tell::Adopted { seq: self.book.page(&name).seq }
+                PeerResponse::DocumentApplied { version: self.documents.document(&name).version }
             }
-            Ask::News { service, reports, same, relay } => {
+            PeerRequest::LoadReports { service, reports, same, relay } => {
                 news::hear(self, &service, reports, same, relay);
-                Tell::Ok
+                PeerResponse::Ok
             }
-            _ => Tell::No(Code::BadField),
+            _ => PeerResponse::Rejected(Code::BadField),
         }
     }
 
     /// Asks the key's owner, and the next in rank where it cannot be reached.
-    pub async fn store(self: &Arc<Self>, key: &str, a: &Ask, blob: &[u8], rounds: usize) -> Option<(Tell, Vec<u8>)> {
+    pub async fn store(self: &Arc<Self>, key: &str, a: &PeerRequest, blob: &[u8], rounds: usize) -> Option<(PeerResponse, Vec<u8>)> {
         self.store_until(key, a, blob, rounds, u64::MAX).await
     }
 
     /// The same, beginning no new try after the given time.
-    pub async fn store_until(self: &Arc<Self>, key: &str, a: &Ask, blob: &[u8], rounds: usize, until: u64) -> Option<(Tell, Vec<u8>)> {
+    pub async fn store_until(
+        self: &Arc<Self>,
+        key: &str,
+        a: &PeerRequest,
+        blob: &[u8],
+        rounds: usize,
+        until: u64,
+    ) -> Option<(PeerResponse, Vec<u8>)> {
         let mut last = None;
         for i in 0..rounds {
-            for to in owners(&self.book, &self.members, key) {
-                if self.w.now() > until {
+            for to in replicas_by_preference(&self.documents, &self.members, key) {
+                if self.runtime.now() > until {
                     return last;
                 }
-                match self.peers.ask(to, a, blob, PEER_WAIT).await {
-                    Ok((t @ Tell::No(Code::StoreAway | Code::Undecided), b)) => last = Some((t, b)),
+                match self.peers.request(to, a, blob, PEER_WAIT).await {
+                    Ok((t @ PeerResponse::Rejected(Code::StoreAway | Code::Undecided), b)) => last = Some((t, b)),
                     Ok(x) => return Some(x),
-                    Err(Lost::Unsent) => {}
-                    Err(Lost::Unknown) => last = None,
+                    Err(SendError::NotSent) => {}
+                    Err(SendError::OutcomeUnknown) => last = None,
                 }
             }
             if i + 1 < rounds {
-                self.w.sleep(30 * MS).await;
+                self.runtime.sleep(30 * MS).await;
             }
         }
         last
@@ -392,13 +402,13 @@
     /// Tells the store that a shot will not be dispatched.
     pub fn abort(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) {
         let (me, key, job) = (self.clone(), key.to_string(), job.to_string());
-        self.w.go(async move {
-            let a = Ask::Abort { key: key.clone(), job, nonce, budget };
+        self.runtime.spawn(async move {
+            let a = PeerRequest::AbortTurn { key: key.clone(), request_id: job, nonce, budget };
             for i in 0..4u64 {
-                if let Some((Tell::Ok | Tell::No(Code::Conflict), _)) = me.store(&key, &a, &[], 1).await {
+                if let Some((PeerResponse::Ok | PeerResponse::Rejected(Code::Conflict), _)) = me.store(&key, &a, &[], 1).await {
                     return;
                 }
-                me.w.sleep((100 << i) * MS).await;
+                me.runtime.sleep((100 << i) * MS).await;
             }
         });
     }
@@ -409,20 +419,20 @@
         if self.relay.get().is_some() {
             return self.stop_routes().await;
         }
-        self.gate.closing.set();
-        self.w.sleep(200 * MS).await;
-        self.gate.emptied().await;
-        self.members.leave().await;
+        self.connections.closing.set();
+        self.runtime.sleep(200 * MS).await;
+        self.connections.emptied().await;
+        self.members.announce_leaving().await;
     }
 
     /// Callers are sent elsewhere first; then the door closes, and what is under way comes to its end.
     async fn stop_routes(&self) {
-        let end = self.w.now() + (self.st.bounds.grace * MS).saturating_sub(STOP_SPARE);
+        let end = self.runtime.now() + (self.settings.bounds.grace * MS).saturating_sub(STOP_SPARE);
         self.web.last();
-        self.w.sleep(STOP_NOTICE.min(self.st.bounds.grace * MS / 3)).await;
+        self.runtime.sleep(STOP_NOTICE.min(self.settings.bounds.grace * MS / 3)).await;
         self.web.close();
-        self.w.within(end.saturating_sub(self.w.now()), self.web.emptied()).await;
-        self.members.leave().await;
+        self.runtime.timeout(end.saturating_sub(self.runtime.now()), self.web.emptied()).await;
+        self.members.announce_leaving().await;
     }
 
     pub fn claim(&self, server: &str) -> Claim<'_> {
@@ -433,7 +443,7 @@
     pub fn slowed(&self, server: &str) {
         let mut g = self.slow.lock().unwrap();
         let e = g.entry(server.into()).or_default();
-        *e = ((e.0 + 1).min(16), self.w.now() + 5 * SEC);
+        *e = ((e.0 + 1).min(16), self.runtime.now() + 5 * SEC);
     }
 
     pub fn calm(&self, server: &str) {
@@ -449,18 +459,18 @@
     }
 
     pub fn tidy(&self) {
-        let t = self.w.now();
+        let t = self.runtime.now();
         self.pool.prune(t);
-        self.told.lock().unwrap().retain(|n, _| self.book.list.load().1.servers.iter().any(|s| s.server == *n));
+        self.told.lock().unwrap().retain(|n, _| self.documents.list.load().1.servers.iter().any(|s| s.server == *n));
         self.heard.lock().unwrap().retain(|_, h| t < h.at + 60 * SEC);
         self.slow.lock().unwrap().retain(|_, s| t < s.1);
     }
 }
 
 /// Every outcome tells under which configuration it was made, and of which shot it speaks.
-async fn answer(f: Arc<Front>, j: Job) -> Response {
-    let v = f.book.config.load().0;
-    let nonce = f.w.rand();
+async fn answer(f: Arc<Front>, j: BufferedRequest) -> Response {
+    let v = f.documents.config.load().0;
+    let nonce = f.runtime.random();
     let shot = matches!(j.path.as_str(), "/v1/turn" | "/v1/lookup").then(|| format!("{nonce:x}"));
     let mut r = route(f, j, nonce).await;
     r.insert_header("yewcross-config", v.to_string());
@@ -470,24 +480,24 @@
     r
 }
 
-async fn route(f: Arc<Front>, j: Job, nonce: u64) -> Response {
+async fn route(f: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
     match (j.verb, j.path.as_str()) {
         (Method::Post, "/v1/turn") => turn::answer(f, j, nonce).await,
         (Method::Post, "/v1/session/end") => turn::end(f, j).await,
         (Method::Post, "/v1/lookup") => lookup::answer(f, j, nonce).await,
         (Method::Get, "/v1/servers") => reply(200, &server_table::table(&f)),
         (Method::Get, "/health") => {
-            let ok = f.follow.serving();
-            let v: BTreeMap<String, u64> = f.book.have().into_iter().collect();
+            let ok = f.watcher.may_serve();
+            let v: BTreeMap<String, u64> = f.documents.versions().into_iter().collect();
             reply(if ok { 200 } else { 503 }, &json!({"serving": ok, "versions": v}))
         }
         (Method::Get, "/metrics") => {
-            let t = &f.peers.tally;
+            let t = &f.peers.metrics;
             reply(
                 200,
-                &json!({"counts": f.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": f.peers.odd.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst),
-                    "bytes_across": t.bytes_across.load(SeqCst), "lines": f.admission.depth(), "open": f.gate.open.load(SeqCst),
-                    "busy": f.gate.busy.load(SeqCst)}),
+                &json!({"counts": f.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": f.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst),
+                    "bytes_across": t.bytes_across.load(SeqCst), "lines": f.admission.depth(), "open": f.connections.open.load(SeqCst),
+                    "busy": f.connections.busy.load(SeqCst)}),
             )
         }
         (_, "/v1/turn" | "/v1/lookup" | "/v1/session/end" | "/v1/servers" | "/health" | "/metrics") => refuse(Code::WrongVerb, "", 0),
--- a/yewcross-front/src/load_exchange.rs
+++ b/yewcross-front/src/load_exchange.rs
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::{Ask, Listed, Tell};
-use yewcross::book::Book;
-use yewcross::consts::*;
-use yewcross::hash::weigh;
-use yewcross::member::{Members, Node};
-use yewcross::startup::Role;
-use yewcross::world::World;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::hash::rendezvous_weight;
+use yewcross::membership::{Membership, Node};
+use yewcross::process_settings::Role;
+use yewcross::protocol::{ListedServer, PeerRequest, PeerResponse};
+use yewcross::runtime::Runtime;
 
 /// Names the front of a site that collects, among its fronts.
 const COLLECTOR: &str = "load collector";
@@ -28,7 +28,7 @@
 
 impl ServerKey {
     pub fn of(server: &str) -> ServerKey {
-        ServerKey(weigh(server, "") as u32)
+        ServerKey(rendezvous_weight(server, "") as u32)
     }
 }
 
@@ -62,12 +62,12 @@
     }
 
     /// Load at these servers by all reports that still count.
-    pub fn total<'a>(&self, servers: impl Iterator<Item = &'a Listed>, now: u64) -> Vec<ServerLoad> {
+    pub fn total<'a>(&self, servers: impl Iterator<Item = &'a ListedServer>, now: u64) -> Vec<ServerLoad> {
         sums(self.fronts.values().chain(self.sites.values()), servers, now)
     }
 
     /// What the fronts of this site alone have under way at these servers.
-    fn ours<'a>(&self, servers: impl Iterator<Item = &'a Listed>, now: u64) -> Vec<ServerLoad> {
+    fn ours<'a>(&self, servers: impl Iterator<Item = &'a ListedServer>, now: u64) -> Vec<ServerLoad> {
         let mut ours = sums(self.fronts.values(), servers, now);
         ours.retain(|l| l.load != Load::default());
         ours
@@ -80,7 +80,7 @@
 }
 
 /// What the reports that still count come to, for each of these servers.
-fn sums<'r, 's>(reports: impl Iterator<Item = &'r Report>, servers: impl Iterator<Item = &'s Listed>, now: u64) -> Vec<ServerLoad> {
+fn sums<'r, 's>(reports: impl Iterator<Item = &'r Report>, servers: impl Iterator<Item = &'s ListedServer>, now: u64) -> Vec<ServerLoad> {
     let counting: Vec<&Report> = reports.filter(|r| r.counts(now)).collect();
     let sum = |server: ServerKey| counting.iter().filter_map(|r| r.loads.get(&server)).copied().sum();
     servers.map(|s| ServerKey::of(&s.server)).map(|server| ServerLoad { server, load: sum(server) }).collect()
@@ -94,22 +94,22 @@
 
 /// A front's part in the exchange.
 pub struct LoadExchange {
-    w: World,
+    runtime: Runtime,
     name: String,
     site: String,
-    members: Arc<Members>,
-    book: Arc<Book>,
+    members: Arc<Membership>,
+    documents: Arc<DocumentCache>,
     collected: Mutex<Collected>,
 }
 
 impl LoadExchange {
-    pub fn new(members: &Arc<Members>, book: &Arc<Book>, name: &str, site: &str) -> Arc<LoadExchange> {
+    pub fn new(members: &Arc<Membership>, book: &Arc<DocumentCache>, name: &str, site: &str) -> Arc<LoadExchange> {
         Arc::new(LoadExchange {
-            w: members.w.clone(),
+            runtime: members.runtime.clone(),
             name: name.into(),
             site: site.into(),
             members: members.clone(),
-            book: book.clone(),
+            documents: book.clone(),
             collected: Default::default(),
         })
     }
@@ -117,7 +117,7 @@
     /// Answers a report with the load of all servers known here.
     pub fn answer(&self, from: &str, by_site: bool, blob: &[u8]) -> Option<Vec<u8>> {
         let loads: Vec<ServerLoad> = postcard::from_bytes(blob).ok()?;
-        let now = self.w.now();
+        let now = self.runtime.now();
         let mut collected = self.collected.lock().unwrap();
         collected.report(from, by_site, &loads, now);
         let told = if by_site { self.least_loaded(&collected, now) } else { self.known(&collected, now) };
@@ -126,7 +126,7 @@
 
     /// Load of the servers of our site, and of those of others as far as they were told.
     fn known(&self, collected: &Collected, now: u64) -> Vec<ServerLoad> {
-        let list = self.book.list.load();
+        let list = self.documents.list.load();
         let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
         all.extend(collected.elsewhere.values().flatten());
         all
@@ -134,7 +134,7 @@
 
     /// Load of the servers of our site that another site would send requests to.
     fn least_loaded(&self, collected: &Collected, now: u64) -> Vec<ServerLoad> {
-        let list = self.book.list.load();
+        let list = self.documents.list.load();
         let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
         all.sort_by_key(|l| l.load.in_flight);
         all.truncate(LOAD_SITE_SERVERS);
@@ -145,8 +145,8 @@
     pub async fn run(self: Arc<Self>, relay: Arc<Relay>) {
         let (mut idle_since, mut next_sites) = (0, 0);
         loop {
-            self.w.sleep(LOAD_EVERY * 9 / 10 + self.w.rand() % (LOAD_EVERY / 5)).await;
-            let now = self.w.now();
+            self.runtime.sleep(LOAD_EVERY * 9 / 10 + self.runtime.random() % (LOAD_EVERY / 5)).await;
+            let now = self.runtime.now();
             let loads = own_loads(&relay.balance, now);
             // A front without requests has nothing to tell and nothing to choose, and servers that tell their load say more.
             let is_needless = loads.is_empty() || relay.balance.is_told_load(now);
@@ -154,7 +154,7 @@
                 continue;
             }
             idle_since = now;
-            let fronts = self.members.alive(Role::Front);
+            let fronts = self.members.nodes_of_role(Role::Front);
             let collector = home_of(&fronts, COLLECTOR, &self.site);
             if collector.as_deref() == Some(self.name.as_str()) {
                 self.collect(&loads, &relay.balance);
@@ -170,7 +170,7 @@
 
     /// The collector's own report.
     fn collect(&self, loads: &[ServerLoad], balance: &Balance) {
-        let now = self.w.now();
+        let now = self.runtime.now();
         let mut collected = self.collected.lock().unwrap();
         collected.tidy(now);
         collected.report(&self.name, false, loads, now);
@@ -181,10 +181,10 @@
 
     async fn report_to(&self, collector: &Node, loads: &[ServerLoad], balance: &Balance) {
         let Ok(blob) = postcard::to_allocvec(loads) else { return };
-        let answer = self.members.peers.ask(collector.peer, &Ask::InFlight { by_site: false }, &blob, LOAD_WAIT).await;
-        let Ok((Tell::InFlight, blob)) = answer else { return };
+        let answer = self.members.peers.request(collector.peer, &PeerRequest::ExchangeLoads { by_site: false }, &blob, LOAD_WAIT).await;
+        let Ok((PeerResponse::Loads, blob)) = answer else { return };
         if let Ok(known) = postcard::from_bytes::<Vec<ServerLoad>>(&blob) {
-            apply(balance, &known, loads, self.w.now());
+            apply(balance, &known, loads, self.runtime.now());
         }
     }
 
@@ -194,20 +194,20 @@
         for site in sites {
             let Some(node) = home_of(fronts, COLLECTOR, site).and_then(|name| fronts.iter().find(|n| n.name == name)) else { continue };
             let (me, node) = (self.clone(), node.clone());
-            self.w.go(async move { me.tell_site(node).await });
+            self.runtime.spawn(async move { me.tell_site(node).await });
         }
     }
 
     async fn tell_site(self: Arc<Self>, node: Node) {
         let ours = {
-            let list = self.book.list.load();
+            let list = self.documents.list.load();
             let there = list.1.servers.iter().filter(|s| s.site == node.site);
-            self.collected.lock().unwrap().ours(there, self.w.now())
+            self.collected.lock().unwrap().ours(there, self.runtime.now())
         };
         let Ok(blob) = postcard::to_allocvec(&ours) else { return };
-        let answer = self.members.peers.ask(node.peer, &Ask::InFlight { by_site: true }, &blob, LOAD_WAIT).await;
+        let answer = self.members.peers.request(node.peer, &PeerRequest::ExchangeLoads { by_site: true }, &blob, LOAD_WAIT).await;
         let told = match answer {
-            Ok((Tell::InFlight, blob)) => postcard::from_bytes(&blob).unwrap_or_default(),
+            Ok((PeerResponse::Loads, blob)) => postcard::from_bytes(&blob).unwrap_or_default(),
             _ => vec![],
         };
         self.collected.lock().unwrap().elsewhere.insert(node.site, told);
--- a/yewcross-front/src/lookup.rs
+++ b/yewcross-front/src/lookup.rs
@@ -9,12 +9,12 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::hash::mark;
-use yewcross::http::{Job, body, refuse, reply};
-use yewcross::tree::{Class, Family, Kind, Rule};
+use yewcross::buffered_http::{BufferedRequest, body, refuse, reply};
+use yewcross::configuration::{Class, Kind, ProgramClass, Rule};
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::hash::content_digest;
+use yewcross::protocol::*;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -33,23 +33,23 @@
     stamp: Stamp,
 }
 
-pub async fn answer(f: Arc<Front>, j: Job, nonce: u64) -> Response {
-    let t0 = f.w.now();
+pub async fn answer(f: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
+    let t0 = f.runtime.now();
     f.counts.lookups.fetch_add(1, SeqCst);
     let b: LookupBody = match serde_json::from_slice(&j.body) {
         Ok(b) => b,
         Err(e) => return refuse(Code::BadBody, &e.to_string(), 0),
     };
-    let cap = f.book.config.load().1.services.get(&b.service).map_or(HORIZON_MAX, |s| s.horizon_ms);
+    let cap = f.documents.config.load().1.services.get(&b.service).map_or(HORIZON_MAX, |s| s.horizon_ms);
     let left = b.horizon_ms.min(cap) * MS + HORIZON_LATE;
     let (tx, rx) = async_channel::bounded(1);
     let me = f.clone();
     // What may run only once is seen to its end, whoever still waits.
-    f.w.go(async move {
+    f.runtime.spawn(async move {
         let _ = tx.try_send(drive(me, b, t0, nonce).await);
     });
     let late = || refuse(Code::StillRunning, "its horizon has passed", BACK_SOON);
-    f.w.within(left, rx.recv()).await.and_then(|r| r.ok()).unwrap_or_else(late)
+    f.runtime.timeout(left, rx.recv()).await.and_then(|r| r.ok()).unwrap_or_else(late)
 }
 
 async fn drive(f: Arc<Front>, b: LookupBody, t0: u64, nonce: u64) -> Response {
@@ -59,10 +59,10 @@
     if !name_ok(&b.key) || (!b.job.is_empty() && !name_ok(&b.job)) {
         return refuse(Code::BadField, "key or job", 0);
     }
-    if !f.follow.serving() {
+    if !f.watcher.may_serve() {
         return refuse(Code::NotServing, "", BACK_SOON);
     }
-    let conf = f.book.config.load_full();
+    let conf = f.documents.config.load_full();
     let Some(svc) = conf.1.services.get(&b.service).filter(|s| s.kind == Kind::Lookup && s.methods.contains(&b.method)) else {
         return refuse(Code::UnknownService, &format!("{}/{}", b.service, b.method), 0);
     };
@@ -81,32 +81,32 @@
         capacity: svc.line,
         urgent_share: svc.urgent_share,
     };
-    let pass = match f.admission.admit(&f.w, request, || server_table::slots(&f, &b.service)).await {
+    let pass = match f.admission.admit(&f.runtime, request, || server_table::slots(&f, &b.service)).await {
         Ok(permit) => permit,
         Err(refused) => return refuse(refused.code, "", refused.retry_after),
     };
     let key = format!("once/{}/{}", b.service, b.job);
     let mut epoch = 0;
     if once {
-        let a = Ask::Begin(Begin {
+        let a = PeerRequest::BeginTurn(BeginTurn {
             key: key.clone(),
-            job: b.job.clone(),
-            digest: mark(format!("{}\n{}", b.method, b.key).as_bytes()),
+            request_id: b.job.clone(),
+            digest: content_digest(format!("{}\n{}", b.method, b.key).as_bytes()),
             nonce,
-            front: f.st.name.clone(),
-            left: horizon.saturating_sub(f.w.now()) / MS,
+            front: f.settings.name.clone(),
+            remaining_ms: horizon.saturating_sub(f.runtime.now()) / MS,
             budget: None,
-            max_out: 0,
-            keep: svc.keep_ms,
-            hand: None,
+            max_output_tokens: 0,
+            retain_ms: svc.keep_ms,
+            known_history: None,
         });
         match f.store_until(&key, &a, &[], 3, patience).await {
-            Some((Tell::Begun(g), _)) => epoch = g.epoch,
-            Some((Tell::Kept { .. }, v)) => {
+            Some((PeerResponse::TurnBegun(g), _)) => epoch = g.epoch,
+            Some((PeerResponse::StoredOutcome { .. }, v)) => {
                 let v: Value = serde_json::from_slice(&v).unwrap_or_default();
                 return reply(200, &v);
             }
-            Some((Tell::No(c), _)) if !matches!(c, Code::Undecided | Code::StoreAway) => return refuse(c, "", c.back()),
+            Some((PeerResponse::Rejected(c), _)) if !matches!(c, Code::Undecided | Code::StoreAway) => return refuse(c, "", c.back()),
             _ => {
                 f.abort(&key, &b.job, nonce, None);
                 return refuse(Code::StoreAway, "", BACK_SOON);
@@ -114,19 +114,19 @@
         }
     }
     let job = if b.job.is_empty() { format!("{nonce:x}") } else { format!("{}#{nonce:x}", b.job) };
-    let fam = Family::default();
-    let none = Kv::default();
+    let fam = ProgramClass::default();
+    let none = SessionCacheState::default();
     let mut not: Vec<String> = vec![];
     let mut lost = false;
     let won = loop {
-        let left = horizon.saturating_sub(f.w.now() + HORIZON_SPARE / 2);
+        let left = horizon.saturating_sub(f.runtime.now() + HORIZON_SPARE / 2);
         let servers = server_table::fit(&f, &b.service);
-        let case = Case { key: &b.key, site: &f.st.site, tokens: 0, max_out: 0, kv: &none, left };
+        let case = Case { key: &b.key, site: &f.settings.site, tokens: 0, max_out: 0, kv: &none, left };
         let p = judge::pick(&servers, &case, &Weights::from(&fam), &not);
-        let Some(p) = p.filter(|_| left > 0 && f.follow.serving()) else {
-            let waits = f.w.now() < patience && left > 20 * MS && servers.iter().any(|s| !not.contains(&s.at.server));
-            if waits && f.follow.serving() {
-                f.w.sleep(10 * MS).await;
+        let Some(p) = p.filter(|_| left > 0 && f.watcher.may_serve()) else {
+            let waits = f.runtime.now() < patience && left > 20 * MS && servers.iter().any(|s| !not.contains(&s.at.server));
+            if waits && f.watcher.may_serve() {
+                f.runtime.sleep(10 * MS).await;
                 continue;
             }
             break Err(if lost {
@@ -138,24 +138,24 @@
             });
         };
         let at = &p.server.at;
-        let Ok(k) = f.pool.get(&f.w, &b.service, &at.server, at.addr).await else {
+        let Ok(k) = f.pool.get(&f.runtime, &b.service, &at.server, at.addr).await else {
             f.slowed(&at.server);
             not.push(at.server.clone());
             continue;
         };
-        if !f.follow.serving() || !server_table::fit(&f, &b.service).iter().any(|s| s.at == *at) {
+        if !f.watcher.may_serve() || !server_table::fit(&f, &b.service).iter().any(|s| s.at == *at) {
             continue;
         }
         let _claim = f.claim(&at.server);
         let q = json!({"job": job, "method": b.method, "key": b.key, "horizon_ms": left / MS});
-        let t = f.w.now();
+        let t = f.runtime.now();
         // A repeatable lookup keeps time for one more shot.
         let wait = if once { left } else { (left / 2).max(left.min(100 * MS)) };
-        let sent = k.send(&f.w, "/lookup", serde_json::to_vec(&q).unwrap_or_default(), wait).await;
+        let sent = k.send(&f.runtime, "/lookup", serde_json::to_vec(&q).unwrap_or_default(), wait).await;
         let got = match sent {
             Sent::Answered(mut r) => {
                 let ok = r.status().is_success();
-                let v = f.w.within(wait, body(&mut r, BODY_MAX)).await.and_then(|v| v.ok());
+                let v = f.runtime.timeout(wait, body(&mut r, BODY_MAX)).await.and_then(|v| v.ok());
                 v.and_then(|v| serde_json::from_slice::<Value>(&v).ok()).map(|v| (ok, v))
             }
             _ => None,
@@ -163,9 +163,9 @@
         let stamped = |v: &Value| serde_json::from_value::<Stamp>(v["stamp"].clone()).is_ok_and(|s| k.stamped(&s, &job));
         match got {
             Some((true, v)) if stamped(&v) => {
-                f.admission.served_in(&b.service, f.w.now() - t);
+                f.admission.served_in(&b.service, f.runtime.now() - t);
                 f.calm(&at.server);
-                f.pool.put(&f.w, k);
+                f.pool.put(&f.runtime, k);
                 break Ok(v);
             }
             Some((false, v)) if v["refused"] == json!(true) && stamped(&v) => not.push(at.server.clone()),
@@ -195,7 +195,7 @@
         Err(Code::MayHaveRun) if !once => refuse(Code::MayHaveRun, "", BACK_SOON),
         Err(Code::MayHaveRun) => {
             let me = f.clone();
-            f.w.go(async move {
+            f.runtime.spawn(async move {
                 close(&me, &key, &b.job, nonce, epoch, Code::MayHaveRun, horizon + SEC, &Value::Null).await;
             });
             refuse(Code::MayHaveRun, "", 0)
@@ -212,14 +212,23 @@
 #[allow(clippy::too_many_arguments)]
 async fn close(f: &Arc<Front>, key: &str, job: &str, nonce: u64, epoch: u64, code: Code, until: u64, v: &Value) -> Option<Code> {
     let kept = if code == Code::Done { serde_json::to_vec(v).unwrap_or_default() } else { vec![] };
-    let a =
-        Ask::Commit(Commit { key: key.into(), job: job.into(), epoch, nonce, code, used: 0, rule: Rule::All, kv: Kv::default(), hist: 0 });
+    let a = PeerRequest::CommitTurn(CommitTurn {
+        key: key.into(),
+        request_id: job.into(),
+        epoch,
+        nonce,
+        code,
+        used_tokens: 0,
+        rule: Rule::All,
+        cache: SessionCacheState::default(),
+        history_bytes: 0,
+    });
     loop {
         match f.store(key, &a, &kept, 1).await {
-            Some((Tell::Committed, _)) => return None,
-            Some((Tell::No(Code::MayHaveRun), _)) => return Some(Code::MayHaveRun),
-            _ if f.w.now() > until => return Some(Code::Undecided),
-            _ => f.w.sleep(30 * MS).await,
+            Some((PeerResponse::Committed, _)) => return None,
+            Some((PeerResponse::Rejected(Code::MayHaveRun), _)) => return Some(Code::MayHaveRun),
+            _ if f.runtime.now() > until => return Some(Code::Undecided),
+            _ => f.runtime.sleep(30 * MS).await,
         }
     }
 }
--- a/yewcross-front/src/main.rs
+++ b/yewcross-front/src/main.rs
@@ -1,6 +1,6 @@
 use futures_lite::StreamExt;
-use yewcross::real::Real;
-use yewcross::startup::exit;
+use yewcross::process_settings::exit;
+use yewcross::runtime::os::OsRuntime;
 
 xflags::xflags! {
     /// Data plane of the yewcross serving tier.
@@ -14,8 +14,8 @@
 
 fn main() {
     let a = YewcrossFront::from_env_or_exit();
-    let s = yewcross::startup::load(&a.startup, true, a.check);
-    let w = Real::world(".", s.threads);
+    let s = yewcross::process_settings::load(&a.startup, true, a.check);
+    let w = OsRuntime::world(".", s.threads);
     let code = smol::block_on(async {
         let f = match yewcross_front::Front::start(&w, s).await {
             Ok(f) => f,
@@ -34,7 +34,7 @@
         let told = async {
             while let Some(Ok(x)) = sigs.next().await {
                 match x {
-                    async_signal::Signal::Hup => match f.st.reload(&a.startup) {
+                    async_signal::Signal::Hup => match f.settings.reload(&a.startup) {
                         Ok(n) => {
                             *f.members.seeds.lock().unwrap() = n.seeds;
                             w.log("reloaded")
--- a/yewcross-front/src/news.rs
+++ b/yewcross-front/src/news.rs
@@ -4,49 +4,50 @@
 use crate::server_table::{Heard, home_of};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::*;
-use yewcross::consts::*;
-use yewcross::http;
-use yewcross::startup::Role;
-use yewcross::world::*;
+use yewcross::buffered_http;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
+use yewcross::protocol::*;
+use yewcross::runtime::*;
 
 fn home(f: &Front, service: &str, site: &str) -> Option<String> {
-    home_of(&f.members.alive(Role::Front), service, site)
+    home_of(&f.members.nodes_of_role(Role::Front), service, site)
 }
 
 pub async fn run(f: Arc<Front>) {
     loop {
-        let t0 = f.w.now();
-        let list = f.book.list.load_full();
-        let conf = f.book.config.load_full();
+        let t0 = f.runtime.now();
+        let list = f.documents.list.load_full();
+        let conf = f.documents.config.load_full();
         for svc in conf.1.services.keys() {
-            let mine: Vec<Listed> = list
+            let mine: Vec<ListedServer> = list
                 .1
                 .servers
                 .iter()
-                .filter(|s| s.service == *svc && home(&f, svc, &s.site).as_deref() == Some(&f.st.name))
+                .filter(|s| s.service == *svc && home(&f, svc, &s.site).as_deref() == Some(&f.settings.name))
                 .cloned()
                 .collect();
             if !mine.is_empty() {
                 let (f, svc) = (f.clone(), svc.clone());
-                f.w.clone().go(async move { poll(f, svc, mine).await });
+                f.runtime.clone().spawn(async move { poll(f, svc, mine).await });
             }
         }
         crate::kv::watch(&f);
         f.tidy();
-        f.w.sleep(REPORT_EVERY.saturating_sub(f.w.now() - t0)).await;
+        f.runtime.sleep(REPORT_EVERY.saturating_sub(f.runtime.now() - t0)).await;
     }
 }
 
-async fn poll(f: Arc<Front>, svc: String, servers: Vec<Listed>) {
+async fn poll(f: Arc<Front>, svc: String, servers: Vec<ListedServer>) {
     let fs = servers
         .iter()
         .map(|s| {
             let (f, s) = (f.clone(), s.clone());
-            let x: Fut<'static, _> = Box::pin(async move {
+            let x: BoxFuture<'static, _> = Box::pin(async move {
                 f.counts.polls.fetch_add(1, SeqCst);
-                let (_, _, b) = http::fetch(&f.w, s.addr, http_types::Method::Get, "/report", &[], vec![], BACK_WAIT).await.ok()?;
-                let r: Report = serde_json::from_slice(&b).ok()?;
+                let (_, _, b) =
+                    buffered_http::fetch(&f.runtime, s.addr, http_types::Method::Get, "/report", &[], vec![], BACK_WAIT).await.ok()?;
+                let r: LoadReport = serde_json::from_slice(&b).ok()?;
                 if !r.sane() {
                     f.counts.absurd.fetch_add(1, SeqCst);
                 }
@@ -55,7 +56,7 @@
             x
         })
         .collect::<Vec<_>>();
-    let (k, rx) = (fs.len(), f.w.fan(fs));
+    let (k, rx) = (fs.len(), f.runtime.spawn_all(fs));
     let mut got = vec![];
     for _ in 0..k {
         if let Ok(Some(r)) = rx.recv().await {
@@ -69,26 +70,26 @@
     let all = got.clone();
     let (got, same) = f.fresh(got);
     let (near, far): (Vec<_>, Vec<_>) =
-        f.members.alive(Role::Front).into_iter().filter(|n| n.name != f.st.name).partition(|n| n.site == f.st.site);
+        f.members.nodes_of_role(Role::Front).into_iter().filter(|n| n.name != f.settings.name).partition(|n| n.site == f.settings.site);
     let sites: std::collections::BTreeSet<String> = far.iter().map(|n| n.site.clone()).collect();
     let homes = sites.iter().filter_map(|s| home(&f, &svc, s)).filter_map(|h| far.iter().find(|n| n.name == h).cloned());
     near.iter().cloned().map(|n| (n, false)).chain(homes.map(|n| (n, true))).for_each(|(n, relay)| {
         let by_difference = f.peers.version(n.peer) >= WIRE_DELTAS;
         let (reports, same) = if by_difference { (got.clone(), same.clone()) } else { (all.clone(), vec![]) };
-        let (p, a) = (f.peers.clone(), Ask::News { service: svc.clone(), reports, same, relay });
-        f.w.go(async move {
-            let _ = p.ask(n.peer, &a, &[], PEER_WAIT).await;
+        let (p, a) = (f.peers.clone(), PeerRequest::LoadReports { service: svc.clone(), reports, same, relay });
+        f.runtime.spawn(async move {
+            let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
         });
     });
 }
 
 impl Front {
     /// Parts reports into those that say something new and the names of the rest; now and then all are told whole.
-    fn fresh(&self, got: Vec<Report>) -> (Vec<Report>, Vec<String>) {
-        let whole = (self.w.now() / REPORT_EVERY).is_multiple_of(NEWS_WHOLE);
+    fn fresh(&self, got: Vec<LoadReport>) -> (Vec<LoadReport>, Vec<String>) {
+        let whole = (self.runtime.now() / REPORT_EVERY).is_multiple_of(NEWS_WHOLE);
         let mut told = self.told.lock().unwrap();
-        let (new, old): (Vec<Report>, Vec<Report>) = got.into_iter().partition(|r| {
-            let plain = Report { seq: 0, age: 0, ..r.clone() };
+        let (new, old): (Vec<LoadReport>, Vec<LoadReport>) = got.into_iter().partition(|r| {
+            let plain = LoadReport { sequence: 0, age_us: 0, ..r.clone() };
             whole || told.insert(r.server.clone(), plain.clone()) != Some(plain)
         });
         (new, old.into_iter().map(|r| r.server).collect())
@@ -96,8 +97,8 @@
 }
 
 /// Takes news in; a home node passes on to its own site what came from another.
-pub fn hear(f: &Arc<Front>, svc: &str, reports: Vec<Report>, same: Vec<String>, relay: bool) {
-    let t = f.w.now();
+pub fn hear(f: &Arc<Front>, svc: &str, reports: Vec<LoadReport>, same: Vec<String>, relay: bool) {
+    let t = f.runtime.now();
     let mut left = false;
     {
         let mut g = f.heard.lock().unwrap();
@@ -106,14 +107,16 @@
             f.sent.lock().unwrap().remove(n);
         });
         reports.iter().filter(|r| r.sane()).for_each(|r| {
-            let newer = g.get(&r.server).is_none_or(|h| (r.inst, r.seq) > (h.report.inst, h.report.seq) || t > h.at + REPORT_LOST);
+            let newer = g
+                .get(&r.server)
+                .is_none_or(|h| (r.instance, r.sequence) > (h.report.instance, h.report.sequence) || t > h.at + REPORT_LOST);
             if newer {
                 let was = g.get(&r.server).map(|h| h.report.leaving);
                 if r.leaving && was != Some(true) {
-                    f.w.log(&format!("server {} is leaving", r.server));
+                    f.runtime.log(&format!("server {} is leaving", r.server));
                     left = true;
                 }
-                g.insert(r.server.clone(), Heard { report: r.clone(), at: t.saturating_sub(r.age) });
+                g.insert(r.server.clone(), Heard { report: r.clone(), at: t.saturating_sub(r.age_us) });
                 f.sent.lock().unwrap().remove(&r.server);
             }
         });
@@ -123,11 +126,13 @@
         crate::kv::watch(f);
     }
     if relay {
-        f.members.alive(Role::Front).into_iter().filter(|n| n.site == f.st.site && n.name != f.st.name).for_each(|n| {
-            let (p, a) =
-                (f.peers.clone(), Ask::News { service: svc.to_string(), reports: reports.clone(), same: same.clone(), relay: false });
-            f.w.go(async move {
-                let _ = p.ask(n.peer, &a, &[], PEER_WAIT).await;
+        f.members.nodes_of_role(Role::Front).into_iter().filter(|n| n.site == f.settings.site && n.name != f.settings.name).for_each(|n| {
+            let (p, a) = (
+                f.peers.clone(),
+                PeerRequest::LoadReports { service: svc.to_string(), reports: reports.clone(), same: same.clone(), relay: false },
+            );
+            f.runtime.spawn(async move {
+                let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
             });
         });
     }
--- a/yewcross-front/src/pool.rs
+++ b/yewcross-front/src/pool.rs
@@ -13,9 +13,9 @@
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 
 /// What a request may still do on its connection.
 #[derive(Default)]
@@ -46,8 +46,8 @@
 /// Counts the bytes that leave, so that a request of which none did is known as not sent, and holds back the first byte
 /// of one that has been overtaken by time: a process that stood still does not know what it missed.
 struct Counted {
-    conn: Conn,
-    world: World,
+    conn: Connection,
+    world: Runtime,
     departure: Arc<Departure>,
 }
 
@@ -93,7 +93,7 @@
 
 impl Link {
     /// Sends a request whose first byte leaves by `latest` (us of the world's clock) or not at all.
-    pub async fn ask(&mut self, w: &World, q: Request<Full<Bytes>>, latest: u64) -> Result<Response<Incoming>, Failed> {
+    pub async fn ask(&mut self, w: &Runtime, q: Request<Full<Bytes>>, latest: u64) -> Result<Response<Incoming>, Failed> {
         self.departure.begin(latest);
         let failed = match self.send.try_send_request(q).await {
             Ok(r) => return Ok(r),
@@ -129,13 +129,13 @@
         self.idle.lock().unwrap().get(server).is_some_and(|v| !v.is_empty())
     }
 
-    pub async fn dial(&self, w: &World, to: &Listed, us: u64) -> io::Result<Link> {
+    pub async fn dial(&self, w: &Runtime, to: &ListedServer, us: u64) -> io::Result<Link> {
         self.dials.fetch_add(1, SeqCst);
-        let c = w.dial(to.addr, us).await?;
+        let c = w.connect_within(to.addr, us).await?;
         let departure = Arc::new(Departure::default());
         let io = FuturesIo::new(Counted { conn: c, world: w.clone(), departure: departure.clone() });
         let (send, conn) = Builder::new().max_buf_size(LINK_BUF).handshake(io).await.map_err(io::Error::other)?;
-        w.go(async move {
+        w.spawn(async move {
             let _ = conn.await;
         });
         Ok(Link { send, departure, used_at: w.now(), until: u64::MAX, fresh: true })
--- a/yewcross-front/src/relay.rs
+++ b/yewcross-front/src/relay.rs
@@ -22,13 +22,13 @@
 pub use retry_budget::RetryBudget;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
-use yewcross::book::Book;
-use yewcross::chain::Chains;
-use yewcross::code::Code;
-use yewcross::port::{BackEnd, Caller, RequestMeta};
-use yewcross::route::Route;
-use yewcross::web::{Body, full};
-use yewcross::world::*;
+use yewcross::adapter::{Caller, RequestMeta, UpstreamProtocol};
+use yewcross::configuration::route::Route;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::error_code::Code;
+use yewcross::runtime::*;
+use yewcross::streaming_http::{Body, full};
+use yewcross::turn_log::TurnLogService;
 
 macro_rules! counts {
     ($($f:ident),*) => {
@@ -47,12 +47,12 @@
 
 /// The data plane of a front: takes clients' requests and sends them on to servers.
 pub struct Relay {
-    pub w: World,
-    pub book: Arc<Book>,
+    pub runtime: Runtime,
+    pub documents: Arc<DocumentCache>,
     pub site: String,
     pub caller: Arc<dyn Caller>,
-    pub back: Arc<dyn BackEnd>,
-    pub chains: Option<Arc<dyn Chains>>,
+    pub back: Arc<dyn UpstreamProtocol>,
+    pub chains: Option<Arc<dyn TurnLogService>>,
     /// Fronts that share the servers' connections, ourselves among them.
     pub fronts: AtomicUsize,
     pub pool: Pool,
@@ -99,23 +99,23 @@
 
     /// None where the newest configuration does not name the service.
     fn tokens_per_event(&self, service: &str) -> Option<u64> {
-        let c = self.book.config.load();
+        let c = self.documents.config.load();
         let upstream = c.1.routing.upstreams.get(service)?;
         Some(upstream.engine.as_ref().map_or(1, |e| e.tokens_per_event.max(1)))
     }
 
     /// Tokens that a server of the service holds in memory.
     fn cache_tokens(&self, service: &str) -> u64 {
-        let c = self.book.config.load();
+        let c = self.documents.config.load();
         c.1.routing.upstreams.get(service).and_then(|u| u.engine.as_ref()).map_or(0, |e| e.cache_tokens)
     }
 
     /// Drops idle connections and records of servers that are gone.
     pub fn tidy(&self, fronts: usize) {
         self.fronts.store(fronts, SeqCst);
-        let l = self.book.list.load();
+        let l = self.documents.list.load();
         let listed = |s: &str| l.1.servers.iter().any(|x| x.server == s);
-        self.pool.tidy(self.w.now(), listed);
+        self.pool.tidy(self.runtime.now(), listed);
         self.balance.tidy(listed);
     }
 }
--- a/yewcross-front/src/relay/admission.rs
+++ b/yewcross-front/src/relay/admission.rs
@@ -7,13 +7,13 @@
 use http::{HeaderMap, Request, Response, header, request};
 use hyper::body::Incoming;
 use std::sync::Arc;
-use yewcross::chain::{Refusal, Turn};
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::hash::weigh;
-use yewcross::port::RequestMeta;
-use yewcross::route::{Mode, Route, Routes, Upstream};
-use yewcross::web::{Body, Unread, read_body};
+use yewcross::adapter::RequestMeta;
+use yewcross::configuration::route::{Mode, Route, Routes, Upstream};
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::hash::rendezvous_weight;
+use yewcross::streaming_http::{Body, Unread, read_body};
+use yewcross::turn_log::{OpenTurnError, Turn};
 
 /// The one host that a head names.
 fn the_host(headers: &HeaderMap) -> Option<String> {
@@ -24,9 +24,9 @@
 
 impl Relay {
     pub(super) async fn handle(self: Arc<Self>, q: Request<Incoming>) -> Result<Response<Body>, Rejection> {
-        let began = self.w.now();
+        let began = self.runtime.now();
         if !self.informed() {
-            self.w.within(FIRST_NEWS, self.news()).await;
+            self.runtime.timeout(FIRST_NEWS, self.news()).await;
         }
         let (mut request, route, upstream) = self.read(q, began).await?;
         let input = request.body.clone();
@@ -63,14 +63,14 @@
         let meta = self.caller.request(&head.headers).map_err(|_| Rejection(Code::BadHead, "a field of the head is wrong", 0))?;
         let host = the_host(&head.headers).ok_or(Rejection(Code::BadHead, "one host is needed", 0))?;
         let (found, limit) = {
-            let c = self.book.config.load();
+            let c = self.documents.config.load();
             (self.route(&c.1.routing, c.0, &host, &head, &meta), c.1.routing.limits.body_bytes)
         };
         // A refused request is read whole too: what is left of a body would be taken for the next request's head.
         let timeout_ms = found.as_ref().map_or(BODY_WAIT / MS, |(route, _)| route.timeout_ms);
         let until = began + meta.deadline_ms.unwrap_or(u64::MAX / MS / 2).min(timeout_ms) * MS;
-        let left = until.saturating_sub(self.w.now());
-        let body = self.w.within(left.min(BODY_WAIT), read_body(body, limit)).await;
+        let left = until.saturating_sub(self.runtime.now());
+        let body = self.runtime.timeout(left.min(BODY_WAIT), read_body(body, limit)).await;
         let (route, upstream) = found?;
         let body = body.unwrap_or(Err(Unread::Broken)).map_err(|e| match e {
             Unread::TooLarge => Rejection(Code::TooLarge, "the body is too large", 0),
@@ -95,11 +95,11 @@
             return if route.retained { Err(away()) } else { Ok((None, None)) };
         };
         let open = open_request(route, &request.meta);
-        let until = request.until.min(self.w.now() + STORE_PATIENCE);
+        let until = request.until.min(self.runtime.now() + STORE_PATIENCE);
         let opened = chains.open(open.clone(), until).await.map_err(|r| match r {
-            Refusal::Spent => Rejection(Code::BudgetSpent, "the budget is spent", 0),
-            Refusal::Unknown => Rejection(Code::UnknownTurn, "no such turn", 0),
-            Refusal::Away => away(),
+            OpenTurnError::BudgetSpent => Rejection(Code::BudgetSpent, "the budget is spent", 0),
+            OpenTurnError::UnknownTurn => Rejection(Code::UnknownTurn, "no such turn", 0),
+            OpenTurnError::Unavailable => away(),
         })?;
         if route.retained {
             request.body = prompt(&opened.chain, &request.body);
@@ -112,12 +112,12 @@
 
     /// A configuration and a list are on hand.
     pub fn informed(&self) -> bool {
-        self.book.config.load().0 > 0 && self.book.list.load().0 > 0
+        self.documents.config.load().0 > 0 && self.documents.list.load().0 > 0
     }
 
     async fn news(&self) {
         loop {
-            let l = self.book.moved.listen();
+            let l = self.documents.changed.listen();
             if self.informed() {
                 return;
             }
@@ -141,7 +141,7 @@
         let route = r.find(host, head.uri.path()).ok_or(none)?;
         let all: u64 = route.variants.iter().map(|v| v.1).sum();
         // A program stays with one variant, where its prompts are held.
-        let key = if m.program.is_empty() { self.w.rand() } else { weigh(&m.program, &route.name) };
+        let key = if m.program.is_empty() { self.runtime.random() } else { rendezvous_weight(&m.program, &route.name) };
         let mut at = key % all.max(1);
         let name = route.variants.iter().find(|v| {
             let hit = at < v.1;
--- a/yewcross-front/src/relay/attempt.rs
+++ b/yewcross-front/src/relay/attempt.rs
@@ -10,10 +10,10 @@
 use hyper::body::{Body as _, Incoming};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::port::AnswerMeta;
-use yewcross::route::{Mode, Route};
+use yewcross::adapter::AnswerMeta;
+use yewcross::configuration::route::{Mode, Route};
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
 
 /// What sending it to one server came to.
 pub(super) enum Outcome {
@@ -61,8 +61,8 @@
 impl Relay {
     /// Sends a request to the server of `c` and takes what comes back for an answer only if it plainly is one.
     pub(super) async fn attempt(self: &Arc<Self>, s: &ClientRequest, mut c: Claim, route: &Route) -> Outcome {
-        let left = s.until.saturating_sub(self.w.now());
-        let got = self.w.within(left, self.exchange(s, &c, route)).await.unwrap_or(Err(Failed::Lost));
+        let left = s.until.saturating_sub(self.runtime.now());
+        let got = self.runtime.timeout(left, self.exchange(s, &c, route)).await.unwrap_or(Err(Failed::Lost));
         let (r, link) = match got {
             Ok(x) => x,
             Err(Failed::Withdrawn) => {
@@ -141,8 +141,8 @@
         if !bare && !small || streamed && head.status.is_success() {
             return Some((head, AnswerBody::Coming(body, link)));
         }
-        let left = s.until.saturating_sub(self.w.now());
-        let b = self.w.within(left, body.collect()).await?.ok()?.to_bytes();
+        let left = s.until.saturating_sub(self.runtime.now());
+        let b = self.runtime.timeout(left, body.collect()).await?.ok()?.to_bytes();
         self.give_back(&c.to.server, link, m);
         Some((head, AnswerBody::Whole(b)))
     }
@@ -153,8 +153,8 @@
             return;
         }
         let (me, server) = (self.clone(), server.to_string());
-        self.w.go(async move {
-            if let Some(Ok(_)) = me.w.within(SEC, b.collect()).await {
+        self.runtime.spawn(async move {
+            if let Some(Ok(_)) = me.runtime.timeout(SEC, b.collect()).await {
                 me.give_back(&server, l, &m);
             }
         });
@@ -162,7 +162,7 @@
 
     pub(super) fn give_back(&self, server: &str, l: Link, m: &AnswerMeta) {
         if !m.closes {
-            self.pool.keep(server, l, self.w.now(), m.idle_ms, (LINKS_KEPT / self.fronts.load(SeqCst).max(1)).max(4));
+            self.pool.keep(server, l, self.runtime.now(), m.idle_ms, (LINKS_KEPT / self.fronts.load(SeqCst).max(1)).max(4));
         }
     }
 
@@ -170,17 +170,17 @@
     async fn exchange(&self, s: &ClientRequest, c: &Claim, route: &Route) -> Result<(Response<Incoming>, Link), Failed> {
         let mut stale = 0;
         loop {
-            let mut link = match self.pool.take(&c.to.server, self.w.now(), stale > 0) {
+            let mut link = match self.pool.take(&c.to.server, self.runtime.now(), stale > 0) {
                 Some(l) => l,
-                None => self.pool.dial(&self.w, &c.to, DIAL_WAIT).await.map_err(|_| Failed::Unsent)?,
+                None => self.pool.dial(&self.runtime, &c.to, DIAL_WAIT).await.map_err(|_| Failed::Unsent)?,
             };
-            let now = self.w.now();
+            let now = self.runtime.now();
             if now >= s.until || !self.still_holds(s, &c.to, route) {
                 return Err(Failed::Withdrawn);
             }
             let fresh = link.fresh;
             self.counts.sent.fetch_add(1, SeqCst);
-            match link.ask(&self.w, self.request(s, &c.to), s.until.min(now + SEND_WITHIN)).await {
+            match link.ask(&self.runtime, self.request(s, &c.to), s.until.min(now + SEND_WITHIN)).await {
                 Ok(r) => return Ok((r, link)),
                 Err(Failed::Unsent) if !fresh && stale < 3 => stale += 1,
                 Err(e) => return Err(e),
@@ -190,25 +190,25 @@
 
     /// Whether the newest configuration and list would still let the request go to this server: a process may stand
     /// still, or wait for a connection, after it has chosen.
-    fn still_holds(&self, s: &ClientRequest, to: &Listed, route: &Route) -> bool {
-        let config = self.book.config.load();
+    fn still_holds(&self, s: &ClientRequest, to: &ListedServer, route: &Route) -> bool {
+        let config = self.documents.config.load();
         let routed = config.1.routing.find(&s.host, s.head.uri.path()).is_some_and(|now| {
             let same_kind = now.mode == route.mode && now.retained == route.retained;
             same_kind && now.variants.iter().any(|(service, weight)| *service == to.service && *weight > 0)
         });
-        routed && self.book.list.load().1.servers.iter().any(|l| l == to)
+        routed && self.documents.list.load().1.servers.iter().any(|l| l == to)
     }
 
-    fn request(&self, s: &ClientRequest, to: &Listed) -> Request<Full<Bytes>> {
+    fn request(&self, s: &ClientRequest, to: &ListedServer) -> Request<Full<Bytes>> {
         let mut q = Request::new(Full::new(s.body.clone()));
         *q.method_mut() = s.head.method.clone();
         *q.uri_mut() = s.head.uri.clone();
         *q.headers_mut() = s.head.headers.clone();
-        let c = self.book.config.load();
+        let c = self.documents.config.load();
         let r = c.1.routing.find(&s.host, s.head.uri.path());
         let engine = c.1.routing.upstreams.get(&to.service).is_some_and(|u| u.engine.is_some());
         let urgency = r.and_then(|r| self.urgency(s, r, engine));
-        self.back.dress(q.headers_mut(), to, s.until.saturating_sub(self.w.now()) / MS, urgency);
+        self.back.dress(q.headers_mut(), to, s.until.saturating_sub(self.runtime.now()) / MS, urgency);
         q
     }
 }
--- a/yewcross-front/src/relay/dispatch.rs
+++ b/yewcross-front/src/relay/dispatch.rs
@@ -6,10 +6,10 @@
 use crate::policy::Mechanism;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::chain::Turn;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::route::{Mode, Route, Upstream};
+use yewcross::configuration::route::{Mode, Route, Upstream};
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::turn_log::Turn;
 
 /// What became of a request that a server answered.
 pub(super) struct Dispatched {
@@ -53,7 +53,7 @@
                 self.attempt(s, claim, &route).await
             };
             sent += !got.nothing_sent() as u32;
-            let more = sent < route.max_tries && self.w.now() < s.until;
+            let more = sent < route.max_tries && self.runtime.now() < s.until;
             match got {
                 Outcome::Answer(a) => {
                     let ill = a.head.status.is_server_error();
@@ -80,7 +80,7 @@
     }
 
     fn gave_up(&self, s: &ClientRequest) -> Rejection {
-        if self.w.now() + MS >= s.until {
+        if self.runtime.now() + MS >= s.until {
             self.counts.expired.fetch_add(1, SeqCst);
             return Rejection(Code::Expired, "no answer by its deadline", 0);
         }
@@ -95,11 +95,11 @@
         prev: Option<&Turn>,
         tried: &[String],
     ) -> Result<(Route, Claim), Rejection> {
-        let patience = self.w.now() + first.target_ms.max(40) * MS * PLACE_PATIENCE / 100;
+        let patience = self.runtime.now() + first.target_ms.max(40) * MS * PLACE_PATIENCE / 100;
         loop {
-            let now = self.w.now();
+            let now = self.runtime.now();
             let (route, up) = {
-                let c = self.book.config.load();
+                let c = self.documents.config.load();
                 self.route(&c.1.routing, c.0, &s.host, &s.head, &s.meta)?
             };
             // What was sent as repeatable, or opened as a turn, is not sent again as anything else.
@@ -111,8 +111,8 @@
             }
             let n = self.need(s, &route, &up, prev);
             let got = {
-                let l = self.book.list.load();
-                self.balance.pick(&self.w, &n, &l.1.servers, tried, |x| self.pool.has(x))
+                let l = self.documents.list.load();
+                self.balance.pick(&self.runtime, &n, &l.1.servers, tried, |x| self.pool.has(x))
             };
             let due = match got {
                 Ok(c) => return Ok((route, c)),
@@ -120,7 +120,7 @@
                 Err(NoSeat::Full(due)) => due,
             };
             let end = patience.min(s.until);
-            if now + due >= end || !self.balance.wait(&self.w, &n, end).await {
+            if now + due >= end || !self.balance.wait(&self.runtime, &n, end).await {
                 let back = (due / MS).clamp(self.soon(&route) / 2, (route.target_ms / 2).max(20));
                 return Err(Rejection(Code::LineFull, "all places are taken", back));
             }
--- a/yewcross-front/src/relay/hedge.rs
+++ b/yewcross-front/src/relay/hedge.rs
@@ -7,8 +7,8 @@
 use futures_lite::FutureExt;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
-use yewcross::route::Route;
+use yewcross::configuration::route::Route;
+use yewcross::constants::*;
 
 impl Relay {
     /// us of silence after which a second server is asked: longer than the first would take if it were well.
@@ -32,7 +32,7 @@
         }
         let pause = self.hedge_after(route, &claim);
         let mut first = std::pin::pin!(self.attempt(s, claim, route));
-        if let Some(outcome) = self.w.within(pause, first.as_mut()).await {
+        if let Some(outcome) = self.runtime.timeout(pause, first.as_mut()).await {
             return outcome;
         }
         let Ok((second_route, claim)) = self.seat(s, route, None, tried).await else { return first.await };
--- a/yewcross-front/src/relay/resume.rs
+++ b/yewcross-front/src/relay/resume.rs
@@ -6,8 +6,8 @@
 use crate::policy::Mechanism;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::route::{Mode, Route};
-use yewcross::world::*;
+use yewcross::configuration::route::{Mode, Route};
+use yewcross::runtime::*;
 
 /// What is needed to take a stream up again.
 pub(super) struct Resumption {
@@ -20,7 +20,7 @@
 }
 
 /// The rest of a stream, from another server.
-pub(super) type Rest = Fut<'static, Option<Answer>>;
+pub(super) type Rest = BoxFuture<'static, Option<Answer>>;
 
 impl Resumption {
     /// None where the route's streams may not be resumed.
@@ -43,7 +43,7 @@
 
     /// Begins to take the stream up behind the event of this id; none where no further attempt may be made.
     pub(super) fn begin(&mut self, relay: &Arc<Relay>, last_id: &[u8]) -> Option<Rest> {
-        if self.sent >= self.route.max_tries || relay.w.now() >= self.request.until || !relay.retries.withdraw() {
+        if self.sent >= self.route.max_tries || relay.runtime.now() >= self.request.until || !relay.retries.withdraw() {
             return None;
         }
         self.sent += 1;
--- a/yewcross-front/src/relay/streaming.rs
+++ b/yewcross-front/src/relay/streaming.rs
@@ -17,10 +17,10 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
-use yewcross::chain::{Refusal, Turn};
-use yewcross::port::AnswerMeta;
-use yewcross::web::{Body, full};
-use yewcross::world::*;
+use yewcross::adapter::AnswerMeta;
+use yewcross::runtime::*;
+use yewcross::streaming_http::{Body, full};
+use yewcross::turn_log::{OpenTurnError, Turn};
 
 impl Relay {
     /// Passes an answer on. Its end is sent only once the turn is kept.
@@ -62,30 +62,30 @@
             resumption,
             held: BytesMut::new(),
             rest: Mutex::new(None),
-            stall: stalled_after.map(|us| Mutex::new(Stall::new(&self.w, us))),
+            stall: stalled_after.map(|us| Mutex::new(Stall::new(&self.runtime, us))),
             end: Mutex::new(None),
-            nap: Mutex::new(self.w.sleep(until.saturating_sub(self.w.now()))),
+            nap: Mutex::new(self.runtime.sleep(until.saturating_sub(self.runtime.now()))),
         };
         Response::from_parts(head, p.boxed())
     }
 }
 
-type Ending = Fut<'static, Result<(), Refusal>>;
+type Ending = BoxFuture<'static, Result<(), OpenTurnError>>;
 
 /// Watches for a pause that is too long. One timer runs at a time, whatever comes.
 struct Stall {
     after: u64,
     heard_at: u64,
-    timer: Fut<'static, ()>,
+    timer: BoxFuture<'static, ()>,
 }
 
 impl Stall {
-    fn new(w: &World, after: u64) -> Stall {
+    fn new(w: &Runtime, after: u64) -> Stall {
         Stall { after, heard_at: w.now(), timer: w.sleep(after) }
     }
 
     /// Whether nothing was heard for too long; asks to be polled again otherwise.
-    fn is_over(&mut self, w: &World, cx: &mut Context<'_>) -> bool {
+    fn is_over(&mut self, w: &Runtime, cx: &mut Context<'_>) -> bool {
         while self.timer.as_mut().poll(cx).is_ready() {
             let due = self.heard_at + self.after;
             if w.now() >= due {
@@ -118,7 +118,7 @@
     rest: Mutex<Option<Rest>>,
     stall: Option<Mutex<Stall>>,
     end: Mutex<Option<Ending>>,
-    nap: Mutex<Fut<'static, ()>>,
+    nap: Mutex<BoxFuture<'static, ()>>,
 }
 
 impl ForwardedBody {
@@ -151,7 +151,7 @@
     fn go_on(&mut self, answer: Answer) {
         let AnswerBody::Coming(body, link) = answer.body else { return };
         (self.body, self.link, self.meta, self.claim) = (body, Some(link), answer.meta, Some(answer.claim));
-        let now = self.relay.w.now();
+        let now = self.relay.runtime.now();
         self.stall.iter_mut().for_each(|s| s.get_mut().unwrap().heard_at = now);
     }
 
@@ -164,7 +164,7 @@
         if self.resumption.is_none() {
             return piece;
         }
-        let now = self.relay.w.now();
+        let now = self.relay.runtime.now();
         self.stall.iter_mut().for_each(|s| s.get_mut().unwrap().heard_at = now);
         if whole == 0 {
             self.held.extend_from_slice(&piece);
@@ -236,7 +236,7 @@
             }
             let polled = Pin::new(&mut me.body).poll_frame(cx);
             if polled.is_pending() {
-                let (stall, w) = (&mut me.stall, &me.relay.w);
+                let (stall, w) = (&mut me.stall, &me.relay.runtime);
                 let is_stalled = stall.as_mut().is_some_and(|s| s.get_mut().unwrap().is_over(w, cx));
                 if is_stalled && me.take_up() {
                     continue;
--- a/yewcross-front/src/relay/turn.rs
+++ b/yewcross-front/src/relay/turn.rs
@@ -2,14 +2,14 @@
 
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
-use yewcross::chain::{Chains, OpenTurn, Turn};
-use yewcross::hash::weigh;
-use yewcross::port::RequestMeta;
-use yewcross::route::{Mode, Route};
+use yewcross::adapter::RequestMeta;
+use yewcross::configuration::route::{Mode, Route};
+use yewcross::hash::rendezvous_weight;
+use yewcross::turn_log::{OpenTurn, Turn, TurnLogService};
 
 /// The turn that is open at the stores; however it ends, they hear of it.
 pub(super) struct OpenedTurn {
-    pub(super) chains: Arc<dyn Chains>,
+    pub(super) chains: Arc<dyn TurnLogService>,
     pub(super) open: OpenTurn,
     /// Tokens in each event of the service that runs it.
     pub(super) tokens_per_event: u64,
@@ -62,7 +62,10 @@
 pub(super) fn name_parts(m: &mut RequestMeta, chain: &[Arc<Turn>]) {
     if m.parts.is_empty() {
         let mut had = 0;
-        m.parts = chain.iter().map(|t| (weigh(&t.id, "turn"), t.tokens.saturating_sub(std::mem::replace(&mut had, t.tokens)))).collect();
-        m.parts.push((weigh(&m.attempt, "turn"), m.prompt_tokens.saturating_sub(had)));
+        m.parts = chain
+            .iter()
+            .map(|t| (rendezvous_weight(&t.id, "turn"), t.tokens.saturating_sub(std::mem::replace(&mut had, t.tokens))))
+            .collect();
+        m.parts.push((rendezvous_weight(&m.attempt, "turn"), m.prompt_tokens.saturating_sub(had)));
     }
 }
--- a/yewcross-front/src/server_table.rs
+++ b/yewcross-front/src/server_table.rs
@@ -4,21 +4,21 @@
 use crate::admission::Slots;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use yewcross::ask::{Listed, Place, Report};
-use yewcross::consts::REPORT_LOST;
-use yewcross::member::Node;
+use yewcross::constants::REPORT_LOST;
+use yewcross::membership::Node;
+use yewcross::protocol::{CachedPrefix, ListedServer, LoadReport};
 
 #[derive(Clone, Debug, Default)]
 pub struct Heard {
-    pub report: Report,
+    pub report: LoadReport,
     pub at: u64,
 }
 
 /// A server as the judges see it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Server {
-    pub at: Listed,
-    pub report: Report,
+    pub at: ListedServer,
+    pub report: LoadReport,
     pub age: u64,
     pub mine: u32,
     pub slow: u32,
@@ -32,11 +32,11 @@
         self.report.slots.saturating_sub(self.occupied())
     }
     /// Whether a prefix placed there is still held, from counts alone.
-    pub fn holds(&self, p: &Place) -> bool {
+    pub fn holds(&self, p: &CachedPrefix) -> bool {
         p.server == self.at.server
-            && p.inst == self.report.inst
+            && p.instance == self.report.instance
             && p.weights == self.report.weights
-            && self.report.placed.saturating_sub(p.mark).saturating_add(p.tokens) <= self.report.cache
+            && self.report.placed_tokens.saturating_sub(p.placed_tokens).saturating_add(p.tokens) <= self.report.cache_tokens
     }
 }
 
@@ -50,13 +50,13 @@
 
 /// Servers that may take a job of the service now: allowed, listed, heard of, not leaving.
 pub fn fit(f: &Front, svc: &str) -> Vec<Server> {
-    let conf = f.book.config.load();
+    let conf = f.documents.config.load();
     let Some(s) = conf.1.services.get(svc) else { return vec![] };
-    let t = f.w.now();
+    let t = f.runtime.now();
     let heard = f.heard.lock().unwrap();
     let sent = f.sent.lock().unwrap();
     let slow = f.slow.lock().unwrap();
-    f.book
+    f.documents
         .list
         .load()
         .1
@@ -79,7 +79,7 @@
 }
 
 pub fn table(f: &Front) -> BTreeMap<String, Vec<Server>> {
-    f.book.config.load().1.services.keys().map(|s| (s.clone(), fit(f, s))).collect()
+    f.documents.config.load().1.services.keys().map(|s| (s.clone(), fit(f, s))).collect()
 }
 
 /// Slots of the servers that may take a request of the service now.
--- a/yewcross-front/src/turn/attempt.rs
+++ b/yewcross-front/src/turn/attempt.rs
@@ -10,9 +10,9 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::Listed;
-use yewcross::consts::{BACK_WAIT, MS, PIECE_WAIT};
+use yewcross::constants::{BACK_WAIT, MS, PIECE_WAIT};
 use yewcross::hash::digest;
+use yewcross::protocol::ListedServer;
 
 #[derive(Deserialize)]
 struct Piece {
@@ -50,21 +50,22 @@
     let job = shot_id(&g);
     let mut prompt = g.hist.clone();
     prompt.extend(&g.ask);
-    let left = g.r.horizon.saturating_sub(f.w.now());
+    let left = g.r.horizon.saturating_sub(f.runtime.now());
     // Fenced last: what was decided before a freeze is decided again.
-    if !f.follow.serving() || !server_table::fit(f, &g.r.fam.service).iter().any(|s| s.at == p.server.at) {
+    if !f.watcher.may_serve() || !server_table::fit(f, &g.r.fam.service).iter().any(|s| s.at == p.server.at) {
         return Shot::NotRun(Box::new(g));
     }
     let body = json!({"job": job, "session": g.r.key, "program": g.r.b.program, "service": g.r.fam.service,
         "prompt": String::from_utf8_lossy(&prompt), "max_output": g.r.max_out, "horizon_ms": left / MS});
     let p_at = p.server.at.clone();
-    let started = f.w.now();
-    let mut r = match b.send(&f.w, "/turn", serde_json::to_vec(&body).unwrap_or_default(), left + PIECE_WAIT).await {
+    let started = f.runtime.now();
+    let mut r = match b.send(&f.runtime, "/turn", serde_json::to_vec(&body).unwrap_or_default(), left + PIECE_WAIT).await {
         Sent::Answered(r) => r,
         Sent::Lost => return Shot::Lost(Box::new(g), false),
     };
     if !r.status().is_success() {
-        let v = f.w.within(BACK_WAIT, yewcross::http::body(&mut r, 64 << 10)).await.and_then(|v| v.ok()).unwrap_or_default();
+        let v =
+            f.runtime.timeout(BACK_WAIT, yewcross::buffered_http::body(&mut r, 64 << 10)).await.and_then(|v| v.ok()).unwrap_or_default();
         let v: Value = serde_json::from_slice(&v).unwrap_or_default();
         let said = v["refused"] == json!(true) && serde_json::from_value::<Stamp>(v["stamp"].clone()).is_ok_and(|s| b.stamped(&s, &job));
         return if said { Shot::NotRun(Box::new(g)) } else { Shot::Lost(Box::new(g), false) };
@@ -73,7 +74,7 @@
     let (mut n, mut text) = (0u64, String::new());
     loop {
         let until = g.r.horizon + PIECE_WAIT;
-        let Some(l) = lines.next(&f.w, PIECE_WAIT.min(until.saturating_sub(f.w.now()))).await else {
+        let Some(l) = lines.next(&f.runtime, PIECE_WAIT.min(until.saturating_sub(f.runtime.now()))).await else {
             return Shot::Lost(Box::new(g), n > 0);
         };
         if let Ok(p) = serde_json::from_slice::<Piece>(&l) {
@@ -100,10 +101,10 @@
             f.counts.broken.fetch_add(1, SeqCst);
             return Shot::Lost(Box::new(g), n > 0);
         };
-        if lines.drained(&f.w).await {
-            f.pool.put(&f.w, b);
+        if lines.drained(&f.runtime).await {
+            f.pool.put(&f.runtime, b);
         }
-        f.admission.served_in(&g.r.fam.service, f.w.now() - started);
+        f.admission.served_in(&g.r.fam.service, f.runtime.now() - started);
         kv::count(f, &g.r.fam, &g.kv, &e.stamp.server, e.prompt, e.reused);
         let stamp = Stamp { job: g.r.b.job.clone(), ..e.stamp };
         let kept = Kept { digest: e.digest, prompt: e.prompt, reused: e.reused, output: e.output.min(g.r.max_out), stamp, text };
@@ -117,8 +118,8 @@
     pub(super) stamp: Stamp,
 }
 
-pub(super) async fn cancel(f: &Arc<Front>, at: &Listed, svc: &str, job: &str) -> Option<Stopped> {
+pub(super) async fn cancel(f: &Arc<Front>, at: &ListedServer, svc: &str, job: &str) -> Option<Stopped> {
     let b = serde_json::to_vec(&json!({"job": job})).unwrap_or_default();
-    let v = crate::back::ask_once(&f.w, &f.pool, svc, &at.server, at.addr, "/cancel", b, BACK_WAIT).await?;
+    let v = crate::back::ask_once(&f.runtime, &f.pool, svc, &at.server, at.addr, "/cancel", b, BACK_WAIT).await?;
     serde_json::from_slice(&v).ok()
 }
--- a/yewcross-front/src/turn/commit.rs
+++ b/yewcross-front/src/turn/commit.rs
@@ -6,10 +6,10 @@
 use crate::{Front, kv};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::{Ask, Commit, Kv, Place, Tell};
-use yewcross::code::Code;
-use yewcross::consts::{BACK_SOON, MS};
+use yewcross::constants::{BACK_SOON, MS};
+use yewcross::error_code::Code;
 use yewcross::hash::digest;
+use yewcross::protocol::{CachedPrefix, CommitTurn, PeerRequest, PeerResponse, SessionCacheState};
 
 /// One round trip: history, outcome and budget are on a majority before the end line goes out.
 pub(super) async fn keep(f: Arc<Front>, x: Ran, out: &Out) {
@@ -22,38 +22,40 @@
     let mut hist = g.hist.clone();
     hist.extend(&line);
     g.r.fam.history.trim(&mut hist);
-    let home = Place {
+    let home = CachedPrefix {
         server: kept.stamp.server.clone(),
-        inst: kept.stamp.inst,
+        instance: kept.stamp.inst,
         weights: kept.stamp.weights.clone(),
         tokens: tokens(prefix.len()),
         digest: digest(&prefix),
-        mark: placed,
+        placed_tokens: placed,
     };
     let pushed = f.replicas.lock().unwrap().get(&g.r.key).cloned();
     let replica =
         pushed.or(g.kv.replica.clone()).filter(|r| r.weights == home.weights && r.server != home.server && g.kv.program == g.r.b.program);
-    let kv = Kv { home: Some(home), replica, program: g.r.b.program.clone() };
-    let c = Commit {
+    let kv = SessionCacheState { home: Some(home), replica, program: g.r.b.program.clone() };
+    let c = CommitTurn {
         key: g.r.key.clone(),
-        job: g.r.b.job.clone(),
+        request_id: g.r.b.job.clone(),
         epoch: g.epoch,
         nonce: g.nonce,
         code: Code::Done,
-        used: kept.output,
+        used_tokens: kept.output,
         rule: g.r.fam.history,
-        kv: kv.clone(),
-        hist: line.len() as u64,
+        cache: kv.clone(),
+        history_bytes: line.len() as u64,
     };
     let mut blob = line;
     blob.extend(serde_json::to_vec(&kept).unwrap_or_default());
-    let a = Ask::Commit(c);
+    let a = PeerRequest::CommitTurn(c);
     loop {
         match f.store(&g.r.key, &a, &blob, 1).await {
-            Some((Tell::Committed, _)) => break,
-            Some((Tell::No(Code::MayHaveRun), _)) => return no(out, Code::MayHaveRun, "the session went on without it", 0).await,
-            _ if f.w.now() > g.r.horizon => return no(out, Code::Undecided, "the outcome is not yet kept", BACK_SOON).await,
-            _ => f.w.sleep(30 * MS).await,
+            Some((PeerResponse::Committed, _)) => break,
+            Some((PeerResponse::Rejected(Code::MayHaveRun), _)) => {
+                return no(out, Code::MayHaveRun, "the session went on without it", 0).await;
+            }
+            _ if f.runtime.now() > g.r.horizon => return no(out, Code::Undecided, "the outcome is not yet kept", BACK_SOON).await,
+            _ => f.runtime.sleep(30 * MS).await,
         }
     }
     f.counts.done.fetch_add(1, SeqCst);
@@ -71,16 +73,16 @@
 }
 
 pub(super) async fn close(f: &Arc<Front>, g: Begun, code: Code, used: u64) {
-    let c = Commit {
+    let c = CommitTurn {
         key: g.r.key.clone(),
-        job: g.r.b.job.clone(),
+        request_id: g.r.b.job.clone(),
         epoch: g.epoch,
         nonce: g.nonce,
         code,
-        used,
+        used_tokens: used,
         rule: g.r.fam.history,
-        kv: Kv { home: None, ..g.kv.clone() },
-        hist: 0,
+        cache: SessionCacheState { home: None, ..g.kv.clone() },
+        history_bytes: 0,
     };
-    f.store(&g.r.key, &Ask::Commit(c), &[], 4).await;
+    f.store(&g.r.key, &PeerRequest::CommitTurn(c), &[], 4).await;
 }
--- a/yewcross-front/src/turn/drive.rs
+++ b/yewcross-front/src/turn/drive.rs
@@ -9,19 +9,19 @@
 use crate::{Front, admission, kv, server_table};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::{Ask, Listed, Tell};
-use yewcross::code::Code;
-use yewcross::consts::{BACK_SOON, HORIZON_SPARE, MS, PATIENCE};
-use yewcross::hash::mark;
-use yewcross::tree::Placed;
+use yewcross::configuration::ResolvedProgramClass;
+use yewcross::constants::{BACK_SOON, HORIZON_SPARE, MS, PATIENCE};
+use yewcross::error_code::Code;
+use yewcross::hash::content_digest;
+use yewcross::protocol::{ListedServer, PeerRequest, PeerResponse};
 
 pub(super) async fn drive(f: Arc<Front>, b: TurnBody, t0: u64, nonce: u64, out: Out) {
     f.counts.turns.fetch_add(1, SeqCst);
-    if !f.follow.serving() {
+    if !f.watcher.may_serve() {
         return no(&out, Code::NotServing, "", BACK_SOON).await;
     }
-    let conf = f.book.config.load_full();
-    let Some(Placed { eff: fam, .. }) = conf.1.families.get(&b.program).cloned() else {
+    let conf = f.documents.config.load_full();
+    let Some(ResolvedProgramClass { eff: fam, .. }) = conf.1.families.get(&b.program).cloned() else {
         return no(&out, Code::UnknownProgram, &b.program, 0).await;
     };
     if b.budget != fam.budget {
@@ -33,12 +33,12 @@
     let (capacity, urgent_share) = conf.1.services.get(&fam.service).map(|s| (s.line, s.urgent_share)).unwrap_or((1, 0));
     // A session not on hand may be new: then all of its prompt must be read.
     let fresh = if f.hand.lock().unwrap().contains_key(&key) { 0 } else { tokens(b.messages.iter().map(|m| m.text.len()).sum()) };
-    let least = |s: &server_table::Server| s.report.per_out * max_out + s.report.per_k * fresh / 1000;
+    let least = |s: &server_table::Server| s.report.decode_us_per_token * max_out + s.report.prefill_us_per_1000 * fresh / 1000;
     let needs = server_table::fit(&f, &fam.service).iter().map(least).min().unwrap_or(0) + HORIZON_SPARE;
     let patience = t0 + (horizon - t0) * PATIENCE / 100;
     let request =
         admission::Request { service: &fam.service, class: fam.class, deadline: horizon, patience, needs, capacity, urgent_share };
-    let mut pass = match f.admission.admit(&f.w, request, || server_table::slots(&f, &fam.service)).await {
+    let mut pass = match f.admission.admit(&f.runtime, request, || server_table::slots(&f, &fam.service)).await {
         Ok(permit) => Some(permit),
         Err(refused) => return no(&out, refused.code, "", refused.retry_after).await,
     };
@@ -77,7 +77,7 @@
             Shot::Lost(mut back, sent_any) => {
                 f.slowed(&p.server.at.server);
                 back.lost = true;
-                let again = back.r.fam.repeatable && !sent_any && f.w.now() + HORIZON_SPARE < back.r.horizon;
+                let again = back.r.fam.repeatable && !sent_any && f.runtime.now() + HORIZON_SPARE < back.r.horizon;
                 if !again || !another(&f, &mut back, &p.server.at).await {
                     lost(&f, *back, &out).await;
                     return;
@@ -93,26 +93,35 @@
 
 /// The budget that a turn spends from, if the configuration limits it.
 pub(super) fn purse(f: &Front, r: &Read) -> Option<String> {
-    f.book.config.load().1.budgets.contains_key(&r.fam.budget).then(|| r.fam.budget.clone())
+    f.documents.config.load().1.budgets.contains_key(&r.fam.budget).then(|| r.fam.budget.clone())
 }
 
 /// The lost shot may yet put out all it was allowed: the next one needs a reservation of its own, which stays spent.
-async fn another(f: &Arc<Front>, g: &mut Begun, was: &Listed) -> bool {
+async fn another(f: &Arc<Front>, g: &mut Begun, was: &ListedServer) -> bool {
     let (me, at, svc, job) = (f.clone(), was.clone(), g.r.fam.service.clone(), shot_id(g));
-    f.w.go(async move {
+    f.runtime.spawn(async move {
         cancel(&me, &at, &svc, &job).await;
     });
-    g.shot = f.w.rand();
-    let limit = f.book.config.load().1.budgets.get(&g.r.fam.budget).map(|b| b.tokens);
+    g.shot = f.runtime.random();
+    let limit = f.documents.config.load().1.budgets.get(&g.r.fam.budget).map(|b| b.tokens);
     let Some(limit) = limit else { return true };
     let (budget, entry) = (g.r.fam.budget.clone(), format!("{}|{}|{}", g.r.key, g.r.b.job, g.shot));
     let (key, job, nonce) = (g.r.key.clone(), g.r.b.job.clone(), g.shot);
-    let a = Ask::Reserve { budget: budget.clone(), entry: entry.clone(), amount: g.r.max_out, limit, key, job, nonce, keep: 0 };
+    let a = PeerRequest::ReserveBudget {
+        budget: budget.clone(),
+        entry: entry.clone(),
+        amount: g.r.max_out,
+        limit,
+        key,
+        request_id: job,
+        nonce,
+        retain_ms: 0,
+    };
     let at = format!("budget/{budget}");
-    if !matches!(f.store(&at, &a, &[], 1).await, Some((Tell::Ok, _))) {
+    if !matches!(f.store(&at, &a, &[], 1).await, Some((PeerResponse::Ok, _))) {
         return false;
     }
-    f.store(&at, &Ask::Settle { budget, entry, used: None }, &[], 1).await;
+    f.store(&at, &PeerRequest::SettleBudget { budget, entry, used: None }, &[], 1).await;
     true
 }
 
@@ -123,33 +132,33 @@
         v.push(b'\t');
         v
     };
-    let limit = f.book.config.load().1.budgets.get(&r.fam.budget).map(|b| b.tokens);
+    let limit = f.documents.config.load().1.budgets.get(&r.fam.budget).map(|b| b.tokens);
     let hand = f.hand.lock().unwrap().get(&r.key).cloned();
     let body = serde_json::to_vec(&(&r.b.program, &r.b.session, &r.b.messages, r.b.max_output)).unwrap_or_default();
-    let a = Ask::Begin(yewcross::ask::Begin {
+    let a = PeerRequest::BeginTurn(yewcross::protocol::BeginTurn {
         key: r.key.clone(),
-        job: r.b.job.clone(),
-        digest: mark(&body),
+        request_id: r.b.job.clone(),
+        digest: content_digest(&body),
         nonce,
-        front: f.st.name.clone(),
-        left: (r.horizon.saturating_sub(f.w.now())) / MS,
+        front: f.settings.name.clone(),
+        remaining_ms: (r.horizon.saturating_sub(f.runtime.now())) / MS,
         budget: limit.map(|l| (r.fam.budget.clone(), l)),
-        max_out: r.max_out,
-        keep: r.fam.keep_ms,
-        hand: hand.as_ref().map(|h| (h.len() as u64, mark(h))),
+        max_output_tokens: r.max_out,
+        retain_ms: r.fam.keep_ms,
+        known_history: hand.as_ref().map(|h| (h.len() as u64, content_digest(h))),
     });
     match f.store_until(&r.key, &a, &[], 3, r.patience).await {
-        Some((Tell::Begun(g), blob)) => {
-            let hist = if g.whole { blob } else { hand.unwrap_or_default() };
+        Some((PeerResponse::TurnBegun(g), blob)) => {
+            let hist = if g.history_complete { blob } else { hand.unwrap_or_default() };
             let all = tokens(hist.len() + ask.len());
             if all > r.fam.max_prompt {
                 f.abort(&r.key, &r.b.job, nonce, purse(f, &r));
                 no(out, Code::TooLarge, "the prompt with its history passes max_prompt", 0).await;
                 return None;
             }
-            Some(Begun { nonce, shot: nonce, lost: false, epoch: g.epoch, kv: g.kv, hist, ask, r })
+            Some(Begun { nonce, shot: nonce, lost: false, epoch: g.epoch, kv: g.cache, hist, ask, r })
         }
-        Some((Tell::Kept { .. }, blob)) => {
+        Some((PeerResponse::StoredOutcome { .. }, blob)) => {
             f.counts.replayed.fetch_add(1, SeqCst);
             match serde_json::from_slice::<Kept>(&blob) {
                 Ok(k) => {
@@ -159,12 +168,12 @@
             }
             None
         }
-        Some((Tell::No(Code::Undecided | Code::StoreAway), _)) | None => {
+        Some((PeerResponse::Rejected(Code::Undecided | Code::StoreAway), _)) | None => {
             f.abort(&r.key, &r.b.job, nonce, purse(f, &r));
             no(out, Code::StoreAway, "", BACK_SOON).await;
             None
         }
-        Some((Tell::No(c), _)) => {
+        Some((PeerResponse::Rejected(c), _)) => {
             no(out, c, "", c.back()).await;
             None
         }
--- a/yewcross-front/src/turn/end_session.rs
+++ b/yewcross-front/src/turn/end_session.rs
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use serde_json::json;
 use std::sync::Arc;
-use yewcross::ask::{Ask, Tell};
-use yewcross::code::Code;
-use yewcross::consts::BACK_SOON;
-use yewcross::http::{Job, refuse, reply};
+use yewcross::buffered_http::{BufferedRequest, refuse, reply};
+use yewcross::constants::BACK_SOON;
+use yewcross::error_code::Code;
+use yewcross::protocol::{PeerRequest, PeerResponse};
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -19,7 +19,7 @@
 }
 
 /// The session is over: its history is forgotten and its replica dropped.
-pub async fn end(f: Arc<Front>, j: Job) -> Response {
+pub async fn end(f: Arc<Front>, j: BufferedRequest) -> Response {
     let b: EndBody = match serde_json::from_slice(&j.body) {
         Ok(b) => b,
         Err(e) => return refuse(Code::BadBody, &e.to_string(), 0),
@@ -27,10 +27,10 @@
     if !name_ok(&b.program) || !name_ok(&b.session) {
         return refuse(Code::BadField, "program or session", 0);
     }
-    let Some(p) = f.book.config.load().1.families.get(&b.program).cloned() else { return refuse(Code::UnknownProgram, &b.program, 0) };
+    let Some(p) = f.documents.config.load().1.families.get(&b.program).cloned() else { return refuse(Code::UnknownProgram, &b.program, 0) };
     let key = format!("session/{}/{}", b.program, b.session);
-    match f.store(&key, &Ask::End { key: key.clone() }, &[], 3).await {
-        Some((Tell::Ended { kv }, _)) => {
+    match f.store(&key, &PeerRequest::EndSession { key: key.clone() }, &[], 3).await {
+        Some((PeerResponse::SessionEnded { cache: kv }, _)) => {
             let pushed = f.replicas.lock().unwrap().remove(&key);
             f.spares.forget(&key);
             f.hand.lock().unwrap().remove(&key);
@@ -39,7 +39,7 @@
             }
             reply(200, &json!({"code": Code::Done.number(), "ended": true}))
         }
-        Some((Tell::No(c), _)) => refuse(c, "", c.back()),
+        Some((PeerResponse::Rejected(c), _)) => refuse(c, "", c.back()),
         _ => refuse(Code::StoreAway, "", BACK_SOON),
     }
 }
--- a/yewcross-front/src/turn/place.rs
+++ b/yewcross-front/src/turn/place.rs
@@ -9,8 +9,8 @@
 use crate::{Front, judge, kv, server_table};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::Place;
-use yewcross::consts::{HORIZON_SPARE, MS};
+use yewcross::constants::{HORIZON_SPARE, MS};
+use yewcross::protocol::CachedPrefix;
 
 /// The judges' pick, with a verified connection to it. No import is waited for: while the session's home is full, its
 /// replica is brought in beside the wait, and a turn that must move before that is served cold.
@@ -21,11 +21,11 @@
     pass: &mut Option<Permit<'_>>,
 ) -> Option<(Pick, Back<Verified>)> {
     let w = Weights::from(&g.r.fam);
-    let began = f.w.now();
+    let began = f.runtime.now();
     let mut asked = false;
     loop {
-        let left = g.r.horizon.checked_sub(f.w.now() + HORIZON_SPARE)?;
-        if !f.follow.serving() {
+        let left = g.r.horizon.checked_sub(f.runtime.now() + HORIZON_SPARE)?;
+        if !f.watcher.may_serve() {
             return None;
         }
         let servers = server_table::fit(f, &g.r.fam.service);
@@ -34,10 +34,10 @@
         }
         let kv = kv::known(f, &g.r.key, &g.kv);
         let case =
-            Case { key: &g.r.key, site: &f.st.site, tokens: tokens(g.hist.len() + g.ask.len()), max_out: g.r.max_out, kv: &kv, left };
+            Case { key: &g.r.key, site: &f.settings.site, tokens: tokens(g.hist.len() + g.ask.len()), max_out: g.r.max_out, kv: &kv, left };
         let mut beside = || {
-            let due = |r: Place| Due { key: g.r.key.clone(), service: g.r.fam.service.clone(), replica: r, tell: false };
-            let room = |r: &&Place| !r.digest.is_empty() && servers.iter().any(|s| s.at.server == r.server && s.free() > 0);
+            let due = |r: CachedPrefix| Due { key: g.r.key.clone(), service: g.r.fam.service.clone(), replica: r, tell: false };
+            let room = |r: &&CachedPrefix| !r.digest.is_empty() && servers.iter().any(|s| s.at.server == r.server && s.free() > 0);
             if let Some(r) = kv.replica.as_ref().filter(room)
                 && !std::mem::replace(&mut asked, true)
             {
@@ -47,11 +47,11 @@
         let Some(p) = judge::pick(&servers, &case, &w, not) else {
             let could = servers.iter().filter(|s| !not.contains(&s.at.server));
             let hopeless = could.map(|s| judge::takes(s, &case, &judge::warmth(s, &case))).all(|t| t > left);
-            if hopeless || f.w.now() > g.r.patience {
+            if hopeless || f.runtime.now() > g.r.patience {
                 return None;
             }
             beside();
-            f.w.sleep(20 * MS).await;
+            f.runtime.sleep(20 * MS).await;
             continue;
         };
         // A full home is waited for no longer than the move would cost over staying.
@@ -59,15 +59,15 @@
         let stay = stay.filter(|s| p.server.at.server != s.at.server).map(|s| (s, judge::warmth(s, &case)));
         if let Some((s, m @ Warmth::Held(_))) = stay {
             let more = p.takes.saturating_sub(judge::takes(s, &case, &m));
-            if f.w.now() < (began + more.min(left.saturating_sub(p.takes))).min(g.r.patience) {
+            if f.runtime.now() < (began + more.min(left.saturating_sub(p.takes))).min(g.r.patience) {
                 *pass = None;
                 beside();
-                f.w.sleep(20 * MS).await;
+                f.runtime.sleep(20 * MS).await;
                 continue;
             }
         }
         let at = &p.server.at;
-        let b = match f.pool.get(&f.w, &g.r.fam.service, &at.server, at.addr).await {
+        let b = match f.pool.get(&f.runtime, &g.r.fam.service, &at.server, at.addr).await {
             Ok(b) => b,
             Err(e) => {
                 if e.kind() == std::io::ErrorKind::PermissionDenied {
--- a/yewcross-front/src/turn/request.rs
+++ b/yewcross-front/src/turn/request.rs
@@ -1,8 +1,8 @@
 //! What a caller may ask, and the checks that need no other node.
 
 use serde::{Deserialize, Serialize};
-use yewcross::code::Code;
-use yewcross::consts::{HORIZON_MAX, HORIZON_MIN, TOKEN_BYTES};
+use yewcross::constants::{HORIZON_MAX, HORIZON_MIN, TOKEN_BYTES};
+use yewcross::error_code::Code;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Message {
--- a/yewcross-front/src/turn/state.rs
+++ b/yewcross-front/src/turn/state.rs
@@ -2,13 +2,13 @@
 
 use crate::turn::answer::Kept;
 use crate::turn::request::TurnBody;
-use yewcross::ask::Kv;
-use yewcross::tree::Family;
+use yewcross::configuration::ProgramClass;
+use yewcross::protocol::SessionCacheState;
 
 /// Type-states of a turn: read, begun in the store, run by a server.
 pub(super) struct Read {
     pub(super) b: TurnBody,
-    pub(super) fam: Family,
+    pub(super) fam: ProgramClass,
     pub(super) key: String,
     pub(super) horizon: u64,
     pub(super) patience: u64,
@@ -23,7 +23,7 @@
     /// A shot went out whose outcome never came.
     pub(super) lost: bool,
     pub(super) epoch: u64,
-    pub(super) kv: Kv,
+    pub(super) kv: SessionCacheState,
     pub(super) hist: Vec<u8>,
     /// This turn's messages as a history line yet open.
     pub(super) ask: Vec<u8>,
--- a/yewcross-front/tests/kv.rs
+++ b/yewcross-front/tests/kv.rs
@@ -1,38 +1,39 @@
 //! What a replica is worth to the judges.
 
-use yewcross::ask::{Kv, Listed, Place, Report};
-use yewcross::consts::{KV_MIN_TOKENS, SEC};
-use yewcross::tree::Family;
+use yewcross::configuration::ProgramClass;
+use yewcross::constants::{KV_MIN_TOKENS, SEC};
+use yewcross::protocol::{CachedPrefix, ListedServer, LoadReport, SessionCacheState};
 use yewcross_front::judge::{Case, Home, Warmth, Weights, pick, spill, takes, warmth};
 use yewcross_front::server_table::Server;
 
 fn server(n: &str, running: u32) -> Server {
-    let at = Listed { server: n.into(), service: "llm".into(), addr: ([127, 0, 0, 1], 1).into(), site: "a".into(), leaving: false };
-    let report = Report {
+    let at = ListedServer { server: n.into(), service: "llm".into(), addr: ([127, 0, 0, 1], 1).into(), site: "a".into(), leaving: false };
+    let report = LoadReport {
         server: n.into(),
-        inst: 1,
+        instance: 1,
         slots: 4,
         running,
-        cache: 100_000,
-        per_k: 120_000,
-        per_out: 1000,
+        cache_tokens: 100_000,
+        prefill_us_per_1000: 120_000,
+        decode_us_per_token: 1000,
         weights: "w1".into(),
         ..Default::default()
     };
     Server { at, report, age: 0, mine: 0, slow: 0 }
 }
 
-fn place(s: &str, tokens: u64, mark: u64) -> Place {
-    Place { server: s.into(), inst: 1, weights: "w1".into(), tokens, digest: "x".into(), mark }
+fn place(s: &str, tokens: u64, mark: u64) -> CachedPrefix {
+    CachedPrefix { server: s.into(), instance: 1, weights: "w1".into(), tokens, digest: "x".into(), placed_tokens: mark }
 }
 
-fn case(kv: &Kv) -> Case<'_> {
+fn case(kv: &SessionCacheState) -> Case<'_> {
     Case { key: "k", site: "a", tokens: 11_000, max_out: 50, kv, left: 6 * SEC }
 }
 
 #[test]
 fn a_replica_saves_time_only_once_it_is_in_the_cache() {
-    let of = |mark| Kv { home: Some(place("m1", 10_000, 10_000)), replica: Some(place("m2", 9_000, mark)), program: "p".into() };
+    let of =
+        |mark| SessionCacheState { home: Some(place("m1", 10_000, 10_000)), replica: Some(place("m2", 9_000, mark)), program: "p".into() };
     let m2 = server("m2", 0);
     let (stored, ready) = (of(0), of(9_000));
     let cold = takes(&m2, &case(&stored), &Warmth::Cold);
@@ -43,24 +44,24 @@
     assert!(takes(&m2, &case(&ready), &w) * 4 < cold);
     // Everything placed there since may have pushed it out.
     let mut full = m2.clone();
-    full.report.placed = 101_000;
+    full.report.placed_tokens = 101_000;
     assert_eq!(warmth(&full, &case(&ready)), Warmth::Import(place("m2", 9_000, 9_000)));
 }
 
 #[test]
 fn a_replica_of_other_weights_or_of_another_life_is_worth_nothing() {
     for mark in [0, 9_000] {
-        let kv = Kv { home: None, replica: Some(place("m2", 9_000, mark)), program: "p".into() };
+        let kv = SessionCacheState { home: None, replica: Some(place("m2", 9_000, mark)), program: "p".into() };
         let (mut other, mut next) = (server("m2", 0), server("m2", 0));
         other.report.weights = "w2".into();
-        next.report.inst = 2;
+        next.report.instance = 2;
         assert_eq!([other, next].map(|s| warmth(&s, &case(&kv))), [Warmth::Cold, Warmth::Cold]);
     }
 }
 
 #[test]
 fn the_ordinary_path_shares_from_8192_tokens_on_with_one_server() {
-    let f = Family::default();
+    let f = ProgramClass::default();
     assert_eq!((f.kv_share, f.kv_min_tokens, KV_MIN_TOKENS), (true, 8_192, 8_192));
     // Occupancy does not move the target, so that it stays the one server where the replica stands.
     let home = Home { server: "m1".into(), site: "a".into() };
@@ -70,7 +71,7 @@
     v.iter_mut().filter(|s| s.at.server == first).for_each(|s| s.report.running = 4);
     assert_eq!(to(&v), first);
     // Without a replica a full home's turn is picked another server, cold.
-    let kv = Kv { home: Some(place("m1", 10_000, 0)), replica: None, program: "p".into() };
+    let kv = SessionCacheState { home: Some(place("m1", 10_000, 0)), replica: None, program: "p".into() };
     v.iter_mut().filter(|s| s.at.server == "m1").for_each(|s| s.report.running = 4);
     assert!(pick(&v, &case(&kv), &Weights::from(&f), &[]).is_some_and(|p| p.server.at.server != "m1" && p.warmth == Warmth::Cold));
 }
--- a/yewcross-lab/examples/chain_load.rs
+++ b/yewcross-lab/examples/chain_load.rs
@@ -5,29 +5,29 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::*;
-use yewcross::book::Book;
-use yewcross::chain::*;
-use yewcross::chain_client::Client;
-use yewcross::consts::*;
-use yewcross::member::Members;
-use yewcross::real::Real;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::membership::Membership;
+use yewcross::process_settings::{Bounds, ProcessSettings, Role};
+use yewcross::protocol::*;
 use yewcross::register::Ballot;
-use yewcross::startup::{Bounds, Role, Startup};
-use yewcross::vault::Vault;
-use yewcross::wire::*;
-use yewcross::world::*;
+use yewcross::runtime::os::OsRuntime;
+use yewcross::runtime::*;
+use yewcross::storage::DurableStorage;
+use yewcross::transport::*;
+use yewcross::turn_log::client::TurnLogClient;
+use yewcross::turn_log::*;
 use yewcross_control::chain::Engine;
 
-struct Ear(Arc<Members>, Option<Arc<Engine>>);
+struct Ear(Arc<Membership>, Option<Arc<Engine>>);
 
-impl Listener for Ear {
-    fn hear(self: Arc<Self>, p: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
+impl RequestHandler for Ear {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
-            let (t, b) = match (p.read::<Ask>(), &self.1) {
-                (Some(Ask::Chain), Some(e)) => (Tell::Chain, e.hear(p.blob).await),
-                (Some(a), _) => (self.0.hear(a).await, vec![]),
-                _ => (Tell::Ok, vec![]),
+            let (t, b) = match (p.decode::<PeerRequest>(), &self.1) {
+                (Some(PeerRequest::TurnLog), Some(e)) => (PeerResponse::TurnLog, e.handle(p.payload).await),
+                (Some(a), _) => (self.0.handle(a).await, vec![]),
+                _ => (PeerResponse::Ok, vec![]),
             };
             (serde_json::to_vec(&t).unwrap_or_default(), b)
         })
@@ -35,7 +35,7 @@
 }
 
 /// Disk, documents, site.
-type Up = (String, Arc<Book>, String);
+type Up = (String, Arc<DocumentCache>, String);
 
 fn addr(i: usize) -> SocketAddr {
     SocketAddr::new([127, 0, 0, 1].into(), 17_700 + i as u16)
@@ -63,15 +63,15 @@
     let (rate, secs, bytes) = (a.first().copied().unwrap_or(100), a.get(1).copied().unwrap_or(10), a.get(2).copied().unwrap_or(5000));
     let root = std::env::temp_dir().join(format!("chain-load-{}", std::process::id()));
     let nodes: Arc<Mutex<Vec<Up>>> = Arc::default();
-    let client: Arc<Mutex<Option<Arc<Client>>>> = Arc::default();
+    let client: Arc<Mutex<Option<Arc<TurnLogClient>>>> = Arc::default();
     let mut worlds = vec![];
     for i in 0..5 {
         let dir = root.join(i.to_string());
         std::fs::create_dir_all(&dir).expect("a folder");
-        let w = Real::world(dir.to_str().unwrap_or_default(), 1);
+        let w = OsRuntime::world(dir.to_str().unwrap_or_default(), 1);
         worlds.push(w.clone());
         let store = i < 4;
-        let st = Startup {
+        let st = ProcessSettings {
             name: format!("n{i}"),
             role: if store { Role::Store } else { Role::Front },
             site: format!("z{}", i % 4),
@@ -86,22 +86,22 @@
             bounds: Bounds::default(),
         };
         let (nodes, client) = (nodes.clone(), client.clone());
-        w.clone().go(async move {
-            let vault = if store { Vault::open(&w).await.ok() } else { None };
-            let disk = vault.as_ref().map(|v| v.id.clone()).unwrap_or_default();
-            let peers = Peers::new(&w, &st.name, &st.site, st.wire);
-            let members = Members::new(&w, &st, &peers, &disk);
-            let book = Book::new(&w);
+        w.clone().spawn(async move {
+            let vault = if store { DurableStorage::open(&w).await.ok() } else { None };
+            let disk = vault.as_ref().map(|v| v.disk_id.clone()).unwrap_or_default();
+            let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
+            let members = Membership::new(&w, &st, &peers, &disk);
+            let book = DocumentCache::new(&w);
             let engine = match &vault {
                 Some(v) => Engine::start(&w, &st, &members, &book, v).await.ok(),
                 None => None,
             };
             if !store {
-                *client.lock().unwrap() = Some(Arc::new(Client::new(&members, &book, &st)));
+                *client.lock().unwrap() = Some(Arc::new(TurnLogClient::new(&members, &book, &st)));
             }
             let door = w.bind(st.peer).await.expect("a port");
-            w.go(peers.clone().serve(door, Arc::new(Ear(members.clone(), engine))));
-            w.go(members.run());
+            w.spawn(peers.clone().serve(door, Arc::new(Ear(members.clone(), engine))));
+            w.spawn(members.run());
             nodes.lock().unwrap().push((disk, book, st.site));
         });
     }
@@ -110,13 +110,13 @@
         nap(50);
     }
     nap(3000);
-    let mut l = Layout { turn: 1, ..Default::default() };
+    let mut l = Layout { change_started: 1, ..Default::default() };
     nodes.lock().unwrap().iter().filter(|n| !n.0.is_empty()).for_each(|n| {
-        l.store.now.push(n.0.clone());
+        l.store.current.push(n.0.clone());
         l.sites.insert(n.0.clone(), n.2.clone());
     });
     let raw = serde_json::to_vec(&l).unwrap_or_default();
-    nodes.lock().unwrap().iter().for_each(|n| _ = n.1.adopt("layout", 1, Ballot::default(), raw.clone()));
+    nodes.lock().unwrap().iter().for_each(|n| _ = n.1.apply("layout", 1, Ballot::default(), raw.clone()));
     nap(500);
     let idle = times();
     nap(3000);
@@ -129,7 +129,7 @@
     let lines = rate;
     for i in 0..lines {
         let (c, w, done, failed, waits) = (c.clone(), w.clone(), done.clone(), failed.clone(), waits.clone());
-        w.clone().go(async move {
+        w.clone().spawn(async move {
             w.sleep(i * SEC / lines).await;
             let mut prev = String::new();
             for n in 0..secs {
--- a/yewcross-lab/examples/relay_load.rs
+++ b/yewcross-lab/examples/relay_load.rs
@@ -8,15 +8,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
-use yewcross::ask::{List, Listed};
-use yewcross::book::Book;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::port::{AnswerMeta, BackEnd, Caller, RequestMeta};
-use yewcross::real::Real;
+use yewcross::adapter::{AnswerMeta, Caller, RequestMeta, UpstreamProtocol};
+use yewcross::configuration::route::Limits;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::error_code::Code;
+use yewcross::protocol::{ListedServer, ServerList};
 use yewcross::register::Ballot;
-use yewcross::route::Limits;
-use yewcross::world::*;
+use yewcross::runtime::os::OsRuntime;
+use yewcross::runtime::*;
 use yewcross_front::relay::Relay;
 
 struct Ports;
@@ -34,8 +34,8 @@
     }
 }
 
-impl BackEnd for Ports {
-    fn dress(&self, h: &mut HeaderMap, _: &Listed, left: u64, _: Option<u8>) {
+impl UpstreamProtocol for Ports {
+    fn dress(&self, h: &mut HeaderMap, _: &ListedServer, left: u64, _: Option<u8>) {
         h.insert("patience", left.into());
     }
     fn resume_after(&self, _: &mut http::HeaderMap, _: &[u8]) {}
@@ -44,7 +44,7 @@
     }
 }
 
-async fn server(w: World, mut c: Conn, events: usize) {
+async fn server(w: Runtime, mut c: Connection, events: usize) {
     let (mut buf, mut b) = (vec![], vec![0; 64 << 10]);
     loop {
         let end = loop {
@@ -86,16 +86,16 @@
     }
 }
 
-async fn caller(w: World, to: SocketAddr, post: bool, n: Arc<AtomicU64>) {
+async fn caller(w: Runtime, to: SocketAddr, post: bool, n: Arc<AtomicU64>) {
     let c = w.connect(to).await.unwrap();
     let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c)).await.unwrap();
-    w.go(async move {
+    w.spawn(async move {
         let _ = conn.await;
     });
     let body = Bytes::from(vec![b'p'; if post { 5_000 } else { 0 }]);
     loop {
         let q = Request::builder().method(if post { "POST" } else { "GET" }).uri(if post { "/s/x" } else { "/l/x" });
-        let q = q.header("host", "h").header("try", format!("{:x}", w.rand())).body(Full::new(body.clone())).unwrap();
+        let q = q.header("host", "h").header("try", format!("{:x}", w.random())).body(Full::new(body.clone())).unwrap();
         s.ready().await.unwrap();
         let r = s.send_request(q).await.unwrap();
         assert_eq!(r.status(), 200);
@@ -105,9 +105,9 @@
 }
 
 /// ns on a processor, of the thread that runs the world's tasks.
-async fn spent(w: &World) -> u64 {
+async fn spent(w: &Runtime) -> u64 {
     let (tx, rx) = async_channel::bounded(1);
-    w.go(async move {
+    w.spawn(async move {
         let t = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
         let _ = tx.try_send(t.split(' ').next().and_then(|x| x.parse().ok()).unwrap_or(0));
     });
@@ -117,33 +117,39 @@
 fn main() {
     let arg = |i: usize, d: u64| std::env::args().nth(i).and_then(|a| a.parse().ok()).unwrap_or(d);
     let (streams, lookups, events, secs) = (arg(1, 20), arg(2, 10), arg(3, 17), arg(4, 5));
-    let (front, back, call) = (Real::world(".", 1), Real::world(".", 1), Real::world(".", 1));
+    let (front, back, call) = (OsRuntime::world(".", 1), OsRuntime::world(".", 1), OsRuntime::world(".", 1));
     smol::block_on(async {
         let at = |p: u16| SocketAddr::from(([127, 0, 0, 1], p));
         let mut servers = vec![];
         for i in 0..8u16 {
             let d = back.bind(at(7_600 + i)).await.unwrap();
             let b = back.clone();
-            back.go(async move {
+            back.spawn(async move {
                 while let Ok(c) = d.accept().await {
-                    b.go(server(b.clone(), c, events as usize));
+                    b.spawn(server(b.clone(), c, events as usize));
                 }
             });
-            servers.push(Listed { server: format!("s{i}"), service: "m".into(), addr: at(7_600 + i), site: "z".into(), leaving: false });
+            servers.push(ListedServer {
+                server: format!("s{i}"),
+                service: "m".into(),
+                addr: at(7_600 + i),
+                site: "z".into(),
+                leaving: false,
+            });
         }
-        let book = Book::new(&front);
+        let book = DocumentCache::new(&front);
         let r = |n: &str, m: &str| json!({"name": n, "host": "h", "prefix": format!("/{n}/"), "mode": m, "variants": [["m", 1]], "timeout_ms": 6000, "target_ms": 300});
         let t = json!({"routing": {"routes": [r("s", "stream"), r("l", "pure")], "upstreams": [{"name": "m", "engine": {"slots": 96, "cache_tokens": 2_000_000, "token_bytes": 1, "tokens_per_event": 2}}]}});
-        book.adopt(
+        book.apply(
             "config",
             1,
             Ballot::default(),
             serde_json::to_vec(&json!({"text": t.to_string(), "put": "", "note": "", "past": []})).unwrap(),
         );
-        book.adopt("list", 1, Ballot::default(), serde_json::to_vec(&List { rev: 1, term: 0, servers }).unwrap());
+        book.apply("list", 1, Ballot::default(), serde_json::to_vec(&ServerList { revision: 1, term: 0, servers }).unwrap());
         let relay = Arc::new(Relay {
-            w: front.clone(),
-            book,
+            runtime: front.clone(),
+            documents: book,
             site: "z".into(),
             caller: Arc::new(Ports),
             back: Arc::new(Ports),
@@ -155,11 +161,11 @@
             counts: Default::default(),
         });
         let d = front.bind(at(7_599)).await.unwrap();
-        let h: yewcross::web::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
-        front.go(yewcross::web::serve(front.clone(), d, h, Arc::new(Limits::default), Default::default()));
+        let h: yewcross::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
+        front.spawn(yewcross::streaming_http::serve(front.clone(), d, h, Arc::new(Limits::default), Default::default()));
         let (ns, nl) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        (0..streams).for_each(|_| call.go(caller(call.clone(), at(7_599), true, ns.clone())));
-        (0..lookups).for_each(|_| call.go(caller(call.clone(), at(7_599), false, nl.clone())));
+        (0..streams).for_each(|_| call.spawn(caller(call.clone(), at(7_599), true, ns.clone())));
+        (0..lookups).for_each(|_| call.spawn(caller(call.clone(), at(7_599), false, nl.clone())));
         smol::Timer::after(std::time::Duration::from_secs(1)).await;
         let (c0, s0, l0) = (spent(&front).await, ns.load(SeqCst), nl.load(SeqCst));
         smol::Timer::after(std::time::Duration::from_secs(secs)).await;
--- a/yewcross-lab/src/caller.rs
+++ b/yewcross-lab/src/caller.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::consts::*;
+use yewcross::buffered_http;
+use yewcross::constants::*;
 use yewcross::hash::digest;
-use yewcross::http;
-use yewcross::world::*;
+use yewcross::runtime::*;
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Heard {
@@ -70,7 +70,7 @@
     pub stream: bool,
 }
 
-fn blank(w: &World, kind: &str, a: &Ask) -> Seen {
+fn blank(w: &Runtime, kind: &str, a: &Ask) -> Seen {
     Seen {
         at: w.now(),
         took: 0,
@@ -126,19 +126,19 @@
     }
 }
 
-pub async fn turn(w: &World, to: SocketAddr, a: &Ask) -> Seen {
+pub async fn turn(w: &Runtime, to: SocketAddr, a: &Ask) -> Seen {
     let mut s = Seen { front: Some(to), ..blank(w, "turn", a) };
     let body = json!({"program": a.program, "session": a.session, "job": a.job, "budget": a.budget, "horizon_ms": a.horizon_ms,
         "messages": [{"role": "user", "text": a.text}], "max_output": a.max_output, "stream": a.stream});
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let limit = a.horizon_ms * MS + 4 * SEC;
     let r = w
-        .within(limit, async {
+        .timeout(limit, async {
             let c = w.connect(to).await.ok()?;
-            let mut r = http::exchange(&c, http_types::Method::Post, "/v1/turn", &[], body).await.ok()?;
+            let mut r = buffered_http::exchange(&c, http_types::Method::Post, "/v1/turn", &[], body).await.ok()?;
             heads(&mut s, &r);
             if !a.stream || !r.status().is_success() {
-                let b = http::body(&mut r, FRAME_MAX).await.ok();
+                let b = buffered_http::body(&mut r, FRAME_MAX).await.ok();
                 let v: Value = b.and_then(|b| serde_json::from_slice(&b).ok()).unwrap_or(Value::Null);
                 if r.status().is_success() && v["end"] == json!(true) {
                     s.text = v["text"].as_str().unwrap_or("").into();
@@ -173,11 +173,11 @@
     s
 }
 
-pub async fn lookup(w: &World, to: SocketAddr, service: &str, method: &str, key: &str, job: &str, horizon_ms: u64) -> Seen {
+pub async fn lookup(w: &Runtime, to: SocketAddr, service: &str, method: &str, key: &str, job: &str, horizon_ms: u64) -> Seen {
     let a = Ask { program: format!("{service}/{method}"), session: key.into(), job: job.into(), horizon_ms, ..Default::default() };
     let mut s = Seen { front: Some(to), ..blank(w, "lookup", &a) };
     let body = json!({"service": service, "method": method, "key": key, "horizon_ms": horizon_ms, "job": job});
-    let r = http::fetch(
+    let r = buffered_http::fetch(
         w,
         to,
         http_types::Method::Post,
@@ -208,10 +208,10 @@
 }
 
 /// One session's life: turns in order, each checked against what this caller knows was kept.
-pub async fn session(w: World, sh: Arc<Shape>, d: Arc<Diary>, id: usize, turns: usize) {
-    let fronts: Vec<SocketAddr> = sh.of(yewcross::startup::Role::Front).iter().map(|n| n.http).collect();
+pub async fn session(w: Runtime, sh: Arc<Shape>, d: Arc<Diary>, id: usize, turns: usize) {
+    let fronts: Vec<SocketAddr> = sh.of(yewcross::process_settings::Role::Front).iter().map(|n| n.http).collect();
     let total: u32 = sh.mix.turns.iter().map(|t| t.2).sum();
-    let mut x = (w.rand() % total as u64) as u32;
+    let mut x = (w.random() % total as u64) as u32;
     let kind = sh.mix.turns.iter().find(|t| {
         let hit = x < t.2;
         x = x.wrapping_sub(t.2);
@@ -221,30 +221,30 @@
     let name = format!("s{id}");
     let mut known: Vec<String> = vec![];
     let mut unsure = 0usize;
-    let mut at = w.pick(fronts.len());
+    let mut at = w.random_index(fronts.len());
     for t in 0..turns {
         if d.stop.load(SeqCst) {
             return;
         }
-        if w.rand().is_multiple_of(6) {
+        if w.random().is_multiple_of(6) {
             // Once only: the same id again and again, at any front, whatever was said.
-            let (s, _, _) = sh.mix.lookups[w.pick(sh.mix.lookups.len())].clone();
+            let (s, _, _) = sh.mix.lookups[w.random_index(sh.mix.lookups.len())].clone();
             let job = format!("{name}-once-{t}");
-            for _ in 0..1 + w.pick(3) {
-                let seen = lookup(&w, fronts[w.pick(fronts.len())], &s, "confirm", &job, &job, 1500).await;
+            for _ in 0..1 + w.random_index(3) {
+                let seen = lookup(&w, fronts[w.random_index(fronts.len())], &s, "confirm", &job, &job, 1500).await;
                 d.seen.lock().unwrap().push(seen);
             }
         }
-        for _ in 0..w.pick(3) {
-            let (s, m, _) = sh.mix.lookups[w.pick(sh.mix.lookups.len())].clone();
-            let seen = lookup(&w, fronts[at], &s, &m, &format!("k{}", w.rand() % 1000), "", 1500).await;
+        for _ in 0..w.random_index(3) {
+            let (s, m, _) = sh.mix.lookups[w.random_index(sh.mix.lookups.len())].clone();
+            let seen = lookup(&w, fronts[at], &s, &m, &format!("k{}", w.random() % 1000), "", 1500).await;
             d.seen.lock().unwrap().push(seen);
         }
-        if w.rand().is_multiple_of(4) {
-            at = w.pick(fronts.len());
+        if w.random().is_multiple_of(4) {
+            at = w.random_index(fronts.len());
         }
         let n = if t == 0 { first } else { later };
-        let text: String = (0..n / 8).map(|_| format!("{:07x} ", w.rand() & 0xfffffff)).collect();
+        let text: String = (0..n / 8).map(|_| format!("{:07x} ", w.random() & 0xfffffff)).collect();
         let a = Ask {
             program: program.clone(),
             session: name.clone(),
@@ -253,16 +253,16 @@
             horizon_ms: 6000,
             text,
             max_output: max,
-            stream: !w.rand().is_multiple_of(4),
+            stream: !w.random().is_multiple_of(4),
         };
         let mut tries = 0;
-        let twin = w.rand().is_multiple_of(8);
+        let twin = w.random().is_multiple_of(8);
         let before = known.len();
         if twin {
             // An impatient caller: the same job at another front at the same time.
-            let (w2, d2, a2, to) = (w.clone(), d.clone(), a.clone(), fronts[w.pick(fronts.len())]);
-            w.go(async move {
-                w2.sleep(w2.rand() % (400 * MS)).await;
+            let (w2, d2, a2, to) = (w.clone(), d.clone(), a.clone(), fronts[w.random_index(fronts.len())]);
+            w.spawn(async move {
+                w2.sleep(w2.random() % (400 * MS)).await;
                 let s = turn(&w2, to, &a2).await;
                 d2.seen.lock().unwrap().push(s);
             });
@@ -282,7 +282,7 @@
                     known.push(mark(&line));
                     false
                 }
-                Heard::Code(c) => (3000..4000).contains(c) || *c == 5001 || *c == 4002 || (*c == 4001 && w.rand().is_multiple_of(2)),
+                Heard::Code(c) => (3000..4000).contains(c) || *c == 5001 || *c == 4002 || (*c == 4001 && w.random().is_multiple_of(2)),
                 Heard::Cut | Heard::Nothing => true,
             };
             unsure += (s.heard != Heard::Done && s.ran != "not_run") as usize;
@@ -292,12 +292,12 @@
             if !again || tries >= 6 || d.stop.load(SeqCst) {
                 break;
             }
-            w.sleep(rest.max(1) * SEC / 2 + w.rand() % (SEC / 2)).await;
-            at = w.pick(fronts.len());
+            w.sleep(rest.max(1) * SEC / 2 + w.random() % (SEC / 2)).await;
+            at = w.random_index(fronts.len());
         }
         // The twin may have been done though this one gave up.
         unsure += (twin && known.len() == before) as usize;
-        w.sleep(w.rand() % (2 * SEC)).await;
+        w.sleep(w.random() % (2 * SEC)).await;
     }
 }
 
--- a/yewcross-lab/src/fleet.rs
+++ b/yewcross-lab/src/fleet.rs
@@ -10,13 +10,13 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
-use yewcross::http::fetch;
-use yewcross::startup::{Role, Startup};
-use yewcross::world::*;
+use yewcross::buffered_http::fetch;
+use yewcross::constants::*;
+use yewcross::process_settings::{ProcessSettings, Role};
+use yewcross::runtime::*;
 
 pub struct Fleet {
-    pub w: World,
+    pub w: Runtime,
     pub sh: Arc<Shape>,
     dir: PathBuf,
     bin: PathBuf,
@@ -33,7 +33,7 @@
 }
 
 impl Fleet {
-    pub fn plan(w: &World, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
+    pub fn plan(w: &Runtime, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
         let at = |base: u16| shape(name, &move |n: usize, k: u16| SocketAddr::from(([127, 0, 0, 1], base + 2 * n as u16 + k)));
         let free = |sh: &Shape| {
             let all = sh.nodes.iter().flat_map(|n| [n.peer, n.http]).chain(sh.backs.iter().map(|b| b.addr)).chain([sh.platform]);
@@ -85,7 +85,7 @@
         self.spawn(&s.server.clone(), "yewcross-lab", &["standin".into(), "--spec".into(), f.display().to_string()])
     }
 
-    pub fn start_node(&mut self, n: &Startup) -> Result<(), String> {
+    pub fn start_node(&mut self, n: &ProcessSettings) -> Result<(), String> {
         let f = self.dir.join(format!("{}.toml", n.name));
         std::fs::write(&f, toml::to_string(n).map_err(|e| e.to_string())?).map_err(|e| e.to_string())?;
         let prog = if n.role == Role::Front { "yewcross-front" } else { "yewcross-control" };
@@ -223,14 +223,14 @@
 }
 
 /// The newcomer's tour: a fleet comes up, serves, loses a server to a drain, to load, and to a kill.
-pub async fn up(w: World, name: &str, dir: &Path, base: u16, seconds: u64, sessions: usize) -> Result<(), String> {
+pub async fn up(w: Runtime, name: &str, dir: &Path, base: u16, seconds: u64, sessions: usize) -> Result<(), String> {
     let mut f = Fleet::plan(&w, name, dir, base)?;
     println!("{name}: {} processes in {}", f.sh.nodes.len() + f.sh.backs.len() + 1, dir.display());
     f.start_all()?;
     println!("founded: {}", f.found().await?);
     let d = Arc::new(Diary::default());
     let part = seconds.max(8) * SEC / 4;
-    (0..sessions).for_each(|i| w.go(caller::session(w.clone(), f.sh.clone(), d.clone(), i, 100_000)));
+    (0..sessions).for_each(|i| w.spawn(caller::session(w.clone(), f.sh.clone(), d.clone(), i, 100_000)));
     let mut c0 = f.counts().await;
     let model = |i: usize| f.sh.backs.iter().filter(|b| b.model).nth(i).map(|b| b.server.clone()).unwrap_or_default();
     let (drained, killed) = (model(0), model(1));
@@ -241,7 +241,7 @@
                 f.send(f.sh.platform, http_types::Method::Post, "/lab/leaving", &[], v.as_bytes()).await;
             }
             // Four times the sessions: homes are full, and some turns cannot wait for theirs.
-            "overload" => (0..4 * sessions).for_each(|i| w.go(caller::session(w.clone(), f.sh.clone(), d.clone(), 10_000 + i, 6))),
+            "overload" => (0..4 * sessions).for_each(|i| w.spawn(caller::session(w.clone(), f.sh.clone(), d.clone(), 10_000 + i, 6))),
             "kill" => f.kill(&killed),
             _ => {}
         }
--- a/yewcross-lab/src/grind.rs
+++ b/yewcross-lab/src/grind.rs
@@ -4,9 +4,9 @@
 use crate::proof::{Act, Lab};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use yewcross::consts::*;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross::register::{ChangeError, Step};
-use yewcross::startup::Role;
 
 #[derive(Clone, Debug)]
 pub struct Op {
@@ -46,7 +46,7 @@
     let over = Arc::new(Mutex::new(false));
     let ends: Arc<Mutex<BTreeMap<String, Option<Vec<u64>>>>> = Default::default();
     let (me, o, ov, en, acts) = (lab.clone(), ops.clone(), over.clone(), ends.clone(), acts.to_vec());
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         me.op.sleep(1500 * MS).await;
         me.found().await;
         me.op.sleep(SEC).await;
@@ -54,7 +54,7 @@
         for n in me.names(Role::Store) {
             let (me, o) = (me.clone(), o.clone());
             let op = me.op.clone();
-            op.go(async move { client(me, n, o, keys, stop).await });
+            op.spawn(async move { client(me, n, o, keys, stop).await });
         }
         me.op.sleep(SEC).await;
         for a in acts {
@@ -70,7 +70,7 @@
             let mut got = None;
             for n in me.names(Role::Store) {
                 if let Some(c) = me.control(&n).filter(|_| me.sim.up(me.sim.find(&n)))
-                    && let Ok((_, _, v)) = c.owner.read(&k, 5 * SEC).await
+                    && let Ok((_, _, v)) = c.registers.read(&k, 5 * SEC).await
                 {
                     got = Some(ids(&v));
                     break;
@@ -97,11 +97,11 @@
             g.push(Op { id, key: key.clone(), from: lab.sim.now(), to: None, won: None });
             id
         };
-        let (sim, o, w) = (lab.sim.clone(), ops.clone(), c.w.clone());
+        let (sim, o, w) = (lab.sim.clone(), ops.clone(), c.runtime.clone());
         let (dx, dr) = async_channel::bounded::<()>(1);
-        w.go(async move {
+        w.spawn(async move {
             let r = c
-                .owner
+                .registers
                 .change(&key, 900 * MS, |_, v| {
                     if ids(v).contains(&id) {
                         return Step::Keep(());
--- a/yewcross-lab/src/main.rs
+++ b/yewcross-lab/src/main.rs
@@ -1,7 +1,7 @@
 use std::path::PathBuf;
 use strum::IntoEnumIterator;
-use yewcross::real::Real;
-use yewcross::startup::exit;
+use yewcross::process_settings::exit;
+use yewcross::runtime::os::OsRuntime;
 use yewcross_lab::proof::{Act, Plan};
 use yewcross_lab::{fleet, grind, platform, proof, standin};
 
@@ -83,7 +83,7 @@
     let a = YewcrossLab::from_env_or_exit();
     match a.subcommand {
         YewcrossLabCmd::Up(u) => {
-            let w = Real::world(".", 2);
+            let w = OsRuntime::world(".", 2);
             let shape = u.shape.unwrap_or("kowhai".into());
             let dir = u.dir.unwrap_or(std::env::temp_dir().join(format!("yewcross-{}", std::process::id())));
             let base = u.base.unwrap_or(0);
@@ -130,13 +130,13 @@
             std::process::exit(if bad == 0 { exit::OK } else { 1 });
         }
         YewcrossLabCmd::Standin(s) => {
-            let w = Real::world(".", 1);
+            let w = OsRuntime::world(".", 1);
             let r = smol::block_on(standin::Standin::start(&w, read(&s.spec), Default::default()));
             r.map(|_| ()).unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
             smol::block_on(std::future::pending::<()>())
         }
         YewcrossLabCmd::Platform(p) => {
-            let w = Real::world(".", 1);
+            let w = OsRuntime::world(".", 1);
             let at = p.at.parse().unwrap_or_else(|_| fail(exit::USAGE, "--at: not an address"));
             let r = smol::block_on(platform::Platform::start(&w, at, read(&p.list)));
             r.map(|_| ()).unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
--- a/yewcross-lab/src/platform.rs
+++ b/yewcross-lab/src/platform.rs
@@ -4,14 +4,14 @@
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::{List, Listed};
-use yewcross::consts::*;
-use yewcross::http::{self, Gate, Job, reply};
-use yewcross::world::*;
+use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker, reply};
+use yewcross::constants::*;
+use yewcross::protocol::{ListedServer, ServerList};
+use yewcross::runtime::*;
 
 pub struct Platform {
-    w: World,
-    list: Mutex<List>,
+    w: Runtime,
+    list: Mutex<ServerList>,
     last: Mutex<u64>,
     /// us. Asked more often than this, it answers 429.
     pub pause: u64,
@@ -19,33 +19,33 @@
 }
 
 impl Platform {
-    pub async fn start(w: &World, at: SocketAddr, servers: Vec<Listed>) -> std::io::Result<Arc<Platform>> {
+    pub async fn start(w: &Runtime, at: SocketAddr, servers: Vec<ListedServer>) -> std::io::Result<Arc<Platform>> {
         let door = w.bind(at).await?;
         let p = Arc::new(Platform {
             w: w.clone(),
-            list: Mutex::new(List { rev: 1, term: 0, servers }),
+            list: Mutex::new(ServerList { revision: 1, term: 0, servers }),
             last: Mutex::new(0),
             pause: 300 * MS,
             refused: Default::default(),
         });
         let me = p.clone();
-        let h: http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.go(http::serve(w.clone(), door, h, Arc::new(Gate::default())));
+        let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
+        w.spawn(buffered_http::serve(w.clone(), door, h, Arc::new(ConnectionTracker::default())));
         Ok(p)
     }
 
-    pub fn list(&self) -> Vec<Listed> {
+    pub fn list(&self) -> Vec<ListedServer> {
         self.list.lock().unwrap().servers.clone()
     }
 
-    pub fn edit(&self, f: impl FnOnce(&mut Vec<Listed>)) {
+    pub fn edit(&self, f: impl FnOnce(&mut Vec<ListedServer>)) {
         let mut l = self.list.lock().unwrap();
         f(&mut l.servers);
-        l.rev += 1;
+        l.revision += 1;
     }
 }
 
-async fn answer(p: Arc<Platform>, j: Job) -> Response {
+async fn answer(p: Arc<Platform>, j: BufferedRequest) -> Response {
     match (j.verb, j.path.as_str()) {
         (Method::Get, "/servers") => {
             let t = p.w.now();
@@ -58,7 +58,7 @@
             }
             *last = t;
             let l = p.list.lock().unwrap().clone();
-            let tag = l.rev.to_string();
+            let tag = l.revision.to_string();
             let mut r = if j.etag.as_deref() == Some(&tag) { reply(304, &()) } else { reply(200, &l) };
             if r.status() == 304 {
                 r.take_body();
@@ -66,7 +66,7 @@
             r.insert_header("etag", tag);
             r
         }
-        (Method::Post, "/lab/list") => match serde_json::from_slice::<Vec<Listed>>(&j.body) {
+        (Method::Post, "/lab/list") => match serde_json::from_slice::<Vec<ListedServer>>(&j.body) {
             Ok(v) => {
                 p.edit(|s| *s = v);
                 reply(200, &json!({"ok": true}))
--- a/yewcross-lab/src/proof/faults/disks.rs
+++ b/yewcross-lab/src/proof/faults/disks.rs
@@ -3,8 +3,8 @@
 use crate::proof::lab::Lab;
 use crate::proof::scenario::Act;
 use std::sync::Arc;
-use yewcross::consts::{MS, SEC};
-use yewcross::startup::Role;
+use yewcross::constants::{MS, SEC};
+use yewcross::process_settings::Role;
 
 impl Lab {
     /// A core's or store's disk stalls, or is full, for 6 s.
@@ -51,7 +51,7 @@
                 let (me, base) = (self.clone(), self.version().await);
                 let core = [n.clone(), self.any(Role::Core)][s.rand() as usize % 2].clone();
                 s.disk(m, |d| d.trip = Some((1 + after.0 % 6, after.1)));
-                self.op.go(async move {
+                self.op.spawn(async move {
                     me.put(&core, base, &format!("trip{i}-{}", me.sim.now())).await;
                 });
             }
--- a/yewcross-lab/src/proof/faults/network.rs
+++ b/yewcross-lab/src/proof/faults/network.rs
@@ -5,8 +5,8 @@
 use crate::sim::Weather;
 use crate::standin::Spec;
 use std::sync::Arc;
-use yewcross::consts::MS;
-use yewcross::startup::Role;
+use yewcross::constants::MS;
+use yewcross::process_settings::Role;
 
 impl Lab {
     /// The cores are split in two halves, or one from the rest, while an operator puts.
@@ -20,7 +20,7 @@
         let me = self.clone();
         let base = self.version().await;
         let core = self.any(Role::Core);
-        self.op.go(async move {
+        self.op.spawn(async move {
             me.put(&core, base, &format!("split{}", me.sim.now())).await;
         });
         self.nap(6).await;
--- a/yewcross-lab/src/proof/faults/orders.rs
+++ b/yewcross-lab/src/proof/faults/orders.rs
@@ -5,10 +5,10 @@
 use crate::standin::Spec;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use yewcross::ask::Listed;
-use yewcross::consts::{MS, SEC};
-use yewcross::startup::Role;
-use yewcross::world::Fut;
+use yewcross::constants::{MS, SEC};
+use yewcross::process_settings::Role;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::BoxFuture;
 
 /// A change to a whole configuration.
 type Edit = Box<dyn Fn(&mut Value) + Send>;
@@ -22,7 +22,7 @@
             let (a, b) = (self.any(Role::Core), self.any(Role::Core));
             let (x, y) = (self.clone(), self.clone());
             let (m, n) = (format!("a{i}-{}", s.now()), format!("b{i}-{}", s.now()));
-            let fs: Vec<Fut<'static, ()>> = vec![
+            let fs: Vec<BoxFuture<'static, ()>> = vec![
                 Box::pin(async move {
                     x.put(&a, base, &m).await;
                 }),
@@ -30,7 +30,7 @@
                     y.put(&b, base, &n).await;
                 }),
             ];
-            let rx = self.op.fan(fs);
+            let rx = self.op.spawn_all(fs);
             let _ = rx.recv().await;
             let _ = rx.recv().await;
         }
@@ -43,7 +43,7 @@
             let base = self.version().await;
             let c = self.any(Role::Core);
             let (x, core, m) = (self.clone(), c.clone(), format!("k{i}-{}", s.now()));
-            self.op.go(async move {
+            self.op.spawn(async move {
                 x.put(&core, base, &m).await;
             });
             self.op.sleep(s.rand() % (30 * MS)).await;
@@ -144,7 +144,7 @@
         let b = Spec { server: "m70".into(), addr: addr(703, 0), ..self.sh.backs[0].clone() };
         let k = s.machine(&b.server, &b.site, b.addr.ip());
         self.boot_back(s.boot(k), b.clone());
-        let l = Listed { server: b.server, service: b.service, addr: b.addr, site: b.site, leaving: false };
+        let l = ListedServer { server: b.server, service: b.service, addr: b.addr, site: b.site, leaving: false };
         let p = self.platform.lock().unwrap().clone();
         p.iter().for_each(|p| p.edit(|v| v.push(l.clone())));
         self.nap(4).await;
--- a/yewcross-lab/src/proof/faults/processes.rs
+++ b/yewcross-lab/src/proof/faults/processes.rs
@@ -3,8 +3,8 @@
 use crate::proof::lab::Lab;
 use crate::proof::scenario::Act;
 use std::sync::Arc;
-use yewcross::consts::{MS, SEC};
-use yewcross::startup::Role;
+use yewcross::constants::{MS, SEC};
+use yewcross::process_settings::Role;
 
 impl Lab {
     /// All stores lose power at once and come back.
@@ -42,10 +42,10 @@
             let m = s.find(&n);
             let (f, c) = (self.front(&n), self.control(&n));
             let (dx, dr) = async_channel::bounded(1);
-            let w = f.as_ref().map(|f| f.w.clone()).or(c.as_ref().map(|c| c.w.clone()));
+            let w = f.as_ref().map(|f| f.runtime.clone()).or(c.as_ref().map(|c| c.runtime.clone()));
             w.into_iter().for_each(|w| {
                 let (f, c, dx) = (f.clone(), c.clone(), dx.clone());
-                w.go(async move {
+                w.spawn(async move {
                     if let Some(f) = f {
                         f.stop().await;
                     }
@@ -55,7 +55,7 @@
                     let _ = dx.try_send(());
                 })
             });
-            self.op.within(15 * SEC, dr.recv()).await;
+            self.op.timeout(15 * SEC, dr.recv()).await;
             s.kill(m, false);
             self.planned.lock().unwrap().push((t0, s.now()));
             self.op.sleep(300 * MS).await;
@@ -99,7 +99,7 @@
         let s = self.sim.clone();
         let server = self.any_back(true);
         let site = self.sh.backs.iter().find(|b| b.server == server).map(|b| b.site.clone()).unwrap_or_default();
-        let fronts: Vec<_> = self.front("front1").map(|f| f.members.alive(Role::Front)).unwrap_or_default();
+        let fronts: Vec<_> = self.front("front1").map(|f| f.members.nodes_of_role(Role::Front)).unwrap_or_default();
         let n = yewcross_front::server_table::home_of(&fronts, "llm", &site).unwrap_or("front1".into());
         s.kill(s.find(&n), false);
         self.hard(&n);
@@ -116,7 +116,9 @@
         let s = self.sim.clone();
         let program = &self.sh.mix.turns[0].0;
         let key = format!("session/{program}/s{}", s.rand() % 14);
-        let at = self.control("store1").and_then(|c| yewcross::book::owners(&c.book, &c.members, &key).first().cloned());
+        let at = self
+            .control("store1")
+            .and_then(|c| yewcross::documents::cache::replicas_by_preference(&c.documents, &c.members, &key).first().cloned());
         let n = self.sh.nodes.iter().find(|n| Some(n.peer) == at).map(|n| n.name.clone()).unwrap_or("store1".into());
         let m = s.find(&n);
         self.hard(&n);
