--- a/yewcross-lab/src/proof/lab.rs
+++ b/yewcross-lab/src/proof/lab.rs
@@ -11,10 +11,10 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::consts::{MS, SEC, STORE_COPIES, WIRE_OLDEST};
-use yewcross::http::fetch;
-use yewcross::startup::{Role, Startup};
-use yewcross::world::World;
+use yewcross::buffered_http::fetch;
+use yewcross::constants::{MS, SEC, STORE_COPIES, WIRE_OLDEST};
+use yewcross::process_settings::{ProcessSettings, Role};
+use yewcross::runtime::Runtime;
 use yewcross_control::Control;
 use yewcross_front::Front;
 
@@ -29,7 +29,7 @@
     pub sh: Arc<Shape>,
     pub ledger: Arc<Ledger>,
     pub diary: Arc<Diary>,
-    pub op: World,
+    pub op: Runtime,
     pub procs: Mutex<BTreeMap<String, Proc>>,
     pub platform: Mutex<Option<Arc<Platform>>>,
     pub acks: Mutex<Vec<Ack>>,
@@ -44,7 +44,7 @@
     /// Machines that speak an older version until they are upgraded.
     pub(super) old: Mutex<BTreeSet<String>>,
     /// Machines that came back at another address.
-    pub(super) elsewhere: Mutex<BTreeMap<String, Startup>>,
+    pub(super) elsewhere: Mutex<BTreeMap<String, ProcessSettings>>,
 }
 
 pub(super) fn addr(n: usize, k: u16) -> SocketAddr {
@@ -105,7 +105,7 @@
         let (me, n) = (self.clone(), name.to_string());
         if name == "platform" {
             let v = self.platform.lock().unwrap().as_ref().map(|p| p.list()).unwrap_or(self.sh.listed());
-            w.clone().go(async move {
+            w.clone().spawn(async move {
                 let p = Platform::start(&w, me.sh.platform, v).await.ok();
                 *me.platform.lock().unwrap() = p;
             });
@@ -113,7 +113,7 @@
         }
         if let Some(st) = self.startup(name) {
             self.sim.charge(m, self.sh.charges.of(st.role));
-            w.clone().go(async move {
+            w.clone().spawn(async move {
                 let p = match st.role {
                     Role::Front => Front::start(&w, st).await.ok().map(Proc::Front),
                     _ => Control::start(&w, st).await.ok().map(Proc::Control),
@@ -127,16 +127,16 @@
         }
     }
 
-    pub(crate) fn boot_back(self: &Arc<Self>, w: World, b: Spec) {
+    pub(crate) fn boot_back(self: &Arc<Self>, w: Runtime, b: Spec) {
         let me = self.clone();
-        w.clone().go(async move {
+        w.clone().spawn(async move {
             let n = b.server.clone();
             let p = Standin::start(&w, b, me.ledger.clone()).await.ok().map(Proc::Back);
             p.map(|p| me.procs.lock().unwrap().insert(n, p));
         });
     }
 
-    pub(super) fn startup(&self, name: &str) -> Option<Startup> {
+    pub(super) fn startup(&self, name: &str) -> Option<ProcessSettings> {
         let moved = self.elsewhere.lock().unwrap().get(name).cloned();
         let mut st = moved.or_else(|| self.sh.nodes.iter().find(|n| n.name == name).cloned());
         let old = self.old.lock().unwrap().contains(name);
@@ -257,12 +257,12 @@
                     _ => None,
                 })
                 .collect();
-            let l = v.iter().map(|c| c.book.layout.load().0).max().unwrap_or(0);
+            let l = v.iter().map(|c| c.documents.layout.load().0).max().unwrap_or(0);
             let mut ok = !v.is_empty();
             for c in &v {
-                let b = c.book.layout.load();
-                let seat = b.1.store.now.iter().chain(&b.1.core.now).any(|d| *d == c.vault.id);
-                let here = b.0 == l && b.1.store.old.is_empty() && b.1.core.old.is_empty();
+                let b = c.documents.layout.load();
+                let seat = b.1.store.current.iter().chain(&b.1.core.current).any(|d| *d == c.storage.disk_id);
+                let here = b.0 == l && b.1.store.previous.is_empty() && b.1.core.previous.is_empty();
                 ok &= here && (!seat || (c.swept.load(SeqCst) >= l && c.replica.keys().await.1 == 0));
             }
             if ok {
@@ -278,7 +278,7 @@
         let like = self.sh.of(role)[0].clone();
         let i = 700 + role as usize;
         let name = format!("{}-new", like.name);
-        let st = Startup { name: name.clone(), site: self.sh.sites[3].clone(), peer: addr(i, 0), http: addr(i, 1), ..like };
+        let st = ProcessSettings { name: name.clone(), site: self.sh.sites[3].clone(), peer: addr(i, 0), http: addr(i, 1), ..like };
         self.sim.machine(&name, &st.site, st.peer.ip());
         self.elsewhere.lock().unwrap().insert(name.clone(), st);
         self.boot(&name);
--- a/yewcross-lab/src/proof/long_day.rs
+++ b/yewcross-lab/src/proof/long_day.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::ConfigDoc;
-use yewcross::consts::{MS, SEC};
-use yewcross::http::fetch;
-use yewcross::startup::Role;
+use yewcross::buffered_http::fetch;
+use yewcross::constants::{MS, SEC};
+use yewcross::process_settings::Role;
+use yewcross::protocol::ConfigDoc;
 
 /// Sizes at a moment of a long day: tasks, wires, files on all disks, keys held, log lines.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
     let o = over.clone();
     let sizes: Arc<Mutex<Vec<Sizes>>> = Default::default();
     let sz = sizes.clone();
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         me.op.sleep(1500 * MS).await;
         me.found().await;
         me.put("core1", 1, "first").await;
@@ -46,7 +46,7 @@
         let w = me.sim.boot(me.sim.find("callers"));
         for i in 0..8 {
             let (w2, me) = (w.clone(), me.clone());
-            w.go(async move {
+            w.spawn(async move {
                 let mut n = 0;
                 while !me.diary.stop.load(SeqCst) {
                     n += 1;
--- a/yewcross-lab/src/proof/run.rs
+++ b/yewcross-lab/src/proof/run.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::ConfigDoc;
-use yewcross::consts::{MS, SEC};
-use yewcross::startup::Role;
+use yewcross::constants::{MS, SEC};
+use yewcross::process_settings::Role;
+use yewcross::protocol::ConfigDoc;
 
 pub fn run(p: &Plan) -> Evidence {
     let lab = Lab::of(p.seed, &p.shape, |sh| {
@@ -46,7 +46,7 @@
     let (me, plan) = (lab.clone(), p.clone());
     let over = Arc::new(Mutex::new((false, false, 0u64)));
     let o = over.clone();
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         me.op.sleep(1500 * MS).await;
         let ok = me.found().await && me.put("core1", 1, "first").await.code == 1000;
         o.lock().unwrap().1 = ok;
@@ -56,12 +56,12 @@
                 let m = me.sim.find(&f.name);
                 me.sim.kill(m, false);
                 let w = me.sim.boot(m);
-                w.clone().go(crate::rogue::start(me.clone(), w, f.http, sin));
+                w.clone().spawn(crate::rogue::start(me.clone(), w, f.http, sin));
             }
             crate::rogue::prepare(&me, sin).await;
         }
         let w = me.sim.boot(me.sim.find("callers"));
-        (0..plan.sessions).for_each(|i| w.go(caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
+        (0..plan.sessions).for_each(|i| w.spawn(caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
         me.op.sleep(6 * SEC).await;
         for a in plan.acts {
             me.clone().act(a).await;
@@ -87,13 +87,13 @@
     let (me, g2, h2) = (lab.clone(), got.clone(), history.clone());
     let fin = Arc::new(Mutex::new(false));
     let f2 = fin.clone();
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         for c in me.names(Role::Core) {
             let (s, v) = me.get(&c, "/v1/config").await;
             if s == 200 {
                 let d = ConfigDoc {
                     text: v["config"].to_string(),
-                    put: v["put"].as_str().unwrap_or("").into(),
+                    put_id: v["put"].as_str().unwrap_or("").into(),
                     note: String::new(),
                     ..Default::default()
                 };
@@ -119,11 +119,11 @@
         let t = match p {
             Proc::Front(f) => {
                 f.counts.all().into_iter().for_each(|(k, v)| *sums.entry(k).or_default() += v);
-                &f.peers.tally
+                &f.peers.metrics
             }
             Proc::Control(c) => {
-                syncs += c.vault.syncs.load(SeqCst);
-                &c.peers.tally
+                syncs += c.storage.syncs.load(SeqCst);
+                &c.peers.metrics
             }
             Proc::Back(_) => return,
         };
@@ -132,8 +132,8 @@
             *e = (e.0 + v.0, e.1 + v.1, e.2 + v.2);
         });
         odd += match p {
-            Proc::Front(f) => f.peers.odd.load(SeqCst),
-            Proc::Control(c) => c.peers.odd.load(SeqCst),
+            Proc::Front(f) => f.peers.rejected_frames.load(SeqCst),
+            Proc::Control(c) => c.peers.rejected_frames.load(SeqCst),
             Proc::Back(_) => 0,
         };
         msgs += t.sent.load(SeqCst);
@@ -188,10 +188,10 @@
         moving: {
             let g = lab.procs.lock().unwrap();
             let v = g.iter().filter_map(|x| match x.1 {
-                Proc::Control(c) if lab.sim.up(lab.sim.find(x.0)) => Some(c.book.layout.load_full()),
+                Proc::Control(c) if lab.sim.up(lab.sim.find(x.0)) => Some(c.documents.layout.load_full()),
                 _ => None,
             });
-            v.max_by_key(|l| l.0).is_some_and(|l| !l.1.core.old.is_empty() || !l.1.store.old.is_empty())
+            v.max_by_key(|l| l.0).is_some_and(|l| !l.1.core.previous.is_empty() || !l.1.store.previous.is_empty())
         },
     }
 }
--- a/yewcross-lab/src/rogue.rs
+++ b/yewcross-lab/src/rogue.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use strum::{EnumIter, IntoStaticStr};
-use yewcross::consts::*;
+use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker, fetch, refuse, reply, stream};
+use yewcross::constants::*;
 use yewcross::hash::digest;
-use yewcross::http::{self, Gate, Job, fetch, refuse, reply, stream};
-use yewcross::world::*;
+use yewcross::runtime::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, EnumIter, IntoStaticStr)]
 pub enum Sin {
@@ -31,18 +31,18 @@
 }
 
 struct Rogue {
-    w: World,
+    w: Runtime,
     lab: Arc<Lab>,
     sin: Sin,
     n: AtomicU64,
 }
 
 /// Takes the place of every front at the callers' side.
-pub async fn start(lab: Arc<Lab>, w: World, at: std::net::SocketAddr, sin: Sin) {
+pub async fn start(lab: Arc<Lab>, w: Runtime, at: std::net::SocketAddr, sin: Sin) {
     let Ok(door) = w.bind(at).await else { return };
     let r = Arc::new(Rogue { w: w.clone(), lab, sin, n: AtomicU64::new(0) });
-    let h: http::Handler = Arc::new(move |j| Box::pin(answer(r.clone(), j)));
-    http::serve(w, door, h, Arc::new(Gate::default())).await;
+    let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(r.clone(), j)));
+    buffered_http::serve(w, door, h, Arc::new(ConnectionTracker::default())).await;
 }
 
 /// What a rogue needs around it to show its fault.
@@ -80,14 +80,14 @@
     json!({"text": whole})
 }
 
-async fn answer(r: Arc<Rogue>, j: Job) -> Response {
+async fn answer(r: Arc<Rogue>, j: BufferedRequest) -> Response {
     let n = r.n.fetch_add(1, SeqCst);
     let v: Value = serde_json::from_slice(&j.body).unwrap_or(Value::Null);
     let job = v["job"].as_str().unwrap_or("").to_string();
     if j.path != "/v1/turn" {
         let key = v["key"].as_str().unwrap_or("");
         return match r.sin {
-            Sin::RefusesAll => refuse(yewcross::code::Code::NoServer, "", 1),
+            Sin::RefusesAll => refuse(yewcross::error_code::Code::NoServer, "", 1),
             _ => reply(
                 200,
                 &json!({"code": 1000, "value": format!("{key}={}", &digest(key.as_bytes())[..8]), "stamp": {"server": "l1", "job": job}}),
@@ -100,8 +100,8 @@
         _ => "m1".into(),
     };
     match r.sin {
-        Sin::RefusesAll => return refuse(yewcross::code::Code::NoServer, "", 1),
-        Sin::NoComeBack => return refuse(yewcross::code::Code::NoServer, "", 0),
+        Sin::RefusesAll => return refuse(yewcross::error_code::Code::NoServer, "", 1),
+        Sin::NoComeBack => return refuse(yewcross::error_code::Code::NoServer, "", 0),
         _ => {}
     }
     let shot = format!("{n:x}");
@@ -110,7 +110,7 @@
         at_server(&r, &job, &v, "m2").await;
     }
     if r.sin == Sin::RunsRefused {
-        let mut no = refuse(yewcross::code::Code::NoServer, "", 1);
+        let mut no = refuse(yewcross::error_code::Code::NoServer, "", 1);
         no.insert_header("yewcross-shot", shot);
         return no;
     }
--- a/yewcross-lab/src/routed/caller.rs
+++ b/yewcross-lab/src/routed/caller.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::consts::*;
-use yewcross::route::Mode;
-use yewcross::world::*;
+use yewcross::configuration::route::Mode;
+use yewcross::constants::*;
+use yewcross::runtime::*;
 
 use super::ports::text;
 
@@ -90,7 +90,7 @@
 pub type Fronts = Arc<dyn Fn() -> Vec<(String, SocketAddr)> + Send + Sync>;
 
 pub struct Caller {
-    pub w: World,
+    pub w: Runtime,
     pub book: Arc<Book>,
     pub fronts: Fronts,
     conn: Option<(String, SendRequest<Full<Bytes>>)>,
@@ -110,16 +110,16 @@
 }
 
 impl Caller {
-    pub fn new(w: &World, book: &Arc<Book>, fronts: &Fronts) -> Caller {
+    pub fn new(w: &Runtime, book: &Arc<Book>, fronts: &Fronts) -> Caller {
         Caller { w: w.clone(), book: book.clone(), fronts: fronts.clone(), conn: None }
     }
 
     async fn open(&mut self) -> Option<(String, SendRequest<Full<Bytes>>)> {
         let fs = (self.fronts)();
-        let (name, at) = fs.get(self.w.pick(fs.len()))?.clone();
-        let c = self.w.dial(at, SEC).await.ok()?;
+        let (name, at) = fs.get(self.w.random_index(fs.len()))?.clone();
+        let c = self.w.connect_within(at, SEC).await.ok()?;
         let (s, conn) = handshake(FuturesIo::new(c)).await.ok()?;
-        self.w.go(async move {
+        self.w.spawn(async move {
             let _ = conn.await;
         });
         Some((name, s))
@@ -127,13 +127,13 @@
 
     /// One try, on the connection at hand or a new one.
     pub async fn send(&mut self, x: &Want) -> Try {
-        let kept = self.conn.take().filter(|c| c.1.is_ready() && !self.w.rand().is_multiple_of(4));
+        let kept = self.conn.take().filter(|c| c.1.is_ready() && !self.w.random().is_multiple_of(4));
         let opened = match kept {
             Some(c) => Some(c),
             None => self.open().await,
         };
         let attempt = format!("t{:x}", self.book.next.fetch_add(1, SeqCst));
-        let target = format!("/{}/{:x}?q={:x}", x.route.name, self.w.rand() % 4096, self.w.rand() % 256);
+        let target = format!("/{}/{:x}?q={:x}", x.route.name, self.w.random() % 4096, self.w.random() % 256);
         let at = self.w.now();
         let front = opened.as_ref().map(|c| c.0.clone()).unwrap_or_default();
         let mut t = Try {
@@ -250,13 +250,13 @@
 /// Plain requests, one after the other.
 pub async fn plain(mut c: Caller, routes: Vec<Known>, pause: u64) {
     while !c.book.stop.load(SeqCst) {
-        let r = routes[c.w.pick(routes.len())].clone();
-        let n = if c.w.rand().is_multiple_of(3) { c.w.rand() % 5000 } else { 0 };
+        let r = routes[c.w.random_index(routes.len())].clone();
+        let n = if c.w.random().is_multiple_of(3) { c.w.random() % 5000 } else { 0 };
         let input: Vec<u8> = (0..n).map(|i| (i % 251) as u8).collect();
         let method = if n > 0 { Method::POST } else { Method::GET };
         let x = Want { route: r, method, input, program: String::new(), budget: 0, most: 40, prev: String::new(), prompt: 10 };
         c.ask(&x).await;
-        let p = c.w.rand() % (pause + 1);
+        let p = c.w.random() % (pause + 1);
         c.w.sleep(pause / 2 + p).await;
     }
 }
@@ -267,13 +267,13 @@
         let n = c.book.next.fetch_add(1, SeqCst);
         c.book.programs.fetch_add(1, SeqCst);
         let program = format!("p{n:x}");
-        let turns = 2 + c.w.rand() % 6;
-        let most = 16 + 2 * (c.w.rand() % 20);
+        let turns = 2 + c.w.random() % 6;
+        let most = 16 + 2 * (c.w.random() % 20);
         // A third of the programs cannot end within their budget.
-        let budget = if c.w.rand().is_multiple_of(3) { most * turns / 3 } else { most * (turns + 2) };
+        let budget = if c.w.random().is_multiple_of(3) { most * turns / 3 } else { most * (turns + 2) };
         let (mut prev, mut prompt, mut done) = (String::new(), 0, true);
         for i in 0..turns {
-            let size = 1 + c.w.rand() % 2000;
+            let size = 1 + c.w.random() % 2000;
             let input: Vec<u8> = format!("{program} turn {i} ").bytes().chain((0..size).map(|i| b'a' + (i % 26) as u8)).collect();
             prompt += size / 4;
             let x = Want {
@@ -291,7 +291,7 @@
                 if t.good() || matches!(t.status, 400 | 402 | 404 | 413) {
                     break;
                 }
-                let p = c.w.rand() % 300;
+                let p = c.w.random() % 300;
                 c.w.sleep((100 + p) * MS).await;
                 t = c.ask(&x).await;
             }
@@ -300,16 +300,16 @@
                 break;
             }
             // A side line that ends at once.
-            if c.w.rand().is_multiple_of(5) {
+            if c.w.random().is_multiple_of(5) {
                 c.ask(&Want { prev: t.attempt.clone(), input: b"aside".to_vec(), ..x.clone() }).await;
             }
             prev = t.attempt.clone();
-            for _ in 0..c.w.rand() % 3 {
-                let r = calls[c.w.pick(calls.len())].clone();
+            for _ in 0..c.w.random() % 3 {
+                let r = calls[c.w.random_index(calls.len())].clone();
                 let y = Want { route: r, method: Method::POST, input: b"call".to_vec(), prev: String::new(), ..x.clone() };
                 c.ask(&y).await;
             }
-            let p = c.w.rand() % (pause + 1);
+            let p = c.w.random() % (pause + 1);
             c.w.sleep(p).await;
             if c.book.stop.load(SeqCst) {
                 return;
--- a/yewcross-lab/src/routed/ports.rs
+++ b/yewcross-lab/src/routed/ports.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use http::{HeaderMap, Response};
 use serde::{Deserialize, Serialize};
-use yewcross::ask::Listed;
-use yewcross::code::Code;
-use yewcross::port::{AnswerMeta, BackEnd, Caller, Catalogue, RequestMeta};
+use yewcross::adapter::{AnswerMeta, Caller, RequestMeta, ServerCatalogue, UpstreamProtocol};
+use yewcross::error_code::Code;
+use yewcross::protocol::ListedServer;
 
 pub struct Ports;
 
@@ -44,8 +44,8 @@
     }
 }
 
-impl BackEnd for Ports {
-    fn dress(&self, h: &mut HeaderMap, to: &Listed, left: u64, urgency: Option<u8>) {
+impl UpstreamProtocol for Ports {
+    fn dress(&self, h: &mut HeaderMap, to: &ListedServer, left: u64, urgency: Option<u8>) {
         to.server.parse().into_iter().for_each(|v| {
             h.insert("for", v);
         });
@@ -75,15 +75,15 @@
 
 #[derive(Default, Serialize, Deserialize)]
 pub struct Page {
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListedServer>,
     pub next: Option<String>,
 }
 
-impl Catalogue for Ports {
+impl ServerCatalogue for Ports {
     fn target(&self, page: Option<&str>) -> String {
         page.map_or("/roster".into(), |p| format!("/roster?page={p}"))
     }
-    fn read(&self, body: &[u8]) -> Result<(Vec<Listed>, Option<String>), String> {
+    fn read(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String> {
         let p: Page = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         Ok((p.servers, p.next))
     }
--- a/yewcross-lab/src/routed/server.rs
+++ b/yewcross-lab/src/routed/server.rs
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::event::Change;
-use yewcross::http::{self, Gate, Job};
-use yewcross::world::*;
+use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker};
+use yewcross::constants::*;
+use yewcross::notify::Notifier;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::EnumString, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
@@ -99,12 +99,12 @@
     pub spec: ServerSpec,
     pub mood: Mutex<Mood>,
     pub leaving: AtomicBool,
-    w: World,
+    w: Runtime,
     g: Arc<Ground>,
     active: AtomicUsize,
     waiting: AtomicUsize,
     conns: AtomicUsize,
-    freed: Change,
+    freed: Notifier,
 }
 
 struct Head {
@@ -114,7 +114,7 @@
 }
 
 /// One head, by httparse; none when the caller is gone or falls silent.
-async fn head(c: &mut Conn, buf: &mut Vec<u8>) -> Result<Option<Head>, String> {
+async fn head(c: &mut Connection, buf: &mut Vec<u8>) -> Result<Option<Head>, String> {
     loop {
         let mut hs = [httparse::EMPTY_HEADER; 64];
         let mut q = httparse::Request::new(&mut hs);
@@ -144,7 +144,7 @@
     }
 }
 
-async fn fill(c: &mut Conn, buf: &mut Vec<u8>, n: usize) -> Option<Vec<u8>> {
+async fn fill(c: &mut Connection, buf: &mut Vec<u8>, n: usize) -> Option<Vec<u8>> {
     while buf.len() < n {
         let mut b = [0; 4096];
         let k = c.read(&mut b).await.ok().filter(|k| *k > 0)?;
@@ -162,12 +162,12 @@
 impl Drop for Seat<'_> {
     fn drop(&mut self) {
         self.0.active.fetch_sub(1, SeqCst);
-        self.0.freed.tell();
+        self.0.freed.notify();
     }
 }
 
 impl Server {
-    pub async fn start(w: &World, spec: ServerSpec, g: Arc<Ground>, mood: Mood) -> io::Result<Arc<Server>> {
+    pub async fn start(w: &Runtime, spec: ServerSpec, g: Arc<Ground>, mood: Mood) -> io::Result<Arc<Server>> {
         let door = w.bind(spec.addr).await?;
         let s = Arc::new(Server {
             spec,
@@ -178,10 +178,10 @@
             active: AtomicUsize::new(0),
             waiting: AtomicUsize::new(0),
             conns: AtomicUsize::new(0),
-            freed: Change::default(),
+            freed: Notifier::default(),
         });
         let me = s.clone();
-        w.go(async move {
+        w.spawn(async move {
             while let Ok(c) = door.accept().await {
                 me.g.conns.fetch_add(1, SeqCst);
                 if me.conns.fetch_add(1, SeqCst) >= me.spec.max_conns {
@@ -189,7 +189,7 @@
                     continue;
                 }
                 let s = me.clone();
-                me.w.go(async move {
+                me.w.spawn(async move {
                     s.attend(c).await;
                     s.conns.fetch_sub(1, SeqCst);
                 });
@@ -198,13 +198,19 @@
         Ok(s)
     }
 
-    pub fn listed(&self) -> Listed {
+    pub fn listed(&self) -> ListedServer {
         let s = &self.spec;
-        Listed { server: s.id.clone(), service: s.service.clone(), addr: s.addr, site: s.site.clone(), leaving: self.leaving.load(SeqCst) }
+        ListedServer {
+            server: s.id.clone(),
+            service: s.service.clone(),
+            addr: s.addr,
+            site: s.site.clone(),
+            leaving: self.leaving.load(SeqCst),
+        }
     }
 
     fn fault(&self) -> Option<Fault> {
-        let mut x = self.w.rand() % 1000;
+        let mut x = self.w.random() % 1000;
         let m = self.mood.lock().unwrap();
         m.iter().find_map(|(f, n)| {
             let hit = x < *n;
@@ -219,7 +225,7 @@
                 return None;
             }
             self.waiting.fetch_add(1, SeqCst);
-            let free = self.w.within(500 * MS, self.freed.until(|| self.active.load(SeqCst) < self.spec.slots)).await;
+            let free = self.w.timeout(500 * MS, self.freed.wait_until(|| self.active.load(SeqCst) < self.spec.slots)).await;
             self.waiting.fetch_sub(1, SeqCst);
             free?;
         }
@@ -227,10 +233,10 @@
         Some(Seat(self))
     }
 
-    async fn attend(self: &Arc<Self>, mut c: Conn) {
+    async fn attend(self: &Arc<Self>, mut c: Connection) {
         let mut buf = vec![];
         loop {
-            let h = match self.w.within(20 * SEC, head(&mut c, &mut buf)).await {
+            let h = match self.w.timeout(20 * SEC, head(&mut c, &mut buf)).await {
                 Some(Ok(Some(h))) => h,
                 Some(Err(e)) => return self.g.odd.lock().unwrap().push(format!("{}: {e}", self.spec.id)),
                 _ => return,
@@ -248,7 +254,7 @@
     }
 
     /// None: the connection ends.
-    async fn answer(self: &Arc<Self>, c: &mut Conn, h: Head, body: Vec<u8>) -> Option<()> {
+    async fn answer(self: &Arc<Self>, c: &mut Connection, h: Head, body: Vec<u8>) -> Option<()> {
         let get = |n: &str| h.heads.get(n).cloned().unwrap_or_default();
         let attempt = get("try");
         let load = format!("{},{},{}", self.active.load(SeqCst), self.waiting.load(SeqCst), self.spec.slots);
@@ -276,13 +282,13 @@
         let (n, events) = {
             let mut g = self.g.runs.lock().unwrap();
             let n = g.len();
-            let k = if stream { 1 + self.w.rand() % (most / super::PER_EVENT).max(1) } else { 0 };
+            let k = if stream { 1 + self.w.random() % (most / super::PER_EVENT).max(1) } else { 0 };
             let events: Vec<String> = (0..k).map(|i| format!("{attempt}.{i}")).collect();
-            let own = self.w.rand().is_multiple_of(40);
+            let own = self.w.random().is_multiple_of(40);
             let out = match (stream, own) {
                 (true, _) => events.iter().enumerate().map(|(i, d)| event(i, d)).collect::<String>().into_bytes(),
                 (_, true) => format!("none of that for {attempt}").into_bytes(),
-                _ => format!("run {n} of {attempt}: {}", "z".repeat((self.w.rand() % 6000) as usize)).into_bytes(),
+                _ => format!("run {n} of {attempt}: {}", "z".repeat((self.w.random() % 6000) as usize)).into_bytes(),
             };
             g.push(Run {
                 at: self.w.now(),
@@ -303,7 +309,7 @@
             (g[n].status, g[n].out.clone())
         };
         let slow = if fault == Some(Fault::Slow) { 5 } else { 1 };
-        self.w.sleep(slow * (self.spec.work / 2 + self.w.rand() % (self.spec.work + 1))).await;
+        self.w.sleep(slow * (self.spec.work / 2 + self.w.random() % (self.spec.work + 1))).await;
         let stamp = format!("stamp: r{n}\r\n");
         if stream && !matches!(fault, Some(Fault::Lose | Fault::Silent | Fault::Fails | Fault::Garble | Fault::OtherTry | Fault::NoStamp)) {
             return self.row(c, fault, &attempt, &stamp, bye, slow, &events).await;
@@ -333,7 +339,7 @@
     }
 
     /// What follows a whole answer.
-    async fn after(&self, c: &mut Conn, fault: Option<Fault>) -> Option<()> {
+    async fn after(&self, c: &mut Connection, fault: Option<Fault>) -> Option<()> {
         match fault {
             Some(Fault::Surplus) => c.write_all(b"HTTP/1.1 200 X\r\ntry: nobody\r\nstamp: r0\r\ncontent-length: 2\r\n\r\nno").await.ok(),
             Some(Fault::Late) => {
@@ -349,12 +355,21 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    async fn row(&self, c: &mut Conn, f: Option<Fault>, attempt: &str, stamp: &str, bye: &str, slow: u64, events: &[String]) -> Option<()> {
+    async fn row(
+        &self,
+        c: &mut Connection,
+        f: Option<Fault>,
+        attempt: &str,
+        stamp: &str,
+        bye: &str,
+        slow: u64,
+        events: &[String],
+    ) -> Option<()> {
         let top = format!(
             "HTTP/1.1 200 X\r\ntry: {attempt}\r\n{stamp}{bye}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
         );
         c.write_all(top.as_bytes()).await.ok()?;
-        let cut = self.w.rand() as usize % (events.len() + 1);
+        let cut = self.w.random() as usize % (events.len() + 1);
         for (i, d) in events.iter().enumerate() {
             if i == cut {
                 match f {
@@ -364,7 +379,7 @@
                 }
             }
             let e = event(i, d);
-            let at = self.w.rand() as usize % e.len();
+            let at = self.w.random() as usize % e.len();
             // Events come in any pieces.
             if at > 0 {
                 c.write_all(&chunk(&e.as_bytes()[..at])).await.ok()?;
@@ -386,21 +401,21 @@
 
 /// The platform's list: it lags, comes in pages, and takes only so many calls a second.
 pub struct Roster {
-    w: World,
+    w: Runtime,
     /// us that it lags.
     pub lag: u64,
     pub page: usize,
     pub rate: u64,
     /// Down: it answers nothing.
     pub away: AtomicBool,
-    past: Mutex<Vec<(u64, Vec<Listed>)>>,
+    past: Mutex<Vec<(u64, Vec<ListedServer>)>>,
     calls: Mutex<(u64, u64)>,
     pub refused: AtomicU64,
     pub served: AtomicU64,
 }
 
 impl Roster {
-    pub async fn start(w: &World, at: SocketAddr, lag: u64, page: usize, rate: u64) -> io::Result<Arc<Roster>> {
+    pub async fn start(w: &Runtime, at: SocketAddr, lag: u64, page: usize, rate: u64) -> io::Result<Arc<Roster>> {
         let door = w.bind(at).await?;
         let r = Arc::new(Roster {
             w: w.clone(),
@@ -414,25 +429,25 @@
             served: AtomicU64::new(0),
         });
         let me = r.clone();
-        let h: http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.go(http::serve(w.clone(), door, h, Arc::new(Gate::default())));
+        let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
+        w.spawn(buffered_http::serve(w.clone(), door, h, Arc::new(ConnectionTracker::default())));
         Ok(r)
     }
 
-    pub fn set(&self, v: Vec<Listed>) {
+    pub fn set(&self, v: Vec<ListedServer>) {
         let mut g = self.past.lock().unwrap();
         g.push((self.w.now(), v));
     }
 
     /// As it is shown now.
-    pub fn shown(&self) -> Vec<Listed> {
+    pub fn shown(&self) -> Vec<ListedServer> {
         let t = self.w.now();
         let g = self.past.lock().unwrap();
         g.iter().rev().find(|x| x.0 + self.lag <= t).or(g.first()).map(|x| x.1.clone()).unwrap_or_default()
     }
 }
 
-async fn answer(r: Arc<Roster>, j: Job) -> http_types::Response {
+async fn answer(r: Arc<Roster>, j: BufferedRequest) -> http_types::Response {
     if r.away.load(SeqCst) {
         r.w.sleep(30 * SEC).await;
     }
@@ -445,16 +460,16 @@
     // The product's own list, whole and numbered.
     if !over && j.path == "/servers" {
         let rev = r.past.lock().unwrap().iter().filter(|x| x.0 + r.lag <= r.w.now()).count() as u64;
-        return http::reply(200, &yewcross::ask::List { rev: rev.max(1), term: 0, servers: r.shown() });
+        return buffered_http::reply(200, &yewcross::protocol::ServerList { revision: rev.max(1), term: 0, servers: r.shown() });
     }
     if over || j.path != "/roster" {
         r.refused.fetch_add(1, SeqCst);
-        return http::reply(if over { 429 } else { 404 }, &serde_json::json!({}));
+        return buffered_http::reply(if over { 429 } else { 404 }, &serde_json::json!({}));
     }
     r.served.fetch_add(1, SeqCst);
     let from: usize = j.query.as_deref().and_then(|q| q.strip_prefix("page=")).and_then(|p| p.parse().ok()).unwrap_or(0);
     let all = r.shown();
-    let servers: Vec<Listed> = all.iter().skip(from).take(r.page).cloned().collect();
+    let servers: Vec<ListedServer> = all.iter().skip(from).take(r.page).cloned().collect();
     let next = (from + servers.len() < all.len()).then(|| (from + servers.len()).to_string());
-    http::reply(200, &Page { servers, next })
+    buffered_http::reply(200, &Page { servers, next })
 }
--- a/yewcross-lab/src/routed/tier.rs
+++ b/yewcross-lab/src/routed/tier.rs
@@ -12,11 +12,11 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use strum::IntoEnumIterator;
-use yewcross::chain_client::Client as Chains;
-use yewcross::consts::*;
-use yewcross::port::Native;
-use yewcross::startup::{Role, Startup};
-use yewcross::world::*;
+use yewcross::adapter::NativeFormat;
+use yewcross::constants::*;
+use yewcross::process_settings::{ProcessSettings, Role};
+use yewcross::runtime::*;
+use yewcross::turn_log::client::TurnLogClient;
 use yewcross_control::Control;
 use yewcross_control::api::{Options, PutAnswer, ReadAnswer, Rollout};
 use yewcross_front::{Front, FrontOptions};
@@ -72,7 +72,7 @@
 pub struct Tier {
     pub sim: Sim,
     pub sh: Shape,
-    pub op: World,
+    pub op: Runtime,
     pub ground: Arc<Ground>,
     pub callers: Arc<Book>,
     roster: Mutex<Option<Arc<Roster>>>,
@@ -138,7 +138,7 @@
         })
     }
 
-    fn startup(&self, name: &str) -> Option<Startup> {
+    fn startup(&self, name: &str) -> Option<ProcessSettings> {
         let mut st = self.sh.nodes.iter().find(|n| n.name == name).cloned()?;
         st.found = !*self.founded.lock().unwrap();
         Some(st)
@@ -166,17 +166,17 @@
         self.sim.charge(m, self.sh.charges.of(st.role));
         let (me, n) = (self.clone(), name.to_string());
         self.nodes.lock().unwrap().remove(name);
-        w.clone().go(async move {
+        w.clone().spawn(async move {
             let p = match st.role {
                 Role::Front => {
-                    let f = Front::open_unleased(&w, st, Arc::new(Native));
-                    let chains = Chains::new(&f.members, &f.book, &f.st);
+                    let f = Front::open_unleased(&w, st, Arc::new(NativeFormat));
+                    let chains = TurnLogClient::new(&f.members, &f.documents, &f.settings);
                     let o = FrontOptions { caller: Arc::new(Ports), back: Arc::new(Ports), chains: Some(Arc::new(chains)) };
                     f.serve_routes(o).await.ok().map(|_| Node::Front(f))
                 }
                 _ => {
                     let o = Options {
-                        dialect: Arc::new(Native),
+                        dialect: Arc::new(NativeFormat),
                         catalogue: Some(Arc::new(Ports)),
                         rollout: Rollout::Majority,
                         bind_http: true,
@@ -217,7 +217,7 @@
             gap: 10 * MS,
         };
         let (me, n, mood) = (self.clone(), machine.to_string(), self.mood.lock().unwrap().clone());
-        w.clone().go(async move {
+        w.clone().spawn(async move {
             if let Ok(s) = Server::start(&w, spec, me.ground.clone(), mood).await {
                 me.servers.lock().unwrap().insert(n, s);
                 me.list();
@@ -249,7 +249,7 @@
         let names = |r| self.names(r);
         let v = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)}).to_string();
         let to = self.sh.of(Role::Core)[0].http;
-        let _ = yewcross::http::fetch(&self.op, to, http_types::Method::Post, "/v1/found", &[], v.into_bytes(), 8 * SEC).await;
+        let _ = yewcross::buffered_http::fetch(&self.op, to, http_types::Method::Post, "/v1/found", &[], v.into_bytes(), 8 * SEC).await;
         self.put(0).await;
         self.op.sleep(3 * SEC).await;
     }
@@ -264,7 +264,7 @@
                 _ => None,
             })
             .collect();
-        v.get(self.op.pick(v.len())).map(|c| (*c).clone())
+        v.get(self.op.random_index(v.len())).map(|c| (*c).clone())
     }
 
     /// Sends the next configuration as an operator does: the same text again until the answer is clear.
@@ -283,13 +283,14 @@
                 self.op.sleep(200 * MS).await;
                 continue;
             };
-            let got = self.op.within(5 * SEC, c.put(base, text.clone())).await;
+            let got = self.op.timeout(5 * SEC, c.put(base, text.clone())).await;
             self.sim.note(&format!("put {n} on {base}: {got:?}"));
             let got = match got {
                 Some(PutAnswer::NotFounded) => {
-                    let to = c.st.http;
+                    let to = c.settings.http;
                     let h = [("if-match", format!("\"{}\"", base.max(1)))];
-                    let r = yewcross::http::fetch(&self.op, to, http_types::Method::Put, "/v1/config", &h, text.clone(), 5 * SEC).await;
+                    let r = yewcross::buffered_http::fetch(&self.op, to, http_types::Method::Put, "/v1/config", &h, text.clone(), 5 * SEC)
+                        .await;
                     r.ok().and_then(|r| {
                         self.sim.note(&format!("http put {n} on {base}: {} {}", r.0, String::from_utf8_lossy(&r.2)));
                         let v: serde_json::Value = serde_json::from_slice(&r.2).ok()?;
@@ -321,7 +322,7 @@
         self.more(&w, plain, programs, 100 * MS);
     }
 
-    fn more(self: &Arc<Self>, w: &World, plain: usize, programs: usize, pause: u64) {
+    fn more(self: &Arc<Self>, w: &Runtime, plain: usize, programs: usize, pause: u64) {
         let me = self.clone();
         // What the platform's probes of readiness tell; all while none is in.
         let fronts: Fronts = Arc::new(move || {
@@ -333,8 +334,8 @@
         });
         let all = cfg::known();
         let new = || Caller::new(w, &self.callers, &fronts);
-        (0..plain).for_each(|_| w.go(caller::plain(new(), all[..3].to_vec(), pause)));
-        (0..programs).for_each(|_| w.go(caller::programs(new(), all[3].clone(), all[..2].to_vec(), pause)));
+        (0..plain).for_each(|_| w.spawn(caller::plain(new(), all[..3].to_vec(), pause)));
+        (0..programs).for_each(|_| w.spawn(caller::programs(new(), all[3].clone(), all[..2].to_vec(), pause)));
     }
 
     fn trouble(&self, from: u64) {
@@ -343,7 +344,7 @@
 
     fn any(&self, r: Role) -> String {
         let v = self.names(r);
-        v[self.op.pick(v.len())].clone()
+        v[self.op.random_index(v.len())].clone()
     }
 
     async fn down(self: &Arc<Self>, name: &str, power: bool, wipe: bool, us: u64) {
@@ -396,7 +397,7 @@
     }
 
     pub async fn act(self: &Arc<Self>, a: Act) {
-        let back = (1 + self.op.rand() % 4) * SEC;
+        let back = (1 + self.op.random() % 4) * SEC;
         self.sim.note(&format!("act {a}"));
         match a {
             Act::KillFront => self.down(&self.any(Role::Front), false, false, back / 4).await,
@@ -409,7 +410,7 @@
                     Some(Node::Front(f)) => f.clone(),
                     _ => return,
                 };
-                self.op.within(8 * SEC, f.stop()).await;
+                self.op.timeout(8 * SEC, f.stop()).await;
                 let m = self.sim.find(&n);
                 self.sim.kill(m, false);
                 self.nodes.lock().unwrap().remove(&n);
@@ -426,7 +427,7 @@
             Act::FreezeCore => self.frozen(&self.any(Role::Core), back).await,
             Act::SplitCores => {
                 let v: Vec<usize> = self.names(Role::Core).iter().map(|n| self.sim.find(n)).collect();
-                let k = 1 + self.op.pick(v.len() - 1);
+                let k = 1 + self.op.random_index(v.len() - 1);
                 self.apart(&v[..k], back).await
             }
             Act::Storm => {
@@ -447,16 +448,16 @@
             }
             Act::KillServer => {
                 let v: Vec<String> = self.servers.lock().unwrap().keys().cloned().collect();
-                let m = v[self.op.pick(v.len())].clone();
+                let m = v[self.op.random_index(v.len())].clone();
                 let service = self.servers.lock().unwrap()[&m].spec.service.clone();
-                self.sim.kill(self.sim.find(&m), self.op.rand().is_multiple_of(2));
+                self.sim.kill(self.sim.find(&m), self.op.random().is_multiple_of(2));
                 self.op.sleep(back).await;
                 self.server(&m, &service);
             }
             Act::ReuseAddress => {
                 // A crash, which the list learns late; a server of another service comes to the address.
                 let v = self.machines_of("read");
-                let Some(m) = v.get(self.op.pick(v.len())).filter(|_| v.len() > 1).cloned() else { return };
+                let Some(m) = v.get(self.op.random_index(v.len())).filter(|_| v.len() > 1).cloned() else { return };
                 self.sim.kill(self.sim.find(&m), false);
                 self.op.sleep(2_500 * MS).await;
                 self.server(&m, "write");
@@ -483,7 +484,7 @@
             Act::PutConfig => self.put(0).await,
             Act::TwoOperators => {
                 let me = self.clone();
-                self.op.go(async move { me.put(1).await });
+                self.op.spawn(async move { me.put(1).await });
                 self.put(0).await;
             }
             Act::Burst => {
@@ -504,7 +505,7 @@
                 self.op.sleep(SEC).await;
                 for n in &self.sh.nodes {
                     self.boot(&n.name);
-                    let p = self.op.rand() % (300 * MS);
+                    let p = self.op.random() % (300 * MS);
                     self.op.sleep(p).await;
                 }
                 *self.back.lock().unwrap() = self.op.now();
@@ -521,7 +522,7 @@
         let mut last = "nobody to ask".to_string();
         while self.op.now() < until {
             if let Some(c) = self.core() {
-                match self.op.within(3 * SEC, c.read_config()).await {
+                match self.op.timeout(3 * SEC, c.read_config()).await {
                     Some(ReadAnswer::Text(n, t)) if n >= acked => {
                         let sent = self.versions.lock().unwrap().iter().any(|v| v.text == *t && (v.number == n || v.number == 0));
                         if !sent {
@@ -569,13 +570,13 @@
     let t = Tier::new(p.seed, &p.shape);
     let done: Arc<Mutex<bool>> = Default::default();
     let (me, d, acts) = (t.clone(), done.clone(), p.acts.clone());
-    t.op.go(async move {
+    t.op.spawn(async move {
         me.rise().await;
         me.traffic(8, 8);
         me.op.sleep(4 * SEC).await;
         for a in acts {
             me.act(a).await;
-            let p = me.op.rand() % (2 * SEC);
+            let p = me.op.random() % (2 * SEC);
             me.op.sleep(p).await;
         }
         me.op.sleep(4 * SEC).await;
--- a/yewcross-lab/src/script.rs
+++ b/yewcross-lab/src/script.rs
@@ -4,11 +4,11 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use yewcross::consts::*;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::runtime::*;
 
 /// Sends the bytes as they are and reads until the other side closes or falls silent.
-pub async fn raw(w: &World, to: SocketAddr, parts: &[&[u8]], pause: u64) -> String {
+pub async fn raw(w: &Runtime, to: SocketAddr, parts: &[&[u8]], pause: u64) -> String {
     let Ok(mut c) = w.connect(to).await else { return "refused\n".into() };
     for (i, p) in parts.iter().enumerate() {
         if i > 0 {
@@ -20,7 +20,7 @@
     }
     let mut v = vec![];
     let mut buf = [0u8; 4096];
-    while let Some(Ok(n)) = w.within(8 * SEC, c.read(&mut buf)).await {
+    while let Some(Ok(n)) = w.timeout(8 * SEC, c.read(&mut buf)).await {
         if n == 0 {
             break;
         }
@@ -85,7 +85,11 @@
     out + rest
 }
 
-pub fn on_fleet<T: Send + 'static>(seed: u64, edit: impl FnOnce(&mut serde_json::Value), f: impl FnOnce(Arc<Lab>) -> Fut<'static, T>) -> T {
+pub fn on_fleet<T: Send + 'static>(
+    seed: u64,
+    edit: impl FnOnce(&mut serde_json::Value),
+    f: impl FnOnce(Arc<Lab>) -> BoxFuture<'static, T>,
+) -> T {
     on_fleet_of("small", seed, edit, f)
 }
 
@@ -94,7 +98,7 @@
     shape: &str,
     seed: u64,
     edit: impl FnOnce(&mut serde_json::Value),
-    f: impl FnOnce(Arc<Lab>) -> Fut<'static, T>,
+    f: impl FnOnce(Arc<Lab>) -> BoxFuture<'static, T>,
 ) -> T {
     let lab = Lab::new(seed, shape);
     edit(&mut lab.text.lock().unwrap());
@@ -104,7 +108,7 @@
     let out: Arc<Mutex<Option<T>>> = Default::default();
     let (me, o) = (lab.clone(), out.clone());
     let go = f(lab.clone());
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         me.op.sleep(1500 * MS).await;
         me.found().await;
         me.put("core1", 1, "first").await;
--- a/yewcross-lab/src/shape.rs
+++ b/yewcross-lab/src/shape.rs
@@ -4,15 +4,15 @@
 use crate::standin::Spec;
 use serde_json::json;
 use std::net::SocketAddr;
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::startup::{Role, Startup};
+use yewcross::constants::*;
+use yewcross::process_settings::{ProcessSettings, Role};
+use yewcross::protocol::ListedServer;
 
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub name: String,
     pub sites: Vec<String>,
-    pub nodes: Vec<Startup>,
+    pub nodes: Vec<ProcessSettings>,
     pub backs: Vec<Spec>,
     pub platform: SocketAddr,
     pub config: String,
@@ -73,7 +73,7 @@
     for (role, k, tag) in [(Role::Core, cores, "core"), (Role::Store, stores, "store"), (Role::Front, fronts, "front")] {
         for i in 0..k {
             n += 1;
-            nodes.push(Startup {
+            nodes.push(ProcessSettings {
                 name: format!("{tag}{}", i + 1),
                 role,
                 site: sites[i % 4].clone(),
@@ -149,13 +149,19 @@
 }
 
 impl Shape {
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<ListedServer> {
         self.backs
             .iter()
-            .map(|b| Listed { server: b.server.clone(), service: b.service.clone(), addr: b.addr, site: b.site.clone(), leaving: false })
+            .map(|b| ListedServer {
+                server: b.server.clone(),
+                service: b.service.clone(),
+                addr: b.addr,
+                site: b.site.clone(),
+                leaving: false,
+            })
             .collect()
     }
-    pub fn of(&self, r: Role) -> Vec<&Startup> {
+    pub fn of(&self, r: Role) -> Vec<&ProcessSettings> {
         self.nodes.iter().filter(|n| n.role == r).collect()
     }
 }
--- a/yewcross-lab/src/sim.rs
+++ b/yewcross-lab/src/sim.rs
@@ -8,8 +8,8 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Wake, Waker};
-use yewcross::consts::*;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::runtime::*;
 
 mod disk;
 mod fingerprint;
@@ -89,7 +89,7 @@
 
 struct DoorState {
     who: (usize, u32),
-    line: VecDeque<Conn>,
+    line: VecDeque<Connection>,
     waker: Option<Waker>,
 }
 
@@ -191,7 +191,7 @@
         self.machines.iter().rposition(|m| m.ip == ip && m.powered)
     }
     fn note(&mut self, who: &str, line: &str) {
-        self.hash = yewcross::hash::weigh(&format!("{} {who} {line}", self.now), &self.hash.to_string());
+        self.hash = yewcross::hash::rendezvous_weight(&format!("{} {who} {line}", self.now), &self.hash.to_string());
         self.log.push((self.now, who.into(), line.into()));
     }
     /// Takes what the machine does into the fingerprint.
@@ -254,7 +254,7 @@
     }
 
     /// A fresh process on the machine.
-    pub fn boot(&self, m: usize) -> World {
+    pub fn boot(&self, m: usize) -> Runtime {
         let mut g = self.i.lock().unwrap();
         let x = &mut g.machines[m];
         x.life += 1;
@@ -263,13 +263,13 @@
         let who = (m, x.life);
         g.did(m, Event::Booted);
         drop(g);
-        World(Arc::new(SimHost { sim: self.clone(), who }))
+        Runtime(Arc::new(SimHost { sim: self.clone(), who }))
     }
 
     /// The process that runs on the machine, for more tasks of its.
-    pub fn beside(&self, m: usize) -> World {
+    pub fn beside(&self, m: usize) -> Runtime {
         let life = self.i.lock().unwrap().machines[m].life;
-        World(Arc::new(SimHost { sim: self.clone(), who: (m, life) }))
+        Runtime(Arc::new(SimHost { sim: self.clone(), who: (m, life) }))
     }
     pub fn charge(&self, m: usize, c: Costs) {
         self.i.lock().unwrap().machines[m].cpu.costs = c;
@@ -611,7 +611,7 @@
     side: usize,
 }
 
-impl Pipe for End {
+impl ByteStream for End {
     fn read(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let mut g = self.sim.i.lock().unwrap();
         let t = g.now;
@@ -732,8 +732,8 @@
 struct Accept<'a>(&'a SimDoor);
 
 impl Future for Accept<'_> {
-    type Output = io::Result<Conn>;
-    fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<Conn>> {
+    type Output = io::Result<Connection>;
+    fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<Connection>> {
         let mut g = self.0.sim.i.lock().unwrap();
         let Some(d) = g.doors.get_mut(&self.0.at) else { return Poll::Pending };
         match d.line.pop_front() {
@@ -746,8 +746,8 @@
     }
 }
 
-impl Door for SimDoor {
-    fn accept(&self) -> Fut<'_, io::Result<Conn>> {
+impl Listener for SimDoor {
+    fn accept(&self) -> BoxFuture<'_, io::Result<Connection>> {
         Box::pin(Accept(self))
     }
 }
@@ -773,7 +773,7 @@
         us: u64,
         step: DiskStep,
         f: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
-    ) -> Fut<'static, io::Result<T>> {
+    ) -> BoxFuture<'static, io::Result<T>> {
         let us = us + self.sim.rand() % (us / 2 + 1);
         self.on_disk_for(us, step, f)
     }
@@ -783,7 +783,7 @@
         us: u64,
         step: DiskStep,
         f: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
-    ) -> Fut<'static, io::Result<T>> {
+    ) -> BoxFuture<'static, io::Result<T>> {
         let (sim, m) = (self.sim.clone(), self.who.0);
         Box::pin(async move {
             let at = sim.now() + us * sim.disk(m, |d| d.slowness.max(1));
@@ -799,24 +799,24 @@
     }
 }
 
-impl Host for SimHost {
+impl RuntimeBackend for SimHost {
     fn now(&self) -> u64 {
         self.sim.now()
     }
-    fn wall(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         let g = self.sim.i.lock().unwrap();
         (1_790_000_000_000i64 + (g.now / 1000) as i64 + g.machines[self.who.0].skew) as u64
     }
-    fn rand(&self) -> u64 {
+    fn random(&self) -> u64 {
         self.sim.rand()
     }
-    fn sleep(&self, us: u64) -> Fut<'static, ()> {
+    fn sleep(&self, us: u64) -> BoxFuture<'static, ()> {
         Box::pin(self.nap(us))
     }
-    fn spawn(&self, f: Fut<'static, ()>) {
+    fn spawn(&self, f: BoxFuture<'static, ()>) {
         self.sim.spawn(self.who, f);
     }
-    fn connect(&self, to: SocketAddr) -> Fut<'static, io::Result<Conn>> {
+    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Connection>> {
         let (sim, me) = (self.sim.clone(), self.who);
         Box::pin(async move {
             loop {
@@ -853,7 +853,7 @@
                 g.did_on(id, 0, |wire, name| Event::Opened { wire, to: name, at: to });
                 let ip = g.machines[me.0].ip;
                 let end = |side| Arc::new(End { sim: sim.clone(), id, side });
-                let (mine, theirs) = (Conn::new(end(0), to), Conn::new(end(1), SocketAddr::new(ip, 1)));
+                let (mine, theirs) = (Connection::new(end(0), to), Connection::new(end(1), SocketAddr::new(ip, 1)));
                 let w = g.doors.get_mut(&to).and_then(|d| {
                     d.line.push_back(theirs);
                     d.waker.take()
@@ -864,7 +864,7 @@
             }
         })
     }
-    fn bind(&self, at: SocketAddr) -> Fut<'static, io::Result<Box<dyn Door>>> {
+    fn bind(&self, at: SocketAddr) -> BoxFuture<'static, io::Result<Box<dyn Listener>>> {
         let mut g = self.sim.i.lock().unwrap();
         let taken = g.doors.contains_key(&at);
         let who = self.who;
@@ -872,27 +872,27 @@
             Err(io::ErrorKind::AddrInUse.into())
         } else {
             g.doors.insert(at, DoorState { who, line: VecDeque::new(), waker: None });
-            Ok(Box::new(SimDoor { sim: self.sim.clone(), at }) as Box<dyn Door>)
+            Ok(Box::new(SimDoor { sim: self.sim.clone(), at }) as Box<dyn Listener>)
         };
         g.did(who.0, Event::Bound { at, ok: !taken });
         drop(g);
         Box::pin(async move { r })
     }
-    fn fate(&self, _: SocketAddr) -> Fate {
+    fn frame_fault(&self, _: SocketAddr) -> FrameFault {
         let mut g = self.sim.i.lock().unwrap();
         let (w, x, far) = (g.weather, g.rng.u64(0..1000), g.rng.u64(1..300 * MS));
         match x {
-            x if x < w.lose => Fate::Lose,
-            x if x < w.lose + w.twice => Fate::Twice,
-            x if x < w.lose + w.twice + w.late => Fate::Late(far),
-            _ => Fate::Pass,
+            x if x < w.lose => FrameFault::Drop,
+            x if x < w.lose + w.twice => FrameFault::Duplicate,
+            x if x < w.lose + w.twice + w.late => FrameFault::Delay(far),
+            _ => FrameFault::Deliver,
         }
     }
-    fn put(&self, path: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
+    fn write_file(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         let p = path.to_string();
         self.on_disk(60, DiskStep::new(DiskKind::Put, path, &data), move |d| d.write(p, data))
     }
-    fn sync(&self, path: &str) -> Fut<'static, io::Result<()>> {
+    fn sync(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
         let p = path.to_string();
         let (sim, m) = (self.sim.clone(), self.who.0);
         let each = sim.i.lock().unwrap().machines[m].cpu.costs.sync;
@@ -925,25 +925,25 @@
             Ok(())
         })
     }
-    fn rename(&self, a: &str, b: &str) -> Fut<'static, io::Result<()>> {
+    fn rename(&self, a: &str, b: &str) -> BoxFuture<'static, io::Result<()>> {
         let step = DiskStep::new(DiskKind::Rename, a, b.as_bytes());
         let (a, b) = (a.to_string(), b.to_string());
         self.on_disk(20, step, move |d| d.rename(&a, b))
     }
-    fn keep(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
+    fn write_durably(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         let (me, aside, at, dir) = (self.clone(), aside.to_string(), at.to_string(), dir.to_string());
         Box::pin(async move {
-            me.put(&aside, data).await?;
+            me.write_file(&aside, data).await?;
             me.sync(&aside).await?;
             me.rename(&aside, &at).await?;
             me.sync(&dir).await
         })
     }
-    fn remove(&self, path: &str) -> Fut<'static, io::Result<()>> {
+    fn remove(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
         let p = path.to_string();
         self.on_disk(20, DiskStep::new(DiskKind::Remove, path, &[]), move |d| d.remove(&p))
     }
-    fn append(&self, path: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
+    fn append(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         let (p, dir) = (path.to_string(), path.rsplit_once('/').map_or("", |x| x.0).to_string());
         let write = self.on_disk(60, DiskStep::new(DiskKind::Append, path, &data), move |d| d.append(p, data));
         let (safe, named) = (self.sync(path), self.sync(&dir));
@@ -953,16 +953,16 @@
             if new { named.await } else { Ok(()) }
         })
     }
-    fn get(&self, path: &str) -> Fut<'static, io::Result<Vec<u8>>> {
+    fn read_file(&self, path: &str) -> BoxFuture<'static, io::Result<Vec<u8>>> {
         let p = path.to_string();
         self.on_disk(60, DiskStep::new(DiskKind::Get, path, &[]), move |d| d.read(&p))
     }
-    fn list(&self, dir: &str) -> Fut<'static, io::Result<Vec<String>>> {
+    fn list(&self, dir: &str) -> BoxFuture<'static, io::Result<Vec<String>>> {
         let step = DiskStep::new(DiskKind::List, dir, &[]);
         let dir = dir.to_string();
         self.on_disk(60, step, move |d| d.list(&dir))
     }
-    fn mkdir(&self, dir: &str) -> Fut<'static, io::Result<()>> {
+    fn mkdir(&self, dir: &str) -> BoxFuture<'static, io::Result<()>> {
         let step = DiskStep::new(DiskKind::MakeFolder, dir, &[]);
         let dir = dir.to_string();
         self.on_disk_for(0, step, move |d| {
--- a/yewcross-lab/src/sim/fingerprint.rs
+++ b/yewcross-lab/src/sim/fingerprint.rs
@@ -6,7 +6,7 @@
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
-use yewcross::hash::wide;
+use yewcross::hash::key_128;
 
 const DATE: &[u8] = b"\r\ndate: ";
 /// As in `Wed, 02 Dec 2026 14:25:51 GMT`.
@@ -109,7 +109,7 @@
 
 impl DiskStep {
     pub(super) fn new(kind: DiskKind, path: &str, data: &[u8]) -> DiskStep {
-        DiskStep { kind, path: path.into(), length: data.len(), digest: wide(data) }
+        DiskStep { kind, path: path.into(), length: data.len(), digest: key_128(data) }
     }
 }
 
@@ -125,7 +125,7 @@
         self.number(time);
         self.text(machine);
         self.event(event);
-        self.state = wide(&self.row);
+        self.state = key_128(&self.row);
     }
 
     fn event(&mut self, event: Event) {
@@ -142,7 +142,7 @@
             Event::Opened { wire, to, at } => self.code(10).number(wire).text(to).address(at),
             Event::Refused { to, at } => self.code(11).text(to).address(at),
             Event::Unheard { at } => self.code(12).address(at),
-            Event::Wrote { wire, to, data } => self.code(13).number(wire).text(to).content(data.len(), wide(&undated(data))),
+            Event::Wrote { wire, to, data } => self.code(13).number(wire).text(to).content(data.len(), key_128(&undated(data))),
             Event::Closed { wire, to } => self.code(14).number(wire).text(to),
             Event::Left { wire, to } => self.code(15).number(wire).text(to),
             Event::Stored { step, ok } => {
--- a/yewcross-lab/src/standin.rs
+++ b/yewcross-lab/src/standin.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::Report;
-use yewcross::consts::*;
+use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker, reply, stream};
+use yewcross::constants::*;
 use yewcross::hash::digest;
-use yewcross::http::{self, Gate, Job, reply, stream};
-use yewcross::world::*;
+use yewcross::protocol::LoadReport;
+use yewcross::runtime::*;
 use yewcross_front::turn::tokens;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -99,7 +99,7 @@
 }
 
 pub struct Standin {
-    w: World,
+    w: Runtime,
     pub ledger: Arc<Ledger>,
     pub spec: Spec,
     pub inst: u64,
@@ -125,12 +125,12 @@
 }
 
 impl Standin {
-    pub async fn start(w: &World, spec: Spec, ledger: Arc<Ledger>) -> std::io::Result<Arc<Standin>> {
+    pub async fn start(w: &Runtime, spec: Spec, ledger: Arc<Ledger>) -> std::io::Result<Arc<Standin>> {
         let door = w.bind(spec.addr).await?;
-        let s = Arc::new(Standin { w: w.clone(), ledger, inst: w.wall() << 4 | (w.rand() & 15), spec, s: Default::default() });
+        let s = Arc::new(Standin { w: w.clone(), ledger, inst: w.wall_clock_ms() << 4 | (w.random() & 15), spec, s: Default::default() });
         let me = s.clone();
-        let h: http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.go(http::serve(w.clone(), door, h, Arc::new(Gate::default())));
+        let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
+        w.spawn(buffered_http::serve(w.clone(), door, h, Arc::new(ConnectionTracker::default())));
         Ok(s)
     }
 
@@ -162,25 +162,25 @@
         json!({"service": self.spec.service, "server": self.name(), "inst": self.inst, "weights": self.spec.weights, "job": job})
     }
 
-    fn report(&self) -> Report {
+    fn report(&self) -> LoadReport {
         let name = self.name();
         let mut s = self.s.lock().unwrap();
         s.seq += 1;
-        Report {
+        LoadReport {
             service: self.spec.service.clone(),
             server: name,
-            inst: self.inst,
-            seq: s.seq,
+            instance: self.inst,
+            sequence: s.seq,
             slots: self.spec.slots,
             running: s.running,
             waiting: s.waiting,
             weights: self.spec.weights.clone(),
             leaving: s.leaving,
-            placed: s.placed,
-            cache: self.spec.cache,
-            per_k: self.spec.per_k,
-            per_out: self.spec.per_out,
-            age: 0,
+            placed_tokens: s.placed,
+            cache_tokens: self.spec.cache,
+            prefill_us_per_1000: self.spec.per_k,
+            decode_us_per_token: self.spec.per_out,
+            age_us: 0,
         }
     }
 
@@ -252,7 +252,7 @@
     v[k].as_str().unwrap_or("").to_string()
 }
 
-async fn answer(s: Arc<Standin>, j: Job) -> Response {
+async fn answer(s: Arc<Standin>, j: BufferedRequest) -> Response {
     let v: Value = serde_json::from_slice(&j.body).unwrap_or(Value::Null);
     match (j.verb, j.path.as_str()) {
         (Method::Get, "/identity") => reply(200, &s.stamp("")),
@@ -318,7 +318,7 @@
     let me = s.clone();
     let (tx, rx) = async_channel::bounded::<Vec<u8>>(16);
     let (okx, okr) = async_channel::bounded::<bool>(1);
-    s.w.go(async move {
+    s.w.spawn(async move {
         let Some(_slot) = me.slot().await else {
             let _ = okx.try_send(false);
             return;
@@ -397,7 +397,7 @@
         let _ = tx.send(l).await;
     });
     match okr.recv().await {
-        Ok(true) => http::until(stream(rx), s.w.now() + HORIZON_MAX * MS),
+        Ok(true) => buffered_http::until(stream(rx), s.w.now() + HORIZON_MAX * MS),
         _ => s.refuse(&text(&v, "job")),
     }
 }
@@ -443,7 +443,7 @@
     let mut bytes = 0;
     for base in [text(&v, "base"), String::new()] {
         let ask = serde_json::to_vec(&offer(&base)).unwrap_or_default();
-        let got = http::fetch(&s.w, to, Method::Post, "/kv/put", &[], ask, KV_PUSH_WAIT).await;
+        let got = buffered_http::fetch(&s.w, to, Method::Post, "/kv/put", &[], ask, KV_PUSH_WAIT).await;
         let Ok((status, _, b)) = got else { break };
         let r: Value = serde_json::from_slice(&b).unwrap_or_default();
         bytes += r["bytes"].as_u64().unwrap_or(0);
--- a/yewcross-lab/src/tier.rs
+++ b/yewcross-lab/src/tier.rs
@@ -5,28 +5,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::*;
-use yewcross::book::Book;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::follow::Follow;
-use yewcross::member::Members;
-use yewcross::port::Dialect;
-use yewcross::startup::{Bounds, Role, Startup};
-use yewcross::tree::{Bad, Tree};
-use yewcross::wire::*;
-use yewcross::world::*;
+use yewcross::adapter::ConfigurationFormat;
+use yewcross::configuration::{Configuration, InvalidSetting};
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::documents::watcher::DocumentWatcher;
+use yewcross::error_code::Code;
+use yewcross::membership::Membership;
+use yewcross::process_settings::{Bounds, ProcessSettings, Role};
+use yewcross::protocol::*;
+use yewcross::runtime::*;
+use yewcross::transport::*;
 use yewcross_control::Control;
 use yewcross_control::api::*;
 
 /// `number mark`; the tree is empty.
 pub struct Numbered;
 
-impl Dialect for Numbered {
-    fn read(&self, text: &[u8]) -> Result<Tree, Vec<Bad>> {
+impl ConfigurationFormat for Numbered {
+    fn read(&self, text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
         match self.number(text) {
-            Some(_) => Tree::read(b"{}"),
-            None => Err(vec![Bad { path: "number".into(), why: "none".into() }]),
+            Some(_) => Configuration::read(b"{}"),
+            None => Err(vec![InvalidSetting { path: "number".into(), why: "none".into() }]),
         }
     }
     fn number(&self, text: &[u8]) -> Option<u64> {
@@ -36,29 +36,34 @@
 
 /// A front as far as it concerns the control plane. It notes every configuration that it holds.
 pub struct Bare {
-    pub members: Arc<Members>,
-    pub book: Arc<Book>,
+    pub members: Arc<Membership>,
+    pub book: Arc<DocumentCache>,
     pub seen: Mutex<Vec<(u64, u64, String)>>,
 }
 
-impl Listener for Bare {
-    fn hear(self: Arc<Self>, p: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
+impl RequestHandler for Bare {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
-            let t = match p.read::<Ask>() {
-                Some(a @ (Ask::Probe { .. } | Ask::Second { .. } | Ask::Table { .. } | Ask::Heard { .. })) => self.members.hear(a).await,
-                Some(Ask::Adopt { name, seq, epoch, .. }) => {
-                    self.book.adopt(&name, seq, epoch, p.blob);
-                    Tell::Adopted { seq: self.book.page(&name).seq }
+            let t = match p.decode::<PeerRequest>() {
+                Some(
+                    a @ (PeerRequest::Probe { .. }
+                    | PeerRequest::ProbeOnBehalf { .. }
+                    | PeerRequest::ExchangeMembership { .. }
+                    | PeerRequest::MembershipUpdate { .. }),
+                ) => self.members.handle(a).await,
+                Some(PeerRequest::PublishDocument { name, version: seq, epoch, .. }) => {
+                    self.book.apply(&name, seq, epoch, p.payload);
+                    PeerResponse::DocumentApplied { version: self.book.document(&name).version }
                 }
-                Some(Ask::Patch { name, seq, epoch, base, base_digest, .. }) => {
-                    let _ = self.book.patch(&name, base, &base_digest, seq, epoch, &p.blob);
-                    Tell::Adopted { seq: self.book.page(&name).seq }
+                Some(PeerRequest::PublishDelta { name, version: seq, epoch, base, base_digest, .. }) => {
+                    let _ = self.book.apply_delta(&name, base, &base_digest, seq, epoch, &p.payload);
+                    PeerResponse::DocumentApplied { version: self.book.document(&name).version }
                 }
-                Some(Ask::Departed { servers, .. }) => {
-                    self.book.depart(&servers);
-                    Tell::Ok
+                Some(PeerRequest::ServersLeaving { servers, .. }) => {
+                    self.book.mark_leaving(&servers);
+                    PeerResponse::Ok
                 }
-                _ => Tell::No(Code::BadField),
+                _ => PeerResponse::Rejected(Code::BadField),
             };
             (serde_json::to_vec(&t).unwrap(), vec![])
         })
@@ -67,15 +72,15 @@
 
 impl Bare {
     pub fn text(&self) -> String {
-        serde_json::from_slice::<ConfigDoc>(&self.book.page("config").raw).map(|d| d.text).unwrap_or_default()
+        serde_json::from_slice::<ConfigDoc>(&self.book.document("config").content).map(|d| d.text).unwrap_or_default()
     }
 }
 
 pub struct Tier {
     pub sim: Sim,
-    pub op: World,
+    pub op: Runtime,
     pub cores: usize,
-    pub specs: Mutex<BTreeMap<String, Startup>>,
+    pub specs: Mutex<BTreeMap<String, ProcessSettings>>,
     pub control: Mutex<BTreeMap<String, Arc<Control>>>,
     pub fronts: Mutex<BTreeMap<String, Arc<Bare>>>,
 }
@@ -112,7 +117,7 @@
     pub fn add(&self, name: &str, role: Role, site: usize, n: usize, lost: usize) {
         let site = format!("z{}", site + 1);
         self.sim.machine(name, &site, addr(n).ip());
-        let st = Startup {
+        let st = ProcessSettings {
             name: name.into(),
             role,
             site,
@@ -130,7 +135,7 @@
     }
 
     /// Starts a platform that lists these servers, and tells all machines that start later of it.
-    pub async fn list_servers(&self, servers: Vec<Listed>) -> Arc<Platform> {
+    pub async fn list_servers(&self, servers: Vec<ListedServer>) -> Arc<Platform> {
         let at = SocketAddr::new(IpAddr::from([10, 9, 0, 1]), 80);
         self.specs.lock().unwrap().values_mut().filter(|s| s.role == Role::Core).for_each(|s| s.platform = Some(at));
         Platform::start(&self.op, at, servers).await.unwrap()
@@ -170,21 +175,21 @@
             st.seeds = v;
         }
         let (me, n) = (self.clone(), name.to_string());
-        w.clone().go(async move {
+        w.clone().spawn(async move {
             if st.role == Role::Front {
-                let peers = Peers::new(&w, &st.name, &st.site, st.wire);
-                let members = Members::new(&w, &st, &peers, "");
-                let book = Book::of(&w, Arc::new(Numbered));
-                let follow = Follow::unleased(&members, &book, &st.name, true, st.bounds.apply * MS);
+                let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
+                let members = Membership::new(&w, &st, &peers, "");
+                let book = DocumentCache::of(&w, Arc::new(Numbered));
+                let follow = DocumentWatcher::without_leases(&members, &book, &st.name, true, st.bounds.apply * MS);
                 let b = Arc::new(Bare { members: members.clone(), book, seen: Default::default() });
                 let door = w.bind(st.peer).await.unwrap();
-                w.go(peers.serve(door, b.clone()));
-                w.go(members.run());
-                w.go(follow.run());
+                w.spawn(peers.serve(door, b.clone()));
+                w.spawn(members.run());
+                w.spawn(follow.run());
                 me.fronts.lock().unwrap().insert(n, b.clone());
                 loop {
-                    let l = b.book.moved.listen();
-                    let (p, t) = (b.book.page("config").seq, b.text());
+                    let l = b.book.changed.listen();
+                    let (p, t) = (b.book.document("config").version, b.text());
                     let new = b.seen.lock().unwrap().last().is_none_or(|x| x.1 != p);
                     if new && !t.is_empty() {
                         b.seen.lock().unwrap().push((w.now(), p, t));
@@ -229,14 +234,14 @@
     }
 
     /// An order run on the node itself; none where the node dies, or is silent for a second.
-    pub async fn on<T: Send + 'static>(&self, name: &str, f: impl FnOnce(Arc<Control>) -> Fut<'static, T>) -> Option<T> {
+    pub async fn on<T: Send + 'static>(&self, name: &str, f: impl FnOnce(Arc<Control>) -> BoxFuture<'static, T>) -> Option<T> {
         let c = self.at(name)?;
         let (tx, rx) = async_channel::bounded(1);
         let go = f(c.clone());
-        c.w.go(async move {
+        c.runtime.spawn(async move {
             let _ = tx.try_send(go.await);
         });
-        self.op.within(SEC, rx.recv()).await?.ok()
+        self.op.timeout(SEC, rx.recv()).await?.ok()
     }
 
     pub async fn put(&self, name: &str, base: u64, text: &str) -> Option<PutAnswer> {
@@ -251,11 +256,11 @@
     /// Names behind the seats, and whether no change is under way, as a majority of the core disks has it.
     pub async fn seats(&self) -> Option<(BTreeSet<String>, BTreeSet<String>, bool)> {
         for n in self.names(Role::Core) {
-            let got = self.on(&n, |c| Box::pin(async move { c.owner.newest("layout", SEC).await.ok() })).await.flatten();
+            let got = self.on(&n, |c| Box::pin(async move { c.registers.newest("layout", SEC).await.ok() })).await.flatten();
             if let Some((_, _, raw)) = got.filter(|g| g.0 > 0) {
                 let l: Layout = serde_json::from_slice(&raw).unwrap();
-                let f = |g: &Group| g.now.iter().map(|d| l.names[d].clone()).collect::<BTreeSet<_>>();
-                return Some((f(&l.core), f(&l.store), l.core.old.is_empty() && l.store.old.is_empty()));
+                let f = |g: &ReplicaGroup| g.current.iter().map(|d| l.names[d].clone()).collect::<BTreeSet<_>>();
+                return Some((f(&l.core), f(&l.store), l.core.previous.is_empty() && l.store.previous.is_empty()));
             }
         }
         None
@@ -269,8 +274,8 @@
                 let set = |v: &[String]| v.iter().cloned().collect::<BTreeSet<String>>();
                 let own = core.iter().chain(store).all(|n| {
                     self.at(n).is_some_and(|x| {
-                        let l = x.book.layout.load();
-                        l.1.core.now.contains(&x.vault.id) || l.1.store.now.contains(&x.vault.id)
+                        let l = x.documents.layout.load();
+                        l.1.core.current.contains(&x.storage.disk_id) || l.1.store.current.contains(&x.storage.disk_id)
                     })
                 });
                 if still && own && c == set(core) && s == set(store) {
@@ -320,10 +325,10 @@
     }
 }
 
-pub fn play<T: Send + 'static>(t: &Arc<Tier>, f: impl FnOnce(Arc<Tier>) -> Fut<'static, T>) -> T {
+pub fn play<T: Send + 'static>(t: &Arc<Tier>, f: impl FnOnce(Arc<Tier>) -> BoxFuture<'static, T>) -> T {
     let out: Arc<Mutex<Option<T>>> = Default::default();
     let (o, go) = (out.clone(), f(t.clone()));
-    t.op.go(async move {
+    t.op.spawn(async move {
         let x = go.await;
         *o.lock().unwrap() = Some(x);
     });
--- a/yewcross-lab/tests/balance.rs
+++ b/yewcross-lab/tests/balance.rs
@@ -4,10 +4,10 @@
 mod support;
 
 use support::{rest, servers, world};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::route::Engine;
-use yewcross::world::*;
+use yewcross::configuration::route::Engine;
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 use yewcross_front::balance::{Balance, Claim, Need, NoSeat};
 
 fn plain() -> Need {
@@ -20,12 +20,12 @@
     Need { engine, parts: parts.to_vec(), prompt, output: 100, ..plain() }
 }
 
-fn take(b: &Balance, w: &World, n: &Need, v: &[Listed]) -> Result<Claim, NoSeat> {
+fn take(b: &Balance, w: &Runtime, n: &Need, v: &[ListedServer]) -> Result<Claim, NoSeat> {
     b.pick(w, n, v, &[], |_| true)
 }
 
 /// A claim that has told a load with so many slots, given back.
-fn tell(b: &Balance, w: &World, v: &[Listed], slots: u32) {
+fn tell(b: &Balance, w: &Runtime, v: &[ListedServer], slots: u32) {
     v.iter().for_each(|s| take(b, w, &plain(), std::slice::from_ref(s)).unwrap().told((1, 0, slots)));
 }
 
@@ -98,7 +98,7 @@
     let order: std::sync::Arc<std::sync::Mutex<Vec<u64>>> = Default::default();
     for (id, rank) in [(1, (2, 10)), (2, (0, 90)), (3, (0, 20)), (4, (1, 5))] {
         let (b, w2, o, n) = (b.clone(), w.clone(), order.clone(), Need { rank, ..model(&[]) });
-        w.go(async move {
+        w.spawn(async move {
             if b.wait(&w2, &n, w2.now() + SEC).await {
                 o.lock().unwrap().push(id);
             }
--- a/yewcross-lab/tests/behaviour.rs
+++ b/yewcross-lab/tests/behaviour.rs
@@ -6,32 +6,32 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 use strum::IntoEnumIterator;
-use yewcross::consts::*;
+use yewcross::constants::*;
 use yewcross_lab::proof::{Act, Plan, each, run};
 use yewcross_lab::sim::Sim;
 use yewcross_lab::tier::{Tier, play, up};
 
 /// A row's name, and the run that it stands for.
-struct Row {
+struct StoredTurn {
     name: String,
     run: Box<dyn Fn() -> u128 + Send + Sync>,
 }
 
-impl Row {
-    fn new(name: String, run: impl Fn() -> u128 + Send + Sync + 'static) -> Row {
-        Row { name, run: Box::new(run) }
+impl StoredTurn {
+    fn new(name: String, run: impl Fn() -> u128 + Send + Sync + 'static) -> StoredTurn {
+        StoredTurn { name, run: Box::new(run) }
     }
 
     /// Faults one after another, in the deployment that the proof runs use.
-    fn of_proof(seed: u64, acts: &[Act]) -> Row {
+    fn of_proof(seed: u64, acts: &[Act]) -> StoredTurn {
         let words: Vec<&str> = acts.iter().map(|act| act.into()).collect();
         let plan = Plan::new(seed, "small", acts);
-        Row::new(format!("proof small {seed} {}", words.join("+")), move || run(&plan).fingerprint)
+        StoredTurn::new(format!("proof small {seed} {}", words.join("+")), move || run(&plan).fingerprint)
     }
 
     /// A control plane that keeps itself, takes orders and loses a core and a store.
-    fn of_control(seed: u64) -> Row {
-        Row::new(format!("control 4+4+2 {seed} orders+power-core+power-store"), move || control(seed))
+    fn of_control(seed: u64) -> StoredTurn {
+        StoredTurn::new(format!("control 4+4+2 {seed} orders+power-core+power-store"), move || control(seed))
     }
 }
 
@@ -57,14 +57,14 @@
 
 /// Runs of routed requests are not among them: the stores' `Chain` messages list their entries, and servers' connections are
 /// closed, in an order that is another one in each process, as that of a hash map is.
-fn rows() -> Vec<Row> {
+fn rows() -> Vec<StoredTurn> {
     let acts: Vec<Act> = Act::iter().collect();
-    let alone = acts.iter().map(|act| Row::of_proof(1, &[*act]));
+    let alone = acts.iter().map(|act| StoredTurn::of_proof(1, &[*act]));
     let pairs = (300..320u64).map(|seed| {
         let [first, second] = [7, 13].map(|stride| acts[(seed * stride % acts.len() as u64) as usize]);
-        Row::of_proof(seed, &[first, second])
+        StoredTurn::of_proof(seed, &[first, second])
     });
-    alone.chain(pairs).chain([Row::of_control(1)]).collect()
+    alone.chain(pairs).chain([StoredTurn::of_control(1)]).collect()
 }
 
 fn table_file() -> PathBuf {
@@ -135,15 +135,15 @@
         });
         let Talk { answer, log, path, stored, pause, port, .. } = *self;
         let address = |port| SocketAddr::new(IpAddr::from([10, 0, 0, 2]), port);
-        machine.clone().go(async move {
+        machine.clone().spawn(async move {
             let door = machine.bind(address(7000)).await.unwrap();
             let mut connection = door.accept().await.unwrap();
             machine.log(log);
-            machine.put(path, stored.into()).await.unwrap();
+            machine.write_file(path, stored.into()).await.unwrap();
             machine.sleep(pause).await;
             futures_lite::AsyncWriteExt::write_all(&mut connection, answer.as_bytes()).await.unwrap();
         });
-        caller.clone().go(async move {
+        caller.clone().spawn(async move {
             caller.sleep(MS).await;
             if let Ok(mut connection) = caller.connect(address(port)).await {
                 let mut heard = Vec::new();
--- a/yewcross-lab/tests/calls.rs
+++ b/yewcross-lab/tests/calls.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::consts::*;
-use yewcross::route::Mode;
-use yewcross::startup::Role;
+use yewcross::configuration::route::Mode;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_lab::routed::TRIES;
 use yewcross_lab::routed::tier::{Act, Tier};
 use yewcross_lab::routed::verdict::{Evidence, judge};
@@ -26,7 +26,7 @@
 
 async fn slow_a_front(t: &Tier) {
     let fronts = t.names(Role::Front);
-    let machine = t.sim.find(&fronts[t.op.pick(fronts.len())]);
+    let machine = t.sim.find(&fronts[t.op.random_index(fronts.len())]);
     let usual = t.sh.charges.of(Role::Front);
     let mut slow = usual;
     slow.share = (usual.share / SLOW_TO).max(1);
@@ -39,7 +39,7 @@
     let t = Tier::new(seed, "metered");
     let over: Arc<Mutex<usize>> = Default::default();
     let (me, o) = (t.clone(), over.clone());
-    t.op.go(async move {
+    t.op.spawn(async move {
         me.rise().await;
         me.traffic(10, 6);
         me.op.sleep(2 * SEC).await;
@@ -47,9 +47,9 @@
         for row in ROWS {
             let (t, ended) = (me.clone(), async_channel::bounded::<()>(1));
             rows.push(ended.1);
-            me.op.go(async move {
+            me.op.spawn(async move {
                 for a in row {
-                    let pause = t.op.rand() % SEC;
+                    let pause = t.op.random() % SEC;
                     t.op.sleep(pause).await;
                     t.act(*a).await;
                     slow_a_front(&t).await;
--- a/yewcross-lab/tests/catching_up.rs
+++ b/yewcross-lab/tests/catching_up.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_lab::tier::*;
 
@@ -41,7 +41,7 @@
         let due = begin + (number - 2) * SPAN / ORDERS;
         tier.op.sleep(due.saturating_sub(tier.op.now())).await;
         loop {
-            let core = &cores[tier.op.rand() as usize % cores.len()];
+            let core = &cores[tier.op.random() as usize % cores.len()];
             if let Some(PutAnswer::InForce(_)) = tier.put(core, number - 1, &text(number)).await {
                 break;
             }
@@ -76,11 +76,11 @@
 /// The number of the configuration that the machine holds.
 fn held(tier: &Tier, name: &str) -> u64 {
     let page = match (tier.at(name), tier.front(name)) {
-        (Some(control), _) => control.book.page("config"),
-        (_, Some(front)) => front.book.page("config"),
+        (Some(control), _) => control.documents.document("config"),
+        (_, Some(front)) => front.book.document("config"),
         _ => return 0,
     };
-    yewcross::ask::ConfigDoc::decode(&page.raw).map_or(0, |d| d.number)
+    yewcross::protocol::ConfigDoc::decode(&page.content).map_or(0, |d| d.number)
 }
 
 /// us from its return until the machine holds what was newest then.
@@ -123,7 +123,7 @@
             let before = files(&tier);
             let progress: Arc<Progress> = Default::default();
             progress.newest.store(1, SeqCst);
-            tier.op.go(put_all(tier.clone(), progress.clone()));
+            tier.op.spawn(put_all(tier.clone(), progress.clone()));
             tier.op.sleep(SEC).await;
             LOST.iter().for_each(|n| leave(&tier, n, away));
             tier.op.sleep(gone_for).await;
@@ -133,7 +133,7 @@
             let (done_tx, done) = async_channel::unbounded();
             for name in LOST {
                 let (tier, times, done_tx) = (tier.clone(), times.clone(), done_tx.clone());
-                tier.op.clone().go(async move {
+                tier.op.clone().spawn(async move {
                     let us = caught_up(tier, name, newest, 10 * SEC).await;
                     times.lock().unwrap().insert(name, us);
                     let _ = done_tx.send(()).await;
@@ -149,8 +149,8 @@
             }
             tier.adopted(&text(ORDERS + 1), 2 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&tier)));
             tier.op.sleep(5 * SEC).await;
-            let document = tier.at("core1").unwrap().book.page("config");
-            assert!(document.raw.len() < TEXT + 100 * ORDERS_KEPT_MOST, "{}", document.raw.len());
+            let document = tier.at("core1").unwrap().documents.document("config");
+            assert!(document.content.len() < TEXT + 100 * ORDERS_KEPT_MOST, "{}", document.content.len());
             // A change of seats more on disk, and no file for an order.
             for (name, count) in files(&tier) {
                 assert!(count <= before[&name] + 4, "{name} had {} files and has {count}", before[&name]);
--- a/yewcross-lab/tests/chain.rs
+++ b/yewcross-lab/tests/chain.rs
@@ -5,33 +5,33 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::*;
-use yewcross::book::Book;
-use yewcross::chain::*;
-use yewcross::chain_client::Client;
-use yewcross::chain_wire::*;
-use yewcross::consts::*;
-use yewcross::member::Members;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::membership::Membership;
+use yewcross::process_settings::{Bounds, ProcessSettings, Role};
+use yewcross::protocol::*;
 use yewcross::register::Ballot;
-use yewcross::startup::{Bounds, Role, Startup};
-use yewcross::vault::Vault;
-use yewcross::wire::*;
-use yewcross::world::*;
+use yewcross::runtime::*;
+use yewcross::storage::DurableStorage;
+use yewcross::transport::*;
+use yewcross::turn_log::client::TurnLogClient;
+use yewcross::turn_log::store_client::*;
+use yewcross::turn_log::*;
 use yewcross_control::chain::Engine;
 use yewcross_lab::sim::{Sim, Weather};
 
 struct Ear {
-    members: Arc<Members>,
+    members: Arc<Membership>,
     engine: Option<Arc<Engine>>,
 }
 
-impl Listener for Ear {
-    fn hear(self: Arc<Self>, p: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
+impl RequestHandler for Ear {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
-            let (t, b) = match (p.read::<Ask>(), &self.engine) {
-                (Some(Ask::Chain), Some(e)) => (Tell::Chain, e.hear(p.blob).await),
-                (Some(Ask::Chain), None) | (None, _) => (Tell::No(yewcross::code::Code::BadField), vec![]),
-                (Some(a), _) => (self.members.hear(a).await, vec![]),
+            let (t, b) = match (p.decode::<PeerRequest>(), &self.engine) {
+                (Some(PeerRequest::TurnLog), Some(e)) => (PeerResponse::TurnLog, e.handle(p.payload).await),
+                (Some(PeerRequest::TurnLog), None) | (None, _) => (PeerResponse::Rejected(yewcross::error_code::Code::BadField), vec![]),
+                (Some(a), _) => (self.members.handle(a).await, vec![]),
             };
             (serde_json::to_vec(&t).unwrap_or_default(), b)
         })
@@ -40,11 +40,11 @@
 
 #[derive(Clone)]
 struct Node {
-    w: World,
-    book: Arc<Book>,
+    w: Runtime,
+    book: Arc<DocumentCache>,
     disk: String,
     engine: Option<Arc<Engine>>,
-    client: Option<Arc<Client>>,
+    client: Option<Arc<TurnLogClient>>,
 }
 
 #[derive(Clone, Debug)]
@@ -130,10 +130,10 @@
         });
         t.stores.iter().chain(&t.fronts).for_each(|n| t.boot(n));
         t.pass(2000);
-        let (mut l, mut sites) = (Layout { turn: 1, ..Default::default() }, BTreeMap::new());
+        let (mut l, mut sites) = (Layout { change_started: 1, ..Default::default() }, BTreeMap::new());
         for n in &t.stores {
             let x = t.node(n).unwrap_or_else(|| panic!("{n} did not start"));
-            l.store.now.push(x.disk.clone());
+            l.store.current.push(x.disk.clone());
             sites.insert(x.disk.clone(), t.sim.site(t.sim.find(n)));
             l.names.insert(x.disk, n.clone());
         }
@@ -147,7 +147,7 @@
         self.nodes.lock().unwrap().get(n).cloned()
     }
 
-    fn client(&self, f: usize) -> Arc<Client> {
+    fn client(&self, f: usize) -> Arc<TurnLogClient> {
         self.node(&self.fronts[f % self.fronts.len()]).and_then(|n| n.client).expect("a front that runs")
     }
 
@@ -155,7 +155,7 @@
         let mut g = self.lay.lock().unwrap();
         *g = (g.0 + 1, l);
         self.past.lock().unwrap().insert(g.0, g.1.clone());
-        self.sim.note(&format!("layout {}: {:?} from {:?}", g.0, g.1.store.now, g.1.store.old));
+        self.sim.note(&format!("layout {}: {:?} from {:?}", g.0, g.1.store.current, g.1.store.previous));
     }
 
     fn boot(self: &Arc<Self>, name: &str) {
@@ -164,7 +164,7 @@
         let w = self.sim.boot(m);
         let (me, name) = (self.clone(), name.to_string());
         let store = self.stores.contains(&name);
-        let st = Startup {
+        let st = ProcessSettings {
             name: name.clone(),
             role: if store { Role::Store } else { Role::Front },
             site: self.sim.site(m),
@@ -180,23 +180,23 @@
         };
         let had = self.had.lock().unwrap().get(&name).cloned();
         let past = had.and_then(|s| self.past.lock().unwrap().get(&s).cloned().map(|l| (s, l)));
-        w.clone().go(async move {
-            let vault = if store { Vault::open(&w).await.ok() } else { None };
-            let disk = vault.as_ref().map(|v| v.id.clone()).unwrap_or_default();
-            let peers = Peers::new(&w, &st.name, &st.site, st.wire);
-            let members = Members::new(&w, &st, &peers, &disk);
-            let book = Book::new(&w);
+        w.clone().spawn(async move {
+            let vault = if store { DurableStorage::open(&w).await.ok() } else { None };
+            let disk = vault.as_ref().map(|v| v.disk_id.clone()).unwrap_or_default();
+            let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
+            let members = Membership::new(&w, &st, &peers, &disk);
+            let book = DocumentCache::new(&w);
             past.into_iter().for_each(|(s, l)| {
-                book.adopt("layout", s, Ballot::default(), serde_json::to_vec(&l).unwrap());
+                book.apply("layout", s, Ballot::default(), serde_json::to_vec(&l).unwrap());
             });
             let engine = match &vault {
                 Some(v) => Engine::start(&w, &st, &members, &book, v).await.ok(),
                 None => None,
             };
-            let client = (!store).then(|| Arc::new(Client::new(&members, &book, &st)));
+            let client = (!store).then(|| Arc::new(TurnLogClient::new(&members, &book, &st)));
             let Ok(door) = w.bind(st.peer).await else { return };
-            w.go(peers.clone().serve(door, Arc::new(Ear { members: members.clone(), engine: engine.clone() })));
-            w.go(members.clone().run());
+            w.spawn(peers.clone().serve(door, Arc::new(Ear { members: members.clone(), engine: engine.clone() })));
+            w.spawn(members.clone().run());
             me.nodes.lock().unwrap().insert(name, Node { w, book, disk, engine, client });
         });
     }
@@ -256,14 +256,14 @@
         for (n, x) in nodes.iter().filter(|x| !apart.contains(x.0)) {
             // Now and then, so that some have it before others.
             if x.book.layout.load().0 < seq && self.sim.rand().is_multiple_of(4) {
-                x.book.adopt("layout", seq, Ballot::default(), serde_json::to_vec(&l).unwrap());
+                x.book.apply("layout", seq, Ballot::default(), serde_json::to_vec(&l).unwrap());
                 self.had.lock().unwrap().insert(n.clone(), seq);
             }
         }
-        if l.store.old.is_empty() {
+        if l.store.previous.is_empty() {
             let lost = self.stores.iter().find_map(|n| {
                 let x = nodes.get(n).filter(|_| !apart.contains(n))?;
-                let was = l.names.iter().find(|y| y.1 == n && l.store.now.contains(y.0))?.0.clone();
+                let was = l.names.iter().find(|y| y.1 == n && l.store.current.contains(y.0))?.0.clone();
                 (was != x.disk).then(|| (was, x.disk.clone(), n.clone()))
             });
             if let Some((a, b, n)) = lost {
@@ -273,18 +273,18 @@
         }
         let done =
             |d: &String| nodes.iter().any(|(n, x)| !apart.contains(n) && x.disk == *d && x.engine.as_ref().is_some_and(|e| e.swept(seq).0));
-        let k = l.store.old.len();
-        if l.store.old.iter().filter(|d| done(d)).count() >= k - self.lost.min((k - 1) / 2) {
+        let k = l.store.previous.len();
+        if l.store.previous.iter().filter(|d| done(d)).count() >= k - self.lost.min((k - 1) / 2) {
             let mut l = l;
-            l.store.old.clear();
+            l.store.previous.clear();
             self.decide(l);
         }
     }
 
     fn change(&self, f: impl FnOnce(&mut Vec<String>), names: &[(String, String)]) {
         let mut l = self.lay.lock().unwrap().1.clone();
-        l.store.old = l.store.now.clone();
-        f(&mut l.store.now);
+        l.store.previous = l.store.current.clone();
+        f(&mut l.store.current);
         names.iter().for_each(|(d, n)| {
             l.names.insert(d.clone(), n.clone());
             l.sites.insert(d.clone(), self.sim.site(self.sim.find(n)));
@@ -303,7 +303,7 @@
 
     fn settled(&self) -> bool {
         let l = self.lay.lock().unwrap().clone();
-        l.1.store.old.is_empty() && self.nodes.lock().unwrap().values().all(|x| x.book.layout.load().0 == l.0)
+        l.1.store.previous.is_empty() && self.nodes.lock().unwrap().values().all(|x| x.book.layout.load().0 == l.0)
     }
 
     /// Waits until no change of disks is under way.
@@ -354,11 +354,11 @@
         if let Some(b) = p.budget {
             self.judge.lock().unwrap().spend.entry(p.program.clone()).or_insert((b, BTreeMap::new()));
         }
-        w.clone().go(async move {
+        w.clone().spawn(async move {
             let (mut prev, mut done, mut tries) = (p.from.clone(), 0, 0);
             while done < p.turns && tries < p.turns * 3 + 20 {
                 tries += 1;
-                let c = me.client(w.pick(me.fronts.len()));
+                let c = me.client(w.random_index(me.fronts.len()));
                 let id = me.id("t");
                 let o = OpenTurn {
                     turn: id.clone(),
@@ -392,7 +392,7 @@
                     }
                 }
                 w.sleep(p.run).await;
-                let used = w.rand() % (p.max + 1);
+                let used = w.random() % (p.max + 1);
                 let t = Turn {
                     id: id.clone(),
                     prev: prev.clone(),
@@ -404,7 +404,7 @@
                 };
                 let session = p.program.clone();
                 me.judge.lock().unwrap().turns.insert(id.clone(), Kept { turn: t.clone(), session });
-                match w.pick(10) {
+                match w.random_index(10) {
                     0 if p.settles => {
                         me.end(&p.program, &id, used);
                         c.settle(o, used);
@@ -429,7 +429,7 @@
     }
 
     /// Judges a refusal; `true` where the program is over.
-    fn refused(&self, p: &Plan, id: &str, prev: &str, e: Refusal) -> bool {
+    fn refused(&self, p: &Plan, id: &str, prev: &str, e: OpenTurnError) -> bool {
         let now = self.sim.now();
         let mut j = self.judge.lock().unwrap();
         let asked = j.asked.values().filter(|x| **x == p.program).count() as u64 * p.max;
@@ -439,7 +439,7 @@
                 x.1.iter().map(|(id, n)| if late(id) { p.max.max(*n) } else { *n }).sum::<u64>()
             });
         match e {
-            Refusal::Spent => {
+            OpenTurnError::BudgetSpent => {
                 j.spent += 1;
                 let b = p.budget.unwrap_or(u64::MAX);
                 if p.strict && sum + p.max <= b {
@@ -447,8 +447,8 @@
                 }
                 return true;
             }
-            Refusal::Unknown => j.bad(format!("{id}: {prev} is not known")),
-            Refusal::Away => {
+            OpenTurnError::UnknownTurn => j.bad(format!("{id}: {prev} is not known")),
+            OpenTurnError::Unavailable => {
                 j.away += 1;
                 self.sim.note(&format!("{id} of {}: away", p.program));
             }
@@ -469,13 +469,13 @@
         self.running.fetch_add(ids.len(), SeqCst);
         for id in ids {
             let (me, c, w) = (self.clone(), x.client.clone().unwrap(), x.w.clone());
-            x.w.go(async move {
+            x.w.spawn(async move {
                 let turn = me.id("read");
-                let mut r = Err(Refusal::Away);
+                let mut r = Err(OpenTurnError::Unavailable);
                 for _ in 0..5 {
                     let o = OpenTurn { turn: turn.clone(), prev: id.clone(), ..Default::default() };
                     r = c.open(o, w.now() + 2 * SEC).await;
-                    if r != Err(Refusal::Away) {
+                    if r != Err(OpenTurnError::Unavailable) {
                         break;
                     }
                 }
@@ -702,12 +702,12 @@
 }
 
 /// What one store answers to one question, asked of it directly.
-fn told(t: &Arc<Town>, n: &str, disk: &str, lay: u64, what: What) -> Told {
+fn told(t: &Arc<Town>, n: &str, disk: &str, lay: u64, what: TurnLogOperation) -> TurnLogResponse {
     let x = t.node(n).expect("a store that runs");
-    let got: Arc<Mutex<Option<Told>>> = Arc::default();
-    let (g, a) = (got.clone(), encode(&ChainAsk { lay, disk: disk.into(), left: SEC, what }));
-    x.w.go(async move {
-        let b = x.engine.unwrap().hear(a).await;
+    let got: Arc<Mutex<Option<TurnLogResponse>>> = Arc::default();
+    let (g, a) = (got.clone(), encode(&TurnLogRequest { layout_version: lay, disk: disk.into(), timeout_us: SEC, operation: what }));
+    x.w.spawn(async move {
+        let b = x.engine.unwrap().handle(a).await;
         *g.lock().unwrap() = decode(&b);
     });
     t.pass(100);
@@ -719,41 +719,68 @@
 fn a_store_accepts_only_what_it_promised() {
     let t = Town::new(9, 4, 2, 1);
     let d = t.disk("store1");
-    let ledger = |n, e: &[(&str, Entry)]| LedgerRow {
+    let ledger = |n, e: &[(&str, LedgerEntry)]| LedgerRecord {
         program: "p".into(),
         epoch: Ballot { n, by: 7 },
         entries: e.iter().map(|(k, e)| (k.to_string(), *e)).collect(),
-        keep: 1000,
+        retain_ms: 1000,
     };
     let ask = |what| told(&t, "store1", &d, 1, what);
-    let (open, done) = (("a", Entry::Open(5)), ("a", Entry::Done(2)));
+    let (open, done) = (("a", LedgerEntry::Open(5)), ("a", LedgerEntry::Done(2)));
     let e = |n| Ballot { n, by: 7 };
-    assert_eq!(ask(What::Add { ledger: ledger(1, &[open]) }), Told::Refused(Ballot::default()), "nothing was promised");
-    assert_eq!(ask(What::Take { ledger: ledger(3, &[open]) }), Told::Taken(vec![("a".into(), Entry::Open(5))]));
-    assert_eq!(ask(What::Take { ledger: ledger(2, &[]) }), Told::Refused(e(3)), "a promise goes back");
-    assert_eq!(ask(What::Add { ledger: ledger(2, &[]) }), Told::Refused(e(3)));
-    assert_eq!(ask(What::Add { ledger: ledger(4, &[]) }), Told::Refused(e(3)), "an epoch that was never promised");
-    assert_eq!(ask(What::Write { rows: vec![], ledger: Some(ledger(9, &[done])) }), Told::Ok);
-    assert_eq!(ask(What::Add { ledger: ledger(3, &[open]) }), Told::Ok);
-    assert_eq!(ask(What::Take { ledger: ledger(4, &[]) }), Told::Taken(vec![("a".into(), Entry::Done(2))]), "what is done stands");
-    assert_eq!(told(&t, "store1", "another", 1, What::Take { ledger: ledger(5, &[]) }), Told::Away, "meant for another disk");
+    assert_eq!(
+        ask(TurnLogOperation::AppendEntries { ledger: ledger(1, &[open]) }),
+        TurnLogResponse::StaleEpoch(Ballot::default()),
+        "nothing was promised"
+    );
+    assert_eq!(
+        ask(TurnLogOperation::AcquireLedger { ledger: ledger(3, &[open]) }),
+        TurnLogResponse::LedgerAcquired(vec![("a".into(), LedgerEntry::Open(5))])
+    );
+    assert_eq!(ask(TurnLogOperation::AcquireLedger { ledger: ledger(2, &[]) }), TurnLogResponse::StaleEpoch(e(3)), "a promise goes back");
+    assert_eq!(ask(TurnLogOperation::AppendEntries { ledger: ledger(2, &[]) }), TurnLogResponse::StaleEpoch(e(3)));
+    assert_eq!(
+        ask(TurnLogOperation::AppendEntries { ledger: ledger(4, &[]) }),
+        TurnLogResponse::StaleEpoch(e(3)),
+        "an epoch that was never promised"
+    );
+    assert_eq!(ask(TurnLogOperation::StoreTurns { rows: vec![], ledger: Some(ledger(9, &[done])) }), TurnLogResponse::Ok);
+    assert_eq!(ask(TurnLogOperation::AppendEntries { ledger: ledger(3, &[open]) }), TurnLogResponse::Ok);
+    assert_eq!(
+        ask(TurnLogOperation::AcquireLedger { ledger: ledger(4, &[]) }),
+        TurnLogResponse::LedgerAcquired(vec![("a".into(), LedgerEntry::Done(2))]),
+        "what is done stands"
+    );
+    assert_eq!(
+        told(&t, "store1", "another", 1, TurnLogOperation::AcquireLedger { ledger: ledger(5, &[]) }),
+        TurnLogResponse::Unavailable,
+        "meant for another disk"
+    );
     let row = |id: &str, prev: &str| {
         let turn = Turn { id: id.into(), prev: prev.into(), retain_ms: 60_000, ..Default::default() };
-        Row { turn: Arc::new(turn), program: "p".into(), end: 1_790_000_000_000 }
+        StoredTurn { turn: Arc::new(turn), program: "p".into(), ended_at_ms: 1_790_000_000_000 }
     };
-    assert_eq!(ask(What::Write { rows: vec![row("y", "x")], ledger: None }), Told::Lacks("x".into()));
-    assert_eq!(ask(What::Find { id: "y".into() }), Told::No, "what was refused is not kept");
-    assert_eq!(ask(What::Write { rows: vec![row("x", ""), row("y", "x")], ledger: None }), Told::Ok);
-    assert_eq!(ask(What::Find { id: "y".into() }), Told::Rows(vec![row("y", "x"), row("x", "")]));
+    assert_eq!(ask(TurnLogOperation::StoreTurns { rows: vec![row("y", "x")], ledger: None }), TurnLogResponse::MissingParent("x".into()));
+    assert_eq!(ask(TurnLogOperation::FindHistory { id: "y".into() }), TurnLogResponse::NotStored, "what was refused is not kept");
+    assert_eq!(ask(TurnLogOperation::StoreTurns { rows: vec![row("x", ""), row("y", "x")], ledger: None }), TurnLogResponse::Ok);
+    assert_eq!(ask(TurnLogOperation::FindHistory { id: "y".into() }), TurnLogResponse::History(vec![row("y", "x"), row("x", "")]));
     t.kill("store1", true);
     t.boot("store1");
     t.pass(500);
     let ask = |what| told(&t, "store1", &d, 1, what);
-    assert_eq!(ask(What::Add { ledger: ledger(3, &[]) }), Told::Refused(e(4)), "a promise outlasts the power");
-    assert_eq!(ask(What::Find { id: "y".into() }), Told::Rows(vec![row("y", "x"), row("x", "")]));
+    assert_eq!(
+        ask(TurnLogOperation::AppendEntries { ledger: ledger(3, &[]) }),
+        TurnLogResponse::StaleEpoch(e(4)),
+        "a promise outlasts the power"
+    );
+    assert_eq!(ask(TurnLogOperation::FindHistory { id: "y".into() }), TurnLogResponse::History(vec![row("y", "x"), row("x", "")]));
     t.change(|_| (), &[]);
     assert!(t.until_settled(5_000));
-    assert_eq!(ask(What::Find { id: "z".into() }), Told::Newer(t.lay.lock().unwrap().0), "by a layout that is over");
+    assert_eq!(
+        ask(TurnLogOperation::FindHistory { id: "z".into() }),
+        TurnLogResponse::NewerLayout(t.lay.lock().unwrap().0),
+        "by a layout that is over"
+    );
 }
 
 #[test]
@@ -817,13 +844,13 @@
         for (i, d) in all.iter().enumerate() {
             // Three at least stay.
             let (now, old) = (i < 3 || u.ratio(1, 2)?, i < 3 || u.ratio(1, 2)?);
-            l.store.now.extend(now.then(|| d.clone()));
-            l.store.old.extend(old.then(|| d.clone()));
+            l.store.current.extend(now.then(|| d.clone()));
+            l.store.previous.extend(old.then(|| d.clone()));
         }
         if u.ratio(1, 3)? {
-            l.store.old.clear();
+            l.store.previous.clear();
         }
-        let s = Seats::of(1, &l, lost);
+        let s = StoreReplicas::of(1, &l, lost);
         let mut some = || -> arbtest::arbitrary::Result<BTreeSet<&String>> {
             let mut v = BTreeSet::new();
             for d in &all {
@@ -835,11 +862,11 @@
         };
         let (a, b) = (some()?, some()?);
         let has = |v: &BTreeSet<&String>, d: &str| v.iter().any(|x| *x == d);
-        for g in [&l.store.now, &l.store.old].into_iter().filter(|g| !g.is_empty()) {
+        for g in [&l.store.current, &l.store.previous].into_iter().filter(|g| !g.is_empty()) {
             let n = |v: &BTreeSet<&String>| g.iter().filter(|d| v.contains(d)).count();
-            if s.wrote(|d| has(&a, d)) {
+            if s.is_write_quorum(|d| has(&a, d)) {
                 assert!(n(&a) > lost.min((g.len() - 1) / 2), "it does not outlast the losses");
-                if s.read(|d| has(&b, d)) {
+                if s.is_read_quorum(|d| has(&b, d)) {
                     assert!(g.iter().any(|d| a.contains(d) && b.contains(d)), "they do not meet");
                 }
             }
@@ -854,26 +881,26 @@
         let t = Town::new(seed, 4, 2, 1);
         let d = t.disk("store1");
         let epoch = Ballot { n: 5, by: 7 };
-        let ledger = |e: &[(&str, Entry)]| LedgerRow {
+        let ledger = |e: &[(&str, LedgerEntry)]| LedgerRecord {
             program: "p".into(),
             epoch,
             entries: e.iter().map(|(k, e)| (k.to_string(), *e)).collect(),
-            keep: 100_000,
+            retain_ms: 100_000,
         };
         let turn = Turn { id: "x".into(), input: Bytes::from(vec![1; 9_000]), retain_ms: 600_000, ..Default::default() };
-        let row = Row { turn: Arc::new(turn), program: "p".into(), end: 1_790_000_000_000 };
+        let row = StoredTurn { turn: Arc::new(turn), program: "p".into(), ended_at_ms: 1_790_000_000_000 };
         let all = [
-            What::Take { ledger: ledger(&[("a", Entry::Open(3))]) },
-            What::Add { ledger: ledger(&[("b", Entry::Open(4))]) },
-            What::Write { rows: vec![row.clone()], ledger: Some(ledger(&[("a", Entry::Done(1))])) },
+            TurnLogOperation::AcquireLedger { ledger: ledger(&[("a", LedgerEntry::Open(3))]) },
+            TurnLogOperation::AppendEntries { ledger: ledger(&[("b", LedgerEntry::Open(4))]) },
+            TurnLogOperation::StoreTurns { rows: vec![row.clone()], ledger: Some(ledger(&[("a", LedgerEntry::Done(1))])) },
         ];
         for what in all {
             let x = t.node("store1").expect("a store that runs");
             let done = Arc::new(AtomicUsize::new(0));
-            let (n, a) = (done.clone(), encode(&ChainAsk { lay: 1, disk: d.clone(), left: SEC, what }));
-            x.w.go(async move {
-                let b = x.engine.unwrap().hear(a).await;
-                assert!(matches!(decode(&b), Some(Told::Ok | Told::Taken(_))));
+            let (n, a) = (done.clone(), encode(&TurnLogRequest { layout_version: 1, disk: d.clone(), timeout_us: SEC, operation: what }));
+            x.w.spawn(async move {
+                let b = x.engine.unwrap().handle(a).await;
+                assert!(matches!(decode(&b), Some(TurnLogResponse::Ok | TurnLogResponse::LedgerAcquired(_))));
                 n.store(1, SeqCst);
             });
             t.sim.run(t.sim.now() + SEC, || done.load(SeqCst) > 0);
@@ -881,10 +908,17 @@
             t.boot("store1");
             t.pass(300);
         }
-        assert_eq!(told(&t, "store1", &d, 1, What::Find { id: "x".into() }), Told::Rows(vec![row]), "seed {seed}");
-        let Told::Taken(mut v) = told(&t, "store1", &d, 1, What::Take { ledger: ledger(&[]) }) else { panic!("seed {seed}: no promise") };
+        assert_eq!(
+            told(&t, "store1", &d, 1, TurnLogOperation::FindHistory { id: "x".into() }),
+            TurnLogResponse::History(vec![row]),
+            "seed {seed}"
+        );
+        let TurnLogResponse::LedgerAcquired(mut v) = told(&t, "store1", &d, 1, TurnLogOperation::AcquireLedger { ledger: ledger(&[]) })
+        else {
+            panic!("seed {seed}: no promise")
+        };
         v.sort_by(|a, b| a.0.cmp(&b.0));
-        assert_eq!(v, [("a".to_string(), Entry::Done(1)), ("b".to_string(), Entry::Open(4))], "seed {seed}");
+        assert_eq!(v, [("a".to_string(), LedgerEntry::Done(1)), ("b".to_string(), LedgerEntry::Open(4))], "seed {seed}");
     }
 }
 
@@ -901,10 +935,16 @@
         let lay = || t.lay.lock().unwrap().0;
         let open = |n: usize, turn: &str, max, take| {
             let (program, turn, need) = ("p".to_string(), turn.to_string(), String::new());
-            told(&t, &t.stores[n], &d[n], lay(), What::Open { program, turn, max, budget: Some(100), need, take })
+            told(
+                &t,
+                &t.stores[n],
+                &d[n],
+                lay(),
+                TurnLogOperation::OpenTurn { program, turn, max_output_tokens: max, budget: Some(100), parent: need, take_over: take },
+            )
         };
         t.kill("store2", true);
-        assert_eq!(open(0, "a", 10, false), Told::Opened { rows: vec![] });
+        assert_eq!(open(0, "a", 10, false), TurnLogResponse::Opened { rows: vec![] });
         let promise = |n: &str| t.node(n).unwrap().engine.unwrap().st.lock().unwrap().ledgers["p"].promised;
         let e = promise("store1");
         t.boot("store2");
@@ -913,16 +953,19 @@
         t.change(|g| g.iter_mut().filter(|x| **x == was).for_each(|x| *x = d[3].clone()), &[(d[3].clone(), "store4".into())]);
         assert!(t.until_settled(5_000));
         t.cut("store1");
-        assert_eq!(open(1, "b", 85, true), Told::Opened { rows: vec![] });
+        assert_eq!(open(1, "b", 85, true), TurnLogResponse::Opened { rows: vec![] });
         t.calm();
         t.pass(3_000);
         if promise("store2") >= e {
             continue;
         }
         seen += 1;
-        let late = LedgerRow { program: "p".into(), epoch: e, entries: vec![], keep: 1000 };
-        assert!(matches!(told(&t, "store4", &d[3], lay(), What::Take { ledger: late }), Told::Taken(_)));
-        assert_ne!(open(0, "c", 10, true), Told::Opened { rows: vec![] }, "seed {seed}: 105 of 100");
+        let late = LedgerRecord { program: "p".into(), epoch: e, entries: vec![], retain_ms: 1000 };
+        assert!(matches!(
+            told(&t, "store4", &d[3], lay(), TurnLogOperation::AcquireLedger { ledger: late }),
+            TurnLogResponse::LedgerAcquired(_)
+        ));
+        assert_ne!(open(0, "c", 10, true), TurnLogResponse::Opened { rows: vec![] }, "seed {seed}: 105 of 100");
     }
     assert!(seen > 0);
 }
@@ -1047,9 +1090,13 @@
         t.boot("store2");
         t.pass(300);
         let d = t.disk("store2");
-        assert_eq!(told(&t, "store2", &d, 1, What::Find { id: "never".into() }), Told::Away, "seed {seed}");
-        let ledger = LedgerRow { program: "p0".into(), epoch: Ballot { n: 99, by: 1 }, ..Default::default() };
-        assert_eq!(told(&t, "store2", &d, 1, What::Take { ledger }), Told::Away, "seed {seed}");
+        assert_eq!(
+            told(&t, "store2", &d, 1, TurnLogOperation::FindHistory { id: "never".into() }),
+            TurnLogResponse::Unavailable,
+            "seed {seed}"
+        );
+        let ledger = LedgerRecord { program: "p0".into(), epoch: Ballot { n: 99, by: 1 }, ..Default::default() };
+        assert_eq!(told(&t, "store2", &d, 1, TurnLogOperation::AcquireLedger { ledger }), TurnLogResponse::Unavailable, "seed {seed}");
         others.iter().for_each(|n| t.boot(n));
         t.pass(3_000);
         let e = t.node("store2").and_then(|x| x.engine).unwrap();
@@ -1069,7 +1116,7 @@
     let w = t.node("front1").unwrap().w;
     let seen: Arc<Mutex<Vec<(String, String)>>> = Arc::default();
     let (me, s) = (t.clone(), seen.clone());
-    w.clone().go(async move {
+    w.clone().spawn(async move {
         let turn = |id: &str, prev: &str, keep: u64| Turn {
             id: id.into(),
             prev: prev.into(),
--- a/yewcross-lab/tests/charges.rs
+++ b/yewcross-lab/tests/charges.rs
@@ -1,8 +1,8 @@
 //! The simulator's machines charge for processor and disk as small real ones do.
 
 use std::sync::Arc;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_lab::proof::Lab;
 use yewcross_lab::shape::Charges;
 use yewcross_lab::sim::Costs;
@@ -13,7 +13,7 @@
     lab.boot("platform");
     lab.sh.nodes.iter().for_each(|n| lab.boot(&n.name));
     let me = lab.clone();
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         me.op.sleep(1500 * MS).await;
         me.found().await;
         me.put("core1", 1, "first").await;
@@ -45,13 +45,13 @@
     lab.sh.backs.iter().for_each(|b| lab.boot(&b.server));
     lab.sh.nodes.iter().for_each(|n| lab.boot(&n.name));
     let me = lab.clone();
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         me.op.sleep(1500 * MS).await;
         me.found().await;
         me.put("core1", 1, "first").await;
         me.op.sleep(4 * SEC).await;
         let w = me.sim.boot(me.sim.find("callers"));
-        (0..sessions).for_each(|i| w.go(yewcross_lab::caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
+        (0..sessions).for_each(|i| w.spawn(yewcross_lab::caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
     });
     lab.sim.run(18 * SEC, || false);
     let store = lab.sim.used(lab.sim.find("store1"));
--- a/yewcross-lab/tests/contact.rs
+++ b/yewcross-lab/tests/contact.rs
@@ -3,9 +3,9 @@
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::{Ask, Tell};
-use yewcross::consts::*;
-use yewcross::startup::{Bounds, Role};
+use yewcross::constants::*;
+use yewcross::process_settings::{Bounds, Role};
+use yewcross::protocol::{PeerRequest, PeerResponse};
 use yewcross_control::api::*;
 use yewcross_lab::tier::*;
 
@@ -17,11 +17,14 @@
 const NOTICED: u64 = 1500 * MS;
 
 /// What a core says when it is asked for news of everything.
-async fn news(t: &Arc<Tier>, name: &str) -> (Tell, Tell) {
+async fn news(t: &Arc<Tier>, name: &str) -> (PeerResponse, PeerResponse) {
     let asked = t.on(name, |c| {
         Box::pin(async move {
-            let newer = c.hear(Ask::Newer { have: c.book.have(), front: false, departed: 0 }, vec![], "front1").await.0;
-            let page = c.hear(Ask::Page { name: "config".into(), more_than: 0 }, vec![], "front1").await.0;
+            let newer = c
+                .handle(PeerRequest::PollDocuments { known: c.documents.versions(), front: false, leaving_digest: 0 }, vec![], "front1")
+                .await
+                .0;
+            let page = c.handle(PeerRequest::FetchDocument { name: "config".into(), newer_than: 0 }, vec![], "front1").await.0;
             (newer, page)
         })
     });
@@ -30,8 +33,8 @@
 
 async fn says_nothing(t: &Arc<Tier>, name: &str) {
     let (newer, page) = news(t, name).await;
-    assert!(matches!(newer, Tell::Newer { sure: false, .. }), "{newer:?}\n{}", tell(t));
-    assert!(matches!(page, Tell::No(_)), "{page:?}\n{}", tell(t));
+    assert!(matches!(newer, PeerResponse::DocumentVersions { authoritative: false, .. }), "{newer:?}\n{}", tell(t));
+    assert!(matches!(page, PeerResponse::Rejected(_)), "{page:?}\n{}", tell(t));
 }
 
 #[test]
@@ -45,11 +48,11 @@
                     t.put_surely(0, "5 a").await;
                     t.op.sleep(2 * SEC).await;
                     let cores = t.names(Role::Core);
-                    let victim = cores[t.op.rand() as usize % cores.len()].clone();
+                    let victim = cores[t.op.random() as usize % cores.len()].clone();
                     let other = cores.iter().find(|n| **n != victim).unwrap().clone();
                     cut(&t, &victim, how);
                     t.op.sleep(NOTICED).await;
-                    let takes = t.at(&victim).unwrap().owner.takes.load(SeqCst);
+                    let takes = t.at(&victim).unwrap().registers.takes.load(SeqCst);
                     for base in 5..12u64 {
                         let next = format!("{} b", base + 1);
                         assert_eq!(t.put(&other, base, &next).await, Some(PutAnswer::InForce(base + 1)), "{}", tell(&t));
@@ -65,7 +68,7 @@
                     assert_eq!(retired, Some(RetireBegin::Away));
                     let c = t.at(&victim).unwrap();
                     assert!(!c.has_quorum_contact());
-                    assert_eq!(c.owner.takes.load(SeqCst), takes, "it takes keys from their owners\n{}", tell(&t));
+                    assert_eq!(c.registers.takes.load(SeqCst), takes, "it takes keys from their owners\n{}", tell(&t));
                     t.sim.heal();
                     let t0 = t.op.now();
                     while t.read(&victim).await != Some(ReadAnswer::Text(12, "12 b".into())) {
@@ -101,7 +104,7 @@
                 t.sim.heal();
                 t.op.sleep(4 * SEC).await;
                 let (newer, _) = news(&t, "core2").await;
-                assert!(matches!(newer, Tell::Newer { sure: true, .. }), "{newer:?}\n{}", tell(&t));
+                assert!(matches!(newer, PeerResponse::DocumentVersions { authoritative: true, .. }), "{newer:?}\n{}", tell(&t));
             })
         });
     }
--- a/yewcross-lab/tests/control.rs
+++ b/yewcross-lab/tests/control.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_control::api::*;
 use yewcross_lab::sim::{Costs, Weather};
 use yewcross_lab::tier::*;
@@ -30,14 +30,14 @@
                 let all: Vec<String> = t.specs.lock().unwrap().keys().cloned().collect();
                 for n in all {
                     let (me, w) = (t.clone(), t.op.clone());
-                    t.op.go(async move {
-                        w.sleep(w.rand() % (1500 * MS)).await;
+                    t.op.spawn(async move {
+                        w.sleep(w.random() % (1500 * MS)).await;
                         me.boot(&n, true);
                     });
                 }
-                let power = t.op.rand().is_multiple_of(2);
-                t.op.sleep(t.op.rand() % (2 * SEC)).await;
-                let n = format!("core{}", 1 + t.op.rand() % 3);
+                let power = t.op.random().is_multiple_of(2);
+                t.op.sleep(t.op.random() % (2 * SEC)).await;
+                let n = format!("core{}", 1 + t.op.random() % 3);
                 if t.at(&n).is_some() {
                     t.kill(&n, power);
                     t.op.sleep(500 * MS).await;
@@ -64,7 +64,7 @@
             let mut v = vec![];
             let mut base = 0;
             for i in 1..=6u64 {
-                let syncs = |t: &Tier| t.control.lock().unwrap().values().map(|c| c.vault.syncs.load(SeqCst)).sum::<u64>();
+                let syncs = |t: &Tier| t.control.lock().unwrap().values().map(|c| c.storage.syncs.load(SeqCst)).sum::<u64>();
                 let (s0, text) = (syncs(&t), format!("{} text", 10 * i));
                 let ack = t.put_surely(base, &text).await;
                 let all = t.adopted(&text, 2 * SEC).await.unwrap();
@@ -168,18 +168,18 @@
             let end = t.op.now() + 20 * SEC;
             for who in 0..2u64 {
                 let (t, told, dx) = (t.clone(), told.clone(), dx.clone());
-                t.op.clone().go(async move {
+                t.op.clone().spawn(async move {
                     let cores = t.names(Role::Core);
                     let mut nth = 0;
                     while t.op.now() < end {
                         nth += 1;
-                        let core = || cores[t.op.rand() as usize % cores.len()].clone();
+                        let core = || cores[t.op.random() as usize % cores.len()].clone();
                         let Some(ReadAnswer::Text(base, _)) = t.read(&core()).await else {
                             t.op.sleep(50 * MS).await;
                             continue;
                         };
-                        t.op.sleep(t.op.rand() % (30 * MS)).await;
-                        let text = format!("{} by {who} {nth}", base + 1 + t.op.rand() % 3);
+                        t.op.sleep(t.op.random() % (30 * MS)).await;
+                        let text = format!("{} by {who} {nth}", base + 1 + t.op.random() % 3);
                         for _ in 0..12 {
                             let a = t.put(&core(), base, &text).await;
                             if let Some(a) = a.clone() {
@@ -190,33 +190,33 @@
                             }
                             t.op.sleep(100 * MS).await;
                         }
-                        t.op.sleep(t.op.rand() % (200 * MS)).await;
+                        t.op.sleep(t.op.random() % (200 * MS)).await;
                     }
                     let _ = dx.send(()).await;
                 });
             }
             while t.op.now() < end {
-                let n = format!("core{}", 1 + t.op.rand() % 4);
+                let n = format!("core{}", 1 + t.op.random() % 4);
                 let m = t.sim.find(&n);
                 let others: Vec<usize> = t.names(Role::Core).iter().filter(|x| **x != n).map(|x| t.sim.find(x)).collect();
-                match t.op.rand() % 4 {
+                match t.op.random() % 4 {
                     0 => {
                         t.sim.split(&[m], &others);
-                        t.op.sleep(t.op.rand() % (2 * SEC)).await;
+                        t.op.sleep(t.op.random() % (2 * SEC)).await;
                         t.sim.heal();
                     }
                     1 => {
                         t.sim.freeze(m);
-                        t.op.sleep(t.op.rand() % (2 * SEC)).await;
+                        t.op.sleep(t.op.random() % (2 * SEC)).await;
                         t.sim.thaw(m);
                     }
                     k => {
                         t.kill(&n, k == 2);
-                        t.op.sleep(200 * MS + t.op.rand() % SEC).await;
+                        t.op.sleep(200 * MS + t.op.random() % SEC).await;
                         t.boot(&n, false);
                     }
                 }
-                t.op.sleep(t.op.rand() % (1500 * MS)).await;
+                t.op.sleep(t.op.random() % (1500 * MS)).await;
             }
             let _ = (done.recv().await, done.recv().await);
             t.sim.heal();
@@ -406,7 +406,7 @@
                     t.put_surely(0, "5 a").await;
                     let cores = t.names(Role::Core);
                     loop {
-                        let n = &cores[t.op.rand() as usize % cores.len()];
+                        let n = &cores[t.op.random() as usize % cores.len()];
                         if let Some(PutAnswer::InForce(6)) = t.put(n, 5, "6 b").await {
                             break;
                         }
@@ -414,7 +414,7 @@
                     let all: Vec<String> = t.specs.lock().unwrap().keys().cloned().collect();
                     all.iter().for_each(|n| t.kill(n, true));
                     let mut v = cores.clone();
-                    (0..lost).for_each(|_| t.sim.wipe(t.sim.find(&v.swap_remove(t.op.rand() as usize % v.len()))));
+                    (0..lost).for_each(|_| t.sim.wipe(t.sim.find(&v.swap_remove(t.op.random() as usize % v.len()))));
                     t.op.sleep(700 * MS).await;
                     all.iter().for_each(|n| t.boot(n, false));
                     let t0 = t.op.now();
@@ -478,7 +478,7 @@
             let sum = |t: &Tier| {
                 let mut m: BTreeMap<&str, u64> = BTreeMap::new();
                 t.control.lock().unwrap().values().for_each(|c| {
-                    c.peers.tally.kinds.lock().unwrap().iter().for_each(|(k, v)| *m.entry(k).or_default() += v.0);
+                    c.peers.metrics.kinds.lock().unwrap().iter().for_each(|(k, v)| *m.entry(k).or_default() += v.0);
                 });
                 m
             };
@@ -515,19 +515,19 @@
             t.sim.weather(Weather { lose: 5, twice: 10, late: 10, jitter: 300 });
             for _ in 0..14 {
                 let mut all: Vec<String> = t.names(Role::Core).into_iter().chain(t.names(Role::Store)).collect();
-                let down = 200 * MS + t.op.rand() % (2 * SEC);
+                let down = 200 * MS + t.op.random() % (2 * SEC);
                 let mut back: Vec<(String, bool)> = vec![];
                 for _ in 0..lost {
-                    let n = all.swap_remove(t.op.rand() as usize % all.len());
+                    let n = all.swap_remove(t.op.random() as usize % all.len());
                     let role = t.specs.lock().unwrap()[&n].role;
-                    match t.op.rand() % 5 {
+                    match t.op.random() % 5 {
                         0 => {
                             t.kill(&n, false);
                             back.push((n, false));
                         }
                         1 | 2 => {
                             t.kill(&n, true);
-                            if t.op.rand().is_multiple_of(2) {
+                            if t.op.random().is_multiple_of(2) {
                                 t.sim.wipe(t.sim.find(&n));
                             }
                             back.push((n, false));
--- a/yewcross-lab/tests/core_outages.rs
+++ b/yewcross-lab/tests/core_outages.rs
@@ -3,8 +3,8 @@
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_lab::tier::*;
 
@@ -27,7 +27,7 @@
         let (read, held) = play(&tier, |tier| {
             Box::pin(async move {
                 let orders = begin(&tier).await;
-                tier.op.sleep(2 * SEC + tier.op.rand() % SEC).await;
+                tier.op.sleep(2 * SEC + tier.op.random() % SEC).await;
                 let before = orders.newest.load(SeqCst);
                 while orders.newest.load(SeqCst) == before {
                     tier.op.sleep(MS).await;
@@ -87,7 +87,7 @@
                     tier.sim.split(left, right);
                     let end = tier.op.now() + 3 * SEC;
                     while tier.op.now() < end {
-                        let core = &cores[tier.op.rand() as usize % cores.len()];
+                        let core = &cores[tier.op.random() as usize % cores.len()];
                         if let Some(PutAnswer::InForce(number)) = tier.put(core, newest, &format!("{} next", newest + 1)).await {
                             newest = number;
                         }
--- a/yewcross-lab/tests/defects.rs
+++ b/yewcross-lab/tests/defects.rs
@@ -1,46 +1,46 @@
 //! One test for each defect that was found by reading: each failed before it was mended.
 
 use std::sync::Arc;
-use yewcross::ask::*;
-use yewcross::book::owners;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::startup::Role;
-use yewcross::tree::Rule;
+use yewcross::configuration::Rule;
+use yewcross::constants::*;
+use yewcross::documents::cache::replicas_by_preference;
+use yewcross::error_code::Code;
+use yewcross::process_settings::Role;
+use yewcross::protocol::*;
 use yewcross_control::Control;
 use yewcross_control::store::{Purse, purse_key};
 use yewcross_lab::proof::Lab;
 use yewcross_lab::script::on_fleet_of;
 
-fn begin(key: &str, job: &str, nonce: u64, budget: Option<&str>) -> Begin {
-    Begin {
+fn begin(key: &str, job: &str, nonce: u64, budget: Option<&str>) -> BeginTurn {
+    BeginTurn {
         key: key.into(),
-        job: job.into(),
+        request_id: job.into(),
         digest: "d".into(),
         nonce,
         front: "front1".into(),
-        left: 5000,
+        remaining_ms: 5000,
         budget: budget.map(|b| (b.to_string(), 1000)),
-        max_out: 100,
-        keep: 3_600_000,
-        hand: None,
+        max_output_tokens: 100,
+        retain_ms: 3_600_000,
+        known_history: None,
     }
 }
 
-async fn ask(c: &Arc<Control>, a: Ask) -> Tell {
-    c.store.hear(a, vec![]).await.0
+async fn ask(c: &Arc<Control>, a: PeerRequest) -> PeerResponse {
+    c.store.handle(a, vec![]).await.0
 }
 
 /// The stores in the order in which they would own the key.
 fn ranked(lab: &Lab, key: &str) -> Vec<String> {
     let c = lab.control("store1").unwrap();
-    let at = owners(&c.book, &c.members, key);
+    let at = replicas_by_preference(&c.documents, &c.members, key);
     at.iter().filter_map(|a| lab.sh.of(Role::Store).iter().find(|n| n.peer == *a).map(|n| n.name.clone())).collect()
 }
 
 async fn purse(lab: &Lab, budget: &str) -> Purse {
     let c = lab.control(&ranked(lab, &purse_key(budget))[0]).unwrap();
-    let (_, _, v) = c.owner.read(&purse_key(budget), 2 * SEC).await.unwrap();
+    let (_, _, v) = c.registers.read(&purse_key(budget), 2 * SEC).await.unwrap();
     Purse::read(&v)
 }
 
@@ -61,16 +61,16 @@
                 let id = |n: &String| lab.sim.find(n);
                 lab.sim.split(&[id(&copies[0])], &[id(&copies[1]), id(&copies[2])]);
                 let x = begin(&key, "j", 7, Some(&b));
-                let first = ask(&lab.control(&copies[0]).unwrap(), Ask::Begin(x.clone())).await;
+                let first = ask(&lab.control(&copies[0]).unwrap(), PeerRequest::BeginTurn(x.clone())).await;
                 lab.sim.heal();
                 lab.op.sleep(2 * SEC).await;
-                let second = ask(&lab.control(&copies[1]).unwrap(), Ask::Begin(x)).await;
+                let second = ask(&lab.control(&copies[1]).unwrap(), PeerRequest::BeginTurn(x)).await;
                 (first, second, purse(&lab, &b).await.open.len())
             })
         },
     );
-    assert!(matches!(first, Tell::No(Code::StoreAway)), "{first:?}");
-    assert!(matches!(second, Tell::Begun(_)), "{second:?}");
+    assert!(matches!(first, PeerResponse::Rejected(Code::StoreAway)), "{first:?}");
+    assert!(matches!(second, PeerResponse::TurnBegun(_)), "{second:?}");
     assert_eq!(open, 1, "it runs on no reservation");
 }
 
@@ -85,18 +85,18 @@
             Box::pin(async move {
                 let c = lab.control("store1").unwrap();
                 let x = begin("session/p/s", "j", 7, Some("b"));
-                let a = Ask::Abort { key: x.key.clone(), job: "j".into(), nonce: 7, budget: Some("b".into()) };
+                let a = PeerRequest::AbortTurn { key: x.key.clone(), request_id: "j".into(), nonce: 7, budget: Some("b".into()) };
                 ask(&c, a).await;
-                let late = ask(&c, Ask::Begin(x.clone())).await;
-                let next = ask(&c, Ask::Begin(Begin { nonce: 8, ..x.clone() })).await;
-                ask(&c, Ask::Abort { key: x.key, job: "j".into(), nonce: 8, budget: Some("b".into()) }).await;
+                let late = ask(&c, PeerRequest::BeginTurn(x.clone())).await;
+                let next = ask(&c, PeerRequest::BeginTurn(BeginTurn { nonce: 8, ..x.clone() })).await;
+                ask(&c, PeerRequest::AbortTurn { key: x.key, request_id: "j".into(), nonce: 8, budget: Some("b".into()) }).await;
                 lab.op.sleep(50 * SEC).await;
                 (late, next, purse(&lab, "b").await)
             })
         },
     );
-    assert!(matches!(late, Tell::No(Code::StoreAway)), "{late:?}");
-    assert!(matches!(next, Tell::Begun(_)), "{next:?}");
+    assert!(matches!(late, PeerResponse::Rejected(Code::StoreAway)), "{late:?}");
+    assert!(matches!(next, PeerResponse::TurnBegun(_)), "{next:?}");
     assert_eq!((p.spent, p.open.len()), (0, 0));
 }
 
@@ -110,15 +110,15 @@
         |lab| {
             Box::pin(async move {
                 let c = lab.control(&ranked(&lab, &purse_key("b"))[0]).unwrap();
-                let a = |i: u64, keep: u64| Ask::Reserve {
+                let a = |i: u64, keep: u64| PeerRequest::ReserveBudget {
                     budget: "b".into(),
                     entry: format!("session/p/s{i}|j|{i}"),
                     amount: 100,
                     limit: 1000,
                     key: format!("session/p/s{i}"),
-                    job: "j".into(),
+                    request_id: "j".into(),
                     nonce: i,
-                    keep,
+                    retain_ms: keep,
                 };
                 ask(&c, a(1, 3_600_000)).await;
                 // The second one's record may have been forgotten by the time it is looked for: that one counts in full.
@@ -145,28 +145,30 @@
                 let c = lab.control("store1").unwrap();
                 let (key, mut done) = ("session/p/s", 0);
                 for i in 0..MARKS_KEPT as u64 + 3 {
-                    let Tell::Begun(g) = ask(&c, Ask::Begin(begin(key, &format!("j{i}"), i, None))).await else { continue };
-                    let x = Commit {
+                    let PeerResponse::TurnBegun(g) = ask(&c, PeerRequest::BeginTurn(begin(key, &format!("j{i}"), i, None))).await else {
+                        continue;
+                    };
+                    let x = CommitTurn {
                         key: key.into(),
-                        job: format!("j{i}"),
+                        request_id: format!("j{i}"),
                         epoch: g.epoch,
                         nonce: i,
                         code: Code::Done,
-                        used: 1,
+                        used_tokens: 1,
                         rule: Rule::Turns(1),
-                        kv: Kv::default(),
-                        hist: 0,
+                        cache: SessionCacheState::default(),
+                        history_bytes: 0,
                     };
-                    done += matches!(ask(&c, Ask::Commit(x)).await, Tell::Committed) as u64;
+                    done += matches!(ask(&c, PeerRequest::CommitTurn(x)).await, PeerResponse::Committed) as u64;
                 }
-                let old = ask(&c, Ask::Begin(begin(key, "j0", 9000, None))).await;
-                (done, old, ask(&c, Ask::Begin(begin(key, "jnew", 9001, None))).await)
+                let old = ask(&c, PeerRequest::BeginTurn(begin(key, "j0", 9000, None))).await;
+                (done, old, ask(&c, PeerRequest::BeginTurn(begin(key, "jnew", 9001, None))).await)
             })
         },
     );
     assert_eq!(done, MARKS_KEPT as u64 + 3);
-    assert!(matches!(old, Tell::No(Code::Forgotten)), "{old:?}");
-    assert!(matches!(new, Tell::Begun(_)), "{new:?}");
+    assert!(matches!(old, PeerResponse::Rejected(Code::Forgotten)), "{old:?}");
+    assert!(matches!(new, PeerResponse::TurnBegun(_)), "{new:?}");
 }
 
 /// An owner frozen past the keeping time wrote over the key's next life: its epoch was higher than the new one's.
@@ -184,7 +186,7 @@
         |_| (),
         move |lab| {
             Box::pin(async move {
-                let own = |n: &str| lab.control(n).unwrap().owner.clone();
+                let own = |n: &str| lab.control(n).unwrap().registers.clone();
                 let sleeper = own("store1");
                 // Fights raise the sleeper's epoch.
                 for _ in 0..4 {
@@ -229,7 +231,8 @@
                 let base = lab.version().await;
                 let a = lab.put("core1", base, &format!("l{}", list.len() * 10 + list[0] as usize)).await;
                 if a.code == 1000 {
-                    let old = |f: &String| lab.front(f).filter(|f| f.follow.serving() && f.book.config.load().0 < a.version).is_some();
+                    let old =
+                        |f: &String| lab.front(f).filter(|f| f.watcher.may_serve() && f.documents.config.load().0 < a.version).is_some();
                     stale.extend(cut.iter().filter(|f| old(f)).cloned());
                 }
                 acks.push(a.code);
@@ -278,7 +281,7 @@
             let mut slow = deaf.pop().unwrap();
             let (tx, rx) = async_channel::bounded(1);
             let w = lab.op.clone();
-            lab.op.go(async move {
+            lab.op.spawn(async move {
                 let (mut v, mut b) = (vec![], [0u8; 512]);
                 while let Ok(n @ 1..) = slow.read(&mut b).await {
                     v.extend(&b[..n]);
@@ -291,7 +294,7 @@
             let held: u32 = yewcross_front::server_table::fit(&f, "llm").iter().map(|s| s.report.running).sum();
             let t0 = lab.sim.now();
             let g = f.clone();
-            let stopped = lab.op.within(60 * SEC, async move { g.stop().await }).await;
+            let stopped = lab.op.timeout(60 * SEC, async move { g.stop().await }).await;
             let stop = stopped.map(|_| (lab.sim.now() - t0) / SEC);
             let mut b = [0u8; 64];
             let cut = deaf[0].read(&mut b).await.is_ok();
@@ -315,33 +318,37 @@
                 let key = "session/p/s".to_string();
                 let first = ranked(&lab, &key)[0].clone();
                 let c = lab.control(&first).unwrap();
-                let Tell::Begun(g) = ask(&c, Ask::Begin(begin(&key, "j1", 1, None))).await else { panic!("not begun") };
-                let x = Commit {
+                let PeerResponse::TurnBegun(g) = ask(&c, PeerRequest::BeginTurn(begin(&key, "j1", 1, None))).await else {
+                    panic!("not begun")
+                };
+                let x = CommitTurn {
                     key: key.clone(),
-                    job: "j1".into(),
+                    request_id: "j1".into(),
                     epoch: g.epoch,
                     nonce: 1,
                     code: Code::Done,
-                    used: 1,
+                    used_tokens: 1,
                     rule: Rule::All,
-                    kv: Kv::default(),
-                    hist: 5,
+                    cache: SessionCacheState::default(),
+                    history_bytes: 5,
                 };
-                c.store.hear(Ask::Commit(x), b"turn\n".to_vec()).await;
+                c.store.handle(PeerRequest::CommitTurn(x), b"turn\n".to_vec()).await;
                 lab.sim.skew(lab.sim.find(&first), 5 * 86_400_000);
                 // Long enough for several sweeps.
                 lab.op.sleep(40 * SEC).await;
-                let kept = ask(&c, Ask::Begin(begin(&key, "j2", 2, None))).await;
+                let kept = ask(&c, PeerRequest::BeginTurn(begin(&key, "j2", 2, None))).await;
                 lab.op.sleep(SEC).await;
                 lab.sim.skew(lab.sim.find(&first), 9 * 86_400_000);
-                let second = ask(&c, Ask::Begin(begin(&key, "j3", 3, None))).await;
-                let Tell::Look { open, .. } = ask(&c, Ask::Look { key }).await else { panic!("no look") };
+                let second = ask(&c, PeerRequest::BeginTurn(begin(&key, "j3", 3, None))).await;
+                let PeerResponse::SessionReservations { open, .. } = ask(&c, PeerRequest::InspectSession { key }).await else {
+                    panic!("no look")
+                };
                 (kept, open.len(), second)
             })
         },
     );
-    assert!(matches!(&kept, Tell::Begun(g) if g.hist == 5), "{kept:?}");
-    assert!(matches!(second, Tell::No(Code::SessionBusy)), "{second:?}");
+    assert!(matches!(&kept, PeerResponse::TurnBegun(g) if g.history_bytes == 5), "{kept:?}");
+    assert!(matches!(second, PeerResponse::Rejected(Code::SessionBusy)), "{second:?}");
     assert_eq!(running, 1);
 }
 
@@ -364,8 +371,8 @@
                 lab.boot("store2");
                 lab.op.sleep(5 * SEC).await;
                 let c = lab.control("store2").unwrap();
-                let seen = lab.control("core1").unwrap().members.view.load().get("store2").map(|n| n.born);
-                (c.members.replaced.is_set(), seen == Some(c.members.me.lock().unwrap().born))
+                let seen = lab.control("core1").unwrap().members.view.load().get("store2").map(|n| n.incarnation);
+                (c.members.replaced.is_set(), seen == Some(c.members.own_node.lock().unwrap().incarnation))
             })
         },
     );
@@ -393,9 +400,9 @@
                         let key = format!("session/p/s{i}");
                         let to = ranked(&lab, &key).into_iter().find(|n| !["store2", "store6"].contains(&n.as_str()));
                         let c = lab.control(&to.unwrap()).unwrap();
-                        let t = ask(&c, Ask::Begin(begin(&key, "j", i, None))).await;
+                        let t = ask(&c, PeerRequest::BeginTurn(begin(&key, "j", i, None))).await;
                         tried += 1;
-                        away += !matches!(t, Tell::Begun(_)) as u32;
+                        away += !matches!(t, PeerResponse::TurnBegun(_)) as u32;
                     }
                     (tried, away)
                 })
--- a/yewcross-lab/tests/disk.rs
+++ b/yewcross-lab/tests/disk.rs
@@ -3,12 +3,12 @@
 use std::net::IpAddr;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::chain_wire::{LedgerRow, encode};
-use yewcross::consts::*;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross::register::{Ballot, RegisterReply, RegisterRequest, Replica};
-use yewcross::startup::Role;
-use yewcross::vault::{Vault, seal};
-use yewcross::world::{Fut, World};
+use yewcross::runtime::{BoxFuture, Runtime};
+use yewcross::storage::{DurableStorage, encode_frame};
+use yewcross::turn_log::store_client::{LedgerRecord, encode};
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_control::chain_log::{self, Item};
 use yewcross_lab::sim::Sim;
@@ -31,11 +31,11 @@
     }
 
     /// Starts a process that runs the task; it is left running for so many us at most.
-    fn run<T: Send + 'static>(&self, us: u64, task: impl FnOnce(World) -> Fut<'static, T>) -> Option<T> {
+    fn run<T: Send + 'static>(&self, us: u64, task: impl FnOnce(Runtime) -> BoxFuture<'static, T>) -> Option<T> {
         let world = self.sim.boot(self.machine);
         let done: Arc<Mutex<Option<T>>> = Default::default();
         let (result, task) = (done.clone(), task(world.clone()));
-        world.go(async move {
+        world.spawn(async move {
             let outcome = task.await;
             *result.lock().unwrap() = Some(outcome);
         });
@@ -65,8 +65,8 @@
     RegisterRequest::Accept { key: KEY.into(), epoch: epoch(n), seq, lay: 0, delta: false }
 }
 
-async fn open(w: &World) -> Arc<Replica> {
-    let vault = Vault::open(w).await.unwrap();
+async fn open(w: &Runtime) -> Arc<Replica> {
+    let vault = DurableStorage::open(w).await.unwrap();
     Replica::open(&vault).await.unwrap()
 }
 
@@ -76,19 +76,19 @@
     let (mut same, mut new) = (0, 0);
     for seed in 0..300 {
         let bench = Bench::new(seed);
-        let vote = |w: World| -> Fut<'static, String> {
+        let vote = |w: Runtime| -> BoxFuture<'static, String> {
             Box::pin(async move {
                 let replica = open(&w).await;
-                assert!(matches!(replica.hear(promise(5), vec![]).await.0, RegisterReply::Promised { .. }));
-                replica.vault.id.clone()
+                assert!(matches!(replica.handle(promise(5), vec![]).await.0, RegisterReply::Promised { .. }));
+                replica.storage.disk_id.clone()
             })
         };
         let before = bench.run(SEC, vote).unwrap();
         bench.lose_power();
-        let look = |w: World| -> Fut<'static, (String, u64)> {
+        let look = |w: Runtime| -> BoxFuture<'static, (String, u64)> {
             Box::pin(async move {
                 let replica = open(&w).await;
-                (replica.vault.id.clone(), replica.peek(KEY).await.map_or(0, |slot| slot.promised.n))
+                (replica.storage.disk_id.clone(), replica.peek(KEY).await.map_or(0, |slot| slot.promised.n))
             })
         };
         let (after, promised) = bench.run(SEC, look).unwrap();
@@ -115,11 +115,11 @@
             bench.run(if round < 2 { us / (round + 1) } else { SEC }, move |w| {
                 Box::pin(async move {
                     let replica = open(&w).await;
-                    let id = replica.vault.id.clone();
+                    let id = replica.storage.disk_id.clone();
                     let known = replica.peek(KEY).await.map_or(0, |slot| slot.promised.n);
                     let vouched = told.lock().unwrap().iter().filter(|x| x.0 == id).map(|x| x.1).max().unwrap_or(0);
                     assert!(known >= vouched, "seed {seed}: {id} promised {vouched} and knows {known}");
-                    if matches!(replica.hear(promise(known + 1), vec![]).await.0, RegisterReply::Promised { .. }) {
+                    if matches!(replica.handle(promise(known + 1), vec![]).await.0, RegisterReply::Promised { .. }) {
                         told.lock().unwrap().push((id, known + 1));
                     }
                 })
@@ -140,13 +140,14 @@
             Box::pin(async move {
                 let replica = open(&w).await;
                 for n in 1.. {
-                    replica.hear(promise(n), vec![]).await;
+                    replica.handle(promise(n), vec![]).await;
                 }
             })
         });
         bench.kill();
-        let known =
-            |w: World| -> Fut<'static, u64> { Box::pin(async move { open(&w).await.peek(KEY).await.map_or(0, |slot| slot.promised.n) }) };
+        let known = |w: Runtime| -> BoxFuture<'static, u64> {
+            Box::pin(async move { open(&w).await.peek(KEY).await.map_or(0, |slot| slot.promised.n) })
+        };
         let read = bench.run(SEC, known).unwrap();
         bench.lose_power();
         let left = bench.run(SEC, known).unwrap();
@@ -161,21 +162,21 @@
 fn an_erased_key_never_comes_back_over_its_next_life() {
     for (seed, dropped) in (0..200).flat_map(|seed| [(seed, true), (seed, false)]) {
         let bench = Bench::new(2000 + seed);
-        let lives = move |w: World| -> Fut<'static, ()> {
+        let lives = move |w: Runtime| -> BoxFuture<'static, ()> {
             Box::pin(async move {
                 let replica = open(&w).await;
                 for (n, value) in [(1, "old"), (2, "older"), (3, "")] {
-                    assert!(matches!(replica.hear(promise(n), vec![]).await.0, RegisterReply::Promised { .. }));
-                    assert_eq!(replica.hear(accept(n, n), value.into()).await.0, RegisterReply::Accepted);
+                    assert!(matches!(replica.handle(promise(n), vec![]).await.0, RegisterReply::Promised { .. }));
+                    assert_eq!(replica.handle(accept(n, n), value.into()).await.0, RegisterReply::Accepted);
                 }
                 if dropped {
                     let drop = RegisterRequest::Drop { key: KEY.into(), epoch: epoch(3), seq: 3, lay: 0 };
-                    assert_eq!(replica.hear(drop, vec![]).await.0, RegisterReply::Accepted);
+                    assert_eq!(replica.handle(drop, vec![]).await.0, RegisterReply::Accepted);
                 } else {
                     replica.forget(KEY).await;
                 }
-                assert!(matches!(replica.hear(promise(1), vec![]).await.0, RegisterReply::Promised { .. }));
-                assert_eq!(replica.hear(accept(1, 1), b"new".to_vec()).await.0, RegisterReply::Accepted);
+                assert!(matches!(replica.handle(promise(1), vec![]).await.0, RegisterReply::Promised { .. }));
+                assert_eq!(replica.handle(accept(1, 1), b"new".to_vec()).await.0, RegisterReply::Accepted);
             })
         };
         bench.run(SEC, lives).unwrap();
@@ -186,7 +187,7 @@
 }
 
 fn ledger(n: u64) -> Item {
-    Item::Ledger(LedgerRow { program: format!("p{n}"), ..Default::default() }, n)
+    Item::Ledger(LedgerRecord { program: format!("p{n}"), ..Default::default() }, n)
 }
 
 /// Segments are appended to, the process is killed at any moment, another reads and goes on, and power goes: nothing that
@@ -194,9 +195,9 @@
 #[test]
 fn a_log_read_after_a_kill_outlasts_the_power() {
     // What the log holds, and which of its segments are damaged.
-    let read = |w: World| -> Fut<'static, (Vec<u64>, Vec<u64>)> {
+    let read = |w: Runtime| -> BoxFuture<'static, (Vec<u64>, Vec<u64>)> {
         Box::pin(async move {
-            Vault::open(&w).await.unwrap();
+            DurableStorage::open(&w).await.unwrap();
             let mut items = vec![];
             let note = |item: &Item, _| {
                 if let Item::Ledger(_, at) = item {
@@ -207,7 +208,7 @@
             let next = found.sizes.keys().last().map_or(1, |s| s + 1);
             let mut batch: Vec<Item> = found.torn.iter().map(|(s, n)| Item::Torn(*s, *n)).collect();
             batch.push(ledger(1_000_000 + next));
-            w.append(&chain_log::path(next), seal(&encode(&batch))).await.unwrap();
+            w.append(&chain_log::path(next), encode_frame(&encode(&batch))).await.unwrap();
             (items, found.hurt)
         })
     };
@@ -216,11 +217,11 @@
         let us = 20 * MS + bench.random.u64(0..20 * MS);
         bench.run(us, |w| {
             Box::pin(async move {
-                Vault::open(&w).await.unwrap();
+                DurableStorage::open(&w).await.unwrap();
                 chain_log::read(&w, |_, _| {}).await.unwrap();
                 for n in 1u64.. {
                     let segment = 1 + n / 6;
-                    let _ = w.append(&chain_log::path(segment), seal(&encode(&vec![ledger(n)]))).await;
+                    let _ = w.append(&chain_log::path(segment), encode_frame(&encode(&vec![ledger(n)]))).await;
                 }
             })
         });
@@ -258,7 +259,7 @@
 async fn until_restored(tier: &Tier, name: &str, us: u64) -> Option<u64> {
     let since = tier.op.now();
     while tier.op.now() < since + us {
-        if tier.at(name).is_some_and(|c| !c.vault.failed.load(SeqCst)) {
+        if tier.at(name).is_some_and(|c| !c.storage.failed.load(SeqCst)) {
             return Some(tier.op.now() - since);
         }
         tier.op.sleep(5 * MS).await;
@@ -277,17 +278,17 @@
             Box::pin(async move {
                 up(&t).await;
                 t.put_surely(0, "1 a").await;
-                let id = t.at("core2").unwrap().vault.id.clone();
+                let id = t.at("core2").unwrap().storage.disk_id.clone();
                 set(&t, "core2", trouble, true);
                 for (base, text) in [(1, "2 b"), (2, "3 c"), (3, "4 d")] {
                     t.put_surely(base, text).await;
                     t.op.sleep(SEC).await;
                 }
-                assert!(t.at("core2").unwrap().vault.failed.load(SeqCst), "{trouble:?} is not noticed\n{}", tell(&t));
+                assert!(t.at("core2").unwrap().storage.failed.load(SeqCst), "{trouble:?} is not noticed\n{}", tell(&t));
                 set(&t, "core2", trouble, false);
                 let us = until_restored(&t, "core2", 10 * SEC).await;
                 let us = us.unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
-                assert_eq!(t.at("core2").unwrap().vault.id, id);
+                assert_eq!(t.at("core2").unwrap().storage.disk_id, id);
                 t.op.sleep(4 * SEC).await;
                 t.kill("core3", true);
                 t.put_surely(4, "5 e").await;
@@ -320,9 +321,9 @@
                 assert!(keep(1).await);
                 set(&t, "store1", trouble, true);
                 assert!(!keep(2).await);
-                assert!(store.vault.failed.load(SeqCst));
+                assert!(store.storage.failed.load(SeqCst));
                 t.op.sleep(4 * SEC).await;
-                assert!(store.vault.failed.load(SeqCst), "{trouble:?}: took part while its disk did not work");
+                assert!(store.storage.failed.load(SeqCst), "{trouble:?}: took part while its disk did not work");
                 set(&t, "store1", trouble, false);
                 until_restored(&t, "store1", SEC).await.unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
                 let programs = |c: &yewcross_control::Control| {
@@ -354,7 +355,7 @@
             set(&t, "core2", Trouble::Errors, true);
             t.put_surely(1, "2 b").await;
             t.op.sleep(SEC).await;
-            assert!(t.at("core2").unwrap().vault.failed.load(SeqCst));
+            assert!(t.at("core2").unwrap().storage.failed.load(SeqCst));
             t.sim.wipe(t.sim.find("core2"));
             assert_eq!(until_restored(&t, "core2", 5 * SEC).await, None, "{}", tell(&t));
         })
@@ -379,7 +380,7 @@
                 }
                 t.sim.disk(machine, |d| (d.stalled, d.slowness) = (false, 1));
                 t.op.sleep(SEC).await;
-                assert!(!t.at("core2").unwrap().vault.failed.load(SeqCst));
+                assert!(!t.at("core2").unwrap().storage.failed.load(SeqCst));
                 t.kill("core3", true);
                 let after = t.put_surely(4, "5 e").await;
                 println!("stalled {stalled}: puts took {} ms at most meanwhile, {} ms after", worst / MS, after / MS);
@@ -405,8 +406,8 @@
     let (cores, stores) = (t.names(Role::Core), t.names(Role::Store));
     let all: Vec<String> = cores.iter().chain(&stores).cloned().collect();
     for base in 0..4 {
-        let (tier, moment, machines) = (t.clone(), t.op.rand() % (30 * MS), all.clone());
-        t.op.go(async move {
+        let (tier, moment, machines) = (t.clone(), t.op.random() % (30 * MS), all.clone());
+        t.op.spawn(async move {
             tier.op.sleep(moment).await;
             machines.iter().for_each(|n| tier.kill(n, power));
         });
@@ -448,11 +449,11 @@
             Box::pin(async move {
                 up(&t).await;
                 let steps = t.clone();
-                t.op.go(async move {
+                t.op.spawn(async move {
                     let machines: Vec<String> = steps.specs.lock().unwrap().keys().cloned().collect();
                     loop {
-                        for name in machines.iter().filter(|_| steps.op.rand().is_multiple_of(3)) {
-                            let ms = (steps.op.rand() % 4_000) as i64 - 2_000;
+                        for name in machines.iter().filter(|_| steps.op.random().is_multiple_of(3)) {
+                            let ms = (steps.op.random() % 4_000) as i64 - 2_000;
                             steps.sim.skew(steps.sim.find(name), ms);
                         }
                         steps.op.sleep(700 * MS).await;
--- a/yewcross-lab/tests/doors.rs
+++ b/yewcross-lab/tests/doors.rs
@@ -2,10 +2,10 @@
 
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::{Ask, Tell};
-use yewcross::consts::*;
-use yewcross::startup::Role;
-use yewcross::tree::{Rule, Tree};
+use yewcross::configuration::{Configuration, Rule};
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
+use yewcross::protocol::{PeerRequest, PeerResponse};
 use yewcross_lab::caller::{self, Heard};
 use yewcross_lab::script::{on_fleet, raw, request};
 
@@ -101,12 +101,12 @@
                     let to = lab.sh.nodes[i % lab.sh.nodes.len()].peer;
                     let body = spoil(&mut r, &asks[i % asks.len()].to_string());
                     let blob: Vec<u8> = (0..r.usize(0..64)).map(|_| r.u8(..)).collect();
-                    let mut b = yewcross::wire::pack(WIRE_VERSION, i as u64, false, "nobody", "z1", &body, &blob);
+                    let mut b = yewcross::transport::pack(WIRE_VERSION, i as u64, false, "nobody", "z1", &body, &blob);
                     if i % 5 == 0 {
                         let k = r.usize(0..b.len());
                         b[k] ^= 1 << r.u8(0..8);
                     }
-                    lab.op.within(SEC, raw(&lab.op, to, &[&b], 0)).await;
+                    lab.op.timeout(SEC, raw(&lab.op, to, &[&b], 0)).await;
                 }
                 lab.op.sleep(3 * SEC).await;
                 let a = caller::Ask {
@@ -120,7 +120,7 @@
                     stream: false,
                 };
                 let last = caller::turn(&lab.op, f.http, &a).await;
-                let odd = lab.control("store1").unwrap().peers.odd.load(SeqCst);
+                let odd = lab.control("store1").unwrap().peers.rejected_frames.load(SeqCst);
                 (answers, bad, (last.heard, lab.version().await), odd)
             })
         },
@@ -135,7 +135,7 @@
 #[test]
 fn settings_at_the_ends_of_their_ranges_hold() {
     let conf = |k: &str, v: Value| json!({"families": {"a": {"set": {k: v}}}, "services": {"llm": {"allow": ["m1"]}}}).to_string();
-    assert!(Tree::read(conf("keep_ms", json!(u64::MAX)).as_bytes()).is_err());
+    assert!(Configuration::read(conf("keep_ms", json!(u64::MAX)).as_bytes()).is_err());
     [Rule::All, Rule::Turns(usize::MAX), Rule::Turns(1), Rule::Tokens(u64::MAX), Rule::Tokens(1)].into_iter().for_each(|r| {
         let mut h = b"one\ntwo\n".to_vec();
         r.trim(&mut h);
@@ -146,15 +146,15 @@
         let odd: String = format!("{}", u.int_in_range(0..=u64::MAX)?);
         let key = u.choose(&["history", "max_output", "horizon_ms", "keep_ms", "kv_session_bytes", "judge_load"])?;
         let v = if *key == "history" { json!({"turns": odd.parse::<u64>().unwrap()}) } else { json!(odd.parse::<u64>().unwrap()) };
-        if let Ok(t) = Tree::read(conf(key, v).as_bytes()) {
+        if let Ok(t) = Configuration::read(conf(key, v).as_bytes()) {
             let mut h = b"one\ntwo\nthree\n".to_vec();
             t.families["a"].eff.history.trim(&mut h);
             assert!(h.ends_with(b"three\n"));
         }
         let any: Vec<u8> = u.arbitrary()?;
-        let _ = (Tree::read(&any), yewcross_control::store::Record::read(&any), yewcross_control::store::Purse::read(&any));
-        let _ = (yewcross::vault::unseal(&any), yewcross::delta::patch(b"some\nold\n", &any));
-        let _ = (serde_json::from_slice::<Ask>(&any), serde_json::from_slice::<Tell>(&any));
+        let _ = (Configuration::read(&any), yewcross_control::store::Record::read(&any), yewcross_control::store::Purse::read(&any));
+        let _ = (yewcross::storage::decode_frame(&any), yewcross::documents::delta::apply(b"some\nold\n", &any));
+        let _ = (serde_json::from_slice::<PeerRequest>(&any), serde_json::from_slice::<PeerResponse>(&any));
         Ok(())
     });
 }
--- a/yewcross-lab/tests/duty.rs
+++ b/yewcross-lab/tests/duty.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
+use yewcross::protocol::ListedServer;
 use yewcross_lab::sim::{Costs, Weather};
 use yewcross_lab::tier::*;
 
@@ -16,9 +16,9 @@
 /// Longest time without a process on duty while a majority of the core seats can reach each other.
 const TAKEOVER: u64 = 2 * SEC;
 
-fn server(n: usize, leaving: bool) -> Listed {
+fn server(n: usize, leaving: bool) -> ListedServer {
     let addr = std::net::SocketAddr::new([10, 7, 0, n as u8].into(), 80);
-    Listed { server: format!("s{n}"), service: "llm".into(), addr, site: "z1".into(), leaving }
+    ListedServer { server: format!("s{n}"), service: "llm".into(), addr, site: "z1".into(), leaving }
 }
 
 /// Looks at all cores every millisecond: at most one is on duty, and the term that a document was written under never falls
@@ -33,7 +33,7 @@
     fn start(t: &Arc<Tier>) -> Arc<Watch> {
         let watch = Arc::new(Watch { on: AtomicBool::new(true), longest_gap: Default::default(), since: Default::default() });
         let (me, t) = (watch.clone(), t.clone());
-        t.op.clone().go(async move {
+        t.op.clone().spawn(async move {
             let mut terms: [BTreeMap<u64, u64>; 2] = Default::default();
             while me.on.load(SeqCst) {
                 me.look(&t, &mut terms);
@@ -53,7 +53,7 @@
         let mut longest = self.longest_gap.lock().unwrap();
         *longest = gap.max(*longest);
         for c in t.control.lock().unwrap().values() {
-            let (layout, list) = (c.book.layout.load(), c.book.list.load());
+            let (layout, list) = (c.documents.layout.load(), c.documents.list.load());
             for (written, (version, term)) in terms.iter_mut().zip([(layout.0, layout.1.term), (list.0, list.1.term)]) {
                 assert_eq!(*written.entry(version).or_insert(term), term, "two documents under one version\n{}", tell(t));
                 let falls = written.range(..version).next_back().is_some_and(|(_, earlier)| *earlier > term);
@@ -93,7 +93,7 @@
         Box::pin(async move {
             let platform = t.list_servers((0..20).map(|n| server(n, false)).collect()).await;
             up(&t).await;
-            t.op.sleep(3 * SEC + t.op.rand() % SEC).await;
+            t.op.sleep(3 * SEC + t.op.random() % SEC).await;
             let watch = Watch::start(&t);
             let holder = t.on_duty().first().cloned().unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
             watch.begin(t.op.now());
@@ -193,9 +193,9 @@
                     let term = t.at(&holder).unwrap().duty_term().unwrap();
                     watch.begin(t.op.now());
                     platform.edit(|v| v[2 * n].leaving = true);
-                    t.op.sleep(t.op.rand() % (700 * MS)).await;
+                    t.op.sleep(t.op.random() % (700 * MS)).await;
                     t.sim.freeze(t.sim.find(&holder));
-                    t.op.sleep(t.op.rand() % (3 * SEC)).await;
+                    t.op.sleep(t.op.random() % (3 * SEC)).await;
                     platform.edit(|v| v[2 * n + 1].leaving = true);
                     t.op.sleep(2 * SEC).await;
                     let now = t.on_duty().first().cloned().unwrap_or_else(|| panic!("nobody took over\n{}", tell(&t)));
@@ -231,20 +231,20 @@
                 t.sim.weather(Weather { lose: 10, twice: 20, late: 20, jitter: 2000 });
                 for _ in 0..10 {
                     let cores = t.names(Role::Core);
-                    let any = |t: &Tier| cores[t.op.rand() as usize % cores.len()].clone();
-                    let victim = t.on_duty().first().cloned().filter(|_| !t.op.rand().is_multiple_of(3)).unwrap_or_else(|| any(&t));
-                    match t.op.rand() % 5 {
+                    let any = |t: &Tier| cores[t.op.random() as usize % cores.len()].clone();
+                    let victim = t.on_duty().first().cloned().filter(|_| !t.op.random().is_multiple_of(3)).unwrap_or_else(|| any(&t));
+                    match t.op.random() % 5 {
                         0 => t.sim.freeze(t.sim.find(&victim)),
-                        1 => t.kill(&victim, t.op.rand().is_multiple_of(2)),
+                        1 => t.kill(&victim, t.op.random().is_multiple_of(2)),
                         n => cut(&t, &victim, CUTS[n as usize - 2]),
                     }
-                    t.op.sleep(t.op.rand() % (3 * SEC)).await;
+                    t.op.sleep(t.op.random() % (3 * SEC)).await;
                     t.sim.heal();
                     t.sim.thaw(t.sim.find(&victim));
                     if t.at(&victim).is_none() {
                         t.boot(&victim, false);
                     }
-                    t.op.sleep(t.op.rand() % (2 * SEC)).await;
+                    t.op.sleep(t.op.random() % (2 * SEC)).await;
                 }
                 t.sim.weather(Weather::default());
                 t.op.sleep(4 * SEC).await;
--- a/yewcross-lab/tests/histories.rs
+++ b/yewcross-lab/tests/histories.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::ConfigDoc;
-use yewcross::consts::*;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
+use yewcross::protocol::ConfigDoc;
 use yewcross::register::Step;
-use yewcross::startup::Role;
 use yewcross_control::api::*;
 use yewcross_lab::history::*;
 use yewcross_lab::sim::{Costs, Weather};
@@ -65,7 +65,7 @@
 impl Caller {
     fn random_core(&self) -> String {
         let cores = self.tier.names(Role::Core);
-        cores[self.tier.op.rand() as usize % cores.len()].clone()
+        cores[self.tier.op.random() as usize % cores.len()].clone()
     }
 
     fn record(&self, begin: u64, call: ConfigCall, answer: Option<ConfigAnswer>) {
@@ -92,7 +92,7 @@
     }
 
     fn read_on_hand(&self, core: &str) -> Option<ReadAnswer> {
-        let document = ConfigDoc::decode(&self.tier.at(core)?.book.page("config").raw).ok()?;
+        let document = ConfigDoc::decode(&self.tier.at(core)?.documents.document("config").content).ok()?;
         Some(ReadAnswer::Text(document.number, document.text.into()))
     }
 
@@ -124,7 +124,7 @@
             .on(core, move |c| {
                 Box::pin(async move {
                     let got = c
-                        .owner
+                        .registers
                         .change("config", SEC, |_, value| {
                             let document = ConfigDoc::decode(value).unwrap();
                             let base_fits = document.number == order.base || broken == Some(Broken::AnyBase);
@@ -156,29 +156,29 @@
                 op.sleep(50 * MS).await;
                 continue;
             };
-            op.sleep(op.rand() % (30 * MS)).await;
+            op.sleep(op.random() % (30 * MS)).await;
             nth += 1;
-            let number = base + 1 + op.rand() % 3;
+            let number = base + 1 + op.random() % 3;
             let order = Sent { base, number, text: format!("{number} by {who} {nth}") };
             if self.send_until_clear(&order).await == Some(true) {
                 taken.push(order);
             }
-            if !taken.is_empty() && op.rand().is_multiple_of(4) {
-                let again = &taken[op.rand() as usize % taken.len()];
+            if !taken.is_empty() && op.random().is_multiple_of(4) {
+                let again = &taken[op.random() as usize % taken.len()];
                 self.send(again, false).await;
             }
-            op.sleep(op.rand() % (120 * MS)).await;
+            op.sleep(op.random() % (120 * MS)).await;
         }
     }
 
     /// Sends an order as it is to one core after another until there is a clear answer; whether it was taken.
     async fn send_until_clear(&self, order: &Sent) -> Option<bool> {
         for _ in 0..12 {
-            let answer_is_lost = self.tier.op.rand().is_multiple_of(6);
+            let answer_is_lost = self.tier.op.random().is_multiple_of(6);
             match self.send(order, answer_is_lost).await {
                 Some(ConfigAnswer::Taken { .. }) => return Some(true),
                 Some(ConfigAnswer::Conflict { .. } | ConfigAnswer::Invalid) => return Some(false),
-                _ => self.tier.op.sleep(60 * MS + self.tier.op.rand() % (60 * MS)).await,
+                _ => self.tier.op.sleep(60 * MS + self.tier.op.random() % (60 * MS)).await,
             }
         }
         None
@@ -194,17 +194,17 @@
         let mut back: Vec<String> = vec![];
         let mut settle = 300 * MS;
         for _ in 0..plan.tolerance {
-            let name = machines.swap_remove(tier.op.rand() as usize % machines.len());
+            let name = machines.swap_remove(tier.op.random() as usize % machines.len());
             let machine = tier.sim.find(&name);
             let others: Vec<usize> = tier.names(Role::Core).iter().filter(|n| **n != name).map(|n| tier.sim.find(n)).collect();
-            match tier.op.rand() % 8 {
+            match tier.op.random() % 8 {
                 0 => tier.sim.split(&[machine], &others),
                 1 => others.iter().for_each(|o| tier.sim.cut(machine, *o)),
                 2 => others.iter().for_each(|o| tier.sim.cut(*o, machine)),
                 3 => tier.sim.freeze(machine),
                 4 => tier.sim.charge(machine, Costs { share: 2, wake: 200, byte: 50, sync: 60_000 }),
                 5 => {
-                    tier.kill(&name, tier.op.rand().is_multiple_of(2));
+                    tier.kill(&name, tier.op.random().is_multiple_of(2));
                     back.push(name);
                 }
                 6 => {
@@ -224,14 +224,14 @@
                 }
             }
         }
-        tier.op.sleep(300 * MS + tier.op.rand() % (2_500 * MS)).await;
+        tier.op.sleep(300 * MS + tier.op.random() % (2_500 * MS)).await;
         tier.sim.heal();
         for name in tier.names(Role::Core) {
             tier.sim.thaw(tier.sim.find(&name));
             tier.sim.charge(tier.sim.find(&name), Costs::default());
         }
         back.iter().for_each(|n| tier.boot(n, false));
-        tier.op.sleep(settle + tier.op.rand() % SEC).await;
+        tier.op.sleep(settle + tier.op.random() % SEC).await;
     }
 }
 
@@ -252,7 +252,7 @@
         assert_eq!(front.book.conflicts.load(SeqCst), 0, "{name}");
     }
     for (name, control) in tier.control.lock().unwrap().iter() {
-        assert_eq!(control.book.conflicts.load(SeqCst), 0, "{name}");
+        assert_eq!(control.documents.conflicts.load(SeqCst), 0, "{name}");
     }
 }
 
@@ -272,7 +272,7 @@
             let (done_tx, done) = async_channel::unbounded();
             for who in 0..plan.operators {
                 let (caller, done_tx) = (caller(&tier), done_tx.clone());
-                tier.op.go(async move {
+                tier.op.spawn(async move {
                     caller.operate(who, until).await;
                     let _ = done_tx.send(()).await;
                 });
@@ -381,11 +381,11 @@
             let (done_tx, done) = async_channel::unbounded();
             for _ in 0..3 {
                 let (tier, recorded, done_tx) = (tier.clone(), recorded.clone(), done_tx.clone());
-                tier.op.clone().go(async move {
+                tier.op.clone().spawn(async move {
                     while tier.op.now() < until {
                         let cores = tier.names(Role::Core);
-                        let core = &cores[tier.op.rand() as usize % cores.len()];
-                        let call = if tier.op.rand().is_multiple_of(12) { RetireCall::Begin } else { RetireCall::Read };
+                        let core = &cores[tier.op.random() as usize % cores.len()];
+                        let call = if tier.op.random().is_multiple_of(12) { RetireCall::Begin } else { RetireCall::Read };
                         let begin = tier.op.now();
                         let answer = ask_retire(&tier, core, "store2", call).await;
                         let ended = answer.map(|answer| Ended { at: tier.op.now(), answer });
@@ -393,7 +393,7 @@
                         if ended.is_some() || matches!(call, RetireCall::Begin) {
                             recorded.lock().unwrap().push(Operation { begin, call, ended });
                         }
-                        tier.op.sleep(tier.op.rand() % (150 * MS)).await;
+                        tier.op.sleep(tier.op.random() % (150 * MS)).await;
                     }
                     let _ = done_tx.send(()).await;
                 });
--- a/yewcross-lab/tests/kv_share.rs
+++ b/yewcross-lab/tests/kv_share.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_lab::caller::{self, Ask, Heard, Seen};
 use yewcross_lab::proof::Lab;
 use yewcross_lab::script::on_fleet_of;
--- a/yewcross-lab/tests/links.rs
+++ b/yewcross-lab/tests/links.rs
@@ -4,33 +4,33 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::{Ask, Tell};
-use yewcross::consts::*;
-use yewcross::wire::{Listener, Lost, Parcel, Peers, pack};
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::protocol::{PeerRequest, PeerResponse};
+use yewcross::runtime::*;
+use yewcross::transport::{Envelope, PeerClient, RequestHandler, SendError, pack};
 use yewcross_lab::sim::Sim;
 
 const ASKER: &str = "10.0.0.1";
 const ASKED: &str = "10.0.0.2:70";
 
 /// What an ask came to: the name that the answer carries inside, or how it was lost.
-type Said = Result<String, Lost>;
+type Said = Result<String, SendError>;
 
-async fn ask(p: &Arc<Peers>, question: &str, us: u64) -> Said {
+async fn ask(p: &Arc<PeerClient>, question: &str, us: u64) -> Said {
     let to: SocketAddr = ASKED.parse().unwrap();
-    let got = p.ask(to, &Ask::Table { nodes: vec![] }, question.as_bytes(), us).await;
+    let got = p.request(to, &PeerRequest::ExchangeMembership { nodes: vec![] }, question.as_bytes(), us).await;
     got.map(|(_, blob)| String::from_utf8(blob).unwrap())
 }
 
 fn answer(id: u64, text: &str) -> Vec<u8> {
-    pack(WIRE_OLDEST, id, true, "asked", "z", &serde_json::to_vec(&Tell::Ok).unwrap(), text.as_bytes())
+    pack(WIRE_OLDEST, id, true, "asked", "z", &serde_json::to_vec(&PeerResponse::Ok).unwrap(), text.as_bytes())
 }
 
 /// Runs `f` on a machine to its end.
-fn play<T: Send + 'static>(sim: &Sim, w: &World, f: impl Future<Output = T> + Send + 'static) -> T {
+fn play<T: Send + 'static>(sim: &Sim, w: &Runtime, f: impl Future<Output = T> + Send + 'static) -> T {
     let out: Arc<Mutex<Option<T>>> = Default::default();
     let o = out.clone();
-    w.go(async move {
+    w.spawn(async move {
         let x = f.await;
         *o.lock().unwrap() = Some(x);
     });
@@ -40,12 +40,12 @@
 
 /// A node that answers the `n`th question it reads, over all connections, with the frames of `script(n)`; where there are
 /// none, it closes the connection. Questions of these tests come one at a time, so one read holds one.
-async fn scripted(w: World, script: impl Fn(usize) -> Vec<Vec<u8>> + Send + Sync + 'static) {
+async fn scripted(w: Runtime, script: impl Fn(usize) -> Vec<Vec<u8>> + Send + Sync + 'static) {
     let door = w.bind(ASKED.parse().unwrap()).await.unwrap();
     let (script, asked) = (Arc::new(script), Arc::new(AtomicUsize::new(0)));
     while let Ok(mut c) = door.accept().await {
         let (script, asked) = (script.clone(), asked.clone());
-        w.go(async move {
+        w.spawn(async move {
             let mut buf = [0; 4096];
             while let Ok(n) = c.read(&mut buf).await {
                 let frames = if n > 0 { script(asked.fetch_add(1, SeqCst) + 1) } else { vec![] };
@@ -66,7 +66,7 @@
     let sim = Sim::new(1, 1_000);
     let (a, b) = (sim.machine("asker", "z", ASKER.parse().unwrap()), sim.machine("asked", "z", "10.0.0.2".parse().unwrap()));
     let (w, wb) = (sim.boot(a), sim.boot(b));
-    wb.go(scripted(wb.clone(), |n| match n {
+    wb.spawn(scripted(wb.clone(), |n| match n {
         // The same answer twice, and one to a question that is yet to come.
         1 => vec![answer(1, "one"), answer(1, "one again"), answer(3, "early")],
         // An answer to the question before, and one to none.
@@ -81,7 +81,7 @@
     }));
     let w2 = w.clone();
     let said = play(&sim, &w, async move {
-        let p = Peers::new(&w2, "asker", "z", WIRE_OLDEST);
+        let p = PeerClient::new(&w2, "asker", "z", WIRE_OLDEST);
         let mut v = vec![];
         for i in 1..=7 {
             v.push(ask(&p, &format!("question {i}"), 300 * MS).await);
@@ -90,31 +90,34 @@
         v
     });
     let ok = |s: &str| Ok(s.to_string());
-    assert_eq!(said, [ok("one"), ok("two"), ok("three"), Err(Lost::Unknown), ok("five"), Err(Lost::Unknown), ok("seven")]);
+    assert_eq!(
+        said,
+        [ok("one"), ok("two"), ok("three"), Err(SendError::OutcomeUnknown), ok("five"), Err(SendError::OutcomeUnknown), ok("seven")]
+    );
 }
 
 /// Says which process it is and what it was asked; the first question takes it long.
 struct Slow {
-    w: World,
+    w: Runtime,
     name: &'static str,
     asked: AtomicUsize,
 }
 
-impl Listener for Slow {
-    fn hear(self: Arc<Self>, p: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
+impl RequestHandler for Slow {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
             let first = self.asked.fetch_add(1, SeqCst) == 0;
             self.w.sleep(if first { 400 * MS } else { 600 * MS }).await;
-            let text = format!("{} to {}", self.name, String::from_utf8_lossy(&p.blob));
-            (serde_json::to_vec(&Tell::Ok).unwrap(), text.into_bytes())
+            let text = format!("{} to {}", self.name, String::from_utf8_lossy(&p.payload));
+            (serde_json::to_vec(&PeerResponse::Ok).unwrap(), text.into_bytes())
         })
     }
 }
 
-async fn listen(w: World, name: &'static str) {
+async fn listen(w: Runtime, name: &'static str) {
     let door = w.bind(ASKED.parse().unwrap()).await.unwrap();
     let slow = Arc::new(Slow { w: w.clone(), name, asked: AtomicUsize::new(0) });
-    Peers::new(&w, name, "z", WIRE_OLDEST).serve(door, slow).await;
+    PeerClient::new(&w, name, "z", WIRE_OLDEST).serve(door, slow).await;
 }
 
 /// Each process counts its questions from one, so the numbers alone would not tell two lives of an asker apart.
@@ -124,11 +127,11 @@
         let sim = Sim::new(2, 1_000);
         let (a, b) = (sim.machine("asker", "z", ASKER.parse().unwrap()), sim.machine("asked", "z", "10.0.0.2".parse().unwrap()));
         let (w, wb) = (sim.boot(a), sim.boot(b));
-        wb.go(listen(wb.clone(), "asked"));
+        wb.spawn(listen(wb.clone(), "asked"));
         sim.run(10 * MS, || false);
         let w2 = w.clone();
-        w.go(async move {
-            let p = Peers::new(&w2, "asker", "z", WIRE_OLDEST);
+        w.spawn(async move {
+            let p = PeerClient::new(&w2, "asker", "z", WIRE_OLDEST);
             let _ = ask(&p, "the old question", 2 * SEC).await;
         });
         sim.run(200 * MS, || false);
@@ -137,7 +140,7 @@
         let w = sim.boot(a);
         let w2 = w.clone();
         let said = play(&sim, &w, async move {
-            let p = Peers::new(&w2, "asker", "z", WIRE_OLDEST);
+            let p = PeerClient::new(&w2, "asker", "z", WIRE_OLDEST);
             ask(&p, "the new question", 2 * SEC).await
         });
         assert_eq!(said, Ok("asked to the new question".into()), "power {power}");
@@ -151,12 +154,12 @@
         let sim = Sim::new(3, 1_000);
         let (a, b) = (sim.machine("asker", "z", ASKER.parse().unwrap()), sim.machine("asked", "z", "10.0.0.2".parse().unwrap()));
         let (w, wb) = (sim.boot(a), sim.boot(b));
-        wb.go(listen(wb.clone(), "first"));
+        wb.spawn(listen(wb.clone(), "first"));
         sim.run(10 * MS, || false);
-        let p = Peers::new(&w, "asker", "z", WIRE_OLDEST);
+        let p = PeerClient::new(&w, "asker", "z", WIRE_OLDEST);
         let said: Arc<Mutex<Vec<Said>>> = Default::default();
         let (p2, s2) = (p.clone(), said.clone());
-        w.go(async move {
+        w.spawn(async move {
             let x = ask(&p2, "a question to the first", 5 * SEC).await;
             s2.lock().unwrap().push(x);
         });
@@ -164,7 +167,7 @@
         sim.kill(b, power);
         sim.power_on(b);
         let wb = sim.boot(b);
-        wb.go(listen(wb.clone(), "second"));
+        wb.spawn(listen(wb.clone(), "second"));
         let (w2, p2) = (w.clone(), p.clone());
         let next = play(&sim, &w, async move {
             loop {
@@ -176,6 +179,6 @@
         });
         sim.run(sim.now() + 6 * SEC, || false);
         assert_eq!(next, "second to a question to the second", "power {power}");
-        assert_eq!(*said.lock().unwrap(), [Err(Lost::Unknown)], "power {power}");
+        assert_eq!(*said.lock().unwrap(), [Err(SendError::OutcomeUnknown)], "power {power}");
     }
 }
--- a/yewcross-lab/tests/models/lease.rs
+++ b/yewcross-lab/tests/models/lease.rs
@@ -7,8 +7,8 @@
 
 use super::explorer::Model;
 use std::collections::BTreeSet;
-use yewcross::ask::Group;
-use yewcross::lease::{Candidate, LeaseCall, Verdict};
+use yewcross::protocol::ReplicaGroup;
+use yewcross::protocol::lease::{Candidate, LeaseOperation, LeaseVerdict};
 use yewcross_control::lease::{Granter, Holder, KeptGrant, LeaseTimes};
 
 pub const TWO_HOLDERS: &str = "two processes hold the lease at once";
@@ -58,10 +58,10 @@
 }
 
 impl Sent {
-    fn call(&self) -> LeaseCall {
+    fn call(&self) -> LeaseOperation {
         match self.round {
-            0 => LeaseCall::Request { term: self.term },
-            round => LeaseCall::Renew { term: self.term, round, confirmed: self.confirmed },
+            0 => LeaseOperation::Request { term: self.term },
+            round => LeaseOperation::Renew { term: self.term, round, confirmed: self.confirmed },
         }
     }
 }
@@ -85,8 +85,8 @@
     RestartProcess(usize),
 }
 
-fn seats() -> Group {
-    Group { now: GRANTERS.iter().map(|disk| disk.to_string()).collect(), ..Group::default() }
+fn seats() -> ReplicaGroup {
+    ReplicaGroup { current: GRANTERS.iter().map(|disk| disk.to_string()).collect(), ..ReplicaGroup::default() }
 }
 
 impl Lease {
@@ -173,7 +173,7 @@
             Action::Renew(index) => {
                 let process = &mut next.processes[index];
                 process.renewals -= 1;
-                let LeaseCall::Renew { term, round, confirmed } = process.holder.renew(now, &seats())? else { return None };
+                let LeaseOperation::Renew { term, round, confirmed } = process.holder.renew(now, &seats())? else { return None };
                 let candidate = process.candidate.clone();
                 next.network.insert(Sent { process: index, candidate, term, round, confirmed });
             }
@@ -185,7 +185,7 @@
                 let verdict = next.granters[granter].answer(now, &sent.candidate, SEATS, sent.call());
                 let process = &mut next.processes[sent.process];
                 let is_asker = process.candidate == sent.candidate;
-                if verdict == Verdict::Granted && answered && is_asker {
+                if verdict == LeaseVerdict::Granted && answered && is_asker {
                     process.holder.granted(sent.term, sent.round, GRANTERS[granter]);
                 }
                 let is_same =
--- a/yewcross-lab/tests/models/main.rs
+++ b/yewcross-lab/tests/models/main.rs
@@ -12,7 +12,7 @@
 const MOST_STATES: usize = 1_500_000;
 
 fn three() -> Vec<ReplicaSet> {
-    vec![ReplicaSet { lay: 1, now: vec![seat("a", 0), seat("b", 1), seat("c", 2)], old: vec![] }]
+    vec![ReplicaSet { layout_version: 1, current: vec![seat("a", 0), seat("b", 1), seat("c", 2)], previous: vec![] }]
 }
 
 fn register(proposers: Vec<Budget>) -> Register {
@@ -32,8 +32,9 @@
 
 /// Replica `a` gives its seat to `d`, through both sets.
 fn replacement(proposers: Vec<Budget>) -> Register {
-    let joint = ReplicaSet { lay: 2, now: vec![seat("d", 3), seat("b", 1), seat("c", 2)], old: three()[0].now.clone() };
-    let after = ReplicaSet { lay: 3, now: joint.now.clone(), old: vec![] };
+    let joint =
+        ReplicaSet { layout_version: 2, current: vec![seat("d", 3), seat("b", 1), seat("c", 2)], previous: three()[0].current.clone() };
+    let after = ReplicaSet { layout_version: 3, current: joint.current.clone(), previous: vec![] };
     let layouts = vec![three().remove(0), joint, after];
     Register { layouts, machines: vec!["a", "b", "c", "d"], ..register(proposers) }
 }
--- a/yewcross-lab/tests/models/register.rs
+++ b/yewcross-lab/tests/models/register.rs
@@ -229,8 +229,8 @@
 fn counted(model: &Register, replicas: &ReplicaSet) -> ReplicaSet {
     let mut replicas = replicas.clone();
     match model.fault {
-        Fault::NewSetAlone => replicas.old.clear(),
-        Fault::OldSetAlone if !replicas.old.is_empty() => replicas.now = std::mem::take(&mut replicas.old),
+        Fault::NewSetAlone => replicas.previous.clear(),
+        Fault::OldSetAlone if !replicas.previous.is_empty() => replicas.current = std::mem::take(&mut replicas.previous),
         _ => {}
     }
     replicas
@@ -259,12 +259,12 @@
     }
 
     fn is_joint(&self, layout: u64) -> bool {
-        !self.replicas(layout).old.is_empty()
+        !self.replicas(layout).previous.is_empty()
     }
 
     /// So many of the old replicas refuse older layouts that no majority of them is left for a proposer of before.
     fn is_fenced(&self, state: &State) -> bool {
-        let old = &self.replicas(state.layout).old;
+        let old = &self.replicas(state.layout).previous;
         let kept = |seat: &&Seat| {
             let machine = &state.machines[address_of(seat)];
             machine.disk == seat.disk && machine.layout >= state.layout
@@ -367,7 +367,7 @@
         let vote = Vote { disk: seat.disk.clone(), reply, value: value.map(|value| value.to_vec()).unwrap_or_default() };
         if pending.intent == Intent::Look {
             // To end a change, an old replica counts only once it refuses proposers that do not know of the change.
-            let is_old = self.replicas(sent.layout).old.contains(seat);
+            let is_old = self.replicas(sent.layout).previous.contains(seat);
             if !is_old || has_kept || self.model.fault == Fault::CountsOldUnfenced {
                 pending.survey.record(vote);
             }
@@ -647,7 +647,7 @@
             actions.push(Action::BeginChange);
         }
         for (address, machine) in state.machines.iter().enumerate() {
-            let leaves = self.model.layouts.get(1).is_some_and(|joint| joint.old.iter().any(|seat| address_of(seat) == address));
+            let leaves = self.model.layouts.get(1).is_some_and(|joint| joint.previous.iter().any(|seat| address_of(seat) == address));
             if leaves && state.layout > 1 && machine.layout < 2 {
                 actions.push(Action::Keep(address));
             }
--- a/yewcross-lab/tests/one_proposer.rs
+++ b/yewcross-lab/tests/one_proposer.rs
@@ -3,9 +3,9 @@
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
+use yewcross::protocol::ListedServer;
 use yewcross_lab::tier::*;
 
 #[path = "support/operators.rs"]
@@ -23,7 +23,7 @@
 const BALLOTS_A_TERM: u64 = 12;
 
 fn ballots(tier: &Tier) -> u64 {
-    tier.control.lock().unwrap().values().map(|control| control.owner.takes.load(SeqCst)).sum()
+    tier.control.lock().unwrap().values().map(|control| control.registers.takes.load(SeqCst)).sum()
 }
 
 fn terms(tier: &Tier) -> u64 {
@@ -59,13 +59,13 @@
                 let orders = begin(&tier).await;
                 let mut times = vec![];
                 for _ in 0..3 {
-                    tier.op.sleep(3 * SEC + tier.op.rand() % SEC).await;
+                    tier.op.sleep(3 * SEC + tier.op.random() % SEC).await;
                     let cores = tier.names(Role::Core);
                     cores.iter().for_each(|name| tier.kill(name, power));
                     tier.op.sleep(700 * MS).await;
                     for name in &cores {
                         tier.boot(name, false);
-                        tier.op.sleep(tier.op.rand() % (10 * MS)).await;
+                        tier.op.sleep(tier.op.random() % (10 * MS)).await;
                     }
                     times.push(back_after(&tier, &orders).await);
                 }
@@ -144,9 +144,9 @@
     }
 }
 
-fn server(number: u8, leaving: bool) -> Listed {
+fn server(number: u8, leaving: bool) -> ListedServer {
     let addr = std::net::SocketAddr::new([10, 7, 0, number].into(), 80);
-    Listed { server: format!("s{number}"), service: "llm".into(), addr, site: "z1".into(), leaving }
+    ListedServer { server: format!("s{number}"), service: "llm".into(), addr, site: "z1".into(), leaving }
 }
 
 /// A server leaves while every core starts again, with orders on their way: all fronts know of it before a machine counts as
@@ -193,7 +193,7 @@
             tier.op.sleep(2 * SEC).await;
             let holder = tier.on_duty().first().cloned().unwrap();
             let others: Vec<String> = tier.names(Role::Core).into_iter().filter(|name| *name != holder).collect();
-            let kept: Vec<u64> = others.iter().map(|name| tier.at(name).unwrap().replica.lay.swap(u64::MAX, SeqCst)).collect();
+            let kept: Vec<u64> = others.iter().map(|name| tier.at(name).unwrap().replica.layout_version.swap(u64::MAX, SeqCst)).collect();
             tier.kill(&holder, true);
             let (mut longest, mut since, mut last) = (0, tier.op.now(), None);
             let end = tier.op.now() + 12 * SEC;
@@ -207,7 +207,7 @@
                 assert!(tier.on_duty().is_empty(), "{}", tell(&tier));
             }
             let terms = terms(&tier);
-            others.iter().zip(kept).for_each(|(name, layout)| tier.at(name).unwrap().replica.lay.store(layout, SeqCst));
+            others.iter().zip(kept).for_each(|(name, layout)| tier.at(name).unwrap().replica.layout_version.store(layout, SeqCst));
             let begin = tier.op.now();
             while tier.on_duty().is_empty() {
                 tier.op.sleep(5 * MS).await;
--- a/yewcross-lab/tests/orders.rs
+++ b/yewcross-lab/tests/orders.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_lab::tier::*;
 
@@ -50,16 +50,16 @@
             let end = tier.op.now() + 10 * SEC;
             for core in tier.names(Role::Core).into_iter().cycle().take(12) {
                 let (tier, reads) = (tier.clone(), reads.clone());
-                tier.op.clone().go(async move {
+                tier.op.clone().spawn(async move {
                     while tier.op.now() < end {
                         if tier.read(&core).await.is_some_and(|r| r != ReadAnswer::Away) {
                             reads.fetch_add(1, SeqCst);
                         }
-                        tier.op.sleep(tier.op.rand() % (10 * MS)).await;
+                        tier.op.sleep(tier.op.random() % (10 * MS)).await;
                     }
                 });
             }
-            let takes = |tier: &Tier| tier.control.lock().unwrap().values().map(|c| c.owner.takes.load(SeqCst)).sum::<u64>();
+            let takes = |tier: &Tier| tier.control.lock().unwrap().values().map(|c| c.registers.takes.load(SeqCst)).sum::<u64>();
             let before = takes(&tier);
             let (mut base, mut slowest) = (2, 0);
             while tier.op.now() < end {
@@ -87,9 +87,9 @@
             let store = tier.at("store1").unwrap();
             let files = |tier: &Tier| tier.sim.disk(tier.sim.find("store1"), |d| d.files());
             let before = files(&tier);
-            let layout = store.book.page("layout");
+            let layout = store.documents.document("layout");
             for nth in 1..=30 {
-                assert!(store.book.adopt("layout", layout.seq + 10 * nth, layout.epoch, layout.raw.to_vec()));
+                assert!(store.documents.apply("layout", layout.version + 10 * nth, layout.epoch, layout.content.to_vec()));
                 tier.op.sleep(50 * MS).await;
             }
             (before, files(&tier))
--- a/yewcross-lab/tests/placement.rs
+++ b/yewcross-lab/tests/placement.rs
@@ -4,10 +4,10 @@
 mod support;
 
 use support::{rest, servers, world};
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::route::Engine;
-use yewcross::world::*;
+use yewcross::configuration::route::Engine;
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 use yewcross_front::balance::{Balance, Claim, Load, Need, Slope};
 use yewcross_front::load_exchange::{Collected, ServerKey, ServerLoad};
 use yewcross_front::policy::{Mechanism, Policies};
@@ -20,12 +20,12 @@
     Need { engine, parts: parts.to_vec(), prompt, output: 100, ..plain }
 }
 
-fn pick(b: &Balance, w: &World, n: &Need, v: &[Listed]) -> Claim {
+fn pick(b: &Balance, w: &Runtime, n: &Need, v: &[ListedServer]) -> Claim {
     b.pick(w, n, v, &[], |_| true).expect("a place is free")
 }
 
 /// Runs a request alone at the first server: it reads its prompt at this pace, and streams its events at that one.
-fn run(sim: &Sim, w: &World, b: &Balance, v: &[Listed], tokens: u64, token_us: f64, gap_us: u64) {
+fn run(sim: &Sim, w: &Runtime, b: &Balance, v: &[ListedServer], tokens: u64, token_us: f64, gap_us: u64) {
     let mut c = pick(b, w, &model(&[(sim.rand(), tokens)]), &v[..1]);
     rest(sim, w, 10 * MS + (tokens as f64 * token_us) as u64);
     c.headed();
@@ -33,7 +33,7 @@
     c.streamed(8);
 }
 
-fn others(b: &Balance, w: &World, at: &str, in_flight: u32, ejected_by: u32) {
+fn others(b: &Balance, w: &Runtime, at: &str, in_flight: u32, ejected_by: u32) {
     b.learn_load(w.now(), |server| Some(if server == at { Load { in_flight, ejected_by } } else { Load::default() }));
 }
 
--- a/yewcross-lab/tests/proof.rs
+++ b/yewcross-lab/tests/proof.rs
@@ -91,7 +91,7 @@
 /// Each sharper check, shown to fail by evidence that was tampered with in just that way.
 #[test]
 fn every_check_sees_its_own_tampering() {
-    use yewcross::consts::{MS, SEC};
+    use yewcross::constants::{MS, SEC};
     use yewcross_lab::caller::{Heard, Seen};
     use yewcross_lab::proof::{Ack, Cap, Evidence};
     let clean = run(&Plan::new(21, "small", &[Act::KillStore]));
@@ -241,33 +241,33 @@
 fn a_frame_too_new_is_refused_and_counted() {
     use std::sync::Arc;
     use std::sync::atomic::Ordering::SeqCst;
-    use yewcross::ask::{Ask, Tell};
-    use yewcross::consts::{SEC, WIRE_OLDEST, WIRE_VERSION};
-    use yewcross::wire::{Listener, Parcel, Peers};
-    use yewcross::world::Fut;
+    use yewcross::constants::{SEC, WIRE_OLDEST, WIRE_VERSION};
+    use yewcross::protocol::{PeerRequest, PeerResponse};
+    use yewcross::runtime::BoxFuture;
+    use yewcross::transport::{Envelope, PeerClient, RequestHandler};
     struct Echo;
-    impl Listener for Echo {
-        fn hear(self: Arc<Self>, _: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
-            Box::pin(async { (serde_json::to_vec(&Tell::Ok).unwrap(), vec![]) })
+    impl RequestHandler for Echo {
+        fn handle(self: Arc<Self>, _: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+            Box::pin(async { (serde_json::to_vec(&PeerResponse::Ok).unwrap(), vec![]) })
         }
     }
     let sim = yewcross_lab::sim::Sim::new(3, 500);
     let at = |i: u8| std::net::SocketAddr::from(([10, 0, 0, i], 1));
     let (a, b) = (sim.boot(sim.machine("a", "z1", at(1).ip())), sim.boot(sim.machine("b", "z2", at(2).ip())));
-    let (pa, pb) = (Peers::new(&a, "a", "z1", WIRE_VERSION), Peers::new(&b, "b", "z2", WIRE_OLDEST));
+    let (pa, pb) = (PeerClient::new(&a, "a", "z1", WIRE_VERSION), PeerClient::new(&b, "b", "z2", WIRE_OLDEST));
     let got = Arc::new(std::sync::Mutex::new(vec![]));
     let (g, pa2, pb2, b2) = (got.clone(), pa.clone(), pb.clone(), b.clone());
-    b.go(async move { pb2.serve(b2.bind(at(2)).await.unwrap(), Arc::new(Echo)).await });
-    a.clone().go(async move {
+    b.spawn(async move { pb2.serve(b2.bind(at(2)).await.unwrap(), Arc::new(Echo)).await });
+    a.clone().spawn(async move {
         a.sleep(SEC).await;
         for wire in [WIRE_OLDEST, WIRE_VERSION] {
-            pa2.learn(at(2), "z2", wire);
-            let r = pa2.ask(at(2), &Ask::Found, &[], SEC).await;
+            pa2.record_peer(at(2), "z2", wire);
+            let r = pa2.request(at(2), &PeerRequest::Bootstrap, &[], SEC).await;
             g.lock().unwrap().push(r.is_ok());
         }
     });
     sim.run(10 * SEC, || got.lock().unwrap().len() == 2);
-    assert_eq!((got.lock().unwrap().clone(), pb.odd.load(SeqCst)), (vec![true, false], 1));
+    assert_eq!((got.lock().unwrap().clone(), pb.rejected_frames.load(SeqCst)), (vec![true, false], 1));
 }
 
 /// Every act, test, sin and piece of code that docs/brief.md and the parts' pages name is there, every act is in it, and no cell is empty.
--- a/yewcross-lab/tests/real.rs
+++ b/yewcross-lab/tests/real.rs
@@ -6,10 +6,10 @@
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
-use yewcross::real::Real;
-use yewcross::startup::{Role, exit};
-use yewcross::world::World;
+use yewcross::constants::*;
+use yewcross::process_settings::{Role, exit};
+use yewcross::runtime::Runtime;
+use yewcross::runtime::os::OsRuntime;
 use yewcross_lab::caller::{self, Ask, Diary, Heard};
 use yewcross_lab::fleet::Fleet;
 use yewcross_lab::standin::Spec;
@@ -34,7 +34,7 @@
     }
 }
 
-async fn until(w: &World, secs: u64, what: &str, mut f: impl AsyncFnMut() -> bool) {
+async fn until(w: &Runtime, secs: u64, what: &str, mut f: impl AsyncFnMut() -> bool) {
     let end = w.now() + secs * SEC;
     while !f().await {
         assert!(w.now() < end, "waited {secs} s for: {what}");
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_real_fleet_lives_through_signals() {
-    let w = Real::world(".", 2);
+    let w = OsRuntime::world(".", 2);
     let d = dir("fleet");
     smol::block_on(async {
         let mut f = Fleet::plan(&w, "small", &d, 0).unwrap();
@@ -59,7 +59,7 @@
         .await;
 
         let diary = Arc::new(Diary::default());
-        (0..6).for_each(|i| w.go(caller::session(w.clone(), f.sh.clone(), diary.clone(), i, 1000)));
+        (0..6).for_each(|i| w.spawn(caller::session(w.clone(), f.sh.clone(), diary.clone(), i, 1000)));
 
         // A store and a core are killed outright; a peer talks half a frame and goes quiet.
         let mut half = std::net::TcpStream::connect(f.sh.of(Role::Store)[1].peer).unwrap();
@@ -115,7 +115,7 @@
         let (tx, rx) = async_channel::unbounded();
         (0..12).for_each(|i| {
             let (w2, tx) = (w.clone(), tx.clone());
-            w.go(async move {
+            w.spawn(async move {
                 let s = caller::turn(&w2, f2, &ask(&format!("last{i}"))).await;
                 let _ = tx.send(s).await;
             })
--- a/yewcross-lab/tests/relay/attempts.rs
+++ b/yewcross-lab/tests/relay/attempts.rs
@@ -4,9 +4,9 @@
 use crate::server::*;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 
 #[test]
 fn what_may_have_run_is_never_sent_again() {
@@ -66,7 +66,8 @@
     let h = rig.with(|r, w| {
         Box::pin(async move {
             let (r2, w2) = (r.clone(), w.clone());
-            let one = w.fan(vec![Box::pin(async move { call(&w2, r2.door, "p", "/pure/x", &[], "").await }) as Fut<'static, Heard>]);
+            let one =
+                w.spawn_all(vec![Box::pin(async move { call(&w2, r2.door, "p", "/pure/x", &[], "").await }) as BoxFuture<'static, Heard>]);
             w.sleep(50 * MS).await;
             r.list(3, &[r.listed(0, "a"), r.listed(1, "a")]);
             one.recv().await.unwrap()
@@ -113,7 +114,7 @@
     assert_eq!(rig.ask("t", "/pure/x", &[], "b").status, 200);
     // The list still names a0 and a1, but other lives stand at their places.
     rig.sim.kill(rig.machines[0], false);
-    rig.stand(0, &Listed { server: "b9".into(), ..rig.listed(0, "a") });
+    rig.stand(0, &ListedServer { server: "b9".into(), ..rig.listed(0, "a") });
     (0..4).for_each(|i| {
         let h = rig.ask(&format!("t{i}"), "/once/x", &[], "b");
         assert_eq!(h.status, 200);
@@ -132,7 +133,9 @@
         Box::pin(async move {
             let (r2, w2) = (r.clone(), w.clone());
             let heads = vec![("patience".to_string(), "900".to_string())];
-            let one = w.fan(vec![Box::pin(async move { call(&w2, r2.door, "t", "/pure/x", &heads, "").await }) as Fut<'static, Heard>]);
+            let one = w.spawn_all(vec![
+                Box::pin(async move { call(&w2, r2.door, "t", "/pure/x", &heads, "").await }) as BoxFuture<'static, Heard>
+            ]);
             w.sleep(60 * MS).await;
             r.configure(2, json!([route("pure", "effectful", "a", 3)]));
             r.list(3, &[r.listed(0, "a"), r.listed(1, "a")]);
@@ -154,7 +157,8 @@
     let h = rig.with(|r, w| {
         Box::pin(async move {
             let (r2, w2) = (r.clone(), w.clone());
-            let one = w.fan(vec![Box::pin(async move { call(&w2, r2.door, "t", "/pure/x", &[], "").await }) as Fut<'static, Heard>]);
+            let one =
+                w.spawn_all(vec![Box::pin(async move { call(&w2, r2.door, "t", "/pure/x", &[], "").await }) as BoxFuture<'static, Heard>]);
             w.sleep(50 * MS).await;
             r.list(3, &[r.listed(0, "a"), r.listed(1, "a")]);
             w.sleep(200 * MS).await;
