--- a/yewcross-lab/tests/relay/promises.rs
+++ b/yewcross-lab/tests/relay/promises.rs
@@ -2,9 +2,9 @@
 
 use crate::rig::*;
 use crate::server::*;
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 
 /// Many callers at once against servers that do anything: whatever is drawn, what is promised holds.
 #[test]
@@ -47,19 +47,19 @@
         let (p, crash) = (plan.clone(), rng.u64(500..2_500) * MS);
         let hs = rig.with(move |r, w| {
             Box::pin(async move {
-                let fs: Vec<Fut<'static, (usize, Heard)>> = p
+                let fs: Vec<BoxFuture<'static, (usize, Heard)>> = p
                     .into_iter()
                     .enumerate()
                     .map(|(i, (id, path, at))| {
                         let (r, w) = (r.clone(), w.clone());
-                        let f: Fut<'static, (usize, Heard)> = Box::pin(async move {
+                        let f: BoxFuture<'static, (usize, Heard)> = Box::pin(async move {
                             w.sleep(at).await;
                             (i, call(&w, r.door, &id, &path, &[("patience".into(), "900".into())], "in").await)
                         });
                         f
                     })
                     .collect();
-                let (n, rx) = (fs.len(), w.fan(fs));
+                let (n, rx) = (fs.len(), w.spawn_all(fs));
                 w.sleep(crash).await;
                 r.sim.kill(r.machines[0], crash % 2 == 0);
                 let mut v = vec![];
@@ -153,22 +153,22 @@
     let freezes: Vec<(u64, u64)> = (0..4).map(|_| (rng.u64(100..700) * MS, rng.u64(5..400) * MS)).collect();
     let ended = rig.with(move |r, w| {
         Box::pin(async move {
-            let fs: Vec<Fut<'static, Option<Ended>>> = plan
+            let fs: Vec<BoxFuture<'static, Option<Ended>>> = plan
                 .into_iter()
                 .map(|(attempt, path, at, leaves)| {
                     let (r, w) = (r.clone(), w.clone());
-                    let f: Fut<'static, Option<Ended>> = Box::pin(async move {
+                    let f: BoxFuture<'static, Option<Ended>> = Box::pin(async move {
                         w.sleep(at).await;
                         let heads = [("patience".to_string(), "900".to_string())];
                         let ask = call(&w, r.door, &attempt, &path, &heads, "in");
-                        let patience = if leaves { w.rand() % (60 * MS) } else { 10 * SEC };
-                        let heard = w.within(patience, ask).await;
+                        let patience = if leaves { w.random() % (60 * MS) } else { 10 * SEC };
+                        let heard = w.timeout(patience, ask).await;
                         heard.map(|heard| Ended { attempt, path, heard })
                     });
                     f
                 })
                 .collect();
-            let (n, rx) = (fs.len(), w.fan(fs));
+            let (n, rx) = (fs.len(), w.spawn_all(fs));
             let front = r.sim.find("front");
             for (i, (pause, still)) in freezes.into_iter().enumerate() {
                 w.sleep(pause).await;
@@ -178,7 +178,7 @@
                     // Another life at the address, which the list learns later.
                     0 => {
                         r.sim.kill(r.machines[0], false);
-                        r.stand(0, &Listed { server: "b7".into(), ..r.listed(0, "a") });
+                        r.stand(0, &ListedServer { server: "b7".into(), ..r.listed(0, "a") });
                     }
                     1 => r.list(2, &(1..3).flat_map(|i| [r.listed(i, "a"), r.listed(i, "model")]).collect::<Vec<_>>()),
                     2 => r.configure(2, routes()),
--- a/yewcross-lab/tests/relay/requests.rs
+++ b/yewcross-lab/tests/relay/requests.rs
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
-use yewcross::book::Book;
-use yewcross::consts::*;
+use yewcross::configuration::route::Limits;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
 use yewcross::register::Ballot;
-use yewcross::route::Limits;
-use yewcross::world::*;
+use yewcross::runtime::*;
 use yewcross_front::relay::Relay;
 use yewcross_lab::routed::ports::Ports;
 
@@ -88,11 +88,11 @@
     // A relay of its own that knows nothing yet.
     let h = rig.with(|r, w| {
         Box::pin(async move {
-            let old = r.relay.book.page("list");
-            let book = Book::new(&w);
+            let old = r.relay.documents.document("list");
+            let book = DocumentCache::new(&w);
             let fresh = Relay {
-                w: w.clone(),
-                book: book.clone(),
+                runtime: w.clone(),
+                documents: book.clone(),
                 site: "z".into(),
                 caller: Arc::new(Ports),
                 back: Arc::new(Ports),
@@ -108,17 +108,17 @@
             let me = r.sim.machine("young", "z", own.ip());
             let wd = r.sim.boot(me);
             let d = wd.bind(own).await.unwrap();
-            let h: yewcross::web::Handler = Arc::new(move |q, _| Box::pin(fresh.clone().serve(q)));
-            w2.go(yewcross::web::serve(w2.clone(), d, h, Arc::new(Limits::default), Default::default()));
+            let h: yewcross::streaming_http::Handler = Arc::new(move |q, _| Box::pin(fresh.clone().serve(q)));
+            w2.spawn(yewcross::streaming_http::serve(w2.clone(), d, h, Arc::new(Limits::default), Default::default()));
             let ask = |id: &'static str| {
                 let w = w.clone();
-                w.clone().fan(vec![Box::pin(async move { call(&w, own, id, "/once/x", &[], "").await }) as Fut<'static, Heard>])
+                w.clone().spawn_all(vec![Box::pin(async move { call(&w, own, id, "/once/x", &[], "").await }) as BoxFuture<'static, Heard>])
             };
             let one = ask("early");
             w.sleep(100 * MS).await;
-            book.adopt("config", 1, Ballot::default(), config(routes()));
+            book.apply("config", 1, Ballot::default(), config(routes()));
             w.sleep(100 * MS).await;
-            book.adopt("list", 1, Ballot::default(), old.raw.to_vec());
+            book.apply("list", 1, Ballot::default(), old.content.to_vec());
             one.recv().await.unwrap()
         })
     });
@@ -191,14 +191,15 @@
     rig.configure(2, json!([route("full", "effectful", "model", 1)]));
     let hs = rig.with(|r, w| {
         Box::pin(async move {
-            let fs: Vec<Fut<'static, Heard>> = (0..6)
+            let fs: Vec<BoxFuture<'static, Heard>> = (0..6)
                 .map(|i| {
                     let (r, w) = (r.clone(), w.clone());
-                    let f: Fut<'static, Heard> = Box::pin(async move { call(&w, r.door, &format!("t{i}"), "/full/x", &[], "").await });
+                    let f: BoxFuture<'static, Heard> =
+                        Box::pin(async move { call(&w, r.door, &format!("t{i}"), "/full/x", &[], "").await });
                     f
                 })
                 .collect();
-            let rx = w.fan(fs);
+            let rx = w.spawn_all(fs);
             let mut v = vec![];
             for _ in 0..6 {
                 v.push(rx.recv().await.unwrap());
--- a/yewcross-lab/tests/relay/resumption.rs
+++ b/yewcross-lab/tests/relay/resumption.rs
@@ -4,7 +4,7 @@
 use crate::server::*;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
+use yewcross::constants::*;
 use yewcross_front::policy::{Mechanism, Policies};
 
 const WHOLE: &str = "id: 0\ndata: t-0\n\nid: 1\ndata: t-1\n\nid: 2\ndata: t-2\n\nid: 3\ndata: t-3\n\n";
@@ -19,9 +19,9 @@
 fn first_is(act: Act, seed: u64, policies: Policies) -> Rig {
     let rig = rig(seed, &[act, act], policies);
     *rig.floor.other.lock().unwrap() = Some(Act::Good);
-    let (floor, w) = (rig.floor.clone(), rig.relay.w.clone());
+    let (floor, w) = (rig.floor.clone(), rig.relay.runtime.clone());
     // Once one of the two has begun, the other forgets what it was told.
-    w.clone().go(async move {
+    w.clone().spawn(async move {
         while floor.runs.lock().unwrap().is_empty() {
             w.sleep(MS).await;
         }
@@ -130,7 +130,7 @@
             let c = w.connect(r.door).await.unwrap();
             let io = smol_hyper::rt::FuturesIo::new(c);
             let (mut s, conn) = hyper::client::conn::http1::handshake(io).await.unwrap();
-            w.go(async move { drop(conn.await) });
+            w.spawn(async move { drop(conn.await) });
             let mut statuses = vec![];
             for (path, body) in [("/unknown/x", "#".repeat(9_000)), ("/pure/x", "b".into())] {
                 let q = http::Request::builder().method("POST").uri(path).header("host", "h.example").header("try", "t");
--- a/yewcross-lab/tests/relay/rig.rs
+++ b/yewcross-lab/tests/relay/rig.rs
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::ask::{List, Listed};
-use yewcross::book::Book;
-use yewcross::chain::{Chains, OpenTurn, OpenedTurn, Refusal, Turn};
-use yewcross::consts::*;
+use yewcross::configuration::route::Limits;
+use yewcross::constants::*;
+use yewcross::documents::cache::DocumentCache;
+use yewcross::protocol::{ListedServer, ServerList};
 use yewcross::register::Ballot;
-use yewcross::route::Limits;
-use yewcross::world::*;
+use yewcross::runtime::*;
+use yewcross::turn_log::{OpenTurn, OpenTurnError, OpenedTurn, Turn, TurnLogService};
 use yewcross_front::balance::Balance;
 use yewcross_front::policy::Policies;
 use yewcross_front::relay::{Relay, RetryBudget};
@@ -28,13 +28,13 @@
     pub settled: Mutex<Vec<(String, u64)>>,
     pub opened: AtomicUsize,
     pub finish_fails: Mutex<bool>,
-    pub refuses: Mutex<Option<Refusal>>,
+    pub refuses: Mutex<Option<OpenTurnError>>,
     /// What happens while a turn is opened.
     pub on_open: Mutex<Option<Box<dyn FnOnce() + Send>>>,
 }
 
-impl Chains for Memory {
-    fn open(&self, o: OpenTurn, _: u64) -> Fut<'_, Result<OpenedTurn, Refusal>> {
+impl TurnLogService for Memory {
+    fn open(&self, o: OpenTurn, _: u64) -> BoxFuture<'_, Result<OpenedTurn, OpenTurnError>> {
         Box::pin(async move {
             if let Some(r) = *self.refuses.lock().unwrap() {
                 return Err(r);
@@ -45,17 +45,17 @@
             }
             let (g, mut chain, mut at) = (self.turns.lock().unwrap(), vec![], o.prev.clone());
             while !at.is_empty() {
-                let t = g.get(&at).ok_or(Refusal::Unknown)?;
+                let t = g.get(&at).ok_or(OpenTurnError::UnknownTurn)?;
                 chain.insert(0, t.clone());
                 at = t.prev.clone();
             }
             Ok(OpenedTurn { chain })
         })
     }
-    fn finish(&self, _: OpenTurn, t: Turn, used: u64, _: u64) -> Fut<'_, Result<(), Refusal>> {
+    fn finish(&self, _: OpenTurn, t: Turn, used: u64, _: u64) -> BoxFuture<'_, Result<(), OpenTurnError>> {
         Box::pin(async move {
             if *self.finish_fails.lock().unwrap() {
-                return Err(Refusal::Away);
+                return Err(OpenTurnError::Unavailable);
             }
             self.settled.lock().unwrap().push((format!("kept {}", t.id), used));
             self.turns.lock().unwrap().insert(t.id.clone(), Arc::new(t));
@@ -73,10 +73,10 @@
     pub relay: Arc<Relay>,
     pub floor: Arc<Floor>,
     pub memory: Arc<Memory>,
-    pub gate: Arc<yewcross::web::Gate>,
+    pub gate: Arc<yewcross::streaming_http::ConnectionTracker>,
     pub door: SocketAddr,
     pub machines: Vec<usize>,
-    pub worlds: Arc<Mutex<Vec<World>>>,
+    pub worlds: Arc<Mutex<Vec<Runtime>>>,
 }
 
 #[derive(Debug, Default)]
@@ -133,10 +133,10 @@
         let w = sim.boot(fm);
         let floor: Arc<Floor> = Default::default();
         let memory: Arc<Memory> = Default::default();
-        let book = Book::new(&w);
+        let book = DocumentCache::new(&w);
         let relay = Arc::new(Relay {
-            w: w.clone(),
-            book,
+            runtime: w.clone(),
+            documents: book,
             site: "z".into(),
             caller: Arc::new(Ports),
             back: Arc::new(Ports),
@@ -148,7 +148,7 @@
             counts: Default::default(),
         });
         let door: SocketAddr = "10.0.0.1:80".parse().unwrap();
-        let gate: Arc<yewcross::web::Gate> = Default::default();
+        let gate: Arc<yewcross::streaming_http::ConnectionTracker> = Default::default();
         let mut rig = Rig {
             sim: sim.clone(),
             relay: relay.clone(),
@@ -159,12 +159,12 @@
             machines: vec![],
             worlds: Default::default(),
         };
-        let (w2, b) = (w.clone(), relay.book.clone());
-        w.go(async move {
+        let (w2, b) = (w.clone(), relay.documents.clone());
+        w.spawn(async move {
             let d = w2.bind(door).await.unwrap();
-            let h: yewcross::web::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
+            let h: yewcross::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
             let limits: Arc<dyn Fn() -> Limits + Send + Sync> = Arc::new(move || b.config.load().1.routing.limits.clone());
-            yewcross::web::serve(w2, d, h, limits, gate).await;
+            yewcross::streaming_http::serve(w2, d, h, limits, gate).await;
         });
         rig.configure(1, routes());
         (0..servers).for_each(|i| rig.server(i));
@@ -173,18 +173,18 @@
     }
 
     pub fn configure(&self, seq: u64, routes: Value) {
-        assert!(self.relay.book.adopt("config", seq, Ballot::default(), config(routes)));
+        assert!(self.relay.documents.apply("config", seq, Ballot::default(), config(routes)));
     }
 
-    pub fn list(&self, seq: u64, v: &[Listed]) {
-        let l = List { rev: seq, term: 0, servers: v.to_vec() };
-        assert!(self.relay.book.adopt("list", seq, Ballot::default(), serde_json::to_vec(&l).unwrap()));
+    pub fn list(&self, seq: u64, v: &[ListedServer]) {
+        let l = ServerList { revision: seq, term: 0, servers: v.to_vec() };
+        assert!(self.relay.documents.apply("list", seq, Ballot::default(), serde_json::to_vec(&l).unwrap()));
     }
 
     /// One machine carries a server of service `a` at port 1 and one of `model` at port 2.
-    pub fn listed(&self, i: usize, service: &str) -> Listed {
+    pub fn listed(&self, i: usize, service: &str) -> ListedServer {
         let port = if service == "model" { 2 } else { 1 };
-        Listed {
+        ListedServer {
             server: format!("{service}{i}"),
             service: service.into(),
             addr: SocketAddr::new(std::net::IpAddr::from([10, 0, 1, i as u8]), port),
@@ -200,16 +200,16 @@
         ["a", "model"].iter().for_each(|s| self.stand(i, &self.listed(i, s)));
     }
 
-    pub fn stand(&self, i: usize, l: &Listed) {
+    pub fn stand(&self, i: usize, l: &ListedServer) {
         if !self.sim.up(self.machines[i]) {
             self.worlds.lock().unwrap()[i] = self.sim.boot(self.machines[i]);
         }
         let w = self.worlds.lock().unwrap()[i].clone();
         let (f, id, at) = (self.floor.clone(), l.server.clone(), l.addr);
-        w.clone().go(async move {
+        w.clone().spawn(async move {
             let d = w.bind(at).await.unwrap();
             while let Ok(c) = d.accept().await {
-                w.go(serve_one(w.clone(), c, id.clone(), f.clone()));
+                w.spawn(serve_one(w.clone(), c, id.clone(), f.clone()));
             }
         });
     }
@@ -227,13 +227,13 @@
     }
 
     /// Runs a caller on a machine of its own to its end.
-    pub fn with<T: Send + 'static>(&self, f: impl FnOnce(Rig, World) -> Fut<'static, T>) -> T {
+    pub fn with<T: Send + 'static>(&self, f: impl FnOnce(Rig, Runtime) -> BoxFuture<'static, T>) -> T {
         let n = self.sim.rand() as u16;
         let m = self.sim.machine(&format!("caller{n}"), "z", [10, 1, (n >> 8) as u8, n as u8].into());
         let w = self.sim.boot(m);
         let out: Arc<Mutex<Option<T>>> = Default::default();
         let (o, fut) = (out.clone(), f(self.clone(), w.clone()));
-        w.go(async move {
+        w.spawn(async move {
             let x = fut.await;
             *o.lock().unwrap() = Some(x);
         });
@@ -252,10 +252,10 @@
     }
 }
 
-pub async fn call(w: &World, to: SocketAddr, attempt: &str, path: &str, heads: &[(String, String)], body: &str) -> Heard {
+pub async fn call(w: &Runtime, to: SocketAddr, attempt: &str, path: &str, heads: &[(String, String)], body: &str) -> Heard {
     let c = w.connect(to).await.unwrap();
     let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c)).await.unwrap();
-    w.go(async move {
+    w.spawn(async move {
         let _ = conn.await;
     });
     let mut q = Request::builder().method("POST").uri(path).header("host", "h.example").header("try", attempt);
--- a/yewcross-lab/tests/relay/server.rs
+++ b/yewcross-lab/tests/relay/server.rs
@@ -8,8 +8,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::consts::*;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::runtime::*;
 
 /// What a server does with the next request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -87,7 +87,7 @@
     pub other: Mutex<Option<Act>>,
 }
 
-pub async fn head(c: &mut Conn, buf: &mut Vec<u8>) -> Option<(String, BTreeMap<String, String>)> {
+pub async fn head(c: &mut Connection, buf: &mut Vec<u8>) -> Option<(String, BTreeMap<String, String>)> {
     loop {
         if let Some(i) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
             let t = String::from_utf8(buf[..i].to_vec()).unwrap();
@@ -102,7 +102,7 @@
     }
 }
 
-pub async fn serve_one(w: World, mut c: Conn, id: String, f: Arc<Floor>) {
+pub async fn serve_one(w: Runtime, mut c: Connection, id: String, f: Arc<Floor>) {
     f.conns.fetch_add(1, SeqCst);
     let mut buf = vec![];
     while let Some((first, heads)) = head(&mut c, &mut buf).await {
--- a/yewcross-lab/tests/relay/stopping.rs
+++ b/yewcross-lab/tests/relay/stopping.rs
@@ -6,9 +6,9 @@
 use futures_lite::AsyncWriteExt;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::ask::Listed;
-use yewcross::consts::*;
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 
 /// A front that stood still between the choice of a server and the first byte to it, whatever changed meanwhile.
 #[test]
@@ -17,7 +17,7 @@
     let changes: [(&str, Change); 4] = [
         ("its deadline is over", |_| {}),
         ("its route goes elsewhere", |r| r.configure(2, json!([route("once", "effectful", "b", 3)]))),
-        ("its server is leaving", |r| r.list(2, &[Listed { leaving: true, ..r.listed(0, "a") }])),
+        ("its server is leaving", |r| r.list(2, &[ListedServer { leaving: true, ..r.listed(0, "a") }])),
         ("its server is gone", |r| r.list(2, &[])),
     ];
     let (mut caught, mut served, mut wrong) = (0, 0, vec![]);
@@ -34,8 +34,9 @@
                 Box::pin(async move {
                     let (r2, w2) = (r.clone(), w.clone());
                     let heads = vec![("patience".to_string(), patience.to_string())];
-                    let one =
-                        w.fan(vec![Box::pin(async move { call(&w2, r2.door, "t", "/once/x", &heads, "b").await }) as Fut<'static, Heard>]);
+                    let one = w.spawn_all(vec![
+                        Box::pin(async move { call(&w2, r2.door, "t", "/once/x", &heads, "b").await }) as BoxFuture<'static, Heard>
+                    ]);
                     w.sleep(step * 10).await;
                     let front = r.sim.find("front");
                     r.sim.freeze(front);
@@ -81,7 +82,7 @@
         Box::pin(async move {
             let one = {
                 let (r, w2) = (r.clone(), w.clone());
-                w.fan(vec![Box::pin(async move { call(&w2, r.door, "slow", "/once/x", &[], "").await }) as Fut<'static, Heard>])
+                w.spawn_all(vec![Box::pin(async move { call(&w2, r.door, "slow", "/once/x", &[], "").await }) as BoxFuture<'static, Heard>])
             };
             w.sleep(100 * MS).await;
             r.gate.last();
--- a/yewcross-lab/tests/relay/streams.rs
+++ b/yewcross-lab/tests/relay/streams.rs
@@ -4,9 +4,9 @@
 use crate::server::*;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::chain::Refusal;
-use yewcross::consts::*;
+use yewcross::constants::*;
 use yewcross::register::Ballot;
+use yewcross::turn_log::OpenTurnError;
 
 /// A caller takes an answer for whole once all the bytes that its head names are there, so the head may name none
 /// where the end waits for the turn to be kept.
@@ -34,9 +34,9 @@
             {"name": "a", "engine": engine(1)}, {"name": "model", "engine": engine(5)}]}});
         serde_json::to_vec(&json!({"text": t.to_string(), "put": "", "note": "", "past": []})).unwrap()
     };
-    assert!(rig.relay.book.adopt("config", 2, Ballot::default(), config("a")));
-    let (book, moved) = (rig.relay.book.clone(), config("model"));
-    *rig.memory.on_open.lock().unwrap() = Some(Box::new(move || assert!(book.adopt("config", 3, Ballot::default(), moved))));
+    assert!(rig.relay.documents.apply("config", 2, Ballot::default(), config("a")));
+    let (book, moved) = (rig.relay.documents.clone(), config("model"));
+    *rig.memory.on_open.lock().unwrap() = Some(Box::new(move || assert!(book.apply("config", 3, Ballot::default(), moved))));
     let h = rig.ask("t1", "/kept/stream/x", &[("program", "p"), ("budget", "500"), ("most", "50")], "in");
     assert_eq!((h.status, h.whole, rig.runs("t1")[0].server.as_str()), (200, true, "model0"), "{h:?}");
     assert_eq!(*rig.memory.settled.lock().unwrap(), [("kept t1".into(), 20)]);
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_refused_turn_reaches_no_server() {
-    for (r, status) in [(Refusal::Spent, 402), (Refusal::Unknown, 404), (Refusal::Away, 503)] {
+    for (r, status) in [(OpenTurnError::BudgetSpent, 402), (OpenTurnError::UnknownTurn, 404), (OpenTurnError::Unavailable, 503)] {
         let rig = Rig::new(72, 1);
         *rig.memory.refuses.lock().unwrap() = Some(r);
         assert_eq!(rig.ask("t1", "/kept/stream/x", &[], "in").status, status);
--- a/yewcross-lab/tests/routed.rs
+++ b/yewcross-lab/tests/routed.rs
@@ -1,7 +1,7 @@
 //! Whole tiers serving routed requests under troubles. `SEEDS=from..to` and `ACTS=kill_front,faults` run other plans.
 
 use strum::IntoEnumIterator;
-use yewcross::consts::*;
+use yewcross::constants::*;
 use yewcross_lab::routed::tier::{Act, Plan, run};
 use yewcross_lab::routed::verdict::{Evidence, judge};
 
@@ -88,7 +88,8 @@
     };
     let turn = |e: &Evidence| e.tries.iter().position(|t| t.good() && t.route.retained && !t.prev.is_empty()).unwrap();
     let row = |e: &Evidence| e.tries.iter().position(|t| t.good() && t.events() > 3).unwrap();
-    let once = |e: &Evidence| e.tries.iter().position(|t| t.good() && t.route.mode == yewcross::route::Mode::Effectful).unwrap();
+    let once =
+        |e: &Evidence| e.tries.iter().position(|t| t.good() && t.route.mode == yewcross::configuration::route::Mode::Effectful).unwrap();
     let run_of = |e: &Evidence, a: &str| e.runs.iter().position(|r| r.attempt == a).unwrap();
     sees("UNASKED", &|e| e.runs[7].attempt = "nobody".into());
     sees("UNASKED", &|e| e.runs[7].target.push('x'));
--- a/yewcross-lab/tests/seats.rs
+++ b/yewcross-lab/tests/seats.rs
@@ -4,12 +4,12 @@
 use bytes::Bytes;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use yewcross::ask::{Group, Layout};
-use yewcross::chain::Turn;
-use yewcross::chain_wire::{Entry, LedgerRow, Row, Told};
-use yewcross::consts::*;
-use yewcross::member::{Node, State};
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::membership::{MemberState, Node};
+use yewcross::process_settings::Role;
+use yewcross::protocol::{Layout, ReplicaGroup};
+use yewcross::turn_log::Turn;
+use yewcross::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse};
 use yewcross_control::api::{ReadAnswer, RetireBegin, RetireState};
 use yewcross_control::layout::planning::{self, Known, SeatReport};
 use yewcross_lab::routed::tier::Plan;
@@ -26,10 +26,10 @@
 fn is_whole(t: &Tier, name: &str) -> bool {
     let Some(c) = t.at(name) else { return false };
     // As the newest layout that any core process holds has it.
-    let layouts = t.names(Role::Core).into_iter().filter_map(|n| t.at(&n)).map(|x| x.book.layout.load_full());
+    let layouts = t.names(Role::Core).into_iter().filter_map(|n| t.at(&n)).map(|x| x.documents.layout.load_full());
     let Some(l) = layouts.max_by_key(|l| l.0) else { return false };
-    let seats = planning::group(&l.1, c.st.role);
-    seats.now.contains(&c.vault.id) && !seats.changing()
+    let seats = planning::group(&l.1, c.settings.role);
+    seats.current.contains(&c.storage.disk_id) && !seats.is_changing()
 }
 
 /// us until the machine's disk has its seat and no change of its group is under way.
@@ -51,7 +51,7 @@
 async fn load(t: &Arc<Tier>, turns: usize, bytes: usize, lost: usize) -> Vec<String> {
     let stores = t.names(Role::Store);
     let mut ids = vec![];
-    let mut rows: Vec<Vec<Row>> = vec![vec![]; stores.len()];
+    let mut rows: Vec<Vec<StoredTurn>> = vec![vec![]; stores.len()];
     let end = t.at(&stores[0]).unwrap().members.clock().0;
     for i in 0..turns {
         let id = format!("turn-{i}");
@@ -64,23 +64,23 @@
             retain_ms: 600_000,
             ..Default::default()
         };
-        let row = Row { turn: Arc::new(turn), program: format!("program-{}", i % 50), end };
-        let first = t.op.rand() as usize;
+        let row = StoredTurn { turn: Arc::new(turn), program: format!("program-{}", i % 50), ended_at_ms: end };
+        let first = t.op.random() as usize;
         (0..=lost).for_each(|k| rows[(first + k) % stores.len()].push(row.clone()));
         ids.push(id);
     }
     for (name, rows) in stores.iter().zip(rows) {
         for part in rows.chunks(200) {
             let part = part.to_vec();
-            let entry = |r: &Row| LedgerRow {
+            let entry = |r: &StoredTurn| LedgerRecord {
                 program: r.program.clone(),
-                entries: vec![(r.turn.id.clone(), Entry::Done(10))],
-                keep: LEDGER_KEPT,
+                entries: vec![(r.turn.id.clone(), LedgerEntry::Done(10))],
+                retain_ms: LEDGER_KEPT,
                 ..Default::default()
             };
-            let ledgers: Vec<LedgerRow> = part.iter().map(entry).collect();
-            let told = t.on(name, |c| Box::pin(async move { c.chain.take_in(c.book.layout.load().0, part, ledgers).await })).await;
-            assert_eq!(told, Some(Told::Ok), "{name}");
+            let ledgers: Vec<LedgerRecord> = part.iter().map(entry).collect();
+            let told = t.on(name, |c| Box::pin(async move { c.chain.take_in(c.documents.layout.load().0, part, ledgers).await })).await;
+            assert_eq!(told, Some(TurnLogResponse::Ok), "{name}");
         }
     }
     ids
@@ -196,15 +196,15 @@
 fn race(t: &Arc<Tier>, end: u64) {
     for nth in 0..8 {
         let t = t.clone();
-        t.op.clone().go(async move {
+        t.op.clone().spawn(async move {
             let cores = t.names(Role::Core);
             while t.op.now() < end {
-                let core = &cores[t.op.rand() as usize % cores.len()];
+                let core = &cores[t.op.random() as usize % cores.len()];
                 if let Some(ReadAnswer::Text(base, _)) = t.read(core).await {
                     let text = format!("{} by {nth} {}", base + 1, "x".repeat(30_000));
                     t.put(core, base, &text).await;
                 }
-                t.op.sleep(t.op.rand() % (200 * MS)).await;
+                t.op.sleep(t.op.random() % (200 * MS)).await;
             }
         });
     }
@@ -314,11 +314,11 @@
     let (t, evidence) = yewcross_lab::routed::tier::run(&Plan { seed: 7, shape: "metered".into(), acts: vec![] });
     assert!(evidence.tries.len() > 200);
     let (mut stores, mut turns) = (0, 0);
-    for c in t.control_nodes().iter().filter(|c| c.st.role == Role::Store) {
+    for c in t.control_nodes().iter().filter(|c| c.settings.role == Role::Store) {
         stores += 1;
         turns += c.chain.figures()["turns"];
         let (keys, damaged) = futures_lite::future::block_on(c.replica.keys());
-        assert!(keys.is_empty() && damaged == 0, "{} holds {keys:?}", c.st.name);
+        assert!(keys.is_empty() && damaged == 0, "{} holds {keys:?}", c.settings.name);
     }
     assert!(stores >= 4 && turns > 0, "{stores} stores, {turns} turns");
 }
@@ -326,19 +326,30 @@
 fn node(name: &str, role: Role, disk: &str) -> Node {
     let at = addr(name.bytes().map(|b| b as usize).sum::<usize>() % 200);
     let wire = WIRE_VERSION;
-    Node { name: name.into(), born: 1, inc: 0, state: State::Alive, role, site: "z1".into(), peer: at, http: at, disk: disk.into(), wire }
+    Node {
+        name: name.into(),
+        incarnation: 1,
+        refutations: 0,
+        state: MemberState::Alive,
+        role,
+        site: "z1".into(),
+        peer: at,
+        http: at,
+        disk: disk.into(),
+        wire_version: wire,
+    }
 }
 
 /// Machines `core1..` and `store1..` with the disks `c1..` and `s1..`.
 fn seated(cores: usize, stores: usize) -> (Layout, Vec<Node>) {
-    let mut l = Layout { turn: 1, ..Default::default() };
+    let mut l = Layout { change_started: 1, ..Default::default() };
     let mut live = vec![];
     for (role, tag, disk, n) in [(Role::Core, "core", "c", cores), (Role::Store, "store", "s", stores)] {
         for i in 1..=n {
             let (name, disk) = (format!("{tag}{i}"), format!("{disk}{i}"));
             live.push(node(&name, role, &disk));
             l.names.insert(disk.clone(), name);
-            planning::group_mut(&mut l, role).now.push(disk);
+            planning::group_mut(&mut l, role).current.push(disk);
         }
     }
     (l, live)
@@ -363,13 +374,13 @@
     let none = |_: &str| 0;
     reborn(&mut live, "store1", "s1b");
     let l = planning::next_step(&l, 5, &known(&live, &none), Role::Store).unwrap();
-    assert_eq!((set(&l.store.now), l.store.since), (BTreeSet::from(["s1b", "s2", "s3", "s4"]), 6));
+    assert_eq!((set(&l.store.current), l.store.since), (BTreeSet::from(["s1b", "s2", "s3", "s4"]), 6));
     // The core begins, and ends, while the stores' change goes on with the same number.
     reborn(&mut live, "core2", "c2b");
     let mut l = planning::next_step(&l, 6, &known(&live, &none), Role::Core).unwrap();
-    assert!(l.core.changing() && l.store.changing());
+    assert!(l.core.is_changing() && l.store.is_changing());
     planning::end(&mut l, 7, Role::Core);
-    assert!(!l.core.changing() && l.store.changing() && l.store.since == 6 && l.core.since == 8);
+    assert!(!l.core.is_changing() && l.store.is_changing() && l.store.since == 6 && l.core.since == 8);
     // The leaving store's name is still known.
     assert_eq!(l.names["s1"], "store1");
     assert!(!l.names.contains_key("c2"));
@@ -385,13 +396,13 @@
     // A seat that was to stay.
     reborn(&mut live, "store3", "s3b");
     let l = planning::next_step(&l, 6, &known(&live, &none), Role::Store).unwrap();
-    assert_eq!(set(&l.store.now), BTreeSet::from(["s1b", "s2", "s3b", "s4", "s5"]));
-    assert_eq!((set(&l.store.old), l.store.since), (BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]), 7));
+    assert_eq!(set(&l.store.current), BTreeSet::from(["s1b", "s2", "s3b", "s4", "s5"]));
+    assert_eq!((set(&l.store.previous), l.store.since), (BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]), 7));
     // The newcomer itself.
     reborn(&mut live, "store1", "s1c");
     let l = planning::next_step(&l, 7, &known(&live, &none), Role::Store).unwrap();
-    assert_eq!(set(&l.store.now), BTreeSet::from(["s1c", "s2", "s3b", "s4", "s5"]));
-    assert_eq!(set(&l.store.old), BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]));
+    assert_eq!(set(&l.store.current), BTreeSet::from(["s1c", "s2", "s3b", "s4", "s5"]));
+    assert_eq!(set(&l.store.previous), BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]));
     assert_eq!(planning::next_step(&l, 8, &known(&live, &none), Role::Store), None);
 }
 
@@ -399,7 +410,7 @@
 #[test]
 fn a_change_ends_only_when_enough_have_swept() {
     let disks = |v: &[&str]| v.iter().map(|s| s.to_string()).collect::<Vec<_>>();
-    let group = Group { now: disks(&["a", "b", "d"]), old: disks(&["a", "b", "c"]), since: 7 };
+    let group = ReplicaGroup { current: disks(&["a", "b", "d"]), previous: disks(&["a", "b", "c"]), since: 7 };
     let report = |disk: &str, kept: u64, swept: bool| SeatReport { disk: disk.into(), kept, swept };
     let one = [report("a", 7, true), report("b", 7, false), report("d", 7, false)];
     assert!(!planning::store_may_end(&group, 7, 2, &one));
--- a/yewcross-lab/tests/second_loss.rs
+++ b/yewcross-lab/tests/second_loss.rs
@@ -1,10 +1,10 @@
 //! A second loss in the middle of a change of seats, with turns and budgets on the disks.
 
 use std::sync::Arc;
-use yewcross::chain::{Chains, OpenTurn, Turn};
-use yewcross::chain_client::Client;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
+use yewcross::turn_log::client::TurnLogClient;
+use yewcross::turn_log::{OpenTurn, Turn, TurnLogService};
 use yewcross_control::api::*;
 use yewcross_lab::tier::{Tier, play, tell, up};
 
@@ -28,7 +28,7 @@
 async fn keep_turns(tier: &Arc<Tier>) {
     let front = tier.front("front1").expect("the front runs");
     let startup = tier.specs.lock().unwrap()["front1"].clone();
-    let client = Client::new(&front.members, &front.book, &startup);
+    let client = TurnLogClient::new(&front.members, &front.book, &startup);
     for program in 0..PROGRAMS {
         let (open, turn) = first_turn(program);
         let until = tier.op.now() + 2 * SEC;
--- a/yewcross-lab/tests/stored_data.rs
+++ b/yewcross-lab/tests/stored_data.rs
@@ -15,18 +15,18 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex, OnceLock};
 use strum::IntoEnumIterator;
-use yewcross::ask::*;
-use yewcross::book::owners;
-use yewcross::chain::Turn;
-use yewcross::chain_wire::{Entry, LedgerRow, Row, decode, encode};
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::lease::*;
+use yewcross::configuration::{Budget, Configuration, ProgramClass, Rule, Service};
+use yewcross::constants::*;
+use yewcross::documents::cache::replicas_by_preference;
+use yewcross::error_code::Code;
+use yewcross::process_settings::Role;
+use yewcross::protocol::lease::*;
+use yewcross::protocol::*;
 use yewcross::register::{Ballot, RegisterReply, RegisterRequest, Replica};
-use yewcross::startup::Role;
-use yewcross::tree::{Budget, Family, Rule, Service, Tree};
-use yewcross::vault::{Vault, seal};
-use yewcross::world::{Fut, World};
+use yewcross::runtime::{BoxFuture, Runtime};
+use yewcross::storage::{DurableStorage, encode_frame};
+use yewcross::turn_log::Turn;
+use yewcross::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, decode, encode};
 use yewcross_control::Control;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_control::chain::Shelf;
@@ -97,11 +97,11 @@
 // ---- Machines and their files.
 
 /// Runs a task as a process of its own on the machine, and ends that process.
-fn run_on<T: Send + 'static>(sim: &Sim, machine: usize, task: impl FnOnce(World) -> Fut<'static, T>) -> T {
+fn run_on<T: Send + 'static>(sim: &Sim, machine: usize, task: impl FnOnce(Runtime) -> BoxFuture<'static, T>) -> T {
     let world = sim.boot(machine);
     let done: Arc<Mutex<Option<T>>> = Default::default();
     let (result, task) = (done.clone(), task(world.clone()));
-    world.go(async move {
+    world.spawn(async move {
         let outcome = task.await;
         *result.lock().unwrap() = Some(outcome);
     });
@@ -123,7 +123,7 @@
         Box::pin(async move {
             let mut files = Files::new();
             for name in names {
-                let bytes = w.get(&name).await.unwrap();
+                let bytes = w.read_file(&name).await.unwrap();
                 files.insert(name, bytes);
             }
             files
@@ -138,7 +138,7 @@
                 w.mkdir(&folder).await.unwrap();
             }
             for (path, bytes) in files {
-                w.put(&path, bytes).await.unwrap();
+                w.write_file(&path, bytes).await.unwrap();
                 w.sync(&path).await.unwrap();
             }
             for folder in stored_folders().iter().map(String::as_str).chain([""]) {
@@ -182,30 +182,30 @@
 
 // ---- What is told in words of this test alone, so that no rename in the code changes them.
 
-fn tell_group(group: &Group) -> String {
-    format!("now {} old {} since {}", group.now.join(" "), group.old.join(" "), group.since)
+fn tell_group(group: &ReplicaGroup) -> String {
+    format!("now {} old {} since {}", group.current.join(" "), group.previous.join(" "), group.since)
 }
 
 fn tell_layout(layout: &Layout) -> String {
     let (core, store) = (tell_group(&layout.core), tell_group(&layout.store));
     let rest = format!("names {:?} sites {:?} retired {:?}", layout.names, layout.sites, layout.retired);
-    format!("core {core}; store {store}; {rest} turn {} term {}", layout.turn, layout.term)
+    format!("core {core}; store {store}; {rest} turn {} term {}", layout.change_started, layout.term)
 }
 
 fn tell_config(document: &ConfigDoc) -> String {
     let orders: Vec<String> = document.orders.iter().map(|o| format!("{} {} {}", o.number, o.digest, o.taken_ms)).collect();
-    let head = format!("number {} text {} put {} note {}", document.number, document.text, document.put, document.note);
+    let head = format!("number {} text {} put {} note {}", document.number, document.text, document.put_id, document.note);
     format!("{head} past {:?} forgotten {} orders {orders:?}", document.past, document.forgotten)
 }
 
-fn tell_list(list: &List) -> String {
-    let line = |s: &Listed| format!("{} {} {} {} {}", s.server, s.service, s.addr, s.site, s.leaving);
+fn tell_list(list: &ServerList) -> String {
+    let line = |s: &ListedServer| format!("{} {} {} {} {}", s.server, s.service, s.addr, s.site, s.leaving);
     let servers: Vec<String> = list.servers.iter().map(line).collect();
-    format!("rev {} term {} servers {servers:?}", list.rev, list.term)
+    format!("rev {} term {} servers {servers:?}", list.revision, list.term)
 }
 
-fn tell_place(place: &Option<Place>) -> String {
-    let words = |p: &Place| format!("{} {} {} {} {} {}", p.server, p.inst, p.weights, p.tokens, p.digest, p.mark);
+fn tell_place(place: &Option<CachedPrefix>) -> String {
+    let words = |p: &CachedPrefix| format!("{} {} {} {} {} {}", p.server, p.instance, p.weights, p.tokens, p.digest, p.placed_tokens);
     place.as_ref().map(words).unwrap_or_default()
 }
 
@@ -227,16 +227,16 @@
     format!("spent {} open {open:?} settled {:?}", purse.spent, purse.recent)
 }
 
-fn tell_row(row: &Row) -> String {
+fn tell_row(row: &StoredTurn) -> String {
     let turn = &row.turn;
     let texts = format!("{:?} {:?} {}", turn.input, turn.output, turn.server);
-    format!("{} after {:?}: {texts} {} {} {} {}", turn.id, turn.prev, turn.tokens, turn.retain_ms, row.program, row.end)
+    format!("{} after {:?}: {texts} {} {} {} {}", turn.id, turn.prev, turn.tokens, turn.retain_ms, row.program, row.ended_at_ms)
 }
 
-fn tell_entry(entry: &Entry) -> String {
+fn tell_entry(entry: &LedgerEntry) -> String {
     match entry {
-        Entry::Open(amount) => format!("open {amount}"),
-        Entry::Done(amount) => format!("done {amount}"),
+        LedgerEntry::Open(amount) => format!("open {amount}"),
+        LedgerEntry::Done(amount) => format!("done {amount}"),
     }
 }
 
@@ -246,7 +246,7 @@
         let row = ledger.row(program);
         let mut entries: Vec<String> = row.entries.iter().map(|(turn, entry)| format!("{turn} {}", tell_entry(entry))).collect();
         entries.sort();
-        lines.push(format!("ledger {program} {} {} keep {} spent {} {entries:?}", row.epoch.n, row.epoch.by, row.keep, ledger.spent));
+        lines.push(format!("ledger {program} {} {} keep {} spent {} {entries:?}", row.epoch.n, row.epoch.by, row.retain_ms, ledger.spent));
     }
     lines.sort();
     lines.join("\n")
@@ -269,71 +269,73 @@
 
 // ---- Writing the folders.
 
-fn begin(job: &str, nonce: u64) -> Begin {
-    Begin {
+fn begin(job: &str, nonce: u64) -> BeginTurn {
+    BeginTurn {
         key: SESSION.into(),
-        job: job.into(),
+        request_id: job.into(),
         digest: format!("digest-{job}"),
         nonce,
         front: "front1".into(),
-        left: 50_000,
+        remaining_ms: 50_000,
         budget: Some((BUDGET.into(), 1000)),
-        max_out: 100,
-        keep: 3_600_000,
-        hand: None,
+        max_output_tokens: 100,
+        retain_ms: 3_600_000,
+        known_history: None,
     }
 }
 
-fn place(name: &str, number: u64) -> Place {
-    Place {
+fn place(name: &str, number: u64) -> CachedPrefix {
+    CachedPrefix {
         server: name.into(),
-        inst: number,
+        instance: number,
         weights: format!("weights-{name}"),
         tokens: number + 1,
         digest: format!("digest-{name}"),
-        mark: number + 2,
+        placed_tokens: number + 2,
     }
 }
 
-fn transfer_state() -> Kv {
-    Kv { home: Some(place("s1", 10)), replica: Some(place("s2", 20)), program: "program".into() }
+fn transfer_state() -> SessionCacheState {
+    SessionCacheState { home: Some(place("s1", 10)), replica: Some(place("s2", 20)), program: "program".into() }
 }
 
 /// The store that owns a key.
 fn owner_of(tier: &Tier, key: &str) -> Arc<Control> {
     let any = tier.at("store1").unwrap();
-    let at = owners(&any.book, &any.members, key)[0];
-    tier.names(Role::Store).iter().filter_map(|name| tier.at(name)).find(|c| c.st.peer == at).unwrap()
+    let at = replicas_by_preference(&any.documents, &any.members, key)[0];
+    tier.names(Role::Store).iter().filter_map(|name| tier.at(name)).find(|c| c.settings.peer == at).unwrap()
 }
 
-async fn ask(tier: &Tier, key: &str, ask: Ask, blob: &[u8]) -> (Tell, Vec<u8>) {
-    owner_of(tier, key).store.hear(ask, blob.to_vec()).await
+async fn ask(tier: &Tier, key: &str, ask: PeerRequest, blob: &[u8]) -> (PeerResponse, Vec<u8>) {
+    owner_of(tier, key).store.handle(ask, blob.to_vec()).await
 }
 
 /// One turn of the session is finished, and the next runs.
 async fn run_session(tier: &Tier) {
-    let (Tell::Begun(begun), _) = ask(tier, SESSION, Ask::Begin(begin("job1", 1)), &[]).await else { panic!("not begun") };
-    let commit = Commit {
+    let (PeerResponse::TurnBegun(begun), _) = ask(tier, SESSION, PeerRequest::BeginTurn(begin("job1", 1)), &[]).await else {
+        panic!("not begun")
+    };
+    let commit = CommitTurn {
         key: SESSION.into(),
-        job: "job1".into(),
+        request_id: "job1".into(),
         epoch: begun.epoch,
         nonce: 1,
         code: Code::Done,
-        used: 30,
+        used_tokens: 30,
         rule: Rule::All,
-        kv: transfer_state(),
-        hist: 8,
+        cache: transfer_state(),
+        history_bytes: 8,
     };
-    let (told, _) = ask(tier, SESSION, Ask::Commit(commit), b"\"first\"\n\"outcome\"").await;
-    assert!(matches!(told, Tell::Committed), "{told:?}");
-    let settle = Ask::Settle { budget: BUDGET.into(), entry: format!("{SESSION}|job1|1"), used: Some(30) };
+    let (told, _) = ask(tier, SESSION, PeerRequest::CommitTurn(commit), b"\"first\"\n\"outcome\"").await;
+    assert!(matches!(told, PeerResponse::Committed), "{told:?}");
+    let settle = PeerRequest::SettleBudget { budget: BUDGET.into(), entry: format!("{SESSION}|job1|1"), used: Some(30) };
     let (told, _) = ask(tier, &purse_key(BUDGET), settle, &[]).await;
-    assert!(matches!(told, Tell::Ok), "{told:?}");
-    let (told, _) = ask(tier, SESSION, Ask::Begin(begin("job2", 2)), &[]).await;
-    assert!(matches!(told, Tell::Begun(_)), "{told:?}");
+    assert!(matches!(told, PeerResponse::Ok), "{told:?}");
+    let (told, _) = ask(tier, SESSION, PeerRequest::BeginTurn(begin("job2", 2)), &[]).await;
+    assert!(matches!(told, PeerResponse::TurnBegun(_)), "{told:?}");
 }
 
-fn row(id: &str, prev: &str) -> Row {
+fn row(id: &str, prev: &str) -> StoredTurn {
     let turn = Turn {
         id: id.into(),
         prev: prev.into(),
@@ -343,12 +345,12 @@
         tokens: 70,
         retain_ms: 900_000_000_000,
     };
-    Row { turn: Arc::new(turn), program: "p1".into(), end: 1_790_000_000_000 }
+    StoredTurn { turn: Arc::new(turn), program: "p1".into(), ended_at_ms: 1_790_000_000_000 }
 }
 
-fn ledger(program: &str, entry: (&str, Entry)) -> Item {
+fn ledger(program: &str, entry: (&str, LedgerEntry)) -> Item {
     let epoch = Ballot { n: 4, by: 6 };
-    let row = LedgerRow { program: program.into(), epoch, entries: vec![(entry.0.into(), entry.1)], keep: 900_000_000_000 };
+    let row = LedgerRecord { program: program.into(), epoch, entries: vec![(entry.0.into(), entry.1)], retain_ms: 900_000_000_000 };
     Item::Ledger(row, 1_790_000_000_000)
 }
 
@@ -361,9 +363,9 @@
 async fn tear_log(tier: &Tier, machine: &str) {
     let world = tier.sim.boot(tier.sim.find(machine));
     let newest = world.list("chain").await.unwrap().into_iter().max().unwrap();
-    let batch = seal(&encode(&vec![ledger("torn", ("t9", Entry::Open(9)))]));
+    let batch = encode_frame(&encode(&vec![ledger("torn", ("t9", LedgerEntry::Open(9)))]));
     let (sent, done) = async_channel::bounded(1);
-    world.clone().go(async move {
+    world.clone().spawn(async move {
         let appended = world.append(&format!("chain/{newest}"), batch[..TORN_BYTES].to_vec()).await;
         let _ = sent.try_send(appended.is_ok());
     });
@@ -373,38 +375,38 @@
 
 /// Turns in two segments of the log: the end of the first was torn, and is marked so in the second.
 async fn write_log(tier: &Arc<Tier>) {
-    let first = vec![Item::Turn(row("t1", "")), Item::Turn(row("t2", "t1")), ledger("p1", ("t1", Entry::Done(40)))];
+    let first = vec![Item::Turn(row("t1", "")), Item::Turn(row("t2", "t1")), ledger("p1", ("t1", LedgerEntry::Done(40)))];
     keep_turns(tier, first).await;
     tier.kill("store1", false);
     tear_log(tier, "store1").await;
     tier.boot("store1", false);
     tier.op.sleep(5 * SEC).await;
-    keep_turns(tier, vec![ledger("p1", ("t2", Entry::Open(50))), ledger("p2", ("t3", Entry::Open(60)))]).await;
+    keep_turns(tier, vec![ledger("p1", ("t2", LedgerEntry::Open(50))), ledger("p2", ("t3", LedgerEntry::Open(60)))]).await;
 }
 
 /// What the tier has acknowledged, and what its disks vouch for.
 async fn acknowledged(tier: &Tier) -> Files {
     let mut told: BTreeMap<String, String> = BTreeMap::new();
     for name in machines_with_disks() {
-        told.insert(format!("identity {name}"), tier.at(&name).unwrap().vault.id.clone());
+        told.insert(format!("identity {name}"), tier.at(&name).unwrap().storage.disk_id.clone());
     }
     for (role, key) in stored_keys() {
         let control = if role == "core" { tier.at("core1").unwrap() } else { owner_of(tier, &key) };
-        let (seq, _, value) = control.owner.newest(&key, SEC).await.unwrap();
+        let (seq, _, value) = control.registers.newest(&key, SEC).await.unwrap();
         told.insert(format!("number {key}"), seq.to_string());
         told.insert(format!("value {key}"), tell_value(&key, &value));
     }
-    let peers: Vec<String> = machines_with_disks().iter().map(|n| tier.at(n).unwrap().st.peer.to_string()).collect();
+    let peers: Vec<String> = machines_with_disks().iter().map(|n| tier.at(n).unwrap().settings.peer.to_string()).collect();
     told.insert("peers".into(), peers.join(" "));
     told.insert("log".into(), tell_shelf(&tier.at("store1").unwrap().chain.st.lock().unwrap()));
     let holder = tier.at(&tier.on_duty()[0]).unwrap();
     told.insert("lease term".into(), holder.lease_term().unwrap().to_string());
-    told.insert("lease holder".into(), holder.vault.id.clone());
+    told.insert("lease holder".into(), holder.storage.disk_id.clone());
     told.into_iter().map(|(name, text)| (name, text.into_bytes())).collect()
 }
 
-fn listed() -> Vec<Listed> {
-    let server = |n: u8, leaving| Listed {
+fn listed() -> Vec<ListedServer> {
+    let server = |n: u8, leaving| ListedServer {
         server: format!("s{n}"),
         service: "llm".into(),
         addr: format!("10.2.0.{n}:80").parse().unwrap(),
@@ -446,7 +448,7 @@
 
 /// What a core of a tier that an operator keeps holds of the documents, and the newest version proved in force.
 fn tell_operated(core: &Control) -> Files {
-    let page = |name: &str| (core.book.page(name).seq, tell_value(name, &core.book.page(name).raw));
+    let page = |name: &str| (core.documents.document(name).version, tell_value(name, &core.documents.document(name).content));
     let mut told: Files = ["config", "layout", "list"].into_iter().map(|n| (n.to_string(), format!("{:?}", page(n)).into())).collect();
     told.insert("proved".into(), core.proved.load(SeqCst).to_string().into());
     told
@@ -480,7 +482,7 @@
     let told = read_fixture("acknowledged.txt");
     for name in machines_with_disks() {
         let (sim, machine) = machine_with(stored_folder(&name));
-        let id = run_on(&sim, machine, |w| Box::pin(async move { Vault::open(&w).await.unwrap().id.clone() }));
+        let id = run_on(&sim, machine, |w| Box::pin(async move { DurableStorage::open(&w).await.unwrap().disk_id.clone() }));
         assert_eq!(id, text_of(&told, &format!("identity {name}")), "{name}");
     }
 }
@@ -491,7 +493,7 @@
     let key = key.to_string();
     run_on(&sim, machine, move |w| {
         Box::pin(async move {
-            let replica = Replica::open(&Vault::open(&w).await.unwrap()).await.unwrap();
+            let replica = Replica::open(&DurableStorage::open(&w).await.unwrap()).await.unwrap();
             assert_eq!(replica.keys().await.1, 0, "damaged records");
             replica.peek(&key).await.map(|record| (record.seq, record.value.to_vec()))
         })
@@ -535,7 +537,9 @@
     let mut granters = 0;
     for name in machines_with_disks().into_iter().filter(|name| name.starts_with("core")) {
         let (sim, machine) = machine_with(stored_folder(&name));
-        let body = run_on(&sim, machine, |w| Box::pin(async move { Vault::open(&w).await.unwrap().load("local", "lease").await.unwrap() }));
+        let body = run_on(&sim, machine, |w| {
+            Box::pin(async move { DurableStorage::open(&w).await.unwrap().load("local", "lease").await.unwrap() })
+        });
         let grant = body.map(|(_, body)| serde_json::from_slice::<KeptGrant>(&body).unwrap()).unwrap_or_default();
         let is_granted = grant.term.to_string() == term && grant.seats > 0;
         granters += (is_granted && grant.holder.is_some_and(|c| c.disk == holder && c.life > 0 && c.process > 0)) as usize;
@@ -555,15 +559,15 @@
             t.op.sleep(2 * SEC).await;
             let core = t.at("core1").unwrap_or_else(|| panic!("{}", tell(&t)));
             let candidate = Candidate { disk: "other".into(), process: 1, life: 1 };
-            let seats = yewcross_control::lease::seats_digest(&core.book.layout.load().1);
-            let call = LeaseCall::Request { term };
-            let ask = LeaseAsk { granter: core.vault.id.clone(), candidate, seats, call, wants_holder: false };
-            let (Tell::Lease(lease), _) = core.hear(Ask::Lease(ask), vec![], "core2").await else { panic!("no answer") };
-            assert_eq!(core.vault.load("local", "life").await.unwrap().map(|kept| kept.0), Some(2));
+            let seats = yewcross_control::lease::seats_digest(&core.documents.layout.load().1);
+            let call = LeaseOperation::Request { term };
+            let ask = LeaseRequest { granter: core.storage.disk_id.clone(), candidate, seats, call, wants_holder: false };
+            let (PeerResponse::Lease(lease), _) = core.handle(PeerRequest::Lease(ask), vec![], "core2").await else { panic!("no answer") };
+            assert_eq!(core.storage.load("local", "life").await.unwrap().map(|kept| kept.0), Some(2));
             lease
         })
     });
-    assert_eq!((lease.term, lease.verdict), (term, Verdict::Refused(Refusal::OldTerm)));
+    assert_eq!((lease.term, lease.verdict), (term, LeaseVerdict::Refused(LeaseDenial::OldTerm)));
 }
 
 #[test]
@@ -578,8 +582,8 @@
                 t.boot(&machine, false);
                 t.op.sleep(SEC).await;
                 let node = t.at(&machine).unwrap();
-                let known: Vec<String> = node.members.known.lock().unwrap().iter().map(|a| a.to_string()).collect();
-                let layout = node.book.layout.load();
+                let known: Vec<String> = node.members.persisted_peers.lock().unwrap().iter().map(|a| a.to_string()).collect();
+                let layout = node.documents.layout.load();
                 (known, layout.0, tell_layout(&layout.1))
             })
         });
@@ -615,7 +619,7 @@
 
 /// The newest value of the budget's register.
 async fn purse_value(tier: &Tier) -> Vec<u8> {
-    owner_of(tier, &purse_key(BUDGET)).owner.newest(&purse_key(BUDGET), SEC).await.unwrap().2.to_vec()
+    owner_of(tier, &purse_key(BUDGET)).registers.newest(&purse_key(BUDGET), SEC).await.unwrap().2.to_vec()
 }
 
 #[test]
@@ -634,27 +638,27 @@
             assert_eq!(t.put("core1", 5, "10 other").await, Some(PutAnswer::Conflict(12)));
 
             let before = purse_value(&t).await;
-            let (told, kept) = ask(&t, SESSION, Ask::Begin(begin("job1", 3)), &[]).await;
-            assert!(matches!(told, Tell::Kept { code: Code::Done }), "{told:?}");
+            let (told, kept) = ask(&t, SESSION, PeerRequest::BeginTurn(begin("job1", 3)), &[]).await;
+            assert!(matches!(told, PeerResponse::StoredOutcome { code: Code::Done }), "{told:?}");
             assert_eq!(kept, b"\"outcome\"");
-            let (told, _) = ask(&t, SESSION, Ask::Begin(begin("job2", 4)), &[]).await;
-            assert!(matches!(told, Tell::No(Code::StillRunning)), "{told:?}");
+            let (told, _) = ask(&t, SESSION, PeerRequest::BeginTurn(begin("job2", 4)), &[]).await;
+            assert!(matches!(told, PeerResponse::Rejected(Code::StillRunning)), "{told:?}");
             t.op.sleep(SEC).await;
 
-            let reserve = |entry: &str, limit| Ask::Reserve {
+            let reserve = |entry: &str, limit| PeerRequest::ReserveBudget {
                 budget: BUDGET.into(),
                 entry: entry.into(),
                 amount: 5,
                 limit,
                 key: SESSION.into(),
-                job: "job9".into(),
+                request_id: "job9".into(),
                 nonce: 9,
-                keep: 1,
+                retain_ms: 1,
             };
             let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z1", 130), &[]).await;
-            assert!(matches!(told, Tell::No(Code::BudgetSpent)), "{told:?}: 30 are spent and 100 reserved");
+            assert!(matches!(told, PeerResponse::Rejected(Code::BudgetSpent)), "{told:?}: 30 are spent and 100 reserved");
             let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z2", 131), &[]).await;
-            assert!(matches!(told, Tell::Ok), "{told:?}");
+            assert!(matches!(told, PeerResponse::Ok), "{told:?}");
             let after = purse_value(&t).await;
             let lines: Vec<&[u8]> = after.split(|b| *b == b'\n').collect();
             let missing = before.split(|b| *b == b'\n').find(|line| !lines.contains(line));
@@ -667,8 +671,8 @@
 
 // ---- Samples: each stored struct with all its fields distinct.
 
-fn group(tag: &str, since: u64) -> Group {
-    Group { now: vec![format!("{tag}1"), format!("{tag}2")], old: vec![format!("{tag}3")], since }
+fn group(tag: &str, since: u64) -> ReplicaGroup {
+    ReplicaGroup { current: vec![format!("{tag}1"), format!("{tag}2")], previous: vec![format!("{tag}3")], since }
 }
 
 fn layout() -> Layout {
@@ -677,7 +681,7 @@
         store: group("s", 12),
         names: [("c1".into(), "core1".into())].into(),
         sites: [("c1".into(), "z1".into())].into(),
-        turn: 13,
+        change_started: 13,
         retired: ["store9".into()].into(),
         term: 14,
     }
@@ -690,7 +694,7 @@
 fn config() -> ConfigDoc {
     ConfigDoc {
         text: "31 text".into(),
-        put: "attempt".into(),
+        put_id: "attempt".into(),
         note: "why".into(),
         past: vec![(32, "earlier".into(), "30 text".into())],
         number: 31,
@@ -699,8 +703,8 @@
     }
 }
 
-fn list() -> List {
-    List { rev: 41, term: 42, servers: listed() }
+fn list() -> ServerList {
+    ServerList { revision: 41, term: 42, servers: listed() }
 }
 
 fn candidate() -> Candidate {
@@ -750,8 +754,8 @@
 }
 
 fn items() -> Vec<Item> {
-    let entries = vec![("t1".into(), Entry::Open(81)), ("t2".into(), Entry::Done(82))];
-    let ledger = LedgerRow { program: "p".into(), epoch: Ballot { n: 83, by: 84 }, entries, keep: 85 };
+    let entries = vec![("t1".into(), LedgerEntry::Open(81)), ("t2".into(), LedgerEntry::Done(82))];
+    let ledger = LedgerRecord { program: "p".into(), epoch: Ballot { n: 83, by: 84 }, entries, retain_ms: 85 };
     vec![Item::Turn(row("t2", "t1")), Item::Ledger(ledger, 86), Item::Torn(87, 88)]
 }
 
@@ -769,13 +773,13 @@
     let (sim, machine) = machine_with(Files::new());
     run_on(&sim, machine, |w| {
         Box::pin(async move {
-            let replica = Replica::open(&Vault::open(&w).await.unwrap()).await.unwrap();
+            let replica = Replica::open(&DurableStorage::open(&w).await.unwrap()).await.unwrap();
             let (key, lay) = ("session/a".to_string(), 0);
             let (first, second) = (Ballot { n: 3, by: 4 }, Ballot { n: 5, by: 6 });
-            replica.hear(RegisterRequest::Promise { key: key.clone(), epoch: first, lay }, vec![]).await;
+            replica.handle(RegisterRequest::Promise { key: key.clone(), epoch: first, lay }, vec![]).await;
             let accept = RegisterRequest::Accept { key: key.clone(), epoch: first, seq: 7, lay, delta: false };
-            assert_eq!(replica.hear(accept, b"value".to_vec()).await.0, RegisterReply::Accepted);
-            replica.hear(RegisterRequest::Promise { key, epoch: second, lay }, vec![]).await;
+            assert_eq!(replica.handle(accept, b"value".to_vec()).await.0, RegisterReply::Accepted);
+            replica.handle(RegisterRequest::Promise { key, epoch: second, lay }, vec![]).await;
         })
     });
     files_of(&sim, machine).into_iter().find(|(path, _)| path.starts_with("keys/")).unwrap()
@@ -783,7 +787,7 @@
 
 /// Keys of an operator's configuration text, which is stored as it was put.
 fn setting_keys() -> String {
-    let keys = [("family", Family::DEFS), ("service", Service::DEFS), ("budget", Budget::DEFS)];
+    let keys = [("family", ProgramClass::DEFS), ("service", Service::DEFS), ("budget", Budget::DEFS)];
     keys.iter().flat_map(|(name, settings)| settings.iter().map(move |s| format!("{name} {} {}\n", s.key, s.kind))).collect()
 }
 
@@ -808,11 +812,11 @@
         ("peers", json_of(&peers)),
         ("log items", encode(&items())),
         ("log path", chain_log::path(0x1f).into_bytes()),
-        ("sealed", seal(b"body")),
+        ("sealed", encode_frame(b"body")),
         ("register path", register_path.into_bytes()),
         ("register file", register),
         ("setting keys", setting_keys().into_bytes()),
-        ("setting defaults", json_of(&(Family::default(), Service::default(), Budget::default()))),
+        ("setting defaults", json_of(&(ProgramClass::default(), Service::default(), Budget::default()))),
     ]
     .map(|(name, bytes)| (name.to_string(), bytes))
     .into()
@@ -883,11 +887,11 @@
 #[test]
 fn a_missing_field_of_a_document_is_an_error_or_gets_its_default() {
     check_fields::<Layout>(&layout(), &[("sites", json!({})), ("retired", json!([])), ("term", json!(0))]);
-    check_fields::<Group>(&group("c", 11), &[("since", json!(0))]);
+    check_fields::<ReplicaGroup>(&group("c", 11), &[("since", json!(0))]);
     check_fields::<ConfigDoc>(&config(), &[("number", json!(0)), ("forgotten", json!(0)), ("orders", json!([]))]);
     check_fields::<TakenOrder>(&taken_order(), &[]);
-    check_fields::<List>(&list(), &[("term", json!(0))]);
-    check_fields::<Listed>(&listed()[1], &[("leaving", json!(false))]);
+    check_fields::<ServerList>(&list(), &[("term", json!(0))]);
+    check_fields::<ListedServer>(&listed()[1], &[("leaving", json!(false))]);
 }
 
 #[test]
@@ -902,8 +906,8 @@
     check_fields::<Head>(&session_head(), &head);
     check_fields::<Run>(&running(), &[("budget", Value::Null)]);
     check_fields::<Mark>(&mark(), &[]);
-    check_fields::<Kv>(&transfer_state(), &[("home", Value::Null), ("replica", Value::Null)]);
-    check_fields::<Place>(&place("s1", 10), &[]);
+    check_fields::<SessionCacheState>(&transfer_state(), &[("home", Value::Null), ("replica", Value::Null)]);
+    check_fields::<CachedPrefix>(&place("s1", 10), &[]);
     check_fields::<Open>(&reservation(), &[("keep", json!(0))]);
     check_fields::<Ballot>(&Ballot { n: 1, by: 2 }, &[]);
 }
@@ -923,9 +927,10 @@
         lacking.into_iter().for_each(|field| _ = cut.as_object_mut().unwrap().remove(field));
         let cut = json_of(&cut);
         let bytes = [&(cut.len() as u32).to_le_bytes()[..], &cut, b"value"].concat();
-        let (sim, machine) = machine_with([(path.clone(), seal(&bytes))].into());
-        let (keys, damaged) =
-            run_on(&sim, machine, |w| Box::pin(async move { Replica::open(&Vault::open(&w).await.unwrap()).await.unwrap().keys().await }));
+        let (sim, machine) = machine_with([(path.clone(), encode_frame(&bytes))].into());
+        let (keys, damaged) = run_on(&sim, machine, |w| {
+            Box::pin(async move { Replica::open(&DurableStorage::open(&w).await.unwrap()).await.unwrap().keys().await })
+        });
         assert_eq!((keys.len(), damaged), if lacking.is_some() { (0, 1) } else { (1, 0) }, "without {lacking:?}");
     }
 }
@@ -940,11 +945,11 @@
         "fronts": ["front1"],
         "routing": {},
     });
-    let tree = Tree::read(text.to_string().as_bytes()).unwrap();
+    let tree = Configuration::read(text.to_string().as_bytes()).unwrap();
     let family = tree.families.values().find(|family| family.path.ends_with('b')).unwrap();
     assert_eq!((family.eff.max_output, family.eff.history), (7, Rule::Turns(3)));
     assert_eq!((tree.services["llm"].allow[0].as_str(), tree.budgets["purse"].tokens), ("s*", 9));
     assert_eq!(tree.fronts, ["front1"]);
-    assert!(Tree::read(b"{}").is_ok());
-    assert!(Tree::read(b"{\"unknown\":1}").is_err());
+    assert!(Configuration::read(b"{}").is_ok());
+    assert!(Configuration::read(b"{\"unknown\":1}").is_err());
 }
--- a/yewcross-lab/tests/support/cuts.rs
+++ b/yewcross-lab/tests/support/cuts.rs
@@ -1,6 +1,6 @@
 //! Cuts of a core from the other cores, and the sizes of tier that they are tried on.
 
-use yewcross::startup::Role;
+use yewcross::process_settings::Role;
 use yewcross_lab::tier::Tier;
 
 /// How a core is cut off from the other cores; other nodes still reach it.
--- a/yewcross-lab/tests/support/operators.rs
+++ b/yewcross-lab/tests/support/operators.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_control::api::PutAnswer;
 use yewcross_lab::sim::Costs;
 use yewcross_lab::tier::*;
@@ -39,7 +39,7 @@
     while !orders.ended.load(SeqCst) {
         let base = orders.newest.load(SeqCst);
         let text = format!("{} by{me} {}", base + 1, "x".repeat(TEXT));
-        let core = &cores[tier.op.rand() as usize % cores.len()];
+        let core = &cores[tier.op.random() as usize % cores.len()];
         match tier.put(core, base, &text).await {
             Some(PutAnswer::InForce(number)) => orders.acknowledged(tier.op.now(), number),
             Some(PutAnswer::Conflict(number)) => {
@@ -47,7 +47,7 @@
             }
             _ => {}
         }
-        tier.op.sleep(100 * MS + tier.op.rand() % (800 * MS)).await;
+        tier.op.sleep(100 * MS + tier.op.random() % (800 * MS)).await;
     }
 }
 
@@ -75,7 +75,7 @@
     orders.newest.store(version, SeqCst);
     orders.last_at.store(tier.op.now(), SeqCst);
     for me in 0..OPERATORS {
-        tier.op.go(operate(tier.clone(), orders.clone(), me));
+        tier.op.spawn(operate(tier.clone(), orders.clone(), me));
     }
     orders
 }
--- a/yewcross-lab/tests/support/placement.rs
+++ b/yewcross-lab/tests/support/placement.rs
@@ -1,11 +1,11 @@
 //! One front's world and a list of servers, for tests of the choice between them.
 
 use std::net::SocketAddr;
-use yewcross::ask::Listed;
-use yewcross::world::*;
+use yewcross::protocol::ListedServer;
+use yewcross::runtime::*;
 use yewcross_lab::sim::Sim;
 
-pub fn world() -> (Sim, World) {
+pub fn world() -> (Sim, Runtime) {
     let sim = Sim::new(1, 1_000);
     let m = sim.machine("front", "z", "10.0.0.1".parse().unwrap());
     let w = sim.boot(m);
@@ -13,14 +13,15 @@
 }
 
 /// Lets us of virtual time pass.
-pub fn rest(sim: &Sim, w: &World, us: u64) {
-    w.go(w.sleep(us + 1));
+pub fn rest(sim: &Sim, w: &Runtime, us: u64) {
+    w.spawn(w.sleep(us + 1));
     sim.run(sim.now() + us, || false);
 }
 
 /// Servers of service `x`, in so many zones by turns.
-pub fn servers(count: usize, zones: usize) -> Vec<Listed> {
+pub fn servers(count: usize, zones: usize) -> Vec<ListedServer> {
     let addr: SocketAddr = "10.0.1.1:1".parse().unwrap();
-    let server = |i: usize| Listed { server: format!("s{i}"), service: "x".into(), addr, site: format!("z{}", i % zones), leaving: false };
+    let server =
+        |i: usize| ListedServer { server: format!("s{i}"), service: "x".into(), addr, site: format!("z{}", i % zones), leaving: false };
     (0..count).map(server).collect()
 }
--- a/yewcross-lab/tests/transcripts.rs
+++ b/yewcross-lab/tests/transcripts.rs
@@ -1,10 +1,10 @@
 //! Whole exchanges, compared with what was approved. `APPROVE=1 cargo test` writes them anew.
 
 use std::fmt::Write;
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::startup::Role;
-use yewcross::tree::{Budget, Def, Family, Service};
+use yewcross::configuration::{Budget, ProgramClass, Service, SettingDefinition};
+use yewcross::constants::*;
+use yewcross::error_code::Code;
+use yewcross::process_settings::Role;
 use yewcross_lab::script::{on_fleet, plain, raw, request};
 
 fn approve(path: &str, text: &str) {
@@ -21,15 +21,15 @@
     let says = "`ran` says: done; not_run: it did not and will not run; may_have_run: it was sent or its outcome is gone; \
 undecided: whether the change holds is not known yet, ask again.\n";
     approve("docs/codes.md", &format!("# Result codes\n\n{says}\n{}", Code::table()));
-    let table = |n: &str, ds: &[Def]| {
+    let table = |n: &str, ds: &[SettingDefinition]| {
         let mut s = format!("\n## {n}\n\n| setting | type | allowed | meaning |\n|---|---|---|---|\n");
         ds.iter().for_each(|d| writeln!(s, "| {} | {} | {} | {} |", d.key, d.kind, d.range, d.doc).unwrap());
         s
     };
-    let all = table("families/…/set", Family::DEFS) + &table("services/…", Service::DEFS) + &table("budgets/…", Budget::DEFS);
+    let all = table("families/…/set", ProgramClass::DEFS) + &table("services/…", Service::DEFS) + &table("budgets/…", Budget::DEFS);
     let defaults = format!(
         "\n## Defaults\n\n    {}\n    {}\n",
-        serde_json::to_string(&Family::default()).unwrap(),
+        serde_json::to_string(&ProgramClass::default()).unwrap(),
         serde_json::to_string(&Service::default()).unwrap()
     );
     approve("docs/settings.md", &format!("# Settings\n{all}{defaults}"));
--- a/yewcross-lab/tests/votes.rs
+++ b/yewcross-lab/tests/votes.rs
@@ -1,7 +1,7 @@
 //! A vote belongs to a disk, not to an address: a machine that comes back empty where another disk was votes for nobody.
 
 use std::sync::Arc;
-use yewcross::consts::*;
+use yewcross::constants::*;
 use yewcross::register::{RegisterClient, Step};
 use yewcross_lab::proof::Lab;
 use yewcross_lab::script::on_fleet_of;
@@ -16,7 +16,7 @@
 }
 
 fn owner(lab: &Lab, node: &str) -> Arc<RegisterClient> {
-    lab.control(node).unwrap().owner.clone()
+    lab.control(node).unwrap().registers.clone()
 }
 
 /// What the node led with while the wiped machine was back, and what stands in the end.
@@ -59,7 +59,7 @@
                 while lab.sim.now() < end {
                     if unnamed {
                         let node = lab.sh.nodes.iter().find(|n| n.name == "store2").unwrap();
-                        lab.control("store3").unwrap().peers.learn(node.peer, &node.site, WIRE_OLDEST);
+                        lab.control("store3").unwrap().peers.record_peer(node.peer, &node.site, WIRE_OLDEST);
                     }
                     if let Ok((_, _, value)) = stale.read(KEY, 20 * MS).await
                         && !value.ends_with(b"second")
--- a/yewcross-lab/tests/wire_compatibility.rs
+++ b/yewcross-lab/tests/wire_compatibility.rs
@@ -20,13 +20,13 @@
 use std::sync::{Arc, Mutex};
 use strum::IntoEnumIterator;
 use wire_samples::*;
-use yewcross::ask::{Ask, ConfigDoc, Tell};
-use yewcross::chain_wire::{What, decode, encode};
-use yewcross::code::Code;
-use yewcross::consts::*;
-use yewcross::delta;
-use yewcross::wire::{Listener, Parcel, Peers, pack};
-use yewcross::world::*;
+use yewcross::constants::*;
+use yewcross::documents::delta;
+use yewcross::error_code::Code;
+use yewcross::protocol::{ConfigDoc, PeerRequest, PeerResponse};
+use yewcross::runtime::*;
+use yewcross::transport::{Envelope, PeerClient, RequestHandler, pack};
+use yewcross::turn_log::store_client::{TurnLogOperation, decode, encode};
 use yewcross_control::chain_log::Item;
 use yewcross_control::store::Record;
 use yewcross_front::load_exchange::ServerLoad;
@@ -35,7 +35,7 @@
 // ---- Fixture files ----
 
 /// A line of a fixture file: its name and what stands behind the tab.
-type Line = (String, String);
+type StoreClient = (String, String);
 
 fn fixture_path(file: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests/fixtures/wire", &format!("{file}.txt")].iter().collect()
@@ -46,21 +46,21 @@
     std::env::var("YEWCROSS_WRITE_FIXTURES").is_ok_and(|value| value == "1")
 }
 
-fn write_fixture(file: &str, lines: &[Line]) {
+fn write_fixture(file: &str, lines: &[StoreClient]) {
     let path = fixture_path(file);
     std::fs::create_dir_all(path.parent().unwrap()).unwrap();
     let text: String = lines.iter().map(|(name, bytes)| format!("{name}\t{bytes}\n")).collect();
     std::fs::write(path, text).unwrap();
 }
 
-fn read_fixture(file: &str) -> Vec<Line> {
+fn read_fixture(file: &str) -> Vec<StoreClient> {
     let path = fixture_path(file);
     let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     text.lines().map(|line| line.split_once('\t').expect("a name, a tab, bytes")).map(|(name, bytes)| (name.into(), bytes.into())).collect()
 }
 
 /// Compares what is encoded today with the fixture file, and returns the lines of the file.
-fn compare(file: &str, today: &[Line]) -> Vec<Line> {
+fn compare(file: &str, today: &[StoreClient]) -> Vec<StoreClient> {
     if is_writing() {
         write_fixture(file, today);
     }
@@ -96,7 +96,7 @@
     quoted.collect()
 }
 
-fn names(lines: &[Line]) -> BTreeSet<String> {
+fn names(lines: &[StoreClient]) -> BTreeSet<String> {
     lines.iter().map(|line| line.0.clone()).collect()
 }
 
@@ -126,7 +126,7 @@
 
 // ---- JSON ----
 
-/// As `Peers::ask` and the listeners encode questions and answers.
+/// As `PeerClient::ask` and the listeners encode questions and answers.
 fn json<T: Serialize>(value: &T) -> String {
     String::from_utf8(serde_json::to_vec(value).unwrap()).unwrap()
 }
@@ -136,8 +136,8 @@
     json.split('"').nth(1).expect("a variant").into()
 }
 
-fn keeps_json<T: Serialize + DeserializeOwned>(file: &str, name: impl Fn(&str) -> String, samples: &[T]) -> Vec<Line> {
-    let today: Vec<Line> = samples.iter().map(json).map(|text| (name(&text), text)).collect();
+fn keeps_json<T: Serialize + DeserializeOwned>(file: &str, name: impl Fn(&str) -> String, samples: &[T]) -> Vec<StoreClient> {
+    let today: Vec<StoreClient> = samples.iter().map(json).map(|text| (name(&text), text)).collect();
     today.iter().for_each(|line| assert_distinct(&line.1));
     let fixture = compare(file, &today);
     for (name, text) in &fixture {
@@ -178,7 +178,7 @@
 
 /// A sample without one of its fields, for each field without which it decodes: so an older program sends it. Behind it
 /// what it decodes to, which shows the default.
-fn older_forms<T: Serialize + DeserializeOwned>(sample: &T) -> Vec<Line> {
+fn older_forms<T: Serialize + DeserializeOwned>(sample: &T) -> Vec<StoreClient> {
     let value: Value = serde_json::from_str(&json(sample)).unwrap();
     let mut pointers = vec![];
     members(&value, "", &mut pointers);
@@ -191,7 +191,7 @@
 }
 
 fn keeps_older_forms<T: Serialize + DeserializeOwned>(file: &str, samples: &[T]) {
-    let today: Vec<Line> = samples.iter().flat_map(older_forms).collect();
+    let today: Vec<StoreClient> = samples.iter().flat_map(older_forms).collect();
     for (name, texts) in compare(&format!("older_{file}"), &today) {
         let (old, expected) = texts.split_once('\t').unwrap();
         let decoded: T = serde_json::from_str(old).unwrap_or_else(|error| panic!("older_{file}.txt {name}: {error}"));
@@ -255,10 +255,10 @@
 /// Counts of messages are shown under these names.
 #[test]
 fn every_request_keeps_the_name_of_its_metric() {
-    let metric_name = |ask: &Ask| -> &'static str { ask.into() };
-    let today: BTreeSet<Line> = asks().iter().map(|ask| (variant_name(&json(ask)), metric_name(ask).to_string())).collect();
+    let metric_name = |ask: &PeerRequest| -> &'static str { ask.into() };
+    let today: BTreeSet<StoreClient> = asks().iter().map(|ask| (variant_name(&json(ask)), metric_name(ask).to_string())).collect();
     let fixture = compare("ask_metric_names", &today.into_iter().collect::<Vec<_>>());
-    assert_eq!(names(&fixture), variant_names::<Ask>());
+    assert_eq!(names(&fixture), variant_names::<PeerRequest>());
 }
 
 // ---- Values of registers, which travel as blobs ----
@@ -289,16 +289,16 @@
 
 #[test]
 fn every_delta_keeps_its_bytes() {
-    let today: Vec<Line> = CHANGES.iter().map(|(name, old, new)| (name.to_string(), hex(&delta::diff(old, new)))).collect();
+    let today: Vec<StoreClient> = CHANGES.iter().map(|(name, old, new)| (name.to_string(), hex(&delta::encode(old, new)))).collect();
     for ((_, bytes), (name, old, new)) in compare("delta", &today).iter().zip(CHANGES) {
-        assert_eq!(delta::patch(old, &unhex(bytes)).as_deref(), Some(new), "{name}");
+        assert_eq!(delta::apply(old, &unhex(bytes)).as_deref(), Some(new), "{name}");
     }
 }
 
 // ---- Postcard, where the place of a field and of a variant counts ----
 
-fn keeps_places<T: Serialize + DeserializeOwned>(file: &str, name: impl Fn(&T) -> &'static str, samples: &[T]) -> Vec<Line> {
-    let today: Vec<Line> = samples.iter().map(|sample| (name(sample).into(), hex(&encode(sample)))).collect();
+fn keeps_places<T: Serialize + DeserializeOwned>(file: &str, name: impl Fn(&T) -> &'static str, samples: &[T]) -> Vec<StoreClient> {
+    let today: Vec<StoreClient> = samples.iter().map(|sample| (name(sample).into(), hex(&encode(sample)))).collect();
     let fixture = compare(file, &today);
     for (name, bytes) in &fixture {
         let decoded: T = decode(&unhex(bytes)).unwrap_or_else(|| panic!("{file}.txt: {name} decodes"));
@@ -308,7 +308,7 @@
 }
 
 /// The samples stand for as many variants as the enumeration has.
-fn covers_all<T: DeserializeOwned>(file: &str, fixture: &[Line]) {
+fn covers_all<T: DeserializeOwned>(file: &str, fixture: &[StoreClient]) {
     assert_eq!(names(fixture).len(), variant_names::<T>().len(), "{file}.txt has a sample of each variant");
 }
 
@@ -323,7 +323,7 @@
 #[test]
 fn every_chain_question_keeps_its_bytes() {
     let fixture = keeps_places("chain_ask", chain_ask_name, &chain_asks());
-    covers_all::<What>("chain_ask", &fixture);
+    covers_all::<TurnLogOperation>("chain_ask", &fixture);
 }
 
 #[test]
@@ -368,17 +368,17 @@
 
 /// The first question of a process, and its answer.
 fn first_question_frame(version: u16) -> Vec<u8> {
-    pack(version, 1, false, "asker", "site of the asker", json(&Ask::Found).as_bytes(), b"blob of the question")
+    pack(version, 1, false, "asker", "site of the asker", json(&PeerRequest::Bootstrap).as_bytes(), b"blob of the question")
 }
 
 fn first_answer_frame(version: u16) -> Vec<u8> {
-    pack(version, 1, true, "asked", "site of the asked", json(&Tell::Ok).as_bytes(), ANSWER_BLOB)
+    pack(version, 1, true, "asked", "site of the asked", json(&PeerResponse::Ok).as_bytes(), ANSWER_BLOB)
 }
 
 fn frames(file: &str, question: fn(u16) -> Vec<u8>, answer: fn(u16) -> Vec<u8>) -> Vec<(u16, Vec<u8>, Vec<u8>)> {
     let line = |kind: &str, version: u16, frame: Vec<u8>| (format!("{kind} of version {version}"), hex(&frame));
     let both = |version| [line("question", version, question(version)), line("answer", version, answer(version))];
-    let today: Vec<Line> = versions().flat_map(both).collect();
+    let today: Vec<StoreClient> = versions().flat_map(both).collect();
     let fixture = compare(file, &today);
     versions().zip(fixture.chunks(2)).map(|(version, pair)| (version, unhex(&pair[0].1), unhex(&pair[1].1))).collect()
 }
@@ -386,17 +386,17 @@
 /// Notes what it hears, and always answers the same.
 #[derive(Default)]
 struct Ear {
-    heard: Mutex<Vec<Parcel>>,
+    heard: Mutex<Vec<Envelope>>,
 }
 
-impl Listener for Ear {
-    fn hear(self: Arc<Self>, parcel: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
+impl RequestHandler for Ear {
+    fn handle(self: Arc<Self>, parcel: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         self.heard.lock().unwrap().push(parcel);
         Box::pin(async { (ANSWER_BODY.to_vec(), ANSWER_BLOB.to_vec()) })
     }
 }
 
-fn two_machines() -> (Sim, World, World) {
+fn two_machines() -> (Sim, Runtime, Runtime) {
     let sim = Sim::new(1, 1_000);
     let asker = sim.machine("asker", "z", "10.0.0.1".parse().unwrap());
     let asked = sim.machine("asked", "z", "10.0.0.2".parse().unwrap());
@@ -409,10 +409,10 @@
 }
 
 /// Runs `task` on a machine to its end.
-fn play<T: Send + 'static>(sim: &Sim, world: &World, task: impl Future<Output = T> + Send + 'static) -> T {
+fn play<T: Send + 'static>(sim: &Sim, world: &Runtime, task: impl Future<Output = T> + Send + 'static) -> T {
     let outcome: Arc<Mutex<Option<T>>> = Default::default();
     let kept = outcome.clone();
-    world.go(async move {
+    world.spawn(async move {
         let value = task.await;
         *kept.lock().unwrap() = Some(value);
     });
@@ -420,7 +420,7 @@
     outcome.lock().unwrap().take().expect("it came to its end")
 }
 
-async fn read_exactly(connection: &mut Conn, length: usize) -> Vec<u8> {
+async fn read_exactly(connection: &mut Connection, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
     connection.read_exact(&mut bytes).await.expect("a whole frame");
     bytes
@@ -430,21 +430,21 @@
 fn a_node_understands_and_answers_frames_of_every_version() {
     for (version, question, answer) in frames("frames", question_frame, answer_frame) {
         let (sim, asker, asked) = two_machines();
-        let peers = Peers::new(&asked, "asked", "site of the asked", WIRE_VERSION);
+        let peers = PeerClient::new(&asked, "asked", "site of the asked", WIRE_VERSION);
         let ear = Arc::new(Ear::default());
         let (listener, world) = (ear.clone(), asked.clone());
-        asked.go(async move { peers.serve(world.bind(asked_at()).await.unwrap(), listener).await });
+        asked.spawn(async move { peers.serve(world.bind(asked_at()).await.unwrap(), listener).await });
         let (world, length) = (asker.clone(), answer.len());
         let told = play(&sim, &asker, async move {
             world.sleep(10 * MS).await;
-            let mut connection = world.dial(asked_at(), SEC).await.unwrap();
+            let mut connection = world.connect_within(asked_at(), SEC).await.unwrap();
             connection.write_all(&question).await.unwrap();
             read_exactly(&mut connection, length).await
         });
         assert_eq!(hex(&told), hex(&answer), "answer of version {version}");
         let heard = ear.heard.lock().unwrap().remove(0);
         assert_eq!((heard.from.as_str(), heard.site.as_str(), heard.version), ("asker", "site of the asker", version));
-        assert_eq!((&heard.body[..], &heard.blob[..]), (&b"body of the question"[..], &b"blob of the question, longer"[..]));
+        assert_eq!((&heard.message[..], &heard.payload[..]), (&b"body of the question"[..], &b"blob of the question, longer"[..]));
     }
 }
 
@@ -454,22 +454,22 @@
         let (sim, asker, asked) = two_machines();
         let received: Arc<Mutex<Vec<u8>>> = Default::default();
         let (kept, world, length) = (received.clone(), asked.clone(), question.len());
-        asked.go(async move {
+        asked.spawn(async move {
             let mut connection = world.bind(asked_at()).await.unwrap().accept().await.unwrap();
             *kept.lock().unwrap() = read_exactly(&mut connection, length).await;
             connection.write_all(&answer).await.unwrap();
             world.sleep(SEC).await;
         });
-        let peers = Peers::new(&asker, "asker", "site of the asker", WIRE_VERSION);
-        peers.learn(asked_at(), "site of the asked", version);
+        let peers = PeerClient::new(&asker, "asker", "site of the asker", WIRE_VERSION);
+        peers.record_peer(asked_at(), "site of the asked", version);
         let world = asker.clone();
         let told = play(&sim, &asker, async move {
             world.sleep(10 * MS).await;
-            peers.ask(asked_at(), &Ask::Found, b"blob of the question", SEC).await
+            peers.request(asked_at(), &PeerRequest::Bootstrap, b"blob of the question", SEC).await
         });
         assert_eq!(hex(&received.lock().unwrap()), hex(&question), "question of version {version}");
         let (tell, blob) = told.expect("an answer");
-        assert!(matches!(tell, Tell::Ok));
+        assert!(matches!(tell, PeerResponse::Ok));
         assert_eq!(blob, ANSWER_BLOB);
     }
 }
--- a/yewcross-lab/tests/wire_samples/mod.rs
+++ b/yewcross-lab/tests/wire_samples/mod.rs
@@ -4,16 +4,16 @@
 
 use bytes::Bytes;
 use std::sync::Arc;
-use yewcross::ask::*;
-use yewcross::chain::Turn;
-use yewcross::chain_wire::{ChainAsk, Entry, LedgerRow, Row, Told, What};
-use yewcross::code::Code;
-use yewcross::lease::*;
-use yewcross::member::{Node, State};
-use yewcross::orders::{PutAnswer, RetireBegin};
+use yewcross::configuration::{InvalidSetting, Rule};
+use yewcross::error_code::Code;
+use yewcross::membership::{MemberState, Node};
+use yewcross::process_settings::Role;
+use yewcross::protocol::lease::*;
+use yewcross::protocol::operator_orders::{PutAnswer, RetireBegin};
+use yewcross::protocol::*;
 use yewcross::register::{Ballot, RegisterReply, RegisterRequest};
-use yewcross::startup::Role;
-use yewcross::tree::{Bad, Rule};
+use yewcross::turn_log::Turn;
+use yewcross::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse};
 use yewcross_control::chain_log::Item;
 use yewcross_control::lease::KeptGrant;
 use yewcross_control::store::{Head, Mark, Open, Record, Run};
@@ -37,49 +37,49 @@
 fn nodes() -> Vec<Node> {
     vec![Node {
         name: text("node name"),
-        born: 601,
-        inc: 602,
-        state: State::Suspect,
+        incarnation: 601,
+        refutations: 602,
+        state: MemberState::Suspect,
         role: Role::Store,
         site: text("node site"),
         peer: "10.0.0.1:611".parse().unwrap(),
         http: "10.0.0.2:612".parse().unwrap(),
         disk: text("node disk"),
-        wire: 3,
+        wire_version: 3,
     }]
 }
 
-fn place(name: &str, number: u64) -> Place {
-    Place {
+fn place(name: &str, number: u64) -> CachedPrefix {
+    CachedPrefix {
         server: format!("{name} server"),
-        inst: number + 1,
+        instance: number + 1,
         weights: format!("{name} weights"),
         tokens: number + 2,
         digest: format!("{name} digest"),
-        mark: number + 3,
+        placed_tokens: number + 3,
     }
 }
 
-fn kv() -> Kv {
-    Kv { home: Some(place("home", 710)), replica: Some(place("replica", 720)), program: text("kv program") }
+fn kv() -> SessionCacheState {
+    SessionCacheState { home: Some(place("home", 710)), replica: Some(place("replica", 720)), program: text("kv program") }
 }
 
-pub fn report() -> Report {
-    Report {
+pub fn report() -> LoadReport {
+    LoadReport {
         service: text("reported service"),
         server: text("reporting server"),
-        inst: 801,
-        seq: 802,
+        instance: 801,
+        sequence: 802,
         slots: 803,
         running: 804,
         waiting: 805,
         weights: text("reported weights"),
         leaving: true,
-        placed: 806,
-        cache: 807,
-        per_k: 808,
-        per_out: 809,
-        age: 810,
+        placed_tokens: 806,
+        cache_tokens: 807,
+        prefill_us_per_1000: 808,
+        decode_us_per_token: 809,
+        age_us: 810,
     }
 }
 
@@ -110,41 +110,48 @@
     ]
 }
 
-pub fn lease_calls() -> Vec<LeaseCall> {
+pub fn lease_calls() -> Vec<LeaseOperation> {
     vec![
-        LeaseCall::Look,
-        LeaseCall::Request { term: 21 },
-        LeaseCall::Renew { term: 21, round: 22, confirmed: 23 },
-        LeaseCall::Release { term: 21 },
+        LeaseOperation::Look,
+        LeaseOperation::Request { term: 21 },
+        LeaseOperation::Renew { term: 21, round: 22, confirmed: 23 },
+        LeaseOperation::Release { term: 21 },
     ]
 }
 
-pub fn refusals() -> Vec<Refusal> {
-    vec![Refusal::OtherDisk, Refusal::OtherSeats, Refusal::OldTerm, Refusal::NotFree, Refusal::Unconfirmed, Refusal::DiskFailed]
+pub fn refusals() -> Vec<LeaseDenial> {
+    vec![
+        LeaseDenial::OtherDisk,
+        LeaseDenial::OtherSeats,
+        LeaseDenial::OldTerm,
+        LeaseDenial::NotFree,
+        LeaseDenial::Unconfirmed,
+        LeaseDenial::DiskFailed,
+    ]
 }
 
-pub fn verdicts() -> Vec<Verdict> {
-    vec![Verdict::Free, Verdict::Held, Verdict::Granted, Verdict::Released, Verdict::Refused(Refusal::OldTerm)]
+pub fn verdicts() -> Vec<LeaseVerdict> {
+    vec![LeaseVerdict::Free, LeaseVerdict::Held, LeaseVerdict::Granted, LeaseVerdict::Released, LeaseVerdict::Refused(LeaseDenial::OldTerm)]
 }
 
 fn candidate() -> Candidate {
     Candidate { disk: text("candidate disk"), process: 31, life: 32 }
 }
 
-fn lease_ask(call: LeaseCall) -> LeaseAsk {
-    LeaseAsk { granter: text("granter disk"), candidate: candidate(), seats: 33, call, wants_holder: true }
+fn lease_ask(call: LeaseOperation) -> LeaseRequest {
+    LeaseRequest { granter: text("granter disk"), candidate: candidate(), seats: 33, call, wants_holder: true }
 }
 
-fn lease_tell(verdict: Verdict) -> LeaseTell {
+fn lease_tell(verdict: LeaseVerdict) -> LeaseResponse {
     let versions = vec![(text("version of"), 34)];
-    LeaseTell { granter: text("granter disk"), term: 35, verdict, versions, holder: Some(candidate()) }
+    LeaseResponse { granter: text("granter disk"), term: 35, verdict, versions, holder: Some(candidate()) }
 }
 
 pub fn put_answers() -> Vec<PutAnswer> {
     vec![
         PutAnswer::InForce(41),
         PutAnswer::Conflict(42),
-        PutAnswer::Bad(vec![Bad { path: text("bad path"), why: text("bad why") }]),
+        PutAnswer::Bad(vec![InvalidSetting { path: text("bad path"), why: text("bad why") }]),
         PutAnswer::NotFounded,
         PutAnswer::NoMajority,
         PutAnswer::Busy,
@@ -161,115 +168,136 @@
     vec![Rule::All, Rule::Turns(51), Rule::Tokens(52)]
 }
 
-pub fn states() -> Vec<State> {
-    vec![State::Alive, State::Suspect, State::Gone]
+pub fn states() -> Vec<MemberState> {
+    vec![MemberState::Alive, MemberState::Suspect, MemberState::Removed]
 }
 
 pub fn roles() -> Vec<Role> {
     vec![Role::Front, Role::Core, Role::Store]
 }
 
-fn begin() -> Begin {
-    Begin {
+fn begin() -> BeginTurn {
+    BeginTurn {
         key: text("begin key"),
-        job: text("begin job"),
+        request_id: text("begin job"),
         digest: text("begin digest"),
         nonce: 61,
         front: text("begin front"),
-        left: 62,
+        remaining_ms: 62,
         budget: Some((text("begin budget"), 63)),
-        max_out: 64,
-        keep: 65,
-        hand: Some((66, text("hand digest"))),
+        max_output_tokens: 64,
+        retain_ms: 65,
+        known_history: Some((66, text("hand digest"))),
     }
 }
 
-fn commit() -> Commit {
-    Commit {
+fn commit() -> CommitTurn {
+    CommitTurn {
         key: text("commit key"),
-        job: text("commit job"),
+        request_id: text("commit job"),
         epoch: 71,
         nonce: 72,
         code: Code::BudgetSpent,
-        used: 73,
+        used_tokens: 73,
         rule: Rule::Tokens(74),
-        kv: kv(),
-        hist: 75,
+        cache: kv(),
+        history_bytes: 75,
     }
 }
 
-pub fn asks() -> Vec<Ask> {
+pub fn asks() -> Vec<PeerRequest> {
     let epoch = ballot();
     let (key, job, budget) = (|| text("a key"), || text("a job"), || text("a budget"));
     let mut asks = vec![
-        Ask::Probe { dig: 101, nodes: nodes() },
-        Ask::Heard { nodes: nodes() },
-        Ask::Second { to: "10.0.0.3:102".parse().unwrap() },
-        Ask::Table { nodes: nodes() },
-        Ask::Newer { have: vec![(text("held"), 103)], front: true, departed: 104 },
-        Ask::Doc { name: text("document"), hops: 105 },
-        Ask::Page { name: text("document"), more_than: 106 },
-        Ask::Adopt { name: text("document"), seq: 107, epoch, relays: texts("relay") },
-        Ask::Patch { name: text("document"), seq: 107, epoch, base: 108, base_digest: text("base digest"), relays: texts("relay") },
-        Ask::Departed { servers: texts("server"), relays: texts("relay") },
-        Ask::Order { base: 109 },
-        Ask::Retire { node: text("retired node") },
-        Ask::Grants { name: text("document"), seq: 110 },
-        Ask::Proved { seq: 111 },
-        Ask::Found,
-        Ask::Begin(begin()),
-        Ask::Commit(commit()),
-        Ask::Abort { key: key(), job: job(), nonce: 112, budget: Some(budget()) },
-        Ask::Note { key: key(), epoch: 113, kv: kv() },
-        Ask::Look { key: key() },
-        Ask::End { key: key() },
-        Ask::Expire { key: key() },
-        Ask::Reserve { budget: budget(), entry: text("entry"), amount: 114, limit: 115, key: key(), job: job(), nonce: 116, keep: 117 },
-        Ask::Settle { budget: budget(), entry: text("entry"), used: Some(118) },
-        Ask::Tend { key: key() },
-        Ask::News { service: text("service"), reports: vec![report()], same: texts("same"), relay: true },
-        Ask::SweepDone { layout: 119, disk: text("swept disk") },
-        Ask::SweepNow,
-        Ask::Chain,
-        Ask::InFlight { by_site: true },
+        PeerRequest::Probe { digest: 101, nodes: nodes() },
+        PeerRequest::MembershipUpdate { nodes: nodes() },
+        PeerRequest::ProbeOnBehalf { target: "10.0.0.3:102".parse().unwrap() },
+        PeerRequest::ExchangeMembership { nodes: nodes() },
+        PeerRequest::PollDocuments { known: vec![(text("held"), 103)], front: true, leaving_digest: 104 },
+        PeerRequest::ReadDecidedDocument { name: text("document"), hops: 105 },
+        PeerRequest::FetchDocument { name: text("document"), newer_than: 106 },
+        PeerRequest::PublishDocument { name: text("document"), version: 107, epoch, relays: texts("relay") },
+        PeerRequest::PublishDelta {
+            name: text("document"),
+            version: 107,
+            epoch,
+            base: 108,
+            base_digest: text("base digest"),
+            relays: texts("relay"),
+        },
+        PeerRequest::ServersLeaving { servers: texts("server"), relays: texts("relay") },
+        PeerRequest::ForwardPut { base: 109 },
+        PeerRequest::ForwardRetire { node: text("retired node") },
+        PeerRequest::CollectServingLeases { name: text("document"), version: 110 },
+        PeerRequest::AnnounceInForce { version: 111 },
+        PeerRequest::Bootstrap,
+        PeerRequest::BeginTurn(begin()),
+        PeerRequest::CommitTurn(commit()),
+        PeerRequest::AbortTurn { key: key(), request_id: job(), nonce: 112, budget: Some(budget()) },
+        PeerRequest::RecordCacheState { key: key(), epoch: 113, cache: kv() },
+        PeerRequest::InspectSession { key: key() },
+        PeerRequest::EndSession { key: key() },
+        PeerRequest::ExpireSession { key: key() },
+        PeerRequest::ReserveBudget {
+            budget: budget(),
+            entry: text("entry"),
+            amount: 114,
+            limit: 115,
+            key: key(),
+            request_id: job(),
+            nonce: 116,
+            retain_ms: 117,
+        },
+        PeerRequest::SettleBudget { budget: budget(), entry: text("entry"), used: Some(118) },
+        PeerRequest::RepairKey { key: key() },
+        PeerRequest::LoadReports { service: text("service"), reports: vec![report()], same: texts("same"), relay: true },
+        PeerRequest::SweepProgress { layout: 119, disk: text("swept disk") },
+        PeerRequest::StartSweep,
+        PeerRequest::TurnLog,
+        PeerRequest::ExchangeLoads { by_site: true },
     ];
-    asks.extend(register_requests().into_iter().map(Ask::Reg));
-    asks.extend(register_requests().into_iter().map(|request| Ask::Register { disk: text("register disk"), request }));
-    asks.extend(lease_calls().into_iter().map(|call| Ask::Lease(lease_ask(call))));
+    asks.extend(register_requests().into_iter().map(PeerRequest::UnnamedRegister));
+    asks.extend(register_requests().into_iter().map(|request| PeerRequest::Register { disk: text("register disk"), request }));
+    asks.extend(lease_calls().into_iter().map(|call| PeerRequest::Lease(lease_ask(call))));
     asks
 }
 
-pub fn tells() -> Vec<Tell> {
+pub fn tells() -> Vec<PeerResponse> {
     let mut tells = vec![
-        Tell::No(Code::StoreAway),
-        Tell::Ok,
-        Tell::InFlight,
-        Tell::Probe { dig: 201, nodes: nodes(), wall: 202 },
-        Tell::Second { heard: true },
-        Tell::Table { nodes: nodes() },
-        Tell::OtherDisk { disk: text("other disk") },
-        Tell::Newer { newest: vec![(text("newest"), 203)], sure: true, behind: true, departed: texts("departed") },
-        Tell::Doc { seq: 204, epoch: ballot() },
-        Tell::Adopted { seq: 205 },
-        Tell::Grants { seq: 206, fronts: vec![(text("front"), 207)], proved: 208 },
-        Tell::Begun(Begun { epoch: 209, kv: kv(), hist: 210, whole: true }),
-        Tell::Kept { code: Code::Forgotten },
-        Tell::Committed,
-        Tell::Ended { kv: kv() },
-        Tell::Look { open: vec![(text("open"), 211)], done: vec![(text("done"), 212, 213)] },
-        Tell::Swept { done: true, left: 214, kept: 215, disk: text("swept disk") },
-        Tell::Chain,
+        PeerResponse::Rejected(Code::StoreAway),
+        PeerResponse::Ok,
+        PeerResponse::Loads,
+        PeerResponse::Probe { digest: 201, nodes: nodes(), wall_clock_ms: 202 },
+        PeerResponse::ProbeOnBehalf { reachable: true },
+        PeerResponse::Membership { nodes: nodes() },
+        PeerResponse::OtherDisk { disk: text("other disk") },
+        PeerResponse::DocumentVersions {
+            newest: vec![(text("newest"), 203)],
+            authoritative: true,
+            behind: true,
+            leaving: texts("departed"),
+        },
+        PeerResponse::Document { version: 204, epoch: ballot() },
+        PeerResponse::DocumentApplied { version: 205 },
+        PeerResponse::ServingLeases { version: 206, fronts: vec![(text("front"), 207)], in_force: 208 },
+        PeerResponse::TurnBegun(TurnBegun { epoch: 209, cache: kv(), history_bytes: 210, history_complete: true }),
+        PeerResponse::StoredOutcome { code: Code::Forgotten },
+        PeerResponse::Committed,
+        PeerResponse::SessionEnded { cache: kv() },
+        PeerResponse::SessionReservations { open: vec![(text("open"), 211)], done: vec![(text("done"), 212, 213)] },
+        PeerResponse::SweepProgress { done: true, left: 214, kept: 215, disk: text("swept disk") },
+        PeerResponse::TurnLog,
     ];
-    tells.extend(register_replies().into_iter().map(Tell::Reg));
-    tells.extend(register_replies().into_iter().map(|reply| Tell::Register { disk: text("register disk"), reply }));
-    tells.extend(put_answers().into_iter().map(Tell::Order));
-    tells.extend(retire_answers().into_iter().map(Tell::Retire));
-    tells.extend(verdicts().into_iter().map(|verdict| Tell::Lease(lease_tell(verdict))));
+    tells.extend(register_replies().into_iter().map(PeerResponse::UnnamedRegister));
+    tells.extend(register_replies().into_iter().map(|reply| PeerResponse::Register { disk: text("register disk"), reply }));
+    tells.extend(put_answers().into_iter().map(PeerResponse::PutAnswer));
+    tells.extend(retire_answers().into_iter().map(PeerResponse::RetireAnswer));
+    tells.extend(verdicts().into_iter().map(|verdict| PeerResponse::Lease(lease_tell(verdict))));
     tells
 }
 
-fn group(name: &str, since: u64) -> Group {
-    Group { now: texts(&format!("{name} now")), old: texts(&format!("{name} old")), since }
+fn group(name: &str, since: u64) -> ReplicaGroup {
+    ReplicaGroup { current: texts(&format!("{name} now")), previous: texts(&format!("{name} old")), since }
 }
 
 pub fn layout() -> Layout {
@@ -278,28 +306,28 @@
         store: group("store", 302),
         names: [(text("named disk"), text("machine"))].into(),
         sites: [(text("placed disk"), text("site"))].into(),
-        turn: 303,
+        change_started: 303,
         retired: [text("retired machine")].into(),
         term: 304,
     }
 }
 
-pub fn list() -> List {
-    let listed = Listed {
+pub fn list() -> ServerList {
+    let listed = ListedServer {
         server: text("listed server"),
         service: text("listed service"),
         addr: "10.0.0.4:311".parse().unwrap(),
         site: text("listed site"),
         leaving: true,
     };
-    List { rev: 312, term: 313, servers: vec![listed] }
+    ServerList { revision: 312, term: 313, servers: vec![listed] }
 }
 
 pub fn configuration() -> ConfigDoc {
     let order = |number: u64| TakenOrder { number, digest: format!("digest {number}"), taken_ms: number + 100 };
     ConfigDoc {
         text: text("configuration text"),
-        put: text("put id"),
+        put_id: text("put id"),
         note: text("note"),
         past: vec![(321, text("past put"), text("past text"))],
         number: 322,
@@ -308,8 +336,8 @@
     }
 }
 
-pub fn held_key() -> HeldKey {
-    HeldKey { key: text("held key"), seq: 331, bytes: 332, kv: Some(kv()) }
+pub fn held_key() -> CheckpointKey {
+    CheckpointKey { key: text("held key"), seq: 331, bytes: 332, kv: Some(kv()) }
 }
 
 pub fn kept_grant() -> KeptGrant {
@@ -355,7 +383,7 @@
     Record { hist: b"history 1\nhistory 2\n".to_vec(), old: b"0123456789abcdef\n".to_vec(), head }
 }
 
-fn rows() -> Vec<Row> {
+fn rows() -> Vec<StoredTurn> {
     let turn = Turn {
         id: text("turn"),
         prev: text("turn before"),
@@ -365,92 +393,102 @@
         tokens: 401,
         retain_ms: 402,
     };
-    vec![Row { turn: Arc::new(turn), program: text("row program"), end: 403 }]
+    vec![StoredTurn { turn: Arc::new(turn), program: text("row program"), ended_at_ms: 403 }]
 }
 
-fn entries() -> Vec<(String, Entry)> {
-    vec![(text("open entry"), Entry::Open(411)), (text("done entry"), Entry::Done(412))]
+fn entries() -> Vec<(String, LedgerEntry)> {
+    vec![(text("open entry"), LedgerEntry::Open(411)), (text("done entry"), LedgerEntry::Done(412))]
 }
 
-fn ledger() -> LedgerRow {
-    LedgerRow { program: text("ledger program"), epoch: ballot(), entries: entries(), keep: 413 }
+fn ledger() -> LedgerRecord {
+    LedgerRecord { program: text("ledger program"), epoch: ballot(), entries: entries(), retain_ms: 413 }
 }
 
-fn whats() -> Vec<What> {
+fn whats() -> Vec<TurnLogOperation> {
     vec![
-        What::Open { program: text("program"), turn: text("turn"), max: 421, budget: Some(422), need: text("need"), take: true },
-        What::Find { id: text("id") },
-        What::Take { ledger: ledger() },
-        What::Add { ledger: ledger() },
-        What::Write { rows: rows(), ledger: Some(ledger()) },
-        What::Have { ids: vec![0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10, 424] },
-        What::Push { rows: rows(), ledgers: vec![ledger()] },
-        What::Mend,
+        TurnLogOperation::OpenTurn {
+            program: text("program"),
+            turn: text("turn"),
+            max_output_tokens: 421,
+            budget: Some(422),
+            parent: text("need"),
+            take_over: true,
+        },
+        TurnLogOperation::FindHistory { id: text("id") },
+        TurnLogOperation::AcquireLedger { ledger: ledger() },
+        TurnLogOperation::AppendEntries { ledger: ledger() },
+        TurnLogOperation::StoreTurns { rows: rows(), ledger: Some(ledger()) },
+        TurnLogOperation::ContainsTurns { ids: vec![0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10, 424] },
+        TurnLogOperation::TransferRecords { rows: rows(), ledgers: vec![ledger()] },
+        TurnLogOperation::Repair,
     ]
 }
 
-pub fn chain_asks() -> Vec<ChainAsk> {
-    whats().into_iter().map(|what| ChainAsk { lay: 431, disk: text("chain disk"), left: 432, what }).collect()
+pub fn chain_asks() -> Vec<TurnLogRequest> {
+    whats()
+        .into_iter()
+        .map(|what| TurnLogRequest { layout_version: 431, disk: text("chain disk"), timeout_us: 432, operation: what })
+        .collect()
 }
 
 /// The names under which the fixtures list the questions; a new one doesn't compile without a name here.
-pub fn chain_ask_name(ask: &ChainAsk) -> &'static str {
-    match &ask.what {
-        What::Open { .. } => "Open",
-        What::Find { .. } => "Find",
-        What::Take { .. } => "Take",
-        What::Add { .. } => "Add",
-        What::Write { .. } => "Write",
-        What::Have { .. } => "Have",
-        What::Push { .. } => "Push",
-        What::Mend => "Mend",
+pub fn chain_ask_name(ask: &TurnLogRequest) -> &'static str {
+    match &ask.operation {
+        TurnLogOperation::OpenTurn { .. } => "Open",
+        TurnLogOperation::FindHistory { .. } => "Find",
+        TurnLogOperation::AcquireLedger { .. } => "Take",
+        TurnLogOperation::AppendEntries { .. } => "Add",
+        TurnLogOperation::StoreTurns { .. } => "Write",
+        TurnLogOperation::ContainsTurns { .. } => "Have",
+        TurnLogOperation::TransferRecords { .. } => "Push",
+        TurnLogOperation::Repair => "Mend",
     }
 }
 
-pub fn tolds() -> Vec<Told> {
+pub fn tolds() -> Vec<TurnLogResponse> {
     vec![
-        Told::Ok,
-        Told::Away,
-        Told::Newer(441),
-        Told::Opened { rows: rows() },
-        Told::Spent,
-        Told::Unknown,
-        Told::Owner(text("owner")),
-        Told::Rows(rows()),
-        Told::No,
-        Told::Taken(entries()),
-        Told::Refused(ballot()),
-        Told::Lacks(text("lacking")),
-        Told::Have(vec![true, false]),
+        TurnLogResponse::Ok,
+        TurnLogResponse::Unavailable,
+        TurnLogResponse::NewerLayout(441),
+        TurnLogResponse::Opened { rows: rows() },
+        TurnLogResponse::BudgetSpent,
+        TurnLogResponse::UnknownTurn,
+        TurnLogResponse::Owner(text("owner")),
+        TurnLogResponse::History(rows()),
+        TurnLogResponse::NotStored,
+        TurnLogResponse::LedgerAcquired(entries()),
+        TurnLogResponse::StaleEpoch(ballot()),
+        TurnLogResponse::MissingParent(text("lacking")),
+        TurnLogResponse::Contains(vec![true, false]),
     ]
 }
 
-pub fn told_name(told: &Told) -> &'static str {
+pub fn told_name(told: &TurnLogResponse) -> &'static str {
     match told {
-        Told::Ok => "Ok",
-        Told::Away => "Away",
-        Told::Newer(_) => "Newer",
-        Told::Opened { .. } => "Opened",
-        Told::Spent => "Spent",
-        Told::Unknown => "Unknown",
-        Told::Owner(_) => "Owner",
-        Told::Rows(_) => "Rows",
-        Told::No => "No",
-        Told::Taken(_) => "Taken",
-        Told::Refused(_) => "Refused",
-        Told::Lacks(_) => "Lacks",
-        Told::Have(_) => "Have",
+        TurnLogResponse::Ok => "Ok",
+        TurnLogResponse::Unavailable => "Away",
+        TurnLogResponse::NewerLayout(_) => "Newer",
+        TurnLogResponse::Opened { .. } => "Opened",
+        TurnLogResponse::BudgetSpent => "Spent",
+        TurnLogResponse::UnknownTurn => "Unknown",
+        TurnLogResponse::Owner(_) => "Owner",
+        TurnLogResponse::History(_) => "Rows",
+        TurnLogResponse::NotStored => "No",
+        TurnLogResponse::LedgerAcquired(_) => "Taken",
+        TurnLogResponse::StaleEpoch(_) => "Refused",
+        TurnLogResponse::MissingParent(_) => "Lacks",
+        TurnLogResponse::Contains(_) => "Have",
     }
 }
 
-pub fn ledger_entries() -> Vec<Entry> {
-    vec![Entry::Open(411), Entry::Done(412)]
+pub fn ledger_entries() -> Vec<LedgerEntry> {
+    vec![LedgerEntry::Open(411), LedgerEntry::Done(412)]
 }
 
-pub fn entry_name(entry: &Entry) -> &'static str {
+pub fn entry_name(entry: &LedgerEntry) -> &'static str {
     match entry {
-        Entry::Open(_) => "Open",
-        Entry::Done(_) => "Done",
+        LedgerEntry::Open(_) => "Open",
+        LedgerEntry::Done(_) => "Done",
     }
 }
 
--- a/yewcross-plan/src/capacity/measure.rs
+++ b/yewcross-plan/src/capacity/measure.rs
@@ -4,11 +4,11 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use yewcross::ask::{Ask, Tell};
-use yewcross::consts::{SEC, WIRE_VERSION};
-use yewcross::real::Real;
-use yewcross::wire::{Listener, Parcel, Peers};
-use yewcross::world::{Fut, World};
+use yewcross::constants::{SEC, WIRE_VERSION};
+use yewcross::protocol::{PeerRequest, PeerResponse};
+use yewcross::runtime::os::OsRuntime;
+use yewcross::runtime::{BoxFuture, Runtime};
+use yewcross::transport::{Envelope, PeerClient, RequestHandler};
 
 /// us of processor this process has used.
 fn used() -> f64 {
@@ -25,22 +25,22 @@
 
 struct Echo;
 
-impl Listener for Echo {
-    fn hear(self: Arc<Self>, p: Parcel) -> Fut<'static, (Vec<u8>, Vec<u8>)> {
+impl RequestHandler for Echo {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
-            let _ = p.read::<Ask>();
-            (serde_json::to_vec(&Tell::Second { heard: true }).unwrap_or_default(), vec![])
+            let _ = p.decode::<PeerRequest>();
+            (serde_json::to_vec(&PeerResponse::ProbeOnBehalf { reachable: true }).unwrap_or_default(), vec![])
         })
     }
 }
 
-async fn ends(w: &World, n: usize) -> Vec<SocketAddr> {
+async fn ends(w: &Runtime, n: usize) -> Vec<SocketAddr> {
     let mut v = vec![];
     for i in 0..n {
         let at = SocketAddr::from(([127, 0, 0, 1], 21_000 + i as u16));
         if let Ok(d) = w.bind(at).await {
-            let p = Peers::new(w, &format!("end-{i}"), "zone", WIRE_VERSION);
-            w.go(p.serve(d, Arc::new(Echo)));
+            let p = PeerClient::new(w, &format!("end-{i}"), "zone", WIRE_VERSION);
+            w.spawn(p.serve(d, Arc::new(Echo)));
             v.push(at);
         }
     }
@@ -49,19 +49,19 @@
 
 /// Measures `Costs` on this machine, over loopback and with one thread.
 pub fn measure() -> Costs {
-    let w = Real::world(".", 1);
+    let w = OsRuntime::world(".", 1);
     smol::block_on(async {
         let to = ends(&w, 200).await;
-        let me = Peers::new(&w, "probe", "zone", WIRE_VERSION);
-        let a = Ask::Second { to: SocketAddr::from(([127, 0, 0, 1], 1)) };
+        let me = PeerClient::new(&w, "probe", "zone", WIRE_VERSION);
+        let a = PeerRequest::ProbeOnBehalf { target: SocketAddr::from(([127, 0, 0, 1], 1)) };
         let before = resident();
         for t in &to {
-            let _ = me.ask(*t, &a, &[], SEC).await;
+            let _ = me.request(*t, &a, &[], SEC).await;
         }
         let links = (resident() - before) / to.len().max(1) as f64 / 2.0;
         let (k, t0) = (20_000, used());
         for i in 0..k {
-            let _ = me.ask(to[i % to.len().max(1)], &a, &[], SEC).await;
+            let _ = me.request(to[i % to.len().max(1)], &a, &[], SEC).await;
         }
         // A question and its answer, at both ends: four messages handled.
         let message = (used() - t0) / k as f64 / 4.0;
@@ -70,7 +70,7 @@
         let mut sum = 0u64;
         for _ in 0..k {
             let s: String = names.iter().map(|n| format!("{n}{:?}", (459_776_000_000_000u64, 0u32, "Alive"))).collect();
-            sum ^= yewcross::hash::weigh(&s, "");
+            sum ^= yewcross::hash::rendezvous_weight(&s, "");
         }
         let digest = (used() - t0) / k as f64 / 410.0 + (sum & 1) as f64 * 1e-12;
         let route = json!({"name": "r-b9wu3fe", "host": "tenant-01234.example", "prefix": "/pufi791/", "mode": "stream",
@@ -85,7 +85,7 @@
         let t = serde_json::to_vec(&json!({"routing": {"routes": routes, "upstreams": [{"name": "model-07"}]}})).unwrap_or_default();
         let (k, t0) = (40, used());
         for _ in 0..k {
-            let _ = yewcross::tree::Tree::read(&t);
+            let _ = yewcross::configuration::Configuration::read(&t);
         }
         let parse = (used() - t0) / k as f64 / (t.len() as f64 / 1000.0);
         Costs { message_us: message, digest_us_node: digest, parse_us_kb: parse, link_kb: links.max(0.0) }
--- a/yewcross-plan/src/capacity/messages.rs
+++ b/yewcross-plan/src/capacity/messages.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use yewcross::ask::{Listed, Report};
-use yewcross::consts::WIRE_VERSION;
-use yewcross::member::Node;
-use yewcross::route::Route;
-use yewcross::wire::pack;
+use yewcross::configuration::route::Route;
+use yewcross::constants::WIRE_VERSION;
+use yewcross::membership::Node;
+use yewcross::protocol::{ListedServer, LoadReport};
+use yewcross::transport::pack;
 
 /// bytes. Ethernet, IP and TCP heads of a frame that fits one packet.
 pub(super) const PACKET: f64 = 66.0;
@@ -58,10 +58,10 @@
                 + frame(true, &json!({"Newer": {"newest": have, "sure": true}}), 0),
             node: made::<Node>(json!({"name": "front-0123", "born": 459_776_000_000_000u64, "inc": 0, "state": "Alive", "role": "front",
                 "site": "region-zone-a", "peer": "10.128.10.123:7380", "http": "10.128.10.123:8149", "disk": "", "wire": 2})),
-            report: made::<Report>(json!({"service": "model-07", "server": "i-7f3a91c2", "inst": 28_736_000_000_000u64, "seq": 1_000_000,
+            report: made::<LoadReport>(json!({"service": "model-07", "server": "i-7f3a91c2", "inst": 28_736_000_000_000u64, "seq": 1_000_000,
                 "slots": 96, "running": 61, "waiting": 3, "weights": "w-2028-11-02", "placed": 1u64 << 40, "cache": 257_309,
                 "per_k": 30_864, "per_out": 6_120})),
-            listed: made::<Listed>(json!({"server": "i-7f3a91c2", "service": "model-07", "addr": "10.128.10.9:8080",
+            listed: made::<ListedServer>(json!({"server": "i-7f3a91c2", "service": "model-07", "addr": "10.128.10.9:8080",
                 "site": "region-zone-a"})),
             route: made::<Route>(json!({"name": "r-b9wu3fe", "host": "tenant-01234.example", "prefix": "/pufi791/", "mode": "stream",
                 "variants": [["model-07", 100]], "timeout_ms": 6000, "target_ms": 600, "max_tries": 2, "rank": 1, "retained": true,
--- a/yewcross-plan/src/lib.rs
+++ b/yewcross-plan/src/lib.rs
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::net::SocketAddr;
-use yewcross::ask::{ConfigDoc, HeldKey, Kv, Layout, List};
-use yewcross::consts::*;
-use yewcross::http::fetch;
-use yewcross::member::Node;
+use yewcross::buffered_http::fetch;
+use yewcross::configuration::{Configuration, InvalidSetting, ProgramClass};
+use yewcross::constants::*;
+use yewcross::membership::Node;
+use yewcross::process_settings::Role;
+use yewcross::protocol::{CheckpointKey, ConfigDoc, Layout, ServerList, SessionCacheState};
 use yewcross::register::ReplicaSet;
-use yewcross::startup::Role;
-use yewcross::tree::{Bad, Family, Tree};
-use yewcross::world::World;
+use yewcross::runtime::Runtime;
 use yewcross_control::layout::{Move, propose};
 use yewcross_front::judge::{self, Home, Weights};
 use yewcross_front::server_table::{Server, home_of};
@@ -39,7 +39,7 @@
     disk: String,
     name: String,
     damaged: u64,
-    held: Vec<HeldKey>,
+    held: Vec<CheckpointKey>,
     nodes: Vec<Node>,
     versions: Vec<(String, u64)>,
     config: String,
@@ -60,7 +60,7 @@
     /// Which disks hold which seats.
     pub layout: Layout,
     /// The platform's list of servers.
-    pub list: List,
+    pub list: ServerList,
     /// The members.
     pub nodes: Vec<Node>,
     /// Servers by service, as a front sees them.
@@ -68,12 +68,12 @@
     /// Duties, and who holds each.
     pub duties: Vec<(String, Option<String>)>,
     /// Keys by the disk that holds them.
-    pub held: BTreeMap<String, Vec<HeldKey>>,
+    pub held: BTreeMap<String, Vec<CheckpointKey>>,
     /// Machines that did not answer.
     pub silent: Vec<String>,
 }
 
-async fn get<T: for<'a> Deserialize<'a>>(w: &World, at: SocketAddr, path: &str) -> Result<T, Fault> {
+async fn get<T: for<'a> Deserialize<'a>>(w: &Runtime, at: SocketAddr, path: &str) -> Result<T, Fault> {
     let r = fetch(w, at, http_types::Method::Get, path, &[], vec![], 5 * SEC).await;
     let (s, _, b) = r.map_err(|e| Fault::Live { at, why: e.to_string() })?;
     let bad = |why: String| Fault::Live { at, why };
@@ -84,7 +84,7 @@
 }
 
 /// Asks a core, and through it every machine that it knows.
-pub async fn take(w: &World, core: SocketAddr) -> Result<Checkpoint, Fault> {
+pub async fn take(w: &Runtime, core: SocketAddr) -> Result<Checkpoint, Fault> {
     let first: Part = get(w, core, "/v1/checkpoint").await?;
     let seq = |d: &str| first.versions.iter().find(|v| v.0 == d).map(|v| v.1).unwrap_or(0);
     let bad = |e: serde_json::Error| Fault::Live { at: core, why: e.to_string() };
@@ -177,7 +177,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Plan {
     /// Why the change would be refused; then nothing else is filled.
-    pub refused: Vec<Bad>,
+    pub refused: Vec<InvalidSetting>,
     /// Settings that change.
     pub settings: Vec<Setting>,
     /// Programs whose turns would be refused.
@@ -206,8 +206,8 @@
     pub silent: Vec<String>,
 }
 
-fn sessions(c: &Checkpoint) -> BTreeMap<String, Kv> {
-    let mut top: BTreeMap<String, (u64, Kv)> = BTreeMap::new();
+fn sessions(c: &Checkpoint) -> BTreeMap<String, SessionCacheState> {
+    let mut top: BTreeMap<String, (u64, SessionCacheState)> = BTreeMap::new();
     c.held.values().flatten().for_each(|h| {
         if let Some(kv) = &h.kv {
             let e = top.entry(h.key.clone()).or_default();
@@ -219,7 +219,7 @@
     top.into_iter().map(|(k, v)| (k, v.1)).collect()
 }
 
-fn spill(fam: &Family, servers: &[Server], key: &str, kv: &Kv) -> Option<String> {
+fn spill(fam: &ProgramClass, servers: &[Server], key: &str, kv: &SessionCacheState) -> Option<String> {
     let home = kv.home.as_ref()?;
     let at = servers.iter().find(|s| s.at.server == home.server)?;
     let h = Home { server: home.server.clone(), site: at.at.site.clone() };
@@ -227,13 +227,18 @@
         .then(|| judge::spill(servers, key, &h, &Weights::from(fam)).map(|s| s.at.server.clone()))?
 }
 
-fn allowed(t: &Tree, servers: &BTreeMap<String, Vec<Server>>, svc: &str) -> Vec<Server> {
+fn allowed(t: &Configuration, servers: &BTreeMap<String, Vec<Server>>, svc: &str) -> Vec<Server> {
     let s = t.services.get(svc);
     servers.get(svc).into_iter().flatten().filter(|x| s.is_some_and(|s| s.allows(&x.at.server))).cloned().collect()
 }
 
 /// What each session would meet under another tree or another set of servers.
-fn turns(c: &Checkpoint, p: &mut Plan, was: (&Tree, &BTreeMap<String, Vec<Server>>), is: (&Tree, &BTreeMap<String, Vec<Server>>)) {
+fn turns(
+    c: &Checkpoint,
+    p: &mut Plan,
+    was: (&Configuration, &BTreeMap<String, Vec<Server>>),
+    is: (&Configuration, &BTreeMap<String, Vec<Server>>),
+) {
     for (key, kv) in sessions(c) {
         let Some(f0) = key.split('/').nth(1).and_then(|n| was.0.families.get(n)) else { continue };
         let f1 = key.split('/').nth(1).and_then(|n| is.0.families.get(n));
@@ -242,7 +247,7 @@
         let Some(home) = kv.home.clone() else { continue };
         let (had, has) = (v0.iter().any(|s| s.at.server == home.server), v1.iter().any(|s| s.at.server == home.server));
         if had && !has {
-            let warm = kv.replica.as_ref().filter(|r| v1.iter().any(|s| s.at.server == r.server && s.report.inst == r.inst));
+            let warm = kv.replica.as_ref().filter(|r| v1.iter().any(|s| s.at.server == r.server && s.report.instance == r.instance));
             p.homes.push(Moved {
                 what: key.clone(),
                 was: home.server.clone(),
@@ -260,7 +265,7 @@
     }
 }
 
-fn changed(p: &mut Plan, a: &Tree, b: &Tree) {
+fn changed(p: &mut Plan, a: &Configuration, b: &Configuration) {
     for (n, f1) in &b.families {
         let Some(f0) = a.families.get(n) else {
             p.families_new.push(n.clone());
@@ -278,7 +283,7 @@
 fn disks(c: &Checkpoint, p: &mut Plan, m: &Move) {
     let of = |d: &str| c.nodes.iter().find(|n| n.disk == d || n.name == d).cloned();
     let next = match propose(&c.layout, c.layout_seq, m, of) {
-        Err(why) => return p.refused.push(Bad { path: "layout".into(), why }),
+        Err(why) => return p.refused.push(InvalidSetting { path: "layout".into(), why }),
         Ok(None) => return,
         Ok(Some(n)) => n,
     };
@@ -289,8 +294,8 @@
         *e = (*e).max((h.seq, h.bytes));
     });
     for (key, (_, bytes)) in top {
-        let a = ReplicaSet::of(key, &c.layout, 0, |_| None).now;
-        let b = ReplicaSet::of(key, &next, 0, |_| None).now;
+        let a = ReplicaSet::of(key, &c.layout, 0, |_| None).current;
+        let b = ReplicaSet::of(key, &next, 0, |_| None).current;
         let owner = |v: &[yewcross::register::Seat]| v.first().map(|s| s.disk.clone()).unwrap_or_default();
         p.owners += (owner(&a) != owner(&b)) as u64;
         b.iter().filter(|s| !a.contains(s)).for_each(|s| {
@@ -299,8 +304,8 @@
             p.copies.push(Copying { key: key.into(), to: s.disk.clone(), bytes, across });
         });
     }
-    let gone: BTreeSet<&String> = c.layout.core.now.iter().filter(|d| !next.core.now.contains(d)).collect();
-    let cores: Vec<&Node> = c.nodes.iter().filter(|n| n.role == Role::Core && next.core.now.contains(&n.disk)).collect();
+    let gone: BTreeSet<&String> = c.layout.core.current.iter().filter(|d| !next.core.current.contains(d)).collect();
+    let cores: Vec<&Node> = c.nodes.iter().filter(|n| n.role == Role::Core && next.core.current.contains(&n.disk)).collect();
     let lost: BTreeSet<&str> = c.nodes.iter().filter(|n| gone.contains(&n.disk)).map(|n| n.name.as_str()).collect();
     duties(c, p, &lost, &cores);
 }
@@ -315,10 +320,10 @@
     });
 }
 
-fn without(c: &Checkpoint, p: &mut Plan, t: &Tree, gone: &str) {
+fn without(c: &Checkpoint, p: &mut Plan, t: &Configuration, gone: &str) {
     let known = c.nodes.iter().any(|n| n.name == gone) || c.servers.values().flatten().any(|s| s.at.server == gone);
     if !known {
-        return p.refused.push(Bad { path: gone.into(), why: "no machine or server of this name".into() });
+        return p.refused.push(InvalidSetting { path: gone.into(), why: "no machine or server of this name".into() });
     }
     let left: BTreeMap<String, Vec<Server>> =
         c.servers.iter().map(|(k, v)| (k.clone(), v.iter().filter(|s| s.at.server != gone).cloned().collect())).collect();
@@ -339,15 +344,16 @@
     duties(c, p, &[gone].into(), &cores);
     let disk = c.nodes.iter().find(|n| n.name == gone).map(|n| n.disk.clone()).unwrap_or_default();
     let keys: BTreeSet<&str> = c.held.values().flatten().map(|h| h.key.as_str()).collect();
-    p.owners = keys.iter().filter(|k| ReplicaSet::of(k, &c.layout, 0, |_| None).now.first().is_some_and(|s| s.disk == disk)).count() as u64;
+    p.owners =
+        keys.iter().filter(|k| ReplicaSet::of(k, &c.layout, 0, |_| None).current.first().is_some_and(|s| s.disk == disk)).count() as u64;
 }
 
 /// What the change would move. Nothing is changed.
 pub fn plan(c: &Checkpoint, ch: &Change) -> Plan {
     let mut p = Plan { silent: c.silent.clone(), ..Default::default() };
-    let now = Tree::read(c.config.as_bytes()).unwrap_or_default();
+    let now = Configuration::read(c.config.as_bytes()).unwrap_or_default();
     match ch {
-        Change::Config(text) => match Tree::read(text.as_bytes()) {
+        Change::Config(text) => match Configuration::read(text.as_bytes()) {
             Err(bad) => p.refused = bad,
             Ok(next) => {
                 let ls: Vec<_> = [&now, &next].into_iter().map(|t| t.fronts.clone()).filter(|l| !l.is_empty()).collect();
--- a/yewcross-plan/src/main.rs
+++ b/yewcross-plan/src/main.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddr;
-use yewcross::real::Real;
-use yewcross::startup::exit;
+use yewcross::process_settings::exit;
+use yewcross::runtime::os::OsRuntime;
 use yewcross_control::layout::Move;
 use yewcross_plan::{Change, Checkpoint, Fault, capacity, load, plan, take};
 
@@ -48,7 +48,7 @@
 fn state(a: &Moves) -> Result<Checkpoint, Fault> {
     match (&a.checkpoint, a.core) {
         (Some(f), None) => load(f),
-        (None, Some(at)) => smol::block_on(take(&Real::world(".", 1), at)),
+        (None, Some(at)) => smol::block_on(take(&OsRuntime::world(".", 1), at)),
         _ => fail(exit::USAGE, "name one of --core and --checkpoint"),
     }
 }
--- a/yewcross-plan/tests/capacity.rs
+++ b/yewcross-plan/tests/capacity.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::consts::SEC;
-use yewcross::startup::{Role, Startup};
+use yewcross::constants::SEC;
+use yewcross::process_settings::{ProcessSettings, Role};
 use yewcross_lab::proof::{Lab, Proc};
 use yewcross_plan::capacity::{Cost, GIVEN, Held, Inputs, MECHANISMS, Messages, Stand, passes, sum, table, text};
 
@@ -81,11 +81,11 @@
 fn at_rest(seed: u64, more: usize) -> Rest {
     const SECS: u64 = 10;
     let lab = Lab::of(seed, "kowhai", |sh| {
-        let like: Startup = sh.of(Role::Front)[0].clone();
+        let like: ProcessSettings = sh.of(Role::Front)[0].clone();
         (0..more).for_each(|i| {
             let at = |p: u16| std::net::SocketAddr::from(([10, 7, (i / 200) as u8, (i % 200) as u8 + 1], p));
             let site = sh.sites[i % sh.sites.len()].clone();
-            sh.nodes.push(Startup { name: format!("front{}", 100 + i), site, peer: at(1000), http: at(1001), ..like.clone() });
+            sh.nodes.push(ProcessSettings { name: format!("front{}", 100 + i), site, peer: at(1000), http: at(1001), ..like.clone() });
         });
     });
     lab.boot("platform");
@@ -103,7 +103,7 @@
                 Proc::Control(x) => &x.peers,
                 Proc::Back(_) => return,
             };
-            peers.tally.kinds.lock().unwrap().iter().for_each(|(k, v)| {
+            peers.metrics.kinds.lock().unwrap().iter().for_each(|(k, v)| {
                 let e = c.0.entry(k).or_default();
                 *e = (e.0 + v.0, e.1 + v.1 + v.2);
             });
@@ -112,7 +112,7 @@
     };
     let out: Arc<Mutex<Option<(Counts, Counts)>>> = Default::default();
     let (me, o) = (lab.clone(), out.clone());
-    lab.op.go(async move {
+    lab.op.spawn(async move {
         me.op.sleep(3 * SEC).await;
         me.found().await;
         me.put("core1", 1, "first").await;
--- a/yewcross-plan/tests/exact.rs
+++ b/yewcross-plan/tests/exact.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use yewcross::consts::*;
-use yewcross::startup::Role;
+use yewcross::constants::*;
+use yewcross::process_settings::Role;
 use yewcross_control::layout::Move;
 use yewcross_lab::caller::{self, Ask, Heard};
 use yewcross_lab::proof::Lab;
@@ -70,8 +70,11 @@
                         .flat_map(|(d, v)| v.iter().map(|h| (h.key.clone(), d.clone(), h.bytes)))
                         .collect()
                 };
-                let new: BTreeSet<_> =
-                    pairs(&after).difference(&pairs(&before)).filter(|x| !yewcross::book::DOCS.contains(&x.0.as_str())).cloned().collect();
+                let new: BTreeSet<_> = pairs(&after)
+                    .difference(&pairs(&before))
+                    .filter(|x| !yewcross::documents::cache::DOCS.contains(&x.0.as_str()))
+                    .cloned()
+                    .collect();
                 let said: BTreeSet<_> = p.copies.iter().map(|c| (c.key.clone(), c.to.clone(), c.bytes)).collect();
                 assert_eq!(new, said);
                 println!("planned and made: {} copies, {} bytes within sites, {} across", said.len(), p.bytes_within, p.bytes_across);
--- a/yewcross/src/port.rs
+++ b/yewcross/src/adapter.rs
@@ -1,9 +1,9 @@
 //! The ports through which another platform's clients, servers, operators and lists are spoken to. The product's own
 //! JSON interface is one set; an adapter is another. A port translates; it decides nothing and keeps nothing.
 
-use crate::ask::Listed;
-use crate::code::Code;
-use crate::tree::{Bad, Tree};
+use crate::configuration::{Configuration, InvalidSetting};
+use crate::error_code::Code;
+use crate::protocol::ListedServer;
 use bytes::Bytes;
 use http::{HeaderMap, Response};
 
@@ -57,34 +57,34 @@
     pub weights: String,
 }
 
-pub trait BackEnd: Send + Sync {
+pub trait UpstreamProtocol: Send + Sync {
     /// Adds what only the tier knows: whom it is meant for, what is left of its deadline, how urgent it is (0 first).
-    fn dress(&self, h: &mut HeaderMap, to: &Listed, left_ms: u64, urgency: Option<u8>);
+    fn dress(&self, h: &mut HeaderMap, to: &ListedServer, left_ms: u64, urgency: Option<u8>);
     /// Asks that a stream go on behind the event of this id.
     fn resume_after(&self, h: &mut HeaderMap, event_id: &[u8]);
     fn answer(&self, status: u16, h: &HeaderMap) -> AnswerMeta;
 }
 
 /// The platform's list of servers, page by page.
-pub trait Catalogue: Send + Sync {
+pub trait ServerCatalogue: Send + Sync {
     fn target(&self, page: Option<&str>) -> String;
     /// Servers on this page, and the next page.
-    fn read(&self, body: &[u8]) -> Result<(Vec<Listed>, Option<String>), String>;
+    fn read(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String>;
 }
 
 /// How an operator's text becomes a configuration.
-pub trait Dialect: Send + Sync {
-    fn read(&self, text: &[u8]) -> Result<Tree, Vec<Bad>>;
+pub trait ConfigurationFormat: Send + Sync {
+    fn read(&self, text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>>;
     /// The number that the operator gave the version; none where the tier numbers them itself.
     fn number(&self, text: &[u8]) -> Option<u64>;
 }
 
 /// The product's own: JSON, numbered by the tier.
-pub struct Native;
+pub struct NativeFormat;
 
-impl Dialect for Native {
-    fn read(&self, text: &[u8]) -> Result<Tree, Vec<Bad>> {
-        Tree::read(text)
+impl ConfigurationFormat for NativeFormat {
+    fn read(&self, text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
+        Configuration::read(text)
     }
     fn number(&self, _: &[u8]) -> Option<u64> {
         None
--- a/yewcross/src/http.rs
+++ b/yewcross/src/buffered_http.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 by async-h1, over the world's connections, with every wait and size bounded.
 
-use crate::code::Code;
-use crate::consts::*;
-use crate::event::{Change, Latch};
-use crate::world::*;
+use crate::constants::*;
+use crate::error_code::Code;
+use crate::notify::{Latch, Notifier};
+use crate::runtime::*;
 use futures_lite::io::BufReader;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, Stream};
 use http_types::{Body, Method, Request, Response, StatusCode, Url};
@@ -18,7 +18,7 @@
 
 /// A job that was read whole.
 #[derive(Debug)]
-pub struct Job {
+pub struct BufferedRequest {
     pub verb: Method,
     pub path: String,
     pub query: Option<String>,
@@ -27,29 +27,29 @@
     pub body: Vec<u8>,
 }
 
-pub type Handler = Arc<dyn Fn(Job) -> Fut<'static, Response> + Send + Sync>;
+pub type Handler = Arc<dyn Fn(BufferedRequest) -> BoxFuture<'static, Response> + Send + Sync>;
 
 /// Counts what is open so that a planned stop can wait for it.
 #[derive(Default)]
-pub struct Gate {
+pub struct ConnectionTracker {
     pub open: AtomicUsize,
     pub busy: AtomicUsize,
     pub closing: Latch,
-    fell: Change,
+    fell: Notifier,
 }
 
-impl Gate {
+impl ConnectionTracker {
     /// Returns once no connection is open.
     pub async fn emptied(&self) {
-        self.fell.until(|| self.open.load(SeqCst) == 0).await
+        self.fell.wait_until(|| self.open.load(SeqCst) == 0).await
     }
     /// Returns once no request is under way.
     pub async fn idle(&self) {
-        self.fell.until(|| self.busy.load(SeqCst) == 0).await
+        self.fell.wait_until(|| self.busy.load(SeqCst) == 0).await
     }
     fn drop_one(&self, n: &AtomicUsize) {
         n.fetch_sub(1, SeqCst);
-        self.fell.tell();
+        self.fell.notify();
     }
 }
 
@@ -107,20 +107,20 @@
     r
 }
 
-async fn send(c: &mut Conn, r: Response, verb: Method) -> io::Result<()> {
+async fn send(c: &mut Connection, r: Response, verb: Method) -> io::Result<()> {
     let mut e = async_h1::server::Encoder::new(r, verb);
     futures_lite::io::copy(&mut e, c).await.map(|_| ())
 }
 
-async fn refuse_and_close(w: &World, mut c: Conn, k: Code) {
+async fn refuse_and_close(w: &Runtime, mut c: Connection, k: Code) {
     let mut r = refuse(k, "", k.back());
     r.insert_header("connection", "close");
-    w.within(SEC, send(&mut c, r, Method::Post)).await;
+    w.timeout(SEC, send(&mut c, r, Method::Post)).await;
     let _ = c.close().await;
 }
 
-async fn one(w: &World, c: &mut Conn, h: &Handler, g: &Gate, first: bool) -> Option<bool> {
-    c.allow(2 * HEAD_MAX);
+async fn one(w: &Runtime, c: &mut Connection, h: &Handler, g: &ConnectionTracker, first: bool) -> Option<bool> {
+    c.limit_reads(2 * HEAD_MAX);
     let wait = if first { HEAD_WAIT } else { IDLE_WAIT };
     let gone = async {
         if first {
@@ -129,7 +129,7 @@
         g.closing.wait().await;
         w.sleep(100 * MS).await;
     };
-    let head = futures_lite::future::or(w.within(wait, async_h1::server::decode(c.clone())), async {
+    let head = futures_lite::future::or(w.timeout(wait, async_h1::server::decode(c.clone())), async {
         gone.await;
         Some(Ok(None))
     })
@@ -137,7 +137,7 @@
     let (mut q, mut rest) = match head {
         Some(Ok(Some(x))) => x,
         Some(Ok(None)) => return None,
-        Some(Err(_)) if c.spent() => {
+        Some(Err(_)) if c.read_limit_reached() => {
             refuse_and_close(w, c.clone(), Code::TooLarge).await;
             return None;
         }
@@ -152,7 +152,7 @@
         }
         None => return None,
     };
-    c.allow(u64::MAX);
+    c.limit_reads(u64::MAX);
     let verb = q.method();
     let mut body = Vec::new();
     let told = q.len();
@@ -161,7 +161,7 @@
         return None;
     }
     let b = q.take_body();
-    let got = w.within(BODY_WAIT, b.take(BODY_MAX as u64 + 1).read_to_end(&mut body)).await;
+    let got = w.timeout(BODY_WAIT, b.take(BODY_MAX as u64 + 1).read_to_end(&mut body)).await;
     let bad = match got {
         None => Some(Code::TooSlow),
         Some(Err(_)) => Some(Code::BadBody),
@@ -176,7 +176,7 @@
     g.busy.fetch_add(1, SeqCst);
     let close = q.header("connection").is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
     let text = |n: &str| q.header(n).map(|v| v.as_str().trim_matches('"').to_string());
-    let job = Job {
+    let job = BufferedRequest {
         verb,
         path: q.url().path().to_string(),
         query: q.url().query().map(|s| s.to_string()),
@@ -190,14 +190,14 @@
         r.insert_header("connection", "close");
     }
     let until = r.ext().get::<Until>().map_or(w.now() + ANSWER_WAIT, |u| u.0);
-    let sent = w.within(until.saturating_sub(w.now()), send(c, r, verb)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
+    let sent = w.timeout(until.saturating_sub(w.now()), send(c, r, verb)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
     g.drop_one(&g.busy);
     let mut sink = Vec::new();
-    let _ = w.within(SEC, rest.read_to_end(&mut sink)).await;
+    let _ = w.timeout(SEC, rest.read_to_end(&mut sink)).await;
     sent.ok().map(|_| last)
 }
 
-async fn attend(w: World, mut c: Conn, h: Handler, g: Arc<Gate>) {
+async fn attend(w: Runtime, mut c: Connection, h: Handler, g: Arc<ConnectionTracker>) {
     let mut first = true;
     while let Some(false) = one(&w, &mut c, &h, &g, first).await {
         first = false;
@@ -207,7 +207,7 @@
 }
 
 /// Serves until the gate closes; then empties the accept backlog and returns when all is answered.
-pub async fn serve(w: World, door: Box<dyn Door>, h: Handler, g: Arc<Gate>) {
+pub async fn serve(w: Runtime, door: Box<dyn Listener>, h: Handler, g: Arc<ConnectionTracker>) {
     loop {
         let late = async {
             g.closing.wait().await;
@@ -222,18 +222,18 @@
         if g.open.fetch_add(1, SeqCst) >= CALLERS_MAX {
             g.drop_one(&g.open);
             let w2 = w.clone();
-            w.go(async move { refuse_and_close(&w2, c, Code::TooMany).await });
+            w.spawn(async move { refuse_and_close(&w2, c, Code::TooMany).await });
             continue;
         }
         let (w2, h, g) = (w.clone(), h.clone(), g.clone());
-        w.go(attend(w2, c, h, g));
+        w.spawn(attend(w2, c, h, g));
     }
     drop(door);
     g.emptied().await;
 }
 
 /// One exchange on a connection that stays usable if the body is read to its end.
-pub async fn exchange(c: &Conn, verb: Method, path: &str, heads: &[(&str, String)], body: Vec<u8>) -> io::Result<Response> {
+pub async fn exchange(c: &Connection, verb: Method, path: &str, heads: &[(&str, String)], body: Vec<u8>) -> io::Result<Response> {
     let bad = |e: String| io::Error::new(io::ErrorKind::InvalidData, e);
     let url = Url::parse(&format!("http://{}{}", c.peer, path)).map_err(|e| bad(e.to_string()))?;
     let mut q = Request::new(verb, url);
@@ -241,7 +241,7 @@
         q.insert_header(*k, v.as_str());
     });
     q.set_body(Body::from_bytes(body));
-    c.allow(u64::MAX);
+    c.limit_reads(u64::MAX);
     async_h1::connect(c.clone(), q).await.map_err(|e| bad(e.to_string()))
 }
 
@@ -257,7 +257,7 @@
 
 /// Dial, ask, read all, all within `us`.
 pub async fn fetch(
-    w: &World,
+    w: &Runtime,
     to: SocketAddr,
     verb: Method,
     path: &str,
@@ -265,7 +265,7 @@
     send: Vec<u8>,
     us: u64,
 ) -> io::Result<(u16, Response, Vec<u8>)> {
-    w.within(us, async {
+    w.timeout(us, async {
         let mut c = w.connect(to).await?;
         let mut r = exchange(&c, verb, path, heads, send).await?;
         let b = body(&mut r, FRAME_MAX).await?;
--- a/yewcross/src/tree.rs
+++ b/yewcross/src/configuration/mod.rs
@@ -1,12 +1,14 @@
 //! The operators' one tree of settings: families that inherit, services, budgets.
 
-use crate::consts::*;
-use crate::route::Routes;
+pub mod route;
+
+use crate::configuration::route::Routes;
+use crate::constants::*;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-pub struct Def {
+pub struct SettingDefinition {
     pub key: &'static str,
     pub kind: &'static str,
     pub range: &'static str,
@@ -22,7 +24,7 @@
             fn default() -> Self { $name { $($f: $d,)* } }
         }
         impl $name {
-            pub const DEFS: &'static [Def] = &[$(Def { key: stringify!($f), kind: stringify!($t), range: $range, doc: $doc },)*];
+            pub const DEFS: &'static [SettingDefinition] = &[$(SettingDefinition { key: stringify!($f), kind: stringify!($t), range: $range, doc: $doc },)*];
             pub fn set(&mut self, key: &str, v: &Value) -> Result<(), String> {
                 match key {
                     $(stringify!($f) => {
@@ -81,7 +83,7 @@
     }
 }
 
-settings!(Family {
+settings!(ProgramClass {
     service: String = "llm".into(), |s| !s.is_empty(), "name of a service", "model service that takes the turns";
     budget: String = String::new(), |_| true, "name of a budget, or empty", "budget that all sessions of the program share";
     horizon_ms: u64 = 6000, |n| (HORIZON_MIN..=HORIZON_MAX).contains(n), "10 to 600000", "longest horizon a turn may ask for";
@@ -148,16 +150,16 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Placed {
+pub struct ResolvedProgramClass {
     pub path: String,
-    pub eff: Family,
+    pub eff: ProgramClass,
     /// For each setting, the family it comes from; "default" where none sets it.
     pub from: BTreeMap<String, String>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Tree {
-    pub families: BTreeMap<String, Placed>,
+pub struct Configuration {
+    pub families: BTreeMap<String, ResolvedProgramClass>,
     pub services: BTreeMap<String, Service>,
     pub budgets: BTreeMap<String, Budget>,
     pub fronts: Vec<String>,
@@ -166,26 +168,26 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Bad {
+pub struct InvalidSetting {
     pub path: String,
     pub why: String,
 }
 
-fn bad(path: impl Into<String>, why: impl Into<String>) -> Bad {
-    Bad { path: path.into(), why: why.into() }
+fn bad(path: impl Into<String>, why: impl Into<String>) -> InvalidSetting {
+    InvalidSetting { path: path.into(), why: why.into() }
 }
 
 fn good_name(s: &str) -> bool {
     !s.is_empty() && s.len() <= 64 && s.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.')
 }
 
-impl Tree {
+impl Configuration {
     /// Reads and checks a whole configuration; every fault found is told.
-    pub fn read(text: &[u8]) -> Result<Tree, Vec<Bad>> {
+    pub fn read(text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
         let raw: Raw = serde_json::from_slice(text).map_err(|e| vec![bad("", e.to_string())])?;
-        let mut t = Tree { fronts: raw.fronts.clone(), routing: raw.routing.clone(), ..Default::default() };
+        let mut t = Configuration { fronts: raw.fronts.clone(), routing: raw.routing.clone(), ..Default::default() };
         let mut ill = vec![];
-        let base = (Family::default(), Family::DEFS.iter().map(|d| (d.key.to_string(), "default".to_string())).collect());
+        let base = (ProgramClass::default(), ProgramClass::DEFS.iter().map(|d| (d.key.to_string(), "default".to_string())).collect());
         raw.families.iter().for_each(|(n, f)| grow(&mut t, &mut ill, "families", n, f, &base));
         raw.services.iter().for_each(|(n, m)| {
             let mut s = Service::default();
@@ -223,7 +225,14 @@
     }
 }
 
-fn grow(t: &mut Tree, ill: &mut Vec<Bad>, at: &str, name: &str, f: &RawFamily, up: &(Family, BTreeMap<String, String>)) {
+fn grow(
+    t: &mut Configuration,
+    ill: &mut Vec<InvalidSetting>,
+    at: &str,
+    name: &str,
+    f: &RawFamily,
+    up: &(ProgramClass, BTreeMap<String, String>),
+) {
     let path = format!("{at}/{name}");
     if !good_name(name) {
         ill.push(bad(&path, "not a name: letters, digits, - _ . up to 64"));
@@ -238,7 +247,7 @@
         }
         Err(e) => ill.push(bad(format!("{path}/set/{k}"), e)),
     });
-    t.families.insert(name.into(), Placed { path: path.clone(), eff: own.0.clone(), from: own.1.clone() });
+    t.families.insert(name.into(), ResolvedProgramClass { path: path.clone(), eff: own.0.clone(), from: own.1.clone() });
     f.under.iter().for_each(|(n, c)| grow(t, ill, &format!("{path}/under"), n, c, &own));
 }
 
@@ -254,7 +263,7 @@
 
     #[test]
     fn children_inherit_and_faults_are_named() {
-        let t = Tree::read(
+        let t = Configuration::read(
             br#"{"families":{"chat":{"set":{"horizon_ms":4000,"max_output":100},
                 "under":{"chargeback":{"set":{"max_output":200}}}}},"services":{"llm":{"allow":["m*"]}}}"#,
         )
@@ -266,7 +275,7 @@
             ("chat", "chargeback", "default")
         );
         assert!(t.services["llm"].allows("m7") && !t.services["llm"].allows("x7"));
-        let e = Tree::read(
+        let e = Configuration::read(
             br#"{"families":{"a":{"set":{"horizon_ms":1,"nope":2},"under":{"b":{"set":{"service":"gone"}}}}},
                 "services":{"llm":{"allow":["m1"]}}}"#,
         )
@@ -274,6 +283,6 @@
         let p: Vec<&str> = e.iter().map(|b| b.path.as_str()).collect();
         assert_eq!(p, ["families/a/set/horizon_ms", "families/a/set/nope", "families/a/under/b/set/service"]);
         assert!(e[0].why.contains("10 to 600000"));
-        assert!(Tree::read(b"{").is_err() && Tree::read(br#"{"famili":{}}"#).is_err());
+        assert!(Configuration::read(b"{").is_err() && Configuration::read(br#"{"famili":{}}"#).is_err());
     }
 }
--- a/yewcross/src/delta.rs
+++ b/yewcross/src/documents/delta.rs
@@ -14,7 +14,7 @@
 }
 
 /// ReplicaSet of runs of old chunks and new bytes between them, closed by a checksum of the whole.
-pub fn diff(old: &[u8], new: &[u8]) -> Vec<u8> {
+pub fn encode(old: &[u8], new: &[u8]) -> Vec<u8> {
     let mut at = BTreeMap::new();
     // Most values grow at their end: what leads both alike is skipped in blocks, then cut at the end of a chunk.
     let alike = old.chunks(256).zip(new.chunks(256)).take_while(|(a, b)| a == b).count() * 256;
@@ -51,7 +51,7 @@
     out
 }
 
-pub fn patch(old: &[u8], d: &[u8]) -> Option<Vec<u8>> {
+pub fn apply(old: &[u8], d: &[u8]) -> Option<Vec<u8>> {
     let (mut d, crc) = d.split_at_checked(d.len().checked_sub(4)?)?;
     let mut out = vec![];
     while !d.is_empty() {
@@ -82,18 +82,18 @@
                 Ok(v)
             };
             let (a, b) = (text(20)?, text(20)?);
-            let d = diff(&a, &b);
-            assert_eq!(patch(&a, &d).as_deref(), Some(&b[..]));
+            let d = encode(&a, &b);
+            assert_eq!(apply(&a, &d).as_deref(), Some(&b[..]));
             let mut bad = d.clone();
             let i = bad.len() - 1;
             bad[i] ^= 1;
-            assert_eq!(patch(&a, &bad), None);
+            assert_eq!(apply(&a, &bad), None);
             Ok(())
         });
         let old: Vec<u8> = (0..500).flat_map(|i| format!("history line number {i}\n").into_bytes()).collect();
         let mut new = old[24..].to_vec();
         new.extend(b"one more\n");
-        assert!(diff(&old, &new).len() < 60);
+        assert!(encode(&old, &new).len() < 60);
     }
 
     #[test]
@@ -103,8 +103,8 @@
             format!("{{\"text\":\"{}\"}}", routes.collect::<Vec<_>>().join(",")).into_bytes()
         };
         let (old, new) = (document(7), document(8));
-        let changes = diff(&old, &new);
+        let changes = encode(&old, &new);
         assert!(changes.len() < 120, "{} of {}", changes.len(), new.len());
-        assert_eq!(patch(&old, &changes), Some(new));
+        assert_eq!(apply(&old, &changes), Some(new));
     }
 }
--- a/yewcross/src/departures.rs
+++ b/yewcross/src/documents/departures.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// us. A mark is kept this long: longer than any list that still shows the server as ready is on its way.
-const KEPT: u64 = 600 * crate::consts::SEC;
+const KEPT: u64 = 600 * crate::constants::SEC;
 /// count. Marks kept at most, the newest: a region's servers replaced at once, several times over.
 const MOST: usize = 8_192;
 
@@ -19,7 +19,7 @@
 
 /// Alike for alike sets of servers; 0 for the empty one.
 pub fn digest<'a>(servers: impl IntoIterator<Item = &'a String>) -> u64 {
-    servers.into_iter().fold(0, |sum, server| sum ^ crate::hash::weigh(server, ""))
+    servers.into_iter().fold(0, |sum, server| sum ^ crate::hash::rendezvous_weight(server, ""))
 }
 
 impl Departures {
--- a/yewcross/src/code.rs
+++ b/yewcross/src/error_code.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum ExecutionStatus {
     Done,
     NotRun,
     MayHaveRun,
@@ -20,7 +20,7 @@
         pub enum Code { $($name = $n),* }
         impl Code {
             pub fn http(self) -> u16 { match self { $(Code::$name => $http),* } }
-            pub fn ran(self) -> Ran { match self { $(Code::$name => Ran::$ran),* } }
+            pub fn ran(self) -> ExecutionStatus { match self { $(Code::$name => ExecutionStatus::$ran),* } }
             /// Seconds after which coming back helps; 0 where it does not.
             pub fn back(self) -> u64 { match self { $(Code::$name => $back),* } }
             pub fn text(self) -> &'static str { match self { $(Code::$name => $text),* } }
--- a/yewcross/src/lib.rs
+++ b/yewcross/src/lib.rs
@@ -1,30 +1,20 @@
-pub mod ask;
-pub mod book;
-pub mod chain;
-pub mod chain_client;
-pub mod chain_wire;
-pub mod code;
-pub mod consts;
-#[allow(clippy::all, dead_code, unused)]
-#[rustfmt::skip]
-pub mod frame_capnp;
-pub mod delta;
-pub mod departures;
-pub mod event;
-pub mod follow;
+//! What all nodes of the tier share: the runtime they run on, the transport between them, membership, replicated registers,
+//! the documents that every node holds, durable storage, and the messages that they exchange.
+
+pub mod adapter;
+pub mod buffered_http;
+pub mod configuration;
+pub mod constants;
+pub mod documents;
+pub mod error_code;
 pub mod hash;
-pub mod http;
-pub mod lease;
-pub mod member;
-pub mod orders;
-pub mod port;
-pub mod reactor;
-pub mod real;
+pub mod membership;
+pub mod notify;
+pub mod process_settings;
+pub mod protocol;
 pub mod register;
-pub mod route;
-pub mod startup;
-pub mod tree;
-pub mod vault;
-pub mod web;
-pub mod wire;
-pub mod world;
+pub mod runtime;
+pub mod storage;
+pub mod streaming_http;
+pub mod transport;
+pub mod turn_log;
--- a/yewcross/src/startup.rs
+++ b/yewcross/src/process_settings.rs
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Startup {
+pub struct ProcessSettings {
     pub name: String,
     pub role: Role,
     pub site: String,
@@ -95,7 +95,7 @@
 }
 
 fn newest() -> u16 {
-    crate::consts::WIRE_VERSION
+    crate::constants::WIRE_VERSION
 }
 
 fn threads() -> usize {
@@ -122,19 +122,19 @@
     pub const REPLACED: i32 = 6;
 }
 
-impl Startup {
-    pub fn read(path: &str) -> Result<Startup, Fault> {
+impl ProcessSettings {
+    pub fn read(path: &str) -> Result<ProcessSettings, Fault> {
         let t = std::fs::read_to_string(path).map_err(|source| Fault::Unreadable { path: path.into(), source })?;
         toml::from_str(&t).map_err(|e| Fault::Malformed { path: path.into(), why: e.message().to_string() })
     }
 
     /// What a reload may bring: seeds and the platform's address. The rest needs a restart.
-    pub fn reload(&self, path: &str) -> Result<Startup, String> {
-        let n = Startup::read(path).map_err(|e| e.to_string())?;
+    pub fn reload(&self, path: &str) -> Result<ProcessSettings, String> {
+        let n = ProcessSettings::read(path).map_err(|e| e.to_string())?;
         if let Some(e) = n.check(self.role == Role::Front).first() {
             return Err(e.to_string());
         }
-        let fixed = |s: &Startup| (s.name.clone(), s.role, s.site.clone(), s.peer, s.http, s.data.clone(), s.threads, s.wire);
+        let fixed = |s: &ProcessSettings| (s.name.clone(), s.role, s.site.clone(), s.peer, s.http, s.data.clone(), s.threads, s.wire);
         if fixed(&n) == fixed(self) { Ok(n) } else { Err("only seeds and platform can change without a restart".into()) }
     }
 
@@ -154,15 +154,19 @@
         no(self.peer == self.http, "http", "must differ from peer");
         no(self.peer.ip().is_unspecified(), "peer", "must be an address others can reach");
         no(!front && self.data.is_empty(), "data", "a folder is needed for this role");
-        no(!(crate::consts::WIRE_OLDEST..=crate::consts::WIRE_VERSION).contains(&self.wire), "wire", "not a version this program speaks");
+        no(
+            !(crate::constants::WIRE_OLDEST..=crate::constants::WIRE_VERSION).contains(&self.wire),
+            "wire",
+            "not a version this program speaks",
+        );
         no(!(1..=64).contains(&self.threads), "threads", "must be 1 to 64");
         v
     }
 }
 
 /// Reads and checks, or prints every fault and ends the process.
-pub fn load(path: &str, front: bool, only_check: bool) -> Startup {
-    let s = Startup::read(path).unwrap_or_else(|e| {
+pub fn load(path: &str, front: bool, only_check: bool) -> ProcessSettings {
+    let s = ProcessSettings::read(path).unwrap_or_else(|e| {
         eprintln!("{e}");
         std::process::exit(exit::BAD_STARTUP)
     });
--- a/yewcross/src/lease.rs
+++ b/yewcross/src/protocol/lease.rs
@@ -22,20 +22,20 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseAsk {
+pub struct LeaseRequest {
     /// The disk whose answer is asked for. Whoever else listens at that address refuses.
     pub granter: String,
     pub candidate: Candidate,
     /// Digest of the core seats that the asker counts its majority in.
     pub seats: u64,
-    pub call: LeaseCall,
+    pub call: LeaseOperation,
     /// The asker has granted the lease to nobody and asks who holds it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub wants_holder: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum LeaseCall {
+pub enum LeaseOperation {
     /// Asks whether the lease is free, and nothing else. It doubles as the heartbeat that shows contact with a majority.
     Look,
     /// Asks for the lease under a new term.
@@ -47,12 +47,12 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseTell {
+pub struct LeaseResponse {
     /// The disk that answers.
     pub granter: String,
     /// Highest term it has granted or seen in a layout.
     pub term: u64,
-    pub verdict: Verdict,
+    pub verdict: LeaseVerdict,
     /// Newest version of each document that the granter's disk holds, decided or not.
     pub versions: Vec<(String, u64)>,
     /// Who holds the lease, as far as the granter knows, where that was asked for.
@@ -61,16 +61,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum LeaseVerdict {
     Free,
     Held,
     Granted,
     Released,
-    Refused(Refusal),
+    Refused(LeaseDenial),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum LeaseDenial {
     /// Another disk answers at this address.
     OtherDisk,
     /// The granter has no seat, or knows other core seats than the asker.
--- a/yewcross/src/ask.rs
+++ b/yewcross/src/protocol/mod.rs
@@ -1,12 +1,15 @@
 //! Every question one process of the tier may put to another, and the answers.
 
-use crate::code::Code;
-use crate::consts::*;
-use crate::lease::{LeaseAsk, LeaseTell};
-use crate::member::Node;
-use crate::orders::{PutAnswer, RetireBegin};
+pub mod lease;
+pub mod operator_orders;
+
+use crate::configuration::Rule;
+use crate::constants::*;
+use crate::error_code::Code;
+use crate::membership::Node;
+use crate::protocol::lease::{LeaseRequest, LeaseResponse};
+use crate::protocol::operator_orders::{PutAnswer, RetireBegin};
 use crate::register::{Ballot, RegisterReply, RegisterRequest};
-use crate::tree::Rule;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,59 +19,74 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, strum::IntoStaticStr)]
-pub enum Ask {
+pub enum PeerRequest {
     Probe {
-        dig: u64,
+        #[serde(rename = "dig")]
+        digest: u64,
         /// What the asker heard of lately.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         nodes: Vec<Node>,
     },
     /// News of a few nodes, told at once.
-    Heard {
-        nodes: Vec<Node>,
-    },
-    Second {
-        to: SocketAddr,
-    },
-    Table {
-        nodes: Vec<Node>,
-    },
+    #[serde(rename = "Heard")]
+    #[strum(serialize = "Heard")]
+    MembershipUpdate { nodes: Vec<Node> },
+    #[serde(rename = "Second")]
+    #[strum(serialize = "Second")]
+    ProbeOnBehalf {
+        #[serde(rename = "to")]
+        target: SocketAddr,
+    },
+    #[serde(rename = "Table")]
+    #[strum(serialize = "Table")]
+    ExchangeMembership { nodes: Vec<Node> },
     /// A register request that names no disk, as programs before `WIRE_NAMED_DISKS` send it.
-    Reg(RegisterRequest),
-    /// A register request meant for one disk. Any other answers `Tell::OtherDisk`.
-    Register {
-        disk: String,
-        request: RegisterRequest,
-    },
+    #[serde(rename = "Reg")]
+    #[strum(serialize = "Reg")]
+    UnnamedRegister(RegisterRequest),
+    /// A register request meant for one disk. Any other answers `PeerResponse::OtherDisk`.
+    Register { disk: String, request: RegisterRequest },
     /// A node tells which documents it holds and asks whether a core disk holds newer ones.
-    Newer {
-        have: Vec<(String, u64)>,
+    #[serde(rename = "Newer")]
+    #[strum(serialize = "Newer")]
+    PollDocuments {
+        #[serde(rename = "have")]
+        known: Vec<(String, u64)>,
         front: bool,
         /// `departures::digest` of the servers that this node told the asker of last.
         #[serde(default, skip_serializing_if = "is_zero")]
-        departed: u64,
-    },
-    Doc {
-        name: String,
-        hops: u8,
-    },
-    /// A document newer than the version named, as the asked node holds it or can find it; answered as `Tell::Doc`.
-    Page {
+        #[serde(rename = "departed")]
+        leaving_digest: u64,
+    },
+    #[serde(rename = "Doc")]
+    #[strum(serialize = "Doc")]
+    ReadDecidedDocument { name: String, hops: u8 },
+    /// A document newer than the version named, as the asked node holds it or can find it; answered as `PeerResponse::Document`.
+    #[serde(rename = "Page")]
+    #[strum(serialize = "Page")]
+    FetchDocument {
         name: String,
-        more_than: u64,
+        #[serde(rename = "more_than")]
+        newer_than: u64,
     },
-    Adopt {
+    #[serde(rename = "Adopt")]
+    #[strum(serialize = "Adopt")]
+    PublishDocument {
         name: String,
-        seq: u64,
+        #[serde(rename = "seq")]
+        version: u64,
         epoch: Ballot,
         /// The processes that tell it on, each to its share of the nodes; empty where nobody is asked to.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         relays: Vec<String>,
     },
     /// The same as a change to the version named, for whoever holds that one.
-    Patch {
+    #[serde(rename = "Patch")]
+    #[strum(serialize = "Patch")]
+    PublishDelta {
         name: String,
-        seq: u64,
+        #[serde(rename = "seq")]
+        version: u64,
         epoch: Ballot,
         base: u64,
         /// `hash::mark` of the version named; empty from nodes that don't tell it.
@@ -78,122 +96,160 @@
         relays: Vec<String>,
     },
     /// The platform shows these servers as leaving; see `departures`.
-    Departed {
+    #[serde(rename = "Departed")]
+    #[strum(serialize = "Departed")]
+    ServersLeaving {
         servers: Vec<String>,
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         relays: Vec<String>,
     },
     /// An operator's order on top of version `base`, for the process that proposes. The text is the blob.
-    Order {
-        base: u64,
-    },
+    #[serde(rename = "Order")]
+    #[strum(serialize = "Order")]
+    ForwardPut { base: u64 },
     /// An operator's order that a store machine be emptied, for the process that proposes.
-    Retire {
-        node: String,
-    },
-    Grants {
+    #[serde(rename = "Retire")]
+    #[strum(serialize = "Retire")]
+    ForwardRetire { node: String },
+    #[serde(rename = "Grants")]
+    #[strum(serialize = "Grants")]
+    CollectServingLeases {
         name: String,
-        seq: u64,
+        #[serde(rename = "seq")]
+        version: u64,
     },
     /// A version is proved in force: no front can serve by an older one.
-    Proved {
-        seq: u64,
-    },
-    Found,
+    #[serde(rename = "Proved")]
+    #[strum(serialize = "Proved")]
+    AnnounceInForce {
+        #[serde(rename = "seq")]
+        version: u64,
+    },
+    #[serde(rename = "Found")]
+    #[strum(serialize = "Found")]
+    Bootstrap,
     /// The duty lease, and the heartbeat between core seats.
-    Lease(LeaseAsk),
-    Begin(Begin),
-    Commit(Commit),
+    Lease(LeaseRequest),
+    #[serde(rename = "Begin")]
+    #[strum(serialize = "Begin")]
+    BeginTurn(BeginTurn),
+    #[serde(rename = "Commit")]
+    #[strum(serialize = "Commit")]
+    CommitTurn(CommitTurn),
     /// This shot will never be dispatched: it is barred, and its reservation goes back.
-    Abort {
+    #[serde(rename = "Abort")]
+    #[strum(serialize = "Abort")]
+    AbortTurn {
         key: String,
-        job: String,
+        #[serde(rename = "job")]
+        request_id: String,
         nonce: u64,
         #[serde(default)]
         budget: Option<String>,
     },
-    Note {
+    #[serde(rename = "Note")]
+    #[strum(serialize = "Note")]
+    RecordCacheState {
         key: String,
         epoch: u64,
-        kv: Kv,
-    },
-    Look {
-        key: String,
+        #[serde(rename = "kv")]
+        cache: SessionCacheState,
     },
+    #[serde(rename = "Look")]
+    #[strum(serialize = "Look")]
+    InspectSession { key: String },
     /// The session is over: its history goes, its once-only marks stay.
-    End {
-        key: String,
-    },
-    Expire {
-        key: String,
-    },
-    Reserve {
+    #[serde(rename = "End")]
+    #[strum(serialize = "End")]
+    EndSession { key: String },
+    #[serde(rename = "Expire")]
+    #[strum(serialize = "Expire")]
+    ExpireSession { key: String },
+    #[serde(rename = "Reserve")]
+    #[strum(serialize = "Reserve")]
+    ReserveBudget {
         budget: String,
         entry: String,
         amount: u64,
         limit: u64,
         key: String,
-        job: String,
+        #[serde(rename = "job")]
+        request_id: String,
         nonce: u64,
         /// ms that the session's record is kept at least.
         #[serde(default)]
-        keep: u64,
-    },
-    Settle {
-        budget: String,
-        entry: String,
-        used: Option<u64>,
-    },
-    Tend {
-        key: String,
-    },
+        #[serde(rename = "keep")]
+        retain_ms: u64,
+    },
+    #[serde(rename = "Settle")]
+    #[strum(serialize = "Settle")]
+    SettleBudget { budget: String, entry: String, used: Option<u64> },
+    #[serde(rename = "Tend")]
+    #[strum(serialize = "Tend")]
+    RepairKey { key: String },
     /// Reports that differ from what was told before, and the servers whose do not.
-    News {
+    #[serde(rename = "News")]
+    #[strum(serialize = "News")]
+    LoadReports {
         service: String,
-        reports: Vec<Report>,
+        reports: Vec<LoadReport>,
         #[serde(default)]
         same: Vec<String>,
         relay: bool,
     },
     /// How far the disk named is with the change that layout number `layout` began.
-    SweepDone {
+    #[serde(rename = "SweepDone")]
+    #[strum(serialize = "SweepDone")]
+    SweepProgress {
         layout: u64,
-        /// The disk asked about; empty where an older program asks. Any other answers `Tell::OtherDisk`.
+        /// The disk asked about; empty where an older program asks. Any other answers `PeerResponse::OtherDisk`.
         #[serde(default)]
         disk: String,
     },
     /// A disk found damaged files: whoever holds the same keys should mend it now.
-    SweepNow,
+    #[serde(rename = "SweepNow")]
+    #[strum(serialize = "SweepNow")]
+    StartSweep,
     /// Turns and ledgers; the question is the blob, see `chain_wire`.
-    Chain,
+    #[serde(rename = "Chain")]
+    #[strum(serialize = "Chain")]
+    TurnLog,
     /// A front, or the collector of a site, tells the collector of a site what it has under way at the servers there; the
-    /// loads are the blob. Answered as `Tell::InFlight`, with the loads of all.
-    InFlight {
-        by_site: bool,
-    },
+    /// loads are the blob. Answered as `PeerResponse::Loads`, with the loads of all.
+    #[serde(rename = "InFlight")]
+    #[strum(serialize = "InFlight")]
+    ExchangeLoads { by_site: bool },
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Tell {
-    No(Code),
+pub enum PeerResponse {
+    #[serde(rename = "No")]
+    Rejected(Code),
     Ok,
     /// Loads of servers; they are the blob.
-    InFlight,
+    #[serde(rename = "InFlight")]
+    Loads,
     Probe {
-        dig: u64,
+        #[serde(rename = "dig")]
+        digest: u64,
         nodes: Vec<Node>,
         /// ms of the teller's calendar.
         #[serde(default)]
-        wall: u64,
+        #[serde(rename = "wall")]
+        wall_clock_ms: u64,
     },
-    Second {
-        heard: bool,
+    #[serde(rename = "Second")]
+    ProbeOnBehalf {
+        #[serde(rename = "heard")]
+        reachable: bool,
     },
-    Table {
+    #[serde(rename = "Table")]
+    Membership {
         nodes: Vec<Node>,
     },
     /// The answer to a register request that named no disk.
-    Reg(RegisterReply),
+    #[serde(rename = "Reg")]
+    UnnamedRegister(RegisterReply),
     /// The answer of one disk to a register request meant for it.
     Register {
         disk: String,
@@ -203,47 +259,65 @@
     OtherDisk {
         disk: String,
     },
-    Newer {
+    #[serde(rename = "Newer")]
+    DocumentVersions {
         newest: Vec<(String, u64)>,
-        sure: bool,
+        #[serde(rename = "sure")]
+        authoritative: bool,
         /// The teller has heard of a newer version of a document than it holds.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")]
         behind: bool,
         /// All servers known to be leaving, where the asker was not told just these before.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        departed: Vec<String>,
-    },
-    Order(PutAnswer),
-    Retire(RetireBegin),
-    Doc {
-        seq: u64,
+        #[serde(rename = "departed")]
+        leaving: Vec<String>,
+    },
+    #[serde(rename = "Order")]
+    PutAnswer(PutAnswer),
+    #[serde(rename = "Retire")]
+    RetireAnswer(RetireBegin),
+    #[serde(rename = "Doc")]
+    Document {
+        #[serde(rename = "seq")]
+        version: u64,
         epoch: Ballot,
     },
-    Adopted {
-        seq: u64,
+    #[serde(rename = "Adopted")]
+    DocumentApplied {
+        #[serde(rename = "seq")]
+        version: u64,
     },
-    Grants {
-        seq: u64,
+    #[serde(rename = "Grants")]
+    ServingLeases {
+        #[serde(rename = "seq")]
+        version: u64,
         fronts: Vec<(String, u64)>,
         /// Newest version known to be proved in force.
         #[serde(default)]
-        proved: u64,
+        #[serde(rename = "proved")]
+        in_force: u64,
     },
-    Lease(LeaseTell),
-    Begun(Begun),
+    Lease(LeaseResponse),
+    #[serde(rename = "Begun")]
+    TurnBegun(TurnBegun),
     /// A kept outcome follows as blob.
-    Kept {
+    #[serde(rename = "Kept")]
+    StoredOutcome {
         code: Code,
     },
     Committed,
-    Ended {
-        kv: Kv,
+    #[serde(rename = "Ended")]
+    SessionEnded {
+        #[serde(rename = "kv")]
+        cache: SessionCacheState,
     },
-    Look {
+    #[serde(rename = "Look")]
+    SessionReservations {
         open: Vec<(String, u64)>,
         done: Vec<(String, u64, u64)>,
     },
-    Swept {
+    #[serde(rename = "Swept")]
+    SweepProgress {
         done: bool,
         left: u64,
         /// Newest layout that the disk keeps; it refuses older ones.
@@ -254,75 +328,92 @@
         disk: String,
     },
     /// The answer is the blob.
-    Chain,
+    #[serde(rename = "Chain")]
+    TurnLog,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Begin {
+pub struct BeginTurn {
     pub key: String,
-    pub job: String,
+    #[serde(rename = "job")]
+    pub request_id: String,
     pub digest: String,
     pub nonce: u64,
     pub front: String,
     /// ms from now after which the run counts as lost.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub remaining_ms: u64,
     pub budget: Option<(String, u64)>,
-    pub max_out: u64,
+    #[serde(rename = "max_out")]
+    pub max_output_tokens: u64,
     /// ms after the last change until the record may be forgotten.
-    pub keep: u64,
+    #[serde(rename = "keep")]
+    pub retain_ms: u64,
     /// Length and digest of the history the front already has on hand.
-    pub hand: Option<(u64, String)>,
+    #[serde(rename = "hand")]
+    pub known_history: Option<(u64, String)>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Begun {
+pub struct TurnBegun {
     pub epoch: u64,
-    pub kv: Kv,
-    pub hist: u64,
-    pub whole: bool,
+    #[serde(rename = "kv")]
+    pub cache: SessionCacheState,
+    #[serde(rename = "hist")]
+    pub history_bytes: u64,
+    #[serde(rename = "whole")]
+    pub history_complete: bool,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Commit {
+pub struct CommitTurn {
     pub key: String,
-    pub job: String,
+    #[serde(rename = "job")]
+    pub request_id: String,
     pub epoch: u64,
     pub nonce: u64,
     pub code: Code,
-    pub used: u64,
+    #[serde(rename = "used")]
+    pub used_tokens: u64,
     pub rule: Rule,
-    pub kv: Kv,
+    #[serde(rename = "kv")]
+    pub cache: SessionCacheState,
     /// Bytes of the blob that are new history; the rest is the outcome to keep.
-    pub hist: u64,
+    #[serde(rename = "hist")]
+    pub history_bytes: u64,
 }
 
 /// A session's transfer state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kv {
-    pub home: Option<Place>,
-    pub replica: Option<Place>,
+pub struct SessionCacheState {
+    pub home: Option<CachedPrefix>,
+    pub replica: Option<CachedPrefix>,
     pub program: String,
 }
 
 /// A prefix held on a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+pub struct CachedPrefix {
     pub server: String,
-    pub inst: u64,
+    #[serde(rename = "inst")]
+    pub instance: u64,
     pub weights: String,
     pub tokens: u64,
     pub digest: String,
     /// The server's count of tokens placed in its cache when this was.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub placed_tokens: u64,
 }
 
 /// What a back end says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     pub service: String,
     pub server: String,
-    pub inst: u64,
-    pub seq: u64,
+    #[serde(rename = "inst")]
+    pub instance: u64,
+    #[serde(rename = "seq")]
+    pub sequence: u64,
     pub slots: u32,
     pub running: u32,
     pub waiting: u32,
@@ -332,30 +423,35 @@
     pub leaving: bool,
     /// Tokens placed in its cache since it started, and the cache's size in tokens.
     #[serde(default)]
-    pub placed: u64,
+    #[serde(rename = "placed")]
+    pub placed_tokens: u64,
     #[serde(default)]
-    pub cache: u64,
+    #[serde(rename = "cache")]
+    pub cache_tokens: u64,
     /// us per thousand tokens of prompt and per token of output.
     #[serde(default)]
-    pub per_k: u64,
+    #[serde(rename = "per_k")]
+    pub prefill_us_per_1000: u64,
     #[serde(default)]
-    pub per_out: u64,
+    #[serde(rename = "per_out")]
+    pub decode_us_per_token: u64,
     /// us since the home node heard it; filled in by the tier.
     #[serde(default)]
-    pub age: u64,
+    #[serde(rename = "age")]
+    pub age_us: u64,
 }
 
-impl Report {
+impl LoadReport {
     pub fn sane(&self) -> bool {
         [self.slots, self.running, self.waiting].iter().all(|n| *n <= REPORT_JOBS)
-            && [self.per_k, self.per_out].iter().all(|n| *n <= REPORT_US)
-            && [self.placed, self.cache].iter().all(|n| *n <= REPORT_TOKENS)
+            && [self.prefill_us_per_1000, self.decode_us_per_token].iter().all(|n| *n <= REPORT_US)
+            && [self.placed_tokens, self.cache_tokens].iter().all(|n| *n <= REPORT_TOKENS)
     }
 }
 
 /// A line of the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedServer {
     pub server: String,
     pub service: String,
     pub addr: SocketAddr,
@@ -365,34 +461,37 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct List {
-    pub rev: u64,
+pub struct ServerList {
+    #[serde(rename = "rev")]
+    pub revision: u64,
     /// Term of the duty lease under which it was written.
     #[serde(default)]
     pub term: u64,
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListedServer>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Hash, Serialize, Deserialize)]
-pub struct Group {
-    pub now: Vec<String>,
+pub struct ReplicaGroup {
+    #[serde(rename = "now")]
+    pub current: Vec<String>,
     /// Set while a change is under way; both sets must then agree.
-    pub old: Vec<String>,
+    #[serde(rename = "old")]
+    pub previous: Vec<String>,
     /// Layout number that wrote these sets: progress of the group's change is counted by it, whatever the other group does
     /// meanwhile. 0 where an older process wrote the layout.
     #[serde(default)]
     pub since: u64,
 }
 
-impl Group {
-    pub fn changing(&self) -> bool {
-        !self.old.is_empty()
+impl ReplicaGroup {
+    pub fn is_changing(&self) -> bool {
+        !self.previous.is_empty()
     }
 }
 
 impl Layout {
     /// Layout number that wrote the group's sets, of a layout with this number.
-    pub fn since(&self, group: &Group, number: u64) -> u64 {
+    pub fn since(&self, group: &ReplicaGroup, number: u64) -> u64 {
         if group.since == 0 { number } else { group.since }
     }
 }
@@ -400,14 +499,15 @@
 /// Which disks carry what. `names` tells the machine behind a disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Layout {
-    pub core: Group,
-    pub store: Group,
+    pub core: ReplicaGroup,
+    pub store: ReplicaGroup,
     pub names: BTreeMap<String, String>,
     /// Site of each disk, written once and never changed: where copies go follows from it.
     #[serde(default)]
     pub sites: BTreeMap<String, String>,
     /// Layout number from which the running change counts its sweeps.
-    pub turn: u64,
+    #[serde(rename = "turn")]
+    pub change_started: u64,
     /// Machines that were retired; they get no seat again by themselves.
     #[serde(default)]
     pub retired: std::collections::BTreeSet<String>,
@@ -431,7 +531,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigDoc {
     pub text: String,
-    pub put: String,
+    #[serde(rename = "put")]
+    pub put_id: String,
     pub note: String,
     /// Newest first: version, put id and text of what was in force before, where the tier numbers the versions. Documents
     /// written before `orders` was added hold the operator's number, the text's digest and nothing.
@@ -480,9 +581,9 @@
 
 /// A key on a disk, as a checkpoint tells it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HeldKey {
+pub struct CheckpointKey {
     pub key: String,
     pub seq: u64,
     pub bytes: u64,
-    pub kv: Option<Kv>,
+    pub kv: Option<SessionCacheState>,
 }
--- a/yewcross/src/orders.rs
+++ b/yewcross/src/protocol/operator_orders.rs
@@ -1,6 +1,6 @@
 //! What operators are told of their orders. The process that proposes tells it to the core that was asked.
 
-use crate::tree::Bad;
+use crate::configuration::InvalidSetting;
 use serde::{Deserialize, Serialize};
 
 /// The answer to a put; versions are the operator's numbers where the dialect has them, and the tier's own otherwise.
@@ -11,7 +11,7 @@
     /// Another version than the base is current. Nothing was done and never will be.
     Conflict(u64),
     /// The text is refused. Nothing was done and never will be.
-    Bad(Vec<Bad>),
+    Bad(Vec<InvalidSetting>),
     /// The tier is not founded yet. Nothing was done.
     NotFounded,
     /// No majority of core disks could be asked, or no process proposes now. Nothing was done.
--- a/yewcross/src/register/acceptor.rs
+++ b/yewcross/src/register/acceptor.rs
@@ -96,7 +96,7 @@
 
 fn patched(record: &Record, ballot: Ballot, seq: u64, delta: &[u8]) -> Option<Vec<u8>> {
     let holds_the_version_before = (record.accepted, record.seq + 1) == (ballot, seq);
-    if holds_the_version_before { crate::delta::patch(&record.value, delta) } else { None }
+    if holds_the_version_before { crate::documents::delta::apply(&record.value, delta) } else { None }
 }
 
 fn fill(record: &Record, ballot: Ballot, seq: u64, value: Vec<u8>) -> Transition {
--- a/yewcross/src/register/client.rs
+++ b/yewcross/src/register/client.rs
@@ -6,9 +6,9 @@
 use super::quorum::ReplicaSet;
 use super::replica::Replica;
 use super::{SHARDS, locate};
-use crate::consts::*;
-use crate::wire::Peers;
-use crate::world::*;
+use crate::constants::*;
+use crate::runtime::*;
+use crate::transport::PeerClient;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, OnceLock};
@@ -64,10 +64,10 @@
 }
 
 pub struct RegisterClient {
-    world: World,
-    peers: Arc<Peers>,
+    world: Runtime,
+    peers: Arc<PeerClient>,
     /// Drawn anew by each process; no two proposers of a tier share it.
-    pub me: u64,
+    pub proposer_id: u64,
     replica: Arc<Replica>,
     /// The replicas of a key, as the layout of now has them.
     place: Place,
@@ -79,11 +79,11 @@
 }
 
 impl RegisterClient {
-    pub fn new(world: &World, peers: &Arc<Peers>, replica: &Arc<Replica>, place: Place) -> Arc<RegisterClient> {
+    pub fn new(world: &Runtime, peers: &Arc<PeerClient>, replica: &Arc<Replica>, place: Place) -> Arc<RegisterClient> {
         Arc::new(RegisterClient {
             world: world.clone(),
             peers: peers.clone(),
-            me: world.rand() | 1,
+            proposer_id: world.random() | 1,
             replica: replica.clone(),
             place,
             permit: OnceLock::new(),
@@ -107,8 +107,8 @@
         let sends = replicas
             .all()
             .into_iter()
-            .map(|seat| -> Fut<'static, Vote> { Box::pin(poll.clone().put_to(seat, self.peers.clone(), self.replica.clone())) });
-        self.world.fan(sends.collect())
+            .map(|seat| -> BoxFuture<'static, Vote> { Box::pin(poll.clone().put_to(seat, self.peers.clone(), self.replica.clone())) });
+        self.world.spawn_all(sends.collect())
     }
 
     /// Puts one request to all replicas; `Ok` as soon as a quorum grants it. A refused request that leaves nothing behind ends
@@ -134,8 +134,8 @@
         let nth = self.takes.fetch_add(1, SeqCst);
         let replicas = (self.place)(key);
         // No two ballots are alike, whatever was forgotten between them.
-        let ballot = proposer.prepare(self.me.wrapping_add(2 * nth), self.world.wall());
-        let request = RegisterRequest::Promise { key: key.into(), epoch: ballot, lay: replicas.lay };
+        let ballot = proposer.prepare(self.proposer_id.wrapping_add(2 * nth), self.world.wall_clock_ms());
+        let request = RegisterRequest::Promise { key: key.into(), epoch: ballot, lay: replicas.layout_version };
         let promises = self.poll(&replicas, Poll::bare(request)).await.inspect_err(|round| proposer.saw(round.highest_promised))?;
         if proposer.promised(&replicas, &promises) {
             let (seq, value) = (proposer.seq(), proposer.value().clone());
@@ -155,7 +155,7 @@
         value: &Arc<Vec<u8>>,
         delta: Option<Arc<Vec<u8>>>,
     ) -> Result<(), Round> {
-        let request = RegisterRequest::Accept { key: key.into(), epoch: ballot, seq, lay: replicas.lay, delta: false };
+        let request = RegisterRequest::Accept { key: key.into(), epoch: ballot, seq, lay: replicas.layout_version, delta: false };
         self.poll(replicas, Poll { request, blob: value.clone(), delta }).await.map(|_| ())
     }
 
@@ -163,7 +163,7 @@
     /// again on a value that already has its change.
     pub async fn change<R>(&self, key: &str, us: u64, mut decide: impl FnMut(u64, &[u8]) -> Step<R>) -> Result<R, ChangeError> {
         let started = self.world.now();
-        let Some(mut held) = self.world.within(us, self.cell(key).lock_owned()).await else { return Err(ChangeError::NotDone) };
+        let Some(mut held) = self.world.timeout(us, self.cell(key).lock_owned()).await else { return Err(ChangeError::NotDone) };
         let mut undecided = false;
         let mut span = RETRY_SPAN;
         loop {
@@ -181,7 +181,7 @@
             if outbid {
                 span = (2 * span).max(now - began).min(RETRY_SPAN_MOST);
             }
-            let pause = span / 4 + self.world.rand() % span;
+            let pause = span / 4 + self.world.random() % span;
             self.world.sleep(pause.min(started + us - now)).await;
         }
     }
@@ -218,7 +218,7 @@
     }
 
     async fn confirm(&self, key: &str, replicas: &ReplicaSet, ballot: Ballot) -> bool {
-        let request = RegisterRequest::Confirm { key: key.into(), epoch: ballot, lay: replicas.lay };
+        let request = RegisterRequest::Confirm { key: key.into(), epoch: ballot, lay: replicas.layout_version };
         self.poll(replicas, Poll::bare(request)).await.is_ok()
     }
 
@@ -230,7 +230,7 @@
         proposer: &mut Proposer,
         value: Arc<Vec<u8>>,
     ) -> Result<(), Failure> {
-        let delta = crate::delta::diff(proposer.value(), &value);
+        let delta = crate::documents::delta::encode(proposer.value(), &value);
         let worth_it = 2 * delta.len() < value.len();
         let delta = worth_it.then(|| Arc::new(delta));
         proposer.resign();
@@ -257,7 +257,7 @@
     async fn look_at_all(&self, key: &str) -> (ReplicaSet, super::acceptor::Record, Votes) {
         let replicas = (self.place)(key);
         let own = self.replica.peek(key).await.unwrap_or_default();
-        let request = RegisterRequest::Look { key: key.into(), lay: replicas.lay, have: (own.accepted, own.seq) };
+        let request = RegisterRequest::Look { key: key.into(), lay: replicas.layout_version, have: (own.accepted, own.seq) };
         let votes = self.send(&replicas, &Poll::bare(request));
         (replicas, own, votes)
     }
@@ -286,9 +286,9 @@
         let looks_end = self.world.now() + us / 2;
         for nth in 0..READ_LOOKS {
             if nth > 0 {
-                self.world.sleep(READ_LOOK_AGAIN + self.world.rand() % READ_LOOK_AGAIN).await;
+                self.world.sleep(READ_LOOK_AGAIN + self.world.random() % READ_LOOK_AGAIN).await;
             }
-            if let Some(found) = self.world.within(a_look, self.look(key)).await.flatten() {
+            if let Some(found) = self.world.timeout(a_look, self.look(key)).await.flatten() {
                 return Ok(found);
             }
             if self.world.now() >= looks_end {
@@ -344,7 +344,7 @@
         let mut held = cell.lock().await;
         let Some(epoch) = held.proposer.resign().filter(|_| held.proposer.value().is_empty()) else { return false };
         let replicas = (self.place)(key);
-        let request = RegisterRequest::Drop { key: key.into(), epoch, seq: held.proposer.seq(), lay: replicas.lay };
+        let request = RegisterRequest::Drop { key: key.into(), epoch, seq: held.proposer.seq(), lay: replicas.layout_version };
         self.poll(&replicas, Poll::bare(request)).await.is_ok()
     }
 
@@ -373,12 +373,13 @@
         }
         let Some(round) = self.accept_everywhere(key, &replicas, ballot, proposer).await else { return false };
         let filled = self.fill(key, &replicas, ballot, proposer, &round.damaged).await;
-        replicas.now.iter().all(|seat| round.has_granted(&seat.disk) || filled.contains(&seat.disk))
+        replicas.current.iter().all(|seat| round.has_granted(&seat.disk) || filled.contains(&seat.disk))
     }
 
     /// Waits for all replicas, not only for a quorum; none where there is no quorum.
     async fn accept_everywhere(&self, key: &str, replicas: &ReplicaSet, ballot: Ballot, proposer: &mut Proposer) -> Option<Round> {
-        let request = RegisterRequest::Accept { key: key.into(), epoch: ballot, seq: proposer.seq(), lay: replicas.lay, delta: false };
+        let request =
+            RegisterRequest::Accept { key: key.into(), epoch: ballot, seq: proposer.seq(), lay: replicas.layout_version, delta: false };
         // An empty delta: a replica that already has the version says so, any other asks for the whole.
         let poll = Poll { request, blob: proposer.value().clone(), delta: Some(Arc::default()) };
         let votes = self.send(replicas, &poll);
@@ -404,8 +405,8 @@
             return vec![];
         }
         let seats = replicas.all().into_iter().filter(|seat| damaged.contains(&seat.disk)).collect();
-        let some = ReplicaSet { lay: replicas.lay, now: seats, old: vec![] };
-        let request = RegisterRequest::Fill { key: key.into(), epoch: ballot, seq: proposer.seq(), lay: replicas.lay };
+        let some = ReplicaSet { layout_version: replicas.layout_version, current: seats, previous: vec![] };
+        let request = RegisterRequest::Fill { key: key.into(), epoch: ballot, seq: proposer.seq(), lay: replicas.layout_version };
         let votes = self.send(&some, &Poll { request, blob: proposer.value().clone(), delta: None });
         let mut filled = vec![];
         while let Ok(vote) = votes.recv().await {
--- a/yewcross/src/register/mod.rs
+++ b/yewcross/src/register/mod.rs
@@ -31,10 +31,10 @@
 pub use replica::Replica;
 
 /// Number of independent locks over the keys of a replica or a client.
-const SHARDS: usize = crate::consts::KEY_SHARDS;
+const SHARDS: usize = crate::constants::KEY_SHARDS;
 
 /// The hash of a key, and the shard that it belongs to.
 fn locate(key: &str) -> (u128, usize) {
-    let hash = crate::hash::wide(key.as_bytes());
+    let hash = crate::hash::key_128(key.as_bytes());
     (hash, (hash % SHARDS as u128) as usize)
 }
--- a/yewcross/src/register/quorum.rs
+++ b/yewcross/src/register/quorum.rs
@@ -14,10 +14,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReplicaSet {
     /// Number of the layout.
-    pub lay: u64,
-    pub now: Vec<Seat>,
+    pub layout_version: u64,
+    pub current: Vec<Seat>,
     /// Empty unless a change is under way.
-    pub old: Vec<Seat>,
+    pub previous: Vec<Seat>,
 }
 
 /// The fewest of `n` that any other majority of them shares a member with.
@@ -28,20 +28,20 @@
 impl ReplicaSet {
     /// Every replica once, the new set first.
     pub fn all(&self) -> Vec<Seat> {
-        let leaving = self.old.iter().filter(|seat| !self.now.contains(seat));
-        self.now.iter().chain(leaving).cloned().collect()
+        let leaving = self.previous.iter().filter(|seat| !self.current.contains(seat));
+        self.current.iter().chain(leaving).cloned().collect()
     }
 
     /// Whether both sets have the same disks: a ballot prepared at the one is prepared at the other, whatever the number of
     /// the layout.
     pub fn same_disks(&self, other: &ReplicaSet) -> bool {
-        disks(&self.now) == disks(&other.now) && disks(&self.old) == disks(&other.old)
+        disks(&self.current) == disks(&other.current) && disks(&self.previous) == disks(&other.previous)
     }
 
     /// Whether the disks that `granted` accepts are a majority of each set in force.
     pub fn quorum(&self, granted: impl Fn(&str) -> bool) -> bool {
         let most = |set: &[Seat]| set.iter().filter(|seat| granted(&seat.disk)).count() >= majority(set.len());
-        !self.now.is_empty() && most(&self.now) && (self.old.is_empty() || most(&self.old))
+        !self.current.is_empty() && most(&self.current) && (self.previous.is_empty() || most(&self.previous))
     }
 }
 
--- a/yewcross/src/register/replica.rs
+++ b/yewcross/src/register/replica.rs
@@ -3,9 +3,9 @@
 use super::acceptor::{self, Effect, Record, Transition};
 use super::message::{Ballot, RegisterReply, RegisterRequest};
 use super::{SHARDS, locate};
-use crate::consts::SYNC_WAIT;
-use crate::vault::{Vault, shard_folder as folder};
-use crate::world::*;
+use crate::constants::SYNC_WAIT;
+use crate::runtime::*;
+use crate::storage::{DurableStorage, shard_folder as folder};
 use futures_util::lock::Mutex;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -34,11 +34,11 @@
 pub(super) type Shard = BTreeMap<u128, Entry>;
 
 pub struct Replica {
-    pub(super) world: World,
-    pub vault: Arc<Vault>,
+    pub(super) world: Runtime,
+    pub storage: Arc<DurableStorage>,
     pub(super) shards: Vec<Mutex<Shard>>,
     /// Layouts older than this are refused.
-    pub lay: AtomicU64,
+    pub layout_version: AtomicU64,
 }
 
 pub(super) fn file_name(hash: u128) -> String {
@@ -72,8 +72,8 @@
 
 impl Replica {
     /// Reads the records that the disk holds.
-    pub async fn open(vault: &Arc<Vault>) -> io::Result<Arc<Replica>> {
-        let world = vault.w.clone();
+    pub async fn open(vault: &Arc<DurableStorage>) -> io::Result<Arc<Replica>> {
+        let world = vault.runtime.clone();
         let mut shards = vec![];
         for number in 0..SHARDS {
             let mut shard = Shard::new();
@@ -84,7 +84,7 @@
             }
             shards.push(Mutex::new(shard));
         }
-        Ok(Arc::new(Replica { world, vault: vault.clone(), shards, lay: AtomicU64::new(0) }))
+        Ok(Arc::new(Replica { world, storage: vault.clone(), shards, layout_version: AtomicU64::new(0) }))
     }
 
     /// The record of a key, unless it is unknown or damaged.
@@ -118,8 +118,8 @@
         if !shard.contains_key(&hash) {
             return true;
         }
-        let erased = self.vault.erase(&folder(number), &file_name(hash)).await;
-        let erased = erased.inspect_err(|e| self.vault.mark_failed(e)).is_ok();
+        let erased = self.storage.erase(&folder(number), &file_name(hash)).await;
+        let erased = erased.inspect_err(|e| self.storage.mark_failed(e)).is_ok();
         if erased {
             shard.remove(&hash);
         }
@@ -127,26 +127,26 @@
     }
 
     /// A write under way is never abandoned halfway: it runs on its own, and a slow disk only loses its vote.
-    pub async fn hear(self: &Arc<Self>, request: RegisterRequest, blob: Vec<u8>) -> (RegisterReply, Vec<u8>) {
-        if self.vault.failed.load(SeqCst) {
+    pub async fn handle(self: &Arc<Self>, request: RegisterRequest, blob: Vec<u8>) -> (RegisterReply, Vec<u8>) {
+        if self.storage.failed.load(SeqCst) {
             return (RegisterReply::Away, vec![]);
         }
         let (sender, receiver) = async_channel::bounded(1);
         let replica = self.clone();
-        self.world.go(async move {
-            let _ = sender.try_send(replica.handle(request, blob).await);
+        self.world.spawn(async move {
+            let _ = sender.try_send(replica.handle_exclusively(request, blob).await);
         });
-        match self.world.within(SYNC_WAIT, receiver.recv()).await {
+        match self.world.timeout(SYNC_WAIT, receiver.recv()).await {
             Some(Ok(answer)) => answer,
             _ => (RegisterReply::Away, vec![]),
         }
     }
 
-    async fn handle(&self, request: RegisterRequest, blob: Vec<u8>) -> (RegisterReply, Vec<u8>) {
+    async fn handle_exclusively(&self, request: RegisterRequest, blob: Vec<u8>) -> (RegisterReply, Vec<u8>) {
         let (hash, number) = locate(request.key());
         let mut shard = self.shards[number].lock().await;
         let entry = shard.get(&hash).cloned().unwrap_or_default();
-        let Transition { effect, reply, value } = acceptor::handle(&entry.record, self.lay.load(SeqCst), &request, blob);
+        let Transition { effect, reply, value } = acceptor::handle(&entry.record, self.layout_version.load(SeqCst), &request, blob);
         match effect {
             Effect::None => {}
             Effect::Erase => {
@@ -156,7 +156,7 @@
             }
             Effect::Write(record) => {
                 let next = Entry { key: request.key().into(), record, file: entry.file + 1 };
-                if self.vault.keep(&folder(number), &file_name(hash), next.file, &next.encode()).await.is_err() {
+                if self.storage.persist(&folder(number), &file_name(hash), next.file, &next.encode()).await.is_err() {
                     return (RegisterReply::Away, vec![]);
                 }
                 shard.insert(hash, next);
--- a/yewcross/src/register/restore.rs
+++ b/yewcross/src/register/restore.rs
@@ -2,7 +2,7 @@
 
 use super::SHARDS;
 use super::replica::{Replica, Shard, file_name};
-use crate::vault::shard_folder as folder;
+use crate::storage::shard_folder as folder;
 use std::collections::BTreeMap;
 use std::io;
 
@@ -27,13 +27,13 @@
         let rewritten = self.rewrite_changed(shard, &mut entries, &found).await?;
         let unanswered: Vec<u128> = found.into_keys().filter(|hash| !entries.contains_key(hash)).collect();
         for hash in &unanswered {
-            self.vault.erase(&folder(shard), &file_name(*hash)).await?;
+            self.storage.erase(&folder(shard), &file_name(*hash)).await?;
         }
         Ok(rewritten + unanswered.len())
     }
 
     async fn read_shard(&self, shard: usize) -> io::Result<Found> {
-        let files = self.vault.scan(&folder(shard)).await?;
+        let files = self.storage.scan(&folder(shard)).await?;
         let hashed = files.into_iter().filter_map(|(name, version, body)| Some((u128::from_str_radix(&name, 16).ok()?, (version, body))));
         Ok(hashed.collect())
     }
@@ -49,7 +49,7 @@
             let name = file_name(*hash);
             let answered = entry.file;
             let version = on_disk.map_or(answered, |x| x.0.max(answered)) + 1;
-            self.vault.write(&folder(shard), &name, version, &body).await?;
+            self.storage.write(&folder(shard), &name, version, &body).await?;
             entry.file = version;
             // One that was damaged on the way may be gone already.
             let _ = self.world.remove(&format!("{}/{name}-{answered:016x}", folder(shard))).await;
