--- a/yewcross/src/real.rs
+++ b/yewcross/src/runtime/os.rs
@@ -1,8 +1,8 @@
 //! The world of the daemons: smol, sockets, files.
 
-use crate::consts::*;
-use crate::reactor::{READ, Reactor, WRITE, Watched};
-use crate::world::*;
+use crate::constants::*;
+use crate::runtime::reactor::{READ, Reactor, WRITE, Watched};
+use crate::runtime::*;
 use async_channel::{Receiver, Sender};
 use mio::Interest;
 use mio::net::{TcpListener, TcpStream};
@@ -18,13 +18,13 @@
 struct Tcp(Watched<TcpStream>);
 
 impl Tcp {
-    fn conn(r: &Arc<Reactor>, s: TcpStream, peer: SocketAddr) -> io::Result<Conn> {
+    fn conn(r: &Arc<Reactor>, s: TcpStream, peer: SocketAddr) -> io::Result<Connection> {
         let s = r.watch(s, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(Conn::new(Arc::new(Tcp(s)), peer))
+        Ok(Connection::new(Arc::new(Tcp(s)), peer))
     }
 }
 
-impl Pipe for Tcp {
+impl ByteStream for Tcp {
     fn read(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         self.0.attempt(READ, cx, buf.len(), |mut s| s.read(buf))
     }
@@ -36,15 +36,15 @@
         let _ = self.0.io.shutdown(std::net::Shutdown::Write);
         Poll::Ready(Ok(()))
     }
-    fn give_up_after(&self, us: u64) {
+    fn set_send_timeout(&self, us: u64) {
         let _ = SockRef::from(&self.0.io).set_tcp_user_timeout(Some(Duration::from_micros(us)));
     }
 }
 
 struct TcpDoor(Watched<TcpListener>, Arc<Reactor>);
 
-impl Door for TcpDoor {
-    fn accept(&self) -> Fut<'_, io::Result<Conn>> {
+impl Listener for TcpDoor {
+    fn accept(&self) -> BoxFuture<'_, io::Result<Connection>> {
         Box::pin(async move {
             let mut got = None;
             std::future::poll_fn(|cx| {
@@ -83,13 +83,13 @@
 type Work = Box<dyn FnOnce() + Send>;
 
 /// Threads that may wait for the disk; once started they stay.
-struct Hands {
+struct DiskThreads {
     jobs: (Sender<Work>, Receiver<Work>),
     started: AtomicUsize,
     idle: Arc<AtomicUsize>,
 }
 
-impl Hands {
+impl DiskThreads {
     fn take(&self, f: Work) {
         let free = self.idle.load(SeqCst) > self.jobs.0.len();
         if !free && self.started.load(SeqCst) < DISK_HANDS && self.started.fetch_add(1, SeqCst) < DISK_HANDS {
@@ -107,10 +107,10 @@
     }
 }
 
-pub struct Real {
+pub struct OsRuntime {
     ex: Arc<smol::Executor<'static>>,
     reactor: Arc<Reactor>,
-    hands: Hands,
+    hands: DiskThreads,
     root: PathBuf,
     /// The file last appended to stays open.
     tail: Tail,
@@ -118,9 +118,9 @@
 
 type Tail = Arc<Mutex<Option<(PathBuf, std::fs::File)>>>;
 
-impl Real {
+impl OsRuntime {
     /// A world whose tasks run on threads of their own; with one, the same thread waits for sockets and timers.
-    pub fn world(root: &str, threads: usize) -> World {
+    pub fn world(root: &str, threads: usize) -> Runtime {
         let ex = Arc::new(smol::Executor::new());
         let (reactor, poller) = Reactor::new().unwrap_or_else(|e| panic!("no event queue: {e}"));
         let (r, e) = (reactor.clone(), ex.clone());
@@ -130,15 +130,15 @@
             let e = ex.clone();
             let _ = name(i).spawn(move || futures_lite::future::block_on(e.run(std::future::pending::<()>())));
         });
-        let hands = Hands { jobs: async_channel::unbounded(), started: AtomicUsize::new(0), idle: Default::default() };
-        World(Arc::new(Real { ex, reactor, hands, root: PathBuf::from(root), tail: Tail::default() }))
+        let hands = DiskThreads { jobs: async_channel::unbounded(), started: AtomicUsize::new(0), idle: Default::default() };
+        Runtime(Arc::new(OsRuntime { ex, reactor, hands, root: PathBuf::from(root), tail: Tail::default() }))
     }
 
     fn blocking<T: Send + 'static>(
         &self,
         path: &str,
         f: impl FnOnce(PathBuf) -> io::Result<T> + Send + 'static,
-    ) -> Fut<'static, io::Result<T>> {
+    ) -> BoxFuture<'static, io::Result<T>> {
         let p = self.root.join(path);
         let (tx, rx) = async_channel::bounded(1);
         self.hands.take(Box::new(move || {
@@ -148,23 +148,23 @@
     }
 }
 
-impl Host for Real {
+impl RuntimeBackend for OsRuntime {
     fn now(&self) -> u64 {
         self.reactor.now()
     }
-    fn wall(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map(|d| d.as_millis() as u64).unwrap_or(0)
     }
-    fn rand(&self) -> u64 {
+    fn random(&self) -> u64 {
         fastrand::u64(..)
     }
-    fn sleep(&self, us: u64) -> Fut<'static, ()> {
+    fn sleep(&self, us: u64) -> BoxFuture<'static, ()> {
         Box::pin(self.reactor.sleep_until(self.reactor.now().saturating_add(us)))
     }
-    fn spawn(&self, f: Fut<'static, ()>) {
+    fn spawn(&self, f: BoxFuture<'static, ()>) {
         self.ex.spawn(f).detach();
     }
-    fn connect(&self, to: SocketAddr) -> Fut<'static, io::Result<Conn>> {
+    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Connection>> {
         let r = self.reactor.clone();
         Box::pin(async move {
             let s = r.watch(dial(to)?, Interest::READABLE | Interest::WRITABLE)?;
@@ -176,10 +176,10 @@
                 })
             })
             .await?;
-            Ok(Conn::new(Arc::new(Tcp(s)), to))
+            Ok(Connection::new(Arc::new(Tcp(s)), to))
         })
     }
-    fn bind(&self, at: SocketAddr) -> Fut<'static, io::Result<Box<dyn Door>>> {
+    fn bind(&self, at: SocketAddr) -> BoxFuture<'static, io::Result<Box<dyn Listener>>> {
         let r = self.reactor.clone();
         Box::pin(async move {
             let s = Socket::new(Domain::for_address(at), Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
@@ -187,23 +187,23 @@
             s.bind(&at.into())?;
             s.listen(BACKLOG)?;
             let l = r.watch(TcpListener::from_std(s.into()), Interest::READABLE)?;
-            Ok(Box::new(TcpDoor(l, r)) as Box<dyn Door>)
+            Ok(Box::new(TcpDoor(l, r)) as Box<dyn Listener>)
         })
     }
-    fn fate(&self, _: SocketAddr) -> Fate {
-        Fate::Pass
+    fn frame_fault(&self, _: SocketAddr) -> FrameFault {
+        FrameFault::Deliver
     }
-    fn put(&self, path: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
+    fn write_file(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         self.blocking(path, move |p| std::fs::write(p, data))
     }
-    fn sync(&self, path: &str) -> Fut<'static, io::Result<()>> {
+    fn sync(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
         self.blocking(path, |p| std::fs::File::open(p)?.sync_all())
     }
-    fn rename(&self, a: &str, b: &str) -> Fut<'static, io::Result<()>> {
+    fn rename(&self, a: &str, b: &str) -> BoxFuture<'static, io::Result<()>> {
         let b = self.root.join(b);
         self.blocking(a, move |a| std::fs::rename(a, b))
     }
-    fn keep(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
+    fn write_durably(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         let (at, dir) = (self.root.join(at), self.root.join(dir));
         self.blocking(aside, move |aside| {
             let mut f = std::fs::File::create(&aside)?;
@@ -213,10 +213,10 @@
             std::fs::File::open(dir)?.sync_all()
         })
     }
-    fn remove(&self, path: &str) -> Fut<'static, io::Result<()>> {
+    fn remove(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
         self.blocking(path, std::fs::remove_file)
     }
-    fn append(&self, path: &str, data: Vec<u8>) -> Fut<'static, io::Result<()>> {
+    fn append(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         let tail = self.tail.clone();
         self.blocking(path, move |p| {
             let mut g = tail.lock().unwrap();
@@ -232,10 +232,10 @@
             })
         })
     }
-    fn get(&self, path: &str) -> Fut<'static, io::Result<Vec<u8>>> {
+    fn read_file(&self, path: &str) -> BoxFuture<'static, io::Result<Vec<u8>>> {
         self.blocking(path, std::fs::read)
     }
-    fn list(&self, dir: &str) -> Fut<'static, io::Result<Vec<String>>> {
+    fn list(&self, dir: &str) -> BoxFuture<'static, io::Result<Vec<String>>> {
         self.blocking(dir, |p| {
             let mut v: Vec<String> = std::fs::read_dir(p)?
                 .filter_map(|e| e.ok())
@@ -246,7 +246,7 @@
             Ok(v)
         })
     }
-    fn mkdir(&self, dir: &str) -> Fut<'static, io::Result<()>> {
+    fn mkdir(&self, dir: &str) -> BoxFuture<'static, io::Result<()>> {
         self.blocking(dir, std::fs::create_dir_all)
     }
     fn log(&self, line: &str) {
--- a/yewcross/src/vault.rs
+++ b/yewcross/src/storage.rs
@@ -3,8 +3,8 @@
 //! The disk's identity is written last, once the folders that hold what it vouches for are named on the disk, and is void
 //! where one of them is missing later.
 
-use crate::consts::*;
-use crate::world::*;
+use crate::constants::*;
+use crate::runtime::*;
 use event_listener::Event;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -32,7 +32,7 @@
 }
 
 /// The first sealed body of several, and where the next begins.
-pub fn unseal_first(v: &[u8]) -> Option<(&[u8], usize)> {
+pub fn decode_first_frame(v: &[u8]) -> Option<(&[u8], usize)> {
     let n = usize::try_from(u64::from_le_bytes(v.get(4..12)?.try_into().ok()?)).ok()?;
     let d = v.get(..n.checked_add(12)?)?;
     let c = v.get(n + 12..n + 16)?;
@@ -40,10 +40,10 @@
 }
 
 /// A node's data disk.
-pub struct Vault {
-    pub w: World,
+pub struct DurableStorage {
+    pub runtime: Runtime,
     /// Identity of the disk; votes are counted under it.
-    pub id: String,
+    pub disk_id: String,
     /// A write has failed: its outcome is unknown, and the node takes no part until the disk is restored.
     pub failed: AtomicBool,
     /// Failed writes so far.
@@ -52,13 +52,13 @@
     pub failure: Event,
     pub syncs: AtomicU64,
     pub bytes: AtomicU64,
-    aside: AtomicU64,
+    next_temporary: AtomicU64,
     /// Files being written aside; a scan leaves them alone.
     writing: Mutex<BTreeSet<String>>,
 }
 
 /// Adds format, length and checksum to a body.
-pub fn seal(body: &[u8]) -> Vec<u8> {
+pub fn encode_frame(body: &[u8]) -> Vec<u8> {
     let mut v = DISK_FORMAT.to_le_bytes().to_vec();
     v.extend((body.len() as u64).to_le_bytes());
     v.extend(body);
@@ -67,7 +67,7 @@
 }
 
 /// The body of a sealed file; `None` where it is damaged.
-pub fn unseal(v: &[u8]) -> Option<Vec<u8>> {
+pub fn decode_frame(v: &[u8]) -> Option<Vec<u8>> {
     let (d, c) = v.split_at_checked(v.len().checked_sub(4)?)?;
     let n = u64::from_le_bytes(d.get(4..12)?.try_into().ok()?) as usize;
     let ok = c == crc32fast::hash(d).to_le_bytes() && d[..4] == DISK_FORMAT.to_le_bytes() && d.len() == n + 12;
@@ -84,18 +84,18 @@
     Some((name, u64::from_str_radix(version, 16).ok()?))
 }
 
-impl Vault {
+impl DurableStorage {
     /// Opens the folder; an empty one gets an identity of its own, made here and nowhere else.
-    pub async fn open(w: &World) -> io::Result<Arc<Vault>> {
-        let mut vault = Vault {
-            w: w.clone(),
-            id: String::new(),
+    pub async fn open(w: &Runtime) -> io::Result<Arc<DurableStorage>> {
+        let mut vault = DurableStorage {
+            runtime: w.clone(),
+            disk_id: String::new(),
             failed: AtomicBool::new(false),
             failures: AtomicU64::new(0),
             failure: Event::new(),
             syncs: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
-            aside: AtomicU64::new(0),
+            next_temporary: AtomicU64::new(0),
             writing: Mutex::default(),
         };
         let complete = vault.prepare_folders().await?;
@@ -106,10 +106,10 @@
         if known.is_some() && !complete {
             w.log("folders of this disk are gone: it gets a new identity");
         }
-        vault.id = match known.filter(|_| complete) {
+        vault.disk_id = match known.filter(|_| complete) {
             Some(id) => id,
             None => {
-                let id = format!("d{:016x}", w.rand());
+                let id = format!("d{:016x}", w.random());
                 vault.write(LOCAL_FOLDER, IDENTITY, version + 1, id.as_bytes()).await?;
                 id
             }
@@ -121,12 +121,12 @@
     async fn prepare_folders(&self) -> io::Result<bool> {
         let mut complete = true;
         for folder in folders() {
-            complete &= self.w.list(&folder).await.is_ok();
-            self.w.mkdir(&folder).await?;
+            complete &= self.runtime.list(&folder).await.is_ok();
+            self.runtime.mkdir(&folder).await?;
         }
         // An earlier process may have been killed after it made a folder or renamed a file, and before it synced the name.
         for parent in [KEYS_FOLDER, "", LOCAL_FOLDER] {
-            self.w.sync(parent).await?;
+            self.runtime.sync(parent).await?;
         }
         Ok(complete)
     }
@@ -135,13 +135,13 @@
     pub fn mark_failed(&self, why: &io::Error) {
         self.failures.fetch_add(1, SeqCst);
         if !self.failed.swap(true, SeqCst) {
-            self.w.log(&format!("disk failed ({why}); it takes no part until it works again"));
+            self.runtime.log(&format!("disk failed ({why}); it takes no part until it works again"));
         }
         self.failure.notify(usize::MAX);
     }
 
     /// Returns once the version is safe; any error marks the disk failed.
-    pub async fn keep(&self, dir: &str, name: &str, ver: u64, body: &[u8]) -> io::Result<()> {
+    pub async fn persist(&self, dir: &str, name: &str, ver: u64, body: &[u8]) -> io::Result<()> {
         if self.failed.load(SeqCst) {
             return Err(io::Error::other("disk failed"));
         }
@@ -150,15 +150,15 @@
 
     /// Writes a version whatever is known of the disk; the version before it is removed.
     pub async fn write(&self, dir: &str, name: &str, ver: u64, body: &[u8]) -> io::Result<()> {
-        let aside = format!("{dir}/.{name}-{}", self.aside.fetch_add(1, SeqCst));
+        let aside = format!("{dir}/.{name}-{}", self.next_temporary.fetch_add(1, SeqCst));
         self.writing.lock().unwrap().insert(aside.clone());
-        let written = self.w.keep(&aside, &version_path(dir, name, ver), dir, seal(body)).await;
+        let written = self.runtime.write_durably(&aside, &version_path(dir, name, ver), dir, encode_frame(body)).await;
         self.writing.lock().unwrap().remove(&aside);
         written?;
         self.syncs.fetch_add(2, SeqCst);
         self.bytes.fetch_add(body.len() as u64, SeqCst);
         if ver > 1 {
-            let _ = self.w.remove(&version_path(dir, name, ver - 1)).await;
+            let _ = self.runtime.remove(&version_path(dir, name, ver - 1)).await;
         }
         Ok(())
     }
@@ -167,16 +167,16 @@
     /// is ever the newest.
     pub async fn erase(&self, dir: &str, name: &str) -> io::Result<()> {
         let mut versions: Vec<u64> =
-            self.w.list(dir).await?.iter().filter_map(|f| split_version(f)).filter(|x| x.0 == name).map(|x| x.1).collect();
+            self.runtime.list(dir).await?.iter().filter_map(|f| split_version(f)).filter(|x| x.0 == name).map(|x| x.1).collect();
         versions.sort();
         let Some(newest) = versions.pop() else { return Ok(()) };
         for version in versions {
-            self.w.remove(&version_path(dir, name, version)).await?;
+            self.runtime.remove(&version_path(dir, name, version)).await?;
         }
         // Older versions removed earlier go for good here, too.
-        self.w.sync(dir).await?;
-        self.w.remove(&version_path(dir, name, newest)).await?;
-        self.w.sync(dir).await?;
+        self.runtime.sync(dir).await?;
+        self.runtime.remove(&version_path(dir, name, newest)).await?;
+        self.runtime.sync(dir).await?;
         self.syncs.fetch_add(2, SeqCst);
         Ok(())
     }
@@ -186,20 +186,20 @@
     pub async fn scan(&self, dir: &str) -> io::Result<Vec<(String, u64, Option<Vec<u8>>)>> {
         let mut newest: BTreeMap<String, (u64, Option<Vec<u8>>)> = BTreeMap::new();
         let mut older = vec![];
-        let files = self.w.list(dir).await?;
+        let files = self.runtime.list(dir).await?;
         for file in &files {
             if file.starts_with('.') {
                 let aside = format!("{dir}/{file}");
                 let abandoned = !self.writing.lock().unwrap().contains(&aside);
                 if abandoned {
-                    let _ = self.w.remove(&aside).await;
+                    let _ = self.runtime.remove(&aside).await;
                 }
                 continue;
             }
             let Some((name, version)) = split_version(file) else { continue };
-            let body = self.w.get(&format!("{dir}/{file}")).await.ok().and_then(|b| unseal(&b));
+            let body = self.runtime.read_file(&format!("{dir}/{file}")).await.ok().and_then(|b| decode_frame(&b));
             if body.is_none() && !name.starts_with("bad") {
-                self.w.log(&format!("damaged file {dir}/{file} put aside"));
+                self.runtime.log(&format!("damaged file {dir}/{file} put aside"));
             }
             let sound = body.is_some();
             match newest.get_mut(name) {
@@ -218,10 +218,10 @@
         }
         if !files.is_empty() {
             // Only then may older versions go: a newer one that a killed process renamed is not yet safe under its name.
-            self.w.sync(dir).await?;
+            self.runtime.sync(dir).await?;
         }
         for path in older {
-            let _ = self.w.remove(&path).await;
+            let _ = self.runtime.remove(&path).await;
         }
         Ok(newest.into_iter().map(|(name, (version, body))| (name, version, body)).collect())
     }
@@ -235,19 +235,19 @@
     /// Whether the disk takes and syncs a file of usual size again.
     pub async fn probe(&self) -> io::Result<()> {
         let path = format!("{LOCAL_FOLDER}/.probe");
-        self.w.put(&path, vec![0; DISK_PROBE]).await?;
-        self.w.sync(&path).await?;
-        self.w.remove(&path).await?;
-        self.w.sync(LOCAL_FOLDER).await
+        self.runtime.write_file(&path, vec![0; DISK_PROBE]).await?;
+        self.runtime.sync(&path).await?;
+        self.runtime.remove(&path).await?;
+        self.runtime.sync(LOCAL_FOLDER).await
     }
 
     /// Whether the disk still bears the identity that it was opened with.
     pub async fn bears_identity(&self) -> io::Result<bool> {
         let path = LOCAL_FOLDER;
-        let files = self.w.list(path).await?;
+        let files = self.runtime.list(path).await?;
         let newest = files.iter().filter_map(|f| split_version(f)).filter(|x| x.0 == IDENTITY).map(|x| x.1).max();
         let Some(version) = newest else { return Ok(false) };
-        let body = self.w.get(&version_path(path, IDENTITY, version)).await?;
-        Ok(unseal(&body).is_some_and(|b| b == self.id.as_bytes()))
+        let message = self.runtime.read_file(&version_path(path, IDENTITY, version)).await?;
+        Ok(decode_frame(&message).is_some_and(|b| b == self.disk_id.as_bytes()))
     }
 }
--- a/yewcross/src/web.rs
+++ b/yewcross/src/streaming_http.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 by hyper over the world's connections. Targets pass byte for byte; what cannot is answered 400.
 
-use crate::consts::*;
-use crate::route::Limits;
-use crate::world::*;
+use crate::configuration::route::Limits;
+use crate::constants::*;
+use crate::runtime::*;
 use bytes::Bytes;
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use http::{HeaderValue, Request, Response, StatusCode, header};
@@ -21,10 +21,10 @@
 
 pub type Body = http_body_util::combinators::BoxBody<Bytes, io::Error>;
 /// A handler's future is dropped when its caller goes.
-pub type Handler = Arc<dyn Fn(Request<Incoming>, SocketAddr) -> Fut<'static, Response<Body>> + Send + Sync>;
+pub type Handler = Arc<dyn Fn(Request<Incoming>, SocketAddr) -> BoxFuture<'static, Response<Body>> + Send + Sync>;
 
 /// Counts what is open and tells everything that serves to come to an end. Woken by events only.
-pub struct Gate {
+pub struct ConnectionTracker {
     last: AtomicBool,
     open: AtomicUsize,
     busy: AtomicUsize,
@@ -32,9 +32,9 @@
     empty: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
-impl Default for Gate {
-    fn default() -> Gate {
-        Gate {
+impl Default for ConnectionTracker {
+    fn default() -> ConnectionTracker {
+        ConnectionTracker {
             last: AtomicBool::new(false),
             open: AtomicUsize::new(0),
             busy: AtomicUsize::new(0),
@@ -44,7 +44,7 @@
     }
 }
 
-impl Gate {
+impl ConnectionTracker {
     /// From now on each answer is its connection's last; new connections are still taken.
     pub fn last(&self) {
         self.last.store(true, SeqCst);
@@ -88,8 +88,8 @@
 }
 
 struct Watched {
-    c: Conn,
-    w: World,
+    c: Connection,
+    w: Runtime,
     seen: Arc<Seen>,
     /// The request line was looked through.
     line: u64,
@@ -130,7 +130,7 @@
 /// hyper's clock, told by the world. The wait for a head ends `idle` after it began while no byte came, and `head`
 /// after the first byte. us.
 struct Clock {
-    w: World,
+    w: Runtime,
     t0: Instant,
     seen: Arc<Seen>,
     head: u64,
@@ -138,12 +138,12 @@
 }
 
 struct Nap {
-    w: World,
+    w: Runtime,
     seen: Arc<Seen>,
     head: u64,
     until: u64,
     set: u64,
-    f: std::sync::Mutex<Fut<'static, ()>>,
+    f: std::sync::Mutex<BoxFuture<'static, ()>>,
 }
 
 impl Future for Nap {
@@ -189,7 +189,7 @@
     r
 }
 
-struct Busy(Arc<Gate>, Arc<Seen>);
+struct Busy(Arc<ConnectionTracker>, Arc<Seen>);
 
 impl Drop for Busy {
     fn drop(&mut self) {
@@ -208,7 +208,7 @@
     Ok(r)
 }
 
-async fn attend(w: World, c: Conn, h: Handler, l: Limits, g: Arc<Gate>) {
+async fn attend(w: Runtime, c: Connection, h: Handler, l: Limits, g: Arc<ConnectionTracker>) {
     let (seen, from) = (Arc::new(Seen::default()), c.peer);
     let clock = Clock { w: w.clone(), t0: Instant::now(), seen: seen.clone(), head: l.head_ms * MS, idle: l.idle_ms.max(l.head_ms) * MS };
     let (g2, s2) = (g.clone(), seen.clone());
@@ -237,7 +237,7 @@
     .await;
     if !over {
         // What its caller sends at this very moment is still taken.
-        if w.within(LAST_LOOK, conn.as_mut()).await.is_none() {
+        if w.timeout(LAST_LOOK, conn.as_mut()).await.is_none() {
             conn.as_mut().graceful_shutdown();
             let _ = conn.await;
         }
@@ -246,11 +246,17 @@
 }
 
 /// Serves until the gate closes; then empties the accept backlog and returns when all is answered.
-pub async fn serve(w: World, door: Box<dyn Door>, h: Handler, limits: Arc<dyn Fn() -> Limits + Send + Sync>, g: Arc<Gate>) {
+pub async fn serve(
+    w: Runtime,
+    door: Box<dyn Listener>,
+    h: Handler,
+    limits: Arc<dyn Fn() -> Limits + Send + Sync>,
+    g: Arc<ConnectionTracker>,
+) {
     g.open.fetch_add(1, SeqCst);
-    let take = |c: Conn| {
+    let take = |c: Connection| {
         g.open.fetch_add(1, SeqCst);
-        w.go(attend(w.clone(), c, h.clone(), limits(), g.clone()));
+        w.spawn(attend(w.clone(), c, h.clone(), limits(), g.clone()));
     };
     loop {
         let got = async { Some(door.accept().await) }
@@ -267,7 +273,7 @@
             None => break,
         }
     }
-    while let Some(Ok(c)) = w.within(LAST_LOOK, door.accept()).await {
+    while let Some(Ok(c)) = w.timeout(LAST_LOOK, door.accept()).await {
         take(c);
     }
     drop(door);
@@ -296,11 +302,11 @@
 }
 
 /// Dial, ask, read all, all within `us`. Each ask has a connection of its own.
-pub async fn fetch(w: &World, to: SocketAddr, mut q: Request<Full<Bytes>>, max: usize, us: u64) -> io::Result<Response<Bytes>> {
+pub async fn fetch(w: &Runtime, to: SocketAddr, mut q: Request<Full<Bytes>>, max: usize, us: u64) -> io::Result<Response<Bytes>> {
     if !q.headers().contains_key(header::HOST) {
         q.headers_mut().insert(header::HOST, HeaderValue::try_from(to.to_string()).map_err(wrong)?);
     }
-    w.within(us, async {
+    w.timeout(us, async {
         let c = w.connect(to).await?;
         let (mut s, conn) = hyper::client::conn::http1::handshake(FuturesIo::new(c)).await.map_err(wrong)?;
         let drive = async {
--- a/yewcross/src/chain.rs
+++ b/yewcross/src/turn_log/mod.rs
@@ -3,7 +3,10 @@
 //! A turn is written once under its own id and never changes. A program's ledger is a set of entries, one a turn; one
 //! store at a time gives out its budget.
 
-use crate::world::Fut;
+pub mod client;
+pub mod store_client;
+
+use crate::runtime::BoxFuture;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -45,21 +48,21 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum OpenTurnError {
     /// The budget does not hold another such turn. It will not run.
-    Spent,
+    BudgetSpent,
     /// Certain: no such turn was answered, or it is over its keeping time.
-    Unknown,
+    UnknownTurn,
     /// The stores could not be asked, or cannot be sure. It will not run.
-    Away,
+    Unavailable,
 }
 
 /// The front's side; `until` is in us of the world's clock.
-pub trait Chains: Send + Sync {
+pub trait TurnLogService: Send + Sync {
     /// Reserves the turn's tokens and hands over its chain. After `Err` nothing of it counts.
-    fn open(&self, o: OpenTurn, until: u64) -> Fut<'_, Result<OpenedTurn, Refusal>>;
+    fn open(&self, o: OpenTurn, until: u64) -> BoxFuture<'_, Result<OpenedTurn, OpenTurnError>>;
     /// Keeps an answered turn on enough disks, and counts what it put out. `Err`: it may or may not be kept.
-    fn finish(&self, o: OpenTurn, t: Turn, used: u64, until: u64) -> Fut<'_, Result<(), Refusal>>;
+    fn finish(&self, o: OpenTurn, t: Turn, used: u64, until: u64) -> BoxFuture<'_, Result<(), OpenTurnError>>;
     /// The turn ended otherwise, after this many tokens were passed on. Goes on by itself.
     fn settle(&self, o: OpenTurn, used: u64);
 }
