--- a/yewcross-plan/src/capacity/balancing.rs
+++ b/yewcross-capacity/src/capacity/balancing.rs
@@ -3,7 +3,7 @@
 use crate::capacity::cost::{Cost, core, mb, polls_s, spread_s};
 use crate::capacity::inputs::Inputs;
 use crate::capacity::messages::{Messages, PACKET};
-use yewcross::constants::KV_TOKEN_BYTES;
+use yewcross_common::constants::KV_TOKEN_BYTES;
 
 /// The home node of a service and zone polls every server there, tells its zone, and passes on what other zones tell. A
 /// service is a model.
--- a/yewcross-plan/src/capacity/configuration.rs
+++ b/yewcross-capacity/src/capacity/configuration.rs
@@ -3,7 +3,7 @@
 use crate::capacity::cost::{Cost, core, mb};
 use crate::capacity::inputs::{DAY, Inputs};
 use crate::capacity::messages::{Messages, PACKET};
-use yewcross::constants::{BODY_MAX, PAST_KEPT, PEER_WAIT, SEC, SERVE_ASK};
+use yewcross_common::constants::{BODY_MAX, PAST_KEPT, PEER_WAIT, SEC, SERVE_ASK};
 
 pub(super) fn config_text(i: &Inputs, m: &Messages) -> f64 {
     i.ours.routes * m.route
--- a/yewcross-plan/src/capacity/cost.rs
+++ b/yewcross-capacity/src/capacity/cost.rs
@@ -3,7 +3,7 @@
 use crate::capacity::inputs::Inputs;
 use crate::capacity::messages::Messages;
 use serde::Serialize;
-use yewcross::constants::{PROBE_EVERY, PROBE_WAIT, REPORT_EVERY, SEC, SUSPECT_FOR};
+use yewcross_common::constants::{PROBE_EVERY, PROBE_WAIT, REPORT_EVERY, SEC, SUSPECT_FOR};
 
 /// What a mechanism costs one node: the one that bears the most of it, where they differ.
 #[derive(Clone, Debug, Default, Serialize)]
--- a/yewcross-plan/src/capacity/measure.rs
+++ b/yewcross-capacity/src/capacity/measure.rs
@@ -4,11 +4,11 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use yewcross::constants::{SEC, WIRE_VERSION};
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross::runtime::os::OsRuntime;
-use yewcross::runtime::{BoxFuture, Runtime};
-use yewcross::transport::{Envelope, PeerClient, RequestHandler};
+use yewcross_common::constants::{SEC, WIRE_VERSION};
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::runtime::os::OsRuntime;
+use yewcross_common::runtime::{BoxFuture, Runtime};
+use yewcross_common::transport::{Envelope, PeerClient, RequestHandler};
 
 /// us of processor this process has used.
 fn used() -> f64 {
@@ -70,7 +70,7 @@
         let mut sum = 0u64;
         for _ in 0..k {
             let s: String = names.iter().map(|n| format!("{n}{:?}", (459_776_000_000_000u64, 0u32, "Alive"))).collect();
-            sum ^= yewcross::hash::rendezvous_weight(&s, "");
+            sum ^= yewcross_common::hash::rendezvous_weight(&s, "");
         }
         let digest = (used() - t0) / k as f64 / 410.0 + (sum & 1) as f64 * 1e-12;
         let route = json!({"name": "r-b9wu3fe", "host": "tenant-01234.example", "prefix": "/pufi791/", "mode": "stream",
@@ -85,7 +85,7 @@
         let t = serde_json::to_vec(&json!({"routing": {"routes": routes, "upstreams": [{"name": "model-07"}]}})).unwrap_or_default();
         let (k, t0) = (40, used());
         for _ in 0..k {
-            let _ = yewcross::configuration::Configuration::read(&t);
+            let _ = yewcross_common::configuration::Configuration::read(&t);
         }
         let parse = (used() - t0) / k as f64 / (t.len() as f64 / 1000.0);
         Costs { message_us: message, digest_us_node: digest, parse_us_kb: parse, link_kb: links.max(0.0) }
--- a/yewcross-plan/src/capacity/membership.rs
+++ b/yewcross-capacity/src/capacity/membership.rs
@@ -3,7 +3,7 @@
 use crate::capacity::cost::{Cost, beats_s, core, mb, spread_s};
 use crate::capacity::inputs::Inputs;
 use crate::capacity::messages::{Messages, PACKET};
-use yewcross::constants::NEWS_MOST;
+use yewcross_common::constants::NEWS_MOST;
 
 /// Each node probes one other a beat, and is probed once; while a change spreads, exchanges carry more.
 pub(super) fn membership(i: &Inputs, m: &Messages, carried: f64, digests: f64) -> Cost {
--- a/yewcross-plan/src/capacity/messages.rs
+++ b/yewcross-capacity/src/capacity/messages.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use yewcross::configuration::route::Route;
-use yewcross::constants::WIRE_VERSION;
-use yewcross::membership::Node;
-use yewcross::protocol::{ListedServer, LoadReport};
-use yewcross::transport::pack;
+use yewcross_common::configuration::route::Route;
+use yewcross_common::constants::WIRE_VERSION;
+use yewcross_common::membership::Node;
+use yewcross_common::protocol::{ListedServer, LoadReport};
+use yewcross_common::transport::pack;
 
 /// bytes. Ethernet, IP and TCP heads of a frame that fits one packet.
 pub(super) const PACKET: f64 = 66.0;
--- a/yewcross-plan/src/capacity/state.rs
+++ b/yewcross-capacity/src/capacity/state.rs
@@ -3,7 +3,7 @@
 use crate::capacity::cost::{Cost, core, mb};
 use crate::capacity::inputs::Inputs;
 use crate::capacity::messages::Messages;
-use yewcross::constants::{HAND_SESSIONS, STORE_COPIES};
+use yewcross_common::constants::{HAND_SESSIONS, STORE_COPIES};
 
 /// As measured: syncs and bytes inside the tier for one turn whose session, budget and outcome are registers.
 pub(super) const REGISTER_SYNCS: f64 = 30.9;
--- a/yewcross-plan/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -9,17 +9,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::net::SocketAddr;
-use yewcross::buffered_http::fetch;
-use yewcross::configuration::{Configuration, InvalidSetting, ProgramClass};
-use yewcross::constants::*;
-use yewcross::membership::Node;
-use yewcross::process_settings::Role;
-use yewcross::protocol::{CheckpointKey, ConfigDoc, Layout, ServerList, SessionCacheState};
-use yewcross::register::ReplicaSet;
-use yewcross::runtime::Runtime;
+use yewcross_common::buffered_http::fetch;
+use yewcross_common::configuration::{Configuration, InvalidSetting, ProgramClass};
+use yewcross_common::constants::*;
+use yewcross_common::membership::Node;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{CheckpointKey, ConfigDoc, Layout, ServerList, SessionCacheState};
+use yewcross_common::register::ReplicaSet;
+use yewcross_common::runtime::Runtime;
 use yewcross_control::layout::{Move, propose};
-use yewcross_front::judge::{self, Home, Weights};
-use yewcross_front::server_table::{Server, home_of};
+use yewcross_proxy::judge::{self, Home, Weights};
+use yewcross_proxy::server_table::{Server, home_of};
 
 /// Why the tier's state could not be read.
 #[derive(Debug, Snafu)]
@@ -296,7 +296,7 @@
     for (key, (_, bytes)) in top {
         let a = ReplicaSet::of(key, &c.layout, 0, |_| None).current;
         let b = ReplicaSet::of(key, &next, 0, |_| None).current;
-        let owner = |v: &[yewcross::register::Seat]| v.first().map(|s| s.disk.clone()).unwrap_or_default();
+        let owner = |v: &[yewcross_common::register::Seat]| v.first().map(|s| s.disk.clone()).unwrap_or_default();
         p.owners += (owner(&a) != owner(&b)) as u64;
         b.iter().filter(|s| !a.contains(s)).for_each(|s| {
             let across = !a.iter().any(|x| site(&x.disk) == site(&s.disk));
@@ -314,7 +314,7 @@
     c.duties.iter().for_each(|(d, h)| {
         let holder = h.as_deref().and_then(|h| h.split('#').next()).unwrap_or("none");
         if lost.contains(holder) {
-            let next = yewcross::hash::ranked(d, cores.iter().map(|n| n.name.as_str())).first().map(|s| s.to_string());
+            let next = yewcross_common::hash::ranked(d, cores.iter().map(|n| n.name.as_str())).first().map(|s| s.to_string());
             p.duties.push(Moved { what: d.clone(), was: holder.into(), is: next.unwrap_or("none".into()) });
         }
     });
--- a/yewcross-plan/src/main.rs
+++ b/yewcross-capacity/src/main.rs
@@ -1,8 +1,8 @@
 use std::net::SocketAddr;
-use yewcross::process_settings::exit;
-use yewcross::runtime::os::OsRuntime;
+use yewcross_capacity::{Change, Checkpoint, Fault, capacity, load, plan, take};
+use yewcross_common::process_settings::exit;
+use yewcross_common::runtime::os::OsRuntime;
 use yewcross_control::layout::Move;
-use yewcross_plan::{Change, Checkpoint, Fault, capacity, load, plan, take};
 
 xflags::xflags! {
     /// Shows what a change would move, and what a size would cost. Changes nothing.
--- a/yewcross-plan/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::SEC;
-use yewcross::process_settings::{ProcessSettings, Role};
-use yewcross_lab::proof::{Lab, Proc};
-use yewcross_plan::capacity::{Cost, GIVEN, Held, Inputs, MECHANISMS, Messages, Stand, passes, sum, table, text};
+use yewcross_capacity::capacity::{Cost, GIVEN, Held, Inputs, MECHANISMS, Messages, Stand, passes, sum, table, text};
+use yewcross_common::constants::SEC;
+use yewcross_common::process_settings::{ProcessSettings, Role};
+use yewcross_testkit::proof::{Lab, Proc};
 
 fn cost(i: &Inputs, name: &str) -> Cost {
     let m = MECHANISMS.iter().find(|m| m.name == name).unwrap_or_else(|| panic!("no {name}"));
--- a/yewcross-plan/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -3,13 +3,13 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
+use yewcross_capacity::{Change, Checkpoint, plan, take};
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
 use yewcross_control::layout::Move;
-use yewcross_lab::caller::{self, Ask, Heard};
-use yewcross_lab::proof::Lab;
-use yewcross_lab::script::on_fleet_of;
-use yewcross_plan::{Change, Checkpoint, plan, take};
+use yewcross_testkit::caller::{self, Ask, Heard};
+use yewcross_testkit::proof::Lab;
+use yewcross_testkit::script::on_fleet_of;
 
 async fn talk(lab: &Arc<Lab>, turns: std::ops::Range<usize>) -> Vec<caller::Seen> {
     let fronts: Vec<_> = lab.sh.of(Role::Front).iter().map(|n| n.http).collect();
@@ -72,7 +72,7 @@
                 };
                 let new: BTreeSet<_> = pairs(&after)
                     .difference(&pairs(&before))
-                    .filter(|x| !yewcross::documents::cache::DOCS.contains(&x.0.as_str()))
+                    .filter(|x| !yewcross_common::documents::cache::DOCS.contains(&x.0.as_str()))
                     .cloned()
                     .collect();
                 let said: BTreeSet<_> = p.copies.iter().map(|c| (c.key.clone(), c.to.clone(), c.bytes)).collect();
--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -3,9 +3,9 @@
 use crate::{Control, config, layout, quorum_contact};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::adapter::{ConfigurationFormat, NativeFormat, ServerCatalogue};
-use yewcross::process_settings::Role;
-pub use yewcross::protocol::operator_orders::{PutAnswer, RetireBegin};
+use yewcross_common::adapter::{ConfigurationFormat, NativeFormat, ServerCatalogue};
+use yewcross_common::process_settings::Role;
+pub use yewcross_common::protocol::operator_orders::{PutAnswer, RetireBegin};
 
 /// When a put is acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/yewcross-control/src/config.rs
+++ b/yewcross-control/src/config.rs
@@ -19,11 +19,11 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::documents::cache::DOCS;
-use yewcross::error_code::Code;
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DOCS;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
 
 /// Grants are written down before the disk is looked at, so that a put that follows cannot miss one.
 pub async fn newer(c: &Arc<Control>, have: Vec<(String, u64)>, front: bool, departed: u64, who: &str) -> PeerResponse {
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -10,13 +10,13 @@
 use crate::Control;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::{PEER_WAIT, PUSH_EVERY};
-use yewcross::documents::cache::DocumentVersion;
-use yewcross::membership::Node;
-use yewcross::process_settings::Role;
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross::register::Ballot;
-use yewcross::transport::SendError;
+use yewcross_common::constants::{PEER_WAIT, PUSH_EVERY};
+use yewcross_common::documents::cache::DocumentVersion;
+use yewcross_common::membership::Node;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::register::Ballot;
+use yewcross_common::transport::SendError;
 
 /// count. Times that the whole document is sent to a node whose answer is lost; it asks for news itself soon.
 const SENT_WHOLE: usize = 2;
@@ -50,9 +50,10 @@
         if before.version == 0 {
             return None;
         }
-        let delta = yewcross::documents::delta::encode(&before.content, &now.content);
+        let delta = yewcross_common::documents::delta::encode(&before.content, &now.content);
         let worth_it = 2 * delta.len() < now.content.len();
-        worth_it.then(|| Arc::new(Change { base: before.version, base_digest: yewcross::hash::content_digest(&before.content), delta }))
+        worth_it
+            .then(|| Arc::new(Change { base: before.version, base_digest: yewcross_common::hash::content_digest(&before.content), delta }))
     }
 }
 
@@ -124,7 +125,7 @@
 
 /// Tells the nodes that fall to one of the relays.
 fn tell_share(c: &Arc<Control>, notice: &Notice, relays: &[String], relay: &str) {
-    let falls_to_relay = |node: &Node| yewcross::hash::ranked(&node.name, relays.iter().map(|r| r.as_str())).first() == Some(&relay);
+    let falls_to_relay = |node: &Node| yewcross_common::hash::ranked(&node.name, relays.iter().map(|r| r.as_str())).first() == Some(&relay);
     let view = c.members.view.load();
     for node in view.values().filter(|node| node.role != Role::Core && falls_to_relay(node)) {
         let (control, node, notice) = (c.clone(), node.clone(), notice.clone());
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -3,8 +3,8 @@
 use crate::{Control, proposer};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::documents::cache::DOCS;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DOCS;
 
 /// The newest version of a document that this core has heard of, decided or not.
 async fn version_told(c: &Control, name: &str) -> u64 {
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -12,12 +12,12 @@
 use crate::proposer::{self, NotAnswered};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::configuration::InvalidSetting;
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::process_settings::Bounds;
-use yewcross::protocol::{ConfigDoc, PeerRequest, PeerResponse, TakenOrder};
-use yewcross::register::{ChangeError, Step};
+use yewcross_common::configuration::InvalidSetting;
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Bounds;
+use yewcross_common::protocol::{ConfigDoc, PeerRequest, PeerResponse, TakenOrder};
+use yewcross_common::register::{ChangeError, Step};
 
 /// An operator's order, as it is decided.
 pub struct Order<'a> {
@@ -129,7 +129,7 @@
 }
 
 fn digest(text: &str) -> String {
-    yewcross::hash::content_digest(text.as_bytes())
+    yewcross_common::hash::content_digest(text.as_bytes())
 }
 
 /// ms that digests of taken orders are kept: an operator asks again for a few times the time for an answer.
--- a/yewcross-control/src/config/proved.rs
+++ b/yewcross-control/src/config/proved.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::configuration::{Configuration, InvalidSetting};
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
-use yewcross::register::*;
+use yewcross_common::configuration::{Configuration, InvalidSetting};
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
+use yewcross_common::register::*;
 
 pub async fn grants(c: &Arc<Control>, name: &str, seq: u64) -> PeerResponse {
     let s = c.replica.peek(name).await.map(|s| s.seq).unwrap_or(0);
--- a/yewcross-control/src/config/read.rs
+++ b/yewcross-control/src/config/read.rs
@@ -3,8 +3,8 @@
 use crate::api::ReadAnswer;
 use crate::{Control, proposer};
 use std::sync::Arc;
-use yewcross::constants::READ_BACK_WITHIN;
-use yewcross::protocol::ConfigDoc;
+use yewcross_common::constants::READ_BACK_WITHIN;
+use yewcross_common::protocol::ConfigDoc;
 
 /// The newest decided configuration: linearizable with the orders, for a majority of the core disks is asked each time.
 pub async fn newest(c: &Arc<Control>) -> ReadAnswer {
--- a/yewcross-control/src/contact.rs
+++ b/yewcross-control/src/contact.rs
@@ -2,7 +2,7 @@
 
 use crate::lease::quorum;
 use std::collections::BTreeMap;
-use yewcross::protocol::ReplicaGroup;
+use yewcross_common::protocol::ReplicaGroup;
 
 /// When each core seat last answered, and what its disk held. A pure record: no clock, no network.
 #[derive(Clone, Debug, Default)]
--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
+use yewcross_common::constants::*;
 
 enum Outcome {
     Restored {
--- a/yewcross-control/src/duty.rs
+++ b/yewcross-control/src/duty.rs
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::process_settings::Role;
-use yewcross::protocol::lease::*;
-use yewcross::runtime::*;
-use yewcross::storage::DurableStorage;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::lease::*;
+use yewcross_common::runtime::*;
+use yewcross_common::storage::DurableStorage;
 
 pub const DUTIES: [&str; 2] = ["list", "layout"];
 
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::documents::cache::DOCS;
-use yewcross::membership::{MemberState, Node};
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
-use yewcross::register::Ballot;
-use yewcross::register::Step;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DOCS;
+use yewcross_common::membership::{MemberState, Node};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
+use yewcross_common::register::Ballot;
+use yewcross_common::register::Step;
 
 /// Layout and its version.
 type Versioned = Arc<(u64, Layout)>;
--- a/yewcross-control/src/layout/founding.rs
+++ b/yewcross-control/src/layout/founding.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::membership::Node;
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
-use yewcross::register::*;
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::membership::Node;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
+use yewcross_common::register::*;
 
 /// A core disk takes part only after it was founded, or once a decided layout names it.
 pub async fn found_here(c: &Arc<Control>, blob: Vec<u8>) -> PeerResponse {
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -3,12 +3,12 @@
 use super::{planning, report, spread};
 use crate::Control;
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::membership::Node;
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
-use yewcross::register::*;
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::membership::Node;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
+use yewcross_common::register::*;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Move {
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -17,10 +17,10 @@
 
 use crate::{Control, config};
 use std::sync::Arc;
-use yewcross::constants::PEER_WAIT;
-use yewcross::process_settings::Role;
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross::runtime::BoxFuture;
+use yewcross_common::constants::PEER_WAIT;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::runtime::BoxFuture;
 
 /// Reads the newest layout under a majority and tells every node.
 async fn spread(c: &Arc<Control>) {
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -4,11 +4,11 @@
 //! way, whatever is decided needs enough of the incoming set (`now`) and enough of the outgoing one (`old`). The outgoing
 //! set stays in force until the change ends, so the incoming one may be amended at any time.
 
-use yewcross::constants::{SEAT_LOST, SEAT_MISSING};
-use yewcross::membership::{MemberState, Node};
-use yewcross::process_settings::Role;
-use yewcross::protocol::{Layout, ReplicaGroup};
-use yewcross::register::majority;
+use yewcross_common::constants::{SEAT_LOST, SEAT_MISSING};
+use yewcross_common::membership::{MemberState, Node};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{Layout, ReplicaGroup};
+use yewcross_common::register::majority;
 
 /// The core first: nothing can be decided without its majority.
 pub const IN_ORDER_OF_DANGER: [Role; 2] = [Role::Core, Role::Store];
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -5,9 +5,9 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::WIRE_NAMED_DISKS;
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross::runtime::BoxFuture;
+use yewcross_common::constants::WIRE_NAMED_DISKS;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::runtime::BoxFuture;
 
 /// This disk's own report of the change that layout number `since` began.
 pub fn report(c: &Control, since: u64) -> PeerResponse {
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -4,11 +4,11 @@
 use crate::proposer::{self, NotAnswered};
 use crate::{Control, config};
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
-use yewcross::register::*;
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
+use yewcross_common::register::*;
 
 /// Has it written down that a store machine is to be emptied, here or by the process that proposes.
 pub async fn retire(c: &Arc<Control>, node: &str) -> RetireBegin {
--- a/yewcross-control/src/layout/sweep.rs
+++ b/yewcross-control/src/layout/sweep.rs
@@ -4,9 +4,9 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::documents::cache::DOCS;
-use yewcross::protocol::*;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DOCS;
+use yewcross_common::protocol::*;
 
 /// Every key on this disk is brought to all its copies, then again, at rest when nothing is amiss.
 pub async fn sweep(c: Arc<Control>) {
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -6,9 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use yewcross::protocol::lease::*;
-use yewcross::protocol::{Layout, ReplicaGroup};
-use yewcross::register::majority;
+use yewcross_common::protocol::lease::*;
+use yewcross_common::protocol::{Layout, ReplicaGroup};
+use yewcross_common::register::majority;
 
 /// Rounds that a holder may ask for beyond the last one it saw confirmed.
 pub const UNCONFIRMED_ROUNDS: u64 = 2;
@@ -27,7 +27,7 @@
     if l.core.current.is_empty() {
         return 0;
     }
-    yewcross::hash::rendezvous_weight(&l.core.current.join(" "), &l.core.previous.join(" "))
+    yewcross_common::hash::rendezvous_weight(&l.core.current.join(" "), &l.core.previous.join(" "))
 }
 
 /// Whether the disks are a majority of the seats, and of the old ones while a change is under way.
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -5,12 +5,12 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::SYNC_WAIT;
-use yewcross::documents::cache::DOCS;
-use yewcross::protocol::Layout;
-use yewcross::protocol::lease::*;
-use yewcross::runtime::Runtime;
-use yewcross::storage::DurableStorage;
+use yewcross_common::constants::SYNC_WAIT;
+use yewcross_common::documents::cache::DOCS;
+use yewcross_common::protocol::Layout;
+use yewcross_common::protocol::lease::*;
+use yewcross_common::runtime::Runtime;
+use yewcross_common::storage::DurableStorage;
 
 /// Name of the file that keeps the highest term granted.
 const TERM_FILE: &str = "lease";
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -6,13 +6,13 @@
 use crate::{Control, config, layout};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::documents::cache::DOCS;
-use yewcross::membership::MemberState;
-use yewcross::protocol::lease::*;
-use yewcross::protocol::*;
-use yewcross::register::{Ballot, Step};
-use yewcross::runtime::BoxFuture;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DOCS;
+use yewcross_common::membership::MemberState;
+use yewcross_common::protocol::lease::*;
+use yewcross_common::protocol::*;
+use yewcross_common::register::{Ballot, Step};
+use yewcross_common::runtime::BoxFuture;
 
 /// Documents that only the holder of the lease writes where operators' orders are decided by any core.
 const FENCED: [&str; 2] = ["layout", "list"];
@@ -61,7 +61,7 @@
     let layout = c.documents.layout.load();
     let alive = |d: &str| c.members.by_disk(d).is_some_and(|n| n.state == MemberState::Alive);
     let candidates = layout.1.core.current.iter().map(|d| d.as_str()).filter(|d| *d == c.storage.disk_id || alive(d));
-    let ranked = yewcross::hash::ranked("duty", candidates);
+    let ranked = yewcross_common::hash::ranked("duty", candidates);
     ranked.iter().position(|d| *d == c.storage.disk_id).unwrap_or(0) as u64
 }
 
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -1,8 +1,4 @@
 pub mod api;
-pub mod chain;
-pub mod chain_log;
-mod chain_restore;
-pub mod chain_sweep;
 pub mod config;
 pub mod contact;
 mod disk_recovery;
@@ -15,7 +11,6 @@
 pub mod platform_list;
 pub mod proposer;
 pub mod quorum_contact;
-pub mod store;
 
 use config::{Change, Notice};
 use event_listener::Event;
@@ -23,18 +18,18 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::buffered_http::ConnectionTracker;
-use yewcross::constants::*;
-use yewcross::documents::cache::*;
-use yewcross::documents::watcher::DocumentWatcher;
-use yewcross::error_code::Code;
-use yewcross::membership::Membership;
-use yewcross::process_settings::{ProcessSettings, Role};
-use yewcross::protocol::*;
-use yewcross::register::*;
-use yewcross::runtime::*;
-use yewcross::storage::DurableStorage;
-use yewcross::transport::*;
+use yewcross_common::buffered_http::ConnectionTracker;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::*;
+use yewcross_common::documents::watcher::DocumentWatcher;
+use yewcross_common::error_code::Code;
+use yewcross_common::membership::Membership;
+use yewcross_common::process_settings::{ProcessSettings, Role};
+use yewcross_common::protocol::*;
+use yewcross_common::register::*;
+use yewcross_common::runtime::*;
+use yewcross_common::storage::DurableStorage;
+use yewcross_common::transport::*;
 
 pub struct Control {
     pub runtime: Runtime,
@@ -45,8 +40,8 @@
     pub storage: Arc<DurableStorage>,
     pub replica: Arc<Replica>,
     pub registers: Arc<RegisterClient>,
-    pub store: Arc<store::Store>,
-    pub chain: Arc<chain::Engine>,
+    pub store: Arc<yewcross_state::records::Store>,
+    pub chain: Arc<yewcross_state::turn_store::Engine>,
     pub watcher: Arc<DocumentWatcher>,
     pub duties: duty::Duties,
     pub connections: Arc<ConnectionTracker>,
@@ -131,7 +126,7 @@
         let owner = RegisterClient::new(w, &peers, &replica, Arc::new(move |k| place(&b, &m, k)));
         let (b, m, p) = (book.clone(), members.clone(), peers.clone());
         let me = st.peer;
-        let own: Arc<Mutex<Option<std::sync::Weak<store::Store>>>> = Default::default();
+        let own: Arc<Mutex<Option<std::sync::Weak<yewcross_state::records::Store>>>> = Default::default();
         let own2 = own.clone();
         let route = move |key: String, a: PeerRequest| -> BoxFuture<'static, Option<PeerResponse>> {
             let (b, m, p, own) = (b.clone(), m.clone(), p.clone(), own2.clone());
@@ -150,14 +145,19 @@
                 None
             })
         };
-        let store = Arc::new(store::Store { owner: owner.clone(), members: members.clone(), w: w.clone(), route: Arc::new(route) });
+        let store = Arc::new(yewcross_state::records::Store {
+            owner: owner.clone(),
+            members: members.clone(),
+            w: w.clone(),
+            route: Arc::new(route),
+        });
         *own.lock().unwrap() = Some(Arc::downgrade(&store));
         let follow = match options.rollout {
             api::Rollout::Proved => DocumentWatcher::new(&members, &book, &st.name, false),
             api::Rollout::Majority => DocumentWatcher::without_leases(&members, &book, &st.name, false, st.bounds.apply * MS),
         };
         let duties = duty::Duties::open(w, &vault, &book, owner.proposer_id, st.role).await.map_err(disk)?;
-        let chain = chain::Engine::start(w, &st, &members, &book, &vault).await.map_err(disk)?;
+        let chain = yewcross_state::turn_store::Engine::start(w, &st, &members, &book, &vault).await.map_err(disk)?;
         let c = Arc::new(Control {
             runtime: w.clone(),
             peers,
@@ -196,8 +196,8 @@
         if c.options.bind_http {
             let http = w.bind(c.settings.http).await.map_err(bind(c.settings.http))?;
             let me = c.clone();
-            let h: yewcross::buffered_http::Handler = Arc::new(move |j| Box::pin(operator::answer(me.clone(), j)));
-            w.spawn(yewcross::buffered_http::serve(w.clone(), http, h, c.connections.clone()));
+            let h: yewcross_common::buffered_http::Handler = Arc::new(move |j| Box::pin(operator::answer(me.clone(), j)));
+            w.spawn(yewcross_common::buffered_http::serve(w.clone(), http, h, c.connections.clone()));
         }
         w.spawn(c.peers.clone().serve(door, Arc::new(Ear(c.clone()))));
         w.spawn(c.members.clone().run());
@@ -303,29 +303,6 @@
     }
 }
 
-impl store::Store {
-    pub async fn handle(self: &Arc<Self>, a: PeerRequest, blob: Vec<u8>) -> (PeerResponse, Vec<u8>) {
-        match a {
-            PeerRequest::BeginTurn(b) => return self.begin(b).await,
-            PeerRequest::CommitTurn(c) => (self.commit(c, blob).await, vec![]),
-            PeerRequest::AbortTurn { key, request_id: job, nonce, budget } => (self.abort(&key, &job, nonce, budget).await, vec![]),
-            PeerRequest::RecordCacheState { key, epoch, cache: kv } => (self.note(&key, epoch, kv).await, vec![]),
-            PeerRequest::InspectSession { key } => (self.look(&key).await, vec![]),
-            PeerRequest::EndSession { key } => (self.end(&key).await, vec![]),
-            PeerRequest::ExpireSession { key } => (self.expire(&key).await, vec![]),
-            PeerRequest::ReserveBudget { budget, entry, amount, limit, key, request_id: job, nonce, retain_ms: keep } => {
-                let o = store::Open { amount, key, job, nonce, at: self.wall(), keep };
-                (self.reserve(budget.trim_start_matches("budget/"), &entry, o, limit).await, vec![])
-            }
-            PeerRequest::SettleBudget { budget, entry, used } => (self.settle(&budget, &entry, used).await, vec![]),
-            PeerRequest::RepairKey { key } => {
-                (if self.owner.tend(&key).await { PeerResponse::Ok } else { PeerResponse::Rejected(Code::Undecided) }, vec![])
-            }
-            _ => (PeerResponse::Rejected(Code::BadField), vec![]),
-        }
-    }
-}
-
 /// A document as this node's own disk holds it.
 #[derive(Clone, Copy, Default)]
 struct KeptPage {
--- a/yewcross-control/src/main.rs
+++ b/yewcross-control/src/main.rs
@@ -1,6 +1,6 @@
 use futures_lite::StreamExt;
-use yewcross::process_settings::{Role, exit};
-use yewcross::runtime::os::OsRuntime;
+use yewcross_common::process_settings::{Role, exit};
+use yewcross_common::runtime::os::OsRuntime;
 
 xflags::xflags! {
     /// Control plane of the yewcross serving tier.
@@ -14,7 +14,7 @@
 
 fn main() {
     let f = YewcrossControl::from_env_or_exit();
-    let s = yewcross::process_settings::load(&f.startup, false, f.check);
+    let s = yewcross_common::process_settings::load(&f.startup, false, f.check);
     if let Err(e) = std::fs::create_dir_all(&s.data) {
         eprintln!("data {}: {e}", s.data);
         std::process::exit(exit::BAD_DISK);
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -7,10 +7,10 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::buffered_http::{BufferedRequest, refuse, reply};
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::protocol::*;
+use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::*;
 
 fn no(c: Code, why: &str) -> Response {
     refuse(c, why, c.back())
@@ -66,7 +66,7 @@
         Ok((seq, _, v)) => {
             let d: ConfigDoc = serde_json::from_slice(&v).unwrap_or_default();
             let mut r = if effective {
-                reply(200, &json!({"version": seq, "tree": yewcross::configuration::Configuration::read(d.text.as_bytes()).ok()}))
+                reply(200, &json!({"version": seq, "tree": yewcross_common::configuration::Configuration::read(d.text.as_bytes()).ok()}))
             } else {
                 let tree: Value = serde_json::from_str(&d.text).unwrap_or(Value::Null);
                 reply(
@@ -154,7 +154,7 @@
     let mut held = vec![];
     for k in keys {
         if let Some(s) = c.replica.peek(&k).await.filter(|s| s.seq > 0) {
-            let kv = k.starts_with("session/").then(|| crate::store::Record::read(&s.value).head.kv);
+            let kv = k.starts_with("session/").then(|| yewcross_state::records::Record::read(&s.value).head.kv);
             held.push(CheckpointKey { key: k, seq: s.seq, bytes: s.value.len() as u64, kv });
         }
     }
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::adapter::ServerCatalogue;
-use yewcross::buffered_http;
-use yewcross::constants::*;
-use yewcross::protocol::*;
-use yewcross::register::*;
-use yewcross::streaming_http;
+use yewcross_common::adapter::ServerCatalogue;
+use yewcross_common::buffered_http;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::*;
+use yewcross_common::register::*;
+use yewcross_common::streaming_http;
 
 /// Asks the platform, in its own time, and decides a list that differs. Returns how long to wait.
 pub async fn poll(c: &Arc<Control>) -> u64 {
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -6,12 +6,12 @@
 
 use crate::{Control, duty};
 use std::sync::Arc;
-use yewcross::constants::{LOOKS_WITHIN, MS, PROPOSER_AGAIN};
-use yewcross::error_code::Code;
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross::register::ChangeError;
-use yewcross::register::client::Decided;
-use yewcross::transport::SendError;
+use yewcross_common::constants::{LOOKS_WITHIN, MS, PROPOSER_AGAIN};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::register::ChangeError;
+use yewcross_common::register::client::Decided;
+use yewcross_common::transport::SendError;
 
 /// Why the proposer has not answered.
 pub enum NotAnswered {
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -5,10 +5,10 @@
 use crate::lease_granter::{answer, has_seat, with_granter};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::protocol::lease::*;
-use yewcross::protocol::*;
-use yewcross::runtime::BoxFuture;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::lease::*;
+use yewcross_common::protocol::*;
+use yewcross_common::runtime::BoxFuture;
 
 /// Puts one question to one seat. Its answer counts as contact.
 pub async fn ask_seat(c: &Arc<Control>, disk: &str, call: LeaseOperation) -> Option<LeaseResponse> {
@@ -134,7 +134,7 @@
     if others.is_empty() || !last_round_was_enough || !g.previous.is_empty() {
         return others;
     }
-    let needed = yewcross::register::majority(g.current.len()) - g.current.iter().any(|d| d == own) as usize;
+    let needed = yewcross_common::register::majority(g.current.len()) - g.current.iter().any(|d| d == own) as usize;
     let n = others.len();
     others.rotate_left(turn % n);
     others.truncate(needed);
--- a/yewcross-control/tests/orders.rs
+++ b/yewcross-control/tests/orders.rs
@@ -1,9 +1,9 @@
 //! What an order makes of the configuration's register, step by step.
 
-use yewcross::constants::*;
-use yewcross::process_settings::Bounds;
-use yewcross::protocol::ConfigDoc;
-use yewcross::register::Step;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Bounds;
+use yewcross_common::protocol::ConfigDoc;
+use yewcross_common::register::Step;
 use yewcross_control::config::orders::{Decision, Order, decide, kept_ms};
 
 /// A register that only one process changes, and a clock.
@@ -181,7 +181,7 @@
 /// Documents written before digests had an age keep what they know.
 #[test]
 fn an_older_document_keeps_its_digests() {
-    let digest = |text: &str| yewcross::hash::content_digest(text.as_bytes());
+    let digest = |text: &str| yewcross_common::hash::content_digest(text.as_bytes());
     let older = ConfigDoc {
         text: "7 c".into(),
         number: 7,
@@ -209,9 +209,9 @@
     register.take_all(1..=300, 100);
     let before = register.value.clone();
     register.take_all(301..=301, 100);
-    let delta = yewcross::documents::delta::encode(&before, &register.value);
+    let delta = yewcross_common::documents::delta::encode(&before, &register.value);
     println!("{} of {} bytes", delta.len(), register.value.len());
     assert!(delta.len() < 600, "{}", delta.len());
-    assert_eq!(yewcross::documents::delta::apply(&before, &delta).as_deref(), Some(&register.value[..]));
+    assert_eq!(yewcross_common::documents::delta::apply(&before, &delta).as_deref(), Some(&register.value[..]));
     assert_eq!(serde_json::from_slice::<ConfigDoc>(&register.value).unwrap(), register.document());
 }
--- a/yewcross-control/tests/record.rs
+++ b/yewcross-control/tests/record.rs
@@ -1,9 +1,9 @@
 //! The record of a session survives being written and read, and forgets nothing that it must keep.
 
-use yewcross::configuration::Rule;
-use yewcross::constants::{MARKS_KEPT, OLD_KEPT};
-use yewcross::error_code::Code;
-use yewcross_control::store::{Mark, Record, Run};
+use yewcross_common::configuration::Rule;
+use yewcross_common::constants::{MARKS_KEPT, OLD_KEPT};
+use yewcross_common::error_code::Code;
+use yewcross_state::records::{Mark, Record, Run};
 
 #[test]
 fn histories_are_trimmed_by_their_rule() {
@@ -39,7 +39,7 @@
     assert!((0..200).all(|i| b.ran_before(&format!("j{i}"))) && !b.ran_before("j200") && !b.ran_before("never"));
     b.head.running = Some(run(5000));
     b.close(Code::Done, 1);
-    let d = yewcross::documents::delta::encode(&was, &b.write()).len();
+    let d = yewcross_common::documents::delta::encode(&was, &b.write()).len();
     assert!(d < 2000, "{d}");
     b.old = vec![b'0'; 17 * OLD_KEPT];
     assert!(b.full());
--- a/yewcross-front/src/admission.rs
+++ b/yewcross-proxy/src/admission.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
-use yewcross::configuration::Class;
-use yewcross::constants::{BACK_SOON, MS, PACE_AFTER, SEC};
-use yewcross::error_code::Code;
-use yewcross::runtime::Runtime;
+use yewcross_common::configuration::Class;
+use yewcross_common::constants::{BACK_SOON, MS, PACE_AFTER, SEC};
+use yewcross_common::error_code::Code;
+use yewcross_common::runtime::Runtime;
 
 /// us. The longest a waiting request sleeps before it looks again.
 const LOOK_AGAIN: u64 = 100 * MS;
--- a/yewcross-front/src/back.rs
+++ b/yewcross-proxy/src/back.rs
@@ -8,9 +8,9 @@
 use std::marker::PhantomData;
 use std::net::SocketAddr;
 use std::sync::Mutex;
-use yewcross::buffered_http;
-use yewcross::constants::*;
-use yewcross::runtime::*;
+use yewcross_common::buffered_http;
+use yewcross_common::constants::*;
+use yewcross_common::runtime::*;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stamp {
--- a/yewcross-front/src/balance/claim.rs
+++ b/yewcross-proxy/src/balance/claim.rs
@@ -4,9 +4,9 @@
 use super::server::ServerState;
 use crate::policy::{Mechanism, Policies};
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::Runtime;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::Runtime;
 
 /// A place taken at a server; given back when dropped.
 pub struct Claim {
--- a/yewcross-front/src/balance/cost.rs
+++ b/yewcross-proxy/src/balance/cost.rs
@@ -5,7 +5,7 @@
 use super::server::ServerState;
 use crate::policy::{Mechanism, Policies};
 
-use yewcross::constants::*;
+use yewcross_common::constants::*;
 
 /// What the choice knows of the service and the moment.
 pub(super) struct Pricing<'a> {
--- a/yewcross-front/src/balance/ejection.rs
+++ b/yewcross-proxy/src/balance/ejection.rs
@@ -1,6 +1,6 @@
 //! Outlier ejection: a server that fails, or owes answers for long, is left alone for a while.
 
-use yewcross::constants::*;
+use yewcross_common::constants::*;
 
 /// How one server stood lately.
 #[derive(Default)]
--- a/yewcross-front/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -21,11 +21,11 @@
 use server::ServerState;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, RwLock};
-use yewcross::configuration::route::Engine;
-use yewcross::constants::*;
-use yewcross::hash::rendezvous_weight;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::Runtime;
+use yewcross_common::configuration::route::Engine;
+use yewcross_common::constants::*;
+use yewcross_common::hash::rendezvous_weight;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::Runtime;
 
 /// What is known of one service.
 #[derive(Default)]
--- a/yewcross-front/src/balance/observed.rs
+++ b/yewcross-proxy/src/balance/observed.rs
@@ -1,7 +1,7 @@
 //! What a service's answers tell of its servers: the time that a token of a prompt takes to read, and by how much a
 //! request slows those beside it.
 
-use yewcross::constants::*;
+use yewcross_common::constants::*;
 
 /// Least squares of `y` over `x`, in which older samples count less, drawn towards a slope that is assumed at first.
 #[derive(Clone, Debug)]
--- a/yewcross-front/src/balance/server.rs
+++ b/yewcross-proxy/src/balance/server.rs
@@ -4,7 +4,7 @@
 use super::{Load, Need};
 use crate::policy::{Mechanism, Policies};
 use lru::LruCache;
-use yewcross::constants::*;
+use yewcross_common::constants::*;
 
 /// The state of one server, as this front sees it.
 #[derive(Default)]
--- a/yewcross-front/src/judge.rs
+++ b/yewcross-proxy/src/judge.rs
@@ -1,9 +1,9 @@
 //! Small judges vote on every server for every job; the highest sum is picked.
 
 use crate::server_table::Server;
-use yewcross::configuration::ProgramClass;
-use yewcross::constants::*;
-use yewcross::protocol::{CachedPrefix, SessionCacheState};
+use yewcross_common::configuration::ProgramClass;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::{CachedPrefix, SessionCacheState};
 
 /// What the judges know of a job.
 pub struct Case<'a> {
@@ -119,7 +119,7 @@
             let (v, m) = vote(s, c, w);
             let t = takes(s, c, &m);
             (t <= c.left).then(|| {
-                (v / 4096, yewcross::hash::rendezvous_weight(c.key, &s.at.server), Pick { server: s.clone(), warmth: m, takes: t })
+                (v / 4096, yewcross_common::hash::rendezvous_weight(c.key, &s.at.server), Pick { server: s.clone(), warmth: m, takes: t })
             })
         })
         .max_by_key(|x| (x.0, x.1))
@@ -130,7 +130,7 @@
 pub fn spill<'a>(servers: &'a [Server], key: &str, home: &Home, w: &Weights) -> Option<&'a Server> {
     servers.iter().filter(|s| s.at.server != home.server && s.report.cache_tokens > 0).max_by_key(|s| {
         let near = (s.at.site == home.site) as u64;
-        (w.standing * standing(s) / 4096, near * w.site, yewcross::hash::rendezvous_weight(key, &s.at.server))
+        (w.standing * standing(s) / 4096, near * w.site, yewcross_common::hash::rendezvous_weight(key, &s.at.server))
     })
 }
 
@@ -142,7 +142,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use yewcross::protocol::{ListedServer, LoadReport};
+    use yewcross_common::protocol::{ListedServer, LoadReport};
 
     fn server(n: &str, site: &str, running: u32) -> Server {
         let at =
--- a/yewcross-front/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -10,9 +10,9 @@
 use std::num::NonZeroUsize;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::configuration::ProgramClass;
-use yewcross::constants::*;
-use yewcross::protocol::*;
+use yewcross_common::configuration::ProgramClass;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::*;
 
 #[derive(Deserialize)]
 struct Saved {
@@ -90,7 +90,7 @@
 
 impl Spares {
     fn shard(&self, key: &str) -> &Mutex<LruCache<String, Spare>> {
-        &self.shards[yewcross::hash::rendezvous_weight(key, "") as usize % KV_SHARDS]
+        &self.shards[yewcross_common::hash::rendezvous_weight(key, "") as usize % KV_SHARDS]
     }
 
     pub fn get(&self, key: &str) -> Option<Spare> {
--- a/yewcross-front/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -21,19 +21,19 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, OnceLock};
-use yewcross::adapter::{Caller, ConfigurationFormat, UpstreamProtocol};
-use yewcross::buffered_http::{BufferedRequest, ConnectionTracker, refuse, reply};
-use yewcross::constants::*;
-use yewcross::documents::cache::{DocumentCache, replicas_by_preference};
-use yewcross::documents::watcher::DocumentWatcher;
-use yewcross::error_code::Code;
-use yewcross::membership::Membership;
-use yewcross::process_settings::{ProcessSettings, Role};
-use yewcross::protocol::*;
-use yewcross::runtime::*;
-use yewcross::streaming_http;
-use yewcross::transport::*;
-use yewcross::turn_log::TurnLogService;
+use yewcross_common::adapter::{Caller, ConfigurationFormat, UpstreamProtocol};
+use yewcross_common::buffered_http::{BufferedRequest, ConnectionTracker, refuse, reply};
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::{DocumentCache, replicas_by_preference};
+use yewcross_common::documents::watcher::DocumentWatcher;
+use yewcross_common::error_code::Code;
+use yewcross_common::membership::Membership;
+use yewcross_common::process_settings::{ProcessSettings, Role};
+use yewcross_common::protocol::*;
+use yewcross_common::runtime::*;
+use yewcross_common::streaming_http;
+use yewcross_common::transport::*;
+use yewcross_common::turn_log::TurnLogService;
 
 macro_rules! counts {
     ($($f:ident),*) => {
@@ -202,8 +202,8 @@
         let f = Front::open(w, st);
         let http = f.listen().await?;
         let me = f.clone();
-        let h: yewcross::buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.spawn(yewcross::buffered_http::serve(w.clone(), http, h, f.connections.clone()));
+        let h: yewcross_common::buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
+        w.spawn(yewcross_common::buffered_http::serve(w.clone(), http, h, f.connections.clone()));
         f.run();
         w.spawn(news::run(f.clone()));
         Ok(f)
--- a/yewcross-front/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::hash::rendezvous_weight;
-use yewcross::membership::{Membership, Node};
-use yewcross::process_settings::Role;
-use yewcross::protocol::{ListedServer, PeerRequest, PeerResponse};
-use yewcross::runtime::Runtime;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::hash::rendezvous_weight;
+use yewcross_common::membership::{Membership, Node};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{ListedServer, PeerRequest, PeerResponse};
+use yewcross_common::runtime::Runtime;
 
 /// Names the front of a site that collects, among its fronts.
 const COLLECTOR: &str = "load collector";
--- a/yewcross-front/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -9,12 +9,12 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::buffered_http::{BufferedRequest, body, refuse, reply};
-use yewcross::configuration::{Class, Kind, ProgramClass, Rule};
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::hash::content_digest;
-use yewcross::protocol::*;
+use yewcross_common::buffered_http::{BufferedRequest, body, refuse, reply};
+use yewcross_common::configuration::{Class, Kind, ProgramClass, Rule};
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::hash::content_digest;
+use yewcross_common::protocol::*;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/yewcross-front/src/main.rs
+++ b/yewcross-proxy/src/main.rs
@@ -1,6 +1,6 @@
 use futures_lite::StreamExt;
-use yewcross::process_settings::exit;
-use yewcross::runtime::os::OsRuntime;
+use yewcross_common::process_settings::exit;
+use yewcross_common::runtime::os::OsRuntime;
 
 xflags::xflags! {
     /// Data plane of the yewcross serving tier.
@@ -14,10 +14,10 @@
 
 fn main() {
     let a = YewcrossFront::from_env_or_exit();
-    let s = yewcross::process_settings::load(&a.startup, true, a.check);
+    let s = yewcross_common::process_settings::load(&a.startup, true, a.check);
     let w = OsRuntime::world(".", s.threads);
     let code = smol::block_on(async {
-        let f = match yewcross_front::Front::start(&w, s).await {
+        let f = match yewcross_proxy::Front::start(&w, s).await {
             Ok(f) => f,
             Err(e) => {
                 eprintln!("{e}");
--- a/yewcross-front/src/news.rs
+++ b/yewcross-proxy/src/news.rs
@@ -4,11 +4,11 @@
 use crate::server_table::{Heard, home_of};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::buffered_http;
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
-use yewcross::runtime::*;
+use yewcross_common::buffered_http;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
+use yewcross_common::runtime::*;
 
 fn home(f: &Front, service: &str, site: &str) -> Option<String> {
     home_of(&f.members.nodes_of_role(Role::Front), service, site)
--- a/yewcross-front/src/pool.rs
+++ b/yewcross-proxy/src/pool.rs
@@ -13,9 +13,9 @@
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
 
 /// What a request may still do on its connection.
 #[derive(Default)]
--- a/yewcross-front/src/relay.rs
+++ b/yewcross-proxy/src/relay.rs
@@ -22,13 +22,13 @@
 pub use retry_budget::RetryBudget;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
-use yewcross::adapter::{Caller, RequestMeta, UpstreamProtocol};
-use yewcross::configuration::route::Route;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::error_code::Code;
-use yewcross::runtime::*;
-use yewcross::streaming_http::{Body, full};
-use yewcross::turn_log::TurnLogService;
+use yewcross_common::adapter::{Caller, RequestMeta, UpstreamProtocol};
+use yewcross_common::configuration::route::Route;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::error_code::Code;
+use yewcross_common::runtime::*;
+use yewcross_common::streaming_http::{Body, full};
+use yewcross_common::turn_log::TurnLogService;
 
 macro_rules! counts {
     ($($f:ident),*) => {
--- a/yewcross-front/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -7,13 +7,13 @@
 use http::{HeaderMap, Request, Response, header, request};
 use hyper::body::Incoming;
 use std::sync::Arc;
-use yewcross::adapter::RequestMeta;
-use yewcross::configuration::route::{Mode, Route, Routes, Upstream};
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::hash::rendezvous_weight;
-use yewcross::streaming_http::{Body, Unread, read_body};
-use yewcross::turn_log::{OpenTurnError, Turn};
+use yewcross_common::adapter::RequestMeta;
+use yewcross_common::configuration::route::{Mode, Route, Routes, Upstream};
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::hash::rendezvous_weight;
+use yewcross_common::streaming_http::{Body, Unread, read_body};
+use yewcross_common::turn_log::{OpenTurnError, Turn};
 
 /// The one host that a head names.
 fn the_host(headers: &HeaderMap) -> Option<String> {
--- a/yewcross-front/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -10,10 +10,10 @@
 use hyper::body::{Body as _, Incoming};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::adapter::AnswerMeta;
-use yewcross::configuration::route::{Mode, Route};
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
+use yewcross_common::adapter::AnswerMeta;
+use yewcross_common::configuration::route::{Mode, Route};
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
 
 /// What sending it to one server came to.
 pub(super) enum Outcome {
--- a/yewcross-front/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -6,10 +6,10 @@
 use crate::policy::Mechanism;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::configuration::route::{Mode, Route, Upstream};
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::turn_log::Turn;
+use yewcross_common::configuration::route::{Mode, Route, Upstream};
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::turn_log::Turn;
 
 /// What became of a request that a server answered.
 pub(super) struct Dispatched {
--- a/yewcross-front/src/relay/hedge.rs
+++ b/yewcross-proxy/src/relay/hedge.rs
@@ -7,8 +7,8 @@
 use futures_lite::FutureExt;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::configuration::route::Route;
-use yewcross::constants::*;
+use yewcross_common::configuration::route::Route;
+use yewcross_common::constants::*;
 
 impl Relay {
     /// us of silence after which a second server is asked: longer than the first would take if it were well.
--- a/yewcross-front/src/relay/resume.rs
+++ b/yewcross-proxy/src/relay/resume.rs
@@ -6,8 +6,8 @@
 use crate::policy::Mechanism;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::configuration::route::{Mode, Route};
-use yewcross::runtime::*;
+use yewcross_common::configuration::route::{Mode, Route};
+use yewcross_common::runtime::*;
 
 /// What is needed to take a stream up again.
 pub(super) struct Resumption {
--- a/yewcross-front/src/relay/retry_budget.rs
+++ b/yewcross-proxy/src/relay/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::{Mechanism, Policies};
 use std::sync::Mutex;
-use yewcross::constants::*;
+use yewcross_common::constants::*;
 
 /// Tokens for second attempts: each request brings a share of one, each second attempt takes one.
 pub struct RetryBudget {
--- a/yewcross-front/src/relay/streaming.rs
+++ b/yewcross-proxy/src/relay/streaming.rs
@@ -17,10 +17,10 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
-use yewcross::adapter::AnswerMeta;
-use yewcross::runtime::*;
-use yewcross::streaming_http::{Body, full};
-use yewcross::turn_log::{OpenTurnError, Turn};
+use yewcross_common::adapter::AnswerMeta;
+use yewcross_common::runtime::*;
+use yewcross_common::streaming_http::{Body, full};
+use yewcross_common::turn_log::{OpenTurnError, Turn};
 
 impl Relay {
     /// Passes an answer on. Its end is sent only once the turn is kept.
--- a/yewcross-front/src/relay/turn.rs
+++ b/yewcross-proxy/src/relay/turn.rs
@@ -2,10 +2,10 @@
 
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
-use yewcross::adapter::RequestMeta;
-use yewcross::configuration::route::{Mode, Route};
-use yewcross::hash::rendezvous_weight;
-use yewcross::turn_log::{OpenTurn, Turn, TurnLogService};
+use yewcross_common::adapter::RequestMeta;
+use yewcross_common::configuration::route::{Mode, Route};
+use yewcross_common::hash::rendezvous_weight;
+use yewcross_common::turn_log::{OpenTurn, Turn, TurnLogService};
 
 /// The turn that is open at the stores; however it ends, they hear of it.
 pub(super) struct OpenedTurn {
--- a/yewcross-front/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -4,9 +4,9 @@
 use crate::admission::Slots;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use yewcross::constants::REPORT_LOST;
-use yewcross::membership::Node;
-use yewcross::protocol::{CachedPrefix, ListedServer, LoadReport};
+use yewcross_common::constants::REPORT_LOST;
+use yewcross_common::membership::Node;
+use yewcross_common::protocol::{CachedPrefix, ListedServer, LoadReport};
 
 #[derive(Clone, Debug, Default)]
 pub struct Heard {
@@ -45,7 +45,7 @@
     let near: Vec<&str> = fronts.iter().filter(|n| n.site == site).map(|n| n.name.as_str()).collect();
     let all: Vec<&str> = fronts.iter().map(|n| n.name.as_str()).collect();
     let from = if near.is_empty() { all } else { near };
-    yewcross::hash::ranked(service, from.into_iter()).first().map(|s| s.to_string())
+    yewcross_common::hash::ranked(service, from.into_iter()).first().map(|s| s.to_string())
 }
 
 /// Servers that may take a job of the service now: allowed, listed, heard of, not leaving.
--- a/yewcross-front/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::sync::Arc;
-use yewcross::buffered_http::{BufferedRequest, refuse, reply, stream, until};
-use yewcross::constants::{BACK_SOON, HORIZON_LATE, HORIZON_MAX, MS};
-use yewcross::error_code::Code;
+use yewcross_common::buffered_http::{BufferedRequest, refuse, reply, stream, until};
+use yewcross_common::constants::{BACK_SOON, HORIZON_LATE, HORIZON_MAX, MS};
+use yewcross_common::error_code::Code;
 
 /// What is kept of a done turn, and given again to whoever repeats its id.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/yewcross-front/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -10,9 +10,9 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::{BACK_WAIT, MS, PIECE_WAIT};
-use yewcross::hash::digest;
-use yewcross::protocol::ListedServer;
+use yewcross_common::constants::{BACK_WAIT, MS, PIECE_WAIT};
+use yewcross_common::hash::digest;
+use yewcross_common::protocol::ListedServer;
 
 #[derive(Deserialize)]
 struct Piece {
@@ -64,8 +64,12 @@
         Sent::Lost => return Shot::Lost(Box::new(g), false),
     };
     if !r.status().is_success() {
-        let v =
-            f.runtime.timeout(BACK_WAIT, yewcross::buffered_http::body(&mut r, 64 << 10)).await.and_then(|v| v.ok()).unwrap_or_default();
+        let v = f
+            .runtime
+            .timeout(BACK_WAIT, yewcross_common::buffered_http::body(&mut r, 64 << 10))
+            .await
+            .and_then(|v| v.ok())
+            .unwrap_or_default();
         let v: Value = serde_json::from_slice(&v).unwrap_or_default();
         let said = v["refused"] == json!(true) && serde_json::from_value::<Stamp>(v["stamp"].clone()).is_ok_and(|s| b.stamped(&s, &job));
         return if said { Shot::NotRun(Box::new(g)) } else { Shot::Lost(Box::new(g), false) };
--- a/yewcross-front/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -6,10 +6,10 @@
 use crate::{Front, kv};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::{BACK_SOON, MS};
-use yewcross::error_code::Code;
-use yewcross::hash::digest;
-use yewcross::protocol::{CachedPrefix, CommitTurn, PeerRequest, PeerResponse, SessionCacheState};
+use yewcross_common::constants::{BACK_SOON, MS};
+use yewcross_common::error_code::Code;
+use yewcross_common::hash::digest;
+use yewcross_common::protocol::{CachedPrefix, CommitTurn, PeerRequest, PeerResponse, SessionCacheState};
 
 /// One round trip: history, outcome and budget are on a majority before the end line goes out.
 pub(super) async fn keep(f: Arc<Front>, x: Ran, out: &Out) {
--- a/yewcross-front/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -9,11 +9,11 @@
 use crate::{Front, admission, kv, server_table};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::configuration::ResolvedProgramClass;
-use yewcross::constants::{BACK_SOON, HORIZON_SPARE, MS, PATIENCE};
-use yewcross::error_code::Code;
-use yewcross::hash::content_digest;
-use yewcross::protocol::{ListedServer, PeerRequest, PeerResponse};
+use yewcross_common::configuration::ResolvedProgramClass;
+use yewcross_common::constants::{BACK_SOON, HORIZON_SPARE, MS, PATIENCE};
+use yewcross_common::error_code::Code;
+use yewcross_common::hash::content_digest;
+use yewcross_common::protocol::{ListedServer, PeerRequest, PeerResponse};
 
 pub(super) async fn drive(f: Arc<Front>, b: TurnBody, t0: u64, nonce: u64, out: Out) {
     f.counts.turns.fetch_add(1, SeqCst);
@@ -135,7 +135,7 @@
     let limit = f.documents.config.load().1.budgets.get(&r.fam.budget).map(|b| b.tokens);
     let hand = f.hand.lock().unwrap().get(&r.key).cloned();
     let body = serde_json::to_vec(&(&r.b.program, &r.b.session, &r.b.messages, r.b.max_output)).unwrap_or_default();
-    let a = PeerRequest::BeginTurn(yewcross::protocol::BeginTurn {
+    let a = PeerRequest::BeginTurn(yewcross_common::protocol::BeginTurn {
         key: r.key.clone(),
         request_id: r.b.job.clone(),
         digest: content_digest(&body),
--- a/yewcross-front/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use serde_json::json;
 use std::sync::Arc;
-use yewcross::buffered_http::{BufferedRequest, refuse, reply};
-use yewcross::constants::BACK_SOON;
-use yewcross::error_code::Code;
-use yewcross::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
+use yewcross_common::constants::BACK_SOON;
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/yewcross-front/src/turn/place.rs
+++ b/yewcross-proxy/src/turn/place.rs
@@ -9,8 +9,8 @@
 use crate::{Front, judge, kv, server_table};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::{HORIZON_SPARE, MS};
-use yewcross::protocol::CachedPrefix;
+use yewcross_common::constants::{HORIZON_SPARE, MS};
+use yewcross_common::protocol::CachedPrefix;
 
 /// The judges' pick, with a verified connection to it. No import is waited for: while the session's home is full, its
 /// replica is brought in beside the wait, and a turn that must move before that is served cold.
--- a/yewcross-front/src/turn/request.rs
+++ b/yewcross-proxy/src/turn/request.rs
@@ -1,8 +1,8 @@
 //! What a caller may ask, and the checks that need no other node.
 
 use serde::{Deserialize, Serialize};
-use yewcross::constants::{HORIZON_MAX, HORIZON_MIN, TOKEN_BYTES};
-use yewcross::error_code::Code;
+use yewcross_common::constants::{HORIZON_MAX, HORIZON_MIN, TOKEN_BYTES};
+use yewcross_common::error_code::Code;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Message {
--- a/yewcross-front/src/turn/state.rs
+++ b/yewcross-proxy/src/turn/state.rs
@@ -2,8 +2,8 @@
 
 use crate::turn::answer::Kept;
 use crate::turn::request::TurnBody;
-use yewcross::configuration::ProgramClass;
-use yewcross::protocol::SessionCacheState;
+use yewcross_common::configuration::ProgramClass;
+use yewcross_common::protocol::SessionCacheState;
 
 /// Type-states of a turn: read, begun in the store, run by a server.
 pub(super) struct Read {
--- a/yewcross-front/tests/kv.rs
+++ b/yewcross-proxy/tests/kv.rs
@@ -1,10 +1,10 @@
 //! What a replica is worth to the judges.
 
-use yewcross::configuration::ProgramClass;
-use yewcross::constants::{KV_MIN_TOKENS, SEC};
-use yewcross::protocol::{CachedPrefix, ListedServer, LoadReport, SessionCacheState};
-use yewcross_front::judge::{Case, Home, Warmth, Weights, pick, spill, takes, warmth};
-use yewcross_front::server_table::Server;
+use yewcross_common::configuration::ProgramClass;
+use yewcross_common::constants::{KV_MIN_TOKENS, SEC};
+use yewcross_common::protocol::{CachedPrefix, ListedServer, LoadReport, SessionCacheState};
+use yewcross_proxy::judge::{Case, Home, Warmth, Weights, pick, spill, takes, warmth};
+use yewcross_proxy::server_table::Server;
 
 fn server(n: &str, running: u32) -> Server {
     let at = ListedServer { server: n.into(), service: "llm".into(), addr: ([127, 0, 0, 1], 1).into(), site: "a".into(), leaving: false };
--- a/yewcross-front/tests/scan.rs
+++ b/yewcross-proxy/tests/scan.rs
@@ -1,7 +1,7 @@
 //! Events are read the same however they are cut into pieces.
 
 use arbtest::arbtest;
-use yewcross_front::scan::Scan;
+use yewcross_proxy::scan::Scan;
 
 fn read(pieces: &[&[u8]]) -> (u64, bool, String) {
     let mut s = Scan::new(true);
--- a/yewcross-control/src/store/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -1,12 +1,12 @@
 //! Budgets: reservations are made, settled, and audited when their front is silent.
 
-use crate::store::Store;
-use crate::store::purse::{Open, Purse, purse_key};
+use crate::records::Store;
+use crate::records::purse::{Open, Purse, purse_key};
 use std::sync::Arc;
-use yewcross::constants::{AUDIT_AFTER, MS, PEER_WAIT};
-use yewcross::error_code::Code;
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross::register::Step;
+use yewcross_common::constants::{AUDIT_AFTER, MS, PEER_WAIT};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::register::Step;
 
 impl Store {
     pub async fn reserve(&self, budget: &str, e: &str, o: Open, limit: u64) -> PeerResponse {
--- a/yewcross-control/src/store/purse.rs
+++ b/yewcross-state/src/records/purse.rs
@@ -1,6 +1,6 @@
 //! The record of a budget: what was spent, and what is reserved.
 
-use crate::store::record::line;
+use crate::records::record::line;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/yewcross-control/src/store/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
-use yewcross::constants::{BARS_KEPT, MARKS_KEPT, OLD_KEPT, OLD_LINE};
-use yewcross::error_code::Code;
-use yewcross::protocol::SessionCacheState;
+use yewcross_common::constants::{BARS_KEPT, MARKS_KEPT, OLD_KEPT, OLD_LINE};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::SessionCacheState;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
@@ -58,7 +58,7 @@
 }
 
 fn bare(job: &str) -> String {
-    format!("{:016x}", yewcross::hash::rendezvous_weight(job, ""))
+    format!("{:016x}", yewcross_common::hash::rendezvous_weight(job, ""))
 }
 
 pub(super) fn line(v: &mut Vec<u8>, x: &impl Serialize) {
--- a/yewcross-control/src/store/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -1,13 +1,13 @@
 //! Sessions: a turn begins, is committed or aborted; the session ends or expires.
 
-use crate::store::Store;
-use crate::store::purse::purse_key;
-use crate::store::record::{Record, Run};
+use crate::records::Store;
+use crate::records::purse::purse_key;
+use crate::records::record::{Record, Run};
 use std::sync::Arc;
-use yewcross::constants::{BAR_KEPT, HORIZON_MAX, KEEP_MAX, MS, OUTCOMES_KEPT, PEER_WAIT, RUN_GRACE};
-use yewcross::error_code::Code;
-use yewcross::protocol::{BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState, TurnBegun};
-use yewcross::register::{ChangeError, Step};
+use yewcross_common::constants::{BAR_KEPT, HORIZON_MAX, KEEP_MAX, MS, OUTCOMES_KEPT, PEER_WAIT, RUN_GRACE};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState, TurnBegun};
+use yewcross_common::register::{ChangeError, Step};
 
 #[allow(clippy::large_enum_variant)]
 enum Pre {
@@ -123,8 +123,10 @@
                     let e = format!("{}|{}|{}", b.key, x.job, x.nonce);
                     x.budget.iter().for_each(|n| self.settle_soon(n, e.clone(), None));
                 });
-                let same =
-                    b.known_history.as_ref().is_some_and(|(n, d)| *n == hist.len() as u64 && *d == yewcross::hash::content_digest(&hist));
+                let same = b
+                    .known_history
+                    .as_ref()
+                    .is_some_and(|(n, d)| *n == hist.len() as u64 && *d == yewcross_common::hash::content_digest(&hist));
                 g.history_complete = !same;
                 (PeerResponse::TurnBegun(g), if same { vec![] } else { hist })
             }
--- a/yewcross-control/src/chain_restore.rs
+++ b/yewcross-state/src/restore.rs
@@ -1,14 +1,14 @@
 //! Reads a store's log again after a write of unknown outcome.
 
-use crate::chain::{Engine, Shelf};
-use crate::chain_log::{Item, Log, path};
+use crate::segment_log::{Item, Log, path};
+use crate::turn_store::{Engine, Shelf};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::storage::encode_frame;
-use yewcross::turn_log::store_client::encode;
+use yewcross_common::constants::*;
+use yewcross_common::storage::encode_frame;
+use yewcross_common::turn_log::store_client::encode;
 
 impl Engine {
     /// Replaces what is in memory, which may be ahead of the disk, by what the log holds. Only called while the disk counts
--- a/yewcross-control/src/chain_log.rs
+++ b/yewcross-state/src/segment_log.rs
@@ -1,15 +1,15 @@
 //! A store's log: batches sealed and appended to segments, one sync a batch, whatever the number that waited for it.
 
-use crate::chain::Engine;
+use crate::turn_store::Engine;
 use async_channel::Receiver;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross::constants::*;
-use yewcross::storage::*;
-use yewcross::turn_log::store_client::*;
+use yewcross_common::constants::*;
+use yewcross_common::storage::*;
+use yewcross_common::turn_log::store_client::*;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Item {
@@ -89,7 +89,7 @@
 }
 
 /// Hands over each item with its segment, one segment in memory at a time.
-pub async fn read(w: &yewcross::runtime::Runtime, mut take: impl FnMut(&Item, u64)) -> io::Result<Found> {
+pub async fn read(w: &yewcross_common::runtime::Runtime, mut take: impl FnMut(&Item, u64)) -> io::Result<Found> {
     let mut segs: Vec<u64> = w.list(DIR).await?.iter().filter_map(|f| u64::from_str_radix(f.strip_prefix("s-")?, 16).ok()).collect();
     segs.sort();
     if let Some(newest) = segs.last() {
--- a/yewcross-control/src/chain_sweep.rs
+++ b/yewcross-state/src/sweep.rs
@@ -1,13 +1,13 @@
 //! How a change of disks is made good: every store brings what it holds to where it is needed.
 
-use crate::chain::Engine;
+use crate::turn_store::Engine;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross::constants::*;
-use yewcross::hash::ranked;
-use yewcross::runtime::*;
-use yewcross::turn_log::store_client::*;
+use yewcross_common::constants::*;
+use yewcross_common::hash::ranked;
+use yewcross_common::runtime::*;
+use yewcross_common::turn_log::store_client::*;
 
 /// us. Longest wait for a disk that something is brought to: its own sync, and the way there and back.
 const PUSH_WAIT: u64 = PEER_WAIT + SYNC_WAIT;
@@ -267,7 +267,7 @@
                     .0
                     .into_iter()
                     .filter(|r| {
-                        let h = yewcross::hash::key_128(r.turn.id.as_bytes());
+                        let h = yewcross_common::hash::key_128(r.turn.id.as_bytes());
                         !there.is_some_and(|s| s.contains(&h)) && sent.insert(h)
                     })
                     .collect();
--- a/yewcross-control/src/chain.rs
+++ b/yewcross-state/src/turn_store.rs
@@ -3,20 +3,20 @@
 //! A turn is immutable: enough disks keep it, and any that holds it, holds what comes before it. A ledger is a set that
 //! only grows; reservations are added by one owner at a time, under an epoch that enough disks have promised.
 
-use crate::chain_log::{self, Item, Log};
+use crate::segment_log::{self, Item, Log};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::hash::key_128;
-use yewcross::membership::Membership;
-use yewcross::process_settings::ProcessSettings;
-use yewcross::register::Ballot;
-use yewcross::runtime::*;
-use yewcross::storage::DurableStorage;
-use yewcross::turn_log::store_client::*;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::hash::key_128;
+use yewcross_common::membership::Membership;
+use yewcross_common::process_settings::ProcessSettings;
+use yewcross_common::register::Ballot;
+use yewcross_common::runtime::*;
+use yewcross_common::storage::DurableStorage;
+use yewcross_common::turn_log::store_client::*;
 
 /// A turn on this disk; `until` is in ms of the middle clock, the longest that it or one after it is kept.
 pub struct Kept {
@@ -80,9 +80,9 @@
 
 impl Shelf {
     /// All that the disk's log holds.
-    pub async fn read(w: &Runtime) -> io::Result<(Shelf, chain_log::Found)> {
+    pub async fn read(w: &Runtime) -> io::Result<(Shelf, segment_log::Found)> {
         let mut shelf = Shelf::default();
-        let found = chain_log::read(w, |item, segment| shelf.apply(item, segment)).await?;
+        let found = segment_log::read(w, |item, segment| shelf.apply(item, segment)).await?;
         let ends: Vec<(String, u64)> = shelf.turns.values().map(|k| (k.row.turn.prev.clone(), k.until)).collect();
         ends.iter().for_each(|(p, u)| shelf.lengthen(p, *u));
         Ok((shelf, found))
--- a/yewcross-lab/examples/relay_load.rs
+++ b/yewcross-testkit/examples/relay_load.rs
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
-use yewcross::adapter::{AnswerMeta, Caller, RequestMeta, UpstreamProtocol};
-use yewcross::configuration::route::Limits;
-use yewcross::constants::*;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::error_code::Code;
-use yewcross::protocol::{ListedServer, ServerList};
-use yewcross::register::Ballot;
-use yewcross::runtime::os::OsRuntime;
-use yewcross::runtime::*;
-use yewcross_front::relay::Relay;
+use yewcross_common::adapter::{AnswerMeta, Caller, RequestMeta, UpstreamProtocol};
+use yewcross_common::configuration::route::Limits;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{ListedServer, ServerList};
+use yewcross_common::register::Ballot;
+use yewcross_common::runtime::os::OsRuntime;
+use yewcross_common::runtime::*;
+use yewcross_proxy::relay::Relay;
 
 struct Ports;
 
@@ -161,8 +161,8 @@
             counts: Default::default(),
         });
         let d = front.bind(at(7_599)).await.unwrap();
-        let h: yewcross::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
-        front.spawn(yewcross::streaming_http::serve(front.clone(), d, h, Arc::new(Limits::default), Default::default()));
+        let h: yewcross_common::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
+        front.spawn(yewcross_common::streaming_http::serve(front.clone(), d, h, Arc::new(Limits::default), Default::default()));
         let (ns, nl) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         (0..streams).for_each(|_| call.spawn(caller(call.clone(), at(7_599), true, ns.clone())));
         (0..lookups).for_each(|_| call.spawn(caller(call.clone(), at(7_599), false, nl.clone())));
--- a/yewcross-lab/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::buffered_http;
-use yewcross::constants::*;
-use yewcross::hash::digest;
-use yewcross::runtime::*;
+use yewcross_common::buffered_http;
+use yewcross_common::constants::*;
+use yewcross_common::hash::digest;
+use yewcross_common::runtime::*;
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Heard {
@@ -149,7 +149,7 @@
                 return Some(());
             }
             s.heard = Heard::Cut;
-            let mut lines = yewcross_front::back::Lines::of(&mut r);
+            let mut lines = yewcross_proxy::back::Lines::of(&mut r);
             let mut n = 0;
             while let Some(l) = lines.next(w, limit).await {
                 let v: Value = serde_json::from_slice(&l).unwrap_or(Value::Null);
@@ -209,7 +209,7 @@
 
 /// One session's life: turns in order, each checked against what this caller knows was kept.
 pub async fn session(w: Runtime, sh: Arc<Shape>, d: Arc<Diary>, id: usize, turns: usize) {
-    let fronts: Vec<SocketAddr> = sh.of(yewcross::process_settings::Role::Front).iter().map(|n| n.http).collect();
+    let fronts: Vec<SocketAddr> = sh.of(yewcross_common::process_settings::Role::Front).iter().map(|n| n.http).collect();
     let total: u32 = sh.mix.turns.iter().map(|t| t.2).sum();
     let mut x = (w.random() % total as u64) as u32;
     let kind = sh.mix.turns.iter().find(|t| {
--- a/yewcross-lab/src/fleet.rs
+++ b/yewcross-testkit/src/fleet.rs
@@ -10,10 +10,10 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::buffered_http::fetch;
-use yewcross::constants::*;
-use yewcross::process_settings::{ProcessSettings, Role};
-use yewcross::runtime::*;
+use yewcross_common::buffered_http::fetch;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::{ProcessSettings, Role};
+use yewcross_common::runtime::*;
 
 pub struct Fleet {
     pub w: Runtime,
--- a/yewcross-lab/src/grind.rs
+++ b/yewcross-testkit/src/grind.rs
@@ -4,9 +4,9 @@
 use crate::proof::{Act, Lab};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::register::{ChangeError, Step};
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::register::{ChangeError, Step};
 
 #[derive(Clone, Debug)]
 pub struct Op {
--- a/yewcross-lab/src/main.rs
+++ b/yewcross-testkit/src/main.rs
@@ -1,9 +1,9 @@
 use std::path::PathBuf;
 use strum::IntoEnumIterator;
-use yewcross::process_settings::exit;
-use yewcross::runtime::os::OsRuntime;
-use yewcross_lab::proof::{Act, Plan};
-use yewcross_lab::{fleet, grind, platform, proof, standin};
+use yewcross_common::process_settings::exit;
+use yewcross_common::runtime::os::OsRuntime;
+use yewcross_testkit::proof::{Act, Plan};
+use yewcross_testkit::{fleet, grind, platform, proof, standin};
 
 xflags::xflags! {
     /// Stand-ins, callers, local fleets and the simulator of yewcross.
@@ -95,7 +95,7 @@
         }
         YewcrossLabCmd::Sim(s) => {
             let shape = s.shape.unwrap_or("small".into());
-            if yewcross_lab::shape::shape(&shape, &|_, _| ([127, 0, 0, 1], 1).into()).is_none() {
+            if yewcross_testkit::shape::shape(&shape, &|_, _| ([127, 0, 0, 1], 1).into()).is_none() {
                 fail(exit::USAGE, &format!("--shape: no shape {shape}; there are kowhai, consorcio, small, metered, wide, disks"));
             }
             let which = s.acts.unwrap_or("calm".into());
--- a/yewcross-lab/src/platform.rs
+++ b/yewcross-testkit/src/platform.rs
@@ -4,10 +4,10 @@
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker, reply};
-use yewcross::constants::*;
-use yewcross::protocol::{ListedServer, ServerList};
-use yewcross::runtime::*;
+use yewcross_common::buffered_http::{self, BufferedRequest, ConnectionTracker, reply};
+use yewcross_common::constants::*;
+use yewcross_common::protocol::{ListedServer, ServerList};
+use yewcross_common::runtime::*;
 
 pub struct Platform {
     w: Runtime,
--- a/yewcross-lab/src/proof/checks/answers.rs
+++ b/yewcross-testkit/src/proof/checks/answers.rs
@@ -3,7 +3,7 @@
 use crate::caller::{Heard, Seen};
 use crate::proof::evidence::Evidence;
 use std::collections::BTreeMap;
-use yewcross::constants::{MS, SEC};
+use yewcross_common::constants::{MS, SEC};
 
 /// A stream that broke off and its repetition, joined as a caller would: what came first must begin what came whole.
 pub(super) fn joined(e: &Evidence) -> Vec<String> {
--- a/yewcross-lab/src/proof/checks/availability.rs
+++ b/yewcross-testkit/src/proof/checks/availability.rs
@@ -3,7 +3,7 @@
 use crate::caller::{Heard, Seen};
 use crate::proof::evidence::Evidence;
 use std::collections::BTreeMap;
-use yewcross::constants::{MS, SEC};
+use yewcross_common::constants::{MS, SEC};
 
 /// Done; or told that its twin, asked at another front at the same time, is running, and that one was done; or told of a
 /// budget that is small enough to run out, or of a service while it is withdrawn.
--- a/yewcross-lab/src/proof/checks/configuration.rs
+++ b/yewcross-testkit/src/proof/checks/configuration.rs
@@ -2,7 +2,7 @@
 
 use crate::proof::evidence::{Ack, Evidence};
 use std::collections::BTreeMap;
-use yewcross::constants::SEC;
+use yewcross_common::constants::SEC;
 
 pub(super) fn in_force(e: &Evidence) -> Vec<String> {
     let mut v = vec![];
@@ -24,7 +24,7 @@
                 v.push(format!("8 {n} slipped back from {x} to {k} at {t}"));
             }
             *x = k;
-            let text = e.history.get(&k).map(|t| yewcross::hash::content_digest(t.as_bytes()));
+            let text = e.history.get(&k).map(|t| yewcross_common::hash::content_digest(t.as_bytes()));
             if words.next().zip(text).is_some_and(|(said, text)| said != text) {
                 v.push(format!("9 {n} adopted as {k} at {t} what is not version {k}"));
             }
--- a/yewcross-lab/src/proof/checks/execution.rs
+++ b/yewcross-testkit/src/proof/checks/execution.rs
@@ -4,7 +4,7 @@
 use crate::proof::evidence::Evidence;
 use crate::standin::Run;
 use std::collections::{BTreeMap, BTreeSet};
-use yewcross::constants::{MS, SEC};
+use yewcross_common::constants::{MS, SEC};
 
 pub(super) fn twice(e: &Evidence) -> Vec<String> {
     let mut n: BTreeMap<(&str, &str), u32> = BTreeMap::new();
--- a/yewcross-lab/src/proof/evidence.rs
+++ b/yewcross-testkit/src/proof/evidence.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use yewcross::protocol::ConfigDoc;
+use yewcross_common::protocol::ConfigDoc;
 
 /// What an operator was told of a put.
 #[derive(Clone, Debug)]
--- a/yewcross-lab/src/proof/faults/disks.rs
+++ b/yewcross-testkit/src/proof/faults/disks.rs
@@ -3,8 +3,8 @@
 use crate::proof::lab::Lab;
 use crate::proof::scenario::Act;
 use std::sync::Arc;
-use yewcross::constants::{MS, SEC};
-use yewcross::process_settings::Role;
+use yewcross_common::constants::{MS, SEC};
+use yewcross_common::process_settings::Role;
 
 impl Lab {
     /// A core's or store's disk stalls, or is full, for 6 s.
--- a/yewcross-lab/src/proof/faults/mod.rs
+++ b/yewcross-testkit/src/proof/faults/mod.rs
@@ -10,8 +10,8 @@
 use crate::proof::lab::Lab;
 use crate::proof::scenario::Act;
 use std::sync::Arc;
-use yewcross::constants::SEC;
-use yewcross::process_settings::Role;
+use yewcross_common::constants::SEC;
+use yewcross_common::process_settings::Role;
 
 impl Lab {
     /// Runs the act; returns once it is undone.
--- a/yewcross-lab/src/proof/faults/network.rs
+++ b/yewcross-testkit/src/proof/faults/network.rs
@@ -5,8 +5,8 @@
 use crate::sim::Weather;
 use crate::standin::Spec;
 use std::sync::Arc;
-use yewcross::constants::MS;
-use yewcross::process_settings::Role;
+use yewcross_common::constants::MS;
+use yewcross_common::process_settings::Role;
 
 impl Lab {
     /// The cores are split in two halves, or one from the rest, while an operator puts.
--- a/yewcross-lab/src/proof/faults/orders.rs
+++ b/yewcross-testkit/src/proof/faults/orders.rs
@@ -5,10 +5,10 @@
 use crate::standin::Spec;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use yewcross::constants::{MS, SEC};
-use yewcross::process_settings::Role;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::BoxFuture;
+use yewcross_common::constants::{MS, SEC};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::BoxFuture;
 
 /// A change to a whole configuration.
 type Edit = Box<dyn Fn(&mut Value) + Send>;
--- a/yewcross-lab/src/proof/faults/processes.rs
+++ b/yewcross-testkit/src/proof/faults/processes.rs
@@ -3,8 +3,8 @@
 use crate::proof::lab::Lab;
 use crate::proof::scenario::Act;
 use std::sync::Arc;
-use yewcross::constants::{MS, SEC};
-use yewcross::process_settings::Role;
+use yewcross_common::constants::{MS, SEC};
+use yewcross_common::process_settings::Role;
 
 impl Lab {
     /// All stores lose power at once and come back.
@@ -100,7 +100,7 @@
         let server = self.any_back(true);
         let site = self.sh.backs.iter().find(|b| b.server == server).map(|b| b.site.clone()).unwrap_or_default();
         let fronts: Vec<_> = self.front("front1").map(|f| f.members.nodes_of_role(Role::Front)).unwrap_or_default();
-        let n = yewcross_front::server_table::home_of(&fronts, "llm", &site).unwrap_or("front1".into());
+        let n = yewcross_proxy::server_table::home_of(&fronts, "llm", &site).unwrap_or("front1".into());
         s.kill(s.find(&n), false);
         self.hard(&n);
         if act == Act::LeavingHomeDies {
@@ -118,7 +118,7 @@
         let key = format!("session/{program}/s{}", s.rand() % 14);
         let at = self
             .control("store1")
-            .and_then(|c| yewcross::documents::cache::replicas_by_preference(&c.documents, &c.members, &key).first().cloned());
+            .and_then(|c| yewcross_common::documents::cache::replicas_by_preference(&c.documents, &c.members, &key).first().cloned());
         let n = self.sh.nodes.iter().find(|n| Some(n.peer) == at).map(|n| n.name.clone()).unwrap_or("store1".into());
         let m = s.find(&n);
         self.hard(&n);
--- a/yewcross-lab/src/proof/faults/servers.rs
+++ b/yewcross-testkit/src/proof/faults/servers.rs
@@ -4,7 +4,7 @@
 use crate::proof::scenario::Act;
 use crate::standin::{Faults, Spec};
 use std::sync::Arc;
-use yewcross::constants::MS;
+use yewcross_common::constants::MS;
 
 impl Lab {
     /// Servers run requests and lose their answers.
--- a/yewcross-lab/src/proof/lab.rs
+++ b/yewcross-testkit/src/proof/lab.rs
@@ -11,12 +11,12 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::buffered_http::fetch;
-use yewcross::constants::{MS, SEC, STORE_COPIES, WIRE_OLDEST};
-use yewcross::process_settings::{ProcessSettings, Role};
-use yewcross::runtime::Runtime;
+use yewcross_common::buffered_http::fetch;
+use yewcross_common::constants::{MS, SEC, STORE_COPIES, WIRE_OLDEST};
+use yewcross_common::process_settings::{ProcessSettings, Role};
+use yewcross_common::runtime::Runtime;
 use yewcross_control::Control;
-use yewcross_front::Front;
+use yewcross_proxy::Front;
 
 pub enum Proc {
     Front(Arc<Front>),
--- a/yewcross-lab/src/proof/long_day.rs
+++ b/yewcross-testkit/src/proof/long_day.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::buffered_http::fetch;
-use yewcross::constants::{MS, SEC};
-use yewcross::process_settings::Role;
-use yewcross::protocol::ConfigDoc;
+use yewcross_common::buffered_http::fetch;
+use yewcross_common::constants::{MS, SEC};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::ConfigDoc;
 
 /// Sizes at a moment of a long day: tasks, wires, files on all disks, keys held, log lines.
 #[derive(Clone, Copy, Debug)]
--- a/yewcross-lab/src/proof/run.rs
+++ b/yewcross-testkit/src/proof/run.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::{MS, SEC};
-use yewcross::process_settings::Role;
-use yewcross::protocol::ConfigDoc;
+use yewcross_common::constants::{MS, SEC};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::ConfigDoc;
 
 pub fn run(p: &Plan) -> Evidence {
     let lab = Lab::of(p.seed, &p.shape, |sh| {
--- a/yewcross-lab/src/rogue.rs
+++ b/yewcross-testkit/src/rogue.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use strum::{EnumIter, IntoStaticStr};
-use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker, fetch, refuse, reply, stream};
-use yewcross::constants::*;
-use yewcross::hash::digest;
-use yewcross::runtime::*;
+use yewcross_common::buffered_http::{self, BufferedRequest, ConnectionTracker, fetch, refuse, reply, stream};
+use yewcross_common::constants::*;
+use yewcross_common::hash::digest;
+use yewcross_common::runtime::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, EnumIter, IntoStaticStr)]
 pub enum Sin {
@@ -87,7 +87,7 @@
     if j.path != "/v1/turn" {
         let key = v["key"].as_str().unwrap_or("");
         return match r.sin {
-            Sin::RefusesAll => refuse(yewcross::error_code::Code::NoServer, "", 1),
+            Sin::RefusesAll => refuse(yewcross_common::error_code::Code::NoServer, "", 1),
             _ => reply(
                 200,
                 &json!({"code": 1000, "value": format!("{key}={}", &digest(key.as_bytes())[..8]), "stamp": {"server": "l1", "job": job}}),
@@ -100,8 +100,8 @@
         _ => "m1".into(),
     };
     match r.sin {
-        Sin::RefusesAll => return refuse(yewcross::error_code::Code::NoServer, "", 1),
-        Sin::NoComeBack => return refuse(yewcross::error_code::Code::NoServer, "", 0),
+        Sin::RefusesAll => return refuse(yewcross_common::error_code::Code::NoServer, "", 1),
+        Sin::NoComeBack => return refuse(yewcross_common::error_code::Code::NoServer, "", 0),
         _ => {}
     }
     let shot = format!("{n:x}");
@@ -110,7 +110,7 @@
         at_server(&r, &job, &v, "m2").await;
     }
     if r.sin == Sin::RunsRefused {
-        let mut no = refuse(yewcross::error_code::Code::NoServer, "", 1);
+        let mut no = refuse(yewcross_common::error_code::Code::NoServer, "", 1);
         no.insert_header("yewcross-shot", shot);
         return no;
     }
--- a/yewcross-lab/src/routed/caller.rs
+++ b/yewcross-testkit/src/routed/caller.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::configuration::route::Mode;
-use yewcross::constants::*;
-use yewcross::runtime::*;
+use yewcross_common::configuration::route::Mode;
+use yewcross_common::constants::*;
+use yewcross_common::runtime::*;
 
 use super::ports::text;
 
--- a/yewcross-lab/src/routed/cfg.rs
+++ b/yewcross-testkit/src/routed/cfg.rs
@@ -4,7 +4,7 @@
 use super::{PER_EVENT, TRIES};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use yewcross::configuration::route::Mode;
+use yewcross_common::configuration::route::Mode;
 
 /// A configuration that was sent. `number` is the tier's; 0 while it told none.
 #[derive(Clone, Debug, Default)]
--- a/yewcross-lab/src/routed/ports.rs
+++ b/yewcross-testkit/src/routed/ports.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use http::{HeaderMap, Response};
 use serde::{Deserialize, Serialize};
-use yewcross::adapter::{AnswerMeta, Caller, RequestMeta, ServerCatalogue, UpstreamProtocol};
-use yewcross::error_code::Code;
-use yewcross::protocol::ListedServer;
+use yewcross_common::adapter::{AnswerMeta, Caller, RequestMeta, ServerCatalogue, UpstreamProtocol};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::ListedServer;
 
 pub struct Ports;
 
--- a/yewcross-lab/src/routed/server.rs
+++ b/yewcross-testkit/src/routed/server.rs
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker};
-use yewcross::constants::*;
-use yewcross::notify::Notifier;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
+use yewcross_common::buffered_http::{self, BufferedRequest, ConnectionTracker};
+use yewcross_common::constants::*;
+use yewcross_common::notify::Notifier;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::EnumString, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
@@ -460,7 +460,7 @@
     // The product's own list, whole and numbered.
     if !over && j.path == "/servers" {
         let rev = r.past.lock().unwrap().iter().filter(|x| x.0 + r.lag <= r.w.now()).count() as u64;
-        return buffered_http::reply(200, &yewcross::protocol::ServerList { revision: rev.max(1), term: 0, servers: r.shown() });
+        return buffered_http::reply(200, &yewcross_common::protocol::ServerList { revision: rev.max(1), term: 0, servers: r.shown() });
     }
     if over || j.path != "/roster" {
         r.refused.fetch_add(1, SeqCst);
--- a/yewcross-lab/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -12,14 +12,14 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use strum::IntoEnumIterator;
-use yewcross::adapter::NativeFormat;
-use yewcross::constants::*;
-use yewcross::process_settings::{ProcessSettings, Role};
-use yewcross::runtime::*;
-use yewcross::turn_log::client::TurnLogClient;
+use yewcross_common::adapter::NativeFormat;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::{ProcessSettings, Role};
+use yewcross_common::runtime::*;
+use yewcross_common::turn_log::client::TurnLogClient;
 use yewcross_control::Control;
 use yewcross_control::api::{Options, PutAnswer, ReadAnswer, Rollout};
-use yewcross_front::{Front, FrontOptions};
+use yewcross_proxy::{Front, FrontOptions};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
@@ -249,7 +249,8 @@
         let names = |r| self.names(r);
         let v = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)}).to_string();
         let to = self.sh.of(Role::Core)[0].http;
-        let _ = yewcross::buffered_http::fetch(&self.op, to, http_types::Method::Post, "/v1/found", &[], v.into_bytes(), 8 * SEC).await;
+        let _ =
+            yewcross_common::buffered_http::fetch(&self.op, to, http_types::Method::Post, "/v1/found", &[], v.into_bytes(), 8 * SEC).await;
         self.put(0).await;
         self.op.sleep(3 * SEC).await;
     }
@@ -289,8 +290,16 @@
                 Some(PutAnswer::NotFounded) => {
                     let to = c.settings.http;
                     let h = [("if-match", format!("\"{}\"", base.max(1)))];
-                    let r = yewcross::buffered_http::fetch(&self.op, to, http_types::Method::Put, "/v1/config", &h, text.clone(), 5 * SEC)
-                        .await;
+                    let r = yewcross_common::buffered_http::fetch(
+                        &self.op,
+                        to,
+                        http_types::Method::Put,
+                        "/v1/config",
+                        &h,
+                        text.clone(),
+                        5 * SEC,
+                    )
+                    .await;
                     r.ok().and_then(|r| {
                         self.sim.note(&format!("http put {n} on {base}: {} {}", r.0, String::from_utf8_lossy(&r.2)));
                         let v: serde_json::Value = serde_json::from_slice(&r.2).ok()?;
--- a/yewcross-lab/src/routed/verdict.rs
+++ b/yewcross-testkit/src/routed/verdict.rs
@@ -5,8 +5,8 @@
 use super::server::Run;
 use super::{PER_EVENT, cfg::Version};
 use std::collections::{BTreeMap, BTreeSet};
-use yewcross::configuration::route::Mode;
-use yewcross::constants::*;
+use yewcross_common::configuration::route::Mode;
+use yewcross_common::constants::*;
 
 /// All there is to judge by. Times in us of the world's clock.
 #[derive(Default)]
--- a/yewcross-lab/src/script.rs
+++ b/yewcross-testkit/src/script.rs
@@ -4,8 +4,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::runtime::*;
+use yewcross_common::constants::*;
+use yewcross_common::runtime::*;
 
 /// Sends the bytes as they are and reads until the other side closes or falls silent.
 pub async fn raw(w: &Runtime, to: SocketAddr, parts: &[&[u8]], pause: u64) -> String {
--- a/yewcross-lab/src/shape.rs
+++ b/yewcross-testkit/src/shape.rs
@@ -4,9 +4,9 @@
 use crate::standin::Spec;
 use serde_json::json;
 use std::net::SocketAddr;
-use yewcross::constants::*;
-use yewcross::process_settings::{ProcessSettings, Role};
-use yewcross::protocol::ListedServer;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::{ProcessSettings, Role};
+use yewcross_common::protocol::ListedServer;
 
 #[derive(Clone, Debug)]
 pub struct Shape {
--- a/yewcross-lab/src/sim.rs
+++ b/yewcross-testkit/src/sim.rs
@@ -8,8 +8,8 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Wake, Waker};
-use yewcross::constants::*;
-use yewcross::runtime::*;
+use yewcross_common::constants::*;
+use yewcross_common::runtime::*;
 
 mod disk;
 mod fingerprint;
@@ -191,7 +191,7 @@
         self.machines.iter().rposition(|m| m.ip == ip && m.powered)
     }
     fn note(&mut self, who: &str, line: &str) {
-        self.hash = yewcross::hash::rendezvous_weight(&format!("{} {who} {line}", self.now), &self.hash.to_string());
+        self.hash = yewcross_common::hash::rendezvous_weight(&format!("{} {who} {line}", self.now), &self.hash.to_string());
         self.log.push((self.now, who.into(), line.into()));
     }
     /// Takes what the machine does into the fingerprint.
--- a/yewcross-lab/src/sim/fingerprint.rs
+++ b/yewcross-testkit/src/sim/fingerprint.rs
@@ -6,7 +6,7 @@
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
-use yewcross::hash::key_128;
+use yewcross_common::hash::key_128;
 
 const DATE: &[u8] = b"\r\ndate: ";
 /// As in `Wed, 02 Dec 2026 14:25:51 GMT`.
--- a/yewcross-lab/src/standin.rs
+++ b/yewcross-testkit/src/standin.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use yewcross::buffered_http::{self, BufferedRequest, ConnectionTracker, reply, stream};
-use yewcross::constants::*;
-use yewcross::hash::digest;
-use yewcross::protocol::LoadReport;
-use yewcross::runtime::*;
-use yewcross_front::turn::tokens;
+use yewcross_common::buffered_http::{self, BufferedRequest, ConnectionTracker, reply, stream};
+use yewcross_common::constants::*;
+use yewcross_common::hash::digest;
+use yewcross_common::protocol::LoadReport;
+use yewcross_common::runtime::*;
+use yewcross_proxy::turn::tokens;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
--- a/yewcross-lab/tests/balance.rs
+++ b/yewcross-testkit/tests/balance.rs
@@ -4,11 +4,11 @@
 mod support;
 
 use support::{rest, servers, world};
-use yewcross::configuration::route::Engine;
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
-use yewcross_front::balance::{Balance, Claim, Need, NoSeat};
+use yewcross_common::configuration::route::Engine;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
+use yewcross_proxy::balance::{Balance, Claim, Need, NoSeat};
 
 fn plain() -> Need {
     Need { service: "x".into(), site: "z0".into(), target_us: 250 * MS, conns: 100, ..Need::default() }
--- a/yewcross-lab/tests/behaviour.rs
+++ b/yewcross-testkit/tests/behaviour.rs
@@ -6,10 +6,10 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 use strum::IntoEnumIterator;
-use yewcross::constants::*;
-use yewcross_lab::proof::{Act, Plan, each, run};
-use yewcross_lab::sim::Sim;
-use yewcross_lab::tier::{Tier, play, up};
+use yewcross_common::constants::*;
+use yewcross_testkit::proof::{Act, Plan, each, run};
+use yewcross_testkit::sim::Sim;
+use yewcross_testkit::tier::{Tier, play, up};
 
 /// A row's name, and the run that it stands for.
 struct StoredTurn {
--- a/yewcross-lab/tests/calls.rs
+++ b/yewcross-testkit/tests/calls.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::configuration::route::Mode;
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross_lab::routed::TRIES;
-use yewcross_lab::routed::tier::{Act, Tier};
-use yewcross_lab::routed::verdict::{Evidence, judge};
+use yewcross_common::configuration::route::Mode;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_testkit::routed::TRIES;
+use yewcross_testkit::routed::tier::{Act, Tier};
+use yewcross_testkit::routed::verdict::{Evidence, judge};
 
 /// Troubles that follow each other; the rows go on side by side.
 const ROWS: [&[Act]; 4] = [
@@ -123,7 +123,7 @@
 
 #[test]
 fn calls_hold_with_every_trouble_at_once() {
-    let bad = yewcross_lab::proof::each((1..=2).collect(), check);
+    let bad = yewcross_testkit::proof::each((1..=2).collect(), check);
     assert_eq!(bad, 0, "seeds that broke a rule or showed too little");
 }
 
@@ -131,7 +131,7 @@
 fn calls_of_other_seeds() {
     let Ok(r) = std::env::var("CALLS") else { return };
     let (a, b) = r.split_once("..").map(|(a, b)| (a.parse::<u64>().unwrap(), b.parse::<u64>().unwrap())).unwrap();
-    assert_eq!(yewcross_lab::proof::each((a..b).collect(), check), 0, "seeds that broke a rule or showed too little");
+    assert_eq!(yewcross_testkit::proof::each((a..b).collect(), check), 0, "seeds that broke a rule or showed too little");
 }
 
 /// The checks of this file can fail: each sees its own wrong, put into good evidence.
--- a/yewcross-lab/tests/catching_up.rs
+++ b/yewcross-testkit/tests/catching_up.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
-use yewcross_lab::tier::*;
+use yewcross_testkit::tier::*;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Away {
@@ -80,7 +80,7 @@
         (_, Some(front)) => front.book.document("config"),
         _ => return 0,
     };
-    yewcross::protocol::ConfigDoc::decode(&page.content).map_or(0, |d| d.number)
+    yewcross_common::protocol::ConfigDoc::decode(&page.content).map_or(0, |d| d.number)
 }
 
 /// us from its return until the machine holds what was newest then.
--- a/yewcross-lab/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -5,20 +5,20 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::membership::Membership;
-use yewcross::process_settings::{Bounds, ProcessSettings, Role};
-use yewcross::protocol::*;
-use yewcross::register::Ballot;
-use yewcross::runtime::*;
-use yewcross::storage::DurableStorage;
-use yewcross::transport::*;
-use yewcross::turn_log::client::TurnLogClient;
-use yewcross::turn_log::store_client::*;
-use yewcross::turn_log::*;
-use yewcross_control::chain::Engine;
-use yewcross_lab::sim::{Sim, Weather};
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::membership::Membership;
+use yewcross_common::process_settings::{Bounds, ProcessSettings, Role};
+use yewcross_common::protocol::*;
+use yewcross_common::register::Ballot;
+use yewcross_common::runtime::*;
+use yewcross_common::storage::DurableStorage;
+use yewcross_common::transport::*;
+use yewcross_common::turn_log::client::TurnLogClient;
+use yewcross_common::turn_log::store_client::*;
+use yewcross_common::turn_log::*;
+use yewcross_state::turn_store::Engine;
+use yewcross_testkit::sim::{Sim, Weather};
 
 struct Ear {
     members: Arc<Membership>,
@@ -30,7 +30,9 @@
         Box::pin(async move {
             let (t, b) = match (p.decode::<PeerRequest>(), &self.engine) {
                 (Some(PeerRequest::TurnLog), Some(e)) => (PeerResponse::TurnLog, e.handle(p.payload).await),
-                (Some(PeerRequest::TurnLog), None) | (None, _) => (PeerResponse::Rejected(yewcross::error_code::Code::BadField), vec![]),
+                (Some(PeerRequest::TurnLog), None) | (None, _) => {
+                    (PeerResponse::Rejected(yewcross_common::error_code::Code::BadField), vec![])
+                }
                 (Some(a), _) => (self.members.handle(a).await, vec![]),
             };
             (serde_json::to_vec(&t).unwrap_or_default(), b)
--- a/yewcross-lab/tests/charges.rs
+++ b/yewcross-testkit/tests/charges.rs
@@ -1,11 +1,11 @@
 //! The simulator's machines charge for processor and disk as small real ones do.
 
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross_lab::proof::Lab;
-use yewcross_lab::shape::Charges;
-use yewcross_lab::sim::Costs;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_testkit::proof::Lab;
+use yewcross_testkit::shape::Charges;
+use yewcross_testkit::sim::Costs;
 
 /// Founded and left alone for ten seconds: what each role's first machine was charged, us.
 fn idle(c: Costs) -> Vec<u64> {
@@ -51,12 +51,12 @@
         me.put("core1", 1, "first").await;
         me.op.sleep(4 * SEC).await;
         let w = me.sim.boot(me.sim.find("callers"));
-        (0..sessions).for_each(|i| w.spawn(yewcross_lab::caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
+        (0..sessions).for_each(|i| w.spawn(yewcross_testkit::caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
     });
     lab.sim.run(18 * SEC, || false);
     let store = lab.sim.used(lab.sim.find("store1"));
     let d: Arc<_> = lab.diary.clone();
-    let n = d.seen.lock().unwrap().iter().filter(|s| s.kind == "turn" && matches!(s.heard, yewcross_lab::caller::Heard::Done)).count();
+    let n = d.seen.lock().unwrap().iter().filter(|s| s.kind == "turn" && matches!(s.heard, yewcross_testkit::caller::Heard::Done)).count();
     (n, store)
 }
 
--- a/yewcross-lab/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -3,11 +3,11 @@
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::process_settings::{Bounds, Role};
-use yewcross::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::{Bounds, Role};
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_control::api::*;
-use yewcross_lab::tier::*;
+use yewcross_testkit::tier::*;
 
 #[path = "support/cuts.rs"]
 mod cuts;
--- a/yewcross-lab/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
 use yewcross_control::api::*;
-use yewcross_lab::sim::{Costs, Weather};
-use yewcross_lab::tier::*;
+use yewcross_testkit::sim::{Costs, Weather};
+use yewcross_testkit::tier::*;
 
 #[test]
 fn a_tier_founds_itself() {
--- a/yewcross-lab/tests/core_outages.rs
+++ b/yewcross-testkit/tests/core_outages.rs
@@ -3,10 +3,10 @@
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
-use yewcross_lab::tier::*;
+use yewcross_testkit::tier::*;
 
 #[path = "support/operators.rs"]
 mod operators;
@@ -22,7 +22,7 @@
 #[test]
 fn what_was_acknowledged_outlives_all_power_and_the_disks_that_may_be_lost() {
     let runs: Vec<u64> = (0..6).collect();
-    let late = yewcross_lab::proof::each(runs, |nth| {
+    let late = yewcross_testkit::proof::each(runs, |nth| {
         let tier = small_machines(9200 + nth, [8, 9, 30], 2);
         let (read, held) = play(&tier, |tier| {
             Box::pin(async move {
--- a/yewcross-lab/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -1,16 +1,16 @@
 //! One test for each defect that was found by reading: each failed before it was mended.
 
 use std::sync::Arc;
-use yewcross::configuration::Rule;
-use yewcross::constants::*;
-use yewcross::documents::cache::replicas_by_preference;
-use yewcross::error_code::Code;
-use yewcross::process_settings::Role;
-use yewcross::protocol::*;
+use yewcross_common::configuration::Rule;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::replicas_by_preference;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::*;
 use yewcross_control::Control;
-use yewcross_control::store::{Purse, purse_key};
-use yewcross_lab::proof::Lab;
-use yewcross_lab::script::on_fleet_of;
+use yewcross_state::records::{Purse, purse_key};
+use yewcross_testkit::proof::Lab;
+use yewcross_testkit::script::on_fleet_of;
 
 fn begin(key: &str, job: &str, nonce: u64, budget: Option<&str>) -> BeginTurn {
     BeginTurn {
@@ -174,7 +174,7 @@
 /// An owner frozen past the keeping time wrote over the key's next life: its epoch was higher than the new one's.
 #[test]
 fn an_owner_that_wakes_after_its_key_was_forgotten_cannot_bring_it_back() {
-    use yewcross::register::Step;
+    use yewcross_common::register::Step;
     let add = |what: &'static str| {
         move |_: u64, v: &[u8]| {
             if v.ends_with(what.as_bytes()) { Step::Keep(()) } else { Step::Write([v, what.as_bytes()].concat(), ()) }
@@ -273,7 +273,7 @@
             let mut deaf = vec![];
             for i in 0..12 {
                 let mut c = lab.op.connect(to).await.unwrap();
-                let q = yewcross_lab::script::request("POST", "/v1/turn", "", &body(&format!("s{i}")));
+                let q = yewcross_testkit::script::request("POST", "/v1/turn", "", &body(&format!("s{i}")));
                 c.write_all(q.as_bytes()).await.unwrap();
                 deaf.push(c);
             }
@@ -291,7 +291,7 @@
             });
             // By now all are made: 6,000 tokens take 24 s, in two rounds at most.
             lab.op.sleep(50 * SEC).await;
-            let held: u32 = yewcross_front::server_table::fit(&f, "llm").iter().map(|s| s.report.running).sum();
+            let held: u32 = yewcross_proxy::server_table::fit(&f, "llm").iter().map(|s| s.report.running).sum();
             let t0 = lab.sim.now();
             let g = f.clone();
             let stopped = lab.op.timeout(60 * SEC, async move { g.stop().await }).await;
@@ -428,9 +428,9 @@
                 use futures_lite::{AsyncReadExt, AsyncWriteExt};
                 let body = r#"{"program":"chargeback","session":"s","job":"j","budget":"chargeback","horizon_ms":6000,"messages":[{"role":"user","text":"hi"}],"max_output":600,"stream":true}"#;
                 let mut c = lab.op.connect(lab.sh.of(Role::Front)[0].http).await.unwrap();
-                c.write_all(yewcross_lab::script::request("POST", "/v1/turn", "", body).as_bytes()).await.unwrap();
+                c.write_all(yewcross_testkit::script::request("POST", "/v1/turn", "", body).as_bytes()).await.unwrap();
                 // Pieces are under way while the cancel is.
-                lab.sim.weather(yewcross_lab::sim::Weather { jitter: 100 * MS, ..Default::default() });
+                lab.sim.weather(yewcross_testkit::sim::Weather { jitter: 100 * MS, ..Default::default() });
                 let mut b = [0u8; 2000];
                 while c.read(&mut b).await.is_ok_and(|n| !b[..n].windows(5).any(|w| w == b"\"n\":2")) {}
                 drop(c);
--- a/yewcross-lab/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -3,16 +3,16 @@
 use std::net::IpAddr;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::register::{Ballot, RegisterReply, RegisterRequest, Replica};
-use yewcross::runtime::{BoxFuture, Runtime};
-use yewcross::storage::{DurableStorage, encode_frame};
-use yewcross::turn_log::store_client::{LedgerRecord, encode};
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest, Replica};
+use yewcross_common::runtime::{BoxFuture, Runtime};
+use yewcross_common::storage::{DurableStorage, encode_frame};
+use yewcross_common::turn_log::store_client::{LedgerRecord, encode};
 use yewcross_control::api::{PutAnswer, ReadAnswer};
-use yewcross_control::chain_log::{self, Item};
-use yewcross_lab::sim::Sim;
-use yewcross_lab::tier::{Tier, play, tell, up};
+use yewcross_state::segment_log::{self, Item};
+use yewcross_testkit::sim::Sim;
+use yewcross_testkit::tier::{Tier, play, tell, up};
 
 const KEY: &str = "session/a";
 
@@ -204,11 +204,11 @@
                     items.push(*at);
                 }
             };
-            let found = chain_log::read(&w, note).await.unwrap();
+            let found = segment_log::read(&w, note).await.unwrap();
             let next = found.sizes.keys().last().map_or(1, |s| s + 1);
             let mut batch: Vec<Item> = found.torn.iter().map(|(s, n)| Item::Torn(*s, *n)).collect();
             batch.push(ledger(1_000_000 + next));
-            w.append(&chain_log::path(next), encode_frame(&encode(&batch))).await.unwrap();
+            w.append(&segment_log::path(next), encode_frame(&encode(&batch))).await.unwrap();
             (items, found.hurt)
         })
     };
@@ -218,10 +218,10 @@
         bench.run(us, |w| {
             Box::pin(async move {
                 DurableStorage::open(&w).await.unwrap();
-                chain_log::read(&w, |_, _| {}).await.unwrap();
+                segment_log::read(&w, |_, _| {}).await.unwrap();
                 for n in 1u64.. {
                     let segment = 1 + n / 6;
-                    let _ = w.append(&chain_log::path(segment), encode_frame(&encode(&vec![ledger(n)]))).await;
+                    let _ = w.append(&segment_log::path(segment), encode_frame(&encode(&vec![ledger(n)]))).await;
                 }
             })
         });
--- a/yewcross-lab/tests/documents.rs
+++ b/yewcross-testkit/tests/documents.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::documents::cache::{DocumentCache, DocumentRejected};
-use yewcross::documents::departures;
-use yewcross::protocol::{ListedServer, ServerList};
-use yewcross::register::Ballot;
-use yewcross_lab::sim::Sim;
+use yewcross_common::documents::cache::{DocumentCache, DocumentRejected};
+use yewcross_common::documents::departures;
+use yewcross_common::protocol::{ListedServer, ServerList};
+use yewcross_common::register::Ballot;
+use yewcross_testkit::sim::Sim;
 
 fn book() -> Arc<DocumentCache> {
     let sim = Sim::new(1, 900);
@@ -50,8 +50,8 @@
     let book = book();
     let epoch = Ballot::default();
     book.apply("list", 5, epoch, list(5));
-    let changes = yewcross::documents::delta::encode(&list(5), &list(6));
-    let digest = |raw: Vec<u8>| yewcross::hash::content_digest(&raw);
+    let changes = yewcross_common::documents::delta::encode(&list(5), &list(6));
+    let digest = |raw: Vec<u8>| yewcross_common::hash::content_digest(&raw);
     assert_eq!(book.apply_delta("list", 4, &digest(list(5)), 6, epoch, &changes), Err(DocumentRejected::OtherBase { current: 5 }));
     // The number of the base, and another content.
     assert_eq!(book.apply_delta("list", 5, &digest(list(7)), 6, epoch, &changes), Err(DocumentRejected::OtherBase { current: 5 }));
--- a/yewcross-lab/tests/doors.rs
+++ b/yewcross-testkit/tests/doors.rs
@@ -2,12 +2,12 @@
 
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::configuration::{Configuration, Rule};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross_lab::caller::{self, Heard};
-use yewcross_lab::script::{on_fleet, raw, request};
+use yewcross_common::configuration::{Configuration, Rule};
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_testkit::caller::{self, Heard};
+use yewcross_testkit::script::{on_fleet, raw, request};
 
 const TURN: &str = r#"{"program":"chargeback","session":"s","job":"j1","budget":"chargeback","horizon_ms":2000,"messages":[{"role":"user","text":"hello"}],"max_output":16,"stream":true}"#;
 const LOOKUP: &str = r#"{"service":"settlement","method":"confirm","key":"k1","horizon_ms":1000,"job":"o1"}"#;
@@ -101,7 +101,7 @@
                     let to = lab.sh.nodes[i % lab.sh.nodes.len()].peer;
                     let body = spoil(&mut r, &asks[i % asks.len()].to_string());
                     let blob: Vec<u8> = (0..r.usize(0..64)).map(|_| r.u8(..)).collect();
-                    let mut b = yewcross::transport::pack(WIRE_VERSION, i as u64, false, "nobody", "z1", &body, &blob);
+                    let mut b = yewcross_common::transport::pack(WIRE_VERSION, i as u64, false, "nobody", "z1", &body, &blob);
                     if i % 5 == 0 {
                         let k = r.usize(0..b.len());
                         b[k] ^= 1 << r.u8(0..8);
@@ -152,8 +152,8 @@
             assert!(h.ends_with(b"three\n"));
         }
         let any: Vec<u8> = u.arbitrary()?;
-        let _ = (Configuration::read(&any), yewcross_control::store::Record::read(&any), yewcross_control::store::Purse::read(&any));
-        let _ = (yewcross::storage::decode_frame(&any), yewcross::documents::delta::apply(b"some\nold\n", &any));
+        let _ = (Configuration::read(&any), yewcross_state::records::Record::read(&any), yewcross_state::records::Purse::read(&any));
+        let _ = (yewcross_common::storage::decode_frame(&any), yewcross_common::documents::delta::apply(b"some\nold\n", &any));
         let _ = (serde_json::from_slice::<PeerRequest>(&any), serde_json::from_slice::<PeerResponse>(&any));
         Ok(())
     });
@@ -170,9 +170,9 @@
                 let m = lab.sim.find("m1");
                 lab.sim.kill(m, false);
                 let b = lab.sh.backs.iter().find(|b| b.server == "m1").cloned().unwrap();
-                let absurd = yewcross_lab::standin::Spec { slots: u32::MAX, per_k: u64::MAX, per_out: u64::MAX, cache: u64::MAX, ..b };
+                let absurd = yewcross_testkit::standin::Spec { slots: u32::MAX, per_k: u64::MAX, per_out: u64::MAX, cache: u64::MAX, ..b };
                 let w = lab.sim.boot(m);
-                yewcross_lab::standin::Standin::start(&w, absurd, lab.ledger.clone()).await.unwrap();
+                yewcross_testkit::standin::Standin::start(&w, absurd, lab.ledger.clone()).await.unwrap();
                 lab.op.sleep(2 * SEC).await;
                 let mut done = 0;
                 for i in 0..12 {
--- a/yewcross-lab/tests/duty.rs
+++ b/yewcross-testkit/tests/duty.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::protocol::ListedServer;
-use yewcross_lab::sim::{Costs, Weather};
-use yewcross_lab::tier::*;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::ListedServer;
+use yewcross_testkit::sim::{Costs, Weather};
+use yewcross_testkit::tier::*;
 
 #[path = "support/cuts.rs"]
 mod cuts;
--- a/yewcross-lab/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::protocol::ConfigDoc;
-use yewcross::register::Step;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::ConfigDoc;
+use yewcross_common::register::Step;
 use yewcross_control::api::*;
-use yewcross_lab::history::*;
-use yewcross_lab::sim::{Costs, Weather};
-use yewcross_lab::tier::*;
+use yewcross_testkit::history::*;
+use yewcross_testkit::sim::{Costs, Weather};
+use yewcross_testkit::tier::*;
 
 type Calls = Arc<Mutex<Vec<Operation<ConfigRegister>>>>;
 
--- a/yewcross-lab/tests/kv_share.rs
+++ b/yewcross-testkit/tests/kv_share.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross_lab::caller::{self, Ask, Heard, Seen};
-use yewcross_lab::proof::Lab;
-use yewcross_lab::script::on_fleet_of;
-use yewcross_lab::standin::Faults;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_testkit::caller::{self, Ask, Heard, Seen};
+use yewcross_testkit::proof::Lab;
+use yewcross_testkit::script::on_fleet_of;
+use yewcross_testkit::standin::Faults;
 
 const KEY: &str = "session/chargeback/s";
 
@@ -35,7 +35,7 @@
     models(lab).into_iter().filter(|n| lab.back(n).is_some_and(|b| b.holds(KEY).0.is_some())).collect()
 }
 
-fn count(lab: &Lab, of: impl Fn(&yewcross_front::Counts) -> u64) -> u64 {
+fn count(lab: &Lab, of: impl Fn(&yewcross_proxy::Counts) -> u64) -> u64 {
     ["front1", "front2"].iter().filter_map(|n| lab.front(n)).map(|f| of(&f.counts)).sum()
 }
 
--- a/yewcross-lab/tests/links.rs
+++ b/yewcross-testkit/tests/links.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::protocol::{PeerRequest, PeerResponse};
-use yewcross::runtime::*;
-use yewcross::transport::{Envelope, PeerClient, RequestHandler, SendError, pack};
-use yewcross_lab::sim::Sim;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::runtime::*;
+use yewcross_common::transport::{Envelope, PeerClient, RequestHandler, SendError, pack};
+use yewcross_testkit::sim::Sim;
 
 const ASKER: &str = "10.0.0.1";
 const ASKED: &str = "10.0.0.2:70";
--- a/yewcross-lab/tests/models/lease.rs
+++ b/yewcross-testkit/tests/models/lease.rs
@@ -7,8 +7,8 @@
 
 use super::explorer::Model;
 use std::collections::BTreeSet;
-use yewcross::protocol::ReplicaGroup;
-use yewcross::protocol::lease::{Candidate, LeaseOperation, LeaseVerdict};
+use yewcross_common::protocol::ReplicaGroup;
+use yewcross_common::protocol::lease::{Candidate, LeaseOperation, LeaseVerdict};
 use yewcross_control::lease::{Granter, Holder, KeptGrant, LeaseTimes};
 
 pub const TWO_HOLDERS: &str = "two processes hold the lease at once";
--- a/yewcross-lab/tests/models/main.rs
+++ b/yewcross-testkit/tests/models/main.rs
@@ -6,7 +6,7 @@
 
 use explorer::{Report, explore};
 use register::*;
-use yewcross::register::ReplicaSet;
+use yewcross_common::register::ReplicaSet;
 
 /// Above any model here; a model that outgrows it fails instead of being cut short.
 const MOST_STATES: usize = 1_500_000;
--- a/yewcross-lab/tests/models/register.rs
+++ b/yewcross-testkit/tests/models/register.rs
@@ -12,9 +12,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use yewcross::register::acceptor::{self, Effect, Record};
-use yewcross::register::proposer::{ChangeError, Proposer, Round, Survey, Vote};
-use yewcross::register::{Ballot, RegisterReply, RegisterRequest, ReplicaSet, Seat, majority};
+use yewcross_common::register::acceptor::{self, Effect, Record};
+use yewcross_common::register::proposer::{ChangeError, Proposer, Round, Survey, Vote};
+use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest, ReplicaSet, Seat, majority};
 
 pub const TWO_VALUES: &str = "two values are decided under one version";
 pub const TWO_WINNERS: &str = "two changes are acknowledged under one version";
--- a/yewcross-lab/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -3,10 +3,10 @@
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::protocol::ListedServer;
-use yewcross_lab::tier::*;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::ListedServer;
+use yewcross_testkit::tier::*;
 
 #[path = "support/operators.rs"]
 mod operators;
@@ -52,7 +52,7 @@
 fn after_all_cores_restart_there_is_a_holder_and_orders_are_decided() {
     let worst: Arc<Mutex<(u64, u64)>> = Default::default();
     let runs: Vec<(u64, bool)> = (0..6).map(|nth| (8800 + nth, nth % 2 == 1)).collect();
-    let late = yewcross_lab::proof::each(runs, |(seed, power)| {
+    let late = yewcross_testkit::proof::each(runs, |(seed, power)| {
         let tier = small_machines(seed, [8, 9, 55], 2);
         let times = play(&tier, |tier| {
             Box::pin(async move {
--- a/yewcross-lab/tests/orders.rs
+++ b/yewcross-testkit/tests/orders.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
-use yewcross_lab::tier::*;
+use yewcross_testkit::tier::*;
 
 /// Puts `count` orders one after another, on top of `base`, at one core after another; the last number.
 async fn put_many(tier: &Arc<Tier>, base: u64, count: u64) -> u64 {
--- a/yewcross-lab/tests/placement.rs
+++ b/yewcross-testkit/tests/placement.rs
@@ -4,14 +4,14 @@
 mod support;
 
 use support::{rest, servers, world};
-use yewcross::configuration::route::Engine;
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
-use yewcross_front::balance::{Balance, Claim, Load, Need, Slope};
-use yewcross_front::load_exchange::{Collected, ServerKey, ServerLoad};
-use yewcross_front::policy::{Mechanism, Policies};
-use yewcross_lab::sim::Sim;
+use yewcross_common::configuration::route::Engine;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
+use yewcross_proxy::balance::{Balance, Claim, Load, Need, Slope};
+use yewcross_proxy::load_exchange::{Collected, ServerKey, ServerLoad};
+use yewcross_proxy::policy::{Mechanism, Policies};
+use yewcross_testkit::sim::Sim;
 
 fn model(parts: &[(u64, u64)]) -> Need {
     let engine = Some(Engine { slots: 12, cache_tokens: 1_000_000, token_bytes: 1, tokens_per_event: 2 });
--- a/yewcross-lab/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -1,8 +1,8 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use strum::IntoEnumIterator;
-use yewcross_lab::proof::{Act, Plan, judge, run, sweep};
-use yewcross_lab::rogue::Sin;
+use yewcross_testkit::proof::{Act, Plan, judge, run, sweep};
+use yewcross_testkit::rogue::Sin;
 
 #[test]
 fn every_breakdown_alone_keeps_the_twelve() {
@@ -41,7 +41,7 @@
     });
     assert_eq!(sweep(plans.collect(), false), 0);
     let spent: Mutex<Vec<u64>> = Mutex::default();
-    yewcross_lab::proof::each((500..508).collect(), |seed| {
+    yewcross_testkit::proof::each((500..508).collect(), |seed| {
         let e = run(&Plan { budget: Some(1500), ..Plan::new(seed, "small", &[Act::Calm]) });
         spent.lock().unwrap().push(e.runs.iter().map(|r| r.output).sum());
         true
@@ -91,9 +91,9 @@
 /// Each sharper check, shown to fail by evidence that was tampered with in just that way.
 #[test]
 fn every_check_sees_its_own_tampering() {
-    use yewcross::constants::{MS, SEC};
-    use yewcross_lab::caller::{Heard, Seen};
-    use yewcross_lab::proof::{Ack, Cap, Evidence};
+    use yewcross_common::constants::{MS, SEC};
+    use yewcross_testkit::caller::{Heard, Seen};
+    use yewcross_testkit::proof::{Ack, Cap, Evidence};
     let clean = run(&Plan::new(21, "small", &[Act::KillStore]));
     assert!(judge(&clean).is_empty());
     let done = |e: &Evidence| e.seen.iter().position(|s| s.kind == "turn" && s.heard == Heard::Done && !s.text.is_empty()).unwrap();
@@ -188,13 +188,13 @@
 
 #[test]
 fn a_long_day_stays_bounded_and_survives_its_last_fault() {
-    let (s, e) = yewcross_lab::proof::long_day(77, 400);
+    let (s, e) = yewcross_testkit::proof::long_day(77, 400);
     println!("{s:?}");
     let v = judge(&e);
     assert!(v.is_empty(), "{v:?}");
     assert!(s[3].done > s[1].done * 3 / 2, "the day went on");
     // Sweeps come and go, so the second half's height is held against the first half's.
-    let top = |f: fn(&yewcross_lab::proof::Sizes) -> usize, r: std::ops::Range<usize>| s[r].iter().map(f).max().unwrap();
+    let top = |f: fn(&yewcross_testkit::proof::Sizes) -> usize, r: std::ops::Range<usize>| s[r].iter().map(f).max().unwrap();
     assert!(2 * top(|x| x.files, 2..4) < 3 * top(|x| x.files, 0..2), "files grow");
     assert!(2 * top(|x| x.tasks, 2..4) < 3 * top(|x| x.tasks, 0..2), "tasks grow");
     assert!(s[3].lines < s[1].lines + 60, "lines come only on change of state");
@@ -203,12 +203,12 @@
 /// 41 and 45 once found a damaged file that was mended too late.
 #[test]
 fn the_register_holds_under_rough_acts() {
-    assert_eq!(yewcross_lab::grind::sweep((1..=48).collect(), false), 0);
+    assert_eq!(yewcross_testkit::grind::sweep((1..=48).collect(), false), 0);
 }
 
 #[test]
 fn the_register_judge_sees_a_disk_that_lies() {
-    let bad = (1..=6u64).filter(|s| !yewcross_lab::grind::judge(&yewcross_lab::grind::lying(*s)).is_empty()).count();
+    let bad = (1..=6u64).filter(|s| !yewcross_testkit::grind::judge(&yewcross_testkit::grind::lying(*s)).is_empty()).count();
     println!("{bad} of 6 seeds with lying disks were caught");
     assert!(bad >= 3);
 }
@@ -220,7 +220,7 @@
     const SEEDS: u64 = 8;
     for (shape, across, syncs, msgs) in [("kowhai", 40_000, 34, 181), ("consorcio", 38_000, 34, 137)] {
         let sums: Mutex<BTreeMap<&str, u64>> = Mutex::default();
-        yewcross_lab::proof::each((1..=SEEDS).collect(), |seed| {
+        yewcross_testkit::proof::each((1..=SEEDS).collect(), |seed| {
             let e = run(&Plan::new(seed, shape, &[Act::Calm]));
             let done = e.figures["callers"]["turns"]["done"].as_u64().unwrap();
             for figure in ["bytes_across", "syncs", "messages"] {
@@ -241,17 +241,17 @@
 fn a_frame_too_new_is_refused_and_counted() {
     use std::sync::Arc;
     use std::sync::atomic::Ordering::SeqCst;
-    use yewcross::constants::{SEC, WIRE_OLDEST, WIRE_VERSION};
-    use yewcross::protocol::{PeerRequest, PeerResponse};
-    use yewcross::runtime::BoxFuture;
-    use yewcross::transport::{Envelope, PeerClient, RequestHandler};
+    use yewcross_common::constants::{SEC, WIRE_OLDEST, WIRE_VERSION};
+    use yewcross_common::protocol::{PeerRequest, PeerResponse};
+    use yewcross_common::runtime::BoxFuture;
+    use yewcross_common::transport::{Envelope, PeerClient, RequestHandler};
     struct Echo;
     impl RequestHandler for Echo {
         fn handle(self: Arc<Self>, _: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
             Box::pin(async { (serde_json::to_vec(&PeerResponse::Ok).unwrap(), vec![]) })
         }
     }
-    let sim = yewcross_lab::sim::Sim::new(3, 500);
+    let sim = yewcross_testkit::sim::Sim::new(3, 500);
     let at = |i: u8| std::net::SocketAddr::from(([10, 0, 0, i], 1));
     let (a, b) = (sim.boot(sim.machine("a", "z1", at(1).ip())), sim.boot(sim.machine("b", "z2", at(2).ip())));
     let (pa, pb) = (PeerClient::new(&a, "a", "z1", WIRE_VERSION), PeerClient::new(&b, "b", "z2", WIRE_OLDEST));
@@ -275,7 +275,7 @@
 fn every_name_in_the_brief_exists() {
     let root = format!("{}/..", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(format!("{root}/docs/brief.md")).unwrap();
-    let crates = ["yewcross", "yewcross-control", "yewcross-front", "yewcross-lab", "yewcross-plan"];
+    let crates = ["yewcross-common", "yewcross-state", "yewcross-control", "yewcross-proxy", "yewcross-testkit", "yewcross-capacity"];
     let files = crates.iter().flat_map(|c| ["src", "tests"].map(|d| format!("{root}/{c}/{d}")));
     let files = files.filter_map(|d| std::fs::read_dir(d).ok()).flatten().filter_map(|f| f.ok());
     let code: String = files.filter_map(|f| std::fs::read_to_string(f.path()).ok()).collect();
@@ -307,6 +307,6 @@
         missing("act:nothing")
             && missing("test:nothing")
             && missing("sin:Nothing")
-            && missing("code:yewcross/src/register/client.rs#nothing")
+            && missing("code:yewcross-common/src/register/client.rs#nothing")
     );
 }
--- a/yewcross-lab/tests/real.rs
+++ b/yewcross-testkit/tests/real.rs
@@ -6,13 +6,13 @@
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::process_settings::{Role, exit};
-use yewcross::runtime::Runtime;
-use yewcross::runtime::os::OsRuntime;
-use yewcross_lab::caller::{self, Ask, Diary, Heard};
-use yewcross_lab::fleet::Fleet;
-use yewcross_lab::standin::Spec;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::{Role, exit};
+use yewcross_common::runtime::Runtime;
+use yewcross_common::runtime::os::OsRuntime;
+use yewcross_testkit::caller::{self, Ask, Diary, Heard};
+use yewcross_testkit::fleet::Fleet;
+use yewcross_testkit::standin::Spec;
 
 fn dir(n: &str) -> PathBuf {
     let d = std::env::temp_dir().join(format!("yewcross-real-{n}-{}", std::process::id()));
--- a/yewcross-lab/tests/relay/answers.rs
+++ b/yewcross-testkit/tests/relay/answers.rs
@@ -5,7 +5,7 @@
 use futures_lite::AsyncReadExt;
 use futures_lite::AsyncWriteExt;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
+use yewcross_common::constants::*;
 
 #[test]
 fn a_good_answer_passes_unchanged_with_its_headers() {
--- a/yewcross-lab/tests/relay/attempts.rs
+++ b/yewcross-testkit/tests/relay/attempts.rs
@@ -4,9 +4,9 @@
 use crate::server::*;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
 
 #[test]
 fn what_may_have_run_is_never_sent_again() {
--- a/yewcross-lab/tests/relay/promises.rs
+++ b/yewcross-testkit/tests/relay/promises.rs
@@ -2,9 +2,9 @@
 
 use crate::rig::*;
 use crate::server::*;
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
 
 /// Many callers at once against servers that do anything: whatever is drawn, what is promised holds.
 #[test]
--- a/yewcross-lab/tests/relay/requests.rs
+++ b/yewcross-testkit/tests/relay/requests.rs
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
-use yewcross::configuration::route::Limits;
-use yewcross::constants::*;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::register::Ballot;
-use yewcross::runtime::*;
-use yewcross_front::relay::Relay;
-use yewcross_lab::routed::ports::Ports;
+use yewcross_common::configuration::route::Limits;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::register::Ballot;
+use yewcross_common::runtime::*;
+use yewcross_proxy::relay::Relay;
+use yewcross_testkit::routed::ports::Ports;
 
 #[test]
 fn targets_pass_byte_for_byte_or_are_refused() {
@@ -108,8 +108,8 @@
             let me = r.sim.machine("young", "z", own.ip());
             let wd = r.sim.boot(me);
             let d = wd.bind(own).await.unwrap();
-            let h: yewcross::streaming_http::Handler = Arc::new(move |q, _| Box::pin(fresh.clone().serve(q)));
-            w2.spawn(yewcross::streaming_http::serve(w2.clone(), d, h, Arc::new(Limits::default), Default::default()));
+            let h: yewcross_common::streaming_http::Handler = Arc::new(move |q, _| Box::pin(fresh.clone().serve(q)));
+            w2.spawn(yewcross_common::streaming_http::serve(w2.clone(), d, h, Arc::new(Limits::default), Default::default()));
             let ask = |id: &'static str| {
                 let w = w.clone();
                 w.clone().spawn_all(vec![Box::pin(async move { call(&w, own, id, "/once/x", &[], "").await }) as BoxFuture<'static, Heard>])
--- a/yewcross-lab/tests/relay/resumption.rs
+++ b/yewcross-testkit/tests/relay/resumption.rs
@@ -4,8 +4,8 @@
 use crate::server::*;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross_front::policy::{Mechanism, Policies};
+use yewcross_common::constants::*;
+use yewcross_proxy::policy::{Mechanism, Policies};
 
 const WHOLE: &str = "id: 0\ndata: t-0\n\nid: 1\ndata: t-1\n\nid: 2\ndata: t-2\n\nid: 3\ndata: t-3\n\n";
 
--- a/yewcross-lab/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -9,18 +9,18 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use yewcross::configuration::route::Limits;
-use yewcross::constants::*;
-use yewcross::documents::cache::DocumentCache;
-use yewcross::protocol::{ListedServer, ServerList};
-use yewcross::register::Ballot;
-use yewcross::runtime::*;
-use yewcross::turn_log::{OpenTurn, OpenTurnError, OpenedTurn, Turn, TurnLogService};
-use yewcross_front::balance::Balance;
-use yewcross_front::policy::Policies;
-use yewcross_front::relay::{Relay, RetryBudget};
-use yewcross_lab::routed::ports::Ports;
-use yewcross_lab::sim::Sim;
+use yewcross_common::configuration::route::Limits;
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::DocumentCache;
+use yewcross_common::protocol::{ListedServer, ServerList};
+use yewcross_common::register::Ballot;
+use yewcross_common::runtime::*;
+use yewcross_common::turn_log::{OpenTurn, OpenTurnError, OpenedTurn, Turn, TurnLogService};
+use yewcross_proxy::balance::Balance;
+use yewcross_proxy::policy::Policies;
+use yewcross_proxy::relay::{Relay, RetryBudget};
+use yewcross_testkit::routed::ports::Ports;
+use yewcross_testkit::sim::Sim;
 
 #[derive(Default)]
 pub struct Memory {
@@ -73,7 +73,7 @@
     pub relay: Arc<Relay>,
     pub floor: Arc<Floor>,
     pub memory: Arc<Memory>,
-    pub gate: Arc<yewcross::streaming_http::ConnectionTracker>,
+    pub gate: Arc<yewcross_common::streaming_http::ConnectionTracker>,
     pub door: SocketAddr,
     pub machines: Vec<usize>,
     pub worlds: Arc<Mutex<Vec<Runtime>>>,
@@ -148,7 +148,7 @@
             counts: Default::default(),
         });
         let door: SocketAddr = "10.0.0.1:80".parse().unwrap();
-        let gate: Arc<yewcross::streaming_http::ConnectionTracker> = Default::default();
+        let gate: Arc<yewcross_common::streaming_http::ConnectionTracker> = Default::default();
         let mut rig = Rig {
             sim: sim.clone(),
             relay: relay.clone(),
@@ -162,9 +162,9 @@
         let (w2, b) = (w.clone(), relay.documents.clone());
         w.spawn(async move {
             let d = w2.bind(door).await.unwrap();
-            let h: yewcross::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
+            let h: yewcross_common::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
             let limits: Arc<dyn Fn() -> Limits + Send + Sync> = Arc::new(move || b.config.load().1.routing.limits.clone());
-            yewcross::streaming_http::serve(w2, d, h, limits, gate).await;
+            yewcross_common::streaming_http::serve(w2, d, h, limits, gate).await;
         });
         rig.configure(1, routes());
         (0..servers).for_each(|i| rig.server(i));
--- a/yewcross-lab/tests/relay/server.rs
+++ b/yewcross-testkit/tests/relay/server.rs
@@ -8,8 +8,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::runtime::*;
+use yewcross_common::constants::*;
+use yewcross_common::runtime::*;
 
 /// What a server does with the next request.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/yewcross-lab/tests/relay/stopping.rs
+++ b/yewcross-testkit/tests/relay/stopping.rs
@@ -6,9 +6,9 @@
 use futures_lite::AsyncWriteExt;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
+use yewcross_common::constants::*;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
 
 /// A front that stood still between the choice of a server and the first byte to it, whatever changed meanwhile.
 #[test]
--- a/yewcross-lab/tests/relay/streams.rs
+++ b/yewcross-testkit/tests/relay/streams.rs
@@ -4,9 +4,9 @@
 use crate::server::*;
 use serde_json::json;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross::constants::*;
-use yewcross::register::Ballot;
-use yewcross::turn_log::OpenTurnError;
+use yewcross_common::constants::*;
+use yewcross_common::register::Ballot;
+use yewcross_common::turn_log::OpenTurnError;
 
 /// A caller takes an answer for whole once all the bytes that its head names are there, so the head may name none
 /// where the end waits for the turn to be kept.
--- a/yewcross-lab/tests/routed.rs
+++ b/yewcross-testkit/tests/routed.rs
@@ -1,9 +1,9 @@
 //! Whole tiers serving routed requests under troubles. `SEEDS=from..to` and `ACTS=kill_front,faults` run other plans.
 
 use strum::IntoEnumIterator;
-use yewcross::constants::*;
-use yewcross_lab::routed::tier::{Act, Plan, run};
-use yewcross_lab::routed::verdict::{Evidence, judge};
+use yewcross_common::constants::*;
+use yewcross_testkit::routed::tier::{Act, Plan, run};
+use yewcross_testkit::routed::verdict::{Evidence, judge};
 
 /// What a plan came to.
 struct Played {
@@ -56,7 +56,7 @@
     let (a, b) = r.split_once("..").map(|(a, b)| (a.parse::<u64>().unwrap(), b.parse::<u64>().unwrap())).unwrap();
     let acts: Vec<Act> = std::env::var("ACTS").map_or(vec![], |s| s.split(',').map(|a| a.parse().unwrap()).collect());
     let all: Vec<Act> = Act::iter().collect();
-    let bad: usize = yewcross_lab::proof::each((a..b).collect(), |seed| {
+    let bad: usize = yewcross_testkit::proof::each((a..b).collect(), |seed| {
         let mut r = fastrand::Rng::with_seed(seed);
         let mut v = acts.clone();
         if v.is_empty() {
@@ -72,7 +72,7 @@
 #[test]
 fn each_trouble_alone() {
     let all: Vec<(u64, Act)> = Act::iter().enumerate().map(|(i, a)| (100 + i as u64, a)).collect();
-    let bad = yewcross_lab::proof::each(all, |(seed, a)| play(seed, &[a]).violations.is_empty());
+    let bad = yewcross_testkit::proof::each(all, |(seed, a)| play(seed, &[a]).violations.is_empty());
     assert_eq!(bad, 0, "troubles that broke a rule");
 }
 
@@ -88,8 +88,9 @@
     };
     let turn = |e: &Evidence| e.tries.iter().position(|t| t.good() && t.route.retained && !t.prev.is_empty()).unwrap();
     let row = |e: &Evidence| e.tries.iter().position(|t| t.good() && t.events() > 3).unwrap();
-    let once =
-        |e: &Evidence| e.tries.iter().position(|t| t.good() && t.route.mode == yewcross::configuration::route::Mode::Effectful).unwrap();
+    let once = |e: &Evidence| {
+        e.tries.iter().position(|t| t.good() && t.route.mode == yewcross_common::configuration::route::Mode::Effectful).unwrap()
+    };
     let run_of = |e: &Evidence, a: &str| e.runs.iter().position(|r| r.attempt == a).unwrap();
     sees("UNASKED", &|e| e.runs[7].attempt = "nobody".into());
     sees("UNASKED", &|e| e.runs[7].target.push('x'));
@@ -146,7 +147,7 @@
     sees("CONFIG", &|e| {
         let v = e.versions[0].clone();
         let to = v.to.keys().map(|k| (k.clone(), vec!["elsewhere".to_string()])).collect();
-        e.versions.push(yewcross_lab::routed::cfg::Version { number: v.number + 1, to, ..v });
+        e.versions.push(yewcross_testkit::routed::cfg::Version { number: v.number + 1, to, ..v });
     });
     sees("RECOVER", &|e| {
         e.back = 1;
--- a/yewcross-lab/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -4,17 +4,17 @@
 use bytes::Bytes;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::membership::{MemberState, Node};
-use yewcross::process_settings::Role;
-use yewcross::protocol::{Layout, ReplicaGroup};
-use yewcross::turn_log::Turn;
-use yewcross::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse};
+use yewcross_common::constants::*;
+use yewcross_common::membership::{MemberState, Node};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{Layout, ReplicaGroup};
+use yewcross_common::turn_log::Turn;
+use yewcross_common::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse};
 use yewcross_control::api::{ReadAnswer, RetireBegin, RetireState};
 use yewcross_control::layout::planning::{self, Known, SeatReport};
-use yewcross_lab::routed::tier::Plan;
-use yewcross_lab::sim::Costs;
-use yewcross_lab::tier::*;
+use yewcross_testkit::routed::tier::Plan;
+use yewcross_testkit::sim::Costs;
+use yewcross_testkit::tier::*;
 
 /// us. A core seat is whole within this from its machine's return.
 const CORE_WHOLE: u64 = SEC;
@@ -311,7 +311,7 @@
 /// keep nothing in them.
 #[test]
 fn routed_calls_keep_nothing_in_registers_of_stores() {
-    let (t, evidence) = yewcross_lab::routed::tier::run(&Plan { seed: 7, shape: "metered".into(), acts: vec![] });
+    let (t, evidence) = yewcross_testkit::routed::tier::run(&Plan { seed: 7, shape: "metered".into(), acts: vec![] });
     assert!(evidence.tries.len() > 200);
     let (mut stores, mut turns) = (0, 0);
     for c in t.control_nodes().iter().filter(|c| c.settings.role == Role::Store) {
--- a/yewcross-lab/tests/second_loss.rs
+++ b/yewcross-testkit/tests/second_loss.rs
@@ -1,12 +1,12 @@
 //! A second loss in the middle of a change of seats, with turns and budgets on the disks.
 
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
-use yewcross::turn_log::client::TurnLogClient;
-use yewcross::turn_log::{OpenTurn, Turn, TurnLogService};
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
+use yewcross_common::turn_log::client::TurnLogClient;
+use yewcross_common::turn_log::{OpenTurn, Turn, TurnLogService};
 use yewcross_control::api::*;
-use yewcross_lab::tier::{Tier, play, tell, up};
+use yewcross_testkit::tier::{Tier, play, tell, up};
 
 const PROGRAMS: usize = 20;
 
--- a/yewcross-lab/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -15,28 +15,28 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex, OnceLock};
 use strum::IntoEnumIterator;
-use yewcross::configuration::{Budget, Configuration, ProgramClass, Rule, Service};
-use yewcross::constants::*;
-use yewcross::documents::cache::replicas_by_preference;
-use yewcross::error_code::Code;
-use yewcross::process_settings::Role;
-use yewcross::protocol::lease::*;
-use yewcross::protocol::*;
-use yewcross::register::{Ballot, RegisterReply, RegisterRequest, Replica};
-use yewcross::runtime::{BoxFuture, Runtime};
-use yewcross::storage::{DurableStorage, encode_frame};
-use yewcross::turn_log::Turn;
-use yewcross::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, decode, encode};
+use yewcross_common::configuration::{Budget, Configuration, ProgramClass, Rule, Service};
+use yewcross_common::constants::*;
+use yewcross_common::documents::cache::replicas_by_preference;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::lease::*;
+use yewcross_common::protocol::*;
+use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest, Replica};
+use yewcross_common::runtime::{BoxFuture, Runtime};
+use yewcross_common::storage::{DurableStorage, encode_frame};
+use yewcross_common::turn_log::Turn;
+use yewcross_common::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, decode, encode};
 use yewcross_control::Control;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
-use yewcross_control::chain::Shelf;
-use yewcross_control::chain_log::{self, Item};
 use yewcross_control::lease::KeptGrant;
-use yewcross_control::store::{Head, Mark, Open, Purse, Record, Run, purse_key};
-use yewcross_lab::proof::Lab;
-use yewcross_lab::script::on_fleet;
-use yewcross_lab::sim::Sim;
-use yewcross_lab::tier::{Tier, play, tell, up};
+use yewcross_state::records::{Head, Mark, Open, Purse, Record, Run, purse_key};
+use yewcross_state::segment_log::{self, Item};
+use yewcross_state::turn_store::Shelf;
+use yewcross_testkit::proof::Lab;
+use yewcross_testkit::script::on_fleet;
+use yewcross_testkit::sim::Sim;
+use yewcross_testkit::tier::{Tier, play, tell, up};
 
 /// Files of a folder, or named values, in the order of their names.
 type Files = BTreeMap<String, Vec<u8>>;
@@ -811,7 +811,7 @@
         ("page", json_of(&page())),
         ("peers", json_of(&peers)),
         ("log items", encode(&items())),
-        ("log path", chain_log::path(0x1f).into_bytes()),
+        ("log path", segment_log::path(0x1f).into_bytes()),
         ("sealed", encode_frame(b"body")),
         ("register path", register_path.into_bytes()),
         ("register file", register),
--- a/yewcross-lab/tests/support/cuts.rs
+++ b/yewcross-testkit/tests/support/cuts.rs
@@ -1,7 +1,7 @@
 //! Cuts of a core from the other cores, and the sizes of tier that they are tried on.
 
-use yewcross::process_settings::Role;
-use yewcross_lab::tier::Tier;
+use yewcross_common::process_settings::Role;
+use yewcross_testkit::tier::Tier;
 
 /// How a core is cut off from the other cores; other nodes still reach it.
 #[derive(Clone, Copy, Debug)]
--- a/yewcross-lab/tests/support/operators.rs
+++ b/yewcross-testkit/tests/support/operators.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
-use yewcross::constants::*;
-use yewcross::process_settings::Role;
+use yewcross_common::constants::*;
+use yewcross_common::process_settings::Role;
 use yewcross_control::api::PutAnswer;
-use yewcross_lab::sim::Costs;
-use yewcross_lab::tier::*;
+use yewcross_testkit::sim::Costs;
+use yewcross_testkit::tier::*;
 
 const OPERATORS: u64 = 8;
 /// bytes. A text as long as those of some sixty routes.
--- a/yewcross-lab/tests/support/placement.rs
+++ b/yewcross-testkit/tests/support/placement.rs
@@ -1,9 +1,9 @@
 //! One front's world and a list of servers, for tests of the choice between them.
 
 use std::net::SocketAddr;
-use yewcross::protocol::ListedServer;
-use yewcross::runtime::*;
-use yewcross_lab::sim::Sim;
+use yewcross_common::protocol::ListedServer;
+use yewcross_common::runtime::*;
+use yewcross_testkit::sim::Sim;
 
 pub fn world() -> (Sim, Runtime) {
     let sim = Sim::new(1, 1_000);
--- a/yewcross-lab/tests/transcripts.rs
+++ b/yewcross-testkit/tests/transcripts.rs
@@ -1,11 +1,11 @@
 //! Whole exchanges, compared with what was approved. `APPROVE=1 cargo test` writes them anew.
 
 use std::fmt::Write;
-use yewcross::configuration::{Budget, ProgramClass, Service, SettingDefinition};
-use yewcross::constants::*;
-use yewcross::error_code::Code;
-use yewcross::process_settings::Role;
-use yewcross_lab::script::{on_fleet, plain, raw, request};
+use yewcross_common::configuration::{Budget, ProgramClass, Service, SettingDefinition};
+use yewcross_common::constants::*;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Role;
+use yewcross_testkit::script::{on_fleet, plain, raw, request};
 
 fn approve(path: &str, text: &str) {
     let at = format!("{}/../{path}", env!("CARGO_MANIFEST_DIR"));
@@ -125,7 +125,7 @@
         one("health", "GET", "/health", "", ""),
     ];
     approve(
-        "yewcross-lab/tests/callers.txt",
+        "yewcross-testkit/tests/callers.txt",
         &play(Role::Front, steps, |t| t["budgets"]["chargeback"] = serde_json::json!({"tokens": 60})),
     );
 }
@@ -156,5 +156,5 @@
         one("wrong verb", "DELETE", "/v1/config", "", ""),
         one("health", "GET", "/health", "", ""),
     ];
-    approve("yewcross-lab/tests/operators.txt", &play(Role::Core, steps, |_| ()));
+    approve("yewcross-testkit/tests/operators.txt", &play(Role::Core, steps, |_| ()));
 }
--- a/yewcross-lab/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -1,10 +1,10 @@
 //! A vote belongs to a disk, not to an address: a machine that comes back empty where another disk was votes for nobody.
 
 use std::sync::Arc;
-use yewcross::constants::*;
-use yewcross::register::{RegisterClient, Step};
-use yewcross_lab::proof::Lab;
-use yewcross_lab::script::on_fleet_of;
+use yewcross_common::constants::*;
+use yewcross_common::register::{RegisterClient, Step};
+use yewcross_testkit::proof::Lab;
+use yewcross_testkit::script::on_fleet_of;
 
 const KEY: &str = "k";
 
@@ -74,7 +74,7 @@
                 lab.sim.power_on(machine("store1"));
                 lab.boot("store1");
                 lab.op.sleep(6 * SEC).await;
-                let mut value = Err(yewcross::register::ChangeError::NotDone);
+                let mut value = Err(yewcross_common::register::ChangeError::NotDone);
                 while value.is_err() {
                     value = owner(&lab, "store1").read(KEY, 2 * SEC).await;
                 }
--- a/yewcross-lab/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -20,17 +20,17 @@
 use std::sync::{Arc, Mutex};
 use strum::IntoEnumIterator;
 use wire_samples::*;
-use yewcross::constants::*;
-use yewcross::documents::delta;
-use yewcross::error_code::Code;
-use yewcross::protocol::{ConfigDoc, PeerRequest, PeerResponse};
-use yewcross::runtime::*;
-use yewcross::transport::{Envelope, PeerClient, RequestHandler, pack};
-use yewcross::turn_log::store_client::{TurnLogOperation, decode, encode};
-use yewcross_control::chain_log::Item;
-use yewcross_control::store::Record;
-use yewcross_front::load_exchange::ServerLoad;
-use yewcross_lab::sim::Sim;
+use yewcross_common::constants::*;
+use yewcross_common::documents::delta;
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{ConfigDoc, PeerRequest, PeerResponse};
+use yewcross_common::runtime::*;
+use yewcross_common::transport::{Envelope, PeerClient, RequestHandler, pack};
+use yewcross_common::turn_log::store_client::{TurnLogOperation, decode, encode};
+use yewcross_proxy::load_exchange::ServerLoad;
+use yewcross_state::records::Record;
+use yewcross_state::segment_log::Item;
+use yewcross_testkit::sim::Sim;
 
 // ---- Fixture files ----
 
--- a/yewcross-lab/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -4,23 +4,23 @@
 
 use bytes::Bytes;
 use std::sync::Arc;
-use yewcross::configuration::{InvalidSetting, Rule};
-use yewcross::error_code::Code;
-use yewcross::membership::{MemberState, Node};
-use yewcross::process_settings::Role;
-use yewcross::protocol::lease::*;
-use yewcross::protocol::operator_orders::{PutAnswer, RetireBegin};
-use yewcross::protocol::*;
-use yewcross::register::{Ballot, RegisterReply, RegisterRequest};
-use yewcross::turn_log::Turn;
-use yewcross::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse};
-use yewcross_control::chain_log::Item;
+use yewcross_common::configuration::{InvalidSetting, Rule};
+use yewcross_common::error_code::Code;
+use yewcross_common::membership::{MemberState, Node};
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::lease::*;
+use yewcross_common::protocol::operator_orders::{PutAnswer, RetireBegin};
+use yewcross_common::protocol::*;
+use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest};
+use yewcross_common::turn_log::Turn;
+use yewcross_common::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse};
 use yewcross_control::lease::KeptGrant;
-use yewcross_control::store::{Head, Mark, Open, Record, Run};
-use yewcross_front::back::Stamp;
-use yewcross_front::balance::Load;
-use yewcross_front::load_exchange::{ServerKey, ServerLoad};
-use yewcross_front::turn::Kept;
+use yewcross_proxy::back::Stamp;
+use yewcross_proxy::balance::Load;
+use yewcross_proxy::load_exchange::{ServerKey, ServerLoad};
+use yewcross_proxy::turn::Kept;
+use yewcross_state::records::{Head, Mark, Open, Record, Run};
+use yewcross_state::segment_log::Item;
 
 fn text(value: &str) -> String {
     value.into()
