--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -73,8 +73,8 @@
     pub silent: Vec<String>,
 }
 
-async fn get<T: for<'a> Deserialize<'a>>(w: &Runtime, at: SocketAddr, path: &str) -> Result<T, Fault> {
-    let r = fetch(w, at, http_types::Method::Get, path, &[], vec![], 5 * SEC).await;
+async fn get<T: for<'a> Deserialize<'a>>(runtime: &Runtime, at: SocketAddr, path: &str) -> Result<T, Fault> {
+    let r = fetch(runtime, at, http_types::Method::Get, path, &[], vec![], 5 * SEC).await;
     let (s, _, b) = r.map_err(|e| Fault::Live { at, why: e.to_string() })?;
     let bad = |why: String| Fault::Live { at, why };
     if s != 200 {
@@ -84,8 +84,8 @@
 }
 
 /// Asks a core, and through it every machine that it knows.
-pub async fn take(w: &Runtime, core: SocketAddr) -> Result<Checkpoint, Fault> {
-    let first: Part = get(w, core, "/v1/checkpoint").await?;
+pub async fn take(runtime: &Runtime, core: SocketAddr) -> Result<Checkpoint, Fault> {
+    let first: Part = get(runtime, core, "/v1/checkpoint").await?;
     let seq = |d: &str| first.versions.iter().find(|v| v.0 == d).map(|v| v.1).unwrap_or(0);
     let bad = |e: serde_json::Error| Fault::Live { at: core, why: e.to_string() };
     let doc: ConfigDoc = serde_json::from_str(&first.config).map_err(bad)?;
@@ -102,11 +102,11 @@
     for n in &first.nodes {
         if n.role == Role::Front {
             if c.servers.is_empty() {
-                c.servers = get(w, n.http, "/v1/servers").await.unwrap_or_default();
+                c.servers = get(runtime, n.http, "/v1/servers").await.unwrap_or_default();
             }
             continue;
         }
-        match get::<Part>(w, n.http, "/v1/checkpoint").await {
+        match get::<Part>(runtime, n.http, "/v1/checkpoint").await {
             Ok(p) => {
                 c.held.insert(p.disk, p.held);
             }
--- a/yewcross-common/src/buffered_http.rs
+++ b/yewcross-common/src/buffered_http.rs
@@ -112,14 +112,14 @@
     futures_lite::io::copy(&mut e, c).await.map(|_| ())
 }
 
-async fn refuse_and_close(w: &Runtime, mut c: Connection, k: Code) {
+async fn refuse_and_close(runtime: &Runtime, mut c: Connection, k: Code) {
     let mut r = refuse(k, "", k.back());
     r.insert_header("connection", "close");
-    w.timeout(SEC, send(&mut c, r, Method::Post)).await;
+    runtime.timeout(SEC, send(&mut c, r, Method::Post)).await;
     let _ = c.close().await;
 }
 
-async fn one(w: &Runtime, c: &mut Connection, h: &Handler, g: &ConnectionTracker, first: bool) -> Option<bool> {
+async fn one(runtime: &Runtime, c: &mut Connection, h: &Handler, g: &ConnectionTracker, first: bool) -> Option<bool> {
     c.limit_reads(2 * HEAD_MAX);
     let wait = if first { HEAD_WAIT } else { IDLE_WAIT };
     let gone = async {
@@ -127,9 +127,9 @@
             std::future::pending::<()>().await;
         }
         g.closing.wait().await;
-        w.sleep(100 * MS).await;
+        runtime.sleep(100 * MS).await;
     };
-    let head = futures_lite::future::or(w.timeout(wait, async_h1::server::decode(c.clone())), async {
+    let head = futures_lite::future::or(runtime.timeout(wait, async_h1::server::decode(c.clone())), async {
         gone.await;
         Some(Ok(None))
     })
@@ -138,16 +138,16 @@
         Some(Ok(Some(x))) => x,
         Some(Ok(None)) => return None,
         Some(Err(_)) if c.read_limit_reached() => {
-            refuse_and_close(w, c.clone(), Code::TooLarge).await;
+            refuse_and_close(runtime, c.clone(), Code::TooLarge).await;
             return None;
         }
         Some(Err(e)) => {
             let k = if e.to_string().contains("8kb") { Code::TooLarge } else { Code::BadHead };
-            refuse_and_close(w, c.clone(), k).await;
+            refuse_and_close(runtime, c.clone(), k).await;
             return None;
         }
         None if first => {
-            refuse_and_close(w, c.clone(), Code::TooSlow).await;
+            refuse_and_close(runtime, c.clone(), Code::TooSlow).await;
             return None;
         }
         None => return None,
@@ -157,11 +157,11 @@
     let mut body = Vec::new();
     let told = q.len();
     if told.is_some_and(|n| n > BODY_MAX) {
-        refuse_and_close(w, c.clone(), Code::TooLarge).await;
+        refuse_and_close(runtime, c.clone(), Code::TooLarge).await;
         return None;
     }
     let b = q.take_body();
-    let got = w.timeout(BODY_WAIT, b.take(BODY_MAX as u64 + 1).read_to_end(&mut body)).await;
+    let got = runtime.timeout(BODY_WAIT, b.take(BODY_MAX as u64 + 1).read_to_end(&mut body)).await;
     let bad = match got {
         None => Some(Code::TooSlow),
         Some(Err(_)) => Some(Code::BadBody),
@@ -170,7 +170,7 @@
         _ => None,
     };
     if let Some(k) = bad {
-        refuse_and_close(w, c.clone(), k).await;
+        refuse_and_close(runtime, c.clone(), k).await;
         return None;
     }
     g.busy.fetch_add(1, SeqCst);
@@ -189,17 +189,17 @@
     if last {
         r.insert_header("connection", "close");
     }
-    let until = r.ext().get::<Until>().map_or(w.now() + ANSWER_WAIT, |u| u.0);
-    let sent = w.timeout(until.saturating_sub(w.now()), send(c, r, verb)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
+    let until = r.ext().get::<Until>().map_or(runtime.now() + ANSWER_WAIT, |u| u.0);
+    let sent = runtime.timeout(until.saturating_sub(runtime.now()), send(c, r, verb)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
     g.drop_one(&g.busy);
     let mut sink = Vec::new();
-    let _ = w.timeout(SEC, rest.read_to_end(&mut sink)).await;
+    let _ = runtime.timeout(SEC, rest.read_to_end(&mut sink)).await;
     sent.ok().map(|_| last)
 }
 
-async fn attend(w: Runtime, mut c: Connection, h: Handler, g: Arc<ConnectionTracker>) {
+async fn attend(runtime: Runtime, mut c: Connection, h: Handler, g: Arc<ConnectionTracker>) {
     let mut first = true;
-    while let Some(false) = one(&w, &mut c, &h, &g, first).await {
+    while let Some(false) = one(&runtime, &mut c, &h, &g, first).await {
         first = false;
     }
     let _ = c.close().await;
@@ -207,26 +207,26 @@
 }
 
 /// Serves until the gate closes; then empties the accept backlog and returns when all is answered.
-pub async fn serve(w: Runtime, door: Box<dyn Listener>, h: Handler, g: Arc<ConnectionTracker>) {
+pub async fn serve(runtime: Runtime, door: Box<dyn Listener>, h: Handler, g: Arc<ConnectionTracker>) {
     loop {
         let late = async {
             g.closing.wait().await;
-            w.sleep(60 * MS).await;
+            runtime.sleep(60 * MS).await;
             None
         };
         let Some(c) = futures_lite::future::or(async { Some(door.accept().await) }, late).await else { break };
         let Ok(c) = c else {
-            w.sleep(10 * MS).await;
+            runtime.sleep(10 * MS).await;
             continue;
         };
         if g.open.fetch_add(1, SeqCst) >= CALLERS_MAX {
             g.drop_one(&g.open);
-            let w2 = w.clone();
-            w.spawn(async move { refuse_and_close(&w2, c, Code::TooMany).await });
+            let w2 = runtime.clone();
+            runtime.spawn(async move { refuse_and_close(&w2, c, Code::TooMany).await });
             continue;
         }
-        let (w2, h, g) = (w.clone(), h.clone(), g.clone());
-        w.spawn(attend(w2, c, h, g));
+        let (w2, h, g) = (runtime.clone(), h.clone(), g.clone());
+        runtime.spawn(attend(w2, c, h, g));
     }
     drop(door);
     g.emptied().await;
@@ -257,7 +257,7 @@
 
 /// Dial, ask, read all, all within `us`.
 pub async fn fetch(
-    w: &Runtime,
+    runtime: &Runtime,
     to: SocketAddr,
     verb: Method,
     path: &str,
@@ -265,13 +265,14 @@
     send: Vec<u8>,
     us: u64,
 ) -> io::Result<(u16, Response, Vec<u8>)> {
-    w.timeout(us, async {
-        let mut c = w.connect(to).await?;
-        let mut r = exchange(&c, verb, path, heads, send).await?;
-        let b = body(&mut r, FRAME_MAX).await?;
-        let _ = c.close().await;
-        Ok((r.status().into(), r, b))
-    })
-    .await
-    .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
+    runtime
+        .timeout(us, async {
+            let mut c = runtime.connect(to).await?;
+            let mut r = exchange(&c, verb, path, heads, send).await?;
+            let b = body(&mut r, FRAME_MAX).await?;
+            let _ = c.close().await;
+            Ok((r.status().into(), r, b))
+        })
+        .await
+        .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/yewcross-common/src/documents/cache.rs
+++ b/yewcross-common/src/documents/cache.rs
@@ -57,14 +57,14 @@
 }
 
 impl DocumentCache {
-    pub fn new(w: &Runtime) -> Arc<DocumentCache> {
-        DocumentCache::of(w, Arc::new(NativeFormat))
+    pub fn new(runtime: &Runtime) -> Arc<DocumentCache> {
+        DocumentCache::of(runtime, Arc::new(NativeFormat))
     }
 
     /// A book whose configurations are read by the given dialect.
-    pub fn of(w: &Runtime, dialect: Arc<dyn ConfigurationFormat>) -> Arc<DocumentCache> {
+    pub fn of(runtime: &Runtime, dialect: Arc<dyn ConfigurationFormat>) -> Arc<DocumentCache> {
         Arc::new(DocumentCache {
-            runtime: w.clone(),
+            runtime: runtime.clone(),
             apply_lock: Mutex::new(()),
             dialect,
             changed: Event::new(),
@@ -188,7 +188,7 @@
 }
 
 /// The live machines of a key's copies, first choice of owner first.
-pub fn replicas_by_preference(book: &DocumentCache, members: &Membership, key: &str) -> Vec<std::net::SocketAddr> {
-    let l = book.layout.load();
+pub fn replicas_by_preference(documents: &DocumentCache, members: &Membership, key: &str) -> Vec<std::net::SocketAddr> {
+    let l = documents.layout.load();
     l.1.replicas_for(key, &l.1.group(key).current).into_iter().filter_map(|d| members.by_disk(d)).map(|n| n.peer).collect()
 }
--- a/yewcross-common/src/documents/watcher.rs
+++ b/yewcross-common/src/documents/watcher.rs
@@ -33,27 +33,27 @@
 }
 
 impl DocumentWatcher {
-    pub fn new(members: &Arc<Membership>, book: &Arc<DocumentCache>, name: &str, front: bool) -> Arc<DocumentWatcher> {
-        DocumentWatcher::of(members, book, name, front, 0)
+    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, front: bool) -> Arc<DocumentWatcher> {
+        DocumentWatcher::of(members, documents, name, front, 0)
     }
 
     /// Without leases: a front serves by what it holds, and one core is asked for news often enough for `apply` (us).
     pub fn without_leases(
         members: &Arc<Membership>,
-        book: &Arc<DocumentCache>,
+        documents: &Arc<DocumentCache>,
         name: &str,
         front: bool,
         apply: u64,
     ) -> Arc<DocumentWatcher> {
-        DocumentWatcher::of(members, book, name, front, (apply / 5).max(50 * MS))
+        DocumentWatcher::of(members, documents, name, front, (apply / 5).max(50 * MS))
     }
 
-    fn of(members: &Arc<Membership>, book: &Arc<DocumentCache>, name: &str, front: bool, every: u64) -> Arc<DocumentWatcher> {
+    fn of(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, front: bool, every: u64) -> Arc<DocumentWatcher> {
         let w = members.runtime.clone();
         Arc::new(DocumentWatcher {
             runtime: w.clone(),
             members: members.clone(),
-            documents: book.clone(),
+            documents: documents.clone(),
             name: name.into(),
             is_front: front,
             poll_interval: every,
--- a/yewcross-common/src/membership.rs
+++ b/yewcross-common/src/membership.rs
@@ -97,31 +97,31 @@
 }
 
 impl Membership {
-    pub fn new(w: &Runtime, s: &ProcessSettings, peers: &Arc<PeerClient>, disk: &str) -> Arc<Membership> {
+    pub fn new(runtime: &Runtime, settings: &ProcessSettings, peers: &Arc<PeerClient>, disk: &str) -> Arc<Membership> {
         let me = Node {
-            name: s.name.clone(),
-            incarnation: w.wall_clock_ms() << 8 | (w.random() & 0xff),
+            name: settings.name.clone(),
+            incarnation: runtime.wall_clock_ms() << 8 | (runtime.random() & 0xff),
             refutations: 0,
             state: MemberState::Alive,
-            role: s.role,
-            site: s.site.clone(),
-            peer: s.peer,
-            http: s.http,
+            role: settings.role,
+            site: settings.site.clone(),
+            peer: settings.peer,
+            http: settings.http,
             disk: disk.into(),
-            wire_version: s.wire,
+            wire_version: settings.wire,
         };
         let m = Membership {
-            runtime: w.clone(),
+            runtime: runtime.clone(),
             peers: peers.clone(),
-            seeds: Mutex::new(s.seeds.iter().filter(|a| **a != s.peer).cloned().collect()),
+            seeds: Mutex::new(settings.seeds.iter().filter(|a| **a != settings.peer).cloned().collect()),
             persisted_peers: Default::default(),
-            table: Mutex::new([(me.name.clone(), (me.clone(), w.now()))].into()),
+            table: Mutex::new([(me.name.clone(), (me.clone(), runtime.now()))].into()),
             view: ArcSwap::from_pointee([(me.name.clone(), me.clone())].into()),
             own_node: Mutex::new(me),
             clocks: Default::default(),
-            started: w.now(),
-            probe_interval: s.bounds.beat.max(50) * MS,
-            probe_timeout: PROBE_WAIT.max(s.bounds.beat * MS / 3),
+            started: runtime.now(),
+            probe_interval: settings.bounds.beat.max(50) * MS,
+            probe_timeout: PROBE_WAIT.max(settings.bounds.beat * MS / 3),
             table_digest: AtomicU64::new(0),
             replaced: Latch::default(),
             outranks_namesake: AtomicBool::new(false),
--- a/yewcross-common/src/register/replica.rs
+++ b/yewcross-common/src/register/replica.rs
@@ -72,19 +72,19 @@
 
 impl Replica {
     /// Reads the records that the disk holds.
-    pub async fn open(vault: &Arc<DurableStorage>) -> io::Result<Arc<Replica>> {
-        let world = vault.runtime.clone();
+    pub async fn open(storage: &Arc<DurableStorage>) -> io::Result<Arc<Replica>> {
+        let world = storage.runtime.clone();
         let mut shards = vec![];
         for number in 0..SHARDS {
             let mut shard = Shard::new();
-            for (name, file, body) in vault.scan(&folder(number)).await? {
+            for (name, file, body) in storage.scan(&folder(number)).await? {
                 let Ok(hash) = u128::from_str_radix(&name, 16) else { continue };
                 let entry = body.and_then(|bytes| Entry::decode(&bytes, file));
                 shard.insert(hash, entry.unwrap_or_else(|| Entry::damaged(file)));
             }
             shards.push(Mutex::new(shard));
         }
-        Ok(Arc::new(Replica { world, storage: vault.clone(), shards, layout_version: AtomicU64::new(0) }))
+        Ok(Arc::new(Replica { world, storage: storage.clone(), shards, layout_version: AtomicU64::new(0) }))
     }
 
     /// The record of a key, unless it is unknown or damaged.
--- a/yewcross-common/src/storage.rs
+++ b/yewcross-common/src/storage.rs
@@ -86,9 +86,9 @@
 
 impl DurableStorage {
     /// Opens the folder; an empty one gets an identity of its own, made here and nowhere else.
-    pub async fn open(w: &Runtime) -> io::Result<Arc<DurableStorage>> {
+    pub async fn open(runtime: &Runtime) -> io::Result<Arc<DurableStorage>> {
         let mut vault = DurableStorage {
-            runtime: w.clone(),
+            runtime: runtime.clone(),
             disk_id: String::new(),
             failed: AtomicBool::new(false),
             failures: AtomicU64::new(0),
@@ -104,12 +104,12 @@
             None => (0, None),
         };
         if known.is_some() && !complete {
-            w.log("folders of this disk are gone: it gets a new identity");
+            runtime.log("folders of this disk are gone: it gets a new identity");
         }
         vault.disk_id = match known.filter(|_| complete) {
             Some(id) => id,
             None => {
-                let id = format!("d{:016x}", w.random());
+                let id = format!("d{:016x}", runtime.random());
                 vault.write(LOCAL_FOLDER, IDENTITY, version + 1, id.as_bytes()).await?;
                 id
             }
--- a/yewcross-common/src/streaming_http.rs
+++ b/yewcross-common/src/streaming_http.rs
@@ -208,15 +208,16 @@
     Ok(r)
 }
 
-async fn attend(w: Runtime, c: Connection, h: Handler, l: Limits, g: Arc<ConnectionTracker>) {
+async fn attend(runtime: Runtime, c: Connection, h: Handler, l: Limits, g: Arc<ConnectionTracker>) {
     let (seen, from) = (Arc::new(Seen::default()), c.peer);
-    let clock = Clock { w: w.clone(), t0: Instant::now(), seen: seen.clone(), head: l.head_ms * MS, idle: l.idle_ms.max(l.head_ms) * MS };
+    let clock =
+        Clock { w: runtime.clone(), t0: Instant::now(), seen: seen.clone(), head: l.head_ms * MS, idle: l.idle_ms.max(l.head_ms) * MS };
     let (g2, s2) = (g.clone(), seen.clone());
     let service = hyper::service::service_fn(move |q| {
         g2.busy.fetch_add(1, SeqCst);
         one(h.clone(), q, from, Busy(g2.clone(), s2.clone()))
     });
-    let io = FuturesIo::new(Watched { c, w: w.clone(), seen, line: 0 });
+    let io = FuturesIo::new(Watched { c, w: runtime.clone(), seen, line: 0 });
     let mut conn = std::pin::pin!(
         hyper::server::conn::http1::Builder::new()
             .timer(clock)
@@ -237,7 +238,7 @@
     .await;
     if !over {
         // What its caller sends at this very moment is still taken.
-        if w.timeout(LAST_LOOK, conn.as_mut()).await.is_none() {
+        if runtime.timeout(LAST_LOOK, conn.as_mut()).await.is_none() {
             conn.as_mut().graceful_shutdown();
             let _ = conn.await;
         }
@@ -247,7 +248,7 @@
 
 /// Serves until the gate closes; then empties the accept backlog and returns when all is answered.
 pub async fn serve(
-    w: Runtime,
+    runtime: Runtime,
     door: Box<dyn Listener>,
     h: Handler,
     limits: Arc<dyn Fn() -> Limits + Send + Sync>,
@@ -256,7 +257,7 @@
     g.open.fetch_add(1, SeqCst);
     let take = |c: Connection| {
         g.open.fetch_add(1, SeqCst);
-        w.spawn(attend(w.clone(), c, h.clone(), limits(), g.clone()));
+        runtime.spawn(attend(runtime.clone(), c, h.clone(), limits(), g.clone()));
     };
     loop {
         let got = async { Some(door.accept().await) }
@@ -269,11 +270,11 @@
             // Beyond that many the rest waits in the backlog, where a caller's platform sees it.
             Some(Ok(c)) if g.open() <= CALLERS_MAX => take(c),
             Some(Ok(c)) => drop(c),
-            Some(Err(_)) => w.sleep(10 * MS).await,
+            Some(Err(_)) => runtime.sleep(10 * MS).await,
             None => break,
         }
     }
-    while let Some(Ok(c)) = w.timeout(LAST_LOOK, door.accept()).await {
+    while let Some(Ok(c)) = runtime.timeout(LAST_LOOK, door.accept()).await {
         take(c);
     }
     drop(door);
@@ -302,25 +303,26 @@
 }
 
 /// Dial, ask, read all, all within `us`. Each ask has a connection of its own.
-pub async fn fetch(w: &Runtime, to: SocketAddr, mut q: Request<Full<Bytes>>, max: usize, us: u64) -> io::Result<Response<Bytes>> {
+pub async fn fetch(runtime: &Runtime, to: SocketAddr, mut q: Request<Full<Bytes>>, max: usize, us: u64) -> io::Result<Response<Bytes>> {
     if !q.headers().contains_key(header::HOST) {
         q.headers_mut().insert(header::HOST, HeaderValue::try_from(to.to_string()).map_err(wrong)?);
     }
-    w.timeout(us, async {
-        let c = w.connect(to).await?;
-        let (mut s, conn) = hyper::client::conn::http1::handshake(FuturesIo::new(c)).await.map_err(wrong)?;
-        let drive = async {
-            let _ = conn.await;
-            std::future::pending().await
-        };
-        async {
-            let (p, b) = s.send_request(q).await.map_err(wrong)?.into_parts();
-            let b = Limited::new(b, max).collect().await.map_err(wrong)?.to_bytes();
-            Ok(Response::from_parts(p, b))
-        }
-        .or(drive)
+    runtime
+        .timeout(us, async {
+            let c = runtime.connect(to).await?;
+            let (mut s, conn) = hyper::client::conn::http1::handshake(FuturesIo::new(c)).await.map_err(wrong)?;
+            let drive = async {
+                let _ = conn.await;
+                std::future::pending().await
+            };
+            async {
+                let (p, b) = s.send_request(q).await.map_err(wrong)?.into_parts();
+                let b = Limited::new(b, max).collect().await.map_err(wrong)?.to_bytes();
+                Ok(Response::from_parts(p, b))
+            }
+            .or(drive)
+            .await
+        })
         .await
-    })
-    .await
-    .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
+        .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/yewcross-common/src/transport/mod.rs
+++ b/yewcross-common/src/transport/mod.rs
@@ -108,9 +108,9 @@
 }
 
 impl PeerClient {
-    pub fn new(w: &Runtime, me: &str, site: &str, speak: u16) -> Arc<PeerClient> {
+    pub fn new(runtime: &Runtime, me: &str, site: &str, speak: u16) -> Arc<PeerClient> {
         Arc::new(PeerClient {
-            runtime: w.clone(),
+            runtime: runtime.clone(),
             own_name: me.into(),
             site: site.into(),
             next: AtomicU64::new(1),
@@ -247,11 +247,11 @@
     pub async fn request(
         self: &Arc<Self>,
         to: SocketAddr,
-        a: &PeerRequest,
+        request: &PeerRequest,
         blob: &[u8],
         us: u64,
     ) -> Result<(PeerResponse, Vec<u8>), SendError> {
-        let p = self.exchange(to, a.into(), serde_json::to_vec(a).unwrap_or_default(), blob, us).await?;
+        let p = self.exchange(to, request.into(), serde_json::to_vec(request).unwrap_or_default(), blob, us).await?;
         p.decode::<PeerResponse>().map(|b| (b, p.payload)).ok_or(SendError::OutcomeUnknown)
     }
 
--- a/yewcross-common/src/turn_log/client.rs
+++ b/yewcross-common/src/turn_log/client.rs
@@ -84,8 +84,8 @@
 }
 
 impl TurnLogClient {
-    pub fn new(members: &Arc<Membership>, book: &Arc<DocumentCache>, st: &ProcessSettings) -> TurnLogClient {
-        let max = if st.bounds.memory_mb == 0 { CHAIN_HAND } else { (st.bounds.memory_mb as usize) << 17 };
+    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, settings: &ProcessSettings) -> TurnLogClient {
+        let max = if settings.bounds.memory_mb == 0 { CHAIN_HAND } else { (settings.bounds.memory_mb as usize) << 17 };
         let hand = Hand {
             turns: LruCache::unbounded(),
             bytes: 0,
@@ -93,8 +93,8 @@
             owners: LruCache::new(NonZeroUsize::new(CHAIN_OWNERS).unwrap_or(NonZeroUsize::MIN)),
             pins: LruCache::new(NonZeroUsize::new(CHAIN_OWNERS).unwrap_or(NonZeroUsize::MIN)),
         };
-        let line = StoreClient::new(members, book, &st.name, st.bounds.lost);
-        TurnLogClient(Arc::new(Inner { line, site: st.site.clone(), hand: Mutex::new(hand), counts: Default::default() }))
+        let line = StoreClient::new(members, documents, &settings.name, settings.bounds.lost);
+        TurnLogClient(Arc::new(Inner { line, site: settings.site.clone(), hand: Mutex::new(hand), counts: Default::default() }))
     }
 
     /// For an operator: what this front asked of the stores, and what it has on hand.
--- a/yewcross-common/src/turn_log/store_client.rs
+++ b/yewcross-common/src/turn_log/store_client.rs
@@ -210,13 +210,13 @@
 }
 
 impl StoreClient {
-    pub fn new(members: &Arc<Membership>, book: &Arc<DocumentCache>, name: &str, lost: usize) -> Arc<StoreClient> {
+    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, lost: usize) -> Arc<StoreClient> {
         let w = members.runtime.clone();
         Arc::new(StoreClient {
             runtime: w,
             members: members.clone(),
-            documents: book.clone(),
-            watcher: DocumentWatcher::new(members, book, name, false),
+            documents: documents.clone(),
+            watcher: DocumentWatcher::new(members, documents, name, false),
             tolerated_losses: lost,
             slow_until_us: Default::default(),
             last_answer_us: Default::default(),
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -75,9 +75,9 @@
 }
 
 /// What has come since the version sent last; none ends the sending.
-fn next_notice(c: &Control, name: &'static str) -> Option<Notice> {
-    let mut sending = c.outbox.sending.lock().unwrap();
-    let (now, sent) = (c.documents.document(name), sending.get(name)?.clone());
+fn next_notice(control: &Control, name: &'static str) -> Option<Notice> {
+    let mut sending = control.outbox.sending.lock().unwrap();
+    let (now, sent) = (control.documents.document(name), sending.get(name)?.clone());
     if now.version <= sent.version {
         sending.remove(name);
         return None;
@@ -87,8 +87,8 @@
 }
 
 /// Tells every node of the version on hand, whole.
-pub fn tell_all_of(c: &Arc<Control>, name: &str) {
-    tell_all(c, Notice::Document { name: name.into(), seq: c.documents.document(name).version, change: None });
+pub fn tell_all_of(control: &Arc<Control>, name: &str) {
+    tell_all(control, Notice::Document { name: name.into(), seq: control.documents.document(name).version, change: None });
 }
 
 /// Tells all nodes at once that the platform shows servers as leaving.
@@ -137,18 +137,18 @@
 
 impl Notice {
     /// Whether the node was reached.
-    async fn tell(&self, c: &Arc<Control>, node: &Node, relays: &[String]) -> bool {
+    async fn tell(&self, control: &Arc<Control>, node: &Node, relays: &[String]) -> bool {
         match self {
             Notice::Departed(servers) => {
                 let question = PeerRequest::ServersLeaving { servers: servers.to_vec(), relays: relays.to_vec() };
-                c.peers.request(node.peer, &question, &[], PEER_WAIT).await.is_ok()
+                control.peers.request(node.peer, &question, &[], PEER_WAIT).await.is_ok()
             }
-            Notice::Document { name, seq, change } => tell_document(c, node, name, *seq, change.as_deref(), relays).await,
+            Notice::Document { name, seq, change } => tell_document(control, node, name, *seq, change.as_deref(), relays).await,
         }
     }
 }
 
-async fn tell_document(c: &Arc<Control>, node: &Node, name: &str, seq: u64, change: Option<&Change>, relays: &[String]) -> bool {
+async fn tell_document(control: &Arc<Control>, node: &Node, name: &str, seq: u64, change: Option<&Change>, relays: &[String]) -> bool {
     let mut relays = relays.to_vec();
     if let Some(change) = change {
         let patch = PeerRequest::PublishDelta {
@@ -159,24 +159,24 @@
             base_digest: change.base_digest.clone(),
             relays: std::mem::take(&mut relays),
         };
-        match c.peers.request(node.peer, &patch, &change.delta, PEER_WAIT).await {
+        match control.peers.request(node.peer, &patch, &change.delta, PEER_WAIT).await {
             Ok((PeerResponse::DocumentApplied { version: held }, _)) if held >= seq => return true,
             Ok(_) => {}
             Err(SendError::NotSent | SendError::OutcomeUnknown) => return false,
         }
     }
-    tell_whole(c, node, name, seq, relays).await
+    tell_whole(control, node, name, seq, relays).await
 }
 
 /// Sends the version on hand, where that is the one meant or a newer one.
-async fn tell_whole(c: &Arc<Control>, node: &Node, name: &str, seq: u64, relays: Vec<String>) -> bool {
-    let page = c.documents.document(name);
+async fn tell_whole(control: &Arc<Control>, node: &Node, name: &str, seq: u64, relays: Vec<String>) -> bool {
+    let page = control.documents.document(name);
     if page.version < seq {
         return true;
     }
     let whole = PeerRequest::PublishDocument { name: name.into(), version: page.version, epoch: Ballot::default(), relays };
     for _ in 0..SENT_WHOLE {
-        match c.peers.request(node.peer, &whole, &page.content, PEER_WAIT).await {
+        match control.peers.request(node.peer, &whole, &page.content, PEER_WAIT).await {
             Ok(_) => return true,
             Err(SendError::NotSent) => return false,
             Err(SendError::OutcomeUnknown) => {}
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -7,15 +7,15 @@
 use yewcross_common::documents::cache::DOCS;
 
 /// The newest version of a document that this core has heard of, decided or not.
-async fn version_told(c: &Control, name: &str) -> u64 {
-    let on_disk = c.replica.peek(name).await.map_or(0, |record| record.seq);
-    on_disk.max(c.version_heard(name))
+async fn version_told(control: &Control, name: &str) -> u64 {
+    let on_disk = control.replica.peek(name).await.map_or(0, |record| record.seq);
+    on_disk.max(control.version_heard(name))
 }
 
 /// Whether this core has heard of a newer version of a document than it holds.
-pub async fn is_behind(c: &Control) -> bool {
+pub async fn is_behind(control: &Control) -> bool {
     for name in DOCS {
-        if version_told(c, name).await > c.documents.document(name).version {
+        if version_told(control, name).await > control.documents.document(name).version {
             return true;
         }
     }
@@ -24,24 +24,24 @@
 
 /// Finds the documents that this core has heard of and does not hold: a push is lost now and then, and nobody pushes to a core
 /// that restarts.
-pub async fn find_late_documents(c: Arc<Control>) {
+pub async fn find_late_documents(control: Arc<Control>) {
     let mut late: BTreeMap<&str, Late> = BTreeMap::new();
     loop {
-        c.runtime.sleep(DOCUMENT_LOOK).await;
+        control.runtime.sleep(DOCUMENT_LOOK).await;
         for name in DOCS {
-            let held = c.documents.document(name).version;
-            if version_told(&c, name).await <= held {
+            let held = control.documents.document(name).version;
+            if version_told(&control, name).await <= held {
                 late.remove(name);
                 continue;
             }
-            let now = c.runtime.now();
+            let now = control.runtime.now();
             let wait = if held == 0 { 0 } else { DOCUMENT_LATE };
             let due = late.entry(name).or_insert(Late { at: now + wait, pause: DOCUMENT_LATE });
-            if now < due.at || !c.has_quorum_contact() {
+            if now < due.at || !control.has_quorum_contact() {
                 continue;
             }
-            find(&c, name).await;
-            due.at = c.runtime.now() + due.pause;
+            find(&control, name).await;
+            due.at = control.runtime.now() + due.pause;
             due.pause = (2 * due.pause).min(DOCUMENT_LATE_MOST);
         }
     }
@@ -53,12 +53,12 @@
     pause: u64,
 }
 
-async fn find(c: &Arc<Control>, name: &str) {
-    if let Ok((seq, epoch, raw)) = proposer::newest(c, name, PEER_WAIT).await {
+async fn find(control: &Arc<Control>, name: &str) {
+    if let Ok((seq, epoch, raw)) = proposer::newest(control, name, PEER_WAIT).await {
         if seq > 0 {
-            c.documents.apply(name, seq, epoch, raw.to_vec());
+            control.documents.apply(name, seq, epoch, raw.to_vec());
         }
     } else if name == "layout" {
-        crate::layout::catch_up(c).await;
+        crate::layout::catch_up(control).await;
     }
 }
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -183,14 +183,14 @@
 }
 
 /// Has an order decided by the process that proposes, this one or another.
-async fn order_by_proposer(c: &Arc<Control>, base: u64, text: String) -> PutAnswer {
-    let until = c.runtime.now() + answer_within(c) * 9 / 10;
+async fn order_by_proposer(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
+    let until = control.runtime.now() + answer_within(control) * 9 / 10;
     let mut may_be_taken = false;
-    while c.runtime.now() < until {
-        let left = until.saturating_sub(c.runtime.now());
-        let answer = match c.duty_term() {
-            Some(_) => order_here(c, base, &text, left).await,
-            None => match proposer::forward(c, &PeerRequest::ForwardPut { base }, text.as_bytes(), left).await {
+    while control.runtime.now() < until {
+        let left = until.saturating_sub(control.runtime.now());
+        let answer = match control.duty_term() {
+            Some(_) => order_here(control, base, &text, left).await,
+            None => match proposer::forward(control, &PeerRequest::ForwardPut { base }, text.as_bytes(), left).await {
                 Ok((PeerResponse::PutAnswer(answer), _)) => Some(answer),
                 Err(NotAnswered::Unknown) => {
                     may_be_taken = true;
@@ -202,7 +202,7 @@
         match answer {
             Some(PutAnswer::NoMajority | PutAnswer::Busy) if may_be_taken => return PutAnswer::Undecided,
             Some(answer) => return answer,
-            None => proposer::wait_for_one(c).await,
+            None => proposer::wait_for_one(control).await,
         }
     }
     if may_be_taken { PutAnswer::Undecided } else { PutAnswer::NoMajority }
@@ -227,37 +227,37 @@
 }
 
 /// None where this process does not propose any more.
-async fn order_here(c: &Arc<Control>, base: u64, text: &str, us: u64) -> Option<PutAnswer> {
-    if c.counts.orders_waiting.fetch_add(1, SeqCst) >= ORDERS_WAITING as u64 {
-        c.counts.orders_waiting.fetch_sub(1, SeqCst);
+async fn order_here(control: &Arc<Control>, base: u64, text: &str, us: u64) -> Option<PutAnswer> {
+    if control.counts.orders_waiting.fetch_add(1, SeqCst) >= ORDERS_WAITING as u64 {
+        control.counts.orders_waiting.fetch_sub(1, SeqCst);
         return Some(PutAnswer::Busy);
     }
-    let answer = order_by_majority(c, base, text, us).await;
-    c.counts.orders_waiting.fetch_sub(1, SeqCst);
+    let answer = order_by_majority(control, base, text, us).await;
+    control.counts.orders_waiting.fetch_sub(1, SeqCst);
     answer
 }
 
-async fn order_by_majority(c: &Arc<Control>, base: u64, text: &str, us: u64) -> Option<PutAnswer> {
-    let attempt = format!("{}-{:016x}", c.settings.name, c.runtime.random());
-    let (now_ms, _) = c.members.clock();
+async fn order_by_majority(control: &Arc<Control>, base: u64, text: &str, us: u64) -> Option<PutAnswer> {
+    let attempt = format!("{}-{:016x}", control.settings.name, control.runtime.random());
+    let (now_ms, _) = control.members.clock();
     let order = Order {
         base,
-        number: c.options.dialect.number(text.as_bytes()),
+        number: control.options.dialect.number(text.as_bytes()),
         text,
         attempt: &attempt,
         now_ms,
-        kept_ms: kept_ms(&c.settings.bounds),
+        kept_ms: kept_ms(&control.settings.bounds),
     };
-    let answer = match c.registers.change("config", us, |seq, value| decide(seq, value, &order)).await {
+    let answer = match control.registers.change("config", us, |seq, value| decide(seq, value, &order)).await {
         Ok(Decision::Taken(taken)) => {
-            push(c, "config", taken.seq, taken.document);
+            push(control, "config", taken.seq, taken.document);
             PutAnswer::InForce(taken.number)
         }
         Ok(Decision::Conflict { current }) => PutAnswer::Conflict(current),
         Ok(Decision::Invalid(faults)) => PutAnswer::Bad(faults),
         Ok(Decision::Forgotten) => PutAnswer::Forgotten,
         Ok(Decision::Unreadable) => {
-            c.runtime.log("the configuration in the register cannot be read");
+            control.runtime.log("the configuration in the register cannot be read");
             PutAnswer::Undecided
         }
         Err(ChangeError::NotProposer) => return None,
@@ -268,11 +268,11 @@
 }
 
 /// The same where fronts serve under leases.
-async fn order_under_leases(c: &Arc<Control>, base: u64, text: String) -> PutAnswer {
-    match put(c, base, text, String::new(), false).await {
+async fn order_under_leases(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
+    match put(control, base, text, String::new(), false).await {
         Put::InForce(version) => PutAnswer::InForce(version),
         Put::No(Code::BadConfig, _, faults) => PutAnswer::Bad(faults),
-        Put::No(Code::Conflict, _, _) => PutAnswer::Conflict(c.documents.config.load().0),
+        Put::No(Code::Conflict, _, _) => PutAnswer::Conflict(control.documents.config.load().0),
         Put::No(Code::NotFounded, ..) => PutAnswer::NotFounded,
         Put::No(Code::NoMajority, ..) => PutAnswer::NoMajority,
         Put::No(..) => PutAnswer::Undecided,
--- a/yewcross-control/src/config/proved.rs
+++ b/yewcross-control/src/config/proved.rs
@@ -29,9 +29,9 @@
 }
 
 /// Written down on disk as well, so that lists of fronts long gone are not asked for after a restart.
-pub async fn proved(c: &Arc<Control>, seq: u64) -> PeerResponse {
-    if c.proved.fetch_max(seq, SeqCst) < seq {
-        let _ = c.storage.persist("local", "proved", seq, &seq.to_le_bytes()).await;
+pub async fn proved(control: &Arc<Control>, seq: u64) -> PeerResponse {
+    if control.proved.fetch_max(seq, SeqCst) < seq {
+        let _ = control.storage.persist("local", "proved", seq, &seq.to_le_bytes()).await;
     }
     PeerResponse::Ok
 }
@@ -59,22 +59,22 @@
 }
 
 /// Checks, decides, carries to all, and answers only once no front can serve by an older one.
-pub async fn put(c: &Arc<Control>, base: u64, text: String, note: String, dry: bool) -> Put {
+pub async fn put(control: &Arc<Control>, base: u64, text: String, note: String, dry: bool) -> Put {
     if let Err(b) = Configuration::read(text.as_bytes()) {
         return Put::No(Code::BadConfig, String::new(), b);
     }
-    if c.documents.layout.load().0 == 0 {
+    if control.documents.layout.load().0 == 0 {
         return Put::No(Code::NotFounded, String::new(), vec![]);
     }
     if dry {
-        let now = c.documents.config.load();
+        let now = control.documents.config.load();
         return if now.0 == base { Put::InForce(base) } else { Put::No(Code::Conflict, format!("newest is {}", now.0), vec![]) };
     }
-    c.counts.puts.fetch_add(1, SeqCst);
-    let id = format!("{}-{:016x}", c.settings.name, c.runtime.random());
-    let view = c.members.view.load_full();
+    control.counts.puts.fetch_add(1, SeqCst);
+    let id = format!("{}-{:016x}", control.settings.name, control.runtime.random());
+    let view = control.members.view.load_full();
     let mut last = Vec::new();
-    let got = c
+    let got = control
         .registers
         .change("config", PUT_WAIT, |seq, v| {
             let d: ConfigDoc = serde_json::from_slice(v).unwrap_or_default();
@@ -92,7 +92,7 @@
                 past.truncate(PAST_KEPT);
             }
             let n = ConfigDoc { text: text.clone(), put_id: id.clone(), note: note.clone(), past, ..Default::default() };
-            let proved = c.proved.load(SeqCst);
+            let proved = control.proved.load(SeqCst);
             let lost = n.past.len() == PAST_KEPT && n.past.last().is_some_and(|p| p.0 > proved);
             let why = lost.then(|| InvalidSetting {
                 path: "fronts".into(),
@@ -107,11 +107,11 @@
         .await;
     match got {
         Ok(Ok(s)) => {
-            let (top, epoch, raw) = match c.registers.read("config", PEER_WAIT).await {
+            let (top, epoch, raw) = match control.registers.read("config", PEER_WAIT).await {
                 Ok(x) => x,
                 Err(_) => return Put::No(Code::Undecided, format!("version {s} is stored, not yet proved in force"), vec![]),
             };
-            if carry(c, "config", top, epoch, &raw).await {
+            if carry(control, "config", top, epoch, &raw).await {
                 Put::InForce(s)
             } else {
                 Put::No(Code::Undecided, format!("version {s} is stored, not yet proved in force"), vec![])
--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -18,35 +18,35 @@
 }
 
 /// Waits for failures and tries the disk until it is restored.
-pub async fn run(c: Arc<Control>) {
+pub async fn run(control: Arc<Control>) {
     loop {
-        let failure = c.storage.failure.listen();
-        if !c.storage.failed.load(SeqCst) {
+        let failure = control.storage.failure.listen();
+        if !control.storage.failed.load(SeqCst) {
             failure.await;
             continue;
         }
-        let since = c.runtime.now();
-        if !restore_until_done(&c).await {
-            c.runtime.log("the disk is not the one that was opened; it takes no part until restart");
+        let since = control.runtime.now();
+        if !restore_until_done(&control).await {
+            control.runtime.log("the disk is not the one that was opened; it takes no part until restart");
             return;
         }
-        c.runtime.log(&format!("disk works again after {} ms", (c.runtime.now() - since) / MS));
-        c.documents.changed.notify(usize::MAX);
+        control.runtime.log(&format!("disk works again after {} ms", (control.runtime.now() - since) / MS));
+        control.documents.changed.notify(usize::MAX);
     }
 }
 
 /// `false` where only a restart helps.
-async fn restore_until_done(c: &Arc<Control>) -> bool {
+async fn restore_until_done(control: &Arc<Control>) -> bool {
     loop {
-        c.runtime.sleep(DISK_RETRY).await;
-        let failures = c.storage.failures.load(SeqCst);
-        match restore(c).await {
+        control.runtime.sleep(DISK_RETRY).await;
+        let failures = control.storage.failures.load(SeqCst);
+        match restore(control).await {
             Ok(Outcome::OtherDisk) => return false,
             // A write that was under way may have failed meanwhile.
-            Ok(Outcome::Restored { rewritten }) if c.storage.failures.load(SeqCst) == failures => {
-                c.storage.failed.store(false, SeqCst);
+            Ok(Outcome::Restored { rewritten }) if control.storage.failures.load(SeqCst) == failures => {
+                control.storage.failed.store(false, SeqCst);
                 if rewritten > 0 {
-                    c.runtime.log(&format!("{rewritten} files of unknown outcome put right"));
+                    control.runtime.log(&format!("{rewritten} files of unknown outcome put right"));
                 }
                 return true;
             }
@@ -55,12 +55,12 @@
     }
 }
 
-async fn restore(c: &Arc<Control>) -> io::Result<Outcome> {
-    c.storage.probe().await?;
-    if !c.storage.bears_identity().await? {
+async fn restore(control: &Arc<Control>) -> io::Result<Outcome> {
+    control.storage.probe().await?;
+    if !control.storage.bears_identity().await? {
         return Ok(Outcome::OtherDisk);
     }
-    let rewritten = c.replica.restore().await?;
-    c.chain.restore().await?;
+    let rewritten = control.replica.restore().await?;
+    control.chain.restore().await?;
     Ok(Outcome::Restored { rewritten })
 }
--- a/yewcross-control/src/duty.rs
+++ b/yewcross-control/src/duty.rs
@@ -58,13 +58,19 @@
 
 impl Duties {
     /// Reads the last grant that this disk has given.
-    pub async fn open(w: &Runtime, vault: &Arc<DurableStorage>, book: &DocumentCache, process: u64, role: Role) -> io::Result<Duties> {
-        let kept = GrantFile::read(vault).await?;
-        let life = if role == Role::Core { begin_life(w, vault).await? } else { 0 };
-        let fresh = book.layout.load().0 == 0;
+    pub async fn open(
+        runtime: &Runtime,
+        storage: &Arc<DurableStorage>,
+        documents: &DocumentCache,
+        process: u64,
+        role: Role,
+    ) -> io::Result<Duties> {
+        let kept = GrantFile::read(storage).await?;
+        let life = if role == Role::Core { begin_life(runtime, storage).await? } else { 0 };
+        let fresh = documents.layout.load().0 == 0;
         Ok(Duties {
-            candidate: Candidate { disk: vault.disk_id.clone(), process, life },
-            granter: Mutex::new(Granter::new(LEASE_TIMES, w.now(), kept.grant.clone(), fresh)),
+            candidate: Candidate { disk: storage.disk_id.clone(), process, life },
+            granter: Mutex::new(Granter::new(LEASE_TIMES, runtime.now(), kept.grant.clone(), fresh)),
             holder: Mutex::new(Holder::new(LEASE_TIMES)),
             contact: Default::default(),
             had_contact: AtomicBool::new(false),
@@ -121,75 +127,76 @@
 }
 
 /// Keeps the seats: wakes when a machine comes, goes or returns, and when a change is under way.
-async fn keep_seats(c: Arc<Control>) {
+async fn keep_seats(control: Arc<Control>) {
     let mut was = false;
     loop {
-        let (adopted, members, lease) = (c.documents.changed.listen(), c.members.changed.listen(), c.duties.changed.listen());
-        let now = c.on_duty();
+        let (adopted, members, lease) =
+            (control.documents.changed.listen(), control.members.changed.listen(), control.duties.changed.listen());
+        let now = control.on_duty();
         if was != now {
             was = now;
-            c.runtime.log(if now { "on duty" } else { "off duty" });
+            control.runtime.log(if now { "on duty" } else { "off duty" });
         }
-        let rest = if now { layout::tend_seats(&c).await } else { SEC };
+        let rest = if now { layout::tend_seats(&control).await } else { SEC };
         if rest > 0 {
             let any = futures_lite::future::or(lease, futures_lite::future::or(adopted, members));
-            c.runtime.timeout(rest, any).await;
+            control.runtime.timeout(rest, any).await;
         }
     }
 }
 
-async fn keep_list(c: Arc<Control>) {
+async fn keep_list(control: Arc<Control>) {
     loop {
-        let lease = c.duties.changed.listen();
+        let lease = control.duties.changed.listen();
         // The list is read as soon as the lease is held: that a server leaves is told before anything can be decided.
-        if c.lease_term().is_some() {
-            let rest = platform_list::poll(&c).await;
-            c.runtime.sleep(rest).await;
+        if control.lease_term().is_some() {
+            let rest = platform_list::poll(&control).await;
+            control.runtime.sleep(rest).await;
         } else {
-            c.runtime.timeout(SEC, lease).await;
+            control.runtime.timeout(SEC, lease).await;
         }
     }
 }
 
-async fn tend_layout(c: Arc<Control>) {
+async fn tend_layout(control: Arc<Control>) {
     loop {
-        if c.on_duty() {
-            layout::tend_layout(&c).await;
+        if control.on_duty() {
+            layout::tend_layout(&control).await;
         }
-        c.runtime.sleep(500 * MS).await;
+        control.runtime.sleep(500 * MS).await;
     }
 }
 
-pub async fn run(c: Arc<Control>) {
-    c.runtime.spawn(quorum_contact::keep_contact(c.clone()));
-    c.runtime.spawn(lease_holder::run(c.clone()));
-    c.runtime.spawn(keep_list(c.clone()));
-    if c.options.tends {
-        c.runtime.spawn(config::find_late_documents(c.clone()));
-        c.runtime.spawn(layout::found_self(c.clone()));
-        c.runtime.spawn(keep_seats(c.clone()));
+pub async fn run(control: Arc<Control>) {
+    control.runtime.spawn(quorum_contact::keep_contact(control.clone()));
+    control.runtime.spawn(lease_holder::run(control.clone()));
+    control.runtime.spawn(keep_list(control.clone()));
+    if control.options.tends {
+        control.runtime.spawn(config::find_late_documents(control.clone()));
+        control.runtime.spawn(layout::found_self(control.clone()));
+        control.runtime.spawn(keep_seats(control.clone()));
     } else {
-        c.founded.store(true, SeqCst);
-        c.runtime.spawn(tend_layout(c.clone()));
+        control.founded.store(true, SeqCst);
+        control.runtime.spawn(tend_layout(control.clone()));
     }
 }
 
 /// The machine and process that hold the lease, as far as this seat knows.
-pub fn holder_name(c: &Control) -> Option<String> {
-    let holder = with_granter(c, |granter, now| granter.holder(now).cloned())?;
-    let l = c.documents.layout.load();
+pub fn holder_name(control: &Control) -> Option<String> {
+    let holder = with_granter(control, |granter, now| granter.holder(now).cloned())?;
+    let l = control.documents.layout.load();
     let name = l.1.names.get(&holder.disk).cloned().unwrap_or(holder.disk.clone());
     Some(format!("{name}#{:x}", holder.process))
 }
 
 /// The lease and contact as an operator sees them.
-pub fn status(c: &Control) -> Value {
-    let (term, free_in) = with_granter(c, |granter, now| (granter.term(), granter.free_at().saturating_sub(now) / MS));
-    json!({"holder": holder_name(c), "term": term, "free_in_ms": free_in, "held_here": c.duty_term(),
-        "contact": c.has_quorum_contact()})
+pub fn status(control: &Control) -> Value {
+    let (term, free_in) = with_granter(control, |granter, now| (granter.term(), granter.free_at().saturating_sub(now) / MS));
+    json!({"holder": holder_name(control), "term": term, "free_in_ms": free_in, "held_here": control.duty_term(),
+        "contact": control.has_quorum_contact()})
 }
 
-pub fn counters(c: &Control) -> Value {
-    let d = &c.duties;
+pub fn counters(control: &Control) -> Value {
+    let d = &control.duties;
     json!({"taken": d.taken.load(SeqCst), "lost": d.lost.load(SeqCst), "contact_lost": d.contact_lost.load(SeqCst)})
 }
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -50,11 +50,11 @@
 }
 
 /// Since when the machine of each seat, incoming or outgoing, is missing, us.
-fn note_missing(c: &Control, layout: &Layout, live: &[Node]) -> BTreeMap<String, u64> {
-    let t = c.runtime.now();
+fn note_missing(control: &Control, layout: &Layout, live: &[Node]) -> BTreeMap<String, u64> {
+    let t = control.runtime.now();
     let is_here = |disk: &String| live.iter().any(|n| n.disk == *disk && n.state == MemberState::Alive);
     let seats: Vec<&String> = [&layout.core, &layout.store].into_iter().flat_map(|g| g.current.iter().chain(&g.previous)).collect();
-    let mut missing = c.duties.missing.lock().unwrap();
+    let mut missing = control.duties.missing.lock().unwrap();
     missing.retain(|disk, _| seats.contains(&disk) && !is_here(disk));
     for disk in seats.into_iter().filter(|d| !is_here(d)) {
         missing.entry(disk.clone()).or_insert(t);
@@ -63,7 +63,7 @@
 }
 
 /// How long a step must wait, us: for more of the first stores, or for a seat that does not answer.
-async fn held_back(c: &Arc<Control>, l: &Versioned, next: &Layout, role: Role, live: &[Node]) -> Option<u64> {
+async fn held_back(control: &Arc<Control>, l: &Versioned, next: &Layout, role: Role, live: &[Node]) -> Option<u64> {
     let (was, to) = (group(&l.1, role), group(next, role));
     if was.is_changing() {
         return None;
@@ -71,7 +71,7 @@
     if was.current.is_empty() {
         // The first stores are seated together.
         let stores = live.iter().filter(|n| n.role == Role::Store && n.state == MemberState::Alive).count();
-        let early = role == Role::Store && stores > 0 && c.runtime.now() < c.duties.since.load(SeqCst) + FOUND_WAIT;
+        let early = role == Role::Store && stores > 0 && control.runtime.now() < control.duties.since.load(SeqCst) + FOUND_WAIT;
         return early.then_some(STEP_AGAIN);
     }
     if to.current.len() <= was.current.len() {
@@ -79,17 +79,17 @@
     }
     // A seat more is given only while all that keep theirs answer: a newcomer may stand for one whose loss is not yet seen.
     let staying: Vec<String> = was.current.iter().filter(|d| to.current.contains(d)).cloned().collect();
-    let reports = survey(c, &staying, l.1.since(was, l.0), SEAT_REPORT_WAIT, |_| false).await;
+    let reports = survey(control, &staying, l.1.since(was, l.0), SEAT_REPORT_WAIT, |_| false).await;
     let mute: Vec<&String> = staying.iter().filter(|d| !reports.iter().any(|r| r.disk == **d)).collect();
     if mute.is_empty() {
         return None;
     }
-    let t = c.runtime.now();
+    let t = control.runtime.now();
     for disk in &mute {
-        c.duties.missing.lock().unwrap().entry(disk.to_string()).or_insert(t);
+        control.duties.missing.lock().unwrap().entry(disk.to_string()).or_insert(t);
     }
-    for node in mute.iter().filter_map(|d| c.members.by_disk(d)).collect::<Vec<_>>() {
-        c.members.clone().probe_or_suspect(node).await;
+    for node in mute.iter().filter_map(|d| control.members.by_disk(d)).collect::<Vec<_>>() {
+        control.members.clone().probe_or_suspect(node).await;
     }
     Some(STEP_AGAIN / 2)
 }
@@ -151,62 +151,62 @@
 
 /// Whether majorities of both sets hold the document alike. Of the outgoing set only disks count that had kept the joint layout
 /// before: what was decided without the incoming set, they had accepted by then. So operators' orders go on undisturbed.
-async fn is_on_both(c: &Arc<Control>, document: &str, seats: &ReplicaGroup, since: u64, reports: &[SeatReport]) -> bool {
+async fn is_on_both(control: &Arc<Control>, document: &str, seats: &ReplicaGroup, since: u64, reports: &[SeatReport]) -> bool {
     let may_vote = |disk: &str| {
         let has_kept = reports.iter().any(|r| r.disk == disk && r.kept >= since);
         has_kept || !seats.previous.iter().any(|d| d == disk)
     };
     for look in 0..READ_LOOKS {
         if look > 0 {
-            c.runtime.sleep(READ_LOOK_AGAIN).await;
+            control.runtime.sleep(READ_LOOK_AGAIN).await;
         }
-        if c.runtime.timeout(SEAT_REPORT_WAIT, c.registers.is_settled(document, may_vote)).await == Some(true) {
+        if control.runtime.timeout(SEAT_REPORT_WAIT, control.registers.is_settled(document, may_vote)).await == Some(true) {
             return true;
         }
     }
     false
 }
 
-async fn end_store(c: &Arc<Control>, l: &Versioned) -> bool {
+async fn end_store(control: &Arc<Control>, l: &Versioned) -> bool {
     let (seats, since) = (&l.1.store, l.1.since(&l.1.store, l.0));
     let both: Vec<String> = seats.previous.iter().chain(seats.current.iter().filter(|d| !seats.previous.contains(d))).cloned().collect();
-    let may_end = |reports: &[SeatReport]| planning::store_may_end(seats, since, c.settings.bounds.lost, reports);
-    let reports = survey(c, &both, since, SEAT_REPORT_WAIT, may_end).await;
+    let may_end = |reports: &[SeatReport]| planning::store_may_end(seats, since, control.settings.bounds.lost, reports);
+    let reports = survey(control, &both, since, SEAT_REPORT_WAIT, may_end).await;
     if !may_end(&reports) {
-        tell_again(c, &reports, since);
+        tell_again(control, &reports, since);
         return false;
     }
-    end_change(c, Role::Store, since).await
+    end_change(control, Role::Store, since).await
 }
 
 /// Tells the layout to those that have not kept it.
-fn tell_again(c: &Arc<Control>, reports: &[SeatReport], since: u64) {
-    let page = c.documents.document("layout");
-    for node in reports.iter().filter(|r| r.kept < since).filter_map(|r| c.members.by_disk(&r.disk)) {
-        let (me, raw) = (c.clone(), page.content.clone());
+fn tell_again(control: &Arc<Control>, reports: &[SeatReport], since: u64) {
+    let page = control.documents.document("layout");
+    for node in reports.iter().filter(|r| r.kept < since).filter_map(|r| control.members.by_disk(&r.disk)) {
+        let (me, raw) = (control.clone(), page.content.clone());
         let told = PeerRequest::PublishDocument { name: "layout".into(), version: page.version, epoch: Ballot::default(), relays: vec![] };
-        c.runtime.spawn(async move {
+        control.runtime.spawn(async move {
             let _ = me.peers.request(node.peer, &told, &raw, PEER_WAIT).await;
         });
     }
 }
 
 /// Learns the newest layout after a step that could not be done.
-async fn learn(c: &Arc<Control>) {
-    if !super::catch_up(c).await {
-        super::spread(c).await;
+async fn learn(control: &Arc<Control>) {
+    if !super::catch_up(control).await {
+        super::spread(control).await;
     }
 }
 
 /// Ends the change that layout number `since` began, whatever the other group did meanwhile.
-async fn end_change(c: &Arc<Control>, role: Role, since: u64) -> bool {
-    let Some(term) = c.duty_term() else { return false };
-    let ended = c
+async fn end_change(control: &Arc<Control>, role: Role, since: u64) -> bool {
+    let Some(term) = control.duty_term() else { return false };
+    let ended = control
         .registers
         .change("layout", STEP_WAIT, |seq, v| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(None) };
             let seats = group(&layout, role);
-            if !seats.is_changing() || layout.since(seats, seq) != since || !c.may_write(term, layout.term) {
+            if !seats.is_changing() || layout.since(seats, seq) != since || !control.may_write(term, layout.term) {
                 return Step::Keep(None);
             }
             layout.term = term;
@@ -217,12 +217,12 @@
         .await;
     match ended {
         Ok(Some((seq, raw))) => {
-            c.runtime.log(&format!("change of {} disks done", if role == Role::Core { "core" } else { "store" }));
-            config::push(c, "layout", seq, raw);
+            control.runtime.log(&format!("change of {} disks done", if role == Role::Core { "core" } else { "store" }));
+            config::push(control, "layout", seq, raw);
             true
         }
         _ => {
-            learn(c).await;
+            learn(control).await;
             false
         }
     }
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -62,10 +62,10 @@
 }
 
 /// Begins a change of disks. The same change asked again is no new one.
-pub async fn begin(c: &Arc<Control>, m: Move) -> Result<u64, (Code, String)> {
-    let view = c.members.view.load_full();
+pub async fn begin(control: &Arc<Control>, m: Move) -> Result<u64, (Code, String)> {
+    let view = control.members.view.load_full();
     let of = |d: &str| view.values().find(|n| n.disk == d || n.name == d).cloned();
-    let got = c
+    let got = control
         .registers
         .change("layout", PUT_WAIT, |seq, v| {
             let Ok(l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(Err((Code::NotFounded, String::new()))) };
@@ -77,19 +77,19 @@
         })
         .await;
     let r = got.unwrap_or_else(|t| Err((if t == ChangeError::Undecided { Code::Undecided } else { Code::NoMajority }, String::new())));
-    spread(c).await;
+    spread(control).await;
     r
 }
 
 /// Of each outgoing seat of the changes under way: whether it has kept this layout and found all its keys whole under it, and
 /// how many it has yet to bring.
-pub async fn progress(c: &Arc<Control>) -> (u64, Vec<(String, bool, u64)>) {
-    let l = c.documents.layout.load_full();
+pub async fn progress(control: &Arc<Control>) -> (u64, Vec<(String, bool, u64)>) {
+    let l = control.documents.layout.load_full();
     let mut filled = vec![];
     for role in planning::IN_ORDER_OF_DANGER {
         let seats = planning::group(&l.1, role);
         for disk in &seats.previous {
-            let told = report::ask(c, disk, l.1.since(seats, l.0), SEAT_REPORT_WAIT).await;
+            let told = report::ask(control, disk, l.1.since(seats, l.0), SEAT_REPORT_WAIT).await;
             filled.push(told.map_or((disk.clone(), false, 0), |(r, left)| (r.disk, r.swept, left)));
         }
     }
@@ -97,34 +97,34 @@
 }
 
 /// The layout duty: finishes changes, and replaces the disk of a machine that came back empty.
-pub async fn tend_layout(c: &Arc<Control>) {
-    let l = c.documents.layout.load_full();
+pub async fn tend_layout(control: &Arc<Control>) {
+    let l = control.documents.layout.load_full();
     if l.0 == 0 {
         return;
     }
     if l.1.core.previous.is_empty() && l.1.store.previous.is_empty() {
-        let back = c.members.view.load().values().find_map(|n| {
+        let back = control.members.view.load().values().find_map(|n| {
             let seats = if n.role == Role::Core { &l.1.core.current } else { &l.1.store.current };
             let lost = l.1.names.iter().find(|x| *x.1 == n.name && seats.contains(x.0) && *x.0 != n.disk)?.0.clone();
             (n.role != Role::Front && !n.disk.is_empty() && !l.1.names.contains_key(&n.disk)).then(|| (lost, n.disk.clone()))
         });
-        if let Some((a, b)) = back.filter(|_| c.duty_term().is_some()) {
-            c.runtime.log(&format!("disk {a} came back empty as {b}"));
-            let _ = begin(c, Move::Replace(a, b)).await;
+        if let Some((a, b)) = back.filter(|_| control.duty_term().is_some()) {
+            control.runtime.log(&format!("disk {a} came back empty as {b}"));
+            let _ = begin(control, Move::Replace(a, b)).await;
         }
         return;
     }
-    let (at, v) = progress(c).await;
+    let (at, v) = progress(control).await;
     let done = v.iter().filter(|x| x.1).count();
-    if at != l.0 || done + c.settings.bounds.lost < v.len() {
+    if at != l.0 || done + control.settings.bounds.lost < v.len() {
         return;
     }
-    let Some(term) = c.duty_term() else { return };
-    let got = c
+    let Some(term) = control.duty_term() else { return };
+    let got = control
         .registers
         .change("layout", PUT_WAIT, |seq, v| {
             let Ok(mut l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(()) };
-            if seq != at || !c.may_write(term, l.term) {
+            if seq != at || !control.may_write(term, l.term) {
                 return Step::Keep(());
             }
             l.term = term;
@@ -137,7 +137,7 @@
         })
         .await;
     if got.is_ok() {
-        c.runtime.log("change of disks done");
+        control.runtime.log("change of disks done");
     }
-    spread(c).await;
+    spread(control).await;
 }
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -23,16 +23,16 @@
 use yewcross_common::runtime::BoxFuture;
 
 /// Reads the newest layout under a majority and tells every node.
-async fn spread(c: &Arc<Control>) {
-    if !c.has_quorum_contact() {
+async fn spread(control: &Arc<Control>) {
+    if !control.has_quorum_contact() {
         return;
     }
-    if let Ok((seq, epoch, v)) = c.registers.read("layout", PEER_WAIT).await {
-        if c.options.tends {
-            return config::push(c, "layout", seq, v.to_vec());
+    if let Ok((seq, epoch, v)) = control.registers.read("layout", PEER_WAIT).await {
+        if control.options.tends {
+            return config::push(control, "layout", seq, v.to_vec());
         }
-        let me = c.clone();
-        c.runtime.spawn(async move {
+        let me = control.clone();
+        control.runtime.spawn(async move {
             config::carry(&me, "layout", seq, epoch, &v).await;
         });
     }
@@ -40,15 +40,15 @@
 
 /// Takes a newer layout from any core process that has adopted it. Those refuse whatever is asked by an older layout, the
 /// layout itself too: who missed one cannot read it from the disks where their votes are needed.
-pub async fn catch_up(c: &Arc<Control>) -> bool {
-    let more_than = c.documents.document("layout").version;
-    let questions: Vec<BoxFuture<'static, bool>> = c
+pub async fn catch_up(control: &Arc<Control>) -> bool {
+    let more_than = control.documents.document("layout").version;
+    let questions: Vec<BoxFuture<'static, bool>> = control
         .members
         .nodes_of_role(Role::Core)
         .into_iter()
-        .filter(|node| node.name != c.settings.name)
+        .filter(|node| node.name != control.settings.name)
         .map(|node| {
-            let (me, question) = (c.clone(), PeerRequest::FetchDocument { name: "layout".into(), newer_than: more_than });
+            let (me, question) = (control.clone(), PeerRequest::FetchDocument { name: "layout".into(), newer_than: more_than });
             let asked: BoxFuture<'static, bool> = Box::pin(async move {
                 match me.peers.request(node.peer, &question, &[], PEER_WAIT).await {
                     Ok((PeerResponse::Document { version: seq, epoch }, raw)) if seq > more_than => {
@@ -60,11 +60,11 @@
             asked
         })
         .collect();
-    let (asked, answers) = (questions.len(), c.runtime.spawn_all(questions));
+    let (asked, answers) = (questions.len(), control.runtime.spawn_all(questions));
     for _ in 0..asked {
         if answers.recv().await == Ok(true) {
             break;
         }
     }
-    c.documents.document("layout").version > more_than
+    control.documents.document("layout").version > more_than
 }
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -11,16 +11,16 @@
 use yewcross_common::register::*;
 
 /// Has it written down that a store machine is to be emptied, here or by the process that proposes.
-pub async fn retire(c: &Arc<Control>, node: &str) -> RetireBegin {
-    let until = c.runtime.now() + PEER_WAIT;
-    while c.runtime.now() < until {
-        if c.duty_term().is_some() {
-            return retire_here(c, node).await;
+pub async fn retire(control: &Arc<Control>, node: &str) -> RetireBegin {
+    let until = control.runtime.now() + PEER_WAIT;
+    while control.runtime.now() < until {
+        if control.duty_term().is_some() {
+            return retire_here(control, node).await;
         }
         let question = PeerRequest::ForwardRetire { node: node.into() };
-        match proposer::forward(c, &question, &[], until.saturating_sub(c.runtime.now())).await {
+        match proposer::forward(control, &question, &[], until.saturating_sub(control.runtime.now())).await {
             Ok((PeerResponse::RetireAnswer(answer), _)) => return answer,
-            Err(NotAnswered::NoProposer) => proposer::wait_for_one(c).await,
+            Err(NotAnswered::NoProposer) => proposer::wait_for_one(control).await,
             _ => return RetireBegin::Away,
         }
     }
@@ -28,21 +28,21 @@
 }
 
 /// The same for an order that another core passed on.
-pub async fn retire_forwarded(c: &Arc<Control>, node: &str) -> PeerResponse {
-    match c.duty_term() {
-        Some(_) => PeerResponse::RetireAnswer(retire_here(c, node).await),
+pub async fn retire_forwarded(control: &Arc<Control>, node: &str) -> PeerResponse {
+    match control.duty_term() {
+        Some(_) => PeerResponse::RetireAnswer(retire_here(control, node).await),
         None => PeerResponse::Rejected(Code::NotOnDuty),
     }
 }
 
 /// Writes down that a store machine is to be emptied; the layout duty does it.
-async fn retire_here(c: &Arc<Control>, node: &str) -> RetireBegin {
-    if c.documents.layout.load().0 == 0 {
+async fn retire_here(control: &Arc<Control>, node: &str) -> RetireBegin {
+    if control.documents.layout.load().0 == 0 {
         return RetireBegin::Away;
     }
-    let fewest = 2 * c.settings.bounds.lost + 1;
-    let known = c.members.all().iter().any(|n| n.name == node && n.role == Role::Store);
-    let got = c
+    let fewest = 2 * control.settings.bounds.lost + 1;
+    let known = control.members.all().iter().any(|n| n.name == node && n.role == Role::Store);
+    let got = control
         .registers
         .change("layout", SEC, |seq, v| {
             let Ok(mut l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep((RetireBegin::Away, 0, vec![])) };
@@ -66,8 +66,8 @@
     match got {
         Ok((r, seq, raw)) => {
             if seq > 0 {
-                c.runtime.log(&format!("{node} is to retire"));
-                config::push(c, "layout", seq, raw);
+                control.runtime.log(&format!("{node} is to retire"));
+                config::push(control, "layout", seq, raw);
             }
             r
         }
@@ -75,13 +75,13 @@
     }
 }
 
-pub async fn retired(c: &Arc<Control>, node: &str) -> RetireState {
-    if c.documents.layout.load().0 == 0 {
+pub async fn retired(control: &Arc<Control>, node: &str) -> RetireState {
+    if control.documents.layout.load().0 == 0 {
         return RetireState::Away;
     }
-    let Ok((seq, epoch, raw)) = proposer::newest(c, "layout", PEER_WAIT).await else { return RetireState::Away };
+    let Ok((seq, epoch, raw)) = proposer::newest(control, "layout", PEER_WAIT).await else { return RetireState::Away };
     let Ok(l) = serde_json::from_slice::<Layout>(&raw) else { return RetireState::Away };
-    c.documents.apply("layout", seq, epoch, raw.to_vec());
+    control.documents.apply("layout", seq, epoch, raw.to_vec());
     let there = |g: &ReplicaGroup| g.current.iter().chain(&g.previous).any(|d| l.names.get(d).is_some_and(|n| n == node));
     match (l.retired.contains(node), there(&l.store)) {
         (false, _) => RetireState::Unknown,
--- a/yewcross-control/src/layout/sweep.rs
+++ b/yewcross-control/src/layout/sweep.rs
@@ -79,26 +79,26 @@
 }
 
 /// Documents are brought to all their copies by the process that proposes, and by nobody else.
-async fn tend_document(c: &Arc<Control>, name: &str) -> bool {
-    if c.lease_term().is_none() || c.registers.uniform(name).await {
+async fn tend_document(control: &Arc<Control>, name: &str) -> bool {
+    if control.lease_term().is_none() || control.registers.uniform(name).await {
         return true;
     }
-    c.counts.tended.fetch_add(1, SeqCst);
-    c.registers.tend(name).await
+    control.counts.tended.fetch_add(1, SeqCst);
+    control.registers.tend(name).await
 }
 
 /// Layout number that wrote the sets that this disk may have a seat in: changes of other seats do not hold its sweep up.
-fn own_since(c: &Control) -> u64 {
-    let l = c.documents.layout.load();
-    l.1.since(group(&l.1, c.settings.role), l.0)
+fn own_since(control: &Control) -> u64 {
+    let l = control.documents.layout.load();
+    l.1.since(group(&l.1, control.settings.role), l.0)
 }
 
 /// The names of damaged keys are lost with them; only the other copies can tell.
-fn call_for_help(c: &Arc<Control>) {
-    let me = c.members.nodes_of_role(c.settings.role).into_iter().filter(|n| n.name != c.settings.name);
+fn call_for_help(control: &Arc<Control>) {
+    let me = control.members.nodes_of_role(control.settings.role).into_iter().filter(|n| n.name != control.settings.name);
     me.for_each(|n| {
-        let p = c.peers.clone();
-        c.runtime.spawn(async move {
+        let p = control.peers.clone();
+        control.runtime.spawn(async move {
             let _ = p.request(n.peer, &PeerRequest::StartSweep, &[], PEER_WAIT).await;
         });
     });
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -23,11 +23,11 @@
 }
 
 /// Digest of the core seats, new and old. Grants count only among nodes that know the same.
-pub fn seats_digest(l: &Layout) -> u64 {
-    if l.core.current.is_empty() {
+pub fn seats_digest(layout: &Layout) -> u64 {
+    if layout.core.current.is_empty() {
         return 0;
     }
-    yewcross_common::hash::rendezvous_weight(&l.core.current.join(" "), &l.core.previous.join(" "))
+    yewcross_common::hash::rendezvous_weight(&layout.core.current.join(" "), &layout.core.previous.join(" "))
 }
 
 /// Whether the disks are a majority of the seats, and of the old ones while a change is under way.
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -42,18 +42,18 @@
     seated && is_fit && !c.storage.failed.load(SeqCst) && !c.members.replaced.is_set() && !c.duties.resigned.load(SeqCst)
 }
 
-fn is_free_here(c: &Control) -> bool {
-    with_granter(c, |granter, now| granter.free_at() <= now)
+fn is_free_here(control: &Control) -> bool {
+    with_granter(control, |granter, now| granter.free_at() <= now)
 }
 
 /// Returns some time after the lease ran out here, each candidate after its own, or early when something changed.
-async fn wait_until_free(c: &Arc<Control>) {
-    let changed = c.duties.changed.listen();
-    let left = with_granter(c, |granter, now| granter.free_at().saturating_sub(now));
+async fn wait_until_free(control: &Arc<Control>) {
+    let changed = control.duties.changed.listen();
+    let left = with_granter(control, |granter, now| granter.free_at().saturating_sub(now));
     if left > 0 {
-        c.runtime.timeout(left, changed).await;
+        control.runtime.timeout(left, changed).await;
     }
-    c.runtime.sleep(rank(c) * LEASE_STAGGER + c.runtime.random() % (LEASE_STAGGER / 2)).await;
+    control.runtime.sleep(rank(control) * LEASE_STAGGER + control.runtime.random() % (LEASE_STAGGER / 2)).await;
 }
 
 /// This process among the core seats that seem alive, in an order that all know.
@@ -67,27 +67,27 @@
 
 /// First looks whether a majority calls the lease free, and only then asks for it: a process whose answers are lost on their
 /// way never locks the granters. The term, if it was got.
-async fn campaign(c: &Arc<Control>) -> Option<u64> {
-    let seats = c.documents.layout.load().1.core.clone();
-    let highest = look(c, &seats).await?;
-    let term = highest.max(c.documents.layout.load().1.term) + 1;
-    let call = c.duties.holder.lock().unwrap().request(c.runtime.now(), term, &seats);
+async fn campaign(control: &Arc<Control>) -> Option<u64> {
+    let seats = control.documents.layout.load().1.core.clone();
+    let highest = look(control, &seats).await?;
+    let term = highest.max(control.documents.layout.load().1.term) + 1;
+    let call = control.duties.holder.lock().unwrap().request(control.runtime.now(), term, &seats);
     let disks = all_seats(&seats);
-    let (asked, answers) = (disks.len(), ask_seats(c, disks, call));
+    let (asked, answers) = (disks.len(), ask_seats(control, disks, call));
     for _ in 0..asked {
         let Ok(answer) = answers.recv().await else { break };
-        if answer.is_some_and(|tell| count(c, term, 0, &tell)) {
+        if answer.is_some_and(|tell| count(control, term, 0, &tell)) {
             return Some(term);
         }
     }
-    give_up(c, &seats);
+    give_up(control, &seats);
     None
 }
 
 /// The highest term known to a majority that calls the lease free.
-async fn look(c: &Arc<Control>, seats: &ReplicaGroup) -> Option<u64> {
+async fn look(control: &Arc<Control>, seats: &ReplicaGroup) -> Option<u64> {
     let disks = all_seats(seats);
-    let (asked, answers) = (disks.len(), ask_seats(c, disks, LeaseOperation::Look));
+    let (asked, answers) = (disks.len(), ask_seats(control, disks, LeaseOperation::Look));
     let (mut free, mut highest) = (vec![], 0);
     for _ in 0..asked {
         let Some(tell) = answers.recv().await.ok()? else { continue };
@@ -103,32 +103,32 @@
 }
 
 /// Counts a grant. True once the lease is held by it.
-fn count(c: &Control, term: u64, round: u64, tell: &LeaseResponse) -> bool {
-    tell.verdict == LeaseVerdict::Granted && c.duties.holder.lock().unwrap().granted(term, round, &tell.granter)
+fn count(control: &Control, term: u64, round: u64, tell: &LeaseResponse) -> bool {
+    tell.verdict == LeaseVerdict::Granted && control.duties.holder.lock().unwrap().granted(term, round, &tell.granter)
 }
 
 /// Renews until the lease is lost or given up.
-async fn hold(c: &Arc<Control>, term: u64) {
-    c.duties.taken.fetch_add(1, SeqCst);
-    c.runtime.log(&format!("lease taken, term {term}"));
-    c.runtime.spawn(fence(c.clone(), term));
-    while may_hold(c) && renew(c, term) {
-        c.runtime.sleep(LEASE_RENEW).await;
+async fn hold(control: &Arc<Control>, term: u64) {
+    control.duties.taken.fetch_add(1, SeqCst);
+    control.runtime.log(&format!("lease taken, term {term}"));
+    control.runtime.spawn(fence(control.clone(), term));
+    while may_hold(control) && renew(control, term) {
+        control.runtime.sleep(LEASE_RENEW).await;
     }
-    c.duties.lost.fetch_add(1, SeqCst);
-    c.runtime.log(&format!("lease lost, term {term}"));
-    give_up(c, &c.documents.layout.load().1.core.clone());
-    c.duties.changed.notify(usize::MAX);
+    control.duties.lost.fetch_add(1, SeqCst);
+    control.runtime.log(&format!("lease lost, term {term}"));
+    give_up(control, &control.documents.layout.load().1.core.clone());
+    control.duties.changed.notify(usize::MAX);
 }
 
 /// Begins a round. False once the lease is not held any more.
-fn renew(c: &Arc<Control>, term: u64) -> bool {
-    let seats = c.documents.layout.load().1.core.clone();
-    let Some(call) = c.duties.holder.lock().unwrap().renew(c.runtime.now(), &seats) else { return false };
+fn renew(control: &Arc<Control>, term: u64) -> bool {
+    let seats = control.documents.layout.load().1.core.clone();
+    let Some(call) = control.duties.holder.lock().unwrap().renew(control.runtime.now(), &seats) else { return false };
     let LeaseOperation::Renew { round, .. } = call else { return false };
     for disk in all_seats(&seats) {
-        let me = c.clone();
-        c.runtime.spawn(async move {
+        let me = control.clone();
+        control.runtime.spawn(async move {
             if let Some(tell) = ask_seat(&me, &disk, call).await {
                 count(&me, term, round, &tell);
             }
@@ -181,36 +181,38 @@
 }
 
 /// What an earlier holder had decided and nobody was told of is told now.
-async fn take_document(c: &Arc<Control>, name: &'static str) -> bool {
-    let held = c.documents.document(name).version;
-    let Ok((seq, document)) = c.registers.change(name, SEC, |seq, value| Step::Keep((seq, value.to_vec()))).await else { return false };
-    if c.options.tends && seq > held {
+async fn take_document(control: &Arc<Control>, name: &'static str) -> bool {
+    let held = control.documents.document(name).version;
+    let Ok((seq, document)) = control.registers.change(name, SEC, |seq, value| Step::Keep((seq, value.to_vec()))).await else {
+        return false;
+    };
+    if control.options.tends && seq > held {
         match held {
             0 => {
-                c.documents.apply(name, seq, Ballot::default(), document);
+                control.documents.apply(name, seq, Ballot::default(), document);
             }
-            _ => config::push(c, name, seq, document),
+            _ => config::push(control, name, seq, document),
         }
     }
     true
 }
 
 /// Stops holding or asking, and tells the granters, so that nobody waits for the lease to run out.
-fn give_up(c: &Arc<Control>, seats: &ReplicaGroup) {
-    let Some(term) = c.duties.holder.lock().unwrap().give_up() else { return };
-    ask_seats(c, all_seats(seats), LeaseOperation::Release { term });
+fn give_up(control: &Arc<Control>, seats: &ReplicaGroup) {
+    let Some(term) = control.duties.holder.lock().unwrap().give_up() else { return };
+    ask_seats(control, all_seats(seats), LeaseOperation::Release { term });
 }
 
 /// A planned stop: the lease is free at once.
-pub async fn resign(c: &Arc<Control>) {
-    c.duties.resigned.store(true, SeqCst);
-    let Some(term) = c.duties.holder.lock().unwrap().give_up() else { return };
-    let seats = all_seats(&c.documents.layout.load().1.core);
-    let (asked, answers) = (seats.len(), ask_seats(c, seats, LeaseOperation::Release { term }));
+pub async fn resign(control: &Arc<Control>) {
+    control.duties.resigned.store(true, SeqCst);
+    let Some(term) = control.duties.holder.lock().unwrap().give_up() else { return };
+    let seats = all_seats(&control.documents.layout.load().1.core);
+    let (asked, answers) = (seats.len(), ask_seats(control, seats, LeaseOperation::Release { term }));
     let told = async {
         for _ in 0..asked {
             let _ = answers.recv().await;
         }
     };
-    c.runtime.timeout(LEASE_WAIT / 2, told).await;
+    control.runtime.timeout(LEASE_WAIT / 2, told).await;
 }
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -102,19 +102,19 @@
 }
 
 impl Control {
-    pub async fn start(w: &Runtime, st: ProcessSettings) -> Result<Arc<Control>, StartFault> {
-        Control::start_with(w, st, api::Options::default()).await
+    pub async fn start(runtime: &Runtime, settings: ProcessSettings) -> Result<Arc<Control>, StartFault> {
+        Control::start_with(runtime, settings, api::Options::default()).await
     }
 
     /// Starts a node that another interface may stand before.
-    pub async fn start_with(w: &Runtime, st: ProcessSettings, options: api::Options) -> Result<Arc<Control>, StartFault> {
+    pub async fn start_with(runtime: &Runtime, settings: ProcessSettings, options: api::Options) -> Result<Arc<Control>, StartFault> {
         let disk = |source| StartFault::Disk { source };
-        let vault = DurableStorage::open(w).await.map_err(disk)?;
+        let vault = DurableStorage::open(runtime).await.map_err(disk)?;
         let replica = Replica::open(&vault).await.map_err(disk)?;
-        let peers = PeerClient::new(w, &st.name, &st.site, st.wire);
-        let members = Membership::new(w, &st, &peers, &vault.disk_id);
+        let peers = PeerClient::new(runtime, &settings.name, &settings.site, settings.wire);
+        let members = Membership::new(runtime, &settings, &peers, &vault.disk_id);
         members.outranks_namesake.store(options.stays, SeqCst);
-        let book = DocumentCache::of(w, options.dialect.clone());
+        let book = DocumentCache::of(runtime, options.dialect.clone());
         // Read before any task writes there: a scan removes files that are not yet renamed.
         let local = vault.scan("local").await.map_err(disk)?;
         let kept_pages = load_pages(&book, &local);
@@ -123,9 +123,9 @@
         let proved = vault.load("local", "proved").await.map_err(disk)?.map(|x| x.0).unwrap_or(0);
         replica.layout_version.store(book.layout.load().0, SeqCst);
         let (b, m) = (book.clone(), members.clone());
-        let owner = RegisterClient::new(w, &peers, &replica, Arc::new(move |k| place(&b, &m, k)));
+        let owner = RegisterClient::new(runtime, &peers, &replica, Arc::new(move |k| place(&b, &m, k)));
         let (b, m, p) = (book.clone(), members.clone(), peers.clone());
-        let me = st.peer;
+        let me = settings.peer;
         let own: Arc<Mutex<Option<std::sync::Weak<yewcross_state::records::Store>>>> = Default::default();
         let own2 = own.clone();
         let route = move |key: String, a: PeerRequest| -> BoxFuture<'static, Option<PeerResponse>> {
@@ -148,18 +148,18 @@
         let store = Arc::new(yewcross_state::records::Store {
             owner: owner.clone(),
             members: members.clone(),
-            w: w.clone(),
+            w: runtime.clone(),
             route: Arc::new(route),
         });
         *own.lock().unwrap() = Some(Arc::downgrade(&store));
         let follow = match options.rollout {
-            api::Rollout::Proved => DocumentWatcher::new(&members, &book, &st.name, false),
-            api::Rollout::Majority => DocumentWatcher::without_leases(&members, &book, &st.name, false, st.bounds.apply * MS),
+            api::Rollout::Proved => DocumentWatcher::new(&members, &book, &settings.name, false),
+            api::Rollout::Majority => DocumentWatcher::without_leases(&members, &book, &settings.name, false, settings.bounds.apply * MS),
         };
-        let duties = duty::Duties::open(w, &vault, &book, owner.proposer_id, st.role).await.map_err(disk)?;
-        let chain = yewcross_state::turn_store::Engine::start(w, &st, &members, &book, &vault).await.map_err(disk)?;
+        let duties = duty::Duties::open(runtime, &vault, &book, owner.proposer_id, settings.role).await.map_err(disk)?;
+        let chain = yewcross_state::turn_store::Engine::start(runtime, &settings, &members, &book, &vault).await.map_err(disk)?;
         let c = Arc::new(Control {
-            runtime: w.clone(),
+            runtime: runtime.clone(),
             peers,
             members,
             documents: book,
@@ -179,12 +179,12 @@
             sweep_call: Event::new(),
             finding: Default::default(),
             founded: AtomicBool::new(false),
-            started: w.now(),
-            platform: Mutex::new(st.platform),
+            started: runtime.now(),
+            platform: Mutex::new(settings.platform),
             outbox: Default::default(),
             counts: Default::default(),
             options,
-            settings: st,
+            settings: settings,
         });
         if c.options.tends {
             let holder = Arc::downgrade(&c);
@@ -192,25 +192,25 @@
             c.registers.restrict(move |key| !DOCS.contains(&key) || holds_lease());
         }
         let bind = |at: std::net::SocketAddr| move |source| StartFault::Bind { at: at.to_string(), source };
-        let door = w.bind(c.settings.peer).await.map_err(bind(c.settings.peer))?;
+        let door = runtime.bind(c.settings.peer).await.map_err(bind(c.settings.peer))?;
         if c.options.bind_http {
-            let http = w.bind(c.settings.http).await.map_err(bind(c.settings.http))?;
+            let http = runtime.bind(c.settings.http).await.map_err(bind(c.settings.http))?;
             let me = c.clone();
             let h: yewcross_common::buffered_http::Handler = Arc::new(move |j| Box::pin(operator::answer(me.clone(), j)));
-            w.spawn(yewcross_common::buffered_http::serve(w.clone(), http, h, c.connections.clone()));
+            runtime.spawn(yewcross_common::buffered_http::serve(runtime.clone(), http, h, c.connections.clone()));
         }
-        w.spawn(c.peers.clone().serve(door, Arc::new(Ear(c.clone()))));
-        w.spawn(c.members.clone().run());
-        w.spawn(c.watcher.clone().run());
-        w.spawn(keep_pages(c.clone(), kept_pages));
+        runtime.spawn(c.peers.clone().serve(door, Arc::new(Ear(c.clone()))));
+        runtime.spawn(c.members.clone().run());
+        runtime.spawn(c.watcher.clone().run());
+        runtime.spawn(keep_pages(c.clone(), kept_pages));
         if c.options.tends {
-            w.spawn(keep_peers(c.clone(), kept_peers));
+            runtime.spawn(keep_peers(c.clone(), kept_peers));
         }
-        w.spawn(layout::sweep(c.clone()));
-        w.spawn(tidy(c.clone()));
-        w.spawn(disk_recovery::run(c.clone()));
+        runtime.spawn(layout::sweep(c.clone()));
+        runtime.spawn(tidy(c.clone()));
+        runtime.spawn(disk_recovery::run(c.clone()));
         if c.settings.role == Role::Core {
-            w.spawn(duty::run(c.clone()));
+            runtime.spawn(duty::run(c.clone()));
         }
         Ok(c)
     }
@@ -317,15 +317,15 @@
 
 /// Takes the documents of a folder into the book; which files they stand in. A damaged file counts with its version, so that the
 /// next one is newer.
-fn load_pages(book: &DocumentCache, folder: &[StoredFile]) -> BTreeMap<&'static str, KeptPage> {
+fn load_pages(documents: &DocumentCache, folder: &[StoredFile]) -> BTreeMap<&'static str, KeptPage> {
     let mut kept = BTreeMap::new();
     for (name, file_version, body) in folder {
         let Some(document) = DOCS.into_iter().find(|d| d == name) else { continue };
         let body = body.as_ref().and_then(|b| serde_json::from_slice::<(u64, Ballot, String)>(b).ok());
         if let Some((seq, epoch, raw)) = body {
-            book.apply(document, seq, epoch, raw.into_bytes());
+            documents.apply(document, seq, epoch, raw.into_bytes());
         }
-        kept.insert(document, KeptPage { file_version: *file_version, seq: book.document(document).version });
+        kept.insert(document, KeptPage { file_version: *file_version, seq: documents.document(document).version });
     }
     kept
 }
@@ -370,28 +370,28 @@
 }
 
 /// Addresses of machines with disks are kept, so that a restart finds them where its seeds are down.
-async fn keep_peers(c: Arc<Control>, mut kept: KeptPeers) {
+async fn keep_peers(control: Arc<Control>, mut kept: KeptPeers) {
     loop {
-        let moved = c.members.changed.listen();
-        let mut now: Vec<_> = c.members.view.load().values().filter(|n| !n.disk.is_empty()).map(|n| n.peer).collect();
+        let moved = control.members.changed.listen();
+        let mut now: Vec<_> = control.members.view.load().values().filter(|n| !n.disk.is_empty()).map(|n| n.peer).collect();
         now.sort();
         if now != kept.addresses
             && now.len() > 1
-            && c.storage.persist("local", "peers", kept.file_version + 1, &serde_json::to_vec(&now).unwrap_or_default()).await.is_ok()
+            && control.storage.persist("local", "peers", kept.file_version + 1, &serde_json::to_vec(&now).unwrap_or_default()).await.is_ok()
         {
             kept = KeptPeers { file_version: kept.file_version + 1, addresses: now };
         }
-        c.runtime.sleep(PEERS_KEPT).await;
+        control.runtime.sleep(PEERS_KEPT).await;
         moved.await;
     }
 }
 
-async fn tidy(c: Arc<Control>) {
+async fn tidy(control: Arc<Control>) {
     loop {
-        c.runtime.sleep(10 * SEC).await;
-        c.registers.prune();
-        for b in c.registers.holding("budget/") {
-            c.store.audit(b.trim_start_matches("budget/")).await;
+        control.runtime.sleep(10 * SEC).await;
+        control.registers.prune();
+        for b in control.registers.holding("budget/") {
+            control.store.audit(b.trim_start_matches("budget/")).await;
         }
     }
 }
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -16,32 +16,32 @@
     refuse(c, why, c.back())
 }
 
-pub async fn answer(c: Arc<Control>, j: BufferedRequest) -> Response {
+pub async fn answer(control: Arc<Control>, j: BufferedRequest) -> Response {
     let seg: Vec<String> = j.path.trim_matches('/').split('/').map(|s| s.to_string()).collect();
     let parts: Vec<&str> = seg.iter().map(|s| s.as_str()).collect();
     match (j.verb, parts.as_slice()) {
         (Method::Get, ["health"]) => {
-            let ok = !c.storage.failed.load(SeqCst);
-            reply(if ok { 200 } else { 503 }, &json!({"ok": ok, "founded": c.documents.layout.load().0 > 0}))
+            let ok = !control.storage.failed.load(SeqCst);
+            reply(if ok { 200 } else { 503 }, &json!({"ok": ok, "founded": control.documents.layout.load().0 > 0}))
         }
-        (Method::Get, ["metrics"]) => metrics(&c),
-        (Method::Get, ["v1", "status"]) => status(&c).await,
-        (Method::Get, ["v1", "checkpoint"]) => checkpoint(&c).await,
+        (Method::Get, ["metrics"]) => metrics(&control),
+        (Method::Get, ["v1", "status"]) => status(&control).await,
+        (Method::Get, ["v1", "checkpoint"]) => checkpoint(&control).await,
         (Method::Get, ["v1", "layout"]) => {
-            let l = c.documents.layout.load();
-            let (_, p) = layout::progress(&c).await;
+            let l = control.documents.layout.load();
+            let (_, p) = layout::progress(&control).await;
             reply(200, &json!({"version": l.0, "layout": l.1, "filling": p}))
         }
-        (Method::Post, ["v1", "found"]) => found(&c, &j).await,
-        (Method::Get, ["v1", "config"]) => read_config(&c, false).await,
-        (Method::Get, ["v1", "config", "effective"]) => read_config(&c, true).await,
-        (Method::Put, ["v1", "config"]) => put_config(&c, j).await,
-        (Method::Get, ["v1", "config", v]) => old_config(&c, v).await,
-        (Method::Post, ["v1", "config", v, "rollback"]) => rollback(&c, v, &j).await,
-        (Method::Post, ["v1", "disks", d, "empty"]) => begin(&c, Move::Empty(d.to_string())).await,
-        (Method::Post, ["v1", "disks", d, "admit"]) => begin(&c, Move::Admit(d.to_string())).await,
-        (Method::Post, ["v1", "disks", d, "replace", n]) => begin(&c, Move::Replace(d.to_string(), n.to_string())).await,
-        (Method::Get, ["v1", "disks", d]) => disk(&c, d).await,
+        (Method::Post, ["v1", "found"]) => found(&control, &j).await,
+        (Method::Get, ["v1", "config"]) => read_config(&control, false).await,
+        (Method::Get, ["v1", "config", "effective"]) => read_config(&control, true).await,
+        (Method::Put, ["v1", "config"]) => put_config(&control, j).await,
+        (Method::Get, ["v1", "config", v]) => old_config(&control, v).await,
+        (Method::Post, ["v1", "config", v, "rollback"]) => rollback(&control, v, &j).await,
+        (Method::Post, ["v1", "disks", d, "empty"]) => begin(&control, Move::Empty(d.to_string())).await,
+        (Method::Post, ["v1", "disks", d, "admit"]) => begin(&control, Move::Admit(d.to_string())).await,
+        (Method::Post, ["v1", "disks", d, "replace", n]) => begin(&control, Move::Replace(d.to_string(), n.to_string())).await,
+        (Method::Get, ["v1", "disks", d]) => disk(&control, d).await,
         (_, ["health" | "metrics"])
         | (_, ["v1", "status" | "layout" | "checkpoint" | "found" | "config", ..])
         | (_, ["v1", "disks", ..]) => no(Code::WrongVerb, ""),
@@ -49,11 +49,11 @@
     }
 }
 
-async fn found(c: &Arc<Control>, j: &BufferedRequest) -> Response {
+async fn found(control: &Arc<Control>, j: &BufferedRequest) -> Response {
     let v: Option<Value> = serde_json::from_slice(&j.body).ok();
     let names = |k: &str| -> Option<Vec<String>> { serde_json::from_value(v.as_ref()?.get(k)?.clone()).ok() };
     match (names("cores"), names("stores")) {
-        (Some(a), Some(b)) => match layout::found(c, &a, &b).await {
+        (Some(a), Some(b)) => match layout::found(control, &a, &b).await {
             Ok(()) => reply(200, &json!({"founded": true})),
             Err((k, w)) => no(k, &w),
         },
@@ -61,8 +61,8 @@
     }
 }
 
-async fn read_config(c: &Arc<Control>, effective: bool) -> Response {
-    match c.registers.read("config", PEER_WAIT).await {
+async fn read_config(control: &Arc<Control>, effective: bool) -> Response {
+    match control.registers.read("config", PEER_WAIT).await {
         Ok((seq, _, v)) => {
             let d: ConfigDoc = serde_json::from_slice(&v).unwrap_or_default();
             let mut r = if effective {
@@ -78,30 +78,30 @@
             r.insert_header("etag", format!("\"{seq}\""));
             r
         }
-        Err(_) if c.documents.layout.load().0 == 0 => no(Code::NotFounded, ""),
+        Err(_) if control.documents.layout.load().0 == 0 => no(Code::NotFounded, ""),
         Err(_) => no(Code::NoMajority, ""),
     }
 }
 
-async fn past(c: &Arc<Control>, v: &str) -> Option<(u64, String, String)> {
+async fn past(control: &Arc<Control>, v: &str) -> Option<(u64, String, String)> {
     let n: u64 = v.parse().ok()?;
-    let (seq, _, raw) = c.registers.read("config", PEER_WAIT).await.ok()?;
+    let (seq, _, raw) = control.registers.read("config", PEER_WAIT).await.ok()?;
     let d: ConfigDoc = serde_json::from_slice(&raw).ok()?;
     if n == seq { Some((seq, d.put_id, d.text)) } else { d.past.into_iter().find(|p| p.0 == n) }
 }
 
-async fn old_config(c: &Arc<Control>, v: &str) -> Response {
-    match past(c, v).await {
+async fn old_config(control: &Arc<Control>, v: &str) -> Response {
+    match past(control, v).await {
         Some((n, put, text)) => reply(200, &json!({"version": n, "put": put, "config": serde_json::from_str::<Value>(&text).ok()})),
         None => no(Code::UnknownPath, "no such version is on hand"),
     }
 }
 
 /// An old text as a new put: it wins or loses against others like any other.
-async fn rollback(c: &Arc<Control>, v: &str, j: &BufferedRequest) -> Response {
+async fn rollback(control: &Arc<Control>, v: &str, j: &BufferedRequest) -> Response {
     let Some(base) = j.if_match.as_ref().and_then(|s| s.parse().ok()) else { return no(Code::NoVersion, "") };
-    let Some((_, _, text)) = past(c, v).await else { return no(Code::UnknownPath, "no such version is on hand") };
-    told(config::put(c, base, text, format!("rollback to {v}"), false).await, false)
+    let Some((_, _, text)) = past(control, v).await else { return no(Code::UnknownPath, "no such version is on hand") };
+    told(config::put(control, base, text, format!("rollback to {v}"), false).await, false)
 }
 
 fn told(p: Put, dry: bool) -> Response {
@@ -112,70 +112,70 @@
     }
 }
 
-async fn put_config(c: &Arc<Control>, j: BufferedRequest) -> Response {
+async fn put_config(control: &Arc<Control>, j: BufferedRequest) -> Response {
     let Some(base) = j.if_match.as_ref().and_then(|s| s.parse().ok()) else { return no(Code::NoVersion, "") };
     let Ok(text) = String::from_utf8(j.body) else { return no(Code::BadBody, "") };
     let dry = j.query.as_deref().is_some_and(|q| q.split('&').any(|x| x == "dry=1"));
-    told(config::put(c, base, text, String::new(), dry).await, dry)
+    told(config::put(control, base, text, String::new(), dry).await, dry)
 }
 
-async fn begin(c: &Arc<Control>, m: Move) -> Response {
-    match layout::begin(c, m).await {
+async fn begin(control: &Arc<Control>, m: Move) -> Response {
+    match layout::begin(control, m).await {
         Ok(v) => reply(200, &json!({"layout": v})),
         Err((k, w)) => no(k, &w),
     }
 }
 
-async fn disk(c: &Arc<Control>, d: &str) -> Response {
-    let l = c.documents.layout.load_full();
+async fn disk(control: &Arc<Control>, d: &str) -> Response {
+    let l = control.documents.layout.load_full();
     let id = l.1.names.iter().find(|x| x.1 == d).map(|x| x.0.as_str()).unwrap_or(d);
     let inn = l.1.core.current.iter().chain(&l.1.store.current).any(|x| x == id);
     let was = l.1.core.previous.iter().chain(&l.1.store.previous).any(|x| x == id);
-    let (_, p) = layout::progress(c).await;
+    let (_, p) = layout::progress(control).await;
     let left: u64 = p.iter().map(|x| x.2).sum();
     reply(200, &json!({"disk": id, "seated": inn, "emptying": was && !inn, "safe_to_remove": !inn && !was, "keys_left": left}))
 }
 
-async fn status(c: &Arc<Control>) -> Response {
-    let holder = duty::holder_name(c);
-    let duties: Vec<Value> = duty::DUTIES.iter().map(|d| json!({"duty": d, "held_here": c.on_duty(), "given": holder})).collect();
-    let versions: serde_json::Map<String, Value> = c.documents.versions().into_iter().map(|(k, v)| (k, v.into())).collect();
+async fn status(control: &Arc<Control>) -> Response {
+    let holder = duty::holder_name(control);
+    let duties: Vec<Value> = duty::DUTIES.iter().map(|d| json!({"duty": d, "held_here": control.on_duty(), "given": holder})).collect();
+    let versions: serde_json::Map<String, Value> = control.documents.versions().into_iter().map(|(k, v)| (k, v.into())).collect();
     reply(
         200,
-        &json!({"name": c.settings.name, "role": c.settings.role, "disk": c.storage.disk_id, "disk_failed": c.storage.failed.load(SeqCst),
-            "nodes": c.members.all(), "versions": versions, "duties": duties, "lease": duty::status(c),
-            "swept": c.swept.load(SeqCst), "sweep_left": c.sweep_left.load(SeqCst)}),
+        &json!({"name": control.settings.name, "role": control.settings.role, "disk": control.storage.disk_id, "disk_failed": control.storage.failed.load(SeqCst),
+            "nodes": control.members.all(), "versions": versions, "duties": duties, "lease": duty::status(control),
+            "swept": control.swept.load(SeqCst), "sweep_left": control.sweep_left.load(SeqCst)}),
     )
 }
 
 /// What this disk holds, for the planner: keys, sizes, sessions' transfer state; no contents.
-async fn checkpoint(c: &Arc<Control>) -> Response {
-    let (keys, hurt) = c.replica.keys().await;
+async fn checkpoint(control: &Arc<Control>) -> Response {
+    let (keys, hurt) = control.replica.keys().await;
     let mut held = vec![];
     for k in keys {
-        if let Some(s) = c.replica.peek(&k).await.filter(|s| s.seq > 0) {
+        if let Some(s) = control.replica.peek(&k).await.filter(|s| s.seq > 0) {
             let kv = k.starts_with("session/").then(|| yewcross_state::records::Record::read(&s.value).head.kv);
             held.push(CheckpointKey { key: k, seq: s.seq, bytes: s.value.len() as u64, kv });
         }
     }
-    let page = |d| String::from_utf8_lossy(&c.documents.document(d).content).into_owned();
+    let page = |d| String::from_utf8_lossy(&control.documents.document(d).content).into_owned();
     reply(
         200,
-        &json!({"disk": c.storage.disk_id, "name": c.settings.name, "damaged": hurt, "held": held, "nodes": c.members.view.load().values().collect::<Vec<_>>(),
-            "versions": c.documents.versions(), "config": page("config"), "layout": page("layout"), "list": page("list"),
-            "duties": duty::DUTIES.iter().map(|d| (d.to_string(), duty::holder_name(c))).collect::<Vec<_>>()}),
+        &json!({"disk": control.storage.disk_id, "name": control.settings.name, "damaged": hurt, "held": held, "nodes": control.members.view.load().values().collect::<Vec<_>>(),
+            "versions": control.documents.versions(), "config": page("config"), "layout": page("layout"), "list": page("list"),
+            "duties": duty::DUTIES.iter().map(|d| (d.to_string(), duty::holder_name(control))).collect::<Vec<_>>()}),
     )
 }
 
-fn metrics(c: &Control) -> Response {
-    let t = &c.peers.metrics;
+fn metrics(control: &Control) -> Response {
+    let t = &control.peers.metrics;
     reply(
         200,
         &json!({
-            "odd_frames": c.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst), "bytes_across": t.bytes_across.load(SeqCst),
-            "kinds": *t.kinds.lock().unwrap(), "syncs": c.storage.syncs.load(SeqCst), "disk_bytes": c.storage.bytes.load(SeqCst), "takes": c.registers.takes.load(SeqCst),
-            "tended": c.counts.tended.load(SeqCst), "puts": c.counts.puts.load(SeqCst), "list_polls": c.duties.polls.load(SeqCst), "lease": duty::counters(c),
-            "chains": c.chain.figures(),
+            "odd_frames": control.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst), "bytes_across": t.bytes_across.load(SeqCst),
+            "kinds": *t.kinds.lock().unwrap(), "syncs": control.storage.syncs.load(SeqCst), "disk_bytes": control.storage.bytes.load(SeqCst), "takes": control.registers.takes.load(SeqCst),
+            "tended": control.counts.tended.load(SeqCst), "puts": control.counts.puts.load(SeqCst), "list_polls": control.duties.polls.load(SeqCst), "lease": duty::counters(control),
+            "chains": control.chain.figures(),
         }),
     )
 }
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -12,15 +12,16 @@
 use yewcross_common::streaming_http;
 
 /// Asks the platform, in its own time, and decides a list that differs. Returns how long to wait.
-pub async fn poll(c: &Arc<Control>) -> u64 {
-    let Some(to) = *c.platform.lock().unwrap() else { return SEC };
-    if let Some(k) = c.options.catalogue.clone() {
-        return poll_catalogue(c, to, &*k).await;
+pub async fn poll(control: &Arc<Control>) -> u64 {
+    let Some(to) = *control.platform.lock().unwrap() else { return SEC };
+    if let Some(k) = control.options.catalogue.clone() {
+        return poll_catalogue(control, to, &*k).await;
     }
-    c.duties.polls.fetch_add(1, SeqCst);
-    let tag = c.duties.etag.lock().unwrap().clone();
+    control.duties.polls.fetch_add(1, SeqCst);
+    let tag = control.duties.etag.lock().unwrap().clone();
     let heads: Vec<(&str, String)> = if tag.is_empty() { vec![] } else { vec![("if-none-match", tag)] };
-    let Ok((status, r, b)) = buffered_http::fetch(&c.runtime, to, http_types::Method::Get, "/servers", &heads, vec![], BACK_WAIT).await
+    let Ok((status, r, b)) =
+        buffered_http::fetch(&control.runtime, to, http_types::Method::Get, "/servers", &heads, vec![], BACK_WAIT).await
     else {
         return LIST_EVERY;
     };
@@ -29,43 +30,43 @@
         return patience.unwrap_or(LIST_EVERY);
     }
     let Ok(mut list) = serde_json::from_slice::<ServerList>(&b) else { return LIST_EVERY };
-    let Some(term) = c.duty_term() else { return LIST_EVERY };
+    let Some(term) = control.duty_term() else { return LIST_EVERY };
     list.term = term;
-    let got = c
+    let got = control
         .registers
         .change("list", PEER_WAIT, |seq, v| {
             let old: ServerList = serde_json::from_slice(v).unwrap_or_default();
-            if (old.revision >= list.revision && seq > 0) || !c.may_write(term, old.term) {
+            if (old.revision >= list.revision && seq > 0) || !control.may_write(term, old.term) {
                 return Step::Keep(());
             }
             Step::Write(serde_json::to_vec(&list).unwrap_or_default(), ())
         })
         .await;
     if got.is_ok()
-        && let Ok((seq, epoch, raw)) = c.registers.read("list", PEER_WAIT).await
+        && let Ok((seq, epoch, raw)) = control.registers.read("list", PEER_WAIT).await
     {
-        if seq > c.documents.document("list").version {
-            config::carry(c, "list", seq, epoch, &raw).await;
+        if seq > control.documents.document("list").version {
+            config::carry(control, "list", seq, epoch, &raw).await;
         }
-        *c.duties.etag.lock().unwrap() = r.header("etag").map(|v| v.as_str().to_string()).unwrap_or_default();
+        *control.duties.etag.lock().unwrap() = r.header("etag").map(|v| v.as_str().to_string()).unwrap_or_default();
     }
     patience.unwrap_or(LIST_EVERY)
 }
 
 /// The same in a catalogue's own words, page by page; the tier numbers the lists. A list read after version `at` was known
 /// replaces that one only: one that waited somewhere replaces nothing.
-async fn poll_catalogue(c: &Arc<Control>, to: SocketAddr, k: &dyn ServerCatalogue) -> u64 {
-    let at = c.documents.document("list").version;
+async fn poll_catalogue(control: &Arc<Control>, to: SocketAddr, k: &dyn ServerCatalogue) -> u64 {
+    let at = control.documents.document("list").version;
     let (mut servers, mut page) = (vec![], None);
     for _ in 0..LIST_PAGES {
-        c.duties.polls.fetch_add(1, SeqCst);
+        control.duties.polls.fetch_add(1, SeqCst);
         let mut q = hyper::Request::new(Default::default());
         let Ok(uri) = k.target(page.as_deref()).parse() else { return PAGES_EVERY };
         *q.uri_mut() = uri;
-        let Ok(r) = streaming_http::fetch(&c.runtime, to, q, FRAME_MAX, PAGE_WAIT).await else { return PAGES_EVERY };
+        let Ok(r) = streaming_http::fetch(&control.runtime, to, q, FRAME_MAX, PAGE_WAIT).await else { return PAGES_EVERY };
         if r.status() != 200 {
             let told = r.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok()).map(|s| (s.max(0.0) * 1e6) as u64);
-            let n = c.duties.refused.fetch_add(1, SeqCst).min(3);
+            let n = control.duties.refused.fetch_add(1, SeqCst).min(3);
             return told.unwrap_or(PAGES_EVERY << n).min(PAGES_BACK_OFF);
         }
         let Ok((mut v, next)) = k.read(r.body()) else { return PAGES_EVERY };
@@ -75,20 +76,20 @@
             break;
         }
     }
-    c.duties.refused.store(0, SeqCst);
+    control.duties.refused.store(0, SeqCst);
     let leaving = servers.iter().filter(|server| server.leaving).map(|server| server.server.clone()).collect();
-    config::push_departures(c, leaving);
+    config::push_departures(control, leaving);
     servers.sort_by(|a, b| a.server.cmp(&b.server));
     servers.dedup_by(|a, b| a.server == b.server);
-    if page.is_some() || (at > 0 && decided_servers(c) == servers) {
+    if page.is_some() || (at > 0 && decided_servers(control) == servers) {
         return PAGES_EVERY;
     }
-    let Some(term) = c.duty_term() else { return DECIDE_AGAIN };
-    let got = c
+    let Some(term) = control.duty_term() else { return DECIDE_AGAIN };
+    let got = control
         .registers
         .change("list", PEER_WAIT, |seq, v| {
             let old: ServerList = serde_json::from_slice(v).unwrap_or_default();
-            if seq > at || old.servers == servers || !c.may_write(term, old.term) {
+            if seq > at || old.servers == servers || !control.may_write(term, old.term) {
                 return Step::Keep((seq, v.to_vec()));
             }
             let raw = lines(&ServerList { revision: old.revision + 1, term, servers: servers.clone() });
@@ -96,16 +97,16 @@
         })
         .await;
     if let Ok((seq, raw)) = got
-        && seq > c.documents.document("list").version
+        && seq > control.documents.document("list").version
     {
-        config::push(c, "list", seq, raw);
+        config::push(control, "list", seq, raw);
     }
     PAGES_EVERY
 }
 
 /// The servers of the list on hand as it was decided, without what was told of them since.
-fn decided_servers(c: &Control) -> Vec<ListedServer> {
-    serde_json::from_slice::<ServerList>(&c.documents.document("list").content).map(|list| list.servers).unwrap_or_default()
+fn decided_servers(control: &Control) -> Vec<ListedServer> {
+    serde_json::from_slice::<ServerList>(&control.documents.document("list").content).map(|list| list.servers).unwrap_or_default()
 }
 
 /// A server a line, so that a change travels as the lines that changed.
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -22,9 +22,9 @@
 }
 
 /// Puts a question to the process that proposes, once.
-pub async fn forward(c: &Arc<Control>, question: &PeerRequest, blob: &[u8], us: u64) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
-    let to = duty::holder_address(c).ok_or(NotAnswered::NoProposer)?;
-    match c.peers.request(to, question, blob, us).await {
+pub async fn forward(control: &Arc<Control>, question: &PeerRequest, blob: &[u8], us: u64) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
+    let to = duty::holder_address(control).ok_or(NotAnswered::NoProposer)?;
+    match control.peers.request(to, question, blob, us).await {
         Ok((PeerResponse::Rejected(Code::NotOnDuty | Code::BadBody), _)) | Err(SendError::NotSent) => Err(NotAnswered::NoProposer),
         Ok(answer) => Ok(answer),
         Err(SendError::OutcomeUnknown) => Err(NotAnswered::Unknown),
@@ -32,27 +32,27 @@
 }
 
 /// Returns once the lease has changed hands, or a little later.
-pub async fn wait_for_one(c: &Arc<Control>) {
-    let changed = c.duties.changed.listen();
-    c.runtime.timeout(PROPOSER_AGAIN + c.runtime.random() % PROPOSER_AGAIN, changed).await;
+pub async fn wait_for_one(control: &Arc<Control>) {
+    let changed = control.duties.changed.listen();
+    control.runtime.timeout(PROPOSER_AGAIN + control.runtime.random() % PROPOSER_AGAIN, changed).await;
 }
 
 /// The newest decided version of a document: what a majority of the core disks holds alike, or what the proposer proves.
-pub async fn newest(c: &Arc<Control>, name: &str, us: u64) -> Result<Decided, ChangeError> {
-    let until = c.runtime.now() + us;
+pub async fn newest(control: &Arc<Control>, name: &str, us: u64) -> Result<Decided, ChangeError> {
+    let until = control.runtime.now() + us;
     loop {
-        match c.registers.newest(name, until.saturating_sub(c.runtime.now()).min(LOOKS_WITHIN)).await {
+        match control.registers.newest(name, until.saturating_sub(control.runtime.now()).min(LOOKS_WITHIN)).await {
             Err(ChangeError::NotProposer) => {}
             found => return found,
         }
-        let left = until.saturating_sub(c.runtime.now());
+        let left = until.saturating_sub(control.runtime.now());
         if left < MS {
             return Err(ChangeError::NotDone);
         }
         let question = PeerRequest::ReadDecidedDocument { name: name.into(), hops: 1 };
-        match forward(c, &question, &[], left.min(LOOKS_WITHIN)).await {
+        match forward(control, &question, &[], left.min(LOOKS_WITHIN)).await {
             Ok((PeerResponse::Document { version: seq, epoch }, raw)) => return Ok((seq, epoch, Arc::new(raw))),
-            _ => wait_for_one(c).await,
+            _ => wait_for_one(control).await,
         }
     }
 }
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -11,16 +11,16 @@
 use yewcross_common::runtime::BoxFuture;
 
 /// Puts one question to one seat. Its answer counts as contact.
-pub async fn ask_seat(c: &Arc<Control>, disk: &str, call: LeaseOperation) -> Option<LeaseResponse> {
-    let seats = seats_digest(&c.documents.layout.load().1);
-    let wants_holder = with_granter(c, |granter, now| granter.holder(now).is_none());
-    let ask = LeaseRequest { granter: disk.into(), candidate: c.duties.candidate.clone(), seats, call, wants_holder };
-    let sent = c.runtime.now();
-    let tell = if disk == c.storage.disk_id {
-        answer(c, &ask).await
+pub async fn ask_seat(control: &Arc<Control>, disk: &str, call: LeaseOperation) -> Option<LeaseResponse> {
+    let seats = seats_digest(&control.documents.layout.load().1);
+    let wants_holder = with_granter(control, |granter, now| granter.holder(now).is_none());
+    let ask = LeaseRequest { granter: disk.into(), candidate: control.duties.candidate.clone(), seats, call, wants_holder };
+    let sent = control.runtime.now();
+    let tell = if disk == control.storage.disk_id {
+        answer(control, &ask).await
     } else {
-        let peer = c.members.by_disk(disk)?.peer;
-        match c.peers.request(peer, &PeerRequest::Lease(ask), &[], LEASE_WAIT).await {
+        let peer = control.members.by_disk(disk)?.peer;
+        match control.peers.request(peer, &PeerRequest::Lease(ask), &[], LEASE_WAIT).await {
             Ok((PeerResponse::Lease(tell), _)) => tell,
             _ => return None,
         }
@@ -30,24 +30,24 @@
     if !speaks_for_disk {
         return None;
     }
-    c.duties.contact.lock().unwrap().heard(disk, sent, &tell.versions);
+    control.duties.contact.lock().unwrap().heard(disk, sent, &tell.versions);
     if let Some(holder) = &tell.holder {
-        *c.duties.told_holder.lock().unwrap() = Some((holder.clone(), sent));
+        *control.duties.told_holder.lock().unwrap() = Some((holder.clone(), sent));
     }
     Some(tell)
 }
 
 /// Puts one question to several seats at once.
-pub fn ask_seats(c: &Arc<Control>, disks: Vec<String>, call: LeaseOperation) -> async_channel::Receiver<Option<LeaseResponse>> {
+pub fn ask_seats(control: &Arc<Control>, disks: Vec<String>, call: LeaseOperation) -> async_channel::Receiver<Option<LeaseResponse>> {
     let questions = disks
         .into_iter()
         .map(|disk| {
-            let me = c.clone();
+            let me = control.clone();
             let question: BoxFuture<'static, _> = Box::pin(async move { ask_seat(&me, &disk, call).await });
             question
         })
         .collect();
-    c.runtime.spawn_all(questions)
+    control.runtime.spawn_all(questions)
 }
 
 /// All core seats, new and old.
@@ -78,54 +78,54 @@
 }
 
 /// Whether a majority of the core seats answers this process; asked anew where it didn't lately. Takes `QUORUM_WAIT` at most.
-pub async fn reach_quorum(c: &Arc<Control>) -> bool {
-    if c.has_quorum_contact() {
+pub async fn reach_quorum(control: &Arc<Control>) -> bool {
+    if control.has_quorum_contact() {
         return true;
     }
-    let seats = all_seats(&c.documents.layout.load().1.core);
-    let (asked, answers) = (seats.len(), ask_seats(c, seats, LeaseOperation::Look));
+    let seats = all_seats(&control.documents.layout.load().1.core);
+    let (asked, answers) = (seats.len(), ask_seats(control, seats, LeaseOperation::Look));
     let met = async {
         for _ in 0..asked {
-            if answers.recv().await.is_err() || c.has_quorum_contact() {
+            if answers.recv().await.is_err() || control.has_quorum_contact() {
                 return;
             }
         }
     };
-    c.runtime.timeout(QUORUM_WAIT, met).await;
-    c.has_quorum_contact()
+    control.runtime.timeout(QUORUM_WAIT, met).await;
+    control.has_quorum_contact()
 }
 
 /// Asks a majority of the core seats, in turns, three times in the bound; all seats once a round left it short, since with as
 /// many missing as are tolerated the turns alone would leave it short again and again.
-pub async fn keep_contact(c: Arc<Control>) {
-    let every = contact_bound(c.settings.bounds.apply) / 3;
-    let mut turn = c.runtime.random() as usize % 64;
+pub async fn keep_contact(control: Arc<Control>) {
+    let every = contact_bound(control.settings.bounds.apply) / 3;
+    let mut turn = control.runtime.random() as usize % 64;
     let mut soon = CONTACT_AGAIN.min(every / 2);
     loop {
-        let layout = c.documents.layout.load_full();
-        let others: Vec<String> = all_seats(&layout.1.core).into_iter().filter(|d| *d != c.storage.disk_id).collect();
-        c.duties.contact.lock().unwrap().retain(&layout.1.core);
-        let heard_at = c.duties.contact.lock().unwrap().since(&layout.1.core);
-        let last_round_was_enough = c.runtime.now() < heard_at + every * 3 / 2;
-        let asked = seats_in_turn(&layout.1.core, others, &c.storage.disk_id, turn, last_round_was_enough);
+        let layout = control.documents.layout.load_full();
+        let others: Vec<String> = all_seats(&layout.1.core).into_iter().filter(|d| *d != control.storage.disk_id).collect();
+        control.duties.contact.lock().unwrap().retain(&layout.1.core);
+        let heard_at = control.duties.contact.lock().unwrap().since(&layout.1.core);
+        let last_round_was_enough = control.runtime.now() < heard_at + every * 3 / 2;
+        let asked = seats_in_turn(&layout.1.core, others, &control.storage.disk_id, turn, last_round_was_enough);
         turn += 1;
-        if has_seat(&layout.1, &c.storage.disk_id) {
-            ask_seat(&c, &c.storage.disk_id, LeaseOperation::Look).await;
+        if has_seat(&layout.1, &control.storage.disk_id) {
+            ask_seat(&control, &control.storage.disk_id, LeaseOperation::Look).await;
         }
         // The holder's renewals are its heartbeat.
-        if c.lease_term().is_none() {
-            ask_seats(&c, asked, LeaseOperation::Look);
+        if control.lease_term().is_none() {
+            ask_seats(&control, asked, LeaseOperation::Look);
         }
         // Seats that start together, or meet again after a cut, are a moment away: they are asked again soon at first.
-        let has_contact = c.has_quorum_contact();
+        let has_contact = control.has_quorum_contact();
         let rest = if has_contact { every } else { soon };
         soon = if has_contact { CONTACT_AGAIN.min(every / 2) } else { (2 * soon).min(every / 2) };
-        let moved = c.documents.changed.listen();
+        let moved = control.documents.changed.listen();
         match layout.0 {
-            0 => futures_lite::future::or(moved, c.runtime.sleep(every)).await,
-            _ => c.runtime.sleep(rest).await,
+            0 => futures_lite::future::or(moved, control.runtime.sleep(every)).await,
+            _ => control.runtime.sleep(rest).await,
         }
-        note_contact(&c);
+        note_contact(&control);
     }
 }
 
@@ -141,13 +141,13 @@
     others
 }
 
-fn note_contact(c: &Control) {
-    let now = c.has_quorum_contact();
-    if c.duties.had_contact.swap(now, SeqCst) == now {
+fn note_contact(control: &Control) {
+    let now = control.has_quorum_contact();
+    if control.duties.had_contact.swap(now, SeqCst) == now {
         return;
     }
     if !now {
-        c.duties.contact_lost.fetch_add(1, SeqCst);
+        control.duties.contact_lost.fetch_add(1, SeqCst);
     }
-    c.runtime.log(if now { "contact with a majority of core seats" } else { "no contact with a majority of core seats" });
+    control.runtime.log(if now { "contact with a majority of core seats" } else { "no contact with a majority of core seats" });
 }
--- a/yewcross-proxy/src/back.rs
+++ b/yewcross-proxy/src/back.rs
@@ -33,15 +33,15 @@
 }
 
 impl Back<Unverified> {
-    pub async fn dial(w: &Runtime, to: SocketAddr) -> io::Result<Back<Unverified>> {
-        let conn = w.connect_within(to, DIAL_WAIT).await?;
+    pub async fn dial(runtime: &Runtime, to: SocketAddr) -> io::Result<Back<Unverified>> {
+        let conn = runtime.connect_within(to, DIAL_WAIT).await?;
         let who = Stamp { service: String::new(), server: String::new(), inst: 0, weights: String::new(), job: String::new() };
         Ok(Back { conn, who, _s: PhantomData })
     }
 
     /// Only the server that the pick named, of the service that was meant, gets through.
-    pub async fn verify(self, w: &Runtime, service: &str, server: &str) -> io::Result<Back<Verified>> {
-        let got = w
+    pub async fn verify(self, runtime: &Runtime, service: &str, server: &str) -> io::Result<Back<Verified>> {
+        let got = runtime
             .timeout(BACK_WAIT, async {
                 let mut r = buffered_http::exchange(&self.conn, Method::Get, "/identity", &[], vec![]).await?;
                 buffered_http::body(&mut r, 64 << 10).await
@@ -72,8 +72,8 @@
         s.service == self.who.service && s.server == self.who.server && s.inst == self.who.inst && s.job == job
     }
 
-    pub async fn send(&self, w: &Runtime, path: &str, body: Vec<u8>, us: u64) -> Sent {
-        match w.timeout(us, buffered_http::exchange(&self.conn, Method::Post, path, &[], body)).await {
+    pub async fn send(&self, runtime: &Runtime, path: &str, body: Vec<u8>, us: u64) -> Sent {
+        match runtime.timeout(us, buffered_http::exchange(&self.conn, Method::Post, path, &[], body)).await {
             Some(Ok(r)) => Sent::Answered(r),
             _ => Sent::Lost,
         }
@@ -92,8 +92,8 @@
 const IDLE_US: u64 = 10 * SEC;
 
 impl Pool {
-    pub async fn get(&self, w: &Runtime, service: &str, server: &str, to: SocketAddr) -> io::Result<Back<Verified>> {
-        let t = w.now();
+    pub async fn get(&self, runtime: &Runtime, service: &str, server: &str, to: SocketAddr) -> io::Result<Back<Verified>> {
+        let t = runtime.now();
         let kept = {
             let mut g = self.idle.lock().unwrap();
             let v = g.entry((server.into(), to)).or_default();
@@ -104,20 +104,20 @@
             // An idle connection may have died unseen; asking who is there again costs less than a lost job.
             Some((_, b)) if b.who.service == service => {
                 let fresh = Back { conn: b.conn, who: b.who, _s: PhantomData::<Unverified> };
-                match fresh.verify(w, service, server).await {
+                match fresh.verify(runtime, service, server).await {
                     Ok(b) => Ok(b),
-                    Err(_) => Back::dial(w, to).await?.verify(w, service, server).await,
+                    Err(_) => Back::dial(runtime, to).await?.verify(runtime, service, server).await,
                 }
             }
-            _ => Back::dial(w, to).await?.verify(w, service, server).await,
+            _ => Back::dial(runtime, to).await?.verify(runtime, service, server).await,
         }
     }
 
-    pub fn put(&self, w: &Runtime, b: Back<Verified>) {
+    pub fn put(&self, runtime: &Runtime, b: Back<Verified>) {
         let mut g = self.idle.lock().unwrap();
         let v = g.entry((b.who.server.clone(), b.conn.peer)).or_default();
         if v.len() < IDLE_EACH {
-            v.push((w.now(), b));
+            v.push((runtime.now(), b));
         }
     }
 
@@ -136,21 +136,21 @@
     }
 
     /// One whole line, or nothing if the stream ended, broke, or went silent.
-    pub async fn next(&mut self, w: &Runtime, us: u64) -> Option<Vec<u8>> {
+    pub async fn next(&mut self, runtime: &Runtime, us: u64) -> Option<Vec<u8>> {
         let mut v = vec![];
-        let n = w.timeout(us, self.0.read_until(b'\n', &mut v)).await?.ok()?;
+        let n = runtime.timeout(us, self.0.read_until(b'\n', &mut v)).await?.ok()?;
         (n > 0 && v.pop() == Some(b'\n')).then_some(v)
     }
 
-    pub async fn drained(&mut self, w: &Runtime) -> bool {
+    pub async fn drained(&mut self, runtime: &Runtime) -> bool {
         let mut v = vec![];
-        matches!(w.timeout(50 * MS, self.0.read_until(b'\n', &mut v)).await, Some(Ok(0)))
+        matches!(runtime.timeout(50 * MS, self.0.read_until(b'\n', &mut v)).await, Some(Ok(0)))
     }
 }
 
 #[allow(clippy::too_many_arguments)]
 pub async fn ask_once(
-    w: &Runtime,
+    runtime: &Runtime,
     p: &Pool,
     service: &str,
     server: &str,
@@ -159,10 +159,10 @@
     body: Vec<u8>,
     us: u64,
 ) -> Option<Vec<u8>> {
-    let b = p.get(w, service, server, to).await.ok()?;
-    let Sent::Answered(mut r) = b.send(w, path, body, us).await else { return None };
+    let b = p.get(runtime, service, server, to).await.ok()?;
+    let Sent::Answered(mut r) = b.send(runtime, path, body, us).await else { return None };
     let ok = r.status().is_success();
-    let v = w.timeout(us, buffered_http::body(&mut r, FRAME_MAX)).await?.ok()?;
-    p.put(w, b);
+    let v = runtime.timeout(us, buffered_http::body(&mut r, FRAME_MAX)).await?.ok()?;
+    p.put(runtime, b);
     ok.then_some(v)
 }
--- a/yewcross-proxy/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -108,13 +108,13 @@
 }
 
 /// Fronts that all saw the same load must not all choose the same server. One of the two is near.
-fn two_at_random<'a>(w: &Runtime, need: &Need, free: Vec<&'a ListedServer>) -> Vec<&'a ListedServer> {
+fn two_at_random<'a>(runtime: &Runtime, need: &Need, free: Vec<&'a ListedServer>) -> Vec<&'a ListedServer> {
     if free.len() < 3 {
         return free;
     }
     let near: Vec<usize> = (0..free.len()).filter(|i| free[*i].site == need.site).collect();
-    let first = near.get(w.random_index(near.len())).copied().unwrap_or_else(|| w.random_index(free.len()));
-    let second = (first + 1 + w.random_index(free.len() - 1)) % free.len();
+    let first = near.get(runtime.random_index(near.len())).copied().unwrap_or_else(|| runtime.random_index(free.len()));
+    let second = (first + 1 + runtime.random_index(free.len() - 1)) % free.len();
     vec![free[first], free[second]]
 }
 
@@ -154,13 +154,13 @@
     /// The best place at this moment, or why there is none.
     pub fn pick(
         &self,
-        w: &Runtime,
+        runtime: &Runtime,
         n: &Need,
         servers: &[ListedServer],
         tried: &[String],
         kept: impl Fn(&str) -> bool,
     ) -> Result<Claim, NoSeat> {
-        let (service, now, policies) = (self.service(&n.service), w.now(), self.policies);
+        let (service, now, policies) = (self.service(&n.service), runtime.now(), self.policies);
         let mut g = service.lock().unwrap();
         let may: Vec<&ListedServer> =
             servers.iter().filter(|s| s.service == n.service && !s.leaving && !tried.contains(&s.server)).collect();
@@ -177,13 +177,14 @@
         let work = |server: &ListedServer| pricing.work(&g.servers[&server.server], &server.server);
         let by_affinity = affine(n, &free, policies);
         let candidates = match n.engine.is_none() && policies.has(Mechanism::ChoiceOfTwo) {
-            true => two_at_random(w, n, free),
+            true => two_at_random(runtime, n, free),
             false => free,
         };
         // Those that cost about the same take turns: what is known of the load is a little old, and the same at all fronts.
         let jitter = if n.engine.is_some() { pricing.neighbour_us().max(1.0) as usize } else { 1 };
         let price = |server: &&&ListedServer| {
-            (work(server) + pricing.distance(&server.site) + pricing.dial(kept(&server.server))) as u64 + w.random_index(jitter) as u64
+            (work(server) + pricing.distance(&server.site) + pricing.dial(kept(&server.server))) as u64
+                + runtime.random_index(jitter) as u64
         };
         let Some(best) = candidates.iter().min_by_key(price).copied() else {
             return Err(NoSeat::Full(g.due(n, sound.len(), now)));
@@ -200,14 +201,14 @@
         state.tokens += tokens;
         state.ejection.sent(now);
         drop(g);
-        Ok(Claim { service, w: w.clone(), policies, to, at: now, missing, reading_ahead, tokens, load, had_slot, headed_at: 0 })
+        Ok(Claim { service, w: runtime.clone(), policies, to, at: now, missing, reading_ahead, tokens, load, had_slot, headed_at: 0 })
     }
 
     /// Waits for a place to come free, until `until`; false if none did.
-    pub async fn wait(&self, w: &Runtime, n: &Need, until: u64) -> bool {
+    pub async fn wait(&self, runtime: &Runtime, n: &Need, until: u64) -> bool {
         let rank = self.policies.has(Mechanism::WaitingOrder).then_some(n.rank);
         let rx = self.service(&n.service).lock().unwrap().queue.join(rank);
-        w.timeout(until.saturating_sub(w.now()), rx.recv()).await.is_some()
+        runtime.timeout(until.saturating_sub(runtime.now()), rx.recv()).await.is_some()
     }
 
     /// What we have under way and whom we leave alone, by server.
--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -175,17 +175,17 @@
 }
 
 /// A turn begins here under this epoch: what was known of the session is void if other turns began elsewhere since.
-pub fn begins(f: &Front, key: &str, epoch: u64) {
-    if f.spares.get(key).is_some_and(|s| s.epoch + 1 < epoch) {
-        f.spares.forget(key);
-        f.replicas.lock().unwrap().remove(key);
+pub fn begins(front: &Front, key: &str, epoch: u64) {
+    if front.spares.get(key).is_some_and(|s| s.epoch + 1 < epoch) {
+        front.spares.forget(key);
+        front.replicas.lock().unwrap().remove(key);
     }
 }
 
 /// Has a replica brought into its server's cache ahead of need, one at a time at each server. Nobody waits for it.
-pub fn ahead(f: &Arc<Front>, x: Due, first: bool) {
+pub fn ahead(front: &Arc<Front>, x: Due, first: bool) {
     let to = x.replica.server.clone();
-    let mut g = f.spares.due.lock().unwrap();
+    let mut g = front.spares.due.lock().unwrap();
     let idle = !g.contains_key(&to);
     let line = g.entry(to.clone()).or_default();
     if line.iter().any(|d| d.key == x.key) {
@@ -197,8 +197,8 @@
         line.push_back(x)
     }
     if idle {
-        let me = f.clone();
-        f.runtime.spawn(async move {
+        let me = front.clone();
+        front.runtime.spawn(async move {
             let next = || {
                 let mut g = me.spares.due.lock().unwrap();
                 let x = g.get_mut(&to).and_then(|l| l.pop_front());
@@ -215,71 +215,71 @@
 }
 
 /// Whatever goes wrong, the session's next turn there is served cold.
-async fn bring(f: &Arc<Front>, x: Due) {
+async fn bring(front: &Arc<Front>, x: Due) {
     let Due { key, service, replica, tell } = x;
-    let newer = f.replicas.lock().unwrap().get(&key).is_some_and(|p| p.digest != replica.digest);
-    let servers = server_table::fit(f, &service);
+    let newer = front.replicas.lock().unwrap().get(&key).is_some_and(|p| p.digest != replica.digest);
+    let servers = server_table::fit(front, &service);
     let Some(s) = servers.iter().find(|s| s.at.server == replica.server && s.report.instance == replica.instance).filter(|_| !newer) else {
         return;
     };
-    let kv = known(f, &key, &SessionCacheState { replica: Some(replica.clone()), ..Default::default() });
+    let kv = known(front, &key, &SessionCacheState { replica: Some(replica.clone()), ..Default::default() });
     if let Some(p) = kv.replica.filter(|p| p.placed_tokens > 0 && s.holds(p)) {
-        f.counts.imports_skipped.fetch_add(1, SeqCst);
-        return stands(f, &key, p, tell).await;
+        front.counts.imports_skipped.fetch_add(1, SeqCst);
+        return stands(front, &key, p, tell).await;
     }
     if s.report.weights != replica.weights || !judge::pays(s, &replica) {
         return;
     }
     let body = serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
-    f.counts.imports.fetch_add(1, SeqCst);
-    let t0 = f.runtime.now();
-    let got = back::ask_once(&f.runtime, &f.pool, &service, &replica.server, s.at.addr, "/kv/import", body, KV_IMPORT_WAIT).await;
-    f.counts.import_us.fetch_add(f.runtime.now() - t0, SeqCst);
+    front.counts.imports.fetch_add(1, SeqCst);
+    let t0 = front.runtime.now();
+    let got = back::ask_once(&front.runtime, &front.pool, &service, &replica.server, s.at.addr, "/kv/import", body, KV_IMPORT_WAIT).await;
+    front.counts.import_us.fetch_add(front.runtime.now() - t0, SeqCst);
     let Some(i) = got.and_then(|b| serde_json::from_slice::<Imported>(&b).ok()).filter(|i| i.ok) else {
-        f.counts.imports_failed.fetch_add(1, SeqCst);
+        front.counts.imports_failed.fetch_add(1, SeqCst);
         return;
     };
     // The count from before the import errs to the safe side.
     let p = CachedPrefix { placed_tokens: if i.placed > 0 { i.placed } else { s.report.placed_tokens.max(1) }, ..replica };
-    f.spares.imported(&key, &p);
-    stands(f, &key, p, tell).await;
+    front.spares.imported(&key, &p);
+    stands(front, &key, p, tell).await;
 }
 
 /// The replica is in its server's cache: kept in mind and, where others have to know, told to the record.
-async fn stands(f: &Arc<Front>, key: &str, p: CachedPrefix, tell: bool) {
-    if f.replicas.lock().unwrap().get(key).is_some_and(|o| o.digest != p.digest) {
+async fn stands(front: &Arc<Front>, key: &str, p: CachedPrefix, tell: bool) {
+    if front.replicas.lock().unwrap().get(key).is_some_and(|o| o.digest != p.digest) {
         return;
     }
-    remember(f, key, &p);
-    if let Some(s) = f.spares.get(key).filter(|s| tell && s.kv.replica.as_ref() != Some(&p)) {
-        note(f, key, s.epoch, SessionCacheState { replica: Some(p), ..s.kv }).await;
+    remember(front, key, &p);
+    if let Some(s) = front.spares.get(key).filter(|s| tell && s.kv.replica.as_ref() != Some(&p)) {
+        note(front, key, s.epoch, SessionCacheState { replica: Some(p), ..s.kv }).await;
     }
 }
 
 /// Writes transfer state into the record. Refused once a later turn has begun; then that turn's front holds it.
-async fn note(f: &Arc<Front>, key: &str, epoch: u64, kv: SessionCacheState) {
-    let told = f.store(key, &PeerRequest::RecordCacheState { key: key.into(), epoch, cache: kv }, &[], 2).await;
+async fn note(front: &Arc<Front>, key: &str, epoch: u64, kv: SessionCacheState) {
+    let told = front.store(key, &PeerRequest::RecordCacheState { key: key.into(), epoch, cache: kv }, &[], 2).await;
     if !matches!(told, Some((PeerResponse::Ok, _))) {
-        f.counts.note_refused.fetch_add(1, SeqCst);
+        front.counts.note_refused.fetch_add(1, SeqCst);
     }
 }
 
 /// Sessions whose home has begun to leave or has fallen silent since the last look: their replicas are brought in.
-pub fn watch(f: &Arc<Front>) {
-    let conf = f.documents.config.load_full();
-    let servers: Vec<server_table::Server> = conf.1.services.keys().flat_map(|s| server_table::fit(f, s)).collect();
-    f.spares.flows(f.runtime.now(), &servers);
+pub fn watch(front: &Arc<Front>) {
+    let conf = front.documents.config.load_full();
+    let servers: Vec<server_table::Server> = conf.1.services.keys().flat_map(|s| server_table::fit(front, s)).collect();
+    front.spares.flows(front.runtime.now(), &servers);
     let fit: BTreeSet<String> = servers.into_iter().map(|s| s.at.server).collect();
-    let was = std::mem::replace(&mut *f.spares.fit.lock().unwrap(), fit.clone());
+    let was = std::mem::replace(&mut *front.spares.fit.lock().unwrap(), fit.clone());
     let gone: BTreeSet<String> = was.difference(&fit).cloned().collect();
     if gone.is_empty() {
         return;
     }
-    f.spares.homed(&gone).into_iter().for_each(|(key, s)| {
-        let replica = f.replicas.lock().unwrap().get(&key).cloned().or(s.kv.replica);
+    front.spares.homed(&gone).into_iter().for_each(|(key, s)| {
+        let replica = front.replicas.lock().unwrap().get(&key).cloned().or(s.kv.replica);
         let fam = conf.1.families.get(&s.kv.program).filter(|p| p.eff.kv_share);
         replica.zip(fam).into_iter().for_each(|(replica, p)| {
-            ahead(f, Due { key: key.clone(), service: p.eff.service.clone(), replica, tell: true }, false);
+            ahead(front, Due { key: key.clone(), service: p.eff.service.clone(), replica, tell: true }, false);
         });
     });
 }
@@ -422,11 +422,11 @@
     })
 }
 
-pub async fn drop_at(f: &Arc<Front>, svc: &str, key: &str, server: &str) {
-    let list = f.documents.list.load_full();
+pub async fn drop_at(front: &Arc<Front>, svc: &str, key: &str, server: &str) {
+    let list = front.documents.list.load_full();
     if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
         let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
-        f.counts.drops.fetch_add(1, SeqCst);
-        back::ask_once(&f.runtime, &f.pool, svc, server, l.addr, "/kv/drop", b, BACK_WAIT).await;
+        front.counts.drops.fetch_add(1, SeqCst);
+        back::ask_once(&front.runtime, &front.pool, svc, server, l.addr, "/kv/drop", b, BACK_WAIT).await;
     }
 }
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -144,14 +144,14 @@
 }
 
 impl Links {
-    pub async fn take(&self, w: &Runtime, from: &str, to: &str) -> Option<LinkPass<'_>> {
-        let end = w.now() + KV_PUSH_WAIT;
+    pub async fn take(&self, runtime: &Runtime, from: &str, to: &str) -> Option<LinkPass<'_>> {
+        let end = runtime.now() + KV_PUSH_WAIT;
         loop {
             let at = self.free_at.lock().unwrap().get(from).cloned().unwrap_or(0);
             if at > end {
                 return None;
             }
-            if at <= w.now() {
+            if at <= runtime.now() {
                 let mut g = self.to.lock().unwrap();
                 let n = g.entry(to.into()).or_default();
                 if *n < KV_PUSH_LINES {
@@ -159,10 +159,10 @@
                     return Some(LinkPass(self, to.into()));
                 }
             }
-            if w.now() > end {
+            if runtime.now() > end {
                 return None;
             }
-            w.sleep((at.saturating_sub(w.now())).max(50 * MS)).await;
+            runtime.sleep((at.saturating_sub(runtime.now())).max(50 * MS)).await;
         }
     }
 
@@ -198,8 +198,8 @@
 
 impl Front {
     /// A front with the product's own doors.
-    pub async fn start(w: &Runtime, st: ProcessSettings) -> Result<Arc<Front>, BindFault> {
-        let f = Front::open(w, st);
+    pub async fn start(w: &Runtime, settings: ProcessSettings) -> Result<Arc<Front>, BindFault> {
+        let f = Front::open(w, settings);
         let http = f.listen().await?;
         let me = f.clone();
         let h: yewcross_common::buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
@@ -210,8 +210,8 @@
     }
 
     /// A front that serves routed requests through another platform's ports.
-    pub async fn start_with(w: &Runtime, st: ProcessSettings, o: FrontOptions) -> Result<Arc<Front>, BindFault> {
-        let f = Front::open(w, st);
+    pub async fn start_with(w: &Runtime, settings: ProcessSettings, o: FrontOptions) -> Result<Arc<Front>, BindFault> {
+        let f = Front::open(w, settings);
         f.serve_routes(o).await?;
         Ok(f)
     }
@@ -274,32 +274,32 @@
     }
 
     /// A front that nobody can reach yet.
-    pub fn open(w: &Runtime, st: ProcessSettings) -> Arc<Front> {
-        Front::open_by(w, st, None)
+    pub fn open(runtime: &Runtime, settings: ProcessSettings) -> Arc<Front> {
+        Front::open_by(runtime, settings, None)
     }
 
     /// The same, where configurations are written in another dialect and fronts serve without leases, by what they hold.
-    pub fn open_unleased(w: &Runtime, st: ProcessSettings, dialect: Arc<dyn ConfigurationFormat>) -> Arc<Front> {
-        Front::open_by(w, st, Some(dialect))
+    pub fn open_unleased(runtime: &Runtime, settings: ProcessSettings, dialect: Arc<dyn ConfigurationFormat>) -> Arc<Front> {
+        Front::open_by(runtime, settings, Some(dialect))
     }
 
-    fn open_by(w: &Runtime, st: ProcessSettings, dialect: Option<Arc<dyn ConfigurationFormat>>) -> Arc<Front> {
-        let peers = PeerClient::new(w, &st.name, &st.site, st.wire);
-        let members = Membership::new(w, &st, &peers, "");
+    fn open_by(runtime: &Runtime, settings: ProcessSettings, dialect: Option<Arc<dyn ConfigurationFormat>>) -> Arc<Front> {
+        let peers = PeerClient::new(runtime, &settings.name, &settings.site, settings.wire);
+        let members = Membership::new(runtime, &settings, &peers, "");
         let (book, follow) = match dialect {
             None => {
-                let book = DocumentCache::new(w);
-                let follow = DocumentWatcher::new(&members, &book, &st.name, true);
+                let book = DocumentCache::new(runtime);
+                let follow = DocumentWatcher::new(&members, &book, &settings.name, true);
                 (book, follow)
             }
             Some(d) => {
-                let book = DocumentCache::of(w, d);
-                let follow = DocumentWatcher::without_leases(&members, &book, &st.name, true, st.bounds.apply * MS);
+                let book = DocumentCache::of(runtime, d);
+                let follow = DocumentWatcher::without_leases(&members, &book, &settings.name, true, settings.bounds.apply * MS);
                 (book, follow)
             }
         };
         Arc::new(Front {
-            runtime: w.clone(),
+            runtime: runtime.clone(),
             peers,
             members,
             documents: book,
@@ -321,7 +321,7 @@
             load_exchange: Default::default(),
             web: Default::default(),
             leaving: Default::default(),
-            settings: st,
+            settings: settings,
         })
     }
 
@@ -468,11 +468,11 @@
 }
 
 /// Every outcome tells under which configuration it was made, and of which shot it speaks.
-async fn answer(f: Arc<Front>, j: BufferedRequest) -> Response {
-    let v = f.documents.config.load().0;
-    let nonce = f.runtime.random();
+async fn answer(front: Arc<Front>, j: BufferedRequest) -> Response {
+    let v = front.documents.config.load().0;
+    let nonce = front.runtime.random();
     let shot = matches!(j.path.as_str(), "/v1/turn" | "/v1/lookup").then(|| format!("{nonce:x}"));
-    let mut r = route(f, j, nonce).await;
+    let mut r = route(front, j, nonce).await;
     r.insert_header("yewcross-config", v.to_string());
     shot.into_iter().for_each(|s| {
         r.insert_header("yewcross-shot", s);
@@ -480,24 +480,24 @@
     r
 }
 
-async fn route(f: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
+async fn route(front: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
     match (j.verb, j.path.as_str()) {
-        (Method::Post, "/v1/turn") => turn::answer(f, j, nonce).await,
-        (Method::Post, "/v1/session/end") => turn::end(f, j).await,
-        (Method::Post, "/v1/lookup") => lookup::answer(f, j, nonce).await,
-        (Method::Get, "/v1/servers") => reply(200, &server_table::table(&f)),
+        (Method::Post, "/v1/turn") => turn::answer(front, j, nonce).await,
+        (Method::Post, "/v1/session/end") => turn::end(front, j).await,
+        (Method::Post, "/v1/lookup") => lookup::answer(front, j, nonce).await,
+        (Method::Get, "/v1/servers") => reply(200, &server_table::table(&front)),
         (Method::Get, "/health") => {
-            let ok = f.watcher.may_serve();
-            let v: BTreeMap<String, u64> = f.documents.versions().into_iter().collect();
+            let ok = front.watcher.may_serve();
+            let v: BTreeMap<String, u64> = front.documents.versions().into_iter().collect();
             reply(if ok { 200 } else { 503 }, &json!({"serving": ok, "versions": v}))
         }
         (Method::Get, "/metrics") => {
-            let t = &f.peers.metrics;
+            let t = &front.peers.metrics;
             reply(
                 200,
-                &json!({"counts": f.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": f.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst),
-                    "bytes_across": t.bytes_across.load(SeqCst), "lines": f.admission.depth(), "open": f.connections.open.load(SeqCst),
-                    "busy": f.connections.busy.load(SeqCst)}),
+                &json!({"counts": front.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": front.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst),
+                    "bytes_across": t.bytes_across.load(SeqCst), "lines": front.admission.depth(), "open": front.connections.open.load(SeqCst),
+                    "busy": front.connections.busy.load(SeqCst)}),
             )
         }
         (_, "/v1/turn" | "/v1/lookup" | "/v1/session/end" | "/v1/servers" | "/health" | "/metrics") => refuse(Code::WrongVerb, "", 0),
--- a/yewcross-proxy/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -103,13 +103,13 @@
 }
 
 impl LoadExchange {
-    pub fn new(members: &Arc<Membership>, book: &Arc<DocumentCache>, name: &str, site: &str) -> Arc<LoadExchange> {
+    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, site: &str) -> Arc<LoadExchange> {
         Arc::new(LoadExchange {
             runtime: members.runtime.clone(),
             name: name.into(),
             site: site.into(),
             members: members.clone(),
-            documents: book.clone(),
+            documents: documents.clone(),
             collected: Default::default(),
         })
     }
--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -210,7 +210,7 @@
 }
 
 #[allow(clippy::too_many_arguments)]
-async fn close(f: &Arc<Front>, key: &str, job: &str, nonce: u64, epoch: u64, code: Code, until: u64, v: &Value) -> Option<Code> {
+async fn close(front: &Arc<Front>, key: &str, job: &str, nonce: u64, epoch: u64, code: Code, until: u64, v: &Value) -> Option<Code> {
     let kept = if code == Code::Done { serde_json::to_vec(v).unwrap_or_default() } else { vec![] };
     let a = PeerRequest::CommitTurn(CommitTurn {
         key: key.into(),
@@ -224,11 +224,11 @@
         history_bytes: 0,
     });
     loop {
-        match f.store(key, &a, &kept, 1).await {
+        match front.store(key, &a, &kept, 1).await {
             Some((PeerResponse::Committed, _)) => return None,
             Some((PeerResponse::Rejected(Code::MayHaveRun), _)) => return Some(Code::MayHaveRun),
-            _ if f.runtime.now() > until => return Some(Code::Undecided),
-            _ => f.runtime.sleep(30 * MS).await,
+            _ if front.runtime.now() > until => return Some(Code::Undecided),
+            _ => front.runtime.sleep(30 * MS).await,
         }
     }
 }
--- a/yewcross-proxy/src/news.rs
+++ b/yewcross-proxy/src/news.rs
@@ -97,14 +97,14 @@
 }
 
 /// Takes news in; a home node passes on to its own site what came from another.
-pub fn hear(f: &Arc<Front>, svc: &str, reports: Vec<LoadReport>, same: Vec<String>, relay: bool) {
-    let t = f.runtime.now();
+pub fn hear(front: &Arc<Front>, svc: &str, reports: Vec<LoadReport>, same: Vec<String>, relay: bool) {
+    let t = front.runtime.now();
     let mut left = false;
     {
-        let mut g = f.heard.lock().unwrap();
+        let mut g = front.heard.lock().unwrap();
         same.iter().for_each(|n| {
             g.get_mut(n).into_iter().for_each(|h| h.at = t);
-            f.sent.lock().unwrap().remove(n);
+            front.sent.lock().unwrap().remove(n);
         });
         reports.iter().filter(|r| r.sane()).for_each(|r| {
             let newer = g
@@ -113,27 +113,32 @@
             if newer {
                 let was = g.get(&r.server).map(|h| h.report.leaving);
                 if r.leaving && was != Some(true) {
-                    f.runtime.log(&format!("server {} is leaving", r.server));
+                    front.runtime.log(&format!("server {} is leaving", r.server));
                     left = true;
                 }
                 g.insert(r.server.clone(), Heard { report: r.clone(), at: t.saturating_sub(r.age_us) });
-                f.sent.lock().unwrap().remove(&r.server);
+                front.sent.lock().unwrap().remove(&r.server);
             }
         });
     }
-    f.admission.wake(svc);
+    front.admission.wake(svc);
     if left {
-        crate::kv::watch(f);
+        crate::kv::watch(front);
     }
     if relay {
-        f.members.nodes_of_role(Role::Front).into_iter().filter(|n| n.site == f.settings.site && n.name != f.settings.name).for_each(|n| {
-            let (p, a) = (
-                f.peers.clone(),
-                PeerRequest::LoadReports { service: svc.to_string(), reports: reports.clone(), same: same.clone(), relay: false },
-            );
-            f.runtime.spawn(async move {
-                let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
+        front
+            .members
+            .nodes_of_role(Role::Front)
+            .into_iter()
+            .filter(|n| n.site == front.settings.site && n.name != front.settings.name)
+            .for_each(|n| {
+                let (p, a) = (
+                    front.peers.clone(),
+                    PeerRequest::LoadReports { service: svc.to_string(), reports: reports.clone(), same: same.clone(), relay: false },
+                );
+                front.runtime.spawn(async move {
+                    let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
+                });
             });
-        });
     }
 }
--- a/yewcross-proxy/src/pool.rs
+++ b/yewcross-proxy/src/pool.rs
@@ -93,14 +93,14 @@
 
 impl Link {
     /// Sends a request whose first byte leaves by `latest` (us of the world's clock) or not at all.
-    pub async fn ask(&mut self, w: &Runtime, q: Request<Full<Bytes>>, latest: u64) -> Result<Response<Incoming>, Failed> {
+    pub async fn ask(&mut self, runtime: &Runtime, q: Request<Full<Bytes>>, latest: u64) -> Result<Response<Incoming>, Failed> {
         self.departure.begin(latest);
         let failed = match self.send.try_send_request(q).await {
             Ok(r) => return Ok(r),
             Err(e) => e,
         };
         let unsent = failed.message().is_some() || self.departure.nothing_left();
-        match (unsent, w.now() > latest) {
+        match (unsent, runtime.now() > latest) {
             (true, true) => Err(Failed::Withdrawn),
             (true, false) => Err(Failed::Unsent),
             (false, _) => Err(Failed::Lost),
@@ -129,16 +129,16 @@
         self.idle.lock().unwrap().get(server).is_some_and(|v| !v.is_empty())
     }
 
-    pub async fn dial(&self, w: &Runtime, to: &ListedServer, us: u64) -> io::Result<Link> {
+    pub async fn dial(&self, runtime: &Runtime, to: &ListedServer, us: u64) -> io::Result<Link> {
         self.dials.fetch_add(1, SeqCst);
-        let c = w.connect_within(to.addr, us).await?;
+        let c = runtime.connect_within(to.addr, us).await?;
         let departure = Arc::new(Departure::default());
-        let io = FuturesIo::new(Counted { conn: c, world: w.clone(), departure: departure.clone() });
+        let io = FuturesIo::new(Counted { conn: c, world: runtime.clone(), departure: departure.clone() });
         let (send, conn) = Builder::new().max_buf_size(LINK_BUF).handshake(io).await.map_err(io::Error::other)?;
-        w.spawn(async move {
+        runtime.spawn(async move {
             let _ = conn.await;
         });
-        Ok(Link { send, departure, used_at: w.now(), until: u64::MAX, fresh: true })
+        Ok(Link { send, departure, used_at: runtime.now(), until: u64::MAX, fresh: true })
     }
 
     /// Keeps a connection whose answer was read whole; `idle_ms` is the time that the server names.
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -49,14 +49,15 @@
 }
 
 /// Servers that may take a job of the service now: allowed, listed, heard of, not leaving.
-pub fn fit(f: &Front, svc: &str) -> Vec<Server> {
-    let conf = f.documents.config.load();
+pub fn fit(front: &Front, svc: &str) -> Vec<Server> {
+    let conf = front.documents.config.load();
     let Some(s) = conf.1.services.get(svc) else { return vec![] };
-    let t = f.runtime.now();
-    let heard = f.heard.lock().unwrap();
-    let sent = f.sent.lock().unwrap();
-    let slow = f.slow.lock().unwrap();
-    f.documents
+    let t = front.runtime.now();
+    let heard = front.heard.lock().unwrap();
+    let sent = front.sent.lock().unwrap();
+    let slow = front.slow.lock().unwrap();
+    front
+        .documents
         .list
         .load()
         .1
@@ -78,12 +79,12 @@
         .collect()
 }
 
-pub fn table(f: &Front) -> BTreeMap<String, Vec<Server>> {
-    f.documents.config.load().1.services.keys().map(|s| (s.clone(), fit(f, s))).collect()
+pub fn table(front: &Front) -> BTreeMap<String, Vec<Server>> {
+    front.documents.config.load().1.services.keys().map(|s| (s.clone(), fit(front, s))).collect()
 }
 
 /// Slots of the servers that may take a request of the service now.
-pub fn slots(f: &Front, service: &str) -> Slots {
-    let servers = fit(f, service);
+pub fn slots(front: &Front, service: &str) -> Slots {
+    let servers = fit(front, service);
     Slots { free: servers.iter().map(|s| s.free()).sum(), all: servers.iter().map(|s| s.report.slots).sum() }
 }
--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -29,8 +29,8 @@
     End(Box<Kept>, u64, bool),
 }
 
-pub async fn answer(f: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
-    let t0 = f.runtime.now();
+pub async fn answer(front: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
+    let t0 = front.runtime.now();
     let b: TurnBody = match serde_json::from_slice(&j.body) {
         Ok(b) => b,
         Err(e) => return refuse(Code::BadBody, &e.to_string(), 0),
@@ -38,15 +38,15 @@
     if let Err((c, w)) = check(&b) {
         return refuse(c, &w, 0);
     }
-    let cap = f.documents.config.load().1.families.get(&b.program).map_or(HORIZON_MAX, |p| p.eff.horizon_ms);
+    let cap = front.documents.config.load().1.families.get(&b.program).map_or(HORIZON_MAX, |p| p.eff.horizon_ms);
     let end = t0 + b.horizon_ms.min(cap) * MS + HORIZON_LATE;
     // What is said at the last moment still has to be sent.
     let cut = end + HORIZON_LATE / 2;
     // As long as a turn's output may be: a caller that reads slowly holds no server up.
     let (tx, rx) = async_channel::unbounded();
-    let (me, streamed) = (f.clone(), b.stream);
-    f.runtime.spawn(async move { drive(me, b, t0, nonce, tx).await });
-    let w = f.runtime.clone();
+    let (me, streamed) = (front.clone(), b.stream);
+    front.runtime.spawn(async move { drive(me, b, t0, nonce, tx).await });
+    let w = front.runtime.clone();
     let next = async move || {
         let left = end.saturating_sub(w.now());
         let late = Event::No(Code::StillRunning, "its horizon has passed".into(), BACK_SOON);
@@ -72,7 +72,7 @@
         x => x,
     };
     let (otx, orx) = async_channel::bounded::<Vec<u8>>(64);
-    f.runtime.spawn(async move {
+    front.runtime.spawn(async move {
         loop {
             let (v, last) = match x {
                 Event::Piece(n, t) => (vec![json!({"n": n, "text": t})], false),
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -122,8 +122,8 @@
     pub(super) stamp: Stamp,
 }
 
-pub(super) async fn cancel(f: &Arc<Front>, at: &ListedServer, svc: &str, job: &str) -> Option<Stopped> {
+pub(super) async fn cancel(front: &Arc<Front>, at: &ListedServer, svc: &str, job: &str) -> Option<Stopped> {
     let b = serde_json::to_vec(&json!({"job": job})).unwrap_or_default();
-    let v = crate::back::ask_once(&f.runtime, &f.pool, svc, &at.server, at.addr, "/cancel", b, BACK_WAIT).await?;
+    let v = crate::back::ask_once(&front.runtime, &front.pool, svc, &at.server, at.addr, "/cancel", b, BACK_WAIT).await?;
     serde_json::from_slice(&v).ok()
 }
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -19,7 +19,7 @@
 }
 
 /// The session is over: its history is forgotten and its replica dropped.
-pub async fn end(f: Arc<Front>, j: BufferedRequest) -> Response {
+pub async fn end(front: Arc<Front>, j: BufferedRequest) -> Response {
     let b: EndBody = match serde_json::from_slice(&j.body) {
         Ok(b) => b,
         Err(e) => return refuse(Code::BadBody, &e.to_string(), 0),
@@ -27,15 +27,17 @@
     if !name_ok(&b.program) || !name_ok(&b.session) {
         return refuse(Code::BadField, "program or session", 0);
     }
-    let Some(p) = f.documents.config.load().1.families.get(&b.program).cloned() else { return refuse(Code::UnknownProgram, &b.program, 0) };
+    let Some(p) = front.documents.config.load().1.families.get(&b.program).cloned() else {
+        return refuse(Code::UnknownProgram, &b.program, 0);
+    };
     let key = format!("session/{}/{}", b.program, b.session);
-    match f.store(&key, &PeerRequest::EndSession { key: key.clone() }, &[], 3).await {
+    match front.store(&key, &PeerRequest::EndSession { key: key.clone() }, &[], 3).await {
         Some((PeerResponse::SessionEnded { cache: kv }, _)) => {
-            let pushed = f.replicas.lock().unwrap().remove(&key);
-            f.spares.forget(&key);
-            f.hand.lock().unwrap().remove(&key);
+            let pushed = front.replicas.lock().unwrap().remove(&key);
+            front.spares.forget(&key);
+            front.hand.lock().unwrap().remove(&key);
             for at in kv.replica.into_iter().chain(pushed).chain(kv.home) {
-                kv::drop_at(&f, &p.eff.service, &key, &at.server).await;
+                kv::drop_at(&front, &p.eff.service, &key, &at.server).await;
             }
             reply(200, &json!({"code": Code::Done.number(), "ended": true}))
         }
--- a/yewcross-state/src/records/mod.rs
+++ b/yewcross-state/src/records/mod.rs
@@ -27,8 +27,8 @@
         self.members.clock().0
     }
 
-    pub async fn handle(self: &Arc<Self>, a: PeerRequest, blob: Vec<u8>) -> (PeerResponse, Vec<u8>) {
-        match a {
+    pub async fn handle(self: &Arc<Self>, request: PeerRequest, blob: Vec<u8>) -> (PeerResponse, Vec<u8>) {
+        match request {
             PeerRequest::BeginTurn(b) => return self.begin(b).await,
             PeerRequest::CommitTurn(c) => (self.commit(c, blob).await, vec![]),
             PeerRequest::AbortTurn { key, request_id: job, nonce, budget } => (self.abort(&key, &job, nonce, budget).await, vec![]),
--- a/yewcross-state/src/turn_store.rs
+++ b/yewcross-state/src/turn_store.rs
@@ -80,9 +80,9 @@
 
 impl Shelf {
     /// All that the disk's log holds.
-    pub async fn read(w: &Runtime) -> io::Result<(Shelf, segment_log::Found)> {
+    pub async fn read(runtime: &Runtime) -> io::Result<(Shelf, segment_log::Found)> {
         let mut shelf = Shelf::default();
-        let found = segment_log::read(w, |item, segment| shelf.apply(item, segment)).await?;
+        let found = segment_log::read(runtime, |item, segment| shelf.apply(item, segment)).await?;
         let ends: Vec<(String, u64)> = shelf.turns.values().map(|k| (k.row.turn.prev.clone(), k.until)).collect();
         ends.iter().for_each(|(p, u)| shelf.lengthen(p, *u));
         Ok((shelf, found))
@@ -226,26 +226,26 @@
 impl Engine {
     /// Reads what the disk holds, and runs the upkeep. Errors are those of the disk.
     pub async fn start(
-        w: &Runtime,
-        st: &ProcessSettings,
+        runtime: &Runtime,
+        settings: &ProcessSettings,
         members: &Arc<Membership>,
-        book: &Arc<DocumentCache>,
-        vault: &Arc<DurableStorage>,
+        documents: &Arc<DocumentCache>,
+        storage: &Arc<DurableStorage>,
     ) -> io::Result<Arc<Engine>> {
-        let (shelf, f) = Shelf::read(w).await?;
-        f.hurt.iter().for_each(|s| w.log(&format!("damaged segment {s:x} of the log; asking the other disks")));
+        let (shelf, f) = Shelf::read(runtime).await?;
+        f.hurt.iter().for_each(|s| runtime.log(&format!("damaged segment {s:x} of the log; asking the other disks")));
         let seg = f.sizes.keys().last().map_or(1, |s| s + 1);
-        let max = if st.bounds.memory_mb == 0 { CHAIN_HELD } else { (st.bounds.memory_mb as usize) * (3 << 17) };
+        let max = if settings.bounds.memory_mb == 0 { CHAIN_HELD } else { (settings.bounds.memory_mb as usize) * (3 << 17) };
         let e = Arc::new(Engine {
-            w: w.clone(),
-            line: StoreClient::new(members, book, &st.name, st.bounds.lost),
-            vault: vault.clone(),
-            me: vault.disk_id.clone(),
+            w: runtime.clone(),
+            line: StoreClient::new(members, documents, &settings.name, settings.bounds.lost),
+            vault: storage.clone(),
+            me: storage.disk_id.clone(),
             st: Mutex::new(shelf),
             log: Mutex::new(Log::new(seg, f.sizes)),
             own: Default::default(),
             counts: Default::default(),
-            mark: epoch_owner_id(&vault.disk_id) | (w.random() & 0xffff),
+            mark: epoch_owner_id(&storage.disk_id) | (runtime.random() & 0xffff),
             busy: AtomicUsize::new(0),
             max,
             doubt: AtomicBool::new(!f.hurt.is_empty()),
@@ -258,8 +258,8 @@
             let marks = f.torn.iter().map(|(s, n)| Item::Torn(*s, *n)).collect();
             e.keep(marks);
         }
-        w.spawn(e.clone().upkeep());
-        w.spawn(e.clone().watch());
+        runtime.spawn(e.clone().upkeep());
+        runtime.spawn(e.clone().watch());
         Ok(e)
     }
 
--- a/yewcross-testkit/examples/relay_load.rs
+++ b/yewcross-testkit/examples/relay_load.rs
@@ -44,7 +44,7 @@
     }
 }
 
-async fn server(w: Runtime, mut c: Connection, events: usize) {
+async fn server(runtime: Runtime, mut c: Connection, events: usize) {
     let (mut buf, mut b) = (vec![], vec![0; 64 << 10]);
     loop {
         let end = loop {
@@ -70,13 +70,13 @@
             let top = format!("HTTP/1.1 200 OK\r\ntry: {id}\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n");
             let mut ok = c.write_all(top.as_bytes()).await.is_ok();
             for i in 0..events {
-                w.sleep(12 * MS).await;
+                runtime.sleep(12 * MS).await;
                 let e = format!("id: {i}\ndata: {}\n\n", "x".repeat(32));
                 ok &= c.write_all(format!("{:x}\r\n{e}\r\n", e.len()).as_bytes()).await.is_ok();
             }
             ok && c.write_all(b"0\r\n\r\n").await.is_ok()
         } else {
-            w.sleep(50 * MS).await;
+            runtime.sleep(50 * MS).await;
             let a = format!("HTTP/1.1 200 OK\r\ntry: {id}\r\ncontent-length: 800\r\n\r\n{}", "y".repeat(800));
             c.write_all(a.as_bytes()).await.is_ok()
         };
@@ -86,16 +86,16 @@
     }
 }
 
-async fn caller(w: Runtime, to: SocketAddr, post: bool, n: Arc<AtomicU64>) {
-    let c = w.connect(to).await.unwrap();
+async fn caller(runtime: Runtime, to: SocketAddr, post: bool, n: Arc<AtomicU64>) {
+    let c = runtime.connect(to).await.unwrap();
     let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c)).await.unwrap();
-    w.spawn(async move {
+    runtime.spawn(async move {
         let _ = conn.await;
     });
     let body = Bytes::from(vec![b'p'; if post { 5_000 } else { 0 }]);
     loop {
         let q = Request::builder().method(if post { "POST" } else { "GET" }).uri(if post { "/s/x" } else { "/l/x" });
-        let q = q.header("host", "h").header("try", format!("{:x}", w.random())).body(Full::new(body.clone())).unwrap();
+        let q = q.header("host", "h").header("try", format!("{:x}", runtime.random())).body(Full::new(body.clone())).unwrap();
         s.ready().await.unwrap();
         let r = s.send_request(q).await.unwrap();
         assert_eq!(r.status(), 200);
@@ -105,9 +105,9 @@
 }
 
 /// ns on a processor, of the thread that runs the world's tasks.
-async fn spent(w: &Runtime) -> u64 {
+async fn spent(runtime: &Runtime) -> u64 {
     let (tx, rx) = async_channel::bounded(1);
-    w.spawn(async move {
+    runtime.spawn(async move {
         let t = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
         let _ = tx.try_send(t.split(' ').next().and_then(|x| x.parse().ok()).unwrap_or(0));
     });
--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -70,9 +70,9 @@
     pub stream: bool,
 }
 
-fn blank(w: &Runtime, kind: &str, a: &Ask) -> Seen {
+fn blank(runtime: &Runtime, kind: &str, a: &Ask) -> Seen {
     Seen {
-        at: w.now(),
+        at: runtime.now(),
         took: 0,
         horizon: a.horizon_ms * MS,
         kind: kind.into(),
@@ -126,15 +126,15 @@
     }
 }
 
-pub async fn turn(w: &Runtime, to: SocketAddr, a: &Ask) -> Seen {
-    let mut s = Seen { front: Some(to), ..blank(w, "turn", a) };
+pub async fn turn(runtime: &Runtime, to: SocketAddr, a: &Ask) -> Seen {
+    let mut s = Seen { front: Some(to), ..blank(runtime, "turn", a) };
     let body = json!({"program": a.program, "session": a.session, "job": a.job, "budget": a.budget, "horizon_ms": a.horizon_ms,
         "messages": [{"role": "user", "text": a.text}], "max_output": a.max_output, "stream": a.stream});
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let limit = a.horizon_ms * MS + 4 * SEC;
-    let r = w
+    let r = runtime
         .timeout(limit, async {
-            let c = w.connect(to).await.ok()?;
+            let c = runtime.connect(to).await.ok()?;
             let mut r = buffered_http::exchange(&c, http_types::Method::Post, "/v1/turn", &[], body).await.ok()?;
             heads(&mut s, &r);
             if !a.stream || !r.status().is_success() {
@@ -151,7 +151,7 @@
             s.heard = Heard::Cut;
             let mut lines = yewcross_proxy::back::Lines::of(&mut r);
             let mut n = 0;
-            while let Some(l) = lines.next(w, limit).await {
+            while let Some(l) = lines.next(runtime, limit).await {
                 let v: Value = serde_json::from_slice(&l).unwrap_or(Value::Null);
                 if v["end"] == json!(true) {
                     ended(&mut s, &v, n);
@@ -169,16 +169,16 @@
         })
         .await;
     let _ = r;
-    s.took = w.now() - s.at;
+    s.took = runtime.now() - s.at;
     s
 }
 
-pub async fn lookup(w: &Runtime, to: SocketAddr, service: &str, method: &str, key: &str, job: &str, horizon_ms: u64) -> Seen {
+pub async fn lookup(runtime: &Runtime, to: SocketAddr, service: &str, method: &str, key: &str, job: &str, horizon_ms: u64) -> Seen {
     let a = Ask { program: format!("{service}/{method}"), session: key.into(), job: job.into(), horizon_ms, ..Default::default() };
-    let mut s = Seen { front: Some(to), ..blank(w, "lookup", &a) };
+    let mut s = Seen { front: Some(to), ..blank(runtime, "lookup", &a) };
     let body = json!({"service": service, "method": method, "key": key, "horizon_ms": horizon_ms, "job": job});
     let r = buffered_http::fetch(
-        w,
+        runtime,
         to,
         http_types::Method::Post,
         "/v1/lookup",
@@ -203,15 +203,15 @@
             refused(&mut s, &v);
         }
     }
-    s.took = w.now() - s.at;
+    s.took = runtime.now() - s.at;
     s
 }
 
 /// One session's life: turns in order, each checked against what this caller knows was kept.
-pub async fn session(w: Runtime, sh: Arc<Shape>, d: Arc<Diary>, id: usize, turns: usize) {
+pub async fn session(runtime: Runtime, sh: Arc<Shape>, d: Arc<Diary>, id: usize, turns: usize) {
     let fronts: Vec<SocketAddr> = sh.of(yewcross_common::process_settings::Role::Front).iter().map(|n| n.http).collect();
     let total: u32 = sh.mix.turns.iter().map(|t| t.2).sum();
-    let mut x = (w.random() % total as u64) as u32;
+    let mut x = (runtime.random() % total as u64) as u32;
     let kind = sh.mix.turns.iter().find(|t| {
         let hit = x < t.2;
         x = x.wrapping_sub(t.2);
@@ -221,30 +221,30 @@
     let name = format!("s{id}");
     let mut known: Vec<String> = vec![];
     let mut unsure = 0usize;
-    let mut at = w.random_index(fronts.len());
+    let mut at = runtime.random_index(fronts.len());
     for t in 0..turns {
         if d.stop.load(SeqCst) {
             return;
         }
-        if w.random().is_multiple_of(6) {
+        if runtime.random().is_multiple_of(6) {
             // Once only: the same id again and again, at any front, whatever was said.
-            let (s, _, _) = sh.mix.lookups[w.random_index(sh.mix.lookups.len())].clone();
+            let (s, _, _) = sh.mix.lookups[runtime.random_index(sh.mix.lookups.len())].clone();
             let job = format!("{name}-once-{t}");
-            for _ in 0..1 + w.random_index(3) {
-                let seen = lookup(&w, fronts[w.random_index(fronts.len())], &s, "confirm", &job, &job, 1500).await;
+            for _ in 0..1 + runtime.random_index(3) {
+                let seen = lookup(&runtime, fronts[runtime.random_index(fronts.len())], &s, "confirm", &job, &job, 1500).await;
                 d.seen.lock().unwrap().push(seen);
             }
         }
-        for _ in 0..w.random_index(3) {
-            let (s, m, _) = sh.mix.lookups[w.random_index(sh.mix.lookups.len())].clone();
-            let seen = lookup(&w, fronts[at], &s, &m, &format!("k{}", w.random() % 1000), "", 1500).await;
+        for _ in 0..runtime.random_index(3) {
+            let (s, m, _) = sh.mix.lookups[runtime.random_index(sh.mix.lookups.len())].clone();
+            let seen = lookup(&runtime, fronts[at], &s, &m, &format!("k{}", runtime.random() % 1000), "", 1500).await;
             d.seen.lock().unwrap().push(seen);
         }
-        if w.random().is_multiple_of(4) {
-            at = w.random_index(fronts.len());
+        if runtime.random().is_multiple_of(4) {
+            at = runtime.random_index(fronts.len());
         }
         let n = if t == 0 { first } else { later };
-        let text: String = (0..n / 8).map(|_| format!("{:07x} ", w.random() & 0xfffffff)).collect();
+        let text: String = (0..n / 8).map(|_| format!("{:07x} ", runtime.random() & 0xfffffff)).collect();
         let a = Ask {
             program: program.clone(),
             session: name.clone(),
@@ -253,22 +253,22 @@
             horizon_ms: 6000,
             text,
             max_output: max,
-            stream: !w.random().is_multiple_of(4),
+            stream: !runtime.random().is_multiple_of(4),
         };
         let mut tries = 0;
-        let twin = w.random().is_multiple_of(8);
+        let twin = runtime.random().is_multiple_of(8);
         let before = known.len();
         if twin {
             // An impatient caller: the same job at another front at the same time.
-            let (w2, d2, a2, to) = (w.clone(), d.clone(), a.clone(), fronts[w.random_index(fronts.len())]);
-            w.spawn(async move {
+            let (w2, d2, a2, to) = (runtime.clone(), d.clone(), a.clone(), fronts[runtime.random_index(fronts.len())]);
+            runtime.spawn(async move {
                 w2.sleep(w2.random() % (400 * MS)).await;
                 let s = turn(&w2, to, &a2).await;
                 d2.seen.lock().unwrap().push(s);
             });
         }
         loop {
-            let mut s = turn(&w, fronts[at], &a).await;
+            let mut s = turn(&runtime, fronts[at], &a).await;
             let again = match &s.heard {
                 Heard::Done => {
                     let listed = s.text.trim_start_matches('[').split(']').next().unwrap_or("").to_string();
@@ -282,7 +282,9 @@
                     known.push(mark(&line));
                     false
                 }
-                Heard::Code(c) => (3000..4000).contains(c) || *c == 5001 || *c == 4002 || (*c == 4001 && w.random().is_multiple_of(2)),
+                Heard::Code(c) => {
+                    (3000..4000).contains(c) || *c == 5001 || *c == 4002 || (*c == 4001 && runtime.random().is_multiple_of(2))
+                }
                 Heard::Cut | Heard::Nothing => true,
             };
             unsure += (s.heard != Heard::Done && s.ran != "not_run") as usize;
@@ -292,12 +294,12 @@
             if !again || tries >= 6 || d.stop.load(SeqCst) {
                 break;
             }
-            w.sleep(rest.max(1) * SEC / 2 + w.random() % (SEC / 2)).await;
-            at = w.random_index(fronts.len());
+            runtime.sleep(rest.max(1) * SEC / 2 + runtime.random() % (SEC / 2)).await;
+            at = runtime.random_index(fronts.len());
         }
         // The twin may have been done though this one gave up.
         unsure += (twin && known.len() == before) as usize;
-        w.sleep(w.random() % (2 * SEC)).await;
+        runtime.sleep(runtime.random() % (2 * SEC)).await;
     }
 }
 
--- a/yewcross-testkit/src/fleet.rs
+++ b/yewcross-testkit/src/fleet.rs
@@ -33,7 +33,7 @@
 }
 
 impl Fleet {
-    pub fn plan(w: &Runtime, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
+    pub fn plan(runtime: &Runtime, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
         let at = |base: u16| shape(name, &move |n: usize, k: u16| SocketAddr::from(([127, 0, 0, 1], base + 2 * n as u16 + k)));
         let free = |sh: &Shape| {
             let all = sh.nodes.iter().flat_map(|n| [n.peer, n.http]).chain(sh.backs.iter().map(|b| b.addr)).chain([sh.platform]);
@@ -61,7 +61,7 @@
             }
         }
         std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-        Ok(Fleet { w: w.clone(), sh: Arc::new(sh), dir: dir.into(), bin, kids: BTreeMap::new() })
+        Ok(Fleet { w: runtime.clone(), sh: Arc::new(sh), dir: dir.into(), bin, kids: BTreeMap::new() })
     }
 
     fn spawn(&mut self, name: &str, prog: &str, args: &[String]) -> Result<(), String> {
@@ -223,14 +223,14 @@
 }
 
 /// The newcomer's tour: a fleet comes up, serves, loses a server to a drain, to load, and to a kill.
-pub async fn up(w: Runtime, name: &str, dir: &Path, base: u16, seconds: u64, sessions: usize) -> Result<(), String> {
-    let mut f = Fleet::plan(&w, name, dir, base)?;
+pub async fn up(runtime: Runtime, name: &str, dir: &Path, base: u16, seconds: u64, sessions: usize) -> Result<(), String> {
+    let mut f = Fleet::plan(&runtime, name, dir, base)?;
     println!("{name}: {} processes in {}", f.sh.nodes.len() + f.sh.backs.len() + 1, dir.display());
     f.start_all()?;
     println!("founded: {}", f.found().await?);
     let d = Arc::new(Diary::default());
     let part = seconds.max(8) * SEC / 4;
-    (0..sessions).for_each(|i| w.spawn(caller::session(w.clone(), f.sh.clone(), d.clone(), i, 100_000)));
+    (0..sessions).for_each(|i| runtime.spawn(caller::session(runtime.clone(), f.sh.clone(), d.clone(), i, 100_000)));
     let mut c0 = f.counts().await;
     let model = |i: usize| f.sh.backs.iter().filter(|b| b.model).nth(i).map(|b| b.server.clone()).unwrap_or_default();
     let (drained, killed) = (model(0), model(1));
@@ -241,17 +241,19 @@
                 f.send(f.sh.platform, http_types::Method::Post, "/lab/leaving", &[], v.as_bytes()).await;
             }
             // Four times the sessions: homes are full, and some turns cannot wait for theirs.
-            "overload" => (0..4 * sessions).for_each(|i| w.spawn(caller::session(w.clone(), f.sh.clone(), d.clone(), 10_000 + i, 6))),
+            "overload" => {
+                (0..4 * sessions).for_each(|i| runtime.spawn(caller::session(runtime.clone(), f.sh.clone(), d.clone(), 10_000 + i, 6)))
+            }
             "kill" => f.kill(&killed),
             _ => {}
         }
-        w.sleep(part).await;
+        runtime.sleep(part).await;
         let c1 = f.counts().await;
         println!("{phase}: {}", gain(&c0, &c1));
         c0 = c1;
     }
     d.stop.store(true, SeqCst);
-    w.sleep(3 * SEC).await;
+    runtime.sleep(3 * SEC).await;
     println!("callers: {}", caller::sum(&d.seen.lock().unwrap()));
     Ok(())
 }
--- a/yewcross-testkit/src/platform.rs
+++ b/yewcross-testkit/src/platform.rs
@@ -19,10 +19,10 @@
 }
 
 impl Platform {
-    pub async fn start(w: &Runtime, at: SocketAddr, servers: Vec<ListedServer>) -> std::io::Result<Arc<Platform>> {
-        let door = w.bind(at).await?;
+    pub async fn start(runtime: &Runtime, at: SocketAddr, servers: Vec<ListedServer>) -> std::io::Result<Arc<Platform>> {
+        let door = runtime.bind(at).await?;
         let p = Arc::new(Platform {
-            w: w.clone(),
+            w: runtime.clone(),
             list: Mutex::new(ServerList { revision: 1, term: 0, servers }),
             last: Mutex::new(0),
             pause: 300 * MS,
@@ -30,7 +30,7 @@
         });
         let me = p.clone();
         let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.spawn(buffered_http::serve(w.clone(), door, h, Arc::new(ConnectionTracker::default())));
+        runtime.spawn(buffered_http::serve(runtime.clone(), door, h, Arc::new(ConnectionTracker::default())));
         Ok(p)
     }
 
--- a/yewcross-testkit/src/proof/lab.rs
+++ b/yewcross-testkit/src/proof/lab.rs
@@ -127,11 +127,11 @@
         }
     }
 
-    pub(crate) fn boot_back(self: &Arc<Self>, w: Runtime, b: Spec) {
+    pub(crate) fn boot_back(self: &Arc<Self>, runtime: Runtime, b: Spec) {
         let me = self.clone();
-        w.clone().spawn(async move {
+        runtime.clone().spawn(async move {
             let n = b.server.clone();
-            let p = Standin::start(&w, b, me.ledger.clone()).await.ok().map(Proc::Back);
+            let p = Standin::start(&runtime, b, me.ledger.clone()).await.ok().map(Proc::Back);
             p.map(|p| me.procs.lock().unwrap().insert(n, p));
         });
     }
--- a/yewcross-testkit/src/rogue.rs
+++ b/yewcross-testkit/src/rogue.rs
@@ -38,11 +38,11 @@
 }
 
 /// Takes the place of every front at the callers' side.
-pub async fn start(lab: Arc<Lab>, w: Runtime, at: std::net::SocketAddr, sin: Sin) {
-    let Ok(door) = w.bind(at).await else { return };
-    let r = Arc::new(Rogue { w: w.clone(), lab, sin, n: AtomicU64::new(0) });
+pub async fn start(lab: Arc<Lab>, runtime: Runtime, at: std::net::SocketAddr, sin: Sin) {
+    let Ok(door) = runtime.bind(at).await else { return };
+    let r = Arc::new(Rogue { w: runtime.clone(), lab, sin, n: AtomicU64::new(0) });
     let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(r.clone(), j)));
-    buffered_http::serve(w, door, h, Arc::new(ConnectionTracker::default())).await;
+    buffered_http::serve(runtime, door, h, Arc::new(ConnectionTracker::default())).await;
 }
 
 /// What a rogue needs around it to show its fault.
--- a/yewcross-testkit/src/routed/caller.rs
+++ b/yewcross-testkit/src/routed/caller.rs
@@ -110,8 +110,8 @@
 }
 
 impl Caller {
-    pub fn new(w: &Runtime, book: &Arc<Book>, fronts: &Fronts) -> Caller {
-        Caller { w: w.clone(), book: book.clone(), fronts: fronts.clone(), conn: None }
+    pub fn new(runtime: &Runtime, book: &Arc<Book>, fronts: &Fronts) -> Caller {
+        Caller { w: runtime.clone(), book: book.clone(), fronts: fronts.clone(), conn: None }
     }
 
     async fn open(&mut self) -> Option<(String, SendRequest<Full<Bytes>>)> {
--- a/yewcross-testkit/src/routed/server.rs
+++ b/yewcross-testkit/src/routed/server.rs
@@ -167,13 +167,13 @@
 }
 
 impl Server {
-    pub async fn start(w: &Runtime, spec: ServerSpec, g: Arc<Ground>, mood: Mood) -> io::Result<Arc<Server>> {
-        let door = w.bind(spec.addr).await?;
+    pub async fn start(runtime: &Runtime, spec: ServerSpec, g: Arc<Ground>, mood: Mood) -> io::Result<Arc<Server>> {
+        let door = runtime.bind(spec.addr).await?;
         let s = Arc::new(Server {
             spec,
             mood: Mutex::new(mood),
             leaving: AtomicBool::new(false),
-            w: w.clone(),
+            w: runtime.clone(),
             g,
             active: AtomicUsize::new(0),
             waiting: AtomicUsize::new(0),
@@ -181,7 +181,7 @@
             freed: Notifier::default(),
         });
         let me = s.clone();
-        w.spawn(async move {
+        runtime.spawn(async move {
             while let Ok(c) = door.accept().await {
                 me.g.conns.fetch_add(1, SeqCst);
                 if me.conns.fetch_add(1, SeqCst) >= me.spec.max_conns {
@@ -415,10 +415,10 @@
 }
 
 impl Roster {
-    pub async fn start(w: &Runtime, at: SocketAddr, lag: u64, page: usize, rate: u64) -> io::Result<Arc<Roster>> {
-        let door = w.bind(at).await?;
+    pub async fn start(runtime: &Runtime, at: SocketAddr, lag: u64, page: usize, rate: u64) -> io::Result<Arc<Roster>> {
+        let door = runtime.bind(at).await?;
         let r = Arc::new(Roster {
-            w: w.clone(),
+            w: runtime.clone(),
             lag,
             page,
             rate,
@@ -430,7 +430,7 @@
         });
         let me = r.clone();
         let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.spawn(buffered_http::serve(w.clone(), door, h, Arc::new(ConnectionTracker::default())));
+        runtime.spawn(buffered_http::serve(runtime.clone(), door, h, Arc::new(ConnectionTracker::default())));
         Ok(r)
     }
 
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -331,7 +331,7 @@
         self.more(&w, plain, programs, 100 * MS);
     }
 
-    fn more(self: &Arc<Self>, w: &Runtime, plain: usize, programs: usize, pause: u64) {
+    fn more(self: &Arc<Self>, runtime: &Runtime, plain: usize, programs: usize, pause: u64) {
         let me = self.clone();
         // What the platform's probes of readiness tell; all while none is in.
         let fronts: Fronts = Arc::new(move || {
@@ -342,9 +342,9 @@
             if v.is_empty() { fs.iter().map(|n| (n.name.clone(), n.http)).collect() } else { v }
         });
         let all = cfg::known();
-        let new = || Caller::new(w, &self.callers, &fronts);
-        (0..plain).for_each(|_| w.spawn(caller::plain(new(), all[..3].to_vec(), pause)));
-        (0..programs).for_each(|_| w.spawn(caller::programs(new(), all[3].clone(), all[..2].to_vec(), pause)));
+        let new = || Caller::new(runtime, &self.callers, &fronts);
+        (0..plain).for_each(|_| runtime.spawn(caller::plain(new(), all[..3].to_vec(), pause)));
+        (0..programs).for_each(|_| runtime.spawn(caller::programs(new(), all[3].clone(), all[..2].to_vec(), pause)));
     }
 
     fn trouble(&self, from: u64) {
--- a/yewcross-testkit/src/script.rs
+++ b/yewcross-testkit/src/script.rs
@@ -8,11 +8,11 @@
 use yewcross_common::runtime::*;
 
 /// Sends the bytes as they are and reads until the other side closes or falls silent.
-pub async fn raw(w: &Runtime, to: SocketAddr, parts: &[&[u8]], pause: u64) -> String {
-    let Ok(mut c) = w.connect(to).await else { return "refused\n".into() };
+pub async fn raw(runtime: &Runtime, to: SocketAddr, parts: &[&[u8]], pause: u64) -> String {
+    let Ok(mut c) = runtime.connect(to).await else { return "refused\n".into() };
     for (i, p) in parts.iter().enumerate() {
         if i > 0 {
-            w.sleep(pause).await;
+            runtime.sleep(pause).await;
         }
         if c.write_all(p).await.is_err() {
             break;
@@ -20,7 +20,7 @@
     }
     let mut v = vec![];
     let mut buf = [0u8; 4096];
-    while let Some(Ok(n)) = w.timeout(8 * SEC, c.read(&mut buf)).await {
+    while let Some(Ok(n)) = runtime.timeout(8 * SEC, c.read(&mut buf)).await {
         if n == 0 {
             break;
         }
--- a/yewcross-testkit/src/standin.rs
+++ b/yewcross-testkit/src/standin.rs
@@ -125,12 +125,18 @@
 }
 
 impl Standin {
-    pub async fn start(w: &Runtime, spec: Spec, ledger: Arc<Ledger>) -> std::io::Result<Arc<Standin>> {
-        let door = w.bind(spec.addr).await?;
-        let s = Arc::new(Standin { w: w.clone(), ledger, inst: w.wall_clock_ms() << 4 | (w.random() & 15), spec, s: Default::default() });
+    pub async fn start(runtime: &Runtime, spec: Spec, ledger: Arc<Ledger>) -> std::io::Result<Arc<Standin>> {
+        let door = runtime.bind(spec.addr).await?;
+        let s = Arc::new(Standin {
+            w: runtime.clone(),
+            ledger,
+            inst: runtime.wall_clock_ms() << 4 | (runtime.random() & 15),
+            spec,
+            s: Default::default(),
+        });
         let me = s.clone();
         let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.spawn(buffered_http::serve(w.clone(), door, h, Arc::new(ConnectionTracker::default())));
+        runtime.spawn(buffered_http::serve(runtime.clone(), door, h, Arc::new(ConnectionTracker::default())));
         Ok(s)
     }
 
--- a/yewcross-testkit/tests/links.rs
+++ b/yewcross-testkit/tests/links.rs
@@ -16,9 +16,9 @@
 /// What an ask came to: the name that the answer carries inside, or how it was lost.
 type Said = Result<String, SendError>;
 
-async fn ask(p: &Arc<PeerClient>, question: &str, us: u64) -> Said {
+async fn ask(peers: &Arc<PeerClient>, question: &str, us: u64) -> Said {
     let to: SocketAddr = ASKED.parse().unwrap();
-    let got = p.request(to, &PeerRequest::ExchangeMembership { nodes: vec![] }, question.as_bytes(), us).await;
+    let got = peers.request(to, &PeerRequest::ExchangeMembership { nodes: vec![] }, question.as_bytes(), us).await;
     got.map(|(_, blob)| String::from_utf8(blob).unwrap())
 }
 
@@ -27,10 +27,10 @@
 }
 
 /// Runs `f` on a machine to its end.
-fn play<T: Send + 'static>(sim: &Sim, w: &Runtime, f: impl Future<Output = T> + Send + 'static) -> T {
+fn play<T: Send + 'static>(sim: &Sim, runtime: &Runtime, f: impl Future<Output = T> + Send + 'static) -> T {
     let out: Arc<Mutex<Option<T>>> = Default::default();
     let o = out.clone();
-    w.spawn(async move {
+    runtime.spawn(async move {
         let x = f.await;
         *o.lock().unwrap() = Some(x);
     });
@@ -40,12 +40,12 @@
 
 /// A node that answers the `n`th question it reads, over all connections, with the frames of `script(n)`; where there are
 /// none, it closes the connection. Questions of these tests come one at a time, so one read holds one.
-async fn scripted(w: Runtime, script: impl Fn(usize) -> Vec<Vec<u8>> + Send + Sync + 'static) {
-    let door = w.bind(ASKED.parse().unwrap()).await.unwrap();
+async fn scripted(runtime: Runtime, script: impl Fn(usize) -> Vec<Vec<u8>> + Send + Sync + 'static) {
+    let door = runtime.bind(ASKED.parse().unwrap()).await.unwrap();
     let (script, asked) = (Arc::new(script), Arc::new(AtomicUsize::new(0)));
     while let Ok(mut c) = door.accept().await {
         let (script, asked) = (script.clone(), asked.clone());
-        w.spawn(async move {
+        runtime.spawn(async move {
             let mut buf = [0; 4096];
             while let Ok(n) = c.read(&mut buf).await {
                 let frames = if n > 0 { script(asked.fetch_add(1, SeqCst) + 1) } else { vec![] };
@@ -114,10 +114,10 @@
     }
 }
 
-async fn listen(w: Runtime, name: &'static str) {
-    let door = w.bind(ASKED.parse().unwrap()).await.unwrap();
-    let slow = Arc::new(Slow { w: w.clone(), name, asked: AtomicUsize::new(0) });
-    PeerClient::new(&w, name, "z", WIRE_OLDEST).serve(door, slow).await;
+async fn listen(runtime: Runtime, name: &'static str) {
+    let door = runtime.bind(ASKED.parse().unwrap()).await.unwrap();
+    let slow = Arc::new(Slow { w: runtime.clone(), name, asked: AtomicUsize::new(0) });
+    PeerClient::new(&runtime, name, "z", WIRE_OLDEST).serve(door, slow).await;
 }
 
 /// Each process counts its questions from one, so the numbers alone would not tell two lives of an asker apart.
--- a/yewcross-testkit/tests/real.rs
+++ b/yewcross-testkit/tests/real.rs
@@ -34,11 +34,11 @@
     }
 }
 
-async fn until(w: &Runtime, secs: u64, what: &str, mut f: impl AsyncFnMut() -> bool) {
-    let end = w.now() + secs * SEC;
+async fn until(runtime: &Runtime, secs: u64, what: &str, mut f: impl AsyncFnMut() -> bool) {
+    let end = runtime.now() + secs * SEC;
     while !f().await {
-        assert!(w.now() < end, "waited {secs} s for: {what}");
-        w.sleep(30 * MS).await;
+        assert!(runtime.now() < end, "waited {secs} s for: {what}");
+        runtime.sleep(30 * MS).await;
     }
 }
 
--- a/yewcross-testkit/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -252,17 +252,17 @@
     }
 }
 
-pub async fn call(w: &Runtime, to: SocketAddr, attempt: &str, path: &str, heads: &[(String, String)], body: &str) -> Heard {
-    let c = w.connect(to).await.unwrap();
+pub async fn call(runtime: &Runtime, to: SocketAddr, attempt: &str, path: &str, heads: &[(String, String)], body: &str) -> Heard {
+    let c = runtime.connect(to).await.unwrap();
     let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c)).await.unwrap();
-    w.spawn(async move {
+    runtime.spawn(async move {
         let _ = conn.await;
     });
     let mut q = Request::builder().method("POST").uri(path).header("host", "h.example").header("try", attempt);
     for (k, v) in heads {
         q = q.header(k, v);
     }
-    let t0 = w.now();
+    let t0 = runtime.now();
     let Ok(r) = s.send_request(q.body(Full::new(Bytes::from(body.to_string()))).unwrap()).await else { return Heard::default() };
     let heads = r.headers().iter().map(|(k, v)| (k.to_string(), v.to_str().unwrap().to_string())).collect();
     let mut h = Heard { status: r.status().as_u16(), heads, whole: true, ..Heard::default() };
@@ -270,12 +270,12 @@
     while let Some(f) = b.frame().await {
         match f {
             Ok(f) => {
-                h.at.push(w.now());
+                h.at.push(runtime.now());
                 h.body += std::str::from_utf8(&f.into_data().unwrap()).unwrap();
             }
             Err(_) => h.whole = false,
         }
     }
-    h.took = w.now() - t0;
+    h.took = runtime.now() - t0;
     h
 }
--- a/yewcross-testkit/tests/relay/server.rs
+++ b/yewcross-testkit/tests/relay/server.rs
@@ -102,7 +102,7 @@
     }
 }
 
-pub async fn serve_one(w: Runtime, mut c: Connection, id: String, f: Arc<Floor>) {
+pub async fn serve_one(runtime: Runtime, mut c: Connection, id: String, f: Arc<Floor>) {
     f.conns.fetch_add(1, SeqCst);
     let mut buf = vec![];
     while let Some((first, heads)) = head(&mut c, &mut buf).await {
@@ -141,7 +141,7 @@
                 let _ = c.write_all(top.as_bytes()).await;
                 for i in from..4 {
                     let _ = c.write_all(&event(i)).await;
-                    w.sleep(20 * MS).await;
+                    runtime.sleep(20 * MS).await;
                 }
                 (b"0\r\n\r\n".to_vec(), false)
             }
@@ -150,7 +150,7 @@
             Act::Silent => {
                 let mut b = [0; 64];
                 let _ = c.read(&mut b).await;
-                f.gone.lock().unwrap().push(w.now());
+                f.gone.lock().unwrap().push(runtime.now());
                 return;
             }
             Act::Half => (good[..good.len() - 2].to_vec(), true),
@@ -162,12 +162,12 @@
             Act::Surplus => ([good, b"surplus".to_vec()].concat(), false),
             Act::Late => {
                 let _ = c.write_all(&good).await;
-                w.sleep(30 * MS).await;
+                runtime.sleep(30 * MS).await;
                 (say(200, "stale", "stamp: 1\r\n", "stale"), false)
             }
             Act::ThenClose => {
                 let _ = c.write_all(&good).await;
-                w.sleep(30 * MS).await;
+                runtime.sleep(30 * MS).await;
                 (vec![], true)
             }
             Act::Endless => (format!("HTTP/1.1 200 X\r\ntry: {a}\r\nstamp: 1\r\n\r\ngood").into_bytes(), true),
@@ -188,7 +188,7 @@
                 (say(200, &a, "stamp: 1\r\ncontent-type: text/event-stream\r\n", &b), false)
             }
             Act::SlowNotRun(us) => {
-                w.sleep(us).await;
+                runtime.sleep(us).await;
                 (say(503, &a, "unrun: 1\r\n", ""), false)
             }
             Act::Again => ([good.clone(), good].concat(), false),
@@ -196,7 +196,7 @@
                 let _ = c.write_all(top.as_bytes()).await;
                 for i in 0..n {
                     let _ = c.write_all(&event(i)).await;
-                    w.sleep(20 * MS).await;
+                    runtime.sleep(20 * MS).await;
                 }
                 (vec![], true)
             }
@@ -204,7 +204,7 @@
                 let _ = c.write_all(top.as_bytes()).await;
                 for i in 0..n {
                     let _ = c.write_all(&event(i)).await;
-                    w.sleep(20 * MS).await;
+                    runtime.sleep(20 * MS).await;
                 }
                 let half = format!("id: {n}\ndata: {a}-");
                 (format!("{:x}\r\n{half}\r\n", half.len()).into_bytes(), true)
@@ -213,25 +213,25 @@
                 let _ = c.write_all(top.as_bytes()).await;
                 for i in 0..n {
                     let _ = c.write_all(&event(i)).await;
-                    w.sleep(20 * MS).await;
+                    runtime.sleep(20 * MS).await;
                 }
                 let mut b = [0; 64];
                 let _ = c.read(&mut b).await;
-                f.gone.lock().unwrap().push(w.now());
+                f.gone.lock().unwrap().push(runtime.now());
                 return;
             }
             Act::Forever => {
                 let _ = c.write_all(top.as_bytes()).await;
                 let mut i = 0;
                 while c.write_all(&event(i)).await.is_ok() {
-                    w.sleep(20 * MS).await;
+                    runtime.sleep(20 * MS).await;
                     i += 1;
                 }
-                f.gone.lock().unwrap().push(w.now());
+                f.gone.lock().unwrap().push(runtime.now());
                 return;
             }
             Act::Slow(us) => {
-                w.sleep(us).await;
+                runtime.sleep(us).await;
                 (good, false)
             }
         };
--- a/yewcross-testkit/tests/support/placement.rs
+++ b/yewcross-testkit/tests/support/placement.rs
@@ -13,8 +13,8 @@
 }
 
 /// Lets us of virtual time pass.
-pub fn rest(sim: &Sim, w: &Runtime, us: u64) {
-    w.spawn(w.sleep(us + 1));
+pub fn rest(sim: &Sim, runtime: &Runtime, us: u64) {
+    runtime.spawn(runtime.sleep(us + 1));
     sim.run(sim.now() + us, || false);
 }
 
