--- a/yewcross-capacity/src/capacity/balancing.rs
+++ b/yewcross-capacity/src/capacity/balancing.rs
@@ -5,8 +5,8 @@
 use crate::capacity::messages::{Messages, PACKET};
 use yewcross_common::constants::KV_TOKEN_BYTES;
 
-/// The home node of a service and zone polls every server there, tells its zone, and passes on what other zones tell. A
-/// service is a model.
+/// The home node of a service and zone polls every server there, tells its zone, and passes on what
+/// other zones tell. A service is a model.
 pub(super) fn news_home(i: &Inputs, m: &Messages) -> Cost {
     let mine = i.size.servers / i.size.zones / i.size.models;
     let near = (i.fronts() / i.size.zones - 1.0).max(0.0);
@@ -42,7 +42,8 @@
     }
 }
 
-/// Load comes on the answers of the servers that a front balances over; one that was not used for a while is asked.
+/// Load comes on the answers of the servers that a front balances over; one that was not used for a
+/// while is asked.
 pub(super) fn news_subset(i: &Inputs, m: &Messages) -> Cost {
     let used = i.size.requests_s / i.fronts() / i.ours.subset;
     let idle = i.ours.subset * (-used * i.ours.idle_s).exp() / i.ours.idle_s;
@@ -71,7 +72,12 @@
     let few = conns / each < 8.0;
     Cost {
         memory_mb: mb(servers * (PARTS * PART + SEAT)),
-        wrong: few.then(|| format!("{:.1} connections to a server for each of its {each:.0} fronts", conns / each)),
+        wrong: few.then(|| {
+            format!(
+                "{:.1} connections to a server for each of its {each:.0} fronts",
+                conns / each
+            )
+        }),
         ..Default::default()
     }
 }
@@ -96,16 +102,28 @@
 
 pub(super) fn push_paced(i: &Inputs, m: &Messages) -> Cost {
     let c = push_each(i, m);
-    Cost { bytes_s: c.bytes_s.min(i.ours.server_link_bytes_s / 2.0), ..c }
+    Cost {
+        bytes_s: c.bytes_s.min(i.ours.server_link_bytes_s / 2.0),
+        ..c
+    }
 }
 
 pub(super) fn per_tenant(i: &Inputs, _: &Messages) -> Cost {
     let n = i.size.tenants * i.size.models * 8.0;
-    Cost { memory_mb: mb(n * 16.0), bytes_s: n * 20.0 / 15.0, ..Default::default() }
+    Cost {
+        memory_mb: mb(n * 16.0),
+        bytes_s: n * 20.0 / 15.0,
+        ..Default::default()
+    }
 }
 
 pub(super) fn per_class(i: &Inputs, _: &Messages) -> Cost {
     let n = 100.0 + i.size.models * 3.0 * 8.0;
     let lines = i.moves_s() * 60.0 + i.config_s() * 60.0;
-    Cost { memory_mb: mb(n * 16.0), bytes_s: n * 20.0 / 15.0 + lines, messages_s: 2.0 / 15.0, ..Default::default() }
+    Cost {
+        memory_mb: mb(n * 16.0),
+        bytes_s: n * 20.0 / 15.0 + lines,
+        messages_s: 2.0 / 15.0,
+        ..Default::default()
+    }
 }
--- a/yewcross-capacity/src/capacity/configuration.rs
+++ b/yewcross-capacity/src/capacity/configuration.rs
@@ -18,10 +18,17 @@
         bytes_s: i.config_s() * doc,
         // Page, and the parsed tree, as large as its text.
         memory_mb: mb(doc + t),
-        core_pct: core(i, 2.0 * i.config_s()) + i.config_s() * (doc + t) / 1000.0 * i.costs.parse_us_kb / 10_000.0,
+        core_pct: core(i, 2.0 * i.config_s())
+            + i.config_s() * (doc + t) / 1000.0 * i.costs.parse_us_kb / 10_000.0,
         // One machine sends it to all.
         recovery_s: doc * i.size.nodes / i.ours.link_bytes_s,
-        wrong: (t > BODY_MAX as f64).then(|| format!("a text of {:.1} MB, of which {:.1} are taken", mb(t), mb(BODY_MAX as f64))),
+        wrong: (t > BODY_MAX as f64).then(|| {
+            format!(
+                "a text of {:.1} MB, of which {:.1} are taken",
+                mb(t),
+                mb(BODY_MAX as f64)
+            )
+        }),
         ..Default::default()
     }
 }
@@ -33,7 +40,8 @@
         messages_s: 2.0 * i.config_s() * (1.0 + per_zone),
         bytes_s: i.config_s() * t * (1.0 + per_zone),
         memory_mb: mb(2.0 * t),
-        core_pct: core(i, 2.0 * i.config_s() * (1.0 + per_zone)) + i.config_s() * t / 1000.0 * i.costs.parse_us_kb / 10_000.0,
+        core_pct: core(i, 2.0 * i.config_s() * (1.0 + per_zone))
+            + i.config_s() * t / 1000.0 * i.costs.parse_us_kb / 10_000.0,
         recovery_s: t * (i.size.zones + per_zone) / i.ours.link_bytes_s,
         ..Default::default()
     }
@@ -48,7 +56,8 @@
         messages_s: 2.0 * i.config_s() * (1.0 + per_zone),
         bytes_s: i.config_s() * (d + 2.0 * PACKET) * (1.0 + per_zone) + whole,
         memory_mb: mb(2.0 * config_text(i, m)),
-        core_pct: core(i, 2.0 * i.config_s() * (1.0 + per_zone)) + i.config_s() * d / 1000.0 * i.costs.parse_us_kb / 10_000.0,
+        core_pct: core(i, 2.0 * i.config_s() * (1.0 + per_zone))
+            + i.config_s() * d / 1000.0 * i.costs.parse_us_kb / 10_000.0,
         recovery_s: config_text(i, m) / i.ours.link_bytes_s + 3.0 * PEER_WAIT as f64 / SEC as f64,
         ..Default::default()
     }
@@ -59,7 +68,12 @@
     let n = i.size.control_machines;
     let asked = n - (n / 2.0).floor() - 1.0 + 2.0;
     let s = i.fronts() * asked * (SEC as f64 / SERVE_ASK as f64) / n;
-    Cost { messages_s: 2.0 * s, bytes_s: s * (m.newer + 2.0 * PACKET), core_pct: core(i, 2.0 * s), ..Default::default() }
+    Cost {
+        messages_s: 2.0 * s,
+        bytes_s: s * (m.newer + 2.0 * PACKET),
+        core_pct: core(i, 2.0 * s),
+        ..Default::default()
+    }
 }
 
 /// Every node asks one core five times in the time allowed for a configuration; shown for a core.
--- a/yewcross-capacity/src/capacity/cost.rs
+++ b/yewcross-capacity/src/capacity/cost.rs
@@ -75,9 +75,11 @@
     SEC as f64 / PROBE_EVERY as f64
 }
 
-/// s from a node's end until all know it: a probe's turn, its wait, the helpers' wait, suspicion, and its spread.
+/// s from a node's end until all know it: a probe's turn, its wait, the helpers' wait, suspicion,
+/// and its spread.
 pub(super) fn spread_s(i: &Inputs) -> f64 {
-    let us = (PROBE_EVERY + 3 * PROBE_WAIT + SUSPECT_FOR) as f64 + i.size.nodes.log2().ceil() * PROBE_EVERY as f64;
+    let us = (PROBE_EVERY + 3 * PROBE_WAIT + SUSPECT_FOR) as f64
+        + i.size.nodes.log2().ceil() * PROBE_EVERY as f64;
     us / SEC as f64
 }
 
--- a/yewcross-capacity/src/capacity/inputs.rs
+++ b/yewcross-capacity/src/capacity/inputs.rs
@@ -28,7 +28,8 @@
     Day { config_changes, failed, restarted }
 );
 part!(
-    /// What control may cost a node: percent of a core, MB, bytes a second; and s until a configuration is in force.
+    /// What control may cost a node: percent of a core, MB, bytes a second; and s until a
+    /// configuration is in force.
     Limits { core_pct, memory_mb, bytes_s, in_force_s }
 );
 part!(
@@ -53,8 +54,8 @@
     }
 );
 part!(
-    /// Measured: us of processor a message and end, us a digest of the table takes for each node in it, us to read a kB of
-    /// configuration, kB of memory that a link takes at one end.
+    /// Measured: us of processor a message and end, us a digest of the table takes for each node in
+    /// it, us to read a kB of configuration, kB of memory that a link takes at one end.
     Costs { message_us, digest_us_node, parse_us_kb, link_kb }
 );
 
@@ -87,22 +88,49 @@
         i.limits.faults("limits", &mut v);
         i.ours.faults("ours", &mut v);
         i.costs.faults("costs", &mut v);
-        let above = [("size.nodes", i.size.nodes), ("size.zones", i.size.zones), ("ours.stores", i.ours.stores)];
-        v.extend(above.iter().filter(|x| x.1 < 1.0).map(|x| format!("{}: must be 1 or more", x.0)));
+        let above = [
+            ("size.nodes", i.size.nodes),
+            ("size.zones", i.size.zones),
+            ("ours.stores", i.ours.stores),
+        ];
+        v.extend(
+            above
+                .iter()
+                .filter(|x| x.1 < 1.0)
+                .map(|x| format!("{}: must be 1 or more", x.0)),
+        );
         if i.size.nodes <= i.size.control_machines + i.ours.stores {
             v.push("size.nodes: must be above size.control_machines and ours.stores".into());
         }
-        if v.is_empty() { Ok(i) } else { Err(v.join("; ")) }
+        if v.is_empty() {
+            Ok(i)
+        } else {
+            Err(v.join("; "))
+        }
     }
 
-    /// The same tier so many times as large: more of everything, in the same places, over the same day.
+    /// The same tier so many times as large: more of everything, in the same places, over the same
+    /// day.
     pub fn times(&self, x: f64) -> Inputs {
         let mut i = self.clone();
         let s = &mut i.size;
-        for f in [&mut s.nodes, &mut s.servers, &mut s.requests_s, &mut s.tokens_s, &mut s.programs, &mut s.tenants] {
+        for f in [
+            &mut s.nodes,
+            &mut s.servers,
+            &mut s.requests_s,
+            &mut s.tokens_s,
+            &mut s.programs,
+            &mut s.tenants,
+        ] {
             *f *= x;
         }
-        for f in [&mut i.day.config_changes, &mut i.day.failed, &mut i.day.restarted, &mut i.ours.routes, &mut i.ours.stores] {
+        for f in [
+            &mut i.day.config_changes,
+            &mut i.day.failed,
+            &mut i.day.restarted,
+            &mut i.ours.routes,
+            &mut i.ours.stores,
+        ] {
             *f *= x;
         }
         i.ours.turnover_s /= x;
@@ -112,7 +140,11 @@
     /// So many times the load on the same machines.
     pub fn load(&self, x: f64) -> Inputs {
         let mut i = self.clone();
-        for f in [&mut i.size.requests_s, &mut i.size.tokens_s, &mut i.size.programs] {
+        for f in [
+            &mut i.size.requests_s,
+            &mut i.size.tokens_s,
+            &mut i.size.programs,
+        ] {
             *f *= x;
         }
         i
@@ -122,7 +154,8 @@
         (self.size.nodes - self.size.control_machines - self.ours.stores).max(1.0)
     }
 
-    /// Changes of the table a second: every failure and restart of the day taken for one of our nodes.
+    /// Changes of the table a second: every failure and restart of the day taken for one of our
+    /// nodes.
     pub(super) fn moves_s(&self) -> f64 {
         (self.day.failed + self.day.restarted) * self.ours.states / DAY
     }
--- a/yewcross-capacity/src/capacity/measure.rs
+++ b/yewcross-capacity/src/capacity/measure.rs
@@ -13,14 +13,26 @@
 /// us of processor this process has used.
 fn used() -> f64 {
     let s = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    let f: Vec<f64> = s.rsplit(')').next().unwrap_or("").split_whitespace().skip(11).take(2).filter_map(|x| x.parse().ok()).collect();
+    let f: Vec<f64> = s
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|x| x.parse().ok())
+        .collect();
     f.iter().sum::<f64>() * 10_000.0
 }
 
 /// kB of memory that this process holds.
 fn resident() -> f64 {
     let s = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    s.split_whitespace().nth(1).and_then(|x| x.parse::<f64>().ok()).unwrap_or(0.0) * 4.096
+    s.split_whitespace()
+        .nth(1)
+        .and_then(|x| x.parse::<f64>().ok())
+        .unwrap_or(0.0)
+        * 4.096
 }
 
 struct Echo;
@@ -29,7 +41,11 @@
     fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
             let _ = p.decode::<PeerRequest>();
-            (serde_json::to_vec(&PeerResponse::ProbeOnBehalf { reachable: true }).unwrap_or_default(), vec![])
+            (
+                serde_json::to_vec(&PeerResponse::ProbeOnBehalf { reachable: true })
+                    .unwrap_or_default(),
+                vec![],
+            )
         })
     }
 }
@@ -53,7 +69,9 @@
     smol::block_on(async {
         let to = ends(&w, 200).await;
         let me = PeerClient::new(&w, "probe", "zone", WIRE_VERSION);
-        let a = PeerRequest::ProbeOnBehalf { target: SocketAddr::from(([127, 0, 0, 1], 1)) };
+        let a = PeerRequest::ProbeOnBehalf {
+            target: SocketAddr::from(([127, 0, 0, 1], 1)),
+        };
         let before = resident();
         for t in &to {
             let _ = me.request(*t, &a, &[], SEC).await;
@@ -69,7 +87,10 @@
         let (k, t0) = (4_000, used());
         let mut sum = 0u64;
         for _ in 0..k {
-            let s: String = names.iter().map(|n| format!("{n}{:?}", (459_776_000_000_000u64, 0u32, "Alive"))).collect();
+            let s: String = names
+                .iter()
+                .map(|n| format!("{n}{:?}", (459_776_000_000_000u64, 0u32, "Alive")))
+                .collect();
             sum ^= yewcross_common::hash::rendezvous_weight(&s, "");
         }
         let digest = (used() - t0) / k as f64 / 410.0 + (sum & 1) as f64 * 1e-12;
@@ -82,12 +103,20 @@
                 r
             })
             .collect();
-        let t = serde_json::to_vec(&json!({"routing": {"routes": routes, "upstreams": [{"name": "model-07"}]}})).unwrap_or_default();
+        let t = serde_json::to_vec(
+            &json!({"routing": {"routes": routes, "upstreams": [{"name": "model-07"}]}}),
+        )
+        .unwrap_or_default();
         let (k, t0) = (40, used());
         for _ in 0..k {
             let _ = yewcross_common::configuration::Configuration::read(&t);
         }
         let parse = (used() - t0) / k as f64 / (t.len() as f64 / 1000.0);
-        Costs { message_us: message, digest_us_node: digest, parse_us_kb: parse, link_kb: links.max(0.0) }
+        Costs {
+            message_us: message,
+            digest_us_node: digest,
+            parse_us_kb: parse,
+            link_kb: links.max(0.0),
+        }
     })
 }
--- a/yewcross-capacity/src/capacity/membership.rs
+++ b/yewcross-capacity/src/capacity/membership.rs
@@ -5,7 +5,8 @@
 use crate::capacity::messages::{Messages, PACKET};
 use yewcross_common::constants::NEWS_MOST;
 
-/// Each node probes one other a beat, and is probed once; while a change spreads, exchanges carry more.
+/// Each node probes one other a beat, and is probed once; while a change spreads, exchanges carry
+/// more.
 pub(super) fn membership(i: &Inputs, m: &Messages, carried: f64, digests: f64) -> Cost {
     let n = i.size.nodes;
     let exchanges = 2.0 * beats_s();
@@ -23,7 +24,8 @@
 }
 
 pub(super) fn whole_tables(i: &Inputs, m: &Messages) -> Cost {
-    // The answer brings the table, and both are then swapped. A digest is made three times an exchange.
+    // The answer brings the table, and both are then swapped. A digest is made three times an
+    // exchange.
     membership(i, m, 3.0 * i.size.nodes * m.node, 1.5 * 2.0 * beats_s())
 }
 
--- a/yewcross-capacity/src/capacity/messages.rs
+++ b/yewcross-capacity/src/capacity/messages.rs
@@ -38,11 +38,22 @@
 
 pub(super) fn frame(reply: bool, body: &Value, blob: usize) -> f64 {
     let body = serde_json::to_vec(body).unwrap_or_default();
-    pack(WIRE_VERSION, 1 << 20, reply, "front-0123", "region-zone-a", &body, &vec![0; blob]).len() as f64
+    pack(
+        WIRE_VERSION,
+        1 << 20,
+        reply,
+        "front-0123",
+        "region-zone-a",
+        &body,
+        &vec![0; blob],
+    )
+    .len() as f64
 }
 
 pub(super) fn made<T: for<'a> Deserialize<'a> + Serialize>(v: Value) -> f64 {
-    serde_json::from_value::<T>(v).map(|x| bytes(&x)).unwrap_or(0.0)
+    serde_json::from_value::<T>(v)
+        .map(|x| bytes(&x))
+        .unwrap_or(0.0)
 }
 
 impl Messages {
--- a/yewcross-capacity/src/capacity/mod.rs
+++ b/yewcross-capacity/src/capacity/mod.rs
@@ -1,7 +1,8 @@
-//! What each mechanism costs at a given size, worked out from its own arithmetic, and the size at which it breaks.
+//! What each mechanism costs at a given size, worked out from its own arithmetic, and the size at
+//! which it breaks.
 //!
-//! Sizes of messages are those of real ones, put together here; intervals are the daemons' own constants; what a message
-//! costs in processor time is measured (`measure`).
+//! Sizes of messages are those of real ones, put together here; intervals are the daemons' own
+//! constants; what a message costs in processor time is measured (`measure`).
 
 mod balancing;
 mod configuration;
--- a/yewcross-capacity/src/capacity/state.rs
+++ b/yewcross-capacity/src/capacity/state.rs
@@ -5,7 +5,8 @@
 use crate::capacity::messages::Messages;
 use yewcross_common::constants::{HAND_SESSIONS, STORE_COPIES};
 
-/// As measured: syncs and bytes inside the tier for one turn whose session, budget and outcome are registers.
+/// As measured: syncs and bytes inside the tier for one turn whose session, budget and outcome are
+/// registers.
 pub(super) const REGISTER_SYNCS: f64 = 30.9;
 
 pub(super) const REGISTER_BYTES: f64 = 52_200.0;
@@ -20,7 +21,8 @@
     }
 }
 
-/// Chains of turns: an open at the ledger's owner, its entry on other disks, the turn on enough disks.
+/// Chains of turns: an open at the ledger's owner, its entry on other disks, the turn on enough
+/// disks.
 pub(super) fn chains(i: &Inputs, group: f64, in_memory: bool) -> Cost {
     let per = i.size.requests_s / i.ours.stores;
     let asks = per * (1.0 + i.ours.lost + i.copies());
@@ -31,7 +33,12 @@
     let held = i.size.programs * i.history() * i.copies() / i.ours.stores;
     let index = i.size.programs * i.size.turns_max / 2.0 * i.copies() * 64.0 / i.ours.stores;
     let items = per * 2.0 * i.copies();
-    let zone = group / if group > i.ours.group { i.size.zones } else { i.size.zones / i.size.regions };
+    let zone = group
+        / if group > i.ours.group {
+            i.size.zones
+        } else {
+            i.size.zones / i.size.regions
+        };
     Cost {
         messages_s: 2.0 * (asks + starts),
         bytes_s: 2.0 * writes + reads,
@@ -39,7 +46,8 @@
         core_pct: core(i, 2.0 * (asks + starts)),
         // A sync takes all that waits for it.
         syncs_s: items.min(1000.0 / i.ours.sync_ms),
-        // An empty store is filled over half of its link; what it owned is taken over as turns come.
+        // An empty store is filled over half of its link; what it owned is taken over as turns
+        // come.
         recovery_s: (held / (i.ours.link_bytes_s / 2.0)).max(takes),
         wrong: (zone > i.ours.lost).then(|| {
             let most = i.ours.lost * i.size.zones;
@@ -67,7 +75,11 @@
 
 pub(super) fn ledger(i: &Inputs, entries: f64) -> Cost {
     let b = i.size.programs * (LEDGER + entries * ENTRY) * i.copies() / i.ours.stores;
-    Cost { memory_mb: mb(b), recovery_s: i.size.programs / i.size.requests_s.max(1.0), ..Default::default() }
+    Cost {
+        memory_mb: mb(b),
+        recovery_s: i.size.programs / i.size.requests_s.max(1.0),
+        ..Default::default()
+    }
 }
 
 pub(super) fn ledger_whole(i: &Inputs, _: &Messages) -> Cost {
@@ -80,11 +92,18 @@
 
 pub(super) fn hand_by_count(i: &Inputs, _: &Messages) -> Cost {
     let n = (i.size.programs / i.fronts()).min(HAND_SESSIONS as f64);
-    Cost { memory_mb: mb(n * i.history()), ..Default::default() }
+    Cost {
+        memory_mb: mb(n * i.history()),
+        ..Default::default()
+    }
 }
 
 pub(super) fn hand_by_bytes(i: &Inputs, _: &Messages) -> Cost {
     // What is not on hand comes from the stores, and all goes on to the servers.
     let turns = i.size.requests_s / i.fronts();
-    Cost { memory_mb: i.ours.hand_mb, bytes_s: 2.0 * turns * i.history(), ..Default::default() }
+    Cost {
+        memory_mb: i.ours.hand_mb,
+        bytes_s: 2.0 * turns * i.history(),
+        ..Default::default()
+    }
 }
--- a/yewcross-capacity/src/capacity/table.rs
+++ b/yewcross-capacity/src/capacity/table.rs
@@ -20,14 +20,16 @@
     pub cost: Cost,
     /// What is passed, in words; empty where it fits.
     pub passes: Vec<String>,
-    /// Up to which part of the given size it fits; where a machine's own load counts, of the load on the same machines.
+    /// Up to which part of the given size it fits; where a machine's own load counts, of the load
+    /// on the same machines.
     pub up_to: f64,
 }
 
 /// Everything of the next design that control has to do, as if one node bore all of it.
 pub fn sum(lines: &[Line]) -> Cost {
     let of = |f: fn(&Cost) -> f64| {
-        let mine = |l: &&Line| l.held == Held::Control && [Stand::Kept, Stand::Next].contains(&l.stand);
+        let mine =
+            |l: &&Line| l.held == Held::Control && [Stand::Kept, Stand::Next].contains(&l.stand);
         lines.iter().filter(mine).map(|l| f(&l.cost)).sum::<f64>()
     };
     Cost {
@@ -72,7 +74,11 @@
 /// The largest part of the given size that fits, up to 64 times it.
 pub(super) fn up_to(i: &Inputs, msg: &Messages, m: &Mechanism) -> f64 {
     let fits = |x: f64| {
-        let j = if m.held == Held::Control { i.times(x) } else { i.load(x) };
+        let j = if m.held == Held::Control {
+            i.times(x)
+        } else {
+            i.load(x)
+        };
         passes(&j, m.held, &(m.cost)(&j, msg)).is_empty()
     };
     let (mut lo, mut hi) = (0.0, 64.0);
@@ -92,7 +98,14 @@
     let line = |m: &Mechanism| {
         let cost = (m.cost)(i, &msg);
         let x = up_to(i, &msg, m);
-        Line { name: m.name, stand: m.stand, held: m.held, passes: passes(i, m.held, &cost), cost, up_to: x }
+        Line {
+            name: m.name,
+            stand: m.stand,
+            held: m.held,
+            passes: passes(i, m.held, &cost),
+            cost,
+            up_to: x,
+        }
     };
     MECHANISMS.iter().map(line).collect()
 }
@@ -113,9 +126,23 @@
 pub fn text(lines: &[Line]) -> String {
     let mut s = String::new();
     let mut say = |l: String| writeln!(s, "{l}").unwrap_or_default();
-    say("| mechanism | | messages/s | bytes/s | MB | % core | syncs/s | s | fits up to | passes |".into());
+    say(
+        "| mechanism | | messages/s | bytes/s | MB | % core | syncs/s | s | fits up to | passes |"
+            .into(),
+    );
     say("|---|---|---|---|---|---|---|---|---|---|".into());
-    let cells = |c: &Cost| [c.messages_s, c.bytes_s, c.memory_mb, c.core_pct, c.syncs_s, c.recovery_s].map(short).join(" | ");
+    let cells = |c: &Cost| {
+        [
+            c.messages_s,
+            c.bytes_s,
+            c.memory_mb,
+            c.core_pct,
+            c.syncs_s,
+            c.recovery_s,
+        ]
+        .map(short)
+        .join(" | ")
+    };
     lines.iter().for_each(|l| {
         let stand = format!("{:?}", l.stand).to_lowercase();
         let to = match l.up_to {
@@ -124,9 +151,20 @@
             x if x < 0.1 => format!("{x:.3} x"),
             x => format!("{x:.2} x"),
         };
-        let bad = if l.passes.is_empty() { "fits".into() } else { l.passes.join("; ") };
-        say(format!("| {} | {stand} | {} | {to} | {bad} |", l.name, cells(&l.cost)));
+        let bad = if l.passes.is_empty() {
+            "fits".into()
+        } else {
+            l.passes.join("; ")
+        };
+        say(format!(
+            "| {} | {stand} | {} | {to} | {bad} |",
+            l.name,
+            cells(&l.cost)
+        ));
     });
-    say(format!("| all of control that is kept or next, on one node | | {} | | |", cells(&sum(lines))));
+    say(format!(
+        "| all of control that is kept or next, on one node | | {} | | |",
+        cells(&sum(lines))
+    ));
     s
 }
--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -1,4 +1,5 @@
-//! What a change would move. Every rule is the daemons' own: settings, copies, spill targets, home nodes.
+//! What a change would move. Every rule is the daemons' own: settings, copies, spill targets, home
+//! nodes.
 
 #![deny(missing_docs)]
 
@@ -73,9 +74,25 @@
     pub silent: Vec<String>,
 }
 
-async fn get<T: for<'a> Deserialize<'a>>(runtime: &Runtime, at: SocketAddr, path: &str) -> Result<T, Fault> {
-    let r = fetch(runtime, at, http_types::Method::Get, path, &[], vec![], 5 * SEC).await;
-    let (s, _, b) = r.map_err(|e| Fault::Live { at, why: e.to_string() })?;
+async fn get<T: for<'a> Deserialize<'a>>(
+    runtime: &Runtime,
+    at: SocketAddr,
+    path: &str,
+) -> Result<T, Fault> {
+    let r = fetch(
+        runtime,
+        at,
+        http_types::Method::Get,
+        path,
+        &[],
+        vec![],
+        5 * SEC,
+    )
+    .await;
+    let (s, _, b) = r.map_err(|e| Fault::Live {
+        at,
+        why: e.to_string(),
+    })?;
     let bad = |why: String| Fault::Live { at, why };
     if s != 200 {
         return Err(bad(format!("{path} answered {s}")));
@@ -86,8 +103,18 @@
 /// Asks a core, and through it every machine that it knows.
 pub async fn take(runtime: &Runtime, core: SocketAddr) -> Result<Checkpoint, Fault> {
     let first: Part = get(runtime, core, "/v1/checkpoint").await?;
-    let seq = |d: &str| first.versions.iter().find(|v| v.0 == d).map(|v| v.1).unwrap_or(0);
-    let bad = |e: serde_json::Error| Fault::Live { at: core, why: e.to_string() };
+    let seq = |d: &str| {
+        first
+            .versions
+            .iter()
+            .find(|v| v.0 == d)
+            .map(|v| v.1)
+            .unwrap_or(0)
+    };
+    let bad = |e: serde_json::Error| Fault::Live {
+        at: core,
+        why: e.to_string(),
+    };
     let doc: ConfigDoc = serde_json::from_str(&first.config).map_err(bad)?;
     let mut c = Checkpoint {
         config_seq: seq("config"),
@@ -102,7 +129,9 @@
     for n in &first.nodes {
         if n.role == Role::Front {
             if c.servers.is_empty() {
-                c.servers = get(runtime, n.http, "/v1/servers").await.unwrap_or_default();
+                c.servers = get(runtime, n.http, "/v1/servers")
+                    .await
+                    .unwrap_or_default();
             }
             continue;
         }
@@ -118,7 +147,10 @@
 
 /// Reads a checkpoint that was saved before.
 pub fn load(path: &str) -> Result<Checkpoint, Fault> {
-    let bad = |why: String| Fault::File { path: path.into(), why };
+    let bad = |why: String| Fault::File {
+        path: path.into(),
+        why,
+    };
     let b = std::fs::read(path).map_err(|e| bad(e.to_string()))?;
     serde_json::from_slice(&b).map_err(|e| bad(e.to_string()))
 }
@@ -184,7 +216,8 @@
     pub families_gone: Vec<String>,
     /// Programs that are added.
     pub families_new: Vec<String>,
-    /// Sessions whose home may no longer take their turns; `is` names the replica they can resume from.
+    /// Sessions whose home may no longer take their turns; `is` names the replica they can resume
+    /// from.
     pub homes: Vec<Moved>,
     /// Sessions whose spill target changes.
     pub spills: Vec<Moved>,
@@ -219,17 +252,31 @@
     top.into_iter().map(|(k, v)| (k, v.1)).collect()
 }
 
-fn spill(fam: &ProgramClass, servers: &[Server], key: &str, kv: &SessionCacheState) -> Option<String> {
+fn spill(
+    fam: &ProgramClass,
+    servers: &[Server],
+    key: &str,
+    kv: &SessionCacheState,
+) -> Option<String> {
     let home = kv.home.as_ref()?;
     let at = servers.iter().find(|s| s.at.server == home.server)?;
-    let h = Home { server: home.server.clone(), site: at.at.site.clone() };
+    let h = Home {
+        server: home.server.clone(),
+        site: at.at.site.clone(),
+    };
     (home.tokens >= fam.kv_min_tokens && fam.kv_share)
         .then(|| judge::spill(servers, key, &h, &Weights::from(fam)).map(|s| s.at.server.clone()))?
 }
 
 fn allowed(t: &Configuration, servers: &BTreeMap<String, Vec<Server>>, svc: &str) -> Vec<Server> {
     let s = t.services.get(svc);
-    servers.get(svc).into_iter().flatten().filter(|x| s.is_some_and(|s| s.allows(&x.at.server))).cloned().collect()
+    servers
+        .get(svc)
+        .into_iter()
+        .flatten()
+        .filter(|x| s.is_some_and(|s| s.allows(&x.at.server)))
+        .cloned()
+        .collect()
 }
 
 /// What each session would meet under another tree or another set of servers.
@@ -240,14 +287,26 @@
     is: (&Configuration, &BTreeMap<String, Vec<Server>>),
 ) {
     for (key, kv) in sessions(c) {
-        let Some(f0) = key.split('/').nth(1).and_then(|n| was.0.families.get(n)) else { continue };
+        let Some(f0) = key.split('/').nth(1).and_then(|n| was.0.families.get(n)) else {
+            continue;
+        };
         let f1 = key.split('/').nth(1).and_then(|n| is.0.families.get(n));
         let v0 = allowed(was.0, was.1, &f0.eff.service);
-        let v1 = f1.map(|f| allowed(is.0, is.1, &f.eff.service)).unwrap_or_default();
-        let Some(home) = kv.home.clone() else { continue };
-        let (had, has) = (v0.iter().any(|s| s.at.server == home.server), v1.iter().any(|s| s.at.server == home.server));
+        let v1 = f1
+            .map(|f| allowed(is.0, is.1, &f.eff.service))
+            .unwrap_or_default();
+        let Some(home) = kv.home.clone() else {
+            continue;
+        };
+        let (had, has) = (
+            v0.iter().any(|s| s.at.server == home.server),
+            v1.iter().any(|s| s.at.server == home.server),
+        );
         if had && !has {
-            let warm = kv.replica.as_ref().filter(|r| v1.iter().any(|s| s.at.server == r.server && s.report.instance == r.instance));
+            let warm = kv.replica.as_ref().filter(|r| {
+                v1.iter()
+                    .any(|s| s.at.server == r.server && s.report.instance == r.instance)
+            });
             p.homes.push(Moved {
                 what: key.clone(),
                 was: home.server.clone(),
@@ -258,9 +317,17 @@
         let s0 = spill(&f0.eff, &v0, &key, &kv);
         let s1 = f1.and_then(|f| spill(&f.eff, &v1, &key, &kv));
         if s0 != s1 {
-            p.replica_bytes += if s1.is_some() { home.tokens * KV_TOKEN_BYTES } else { 0 };
+            p.replica_bytes += if s1.is_some() {
+                home.tokens * KV_TOKEN_BYTES
+            } else {
+                0
+            };
             let none = || "none".to_string();
-            p.spills.push(Moved { what: key, was: s0.unwrap_or_else(none), is: s1.unwrap_or_else(none) });
+            p.spills.push(Moved {
+                what: key,
+                was: s0.unwrap_or_else(none),
+                is: s1.unwrap_or_else(none),
+            });
         }
     }
 }
@@ -271,23 +338,52 @@
             p.families_new.push(n.clone());
             continue;
         };
-        let (x, y) = (serde_json::to_value(&f0.eff).unwrap_or_default(), serde_json::to_value(&f1.eff).unwrap_or_default());
-        y.as_object().into_iter().flatten().filter(|(k, v)| x[k.as_str()] != **v).for_each(|(k, v)| {
-            let from = f1.from.get(k).cloned().unwrap_or_default();
-            p.settings.push(Setting { family: n.clone(), key: k.clone(), was: x[k.as_str()].clone(), is: v.clone(), from });
-        });
+        let (x, y) = (
+            serde_json::to_value(&f0.eff).unwrap_or_default(),
+            serde_json::to_value(&f1.eff).unwrap_or_default(),
+        );
+        y.as_object()
+            .into_iter()
+            .flatten()
+            .filter(|(k, v)| x[k.as_str()] != **v)
+            .for_each(|(k, v)| {
+                let from = f1.from.get(k).cloned().unwrap_or_default();
+                p.settings.push(Setting {
+                    family: n.clone(),
+                    key: k.clone(),
+                    was: x[k.as_str()].clone(),
+                    is: v.clone(),
+                    from,
+                });
+            });
     }
-    p.families_gone = a.families.keys().filter(|n| !b.families.contains_key(*n)).cloned().collect();
+    p.families_gone = a
+        .families
+        .keys()
+        .filter(|n| !b.families.contains_key(*n))
+        .cloned()
+        .collect();
 }
 
 fn disks(c: &Checkpoint, p: &mut Plan, m: &Move) {
     let of = |d: &str| c.nodes.iter().find(|n| n.disk == d || n.name == d).cloned();
     let next = match propose(&c.layout, c.layout_seq, m, of) {
-        Err(why) => return p.refused.push(InvalidSetting { path: "layout".into(), why }),
+        Err(why) => {
+            return p.refused.push(InvalidSetting {
+                path: "layout".into(),
+                why,
+            });
+        }
         Ok(None) => return,
         Ok(Some(n)) => n,
     };
-    let site = |d: &str| c.nodes.iter().find(|n| n.disk == d).map(|n| n.site.clone()).unwrap_or_default();
+    let site = |d: &str| {
+        c.nodes
+            .iter()
+            .find(|n| n.disk == d)
+            .map(|n| n.site.clone())
+            .unwrap_or_default()
+    };
     let mut top: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     c.held.values().flatten().for_each(|h| {
         let e = top.entry(&h.key).or_default();
@@ -296,39 +392,92 @@
     for (key, (_, bytes)) in top {
         let a = ReplicaSet::of(key, &c.layout, 0, |_| None).current;
         let b = ReplicaSet::of(key, &next, 0, |_| None).current;
-        let owner = |v: &[yewcross_common::register::Seat]| v.first().map(|s| s.disk.clone()).unwrap_or_default();
+        let owner = |v: &[yewcross_common::register::Seat]| {
+            v.first().map(|s| s.disk.clone()).unwrap_or_default()
+        };
         p.owners += (owner(&a) != owner(&b)) as u64;
         b.iter().filter(|s| !a.contains(s)).for_each(|s| {
             let across = !a.iter().any(|x| site(&x.disk) == site(&s.disk));
-            *(if across { &mut p.bytes_across } else { &mut p.bytes_within }) += bytes;
-            p.copies.push(Copying { key: key.into(), to: s.disk.clone(), bytes, across });
+            *(if across {
+                &mut p.bytes_across
+            } else {
+                &mut p.bytes_within
+            }) += bytes;
+            p.copies.push(Copying {
+                key: key.into(),
+                to: s.disk.clone(),
+                bytes,
+                across,
+            });
         });
     }
-    let gone: BTreeSet<&String> = c.layout.core.current.iter().filter(|d| !next.core.current.contains(d)).collect();
-    let cores: Vec<&Node> = c.nodes.iter().filter(|n| n.role == Role::Core && next.core.current.contains(&n.disk)).collect();
-    let lost: BTreeSet<&str> = c.nodes.iter().filter(|n| gone.contains(&n.disk)).map(|n| n.name.as_str()).collect();
+    let gone: BTreeSet<&String> = c
+        .layout
+        .core
+        .current
+        .iter()
+        .filter(|d| !next.core.current.contains(d))
+        .collect();
+    let cores: Vec<&Node> = c
+        .nodes
+        .iter()
+        .filter(|n| n.role == Role::Core && next.core.current.contains(&n.disk))
+        .collect();
+    let lost: BTreeSet<&str> = c
+        .nodes
+        .iter()
+        .filter(|n| gone.contains(&n.disk))
+        .map(|n| n.name.as_str())
+        .collect();
     duties(c, p, &lost, &cores);
 }
 
 fn duties(c: &Checkpoint, p: &mut Plan, lost: &BTreeSet<&str>, cores: &[&Node]) {
     c.duties.iter().for_each(|(d, h)| {
-        let holder = h.as_deref().and_then(|h| h.split('#').next()).unwrap_or("none");
+        let holder = h
+            .as_deref()
+            .and_then(|h| h.split('#').next())
+            .unwrap_or("none");
         if lost.contains(holder) {
-            let next = yewcross_common::hash::ranked(d, cores.iter().map(|n| n.name.as_str())).first().map(|s| s.to_string());
-            p.duties.push(Moved { what: d.clone(), was: holder.into(), is: next.unwrap_or("none".into()) });
+            let next = yewcross_common::hash::ranked(d, cores.iter().map(|n| n.name.as_str()))
+                .first()
+                .map(|s| s.to_string());
+            p.duties.push(Moved {
+                what: d.clone(),
+                was: holder.into(),
+                is: next.unwrap_or("none".into()),
+            });
         }
     });
 }
 
 fn without(c: &Checkpoint, p: &mut Plan, t: &Configuration, gone: &str) {
-    let known = c.nodes.iter().any(|n| n.name == gone) || c.servers.values().flatten().any(|s| s.at.server == gone);
+    let known = c.nodes.iter().any(|n| n.name == gone)
+        || c.servers.values().flatten().any(|s| s.at.server == gone);
     if !known {
-        return p.refused.push(InvalidSetting { path: gone.into(), why: "no machine or server of this name".into() });
+        return p.refused.push(InvalidSetting {
+            path: gone.into(),
+            why: "no machine or server of this name".into(),
+        });
     }
-    let left: BTreeMap<String, Vec<Server>> =
-        c.servers.iter().map(|(k, v)| (k.clone(), v.iter().filter(|s| s.at.server != gone).cloned().collect())).collect();
+    let left: BTreeMap<String, Vec<Server>> = c
+        .servers
+        .iter()
+        .map(|(k, v)| {
+            (
+                k.clone(),
+                v.iter().filter(|s| s.at.server != gone).cloned().collect(),
+            )
+        })
+        .collect();
     turns(c, p, (t, &c.servers), (t, &left));
-    let fronts = |skip: &str| c.nodes.iter().filter(|n| n.role == Role::Front && n.name != skip).cloned().collect::<Vec<_>>();
+    let fronts = |skip: &str| {
+        c.nodes
+            .iter()
+            .filter(|n| n.role == Role::Front && n.name != skip)
+            .cloned()
+            .collect::<Vec<_>>()
+    };
     let (all, rest) = (fronts(""), fronts(gone));
     let sites: BTreeSet<&str> = c.list.servers.iter().map(|s| s.site.as_str()).collect();
     t.services.keys().for_each(|svc| {
@@ -336,28 +485,57 @@
             let (a, b) = (home_of(&all, svc, z), home_of(&rest, svc, z));
             if a != b {
                 let none = || "none".to_string();
-                p.news.push(Moved { what: format!("{svc} in {z}"), was: a.unwrap_or_else(none), is: b.unwrap_or_else(none) });
+                p.news.push(Moved {
+                    what: format!("{svc} in {z}"),
+                    was: a.unwrap_or_else(none),
+                    is: b.unwrap_or_else(none),
+                });
             }
         })
     });
-    let cores: Vec<&Node> = c.nodes.iter().filter(|n| n.role == Role::Core && n.name != gone).collect();
+    let cores: Vec<&Node> = c
+        .nodes
+        .iter()
+        .filter(|n| n.role == Role::Core && n.name != gone)
+        .collect();
     duties(c, p, &[gone].into(), &cores);
-    let disk = c.nodes.iter().find(|n| n.name == gone).map(|n| n.disk.clone()).unwrap_or_default();
+    let disk = c
+        .nodes
+        .iter()
+        .find(|n| n.name == gone)
+        .map(|n| n.disk.clone())
+        .unwrap_or_default();
     let keys: BTreeSet<&str> = c.held.values().flatten().map(|h| h.key.as_str()).collect();
-    p.owners =
-        keys.iter().filter(|k| ReplicaSet::of(k, &c.layout, 0, |_| None).current.first().is_some_and(|s| s.disk == disk)).count() as u64;
+    p.owners = keys
+        .iter()
+        .filter(|k| {
+            ReplicaSet::of(k, &c.layout, 0, |_| None)
+                .current
+                .first()
+                .is_some_and(|s| s.disk == disk)
+        })
+        .count() as u64;
 }
 
 /// What the change would move. Nothing is changed.
 pub fn plan(c: &Checkpoint, ch: &Change) -> Plan {
-    let mut p = Plan { silent: c.silent.clone(), ..Default::default() };
+    let mut p = Plan {
+        silent: c.silent.clone(),
+        ..Default::default()
+    };
     let now = Configuration::read(c.config.as_bytes()).unwrap_or_default();
     match ch {
         Change::Config(text) => match Configuration::read(text.as_bytes()) {
             Err(bad) => p.refused = bad,
             Ok(next) => {
-                let ls: Vec<_> = [&now, &next].into_iter().map(|t| t.fronts.clone()).filter(|l| !l.is_empty()).collect();
-                p.refused.extend(yewcross_control::config::gone(&ls, |f| c.nodes.iter().any(|n| n.name == f)));
+                let ls: Vec<_> = [&now, &next]
+                    .into_iter()
+                    .map(|t| t.fronts.clone())
+                    .filter(|l| !l.is_empty())
+                    .collect();
+                p.refused.extend(yewcross_control::config::gone(&ls, |f| {
+                    c.nodes.iter().any(|n| n.name == f)
+                }));
                 changed(&mut p, &now, &next);
                 turns(c, &mut p, (&now, &c.servers), (&next, &c.servers));
             }
@@ -373,18 +551,44 @@
     pub fn text(&self) -> String {
         let mut s = String::new();
         let mut say = |l: String| writeln!(s, "{l}").unwrap_or_default();
-        self.silent.iter().for_each(|n| say(format!("warning: {n} did not answer; what it holds is not counted")));
+        self.silent.iter().for_each(|n| {
+            say(format!(
+                "warning: {n} did not answer; what it holds is not counted"
+            ))
+        });
         if !self.refused.is_empty() {
-            self.refused.iter().for_each(|b| say(format!("refused: {}: {}", b.path, b.why)));
+            self.refused
+                .iter()
+                .for_each(|b| say(format!("refused: {}: {}", b.path, b.why)));
             return s;
         }
-        self.families_new.iter().for_each(|f| say(format!("family {f}: new")));
-        self.families_gone.iter().for_each(|f| say(format!("family {f}: gone; its turns will be refused")));
-        self.settings.iter().for_each(|x| say(format!("family {}: {} {} -> {} (from {})", x.family, x.key, x.was, x.is, x.from)));
-        self.homes.iter().for_each(|m| say(format!("{}: leaves {}, resumes from {}", m.what, m.was, m.is)));
-        self.spills.iter().for_each(|m| say(format!("{}: spill target {} -> {}", m.what, m.was, m.is)));
-        self.duties.iter().for_each(|m| say(format!("duty {}: {} -> {}", m.what, m.was, m.is)));
-        self.news.iter().for_each(|m| say(format!("news of {}: {} -> {}", m.what, m.was, m.is)));
+        self.families_new
+            .iter()
+            .for_each(|f| say(format!("family {f}: new")));
+        self.families_gone
+            .iter()
+            .for_each(|f| say(format!("family {f}: gone; its turns will be refused")));
+        self.settings.iter().for_each(|x| {
+            say(format!(
+                "family {}: {} {} -> {} (from {})",
+                x.family, x.key, x.was, x.is, x.from
+            ))
+        });
+        self.homes.iter().for_each(|m| {
+            say(format!(
+                "{}: leaves {}, resumes from {}",
+                m.what, m.was, m.is
+            ))
+        });
+        self.spills
+            .iter()
+            .for_each(|m| say(format!("{}: spill target {} -> {}", m.what, m.was, m.is)));
+        self.duties
+            .iter()
+            .for_each(|m| say(format!("duty {}: {} -> {}", m.what, m.was, m.is)));
+        self.news
+            .iter()
+            .for_each(|m| say(format!("news of {}: {} -> {}", m.what, m.was, m.is)));
         say(format!(
             "{} copies of keys to make, {} bytes within sites and {} across; {} keys change owner; {} bytes of replicas to push; \
              {} sessions leave their home, {} change spill target",
--- a/yewcross-capacity/src/main.rs
+++ b/yewcross-capacity/src/main.rs
@@ -58,12 +58,25 @@
         let c = capacity::measure();
         return print!("[costs]\n{}", toml::to_string(&c).unwrap_or_default());
     }
-    let read = |f: &String| std::fs::read_to_string(f).unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{f}: {e}")));
+    let read = |f: &String| {
+        std::fs::read_to_string(f).unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{f}: {e}")))
+    };
     let (name, given) = ("the given inputs".to_string(), capacity::GIVEN.to_string());
-    let (at, t) = a.inputs.as_ref().map_or((name, given), |f| (f.clone(), read(f)));
-    let i = capacity::Inputs::read(&t).unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{at}: {e}")));
+    let (at, t) = a
+        .inputs
+        .as_ref()
+        .map_or((name, given), |f| (f.clone(), read(f)));
+    let i = capacity::Inputs::read(&t)
+        .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{at}: {e}")));
     let v = capacity::table(&i);
-    print!("{}", if a.json { serde_json::to_string_pretty(&v).unwrap_or_default() + "\n" } else { capacity::text(&v) });
+    print!(
+        "{}",
+        if a.json {
+            serde_json::to_string_pretty(&v).unwrap_or_default() + "\n"
+        } else {
+            capacity::text(&v)
+        }
+    );
 }
 
 fn main() {
@@ -75,19 +88,29 @@
 
 fn moves(a: &Moves) {
     let mut ch = vec![];
-    a.empty.iter().for_each(|d| ch.push(Change::Disks(Move::Empty(d.clone()))));
-    a.admit.iter().for_each(|d| ch.push(Change::Disks(Move::Admit(d.clone()))));
+    a.empty
+        .iter()
+        .for_each(|d| ch.push(Change::Disks(Move::Empty(d.clone()))));
+    a.admit
+        .iter()
+        .for_each(|d| ch.push(Change::Disks(Move::Admit(d.clone()))));
     a.replace.iter().for_each(|p| match p.split_once(':') {
         Some((x, y)) => ch.push(Change::Disks(Move::Replace(x.into(), y.into()))),
         None => fail(exit::USAGE, "--replace: OLD:NEW"),
     });
-    a.without.iter().for_each(|n| ch.push(Change::Without(n.clone())));
+    a.without
+        .iter()
+        .for_each(|n| ch.push(Change::Without(n.clone())));
     a.config.iter().for_each(|f| {
-        let t = std::fs::read_to_string(f).unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{f}: {e}")));
+        let t = std::fs::read_to_string(f)
+            .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{f}: {e}")));
         ch.push(Change::Config(t));
     });
     if ch.len() != 1 && a.save.is_none() {
-        fail(exit::USAGE, "name one change: --config, --empty, --admit, --replace or --without");
+        fail(
+            exit::USAGE,
+            "name one change: --config, --empty, --admit, --replace or --without",
+        );
     }
     let c = state(a).unwrap_or_else(|e| fail(exit::BAD_STARTUP, e));
     if let Some(f) = &a.save {
@@ -96,7 +119,11 @@
         return;
     }
     let p = plan(&c, &ch[0]);
-    let text = if a.json { serde_json::to_string_pretty(&p).unwrap_or_default() + "\n" } else { p.text() };
+    let text = if a.json {
+        serde_json::to_string_pretty(&p).unwrap_or_default() + "\n"
+    } else {
+        p.text()
+    };
     print!("{text}");
     std::process::exit(if p.refused.is_empty() { exit::OK } else { 1 });
 }
--- a/yewcross-capacity/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -1,21 +1,31 @@
-//! The arithmetic of docs/CAPACITY.md: it is that page's, it scales as it should, and the simulator's counters agree.
+//! The arithmetic of docs/CAPACITY.md: it is that page's, it scales as it should, and the
+//! simulator's counters agree.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
-use yewcross_capacity::capacity::{Cost, GIVEN, Held, Inputs, MECHANISMS, Messages, Stand, passes, sum, table, text};
+use yewcross_capacity::capacity::{
+    Cost, GIVEN, Held, Inputs, MECHANISMS, Messages, Stand, passes, sum, table, text,
+};
 use yewcross_common::constants::SEC;
 use yewcross_common::process_settings::{ProcessSettings, Role};
 use yewcross_testkit::proof::{Lab, Proc};
 
 fn cost(i: &Inputs, name: &str) -> Cost {
-    let m = MECHANISMS.iter().find(|m| m.name == name).unwrap_or_else(|| panic!("no {name}"));
+    let m = MECHANISMS
+        .iter()
+        .find(|m| m.name == name)
+        .unwrap_or_else(|| panic!("no {name}"));
     (m.cost)(i, &Messages::now())
 }
 
 #[test]
 fn the_pages_table_is_made_from_the_given_inputs() {
-    let page = std::fs::read_to_string(format!("{}/../docs/CAPACITY.md", env!("CARGO_MANIFEST_DIR"))).unwrap();
+    let page = std::fs::read_to_string(format!(
+        "{}/../docs/CAPACITY.md",
+        env!("CARGO_MANIFEST_DIR")
+    ))
+    .unwrap();
     let made = text(&table(&Inputs::read(GIVEN).unwrap()));
     let differs: Vec<&str> = made.lines().filter(|l| !page.contains(l)).collect();
     assert!(differs.is_empty(), "not on the page: {differs:#?}");
@@ -25,9 +35,18 @@
 fn what_is_kept_or_next_fits_alone_and_together() {
     let i = Inputs::read(GIVEN).unwrap();
     let lines = table(&i);
-    let bad = |s: &[Stand]| lines.iter().filter(|l| s.contains(&l.stand) && !l.passes.is_empty()).map(|l| l.name).collect::<Vec<_>>();
+    let bad = |s: &[Stand]| {
+        lines
+            .iter()
+            .filter(|l| s.contains(&l.stand) && !l.passes.is_empty())
+            .map(|l| l.name)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(bad(&[Stand::Kept, Stand::Next]), Vec::<&str>::new());
-    assert_eq!(passes(&i, Held::Control, &sum(&lines)), Vec::<String>::new());
+    assert_eq!(
+        passes(&i, Held::Control, &sum(&lines)),
+        Vec::<String>::new()
+    );
     // Whatever is to be replaced, and whatever was weighed and is not taken for its cost, breaks.
     let today = lines.iter().filter(|l| l.stand == Stand::Today).count();
     assert_eq!(bad(&[Stand::Today]).len(), today);
@@ -39,10 +58,25 @@
     let i = Inputs::read(GIVEN).unwrap();
     let (msg, lines) = (Messages::now(), table(&i));
     let mut tried = 0;
-    for (m, l) in MECHANISMS.iter().zip(&lines).filter(|x| x.1.up_to > 0.001 && x.1.up_to < 64.0) {
-        let at = |x: f64| if m.held == Held::Control { i.times(x) } else { i.load(x) };
+    for (m, l) in MECHANISMS
+        .iter()
+        .zip(&lines)
+        .filter(|x| x.1.up_to > 0.001 && x.1.up_to < 64.0)
+    {
+        let at = |x: f64| {
+            if m.held == Held::Control {
+                i.times(x)
+            } else {
+                i.load(x)
+            }
+        };
         let fits = |x: f64| passes(&at(x), m.held, &(m.cost)(&at(x), &msg)).is_empty();
-        assert!(fits(l.up_to * 0.999) && !fits(l.up_to * 1.001), "{} at {}", m.name, l.up_to);
+        assert!(
+            fits(l.up_to * 0.999) && !fits(l.up_to * 1.001),
+            "{} at {}",
+            m.name,
+            l.up_to
+        );
         tried += 1;
     }
     println!("{tried} breaking sizes held");
@@ -60,15 +94,23 @@
     let bin = env!("CARGO_BIN_EXE_yewcross-plan");
     let run = |a: &[&str]| {
         let o = std::process::Command::new(bin).args(a).output().unwrap();
-        (o.status.code(), String::from_utf8_lossy(&o.stdout).into_owned(), String::from_utf8_lossy(&o.stderr).into_owned())
+        (
+            o.status.code(),
+            String::from_utf8_lossy(&o.stdout).into_owned(),
+            String::from_utf8_lossy(&o.stderr).into_owned(),
+        )
     };
-    assert_eq!(run(&["capacity"]).1, text(&table(&Inputs::read(GIVEN).unwrap())));
+    assert_eq!(
+        run(&["capacity"]).1,
+        text(&table(&Inputs::read(GIVEN).unwrap()))
+    );
     let (c, _, e) = run(&["capacity", "--inputs", "/nowhere"]);
     assert!(c == Some(3) && e.contains("/nowhere"), "{c:?} {e}");
     assert!(run(&["capacity", "--json"]).1.starts_with('['));
 }
 
-/// Counters of a simulated tier at rest: per kind of question, how many a second all nodes asked, and bytes of them.
+/// Counters of a simulated tier at rest: per kind of question, how many a second all nodes asked,
+/// and bytes of them.
 struct Rest {
     nodes: f64,
     fronts: f64,
@@ -83,9 +125,17 @@
     let lab = Lab::of(seed, "kowhai", |sh| {
         let like: ProcessSettings = sh.of(Role::Front)[0].clone();
         (0..more).for_each(|i| {
-            let at = |p: u16| std::net::SocketAddr::from(([10, 7, (i / 200) as u8, (i % 200) as u8 + 1], p));
+            let at = |p: u16| {
+                std::net::SocketAddr::from(([10, 7, (i / 200) as u8, (i % 200) as u8 + 1], p))
+            };
             let site = sh.sites[i % sh.sites.len()].clone();
-            sh.nodes.push(ProcessSettings { name: format!("front{}", 100 + i), site, peer: at(1000), http: at(1001), ..like.clone() });
+            sh.nodes.push(ProcessSettings {
+                name: format!("front{}", 100 + i),
+                site,
+                peer: at(1000),
+                http: at(1001),
+                ..like.clone()
+            });
         });
     });
     lab.boot("platform");
@@ -103,10 +153,16 @@
                 Proc::Control(x) => &x.peers,
                 Proc::Back(_) => return,
             };
-            peers.metrics.kinds.lock().unwrap().iter().for_each(|(k, v)| {
-                let e = c.0.entry(k).or_default();
-                *e = (e.0 + v.0, e.1 + v.1 + v.2);
-            });
+            peers
+                .metrics
+                .kinds
+                .lock()
+                .unwrap()
+                .iter()
+                .for_each(|(k, v)| {
+                    let e = c.0.entry(k).or_default();
+                    *e = (e.0 + v.0, e.1 + v.1 + v.2);
+                });
         });
         c
     };
@@ -126,7 +182,10 @@
     let s = SECS as f64;
     let kinds = b.0.iter().map(|(k, v)| {
         let w = a.0.get(k).cloned().unwrap_or_default();
-        (k.to_string(), ((v.0 - w.0) as f64 / s, (v.1 - w.1) as f64 / s))
+        (
+            k.to_string(),
+            ((v.0 - w.0) as f64 / s, (v.1 - w.1) as f64 / s),
+        )
     });
     Rest {
         nodes: lab.sh.nodes.len() as f64,
@@ -138,30 +197,54 @@
     }
 }
 
-/// Two sizes, at rest: what the arithmetic says of probes, leases and polls is what the simulator counts.
+/// Two sizes, at rest: what the arithmetic says of probes, leases and polls is what the simulator
+/// counts.
 #[test]
 fn the_simulators_counters_agree_with_the_arithmetic() {
     let near = |what: &str, nodes: f64, got: f64, said: f64, by: f64| {
         println!("{nodes} nodes, {what}: counted {got:.1} a second, worked out {said:.1}");
-        assert!((got - said).abs() <= by * said, "{what} at {nodes} nodes: {got} and {said}");
+        assert!(
+            (got - said).abs() <= by * said,
+            "{what} at {nodes} nodes: {got} and {said}"
+        );
     };
     for (seed, more) in [(81, 0), (82, 43)] {
         let r = at_rest(seed, more);
         let kind = |k: &str| r.kinds.get(k).cloned().unwrap_or_default();
         let mut i = Inputs::read(GIVEN).unwrap();
-        (i.size.nodes, i.size.control_machines, i.size.servers) = (r.nodes, r.nodes - r.fronts, r.servers);
+        (i.size.nodes, i.size.control_machines, i.size.servers) =
+            (r.nodes, r.nodes - r.fronts, r.servers);
         (i.day.failed, i.day.restarted, i.ours.stores) = (0.0, 0.0, 0.0);
         // Each exchange of probes is asked by one node and answered by another.
         let c = cost(&i, "membership: probes, whole tables on a change");
-        near("probes", r.nodes, kind("Probe").0, r.nodes * c.messages_s / 4.0, 0.05);
-        // The counters leave out the frame of an answer and the packets' heads; names in the simulator are shorter.
+        near(
+            "probes",
+            r.nodes,
+            kind("Probe").0,
+            r.nodes * c.messages_s / 4.0,
+            0.05,
+        );
+        // The counters leave out the frame of an answer and the packets' heads; names in the
+        // simulator are shorter.
         let heads = 2.0 * 66.0 + Messages::now().frame;
-        near("bytes of probes", r.nodes, kind("Probe").1, r.nodes * (c.bytes_s / 2.0 - heads * c.messages_s / 4.0), 0.15);
+        near(
+            "bytes of probes",
+            r.nodes,
+            kind("Probe").1,
+            r.nodes * (c.bytes_s / 2.0 - heads * c.messages_s / 4.0),
+            0.15,
+        );
         (i.size.nodes, i.size.control_machines) = (r.fronts + r.cores, r.cores);
         let c = cost(&i, "in force: leases of fronts (at a core)");
         // Control nodes ask one core as often.
         let control = (r.nodes - r.fronts) / 0.3;
-        near("leases", r.nodes, kind("Newer").0, r.cores * c.messages_s / 2.0 + control, 0.1);
+        near(
+            "leases",
+            r.nodes,
+            kind("Newer").0,
+            r.cores * c.messages_s / 2.0 + control,
+            0.1,
+        );
         near("polls", r.nodes, r.polls, r.servers * 4.0, 0.05);
     }
 }
--- a/yewcross-capacity/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -22,7 +22,11 @@
                 session: format!("p{s}"),
                 job: format!("p{s}-{t}"),
                 horizon_ms: 6000,
-                text: if t == 0 { format!("{s} ").repeat(18_000) } else { "more".into() },
+                text: if t == 0 {
+                    format!("{s} ").repeat(18_000)
+                } else {
+                    "more".into()
+                },
                 max_output: 16,
                 stream: false,
             };
@@ -55,7 +59,8 @@
                 let mut safe = false;
                 for _ in 0..60 {
                     lab.op.sleep(SEC).await;
-                    safe = lab.get("core2", "/v1/disks/store2").await.1["safe_to_remove"] == json!(true);
+                    safe = lab.get("core2", "/v1/disks/store2").await.1["safe_to_remove"]
+                        == json!(true);
                     if safe {
                         break;
                     }
@@ -63,7 +68,12 @@
                 assert!(safe, "store2 did not become safe to remove");
                 let after = checkpoint(&lab).await;
                 let pairs = |c: &Checkpoint| -> BTreeSet<(String, String, u64)> {
-                    let gone = before.nodes.iter().find(|n| n.name == "store2").map(|n| n.disk.clone()).unwrap();
+                    let gone = before
+                        .nodes
+                        .iter()
+                        .find(|n| n.name == "store2")
+                        .map(|n| n.disk.clone())
+                        .unwrap();
                     c.held
                         .iter()
                         .filter(|h| *h.0 != gone)
@@ -75,9 +85,18 @@
                     .filter(|x| !yewcross_common::documents::cache::DOCS.contains(&x.0.as_str()))
                     .cloned()
                     .collect();
-                let said: BTreeSet<_> = p.copies.iter().map(|c| (c.key.clone(), c.to.clone(), c.bytes)).collect();
+                let said: BTreeSet<_> = p
+                    .copies
+                    .iter()
+                    .map(|c| (c.key.clone(), c.to.clone(), c.bytes))
+                    .collect();
                 assert_eq!(new, said);
-                println!("planned and made: {} copies, {} bytes within sites, {} across", said.len(), p.bytes_within, p.bytes_across);
+                println!(
+                    "planned and made: {} copies, {} bytes within sites, {} across",
+                    said.len(),
+                    p.bytes_within,
+                    p.bytes_across
+                );
             })
         },
     );
@@ -93,17 +112,33 @@
             Box::pin(async move {
                 talk(&lab, 0..2).await;
                 let c = checkpoint(&lab).await;
-                let busiest = (1..=12).map(|i| format!("m{i}")).max_by_key(|m| plan(&c, &Change::Without(m.clone())).homes.len()).unwrap();
+                let busiest = (1..=12)
+                    .map(|i| format!("m{i}"))
+                    .max_by_key(|m| plan(&c, &Change::Without(m.clone())).homes.len())
+                    .unwrap();
                 let p = plan(&c, &Change::Without(busiest.clone()));
-                assert!(!p.homes.is_empty() && p.homes.iter().any(|m| m.is != "cold"), "{}", p.text());
+                assert!(
+                    !p.homes.is_empty() && p.homes.iter().any(|m| m.is != "cold"),
+                    "{}",
+                    p.text()
+                );
                 lab.sim.kill(lab.sim.find(&busiest), false);
                 lab.op.sleep(3 * SEC).await;
                 let seen = talk(&lab, 2..3).await;
                 for m in &p.homes {
-                    let s = seen.iter().find(|s| m.what.ends_with(&format!("/{}", s.session))).unwrap();
-                    println!("{}: planned {}, ran at {} reusing {} of {}", m.what, m.is, s.server, s.reused, s.prompt);
+                    let s = seen
+                        .iter()
+                        .find(|s| m.what.ends_with(&format!("/{}", s.session)))
+                        .unwrap();
+                    println!(
+                        "{}: planned {}, ran at {} reusing {} of {}",
+                        m.what, m.is, s.server, s.reused, s.prompt
+                    );
                     if m.is != "cold" {
-                        assert_eq!((&s.server, 100 * s.reused / s.prompt >= KV_WARM), (&m.is, true));
+                        assert_eq!(
+                            (&s.server, 100 * s.reused / s.prompt >= KV_WARM),
+                            (&m.is, true)
+                        );
                     }
                 }
             })
@@ -125,12 +160,26 @@
                 let mut t: serde_json::Value = serde_json::from_str(&c.config).unwrap();
                 t["families"]["talk"]["set"]["max_output"] = json!(77);
                 let p = plan(&c, &Change::Config(t.to_string()));
-                let got: BTreeSet<_> =
-                    p.settings.iter().map(|s| (s.family.as_str(), s.key.as_str(), s.is.as_u64(), s.from.as_str())).collect();
-                let want = ["chargeback", "onboarding", "talk"].map(|f| (f, "max_output", Some(77), "talk"));
+                let got: BTreeSet<_> = p
+                    .settings
+                    .iter()
+                    .map(|s| {
+                        (
+                            s.family.as_str(),
+                            s.key.as_str(),
+                            s.is.as_u64(),
+                            s.from.as_str(),
+                        )
+                    })
+                    .collect();
+                let want = ["chargeback", "onboarding", "talk"]
+                    .map(|f| (f, "max_output", Some(77), "talk"));
                 assert_eq!(got, BTreeSet::from(want));
                 t["fronts"] = json!(["front8", "front9"]);
-                assert_eq!(plan(&c, &Change::Config(t.to_string())).refused[0].path, "fronts");
+                assert_eq!(
+                    plan(&c, &Change::Config(t.to_string())).refused[0].path,
+                    "fronts"
+                );
                 assert_eq!(plan(&c, &Change::Without("nobody".into())).refused.len(), 1);
                 assert_eq!(lab.version().await, seq, "planning changed something");
             })
@@ -143,7 +192,10 @@
     let bin = env!("CARGO_BIN_EXE_yewcross-plan");
     let run = |a: &[&str]| {
         let o = std::process::Command::new(bin).args(a).output().unwrap();
-        (o.status.code(), String::from_utf8_lossy(&o.stderr).into_owned())
+        (
+            o.status.code(),
+            String::from_utf8_lossy(&o.stderr).into_owned(),
+        )
     };
     let f = std::env::temp_dir().join(format!("yewcross-plan-{}", std::process::id()));
     std::fs::write(&f, "{\"config_seq\": true}").unwrap();
@@ -154,6 +206,9 @@
     assert!(c == Some(3) && e.contains("/nowhere"), "{c:?} {e}");
     assert_eq!(run(&["--checkpoint", &p]).0, Some(2));
     assert_eq!(run(&["--empty", "x"]).0, Some(2));
-    assert_eq!(std::fs::read_to_string(&f).unwrap(), "{\"config_seq\": true}");
+    assert_eq!(
+        std::fs::read_to_string(&f).unwrap(),
+        "{\"config_seq\": true}"
+    );
     let _ = std::fs::remove_file(&f);
 }
--- a/yewcross-common/src/adapter.rs
+++ b/yewcross-common/src/adapter.rs
@@ -1,5 +1,6 @@
-//! The ports through which another platform's clients, servers, operators and lists are spoken to. The product's own
-//! JSON interface is one set; an adapter is another. A port translates; it decides nothing and keeps nothing.
+//! The ports through which another platform's clients, servers, operators and lists are spoken to.
+//! The product's own JSON interface is one set; an adapter is another. A port translates; it
+//! decides nothing and keeps nothing.
 
 use crate::configuration::{Configuration, InvalidSetting};
 use crate::error_code::Code;
@@ -28,7 +29,8 @@
     pub parts: Vec<(u64, u64)>,
     /// The turn it goes on from; empty for none.
     pub prev: String,
-    /// Names the thing that it concerns: a server that saw it lately does the work faster. Empty for none.
+    /// Names the thing that it concerns: a server that saw it lately does the work faster. Empty
+    /// for none.
     pub affinity: String,
 }
 
@@ -58,7 +60,8 @@
 }
 
 pub trait UpstreamProtocol: Send + Sync {
-    /// Adds what only the tier knows: whom it is meant for, what is left of its deadline, how urgent it is (0 first).
+    /// Adds what only the tier knows: whom it is meant for, what is left of its deadline, how
+    /// urgent it is (0 first).
     fn dress(&self, h: &mut HeaderMap, to: &ListedServer, left_ms: u64, urgency: Option<u8>);
     /// Asks that a stream go on behind the event of this id.
     fn resume_after(&self, h: &mut HeaderMap, event_id: &[u8]);
--- a/yewcross-common/src/buffered_http.rs
+++ b/yewcross-common/src/buffered_http.rs
@@ -62,7 +62,8 @@
 }
 
 pub fn reply(status: u16, v: &impl Serialize) -> Response {
-    let mut r = Response::new(StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError));
+    let mut r =
+        Response::new(StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError));
     r.set_body(Body::from_bytes(serde_json::to_vec(v).unwrap_or_default()));
     r.insert_header("content-type", "application/json");
     r
@@ -71,7 +72,10 @@
 pub fn refuse(c: Code, why: &str, back: u64) -> Response {
     let ran: &str = c.ran().into();
     let name: &str = c.into();
-    let mut r = reply(c.http(), &json!({"code": c.number(), "name": name, "ran": ran, "text": c.text(), "why": why, "retry_after": back}));
+    let mut r = reply(
+        c.http(),
+        &json!({"code": c.number(), "name": name, "ran": ran, "text": c.text(), "why": why, "retry_after": back}),
+    );
     if back > 0 {
         r.insert_header("retry-after", back.to_string());
     }
@@ -81,7 +85,11 @@
 struct Pieces(Pin<Box<async_channel::Receiver<Vec<u8>>>>, Vec<u8>, usize);
 
 impl futures_lite::AsyncRead for Pieces {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         if self.2 == self.1.len() {
             match self.0.as_mut().poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
@@ -99,10 +107,14 @@
     }
 }
 
-/// A chunked outcome whose pieces are sent as they come. The channel closing is the end of the body.
+/// A chunked outcome whose pieces are sent as they come. The channel closing is the end of the
+/// body.
 pub fn stream(rx: async_channel::Receiver<Vec<u8>>) -> Response {
     let mut r = Response::new(StatusCode::Ok);
-    r.set_body(Body::from_reader(BufReader::new(Pieces(Box::pin(rx), vec![], 0)), None));
+    r.set_body(Body::from_reader(
+        BufReader::new(Pieces(Box::pin(rx), vec![], 0)),
+        None,
+    ));
     r.insert_header("content-type", "application/x-ndjson");
     r
 }
@@ -119,7 +131,13 @@
     let _ = c.close().await;
 }
 
-async fn one(runtime: &Runtime, c: &mut Connection, h: &Handler, g: &ConnectionTracker, first: bool) -> Option<bool> {
+async fn one(
+    runtime: &Runtime,
+    c: &mut Connection,
+    h: &Handler,
+    g: &ConnectionTracker,
+    first: bool,
+) -> Option<bool> {
     c.limit_reads(2 * HEAD_MAX);
     let wait = if first { HEAD_WAIT } else { IDLE_WAIT };
     let gone = async {
@@ -129,10 +147,13 @@
         g.closing.wait().await;
         runtime.sleep(100 * MS).await;
     };
-    let head = futures_lite::future::or(runtime.timeout(wait, async_h1::server::decode(c.clone())), async {
-        gone.await;
-        Some(Ok(None))
-    })
+    let head = futures_lite::future::or(
+        runtime.timeout(wait, async_h1::server::decode(c.clone())),
+        async {
+            gone.await;
+            Some(Ok(None))
+        },
+    )
     .await;
     let (mut q, mut rest) = match head {
         Some(Ok(Some(x))) => x,
@@ -142,7 +163,11 @@
             return None;
         }
         Some(Err(e)) => {
-            let k = if e.to_string().contains("8kb") { Code::TooLarge } else { Code::BadHead };
+            let k = if e.to_string().contains("8kb") {
+                Code::TooLarge
+            } else {
+                Code::BadHead
+            };
             refuse_and_close(runtime, c.clone(), k).await;
             return None;
         }
@@ -161,7 +186,12 @@
         return None;
     }
     let b = q.take_body();
-    let got = runtime.timeout(BODY_WAIT, b.take(BODY_MAX as u64 + 1).read_to_end(&mut body)).await;
+    let got = runtime
+        .timeout(
+            BODY_WAIT,
+            b.take(BODY_MAX as u64 + 1).read_to_end(&mut body),
+        )
+        .await;
     let bad = match got {
         None => Some(Code::TooSlow),
         Some(Err(_)) => Some(Code::BadBody),
@@ -174,8 +204,13 @@
         return None;
     }
     g.busy.fetch_add(1, SeqCst);
-    let close = q.header("connection").is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
-    let text = |n: &str| q.header(n).map(|v| v.as_str().trim_matches('"').to_string());
+    let close = q
+        .header("connection")
+        .is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
+    let text = |n: &str| {
+        q.header(n)
+            .map(|v| v.as_str().trim_matches('"').to_string())
+    };
     let job = BufferedRequest {
         verb,
         path: q.url().path().to_string(),
@@ -189,8 +224,14 @@
     if last {
         r.insert_header("connection", "close");
     }
-    let until = r.ext().get::<Until>().map_or(runtime.now() + ANSWER_WAIT, |u| u.0);
-    let sent = runtime.timeout(until.saturating_sub(runtime.now()), send(c, r, verb)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
+    let until = r
+        .ext()
+        .get::<Until>()
+        .map_or(runtime.now() + ANSWER_WAIT, |u| u.0);
+    let sent = runtime
+        .timeout(until.saturating_sub(runtime.now()), send(c, r, verb))
+        .await
+        .unwrap_or(Err(io::ErrorKind::TimedOut.into()));
     g.drop_one(&g.busy);
     let mut sink = Vec::new();
     let _ = runtime.timeout(SEC, rest.read_to_end(&mut sink)).await;
@@ -207,14 +248,22 @@
 }
 
 /// Serves until the gate closes; then empties the accept backlog and returns when all is answered.
-pub async fn serve(runtime: Runtime, door: Box<dyn Listener>, h: Handler, g: Arc<ConnectionTracker>) {
+pub async fn serve(
+    runtime: Runtime,
+    door: Box<dyn Listener>,
+    h: Handler,
+    g: Arc<ConnectionTracker>,
+) {
     loop {
         let late = async {
             g.closing.wait().await;
             runtime.sleep(60 * MS).await;
             None
         };
-        let Some(c) = futures_lite::future::or(async { Some(door.accept().await) }, late).await else { break };
+        let Some(c) = futures_lite::future::or(async { Some(door.accept().await) }, late).await
+        else {
+            break;
+        };
         let Ok(c) = c else {
             runtime.sleep(10 * MS).await;
             continue;
@@ -233,7 +282,13 @@
 }
 
 /// One exchange on a connection that stays usable if the body is read to its end.
-pub async fn exchange(c: &Connection, verb: Method, path: &str, heads: &[(&str, String)], body: Vec<u8>) -> io::Result<Response> {
+pub async fn exchange(
+    c: &Connection,
+    verb: Method,
+    path: &str,
+    heads: &[(&str, String)],
+    body: Vec<u8>,
+) -> io::Result<Response> {
     let bad = |e: String| io::Error::new(io::ErrorKind::InvalidData, e);
     let url = Url::parse(&format!("http://{}{}", c.peer, path)).map_err(|e| bad(e.to_string()))?;
     let mut q = Request::new(verb, url);
@@ -242,13 +297,18 @@
     });
     q.set_body(Body::from_bytes(body));
     c.limit_reads(u64::MAX);
-    async_h1::connect(c.clone(), q).await.map_err(|e| bad(e.to_string()))
+    async_h1::connect(c.clone(), q)
+        .await
+        .map_err(|e| bad(e.to_string()))
 }
 
 pub async fn body(r: &mut Response, max: usize) -> io::Result<Vec<u8>> {
     let want = r.len();
     let mut v = Vec::new();
-    r.take_body().take(max as u64 + 1).read_to_end(&mut v).await?;
+    r.take_body()
+        .take(max as u64 + 1)
+        .read_to_end(&mut v)
+        .await?;
     if v.len() > max || want.is_some_and(|n| n != v.len()) {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
--- a/yewcross-common/src/configuration/mod.rs
+++ b/yewcross-common/src/configuration/mod.rs
@@ -66,16 +66,32 @@
         if self == Rule::All {
             return;
         }
-        let ends: Vec<usize> = hist.iter().enumerate().filter(|x| *x.1 == b'\n').map(|x| x.0 + 1).collect();
+        let ends: Vec<usize> = hist
+            .iter()
+            .enumerate()
+            .filter(|x| *x.1 == b'\n')
+            .map(|x| x.0 + 1)
+            .collect();
         let cut = match self {
             Rule::All => 0,
-            Rule::Turns(n) => ends.len().checked_sub(n.saturating_add(1)).map(|i| ends[i]).unwrap_or(0),
+            Rule::Turns(n) => ends
+                .len()
+                .checked_sub(n.saturating_add(1))
+                .map(|i| ends[i])
+                .unwrap_or(0),
             Rule::Tokens(n) => {
-                let over = hist.len().saturating_sub((n as usize).saturating_mul(TOKEN_BYTES));
+                let over = hist
+                    .len()
+                    .saturating_sub((n as usize).saturating_mul(TOKEN_BYTES));
                 if over == 0 {
                     0
                 } else {
-                    ends.iter().take(ends.len().saturating_sub(1)).find(|e| **e >= over).or(ends.iter().rev().nth(1)).cloned().unwrap_or(0)
+                    ends.iter()
+                        .take(ends.len().saturating_sub(1))
+                        .find(|e| **e >= over)
+                        .or(ends.iter().rev().nth(1))
+                        .cloned()
+                        .unwrap_or(0)
                 }
             }
         };
@@ -174,53 +190,91 @@
 }
 
 fn bad(path: impl Into<String>, why: impl Into<String>) -> InvalidSetting {
-    InvalidSetting { path: path.into(), why: why.into() }
+    InvalidSetting {
+        path: path.into(),
+        why: why.into(),
+    }
 }
 
 fn good_name(s: &str) -> bool {
-    !s.is_empty() && s.len() <= 64 && s.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.')
+    !s.is_empty()
+        && s.len() <= 64
+        && s.bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.')
 }
 
 impl Configuration {
     /// Reads and checks a whole configuration; every fault found is told.
     pub fn read(text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
         let raw: Raw = serde_json::from_slice(text).map_err(|e| vec![bad("", e.to_string())])?;
-        let mut t = Configuration { fronts: raw.fronts.clone(), routing: raw.routing.clone(), ..Default::default() };
+        let mut t = Configuration {
+            fronts: raw.fronts.clone(),
+            routing: raw.routing.clone(),
+            ..Default::default()
+        };
         let mut ill = vec![];
-        let base = (ProgramClass::default(), ProgramClass::DEFS.iter().map(|d| (d.key.to_string(), "default".to_string())).collect());
-        raw.families.iter().for_each(|(n, f)| grow(&mut t, &mut ill, "families", n, f, &base));
+        let base = (
+            ProgramClass::default(),
+            ProgramClass::DEFS
+                .iter()
+                .map(|d| (d.key.to_string(), "default".to_string()))
+                .collect(),
+        );
+        raw.families
+            .iter()
+            .for_each(|(n, f)| grow(&mut t, &mut ill, "families", n, f, &base));
         raw.services.iter().for_each(|(n, m)| {
             let mut s = Service::default();
             if !good_name(n) {
                 ill.push(bad(format!("services/{n}"), "not a name"));
             }
             m.iter().for_each(|(k, v)| {
-                s.set(k, v).unwrap_or_else(|e| ill.push(bad(format!("services/{n}/{k}"), e)));
+                s.set(k, v)
+                    .unwrap_or_else(|e| ill.push(bad(format!("services/{n}/{k}"), e)));
             });
             if s.allow.is_empty() {
                 ill.push(bad(format!("services/{n}/allow"), "no server is allowed"));
             }
-            s.once.iter().filter(|m| !s.methods.contains(m)).for_each(|m| {
-                ill.push(bad(format!("services/{n}/once"), format!("{m} is not among the methods")));
-            });
+            s.once
+                .iter()
+                .filter(|m| !s.methods.contains(m))
+                .for_each(|m| {
+                    ill.push(bad(
+                        format!("services/{n}/once"),
+                        format!("{m} is not among the methods"),
+                    ));
+                });
             t.services.insert(n.clone(), s);
         });
         raw.budgets.iter().for_each(|(n, m)| {
             let mut b = Budget::default();
             m.iter().for_each(|(k, v)| {
-                b.set(k, v).unwrap_or_else(|e| ill.push(bad(format!("budgets/{n}/{k}"), e)));
+                b.set(k, v)
+                    .unwrap_or_else(|e| ill.push(bad(format!("budgets/{n}/{k}"), e)));
             });
             t.budgets.insert(n.clone(), b);
         });
         t.families.values().for_each(|p| {
-            if t.services.get(&p.eff.service).is_none_or(|s| s.kind != Kind::Model) {
-                ill.push(bad(format!("{}/set/service", p.path), format!("{} is not a model service", p.eff.service)));
+            if t.services
+                .get(&p.eff.service)
+                .is_none_or(|s| s.kind != Kind::Model)
+            {
+                ill.push(bad(
+                    format!("{}/set/service", p.path),
+                    format!("{} is not a model service", p.eff.service),
+                ));
             }
             if !p.eff.budget.is_empty() && !t.budgets.contains_key(&p.eff.budget) {
-                ill.push(bad(format!("{}/set/budget", p.path), format!("{} is not a budget", p.eff.budget)));
+                ill.push(bad(
+                    format!("{}/set/budget", p.path),
+                    format!("{} is not a budget", p.eff.budget),
+                ));
             }
         });
-        t.routing.faults().into_iter().for_each(|(p, why)| ill.push(bad(format!("routing/{p}"), why)));
+        t.routing
+            .faults()
+            .into_iter()
+            .for_each(|(p, why)| ill.push(bad(format!("routing/{p}"), why)));
         if ill.is_empty() { Ok(t) } else { Err(ill) }
     }
 }
@@ -238,7 +292,10 @@
         ill.push(bad(&path, "not a name: letters, digits, - _ . up to 64"));
     }
     if t.families.contains_key(name) {
-        ill.push(bad(&path, "a family of this name stands elsewhere in the tree"));
+        ill.push(bad(
+            &path,
+            "a family of this name stands elsewhere in the tree",
+        ));
     }
     let mut own = up.clone();
     f.set.iter().for_each(|(k, v)| match own.0.set(k, v) {
@@ -247,13 +304,24 @@
         }
         Err(e) => ill.push(bad(format!("{path}/set/{k}"), e)),
     });
-    t.families.insert(name.into(), ResolvedProgramClass { path: path.clone(), eff: own.0.clone(), from: own.1.clone() });
-    f.under.iter().for_each(|(n, c)| grow(t, ill, &format!("{path}/under"), n, c, &own));
+    t.families.insert(
+        name.into(),
+        ResolvedProgramClass {
+            path: path.clone(),
+            eff: own.0.clone(),
+            from: own.1.clone(),
+        },
+    );
+    f.under
+        .iter()
+        .for_each(|(n, c)| grow(t, ill, &format!("{path}/under"), n, c, &own));
 }
 
 impl Service {
     pub fn allows(&self, server: &str) -> bool {
-        self.allow.iter().any(|a| a == server || a.strip_suffix('*').is_some_and(|p| server.starts_with(p)))
+        self.allow
+            .iter()
+            .any(|a| a == server || a.strip_suffix('*').is_some_and(|p| server.starts_with(p)))
     }
 }
 
@@ -271,7 +339,11 @@
         let c = &t.families["chargeback"];
         assert_eq!((c.eff.horizon_ms, c.eff.max_output), (4000, 200));
         assert_eq!(
-            (c.from["horizon_ms"].as_str(), c.from["max_output"].as_str(), c.from["class"].as_str()),
+            (
+                c.from["horizon_ms"].as_str(),
+                c.from["max_output"].as_str(),
+                c.from["class"].as_str()
+            ),
             ("chat", "chargeback", "default")
         );
         assert!(t.services["llm"].allows("m7") && !t.services["llm"].allows("x7"));
@@ -281,8 +353,17 @@
         )
         .unwrap_err();
         let p: Vec<&str> = e.iter().map(|b| b.path.as_str()).collect();
-        assert_eq!(p, ["families/a/set/horizon_ms", "families/a/set/nope", "families/a/under/b/set/service"]);
+        assert_eq!(
+            p,
+            [
+                "families/a/set/horizon_ms",
+                "families/a/set/nope",
+                "families/a/under/b/set/service"
+            ]
+        );
         assert!(e[0].why.contains("10 to 600000"));
-        assert!(Configuration::read(b"{").is_err() && Configuration::read(br#"{"famili":{}}"#).is_err());
+        assert!(
+            Configuration::read(b"{").is_err() && Configuration::read(br#"{"famili":{}}"#).is_err()
+        );
     }
 }
--- a/yewcross-common/src/configuration/route.rs
+++ b/yewcross-common/src/configuration/route.rs
@@ -1,4 +1,5 @@
-//! Routes: which service, or weighted variants, takes a request by its host and the longest prefix of its path.
+//! Routes: which service, or weighted variants, takes a request by its host and the longest prefix
+//! of its path.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -38,8 +39,8 @@
     pub retained: bool,
     #[serde(default)]
     pub retain_ms: u64,
-    /// A server does the work faster that lately saw the thing that a request concerns: parts of its prompt, or its
-    /// affinity key.
+    /// A server does the work faster that lately saw the thing that a request concerns: parts of
+    /// its prompt, or its affinity key.
     #[serde(default)]
     pub pinned: bool,
     #[serde(default)]
@@ -93,7 +94,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { head_bytes: 16 << 10, body_bytes: 4 << 20, head_ms: 3_000, idle_ms: 15_000 }
+        Limits {
+            head_bytes: 16 << 10,
+            body_bytes: 4 << 20,
+            head_ms: 3_000,
+            idle_ms: 15_000,
+        }
     }
 }
 
@@ -126,22 +132,44 @@
 
 impl From<Routes> for Raw {
     fn from(r: Routes) -> Raw {
-        Raw { routes: r.routes, upstreams: r.upstreams.into_values().collect(), limits: r.limits }
+        Raw {
+            routes: r.routes,
+            upstreams: r.upstreams.into_values().collect(),
+            limits: r.limits,
+        }
     }
 }
 
 impl Routes {
     pub fn new(routes: Vec<Route>, ups: Vec<Upstream>, limits: Limits) -> Routes {
         let mut by: HashMap<String, Vec<usize>> = HashMap::new();
-        routes.iter().enumerate().for_each(|(i, r)| by.entry(r.host.to_ascii_lowercase()).or_default().push(i));
-        by.values_mut().for_each(|v| v.sort_by_key(|i| std::cmp::Reverse(routes[*i].prefix.len())));
-        Routes { routes, upstreams: ups.into_iter().map(|u| (u.name.clone(), u)).collect(), limits, by }
+        routes
+            .iter()
+            .enumerate()
+            .for_each(|(i, r)| by.entry(r.host.to_ascii_lowercase()).or_default().push(i));
+        by.values_mut()
+            .for_each(|v| v.sort_by_key(|i| std::cmp::Reverse(routes[*i].prefix.len())));
+        Routes {
+            routes,
+            upstreams: ups.into_iter().map(|u| (u.name.clone(), u)).collect(),
+            limits,
+            by,
+        }
     }
 
-    /// The route of a request; the match is made on the bytes sent. A port behind the host does not count.
+    /// The route of a request; the match is made on the bytes sent. A port behind the host does not
+    /// count.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
-        let h = host.rsplit_once(':').filter(|x| x.1.bytes().all(|b| b.is_ascii_digit())).map_or(host, |x| x.0).to_ascii_lowercase();
-        self.by.get(&h)?.iter().map(|i| &self.routes[*i]).find(|r| path.starts_with(&r.prefix))
+        let h = host
+            .rsplit_once(':')
+            .filter(|x| x.1.bytes().all(|b| b.is_ascii_digit()))
+            .map_or(host, |x| x.0)
+            .to_ascii_lowercase();
+        self.by
+            .get(&h)?
+            .iter()
+            .map(|i| &self.routes[*i])
+            .find(|r| path.starts_with(&r.prefix))
     }
 
     /// Every fault, as path and reason.
@@ -154,12 +182,30 @@
                     v.push((format!("routes/{}/{k}", r.name), why.to_string()));
                 }
             };
-            no(r.variants.is_empty() || r.variants.iter().map(|x| x.1).sum::<u64>() == 0, "variants", "the weights sum to 0");
-            no(r.variants.iter().any(|x| !self.upstreams.contains_key(&x.0)), "variants", "names an unknown service");
+            no(
+                r.variants.is_empty() || r.variants.iter().map(|x| x.1).sum::<u64>() == 0,
+                "variants",
+                "the weights sum to 0",
+            );
+            no(
+                r.variants
+                    .iter()
+                    .any(|x| !self.upstreams.contains_key(&x.0)),
+                "variants",
+                "names an unknown service",
+            );
             no(r.timeout_ms == 0, "timeout_ms", "must be above 0");
             no(r.max_tries == 0, "max_tries", "must be above 0");
-            no(!(r.prefix.starts_with('/') && r.prefix.ends_with('/')), "prefix", "must begin and end with a slash");
-            no(!seen.insert((r.host.to_ascii_lowercase(), r.prefix.clone())), "prefix", "another route has this host and prefix");
+            no(
+                !(r.prefix.starts_with('/') && r.prefix.ends_with('/')),
+                "prefix",
+                "must begin and end with a slash",
+            );
+            no(
+                !seen.insert((r.host.to_ascii_lowercase(), r.prefix.clone())),
+                "prefix",
+                "another route has this host and prefix",
+            );
         });
         v
     }
--- a/yewcross-common/src/documents/delta.rs
+++ b/yewcross-common/src/documents/delta.rs
@@ -1,12 +1,13 @@
 //! What changed between two values, so that only that travels between sites.
 //!
-//! Values are cut behind each line feed and each closing brace: documents are JSON, which may stand in one line, and what
-//! changes in them is an object or two.
+//! Values are cut behind each line feed and each closing brace: documents are JSON, which may stand
+//! in one line, and what changes in them is an object or two.
 
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// bytes. What a copy costs: a chunk no longer than this is cheaper as it is, unless it goes on from the copy before.
+/// bytes. What a copy costs: a chunk no longer than this is cheaper as it is, unless it goes on
+/// from the copy before.
 const COPY: usize = 12;
 
 fn ends_chunk(byte: &u8) -> bool {
@@ -16,10 +17,19 @@
 /// ReplicaSet of runs of old chunks and new bytes between them, closed by a checksum of the whole.
 pub fn encode(old: &[u8], new: &[u8]) -> Vec<u8> {
     let mut at = BTreeMap::new();
-    // Most values grow at their end: what leads both alike is skipped in blocks, then cut at the end of a chunk.
-    let alike = old.chunks(256).zip(new.chunks(256)).take_while(|(a, b)| a == b).count() * 256;
+    // Most values grow at their end: what leads both alike is skipped in blocks, then cut at the
+    // end of a chunk.
+    let alike = old
+        .chunks(256)
+        .zip(new.chunks(256))
+        .take_while(|(a, b)| a == b)
+        .count()
+        * 256;
     let alike = alike.min(old.len()).min(new.len());
-    let head = old[..alike].iter().rposition(ends_chunk).map_or(0, |i| i + 1);
+    let head = old[..alike]
+        .iter()
+        .rposition(ends_chunk)
+        .map_or(0, |i| i + 1);
     let mut o = head;
     old[head..].split_inclusive(ends_chunk).for_each(|l| {
         at.entry(xxh3_64(l)).or_insert(o);
@@ -28,7 +38,9 @@
     let mut out = vec![];
     let (mut from, mut len, mut lit) = (0usize, head, vec![]);
     let mut put = |from: usize, len: usize, lit: &mut Vec<u8>| {
-        [from, len, lit.len()].iter().for_each(|n| out.extend((*n as u32).to_le_bytes()));
+        [from, len, lit.len()]
+            .iter()
+            .for_each(|n| out.extend((*n as u32).to_le_bytes()));
         out.append(lit);
     };
     new[head..].split_inclusive(ends_chunk).for_each(|l| {
@@ -55,7 +67,8 @@
     let (mut d, crc) = d.split_at_checked(d.len().checked_sub(4)?)?;
     let mut out = vec![];
     while !d.is_empty() {
-        let n = |i: usize| Some(u32::from_le_bytes(d.get(4 * i..4 * i + 4)?.try_into().ok()?) as usize);
+        let n =
+            |i: usize| Some(u32::from_le_bytes(d.get(4 * i..4 * i + 4)?.try_into().ok()?) as usize);
         let (from, len, lit) = (n(0)?, n(1)?, n(2)?);
         out.extend(old.get(from..from.checked_add(len)?)?);
         out.extend(d.get(12..12usize.checked_add(lit)?)?);
@@ -90,7 +103,9 @@
             assert_eq!(apply(&a, &bad), None);
             Ok(())
         });
-        let old: Vec<u8> = (0..500).flat_map(|i| format!("history line number {i}\n").into_bytes()).collect();
+        let old: Vec<u8> = (0..500)
+            .flat_map(|i| format!("history line number {i}\n").into_bytes())
+            .collect();
         let mut new = old[24..].to_vec();
         new.extend(b"one more\n");
         assert!(encode(&old, &new).len() < 60);
@@ -99,7 +114,12 @@
     #[test]
     fn one_route_of_a_document_in_one_line_travels_alone() {
         let document = |weight: u32| -> Vec<u8> {
-            let routes = (0..60).map(|n| format!("{{\\\"label\\\":\\\"r{n}\\\",\\\"weight\\\":{}}}", if n == 40 { weight } else { n }));
+            let routes = (0..60).map(|n| {
+                format!(
+                    "{{\\\"label\\\":\\\"r{n}\\\",\\\"weight\\\":{}}}",
+                    if n == 40 { weight } else { n }
+                )
+            });
             format!("{{\"text\":\"{}\"}}", routes.collect::<Vec<_>>().join(",")).into_bytes()
         };
         let (old, new) = (document(7), document(8));
--- a/yewcross-common/src/documents/departures.rs
+++ b/yewcross-common/src/documents/departures.rs
@@ -1,11 +1,13 @@
 //! Servers that the platform showed as leaving.
 //!
-//! That a server leaves is final for its name, so it needs no agreement and no order: whoever reads the platform's list tells
-//! all nodes at once, and every node tells it on. Only what is added to the list waits until it is decided.
+//! That a server leaves is final for its name, so it needs no agreement and no order: whoever reads
+//! the platform's list tells all nodes at once, and every node tells it on. Only what is added to
+//! the list waits until it is decided.
 
 use std::collections::BTreeMap;
 
-/// us. A mark is kept this long: longer than any list that still shows the server as ready is on its way.
+/// us. A mark is kept this long: longer than any list that still shows the server as ready is on
+/// its way.
 const KEPT: u64 = 600 * crate::constants::SEC;
 /// count. Marks kept at most, the newest: a region's servers replaced at once, several times over.
 const MOST: usize = 8_192;
@@ -19,7 +21,9 @@
 
 /// Alike for alike sets of servers; 0 for the empty one.
 pub fn digest<'a>(servers: impl IntoIterator<Item = &'a String>) -> u64 {
-    servers.into_iter().fold(0, |sum, server| sum ^ crate::hash::rendezvous_weight(server, ""))
+    servers.into_iter().fold(0, |sum, server| {
+        sum ^ crate::hash::rendezvous_weight(server, "")
+    })
 }
 
 impl Departures {
@@ -40,7 +44,14 @@
     fn drop_old(&mut self, now: u64) {
         self.marked_at.retain(|_, at| now < *at + KEPT);
         while self.marked_at.len() > MOST {
-            let Some(oldest) = self.marked_at.iter().min_by_key(|(_, at)| **at).map(|(server, _)| server.clone()) else { return };
+            let Some(oldest) = self
+                .marked_at
+                .iter()
+                .min_by_key(|(_, at)| **at)
+                .map(|(server, _)| server.clone())
+            else {
+                return;
+            };
             self.marked_at.remove(&oldest);
         }
     }
--- a/yewcross-common/src/documents/watcher.rs
+++ b/yewcross-common/src/documents/watcher.rs
@@ -25,19 +25,27 @@
     pub confirmed: AtomicBool,
     rounds: AtomicU64,
     confirmations: Mutex<BTreeMap<String, u64>>,
-    /// The digest of the leaving servers that each core told of last, by its name: a core tells them again only if they differ.
+    /// The digest of the leaving servers that each core told of last, by its name: a core tells
+    /// them again only if they differ.
     leaving_digests: Mutex<BTreeMap<String, u64>>,
     was_serving: AtomicBool,
-    /// us. When the question was sent that a core with a majority answered last; 0 before the first.
+    /// us. When the question was sent that a core with a majority answered last; 0 before the
+    /// first.
     confirmed_at: AtomicU64,
 }
 
 impl DocumentWatcher {
-    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, front: bool) -> Arc<DocumentWatcher> {
+    pub fn new(
+        members: &Arc<Membership>,
+        documents: &Arc<DocumentCache>,
+        name: &str,
+        front: bool,
+    ) -> Arc<DocumentWatcher> {
         DocumentWatcher::of(members, documents, name, front, 0)
     }
 
-    /// Without leases: a front serves by what it holds, and one core is asked for news often enough for `apply` (us).
+    /// Without leases: a front serves by what it holds, and one core is asked for news often enough
+    /// for `apply` (us).
     pub fn without_leases(
         members: &Arc<Membership>,
         documents: &Arc<DocumentCache>,
@@ -48,7 +56,13 @@
         DocumentWatcher::of(members, documents, name, front, (apply / 5).max(50 * MS))
     }
 
-    fn of(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, front: bool, every: u64) -> Arc<DocumentWatcher> {
+    fn of(
+        members: &Arc<Membership>,
+        documents: &Arc<DocumentCache>,
+        name: &str,
+        front: bool,
+        every: u64,
+    ) -> Arc<DocumentWatcher> {
         let w = members.runtime.clone();
         Arc::new(DocumentWatcher {
             runtime: w.clone(),
@@ -75,7 +89,8 @@
         self.runtime.now() < self.serving_until.load(SeqCst)
     }
 
-    /// us since a core in contact with a majority last told this node what is newest; none if none ever did.
+    /// us since a core in contact with a majority last told this node what is newest; none if none
+    /// ever did.
     pub fn since_confirmation(&self) -> Option<u64> {
         let at = self.confirmed_at.load(SeqCst);
         (at > 0).then(|| self.runtime.now() - at)
@@ -84,16 +99,35 @@
     /// What this front tells other fronts: its version, if it was ever proved.
     pub fn poll_response(&self) -> PeerResponse {
         let newest = self.documents.versions();
-        PeerResponse::DocumentVersions { newest, authoritative: self.confirmed.load(SeqCst), behind: false, leaving: vec![] }
+        PeerResponse::DocumentVersions {
+            newest,
+            authoritative: self.confirmed.load(SeqCst),
+            behind: false,
+            leaving: vec![],
+        }
     }
 
     pub async fn fetch(&self, name: &str, more_than: u64) {
         let cores = self.members.nodes_of_role(Role::Core);
-        let order: Vec<String> =
-            crate::hash::ranked(name, cores.iter().map(|n| n.name.as_str())).into_iter().map(|s| s.to_string()).collect();
-        for n in order.iter().filter_map(|o| cores.iter().find(|c| c.name == *o)) {
-            let a = PeerRequest::ReadDecidedDocument { name: name.into(), hops: 0 };
-            if let Ok((PeerResponse::Document { version: seq, epoch }, raw)) = self.members.peers.request(n.peer, &a, &[], PEER_WAIT).await
+        let order: Vec<String> = crate::hash::ranked(name, cores.iter().map(|n| n.name.as_str()))
+            .into_iter()
+            .map(|s| s.to_string())
+            .collect();
+        for n in order
+            .iter()
+            .filter_map(|o| cores.iter().find(|c| c.name == *o))
+        {
+            let a = PeerRequest::ReadDecidedDocument {
+                name: name.into(),
+                hops: 0,
+            };
+            if let Ok((
+                PeerResponse::Document {
+                    version: seq,
+                    epoch,
+                },
+                raw,
+            )) = self.members.peers.request(n.peer, &a, &[], PEER_WAIT).await
             {
                 if seq > 0 {
                     self.documents.apply(name, seq, epoch, raw);
@@ -105,7 +139,8 @@
         }
     }
 
-    /// Asks one core at a time, those of our site every other time; wakes at once when cores become known.
+    /// Asks one core at a time, those of our site every other time; wakes at once when cores become
+    /// known.
     async fn poll_in_turn(self: &Arc<Self>) {
         let mut eager = self.poll_interval / 4;
         loop {
@@ -120,8 +155,14 @@
                             break;
                         }
                     }
-                    let none = self.documents.config.load().0 == 0 || self.documents.layout.load().0 == 0;
-                    let us = if none { eager } else { self.poll_interval * 9 / 10 + self.runtime.random() % (self.poll_interval / 5) };
+                    let none =
+                        self.documents.config.load().0 == 0 || self.documents.layout.load().0 == 0;
+                    let us = if none {
+                        eager
+                    } else {
+                        self.poll_interval * 9 / 10
+                            + self.runtime.random() % (self.poll_interval / 5)
+                    };
                     // Cores that have just begun know in a moment whether a majority answers them.
                     if told {
                         eager = (2 * eager).min(self.poll_interval);
@@ -137,8 +178,12 @@
 
     fn cores_in_turn(&self) -> Vec<Node> {
         let nth = self.rounds.fetch_add(1, SeqCst) as usize;
-        let mut all: Vec<Node> =
-            self.members.nodes_of_role(Role::Core).into_iter().filter(|n| n.name != self.name && n.state == MemberState::Alive).collect();
+        let mut all: Vec<Node> = self
+            .members
+            .nodes_of_role(Role::Core)
+            .into_iter()
+            .filter(|n| n.name != self.name && n.state == MemberState::Alive)
+            .collect();
         let k = all.len().max(1);
         all.rotate_left(nth / 2 % k);
         if nth.is_multiple_of(2) {
@@ -147,21 +192,44 @@
         all
     }
 
-    /// Whether the core answered, and a majority of core seats had answered it lately, and this node now holds what it told of. What
-    /// any other core holds may be old: nothing is taken over from it.
+    /// Whether the core answered, and a majority of core seats had answered it lately, and this
+    /// node now holds what it told of. What any other core holds may be old: nothing is taken over
+    /// from it.
     async fn poll_core(self: &Arc<Self>, n: &Node) -> bool {
         let have = self.documents.versions();
-        let told_before = self.leaving_digests.lock().unwrap().get(&n.name).copied().unwrap_or(0);
-        let a = PeerRequest::PollDocuments { known: have.clone(), front: false, leaving_digest: told_before };
+        let told_before = self
+            .leaving_digests
+            .lock()
+            .unwrap()
+            .get(&n.name)
+            .copied()
+            .unwrap_or(0);
+        let a = PeerRequest::PollDocuments {
+            known: have.clone(),
+            front: false,
+            leaving_digest: told_before,
+        };
         let sent = self.runtime.now();
         let answer = self.members.peers.request(n.peer, &a, &[], SERVE_ASK).await;
-        let Ok((PeerResponse::DocumentVersions { newest, authoritative: sure, behind, leaving: departed }, _)) = answer else {
+        let Ok((
+            PeerResponse::DocumentVersions {
+                newest,
+                authoritative: sure,
+                behind,
+                leaving: departed,
+            },
+            _,
+        )) = answer
+        else {
             return false;
         };
         if !departed.is_empty() {
             // Whoever says that a server leaves is right.
             self.documents.mark_leaving(&departed);
-            self.leaving_digests.lock().unwrap().insert(n.name.clone(), departures::digest(&departed));
+            self.leaving_digests
+                .lock()
+                .unwrap()
+                .insert(n.name.clone(), departures::digest(&departed));
         }
         if !sure {
             return false;
@@ -172,17 +240,29 @@
             if *s <= more_than || (more_than > 0 && self.was_published(d, *s).await) {
                 continue;
             }
-            let a = PeerRequest::FetchDocument { name: d.clone(), newer_than: more_than };
-            if let Ok((PeerResponse::Document { version: seq, epoch }, raw)) = self.members.peers.request(n.peer, &a, &[], PEER_WAIT).await
+            let a = PeerRequest::FetchDocument {
+                name: d.clone(),
+                newer_than: more_than,
+            };
+            if let Ok((
+                PeerResponse::Document {
+                    version: seq,
+                    epoch,
+                },
+                raw,
+            )) = self.members.peers.request(n.peer, &a, &[], PEER_WAIT).await
             {
                 self.documents.apply(d, seq, epoch, raw);
             }
         }
-        !behind && newest.iter().all(|(d, s)| self.documents.document(d).version >= *s)
+        !behind
+            && newest
+                .iter()
+                .all(|(d, s)| self.documents.document(d).version >= *s)
     }
 
-    /// Whether the version comes by itself in a moment: what was just decided is on its way to every node as the few bytes that
-    /// changed, and a whole document need not be asked for.
+    /// Whether the version comes by itself in a moment: what was just decided is on its way to
+    /// every node as the few bytes that changed, and a whole document need not be asked for.
     async fn was_published(&self, name: &str, seq: u64) -> bool {
         let until = self.runtime.now() + self.poll_interval / 4;
         loop {
@@ -204,23 +284,39 @@
         loop {
             let t0 = self.runtime.now();
             self.round().await;
-            self.runtime.sleep(SERVE_ASK.saturating_sub(self.runtime.now() - t0).max(10 * MS)).await;
+            self.runtime
+                .sleep(
+                    SERVE_ASK
+                        .saturating_sub(self.runtime.now() - t0)
+                        .max(10 * MS),
+                )
+                .await;
         }
     }
 
     async fn round(self: &Arc<Self>) {
         let mut cores = self.members.nodes_of_role(Role::Core);
         // Other fronts are asked only while the core's word is running out.
-        let thin = self.serving_until.load(SeqCst) < self.runtime.now() + SERVE_LEASE - 2 * SERVE_ASK;
+        let thin =
+            self.serving_until.load(SeqCst) < self.runtime.now() + SERVE_LEASE - 2 * SERVE_ASK;
         let fronts: Vec<_> = if self.is_front && thin {
-            self.members.nodes_of_role(Role::Front).into_iter().filter(|n| n.name != self.name).collect()
+            self.members
+                .nodes_of_role(Role::Front)
+                .into_iter()
+                .filter(|n| n.name != self.name)
+                .collect()
         } else {
             vec![]
         };
-        // A lease needs the word of some cores only, and a node without one needs but to hear of news: they take turns,
-        // one more than needed at a time. All are asked while a lease runs out.
+        // A lease needs the word of some cores only, and a node without one needs but to hear of
+        // news: they take turns, one more than needed at a time. All are asked while a lease runs
+        // out.
         let n = cores.len();
-        let few = if self.is_front { n - majority(n).min(n) + 2 } else { 1 };
+        let few = if self.is_front {
+            n - majority(n).min(n) + 2
+        } else {
+            1
+        };
         if n > 0 && !(self.is_front && thin) {
             cores.rotate_left(self.rounds.fetch_add(1, SeqCst) as usize % n);
             cores.truncate(few);
@@ -233,7 +329,11 @@
                 let (p, n, a) = (
                     self.members.peers.clone(),
                     n.clone(),
-                    PeerRequest::PollDocuments { known: self.documents.versions(), front: self.is_front, leaving_digest: 0 },
+                    PeerRequest::PollDocuments {
+                        known: self.documents.versions(),
+                        front: self.is_front,
+                        leaving_digest: 0,
+                    },
                 );
                 let f: BoxFuture<'static, _> = Box::pin(async move {
                     let r = p.request(n.peer, &a, &[], SERVE_ASK).await;
@@ -246,15 +346,36 @@
         let mut want: BTreeMap<String, u64> = BTreeMap::new();
         let have = self.documents.versions();
         for _ in 0..k {
-            let Ok((n, Some((PeerResponse::DocumentVersions { newest, authoritative: sure, .. }, _)))) = rx.recv().await else { continue };
-            let more: Vec<_> = newest.iter().filter(|x| have.iter().any(|h| h.0 == x.0 && x.1 > h.1)).cloned().collect();
+            let Ok((
+                n,
+                Some((
+                    PeerResponse::DocumentVersions {
+                        newest,
+                        authoritative: sure,
+                        ..
+                    },
+                    _,
+                )),
+            )) = rx.recv().await
+            else {
+                continue;
+            };
+            let more: Vec<_> = newest
+                .iter()
+                .filter(|x| have.iter().any(|h| h.0 == x.0 && x.1 > h.1))
+                .cloned()
+                .collect();
             more.iter().for_each(|(d, s)| {
                 let e = want.entry(d.clone()).or_default();
                 *e = (*e).max(*s);
             });
             let blocks = more.iter().any(|x| x.0 == "config" || x.0 == "layout");
             if sure && !blocks && self.is_front {
-                let id = if n.role == Role::Core { n.disk } else { format!("front {}", n.name) };
+                let id = if n.role == Role::Core {
+                    n.disk
+                } else {
+                    format!("front {}", n.name)
+                };
                 self.confirmations.lock().unwrap().insert(id, sent);
                 self.renew();
             }
@@ -282,19 +403,32 @@
             if k == 0 { None } else { v.get(k - 1).cloned() }
         };
         let g = &l.1.core.current;
-        let by_core = if g.is_empty() { None } else { nth(g.clone(), g.len() - majority(g.len()) + 1) };
+        let by_core = if g.is_empty() {
+            None
+        } else {
+            nth(g.clone(), g.len() - majority(g.len()) + 1)
+        };
         if by_core.is_some_and(|t| self.runtime.now() < t + SERVE_LEASE) {
             self.confirmed.store(true, SeqCst);
         }
         let named = &self.documents.config.load().1.fronts;
         let mine = named.contains(&self.name) && self.confirmed.load(SeqCst);
-        let others = named.iter().filter(|f| **f != self.name).map(|f| format!("front {f}")).collect();
-        let by_front = if mine { nth(others, majority(named.len()) - 1) } else { None };
+        let others = named
+            .iter()
+            .filter(|f| **f != self.name)
+            .map(|f| format!("front {f}"))
+            .collect();
+        let by_front = if mine {
+            nth(others, majority(named.len()) - 1)
+        } else {
+            None
+        };
         let t = by_core.max(by_front).map(|t| t + SERVE_LEASE).unwrap_or(0);
         self.serving_until.fetch_max(t, SeqCst);
         let now = self.may_serve();
         if self.was_serving.swap(now, SeqCst) != now {
-            self.runtime.log(if now { "serving" } else { "not serving" });
+            self.runtime
+                .log(if now { "serving" } else { "not serving" });
         }
     }
 
--- a/yewcross-common/src/error_code.rs
+++ b/yewcross-common/src/error_code.rs
@@ -74,10 +74,18 @@
         self as u16
     }
     pub fn table() -> String {
-        let mut s = String::from("| code | name | HTTP | says | Retry-After s | meaning |\n|---|---|---|---|---|---|\n");
+        let mut s = String::from(
+            "| code | name | HTTP | says | Retry-After s | meaning |\n|---|---|---|---|---|---|\n",
+        );
         Code::iter().for_each(|c| {
             let (n, r): (&str, &str) = (c.into(), c.ran().into());
-            s += &format!("| {} | {n} | {} | {r} | {} | {} |\n", c.number(), c.http(), c.back(), c.text());
+            s += &format!(
+                "| {} | {n} | {} | {r} | {} | {} |\n",
+                c.number(),
+                c.http(),
+                c.back(),
+                c.text()
+            );
         });
         s
     }
--- a/yewcross-common/src/hash.rs
+++ b/yewcross-common/src/hash.rs
@@ -25,5 +25,9 @@
 
 /// The digest that callers and back ends see.
 pub fn digest(b: &[u8]) -> String {
-    Sha256::digest(b).iter().take(16).map(|x| format!("{x:02x}")).collect()
+    Sha256::digest(b)
+        .iter()
+        .take(16)
+        .map(|x| format!("{x:02x}"))
+        .collect()
 }
--- a/yewcross-common/src/lib.rs
+++ b/yewcross-common/src/lib.rs
@@ -1,5 +1,6 @@
-//! What all nodes of the tier share: the runtime they run on, the transport between them, membership, replicated registers,
-//! the documents that every node holds, durable storage, and the messages that they exchange.
+//! What all nodes of the tier share: the runtime they run on, the transport between them,
+//! membership, replicated registers, the documents that every node holds, durable storage, and the
+//! messages that they exchange.
 
 pub mod adapter;
 pub mod buffered_http;
--- a/yewcross-common/src/membership.rs
+++ b/yewcross-common/src/membership.rs
@@ -61,13 +61,22 @@
     }
 
     fn digest_entry(&self) -> String {
-        format!("{}({}, {}, {})", self.name, self.incarnation, self.refutations, self.state.digest_name())
+        format!(
+            "{}({}, {}, {})",
+            self.name,
+            self.incarnation,
+            self.refutations,
+            self.state.digest_name()
+        )
     }
 }
 
 /// Digest by which two nodes tell whether their tables are alike.
 fn table_digest(table: &BTreeMap<String, (Node, u64)>) -> u64 {
-    let entries: String = table.values().map(|(node, _)| node.digest_entry()).collect();
+    let entries: String = table
+        .values()
+        .map(|(node, _)| node.digest_entry())
+        .collect();
     crate::hash::rendezvous_weight(&entries, "")
 }
 
@@ -97,7 +106,12 @@
 }
 
 impl Membership {
-    pub fn new(runtime: &Runtime, settings: &ProcessSettings, peers: &Arc<PeerClient>, disk: &str) -> Arc<Membership> {
+    pub fn new(
+        runtime: &Runtime,
+        settings: &ProcessSettings,
+        peers: &Arc<PeerClient>,
+        disk: &str,
+    ) -> Arc<Membership> {
         let me = Node {
             name: settings.name.clone(),
             incarnation: runtime.wall_clock_ms() << 8 | (runtime.random() & 0xff),
@@ -113,7 +127,14 @@
         let m = Membership {
             runtime: runtime.clone(),
             peers: peers.clone(),
-            seeds: Mutex::new(settings.seeds.iter().filter(|a| **a != settings.peer).cloned().collect()),
+            seeds: Mutex::new(
+                settings
+                    .seeds
+                    .iter()
+                    .filter(|a| **a != settings.peer)
+                    .cloned()
+                    .collect(),
+            ),
             persisted_peers: Default::default(),
             table: Mutex::new([(me.name.clone(), (me.clone(), runtime.now()))].into()),
             view: ArcSwap::from_pointee([(me.name.clone(), me.clone())].into()),
@@ -127,12 +148,18 @@
             outranks_namesake: AtomicBool::new(false),
             changed: Event::new(),
         };
-        m.table_digest.store(table_digest(&m.table.lock().unwrap()), SeqCst);
+        m.table_digest
+            .store(table_digest(&m.table.lock().unwrap()), SeqCst);
         Arc::new(m)
     }
 
     pub fn nodes_of_role(&self, r: Role) -> Vec<Node> {
-        self.view.load().values().filter(|n| n.role == r).cloned().collect()
+        self.view
+            .load()
+            .values()
+            .filter(|n| n.role == r)
+            .cloned()
+            .collect()
     }
 
     pub fn by_disk(&self, d: &str) -> Option<Node> {
@@ -140,7 +167,12 @@
     }
 
     pub fn all(&self) -> Vec<Node> {
-        self.table.lock().unwrap().values().map(|x| x.0.clone()).collect()
+        self.table
+            .lock()
+            .unwrap()
+            .values()
+            .map(|x| x.0.clone())
+            .collect()
     }
 
     fn digest(&self) -> u64 {
@@ -164,7 +196,9 @@
         ns.into_iter().for_each(|mut n| {
             if n.name == me.name {
                 if n.incarnation > me.incarnation
-                    && (n.peer == me.peer || t < self.started + YOUNG || self.outranks_namesake.load(SeqCst))
+                    && (n.peer == me.peer
+                        || t < self.started + YOUNG
+                        || self.outranks_namesake.load(SeqCst))
                     && me.state == MemberState::Alive
                 {
                     me.incarnation = n.incarnation + 1;
@@ -183,25 +217,35 @@
                 }
                 return;
             }
-            // Another's removal of a node that stands well here is suspicion at most: after a cut, either side holds the
-            // other for gone. Only the node itself raises its inc, so a farewell is told by that.
-            let well = g
-                .get(&n.name)
-                .is_some_and(|(o, _)| (o.incarnation, o.refutations, o.state) == (n.incarnation, n.refutations, MemberState::Alive));
+            // Another's removal of a node that stands well here is suspicion at most: after a cut,
+            // either side holds the other for gone. Only the node itself raises its inc, so a
+            // farewell is told by that.
+            let well = g.get(&n.name).is_some_and(|(o, _)| {
+                (o.incarnation, o.refutations, o.state)
+                    == (n.incarnation, n.refutations, MemberState::Alive)
+            });
             if well && n.state == MemberState::Removed {
                 n.state = MemberState::Suspect;
             }
             let newer = g.get(&n.name).is_none_or(|(o, _)| n.rank() > o.rank());
             if newer {
                 let was = g.get(&n.name).map(|x| x.0.state);
-                let met_at_start = was.is_none() && n.state == MemberState::Alive && t < self.started + MEMBERS_QUIET;
+                let met_at_start = was.is_none()
+                    && n.state == MemberState::Alive
+                    && t < self.started + MEMBERS_QUIET;
                 if was != Some(n.state) && !met_at_start {
-                    self.runtime.log(&format!("member {} {:?}", n.name, n.state));
+                    self.runtime
+                        .log(&format!("member {} {:?}", n.name, n.state));
                 }
                 self.peers.record_peer(n.peer, &n.site, n.wire_version);
                 // A younger process at the address of another: that one is no more.
                 g.values_mut()
-                    .filter(|(o, _)| n.state == MemberState::Alive && o.peer == n.peer && o.name != n.name && o.incarnation < n.incarnation)
+                    .filter(|(o, _)| {
+                        n.state == MemberState::Alive
+                            && o.peer == n.peer
+                            && o.name != n.name
+                            && o.incarnation < n.incarnation
+                    })
                     .for_each(|(o, s)| {
                         if o.state != MemberState::Removed {
                             (o.state, *s) = (MemberState::Removed, t);
@@ -217,7 +261,11 @@
     }
 
     fn publish(&self, g: &BTreeMap<String, (Node, u64)>) {
-        let v = g.values().filter(|x| x.0.state != MemberState::Removed).map(|(n, _)| (n.name.clone(), n.clone())).collect();
+        let v = g
+            .values()
+            .filter(|x| x.0.state != MemberState::Removed)
+            .map(|(n, _)| (n.name.clone(), n.clone()))
+            .collect();
         self.view.store(Arc::new(v));
         self.table_digest.store(table_digest(g), SeqCst);
         self.changed.notify(usize::MAX);
@@ -225,21 +273,35 @@
 
     fn set_state(&self, name: &str, born: u64, to: MemberState) {
         let n = self.table.lock().unwrap().get(name).map(|x| x.0.clone());
-        n.filter(|n| n.incarnation == born && n.state < to).into_iter().for_each(|mut n| {
-            n.state = to;
-            self.merge(vec![n.clone()]);
-            if !n.disk.is_empty() {
-                self.notify_disk_nodes(n);
-            }
-        });
+        n.filter(|n| n.incarnation == born && n.state < to)
+            .into_iter()
+            .for_each(|mut n| {
+                n.state = to;
+                self.merge(vec![n.clone()]);
+                if !n.disk.is_empty() {
+                    self.notify_disk_nodes(n);
+                }
+            });
     }
 
-    /// Seats and duties hang on the machines with disks: what happens to one, the others hear at once.
+    /// Seats and duties hang on the machines with disks: what happens to one, the others hear at
+    /// once.
     fn notify_disk_nodes(&self, n: Node) {
         let me = self.own_node.lock().unwrap().name.clone();
-        let to = self.view.load().values().filter(|x| !x.disk.is_empty() && x.name != me && x.name != n.name).cloned().collect::<Vec<_>>();
+        let to = self
+            .view
+            .load()
+            .values()
+            .filter(|x| !x.disk.is_empty() && x.name != me && x.name != n.name)
+            .cloned()
+            .collect::<Vec<_>>();
         to.into_iter().for_each(|x| {
-            let (p, a) = (self.peers.clone(), PeerRequest::MembershipUpdate { nodes: vec![n.clone()] });
+            let (p, a) = (
+                self.peers.clone(),
+                PeerRequest::MembershipUpdate {
+                    nodes: vec![n.clone()],
+                },
+            );
             self.runtime.spawn(async move {
                 let _ = p.request(x.peer, &a, &[], PEER_WAIT).await;
             });
@@ -251,16 +313,41 @@
         let t = self.runtime.now();
         let mut g = self.clocks.lock().unwrap();
         g.retain(|_, c| t < c.1 + CLOCK_KEPT);
-        let mut v: Vec<i64> = g.values().map(|c| c.0).chain([self.runtime.wall_clock_ms() as i64 - (t / MS) as i64]).collect();
+        let mut v: Vec<i64> = g
+            .values()
+            .map(|c| c.0)
+            .chain([self.runtime.wall_clock_ms() as i64 - (t / MS) as i64])
+            .collect();
         v.sort();
-        ((v[(v.len() - 1) / 2] + (t / MS) as i64).max(0) as u64, v.len() >= CLOCKS)
+        (
+            (v[(v.len() - 1) / 2] + (t / MS) as i64).max(0) as u64,
+            v.len() >= CLOCKS,
+        )
     }
 
     async fn probe(&self, to: SocketAddr) -> bool {
         let sent = self.runtime.now();
-        let r = self.peers.request(to, &PeerRequest::Probe { digest: self.digest(), nodes: self.recent() }, &[], self.probe_timeout).await;
+        let r = self
+            .peers
+            .request(
+                to,
+                &PeerRequest::Probe {
+                    digest: self.digest(),
+                    nodes: self.recent(),
+                },
+                &[],
+                self.probe_timeout,
+            )
+            .await;
         match r {
-            Ok((PeerResponse::Probe { digest: dig, nodes, wall_clock_ms: wall }, _)) => {
+            Ok((
+                PeerResponse::Probe {
+                    digest: dig,
+                    nodes,
+                    wall_clock_ms: wall,
+                },
+                _,
+            )) => {
                 if wall > 0 {
                     // The calendar was read somewhere between asking and hearing.
                     let t = self.runtime.now();
@@ -278,7 +365,15 @@
     }
 
     async fn exchange_tables(&self, to: SocketAddr) -> Option<()> {
-        let r = self.peers.request(to, &PeerRequest::ExchangeMembership { nodes: self.all() }, &[], PEER_WAIT).await;
+        let r = self
+            .peers
+            .request(
+                to,
+                &PeerRequest::ExchangeMembership { nodes: self.all() },
+                &[],
+                PEER_WAIT,
+            )
+            .await;
         match r {
             Ok((PeerResponse::Membership { nodes }, _)) => {
                 self.merge(nodes);
@@ -305,7 +400,9 @@
                 self.merge(nodes);
                 PeerResponse::Ok
             }
-            PeerRequest::ProbeOnBehalf { target: to } => PeerResponse::ProbeOnBehalf { reachable: self.probe(to).await },
+            PeerRequest::ProbeOnBehalf { target: to } => PeerResponse::ProbeOnBehalf {
+                reachable: self.probe(to).await,
+            },
             PeerRequest::ExchangeMembership { nodes } => {
                 self.merge(nodes);
                 PeerResponse::Membership { nodes: self.all() }
@@ -316,9 +413,14 @@
 
     /// One line for all that a starting node has met, in place of one for each.
     async fn log_known(self: Arc<Self>) {
-        self.runtime.sleep((self.started + MEMBERS_QUIET).saturating_sub(self.runtime.now())).await;
-        let [cores, stores, fronts] = [Role::Core, Role::Store, Role::Front].map(|role| self.nodes_of_role(role).len());
-        self.runtime.log(&format!("members known: {cores} core, {stores} store, {fronts} front"));
+        self.runtime
+            .sleep((self.started + MEMBERS_QUIET).saturating_sub(self.runtime.now()))
+            .await;
+        let [cores, stores, fronts] =
+            [Role::Core, Role::Store, Role::Front].map(|role| self.nodes_of_role(role).len());
+        self.runtime.log(&format!(
+            "members known: {cores} core, {stores} store, {fronts} front"
+        ));
     }
 
     pub async fn run(self: Arc<Self>) {
@@ -328,12 +430,15 @@
             (g.name.clone(), !g.disk.is_empty())
         };
         let (mut all, mut disks): (Vec<String>, Vec<String>) = (vec![], vec![]);
-        let (mut next_all, mut next_disk, mut next_missed, mut told) = (0, 0, self.runtime.now() + REJOIN_BEATS * PROBE_EVERY, false);
+        let (mut next_all, mut next_disk, mut next_missed, mut told) =
+            (0, 0, self.runtime.now() + REJOIN_BEATS * PROBE_EVERY, false);
         loop {
             let t = self.runtime.now();
             let known = self.view.load().len() > 1;
             if !known {
-                self.missing_peers(true).into_iter().for_each(|a| self.clone().rejoin(a));
+                self.missing_peers(true)
+                    .into_iter()
+                    .for_each(|a| self.clone().rejoin(a));
                 let moved = self.changed.listen();
                 self.runtime.timeout(SEED_EVERY, moved).await;
                 continue;
@@ -345,10 +450,12 @@
             }
             if t >= next_missed {
                 next_missed = t + self.probe_interval.max(REJOIN_BEATS * PROBE_EVERY);
-                // After a cut each side holds the other for gone: one that is missed is asked, the seeds among them.
+                // After a cut each side holds the other for gone: one that is missed is asked, the
+                // seeds among them.
                 let mut v = self.missing_peers(false);
                 if !v.is_empty() {
-                    self.clone().rejoin(v.swap_remove(self.runtime.random_index(v.len())));
+                    self.clone()
+                        .rejoin(v.swap_remove(self.runtime.random_index(v.len())));
                 }
             }
             if t >= next_all {
@@ -361,17 +468,29 @@
                 self.clone().probe_next(&mut disks, &me, true);
             }
             self.expire();
-            let next = if disk && self.probe_interval > PROBE_EVERY { next_disk.min(next_all) } else { next_all };
-            self.runtime.sleep(next.saturating_sub(self.runtime.now()).max(MS)).await;
+            let next = if disk && self.probe_interval > PROBE_EVERY {
+                next_disk.min(next_all)
+            } else {
+                next_all
+            };
+            self.runtime
+                .sleep(next.saturating_sub(self.runtime.now()).max(MS))
+                .await;
         }
     }
 
-    /// Addresses that ought to answer and are not in the view; all that are known where it is empty.
+    /// Addresses that ought to answer and are not in the view; all that are known where it is
+    /// empty.
     fn missing_peers(&self, all: bool) -> Vec<SocketAddr> {
         let ours: Vec<SocketAddr> = self.view.load().values().map(|n| n.peer).collect();
         let mut v = self.seeds.lock().unwrap().clone();
         v.extend(self.persisted_peers.lock().unwrap().iter().cloned());
-        v.extend(self.all().iter().filter(|n| n.state == MemberState::Removed).map(|n| n.peer));
+        v.extend(
+            self.all()
+                .iter()
+                .filter(|n| n.state == MemberState::Removed)
+                .map(|n| n.peer),
+        );
         let me = self.own_node.lock().unwrap().peer;
         v.retain(|a| *a != me && (all || !ours.contains(a)));
         v.sort();
@@ -391,8 +510,16 @@
 
     fn probe_next(self: Arc<Self>, line: &mut Vec<String>, me: &str, disks: bool) {
         if line.is_empty() {
-            *line = self.view.load().values().filter(|n| n.name != me && (!disks || !n.disk.is_empty())).map(|n| n.name.clone()).collect();
-            (1..line.len()).rev().for_each(|i| line.swap(i, self.runtime.random_index(i + 1)));
+            *line = self
+                .view
+                .load()
+                .values()
+                .filter(|n| n.name != me && (!disks || !n.disk.is_empty()))
+                .map(|n| n.name.clone())
+                .collect();
+            (1..line.len())
+                .rev()
+                .for_each(|i| line.swap(i, self.runtime.random_index(i + 1)));
         }
         if let Some(n) = line.pop().and_then(|n| self.view.load().get(&n).cloned()) {
             let w = self.runtime.clone();
@@ -406,14 +533,26 @@
             return;
         }
         let me = self.own_node.lock().unwrap().name.clone();
-        let mut others: Vec<Node> =
-            self.view.load().values().filter(|x| x.name != me && x.name != n.name && x.state == MemberState::Alive).cloned().collect();
+        let mut others: Vec<Node> = self
+            .view
+            .load()
+            .values()
+            .filter(|x| x.name != me && x.name != n.name && x.state == MemberState::Alive)
+            .cloned()
+            .collect();
         let mut fs: Vec<BoxFuture<'static, bool>> = vec![];
         while !others.is_empty() && fs.len() < PROBE_HELPERS {
             let o = others.swap_remove(self.runtime.random_index(others.len()));
             let (p, to, me_wait) = (self.peers.clone(), n.peer, self.probe_timeout);
             fs.push(Box::pin(async move {
-                let r = p.request(o.peer, &PeerRequest::ProbeOnBehalf { target: to }, &[], 2 * me_wait).await;
+                let r = p
+                    .request(
+                        o.peer,
+                        &PeerRequest::ProbeOnBehalf { target: to },
+                        &[],
+                        2 * me_wait,
+                    )
+                    .await;
                 matches!(r, Ok((PeerResponse::ProbeOnBehalf { reachable: true }, _)))
             }));
         }
@@ -434,10 +573,14 @@
             .filter(|(n, s)| n.state == MemberState::Suspect && t > s + SUSPECT_FOR)
             .map(|(n, _)| (n.name.clone(), n.incarnation))
             .collect();
-        let old: Vec<String> =
-            g.values().filter(|(n, s)| n.state == MemberState::Removed && t > s + GONE_KEPT).map(|(n, _)| n.name.clone()).collect();
+        let old: Vec<String> = g
+            .values()
+            .filter(|(n, s)| n.state == MemberState::Removed && t > s + GONE_KEPT)
+            .map(|(n, _)| n.name.clone())
+            .collect();
         drop(g);
-        due.into_iter().for_each(|(n, b)| self.set_state(&n, b, MemberState::Removed));
+        due.into_iter()
+            .for_each(|(n, b)| self.set_state(&n, b, MemberState::Removed));
         old.iter().for_each(|n| {
             self.table.lock().unwrap().remove(n);
         });
@@ -451,14 +594,25 @@
             me.refutations += 1;
             me.clone()
         };
-        let mut ns: Vec<Node> = self.view.load().values().filter(|n| n.name != me.name).cloned().collect();
+        let mut ns: Vec<Node> = self
+            .view
+            .load()
+            .values()
+            .filter(|n| n.name != me.name)
+            .cloned()
+            .collect();
         ns.sort_by_key(|n| n.disk.is_empty());
         let disks = ns.iter().filter(|n| !n.disk.is_empty()).count();
         ns.truncate(if me.disk.is_empty() { 4 } else { disks.max(4) });
         let fs: Vec<BoxFuture<'static, ()>> = ns
             .into_iter()
             .map(|n| {
-                let (p, a) = (self.peers.clone(), PeerRequest::ExchangeMembership { nodes: vec![me.clone()] });
+                let (p, a) = (
+                    self.peers.clone(),
+                    PeerRequest::ExchangeMembership {
+                        nodes: vec![me.clone()],
+                    },
+                );
                 let f: BoxFuture<'static, ()> = Box::pin(async move {
                     let _ = p.request(n.peer, &a, &[], PROBE_WAIT).await;
                 });
--- a/yewcross-common/src/process_settings.rs
+++ b/yewcross-common/src/process_settings.rs
@@ -105,7 +105,10 @@
 #[derive(Debug, Snafu)]
 pub enum Fault {
     #[snafu(display("cannot read {path}: {source}"))]
-    Unreadable { path: String, source: std::io::Error },
+    Unreadable {
+        path: String,
+        source: std::io::Error,
+    },
     #[snafu(display("{path}: {why}"))]
     Malformed { path: String, why: String },
     #[snafu(display("{key}: {why}"))]
@@ -124,8 +127,14 @@
 
 impl ProcessSettings {
     pub fn read(path: &str) -> Result<ProcessSettings, Fault> {
-        let t = std::fs::read_to_string(path).map_err(|source| Fault::Unreadable { path: path.into(), source })?;
-        toml::from_str(&t).map_err(|e| Fault::Malformed { path: path.into(), why: e.message().to_string() })
+        let t = std::fs::read_to_string(path).map_err(|source| Fault::Unreadable {
+            path: path.into(),
+            source,
+        })?;
+        toml::from_str(&t).map_err(|e| Fault::Malformed {
+            path: path.into(),
+            why: e.message().to_string(),
+        })
     }
 
     /// What a reload may bring: seeds and the platform's address. The rest needs a restart.
@@ -134,8 +143,23 @@
         if let Some(e) = n.check(self.role == Role::Front).first() {
             return Err(e.to_string());
         }
-        let fixed = |s: &ProcessSettings| (s.name.clone(), s.role, s.site.clone(), s.peer, s.http, s.data.clone(), s.threads, s.wire);
-        if fixed(&n) == fixed(self) { Ok(n) } else { Err("only seeds and platform can change without a restart".into()) }
+        let fixed = |s: &ProcessSettings| {
+            (
+                s.name.clone(),
+                s.role,
+                s.site.clone(),
+                s.peer,
+                s.http,
+                s.data.clone(),
+                s.threads,
+                s.wire,
+            )
+        };
+        if fixed(&n) == fixed(self) {
+            Ok(n)
+        } else {
+            Err("only seeds and platform can change without a restart".into())
+        }
     }
 
     /// Every fault, not only the first.
@@ -143,23 +167,59 @@
         let mut v = vec![];
         let mut no = |bad: bool, key: &'static str, why: &str| {
             if bad {
-                v.push(Fault::Wrong { key, why: why.into() });
+                v.push(Fault::Wrong {
+                    key,
+                    why: why.into(),
+                });
             }
         };
-        let plain = |s: &str| !s.is_empty() && s.len() <= 64 && s.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
-        no(!plain(&self.name), "name", "must be 1 to 64 letters, digits, - or _");
-        no(!plain(&self.site), "site", "must be 1 to 64 letters, digits, - or _");
-        no(front != (self.role == Role::Front), "role", "this program does not run that role");
-        no(self.seeds.is_empty(), "seeds", "name at least one other process");
+        let plain = |s: &str| {
+            !s.is_empty()
+                && s.len() <= 64
+                && s.bytes()
+                    .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
+        };
+        no(
+            !plain(&self.name),
+            "name",
+            "must be 1 to 64 letters, digits, - or _",
+        );
+        no(
+            !plain(&self.site),
+            "site",
+            "must be 1 to 64 letters, digits, - or _",
+        );
+        no(
+            front != (self.role == Role::Front),
+            "role",
+            "this program does not run that role",
+        );
+        no(
+            self.seeds.is_empty(),
+            "seeds",
+            "name at least one other process",
+        );
         no(self.peer == self.http, "http", "must differ from peer");
-        no(self.peer.ip().is_unspecified(), "peer", "must be an address others can reach");
-        no(!front && self.data.is_empty(), "data", "a folder is needed for this role");
+        no(
+            self.peer.ip().is_unspecified(),
+            "peer",
+            "must be an address others can reach",
+        );
+        no(
+            !front && self.data.is_empty(),
+            "data",
+            "a folder is needed for this role",
+        );
         no(
             !(crate::constants::WIRE_OLDEST..=crate::constants::WIRE_VERSION).contains(&self.wire),
             "wire",
             "not a version this program speaks",
         );
-        no(!(1..=64).contains(&self.threads), "threads", "must be 1 to 64");
+        no(
+            !(1..=64).contains(&self.threads),
+            "threads",
+            "must be 1 to 64",
+        );
         v
     }
 }
--- a/yewcross-common/src/protocol/lease.rs
+++ b/yewcross-common/src/protocol/lease.rs
@@ -2,14 +2,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A process that asks for the lease. A process that restarts on the same disk is another candidate.
+/// A process that asks for the lease. A process that restarts on the same disk is another
+/// candidate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Candidate {
     /// Identity of its disk.
     pub disk: String,
     /// Drawn at its start.
     pub process: u64,
-    /// How often processes have started on the disk; it is on the disk before the process asks for anything. 0: not known.
+    /// How often processes have started on the disk; it is on the disk before the process asks for
+    /// anything. 0: not known.
     #[serde(default)]
     pub life: u64,
 }
@@ -36,12 +38,18 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseOperation {
-    /// Asks whether the lease is free, and nothing else. It doubles as the heartbeat that shows contact with a majority.
+    /// Asks whether the lease is free, and nothing else. It doubles as the heartbeat that shows
+    /// contact with a majority.
     Look,
     /// Asks for the lease under a new term.
     Request { term: u64 },
-    /// Asks to extend it. `confirmed` is the last round that a majority granted, as the holder saw it.
-    Renew { term: u64, round: u64, confirmed: u64 },
+    /// Asks to extend it. `confirmed` is the last round that a majority granted, as the holder saw
+    /// it.
+    Renew {
+        term: u64,
+        round: u64,
+        confirmed: u64,
+    },
     /// The candidate does not hold this term and never will again.
     Release { term: u64 },
 }
--- a/yewcross-common/src/protocol/mod.rs
+++ b/yewcross-common/src/protocol/mod.rs
@@ -45,7 +45,10 @@
     #[strum(serialize = "Reg")]
     UnnamedRegister(RegisterRequest),
     /// A register request meant for one disk. Any other answers `PeerResponse::OtherDisk`.
-    Register { disk: String, request: RegisterRequest },
+    Register {
+        disk: String,
+        request: RegisterRequest,
+    },
     /// A node tells which documents it holds and asks whether a core disk holds newer ones.
     #[serde(rename = "Newer")]
     #[strum(serialize = "Newer")]
@@ -61,7 +64,8 @@
     #[serde(rename = "Doc")]
     #[strum(serialize = "Doc")]
     ReadDecidedDocument { name: String, hops: u8 },
-    /// A document newer than the version named, as the asked node holds it or can find it; answered as `PeerResponse::Document`.
+    /// A document newer than the version named, as the asked node holds it or can find it; answered
+    /// as `PeerResponse::Document`.
     #[serde(rename = "Page")]
     #[strum(serialize = "Page")]
     FetchDocument {
@@ -76,7 +80,8 @@
         #[serde(rename = "seq")]
         version: u64,
         epoch: Ballot,
-        /// The processes that tell it on, each to its share of the nodes; empty where nobody is asked to.
+        /// The processes that tell it on, each to its share of the nodes; empty where nobody is
+        /// asked to.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         relays: Vec<String>,
     },
@@ -103,7 +108,8 @@
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         relays: Vec<String>,
     },
-    /// An operator's order on top of version `base`, for the process that proposes. The text is the blob.
+    /// An operator's order on top of version `base`, for the process that proposes. The text is the
+    /// blob.
     #[serde(rename = "Order")]
     #[strum(serialize = "Order")]
     ForwardPut { base: u64 },
@@ -183,7 +189,11 @@
     },
     #[serde(rename = "Settle")]
     #[strum(serialize = "Settle")]
-    SettleBudget { budget: String, entry: String, used: Option<u64> },
+    SettleBudget {
+        budget: String,
+        entry: String,
+        used: Option<u64>,
+    },
     #[serde(rename = "Tend")]
     #[strum(serialize = "Tend")]
     RepairKey { key: String },
@@ -202,7 +212,8 @@
     #[strum(serialize = "SweepDone")]
     SweepProgress {
         layout: u64,
-        /// The disk asked about; empty where an older program asks. Any other answers `PeerResponse::OtherDisk`.
+        /// The disk asked about; empty where an older program asks. Any other answers
+        /// `PeerResponse::OtherDisk`.
         #[serde(default)]
         disk: String,
     },
@@ -214,8 +225,9 @@
     #[serde(rename = "Chain")]
     #[strum(serialize = "Chain")]
     TurnLog,
-    /// A front, or the collector of a site, tells the collector of a site what it has under way at the servers there; the
-    /// loads are the blob. Answered as `PeerResponse::Loads`, with the loads of all.
+    /// A front, or the collector of a site, tells the collector of a site what it has under way at
+    /// the servers there; the loads are the blob. Answered as `PeerResponse::Loads`, with the loads
+    /// of all.
     #[serde(rename = "InFlight")]
     #[strum(serialize = "InFlight")]
     ExchangeLoads { by_site: bool },
@@ -443,9 +455,15 @@
 
 impl LoadReport {
     pub fn sane(&self) -> bool {
-        [self.slots, self.running, self.waiting].iter().all(|n| *n <= REPORT_JOBS)
-            && [self.prefill_us_per_1000, self.decode_us_per_token].iter().all(|n| *n <= REPORT_US)
-            && [self.placed_tokens, self.cache_tokens].iter().all(|n| *n <= REPORT_TOKENS)
+        [self.slots, self.running, self.waiting]
+            .iter()
+            .all(|n| *n <= REPORT_JOBS)
+            && [self.prefill_us_per_1000, self.decode_us_per_token]
+                .iter()
+                .all(|n| *n <= REPORT_US)
+            && [self.placed_tokens, self.cache_tokens]
+                .iter()
+                .all(|n| *n <= REPORT_TOKENS)
     }
 }
 
@@ -477,8 +495,8 @@
     /// Set while a change is under way; both sets must then agree.
     #[serde(rename = "old")]
     pub previous: Vec<String>,
-    /// Layout number that wrote these sets: progress of the group's change is counted by it, whatever the other group does
-    /// meanwhile. 0 where an older process wrote the layout.
+    /// Layout number that wrote these sets: progress of the group's change is counted by it,
+    /// whatever the other group does meanwhile. 0 where an older process wrote the layout.
     #[serde(default)]
     pub since: u64,
 }
@@ -492,7 +510,11 @@
 impl Layout {
     /// Layout number that wrote the group's sets, of a layout with this number.
     pub fn since(&self, group: &ReplicaGroup, number: u64) -> u64 {
-        if group.since == 0 { number } else { group.since }
+        if group.since == 0 {
+            number
+        } else {
+            group.since
+        }
     }
 }
 
@@ -534,8 +556,9 @@
     #[serde(rename = "put")]
     pub put_id: String,
     pub note: String,
-    /// Newest first: version, put id and text of what was in force before, where the tier numbers the versions. Documents
-    /// written before `orders` was added hold the operator's number, the text's digest and nothing.
+    /// Newest first: version, put id and text of what was in force before, where the tier numbers
+    /// the versions. Documents written before `orders` was added hold the operator's number, the
+    /// text's digest and nothing.
     pub past: Vec<(u64, String, String)>,
     /// The operator's own number; 0 where the tier numbers the versions.
     #[serde(default)]
@@ -543,7 +566,8 @@
     /// The highest number among the taken orders that are no longer in `orders`; 0 while all are.
     #[serde(default)]
     pub forgotten: u64,
-    /// The operator's orders taken before the one in force, newest first; bounded by age, count and so in bytes.
+    /// The operator's orders taken before the one in force, newest first; bounded by age, count and
+    /// so in bytes.
     #[serde(default)]
     pub orders: Vec<TakenOrder>,
 }
--- a/yewcross-common/src/protocol/operator_orders.rs
+++ b/yewcross-common/src/protocol/operator_orders.rs
@@ -1,9 +1,11 @@
-//! What operators are told of their orders. The process that proposes tells it to the core that was asked.
+//! What operators are told of their orders. The process that proposes tells it to the core that was
+//! asked.
 
 use crate::configuration::InvalidSetting;
 use serde::{Deserialize, Serialize};
 
-/// The answer to a put; versions are the operator's numbers where the dialect has them, and the tier's own otherwise.
+/// The answer to a put; versions are the operator's numbers where the dialect has them, and the
+/// tier's own otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PutAnswer {
     /// It is acknowledged: this exact text is, or once was, in force under this number.
@@ -20,7 +22,8 @@
     Busy,
     /// Some disk may hold it; sent again unchanged, it is decided.
     Undecided,
-    /// Its number is not above those of orders that are no longer remembered: it may have been taken long ago, or not.
+    /// Its number is not above those of orders that are no longer remembered: it may have been
+    /// taken long ago, or not.
     Forgotten,
 }
 
@@ -33,6 +36,7 @@
     Unknown,
     /// Fewer than `2 * Bounds::lost + 1` store seats would remain.
     TooFew,
-    /// No majority of core disks could be asked, or some disk may hold the order; it may be sent again.
+    /// No majority of core disks could be asked, or some disk may hold the order; it may be sent
+    /// again.
     Away,
 }
--- a/yewcross-common/src/register/acceptor.rs
+++ b/yewcross-common/src/register/acceptor.rs
@@ -36,26 +36,44 @@
 
 impl Transition {
     fn reply(reply: RegisterReply) -> Transition {
-        Transition { effect: Effect::None, reply, value: None }
+        Transition {
+            effect: Effect::None,
+            reply,
+            value: None,
+        }
     }
 
     fn refused(record: &Record) -> Transition {
-        Transition::reply(RegisterReply::Refused { promised: record.promised })
+        Transition::reply(RegisterReply::Refused {
+            promised: record.promised,
+        })
     }
 
     fn accepted(record: Record) -> Transition {
-        Transition { effect: Effect::Write(record), reply: RegisterReply::Accepted, value: None }
+        Transition {
+            effect: Effect::Write(record),
+            reply: RegisterReply::Accepted,
+            value: None,
+        }
     }
 }
 
-/// Handles one request against the record of its key. `layout` is the newest layout that the replica keeps.
-pub fn handle(record: &Record, layout: u64, request: &RegisterRequest, blob: Vec<u8>) -> Transition {
+/// Handles one request against the record of its key. `layout` is the newest layout that the
+/// replica keeps.
+pub fn handle(
+    record: &Record,
+    layout: u64,
+    request: &RegisterRequest,
+    blob: Vec<u8>,
+) -> Transition {
     if request.layout() < layout {
         return Transition::reply(RegisterReply::OldLayout);
     }
     match *request {
         RegisterRequest::Promise { epoch, .. } => promise(record, epoch),
-        RegisterRequest::Accept { epoch, seq, delta, .. } => accept(record, epoch, seq, delta, blob),
+        RegisterRequest::Accept {
+            epoch, seq, delta, ..
+        } => accept(record, epoch, seq, delta, blob),
         RegisterRequest::Fill { epoch, seq, .. } => fill(record, epoch, seq, blob),
         RegisterRequest::Confirm { epoch, .. } => confirm(record, epoch),
         RegisterRequest::Look { have, .. } => look(record, have),
@@ -70,13 +88,23 @@
     if ballot <= record.promised {
         return Transition::refused(record);
     }
-    let reply = RegisterReply::Promised { accepted: record.accepted, seq: record.seq };
-    let next = Record { promised: ballot, ..record.clone() };
-    Transition { effect: Effect::Write(next), reply, value: Some(record.value.clone()) }
+    let reply = RegisterReply::Promised {
+        accepted: record.accepted,
+        seq: record.seq,
+    };
+    let next = Record {
+        promised: ballot,
+        ..record.clone()
+    };
+    Transition {
+        effect: Effect::Write(next),
+        reply,
+        value: Some(record.value.clone()),
+    }
 }
 
-/// Accepts under the promised ballot only: a replica that forgot the key, or has begun its next life, knows nothing of a
-/// proposer from before, however high that one's ballot.
+/// Accepts under the promised ballot only: a replica that forgot the key, or has begun its next
+/// life, knows nothing of a proposer from before, however high that one's ballot.
 fn accept(record: &Record, ballot: Ballot, seq: u64, delta: bool, blob: Vec<u8>) -> Transition {
     if record.damaged {
         return Transition::reply(RegisterReply::Damaged);
@@ -87,21 +115,41 @@
     if ballot == record.accepted && seq <= record.seq {
         return Transition::reply(RegisterReply::Accepted);
     }
-    let value = if delta { patched(record, ballot, seq, &blob) } else { Some(blob) };
+    let value = if delta {
+        patched(record, ballot, seq, &blob)
+    } else {
+        Some(blob)
+    };
     match value {
-        Some(value) => Transition::accepted(Record { promised: ballot, accepted: ballot, seq, value: Arc::new(value), damaged: false }),
+        Some(value) => Transition::accepted(Record {
+            promised: ballot,
+            accepted: ballot,
+            seq,
+            value: Arc::new(value),
+            damaged: false,
+        }),
         None => Transition::reply(RegisterReply::NeedWhole),
     }
 }
 
 fn patched(record: &Record, ballot: Ballot, seq: u64, delta: &[u8]) -> Option<Vec<u8>> {
     let holds_the_version_before = (record.accepted, record.seq + 1) == (ballot, seq);
-    if holds_the_version_before { crate::documents::delta::apply(&record.value, delta) } else { None }
+    if holds_the_version_before {
+        crate::documents::delta::apply(&record.value, delta)
+    } else {
+        None
+    }
 }
 
 fn fill(record: &Record, ballot: Ballot, seq: u64, value: Vec<u8>) -> Transition {
     if record.damaged {
-        return Transition::accepted(Record { promised: ballot, accepted: ballot, seq, value: Arc::new(value), damaged: false });
+        return Transition::accepted(Record {
+            promised: ballot,
+            accepted: ballot,
+            seq,
+            value: Arc::new(value),
+            damaged: false,
+        });
     }
     if (ballot, seq) == (record.accepted, record.seq) {
         return Transition::reply(RegisterReply::Accepted);
@@ -120,15 +168,34 @@
     if record.damaged {
         return Transition::reply(RegisterReply::Damaged);
     }
-    let reply = RegisterReply::Looked { accepted: record.accepted, seq: record.seq };
+    let reply = RegisterReply::Looked {
+        accepted: record.accepted,
+        seq: record.seq,
+    };
     let known = have == (record.accepted, record.seq);
-    let value = if known { None } else { Some(record.value.clone()) };
-    Transition { effect: Effect::None, reply, value }
+    let value = if known {
+        None
+    } else {
+        Some(record.value.clone())
+    };
+    Transition {
+        effect: Effect::None,
+        reply,
+        value,
+    }
 }
 
 fn erase(record: &Record, ballot: Ballot, seq: u64) -> Transition {
     let emptied = record.value.is_empty() && !record.damaged;
     let same_version = record.promised == ballot && record.seq == seq;
-    let effect = if emptied && same_version { Effect::Erase } else { Effect::None };
-    Transition { effect, reply: RegisterReply::Accepted, value: None }
+    let effect = if emptied && same_version {
+        Effect::Erase
+    } else {
+        Effect::None
+    };
+    Transition {
+        effect,
+        reply: RegisterReply::Accepted,
+        value: None,
+    }
 }
--- a/yewcross-common/src/register/message.rs
+++ b/yewcross-common/src/register/message.rs
@@ -3,7 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 /// A proposal number. Ballots are totally ordered, and no two proposers ever use the same one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Ballot {
     /// Rises with each prepare.
     pub n: u64,
@@ -15,8 +17,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RegisterRequest {
     /// Prepare: accept nothing under a lower ballot from now on, and tell what was accepted.
-    Promise { key: String, epoch: Ballot, lay: u64 },
-    /// Accept version `seq`, whose value is the blob. With `delta` the blob only says what changed since the version before.
+    Promise {
+        key: String,
+        epoch: Ballot,
+        lay: u64,
+    },
+    /// Accept version `seq`, whose value is the blob. With `delta` the blob only says what changed
+    /// since the version before.
     Accept {
         key: String,
         epoch: Ballot,
@@ -25,14 +32,35 @@
         #[serde(default)]
         delta: bool,
     },
-    /// A value that a majority already holds, for a replica whose record is damaged and which therefore may not vote.
-    Fill { key: String, epoch: Ballot, seq: u64, lay: u64 },
-    /// Whether the ballot is still the one promised: a majority that says so has promised nothing newer.
-    Confirm { key: String, epoch: Ballot, lay: u64 },
-    /// What the replica holds; the value follows unless it is the version named. Nothing is written.
-    Look { key: String, lay: u64, have: (Ballot, u64) },
+    /// A value that a majority already holds, for a replica whose record is damaged and which
+    /// therefore may not vote.
+    Fill {
+        key: String,
+        epoch: Ballot,
+        seq: u64,
+        lay: u64,
+    },
+    /// Whether the ballot is still the one promised: a majority that says so has promised nothing
+    /// newer.
+    Confirm {
+        key: String,
+        epoch: Ballot,
+        lay: u64,
+    },
+    /// What the replica holds; the value follows unless it is the version named. Nothing is
+    /// written.
+    Look {
+        key: String,
+        lay: u64,
+        have: (Ballot, u64),
+    },
     /// Forget an emptied key that all replicas hold as emptied.
-    Drop { key: String, epoch: Ballot, seq: u64, lay: u64 },
+    Drop {
+        key: String,
+        epoch: Ballot,
+        seq: u64,
+        lay: u64,
+    },
 }
 
 impl RegisterRequest {
@@ -96,6 +124,9 @@
 impl RegisterReply {
     /// Whether it counts towards a quorum.
     pub fn is_grant(&self) -> bool {
-        matches!(self, RegisterReply::Promised { .. } | RegisterReply::Accepted | RegisterReply::Looked { .. })
+        matches!(
+            self,
+            RegisterReply::Promised { .. } | RegisterReply::Accepted | RegisterReply::Looked { .. }
+        )
     }
 }
--- a/yewcross-common/src/register/poll.rs
+++ b/yewcross-common/src/register/poll.rs
@@ -10,14 +10,30 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Puts a request to the disk that is believed to be at the address. The answer of any other disk is no vote: a disk that
-/// came back empty promises anything, and remembers nothing of what the lost one accepted.
-async fn ask_disk(peers: &Arc<PeerClient>, to: SocketAddr, disk: &str, request: RegisterRequest, blob: &[u8]) -> (RegisterReply, Vec<u8>) {
+/// Puts a request to the disk that is believed to be at the address. The answer of any other disk
+/// is no vote: a disk that came back empty promises anything, and remembers nothing of what the
+/// lost one accepted.
+async fn ask_disk(
+    peers: &Arc<PeerClient>,
+    to: SocketAddr,
+    disk: &str,
+    request: RegisterRequest,
+    blob: &[u8],
+) -> (RegisterReply, Vec<u8>) {
     let named = peers.version(to) >= WIRE_NAMED_DISKS;
-    let question = if named { PeerRequest::Register { disk: disk.into(), request } } else { PeerRequest::UnnamedRegister(request) };
+    let question = if named {
+        PeerRequest::Register {
+            disk: disk.into(),
+            request,
+        }
+    } else {
+        PeerRequest::UnnamedRegister(request)
+    };
     match peers.request(to, &question, blob, PEER_WAIT).await {
         Ok((PeerResponse::Register { disk: from, reply }, value)) if from == disk => (reply, value),
-        Ok((PeerResponse::Register { .. } | PeerResponse::OtherDisk { .. }, _)) => (RegisterReply::OtherDisk, vec![]),
+        Ok((PeerResponse::Register { .. } | PeerResponse::OtherDisk { .. }, _)) => {
+            (RegisterReply::OtherDisk, vec![])
+        }
         Ok((PeerResponse::UnnamedRegister(reply), value)) if !named => (reply, value),
         _ => (RegisterReply::Away, vec![]),
     }
@@ -34,7 +50,11 @@
 
 impl Poll {
     pub fn bare(request: RegisterRequest) -> Poll {
-        Poll { request, blob: Arc::default(), delta: None }
+        Poll {
+            request,
+            blob: Arc::default(),
+            delta: None,
+        }
     }
 
     pub async fn put_to(self, seat: Seat, peers: Arc<PeerClient>, own: Arc<Replica>) -> Vote {
@@ -45,10 +65,19 @@
         } else {
             (RegisterReply::Away, vec![])
         };
-        Vote { disk: seat.disk, reply, value }
+        Vote {
+            disk: seat.disk,
+            reply,
+            value,
+        }
     }
 
-    async fn send(self, to: SocketAddr, disk: &str, peers: &Arc<PeerClient>) -> (RegisterReply, Vec<u8>) {
+    async fn send(
+        self,
+        to: SocketAddr,
+        disk: &str,
+        peers: &Arc<PeerClient>,
+    ) -> (RegisterReply, Vec<u8>) {
         let speaks_deltas = peers.version(to) >= WIRE_DELTAS;
         if let Some(delta) = self.delta.filter(|_| speaks_deltas) {
             let answer = ask_disk(peers, to, disk, self.request.as_delta(), &delta).await;
--- a/yewcross-common/src/register/proposer.rs
+++ b/yewcross-common/src/register/proposer.rs
@@ -1,4 +1,5 @@
-//! The proposer: what follows from the replies of the replicas. Pure: it sends nothing and waits for nothing.
+//! The proposer: what follows from the replies of the replicas. Pure: it sends nothing and waits
+//! for nothing.
 
 use super::message::{Ballot, RegisterReply};
 use super::quorum::ReplicaSet;
@@ -44,8 +45,12 @@
             self.denied.push(vote.disk.clone());
         }
         match vote.reply {
-            RegisterReply::Promised { .. } | RegisterReply::Accepted | RegisterReply::Looked { .. } => self.grant(vote),
-            RegisterReply::Refused { promised } => self.highest_promised = self.highest_promised.max(promised.n),
+            RegisterReply::Promised { .. }
+            | RegisterReply::Accepted
+            | RegisterReply::Looked { .. } => self.grant(vote),
+            RegisterReply::Refused { promised } => {
+                self.highest_promised = self.highest_promised.max(promised.n)
+            }
             RegisterReply::OldLayout | RegisterReply::OtherDisk => {}
             RegisterReply::Away => self.unknown += 1,
             RegisterReply::Damaged | RegisterReply::NeedWhole => self.damaged.push(vote.disk),
@@ -67,14 +72,19 @@
         replicas.quorum(|disk| self.has_granted(disk))
     }
 
-    /// Whether no quorum can come of it any more, whatever the replicas say that have not replied yet.
+    /// Whether no quorum can come of it any more, whatever the replicas say that have not replied
+    /// yet.
     pub fn is_hopeless(&self, replicas: &ReplicaSet) -> bool {
         !replicas.quorum(|disk| !self.denied.iter().any(|denied| denied == disk))
     }
 
     /// What a round without a quorum leaves behind.
     pub fn failure(&self) -> ChangeError {
-        if self.granted.is_empty() && self.unknown == 0 { ChangeError::NotDone } else { ChangeError::Undecided }
+        if self.granted.is_empty() && self.unknown == 0 {
+            ChangeError::NotDone
+        } else {
+            ChangeError::Undecided
+        }
     }
 
     /// The newest value that the promises tell of; the default where no replica ever accepted one.
@@ -84,7 +94,13 @@
             _ => None,
         });
         let newest = promises.max_by_key(|(accepted, seq, _)| (*accepted, *seq));
-        newest.map(|(ballot, seq, value)| Accepted { ballot, seq, value: value.clone() }).unwrap_or_default()
+        newest
+            .map(|(ballot, seq, value)| Accepted {
+                ballot,
+                seq,
+                value: value.clone(),
+            })
+            .unwrap_or_default()
     }
 }
 
@@ -113,18 +129,37 @@
 impl Survey {
     pub fn record(&mut self, vote: Vote) {
         if let RegisterReply::Looked { accepted, seq } = vote.reply {
-            self.copies.push(Copy { disk: vote.disk, accepted, seq, value: vote.value });
+            self.copies.push(Copy {
+                disk: vote.disk,
+                accepted,
+                seq,
+                value: vote.value,
+            });
         }
     }
 
-    /// The newest copy told of so far, once a quorum holds just that one: it was decided, under a ballot that the quorum
-    /// accepted, and nothing newer was decided before the replicas were asked.
+    /// The newest copy told of so far, once a quorum holds just that one: it was decided, under a
+    /// ballot that the quorum accepted, and nothing newer was decided before the replicas were
+    /// asked.
     pub fn decided(&self, replicas: &ReplicaSet) -> Option<(Ballot, u64, &Vec<u8>)> {
-        let newest = self.copies.iter().max_by_key(|copy| (copy.accepted, copy.seq))?;
+        let newest = self
+            .copies
+            .iter()
+            .max_by_key(|copy| (copy.accepted, copy.seq))?;
         let alike = |copy: &&Copy| (copy.accepted, copy.seq) == (newest.accepted, newest.seq);
-        let quorum = replicas.quorum(|disk| self.copies.iter().filter(alike).any(|copy| copy.disk == disk));
-        // A replica that already has the version sends no bytes; its own copy is then at hand for whoever asked.
-        let fullest = self.copies.iter().filter(alike).max_by_key(|copy| copy.value.len())?;
+        let quorum = replicas.quorum(|disk| {
+            self.copies
+                .iter()
+                .filter(alike)
+                .any(|copy| copy.disk == disk)
+        });
+        // A replica that already has the version sends no bytes; its own copy is then at hand for
+        // whoever asked.
+        let fullest = self
+            .copies
+            .iter()
+            .filter(alike)
+            .max_by_key(|copy| copy.value.len())?;
         quorum.then_some((newest.accepted, newest.seq, &fullest.value))
     }
 }
@@ -132,7 +167,8 @@
 /// What a proposer knows of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    /// The ballot that it leads with; none while it does not lead, or while a write under it is undecided.
+    /// The ballot that it leads with; none while it does not lead, or while a write under it is
+    /// undecided.
     ballot: Option<Ballot>,
     /// Highest ballot number seen anywhere.
     highest: u64,
@@ -161,16 +197,20 @@
         &self.value
     }
 
-    /// Begins to prepare a ballot above all that were seen. `proposer` is never used twice. `clock` is the calendar, ms: a
-    /// key that was erased begins anew with nothing promised, and whatever is left of its earlier life must rank below.
+    /// Begins to prepare a ballot above all that were seen. `proposer` is never used twice. `clock`
+    /// is the calendar, ms: a key that was erased begins anew with nothing promised, and whatever
+    /// is left of its earlier life must rank below.
     pub fn prepare(&mut self, proposer: u64, clock: u64) -> Ballot {
         self.highest = clock.max(self.highest + 1);
         self.ballot = None;
-        Ballot { n: self.highest, by: proposer }
+        Ballot {
+            n: self.highest,
+            by: proposer,
+        }
     }
 
-    /// A quorum promised: the newest value that it tells of has to be accepted anew under the ballot before anything else
-    /// happens. Returns whether there is one.
+    /// A quorum promised: the newest value that it tells of has to be accepted anew under the
+    /// ballot before anything else happens. Returns whether there is one.
     pub fn promised(&mut self, replicas: &ReplicaSet, round: &Round) -> bool {
         let newest = round.newest();
         self.seq = newest.seq;
@@ -184,8 +224,9 @@
         self.ballot = Some(ballot);
     }
 
-    /// Gives the ballot up: the next change prepares a new one. So it does before a write, until that is decided: whoever
-    /// stops waiting leaves no ballot behind under which half a write may stand.
+    /// Gives the ballot up: the next change prepares a new one. So it does before a write, until
+    /// that is decided: whoever stops waiting leaves no ballot behind under which half a write may
+    /// stand.
     pub fn resign(&mut self) -> Option<Ballot> {
         self.ballot.take()
     }
--- a/yewcross-common/src/register/quorum.rs
+++ b/yewcross-common/src/register/quorum.rs
@@ -10,7 +10,8 @@
     pub addr: Option<SocketAddr>,
 }
 
-/// The replicas of a key under one layout. While they change, the old set stands beside the new one.
+/// The replicas of a key under one layout. While they change, the old set stands beside the new
+/// one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReplicaSet {
     /// Number of the layout.
@@ -28,20 +29,28 @@
 impl ReplicaSet {
     /// Every replica once, the new set first.
     pub fn all(&self) -> Vec<Seat> {
-        let leaving = self.previous.iter().filter(|seat| !self.current.contains(seat));
+        let leaving = self
+            .previous
+            .iter()
+            .filter(|seat| !self.current.contains(seat));
         self.current.iter().chain(leaving).cloned().collect()
     }
 
-    /// Whether both sets have the same disks: a ballot prepared at the one is prepared at the other, whatever the number of
-    /// the layout.
+    /// Whether both sets have the same disks: a ballot prepared at the one is prepared at the
+    /// other, whatever the number of the layout.
     pub fn same_disks(&self, other: &ReplicaSet) -> bool {
-        disks(&self.current) == disks(&other.current) && disks(&self.previous) == disks(&other.previous)
+        disks(&self.current) == disks(&other.current)
+            && disks(&self.previous) == disks(&other.previous)
     }
 
     /// Whether the disks that `granted` accepts are a majority of each set in force.
     pub fn quorum(&self, granted: impl Fn(&str) -> bool) -> bool {
-        let most = |set: &[Seat]| set.iter().filter(|seat| granted(&seat.disk)).count() >= majority(set.len());
-        !self.current.is_empty() && most(&self.current) && (self.previous.is_empty() || most(&self.previous))
+        let most = |set: &[Seat]| {
+            set.iter().filter(|seat| granted(&seat.disk)).count() >= majority(set.len())
+        };
+        !self.current.is_empty()
+            && most(&self.current)
+            && (self.previous.is_empty() || most(&self.previous))
     }
 }
 
--- a/yewcross-common/src/runtime/mod.rs
+++ b/yewcross-common/src/runtime/mod.rs
@@ -36,13 +36,18 @@
 
 impl Connection {
     pub fn new(pipe: Arc<dyn ByteStream>, peer: SocketAddr) -> Connection {
-        Connection { pipe, allow: Arc::new(AtomicU64::new(u64::MAX)), peer }
+        Connection {
+            pipe,
+            allow: Arc::new(AtomicU64::new(u64::MAX)),
+            peer,
+        }
     }
     /// Bytes that may still be read before the connection counts as abusive.
     pub fn limit_reads(&self, n: u64) {
         self.allow.store(n, Relaxed);
     }
-    /// us. Sent bytes that stay unacknowledged this long end the connection (RFC 793's USER TIMEOUT).
+    /// us. Sent bytes that stay unacknowledged this long end the connection (RFC 793's USER
+    /// TIMEOUT).
     pub fn set_send_timeout(&self, us: u64) {
         self.pipe.set_send_timeout(us);
     }
@@ -52,7 +57,11 @@
 }
 
 impl AsyncRead for Connection {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         let left = self.allow.load(Relaxed);
         if left == 0 {
             return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "too large")));
@@ -68,7 +77,11 @@
 }
 
 impl AsyncWrite for Connection {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.pipe.write(cx, buf)
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -106,10 +119,18 @@
     fn write_file(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>>;
     fn sync(&self, path: &str) -> BoxFuture<'static, io::Result<()>>;
     fn rename(&self, a: &str, b: &str) -> BoxFuture<'static, io::Result<()>>;
-    /// Writes `data` to `aside`, syncs it, renames it to `at` and syncs the folder `dir`: safe once it returns.
-    fn write_durably(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>>;
+    /// Writes `data` to `aside`, syncs it, renames it to `at` and syncs the folder `dir`: safe once
+    /// it returns.
+    fn write_durably(
+        &self,
+        aside: &str,
+        at: &str,
+        dir: &str,
+        data: Vec<u8>,
+    ) -> BoxFuture<'static, io::Result<()>>;
     fn remove(&self, path: &str) -> BoxFuture<'static, io::Result<()>>;
-    /// Adds to the file's end, and returns once it is safe; where the file is new, its name is safe too. One hop.
+    /// Adds to the file's end, and returns once it is safe; where the file is new, its name is safe
+    /// too. One hop.
     fn append(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>>;
     fn read_file(&self, path: &str) -> BoxFuture<'static, io::Result<Vec<u8>>>;
     fn list(&self, dir: &str) -> BoxFuture<'static, io::Result<Vec<String>>>;
@@ -141,7 +162,9 @@
     }
 
     pub async fn connect_within(&self, to: SocketAddr, us: u64) -> io::Result<Connection> {
-        self.timeout(us, self.0.connect(to)).await.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
+        self.timeout(us, self.0.connect(to))
+            .await
+            .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
     }
 
     pub fn random_index(&self, n: usize) -> usize {
@@ -149,7 +172,10 @@
     }
 
     /// Runs `f` over all items at once, handing back each outcome as it comes.
-    pub fn spawn_all<T: Send + 'static>(&self, fs: Vec<BoxFuture<'static, T>>) -> async_channel::Receiver<T> {
+    pub fn spawn_all<T: Send + 'static>(
+        &self,
+        fs: Vec<BoxFuture<'static, T>>,
+    ) -> async_channel::Receiver<T> {
         let (tx, rx) = async_channel::bounded(fs.len().max(1));
         fs.into_iter().for_each(|f| {
             let tx = tx.clone();
--- a/yewcross-common/src/runtime/os.rs
+++ b/yewcross-common/src/runtime/os.rs
@@ -61,19 +61,30 @@
     }
 }
 
-/// A peer without power says nothing: what it does not acknowledge, or does not answer, ends the connection.
+/// A peer without power says nothing: what it does not acknowledge, or does not answer, ends the
+/// connection.
 fn tune(s: SockRef<'_>) -> io::Result<()> {
     s.set_tcp_nodelay(true)?;
     s.set_tcp_user_timeout(Some(Duration::from_micros(SILENT)))
 }
 
 fn dial(to: SocketAddr) -> io::Result<TcpStream> {
-    let s = Socket::new(Domain::for_address(to), Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
+    let s = Socket::new(
+        Domain::for_address(to),
+        Type::STREAM.nonblocking().cloexec(),
+        Some(Protocol::TCP),
+    )?;
     tune(SockRef::from(&s))?;
-    let alive = TcpKeepalive::new().with_time(Duration::from_micros(SILENT_ASK)).with_interval(Duration::from_micros(SILENT_ASK));
+    let alive = TcpKeepalive::new()
+        .with_time(Duration::from_micros(SILENT_ASK))
+        .with_interval(Duration::from_micros(SILENT_ASK));
     s.set_tcp_keepalive(&alive)?;
     match s.connect(&to.into()) {
-        Err(e) if e.kind() != io::ErrorKind::WouldBlock && e.raw_os_error() != Some(EINPROGRESS) => Err(e),
+        Err(e)
+            if e.kind() != io::ErrorKind::WouldBlock && e.raw_os_error() != Some(EINPROGRESS) =>
+        {
+            Err(e)
+        }
         _ => Ok(TcpStream::from_std(s.into())),
     }
 }
@@ -92,16 +103,22 @@
 impl DiskThreads {
     fn take(&self, f: Work) {
         let free = self.idle.load(SeqCst) > self.jobs.0.len();
-        if !free && self.started.load(SeqCst) < DISK_HANDS && self.started.fetch_add(1, SeqCst) < DISK_HANDS {
+        if !free
+            && self.started.load(SeqCst) < DISK_HANDS
+            && self.started.fetch_add(1, SeqCst) < DISK_HANDS
+        {
             let (rx, idle) = (self.jobs.1.clone(), self.idle.clone());
-            let _ = std::thread::Builder::new().name("disk".into()).stack_size(256 << 10).spawn(move || {
-                loop {
-                    idle.fetch_add(1, SeqCst);
-                    let Ok(f) = rx.recv_blocking() else { return };
-                    idle.fetch_sub(1, SeqCst);
-                    f();
-                }
-            });
+            let _ = std::thread::Builder::new()
+                .name("disk".into())
+                .stack_size(256 << 10)
+                .spawn(move || {
+                    loop {
+                        idle.fetch_add(1, SeqCst);
+                        let Ok(f) = rx.recv_blocking() else { return };
+                        idle.fetch_sub(1, SeqCst);
+                        f();
+                    }
+                });
         }
         let _ = self.jobs.0.try_send(f);
     }
@@ -119,7 +136,8 @@
 type Tail = Arc<Mutex<Option<(PathBuf, std::fs::File)>>>;
 
 impl OsRuntime {
-    /// A world whose tasks run on threads of their own; with one, the same thread waits for sockets and timers.
+    /// A world whose tasks run on threads of their own; with one, the same thread waits for sockets
+    /// and timers.
     pub fn world(root: &str, threads: usize) -> Runtime {
         let ex = Arc::new(smol::Executor::new());
         let (reactor, poller) = Reactor::new().unwrap_or_else(|e| panic!("no event queue: {e}"));
@@ -128,10 +146,21 @@
         let _ = name(0).spawn(move || r.drive(poller, e.run(std::future::pending::<()>())));
         (1..threads).for_each(|i| {
             let e = ex.clone();
-            let _ = name(i).spawn(move || futures_lite::future::block_on(e.run(std::future::pending::<()>())));
+            let _ = name(i)
+                .spawn(move || futures_lite::future::block_on(e.run(std::future::pending::<()>())));
         });
-        let hands = DiskThreads { jobs: async_channel::unbounded(), started: AtomicUsize::new(0), idle: Default::default() };
-        Runtime(Arc::new(OsRuntime { ex, reactor, hands, root: PathBuf::from(root), tail: Tail::default() }))
+        let hands = DiskThreads {
+            jobs: async_channel::unbounded(),
+            started: AtomicUsize::new(0),
+            idle: Default::default(),
+        };
+        Runtime(Arc::new(OsRuntime {
+            ex,
+            reactor,
+            hands,
+            root: PathBuf::from(root),
+            tail: Tail::default(),
+        }))
     }
 
     fn blocking<T: Send + 'static>(
@@ -144,7 +173,11 @@
         self.hands.take(Box::new(move || {
             let _ = tx.try_send(f(p));
         }));
-        Box::pin(async move { rx.recv().await.unwrap_or_else(|_| Err(io::Error::other("a disk thread ended"))) })
+        Box::pin(async move {
+            rx.recv()
+                .await
+                .unwrap_or_else(|_| Err(io::Error::other("a disk thread ended")))
+        })
     }
 }
 
@@ -153,13 +186,19 @@
         self.reactor.now()
     }
     fn wall_clock_ms(&self) -> u64 {
-        SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map(|d| d.as_millis() as u64).unwrap_or(0)
+        SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .map(|d| d.as_millis() as u64)
+            .unwrap_or(0)
     }
     fn random(&self) -> u64 {
         fastrand::u64(..)
     }
     fn sleep(&self, us: u64) -> BoxFuture<'static, ()> {
-        Box::pin(self.reactor.sleep_until(self.reactor.now().saturating_add(us)))
+        Box::pin(
+            self.reactor
+                .sleep_until(self.reactor.now().saturating_add(us)),
+        )
     }
     fn spawn(&self, f: BoxFuture<'static, ()>) {
         self.ex.spawn(f).detach();
@@ -171,7 +210,9 @@
             std::future::poll_fn(|cx| {
                 s.attempt(WRITE, cx, 0, |s| match (s.take_error()?, s.peer_addr()) {
                     (Some(e), _) => Err(e),
-                    (None, Err(e)) if e.kind() == io::ErrorKind::NotConnected => Err(io::ErrorKind::WouldBlock.into()),
+                    (None, Err(e)) if e.kind() == io::ErrorKind::NotConnected => {
+                        Err(io::ErrorKind::WouldBlock.into())
+                    }
                     (None, r) => r.map(|_| 0),
                 })
             })
@@ -182,7 +223,11 @@
     fn bind(&self, at: SocketAddr) -> BoxFuture<'static, io::Result<Box<dyn Listener>>> {
         let r = self.reactor.clone();
         Box::pin(async move {
-            let s = Socket::new(Domain::for_address(at), Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
+            let s = Socket::new(
+                Domain::for_address(at),
+                Type::STREAM.nonblocking().cloexec(),
+                Some(Protocol::TCP),
+            )?;
             s.set_reuse_address(true)?;
             s.bind(&at.into())?;
             s.listen(BACKLOG)?;
@@ -203,7 +248,13 @@
         let b = self.root.join(b);
         self.blocking(a, move |a| std::fs::rename(a, b))
     }
-    fn write_durably(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
+    fn write_durably(
+        &self,
+        aside: &str,
+        at: &str,
+        dir: &str,
+        data: Vec<u8>,
+    ) -> BoxFuture<'static, io::Result<()>> {
         let (at, dir) = (self.root.join(at), self.root.join(dir));
         self.blocking(aside, move |aside| {
             let mut f = std::fs::File::create(&aside)?;
@@ -222,8 +273,13 @@
             let mut g = tail.lock().unwrap();
             if g.as_ref().is_none_or(|x| x.0 != p) {
                 let new = !p.exists();
-                let f = std::fs::OpenOptions::new().create(true).append(true).open(&p)?;
-                p.parent().filter(|_| new).map_or(Ok(()), |d| std::fs::File::open(d)?.sync_all())?;
+                let f = std::fs::OpenOptions::new()
+                    .create(true)
+                    .append(true)
+                    .open(&p)?;
+                p.parent()
+                    .filter(|_| new)
+                    .map_or(Ok(()), |d| std::fs::File::open(d)?.sync_all())?;
                 *g = Some((p, f));
             }
             g.as_mut().map_or(Ok(()), |x| {
--- a/yewcross-common/src/runtime/reactor.rs
+++ b/yewcross-common/src/runtime/reactor.rs
@@ -1,7 +1,8 @@
 //! One thread that runs the tasks and waits for sockets and timers: one system call a wake-up.
 //!
-//! Sockets are waited for by edges (mio), as epoll(7) has it under "Level-triggered and edge-triggered": each is
-//! registered once, and a read that did not fill its buffer has emptied the socket.
+//! Sockets are waited for by edges (mio), as epoll(7) has it under "Level-triggered and
+//! edge-triggered": each is registered once, and a read that did not fill its buffer has emptied
+//! the socket.
 
 use mio::{Events, Interest, Poll as Poller, Registry, Token, Waker as Bell};
 use std::collections::BTreeMap;
@@ -56,8 +57,15 @@
         w.into_iter().for_each(|w| w.wake());
     }
 
-    /// Tries `op` unless the socket is known to refuse it; `all` is what it would take to leave the socket unsure.
-    fn attempt(&self, side: usize, cx: &mut Context<'_>, all: usize, mut op: impl FnMut() -> io::Result<usize>) -> Poll<io::Result<usize>> {
+    /// Tries `op` unless the socket is known to refuse it; `all` is what it would take to leave the
+    /// socket unsure.
+    fn attempt(
+        &self,
+        side: usize,
+        cx: &mut Context<'_>,
+        all: usize,
+        mut op: impl FnMut() -> io::Result<usize>,
+    ) -> Poll<io::Result<usize>> {
         loop {
             let edges = {
                 let mut s = self.0[side].lock().unwrap();
@@ -70,8 +78,12 @@
                 s.edges
             };
             let r = op();
-            let refused = r.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
-            if r.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::Interrupted) {
+            let refused = r
+                .as_ref()
+                .is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+            if r.as_ref()
+                .is_err_and(|e| e.kind() == io::ErrorKind::Interrupted)
+            {
                 continue;
             }
             let short = r.as_ref().is_ok_and(|n| *n > 0 && *n < all);
@@ -151,7 +163,11 @@
         }
     }
 
-    pub fn watch<S: mio::event::Source>(self: &Arc<Self>, mut io: S, interest: Interest) -> io::Result<Watched<S>> {
+    pub fn watch<S: mio::event::Source>(
+        self: &Arc<Self>,
+        mut io: S,
+        interest: Interest,
+    ) -> io::Result<Watched<S>> {
         let token = self.next.fetch_add(1, SeqCst);
         let ready = Arc::new(Ready::default());
         self.sources.lock().unwrap().insert(token, ready.clone());
@@ -159,12 +175,21 @@
         if r.is_err() {
             self.sources.lock().unwrap().remove(&token);
         }
-        r.map(|_| Watched { io, token, ready, reactor: self.clone() })
+        r.map(|_| Watched {
+            io,
+            token,
+            ready,
+            reactor: self.clone(),
+        })
     }
 
     /// Ready at the given time, rounded up to the millisecond that the system waits by.
     pub fn sleep_until(self: &Arc<Self>, at: u64) -> Sleep {
-        Sleep { reactor: self.clone(), at, key: None }
+        Sleep {
+            reactor: self.clone(),
+            at,
+            key: None,
+        }
     }
 
     /// Runs `f` on this thread, and with it all that wakes this reactor's thread.
@@ -178,7 +203,12 @@
                 return x;
             }
             self.asleep.store(true, SeqCst);
-            let first = self.timers.lock().unwrap().first_key_value().map(|(k, _)| k.0);
+            let first = self
+                .timers
+                .lock()
+                .unwrap()
+                .first_key_value()
+                .map(|(k, _)| k.0);
             let wait = match first {
                 _ if self.due.load(SeqCst) => Some(Duration::ZERO),
                 Some(t) => Some(Duration::from_micros(t.saturating_sub(self.now()))),
@@ -188,14 +218,19 @@
             self.asleep.store(false, SeqCst);
             self.wakes.fetch_add(1, SeqCst);
             if r.is_ok() {
-                events.iter().filter(|e| e.token() != BELL).for_each(|e| self.tell(e));
+                events
+                    .iter()
+                    .filter(|e| e.token() != BELL)
+                    .for_each(|e| self.tell(e));
             }
             self.expire();
         }
     }
 
     fn tell(&self, e: &mio::event::Event) {
-        let Some(s) = self.sources.lock().unwrap().get(&e.token().0).cloned() else { return };
+        let Some(s) = self.sources.lock().unwrap().get(&e.token().0).cloned() else {
+            return;
+        };
         let ended = e.is_error() || e.is_read_closed();
         if e.is_readable() || ended {
             s.edge(READ, ended);
@@ -230,7 +265,9 @@
         if r.now() >= self.at {
             return Poll::Ready(());
         }
-        let n = self.key.unwrap_or_else(|| r.next.fetch_add(1, SeqCst) as u64);
+        let n = self
+            .key
+            .unwrap_or_else(|| r.next.fetch_add(1, SeqCst) as u64);
         self.key = Some(n);
         let mut g = r.timers.lock().unwrap();
         g.insert((self.at, n), cx.waker().clone());
--- a/yewcross-common/src/storage.rs
+++ b/yewcross-common/src/storage.rs
@@ -1,7 +1,8 @@
-//! Durable storage under the data folder: one file a version, written aside, synced, renamed, and its folder synced.
+//! Durable storage under the data folder: one file a version, written aside, synced, renamed, and
+//! its folder synced.
 //!
-//! The disk's identity is written last, once the folders that hold what it vouches for are named on the disk, and is void
-//! where one of them is missing later.
+//! The disk's identity is written last, once the folders that hold what it vouches for are named on
+//! the disk, and is void where one of them is missing later.
 
 use crate::constants::*;
 use crate::runtime::*;
@@ -26,7 +27,11 @@
 
 /// All folders of a data disk, parents first.
 fn folders() -> Vec<String> {
-    let mut all = vec![LOCAL_FOLDER.to_string(), CHAIN_FOLDER.into(), KEYS_FOLDER.into()];
+    let mut all = vec![
+        LOCAL_FOLDER.to_string(),
+        CHAIN_FOLDER.into(),
+        KEYS_FOLDER.into(),
+    ];
     all.extend((0..KEY_SHARDS).map(shard_folder));
     all
 }
@@ -36,7 +41,8 @@
     let n = usize::try_from(u64::from_le_bytes(v.get(4..12)?.try_into().ok()?)).ok()?;
     let d = v.get(..n.checked_add(12)?)?;
     let c = v.get(n + 12..n + 16)?;
-    (d[..4] == DISK_FORMAT.to_le_bytes() && c == crc32fast::hash(d).to_le_bytes()).then_some((&d[12..], n + 16))
+    (d[..4] == DISK_FORMAT.to_le_bytes() && c == crc32fast::hash(d).to_le_bytes())
+        .then_some((&d[12..], n + 16))
 }
 
 /// A node's data disk.
@@ -44,7 +50,8 @@
     pub runtime: Runtime,
     /// Identity of the disk; votes are counted under it.
     pub disk_id: String,
-    /// A write has failed: its outcome is unknown, and the node takes no part until the disk is restored.
+    /// A write has failed: its outcome is unknown, and the node takes no part until the disk is
+    /// restored.
     pub failed: AtomicBool,
     /// Failed writes so far.
     pub failures: AtomicU64,
@@ -70,7 +77,9 @@
 pub fn decode_frame(v: &[u8]) -> Option<Vec<u8>> {
     let (d, c) = v.split_at_checked(v.len().checked_sub(4)?)?;
     let n = u64::from_le_bytes(d.get(4..12)?.try_into().ok()?) as usize;
-    let ok = c == crc32fast::hash(d).to_le_bytes() && d[..4] == DISK_FORMAT.to_le_bytes() && d.len() == n + 12;
+    let ok = c == crc32fast::hash(d).to_le_bytes()
+        && d[..4] == DISK_FORMAT.to_le_bytes()
+        && d.len() == n + 12;
     ok.then(|| d[12..].to_vec())
 }
 
@@ -110,7 +119,9 @@
             Some(id) => id,
             None => {
                 let id = format!("d{:016x}", runtime.random());
-                vault.write(LOCAL_FOLDER, IDENTITY, version + 1, id.as_bytes()).await?;
+                vault
+                    .write(LOCAL_FOLDER, IDENTITY, version + 1, id.as_bytes())
+                    .await?;
                 id
             }
         };
@@ -124,7 +135,8 @@
             complete &= self.runtime.list(&folder).await.is_ok();
             self.runtime.mkdir(&folder).await?;
         }
-        // An earlier process may have been killed after it made a folder or renamed a file, and before it synced the name.
+        // An earlier process may have been killed after it made a folder or renamed a file, and
+        // before it synced the name.
         for parent in [KEYS_FOLDER, "", LOCAL_FOLDER] {
             self.runtime.sync(parent).await?;
         }
@@ -135,7 +147,9 @@
     pub fn mark_failed(&self, why: &io::Error) {
         self.failures.fetch_add(1, SeqCst);
         if !self.failed.swap(true, SeqCst) {
-            self.runtime.log(&format!("disk failed ({why}); it takes no part until it works again"));
+            self.runtime.log(&format!(
+                "disk failed ({why}); it takes no part until it works again"
+            ));
         }
         self.failure.notify(usize::MAX);
     }
@@ -145,14 +159,24 @@
         if self.failed.load(SeqCst) {
             return Err(io::Error::other("disk failed"));
         }
-        self.write(dir, name, ver, body).await.inspect_err(|e| self.mark_failed(e))
+        self.write(dir, name, ver, body)
+            .await
+            .inspect_err(|e| self.mark_failed(e))
     }
 
     /// Writes a version whatever is known of the disk; the version before it is removed.
     pub async fn write(&self, dir: &str, name: &str, ver: u64, body: &[u8]) -> io::Result<()> {
         let aside = format!("{dir}/.{name}-{}", self.next_temporary.fetch_add(1, SeqCst));
         self.writing.lock().unwrap().insert(aside.clone());
-        let written = self.runtime.write_durably(&aside, &version_path(dir, name, ver), dir, encode_frame(body)).await;
+        let written = self
+            .runtime
+            .write_durably(
+                &aside,
+                &version_path(dir, name, ver),
+                dir,
+                encode_frame(body),
+            )
+            .await;
         self.writing.lock().unwrap().remove(&aside);
         written?;
         self.syncs.fetch_add(2, SeqCst);
@@ -163,26 +187,39 @@
         Ok(())
     }
 
-    /// Removes a name for good: no loss of power brings any version of it back. The newest goes last, so that no older one
-    /// is ever the newest.
+    /// Removes a name for good: no loss of power brings any version of it back. The newest goes
+    /// last, so that no older one is ever the newest.
     pub async fn erase(&self, dir: &str, name: &str) -> io::Result<()> {
-        let mut versions: Vec<u64> =
-            self.runtime.list(dir).await?.iter().filter_map(|f| split_version(f)).filter(|x| x.0 == name).map(|x| x.1).collect();
+        let mut versions: Vec<u64> = self
+            .runtime
+            .list(dir)
+            .await?
+            .iter()
+            .filter_map(|f| split_version(f))
+            .filter(|x| x.0 == name)
+            .map(|x| x.1)
+            .collect();
         versions.sort();
-        let Some(newest) = versions.pop() else { return Ok(()) };
+        let Some(newest) = versions.pop() else {
+            return Ok(());
+        };
         for version in versions {
-            self.runtime.remove(&version_path(dir, name, version)).await?;
+            self.runtime
+                .remove(&version_path(dir, name, version))
+                .await?;
         }
         // Older versions removed earlier go for good here, too.
         self.runtime.sync(dir).await?;
-        self.runtime.remove(&version_path(dir, name, newest)).await?;
+        self.runtime
+            .remove(&version_path(dir, name, newest))
+            .await?;
         self.runtime.sync(dir).await?;
         self.syncs.fetch_add(2, SeqCst);
         Ok(())
     }
 
-    /// Newest version of each name in the folder; `None` for a body that is damaged. Where any file is found, all names of
-    /// the folder are safe when this returns.
+    /// Newest version of each name in the folder; `None` for a body that is damaged. Where any file
+    /// is found, all names of the folder are safe when this returns.
     pub async fn scan(&self, dir: &str) -> io::Result<Vec<(String, u64, Option<Vec<u8>>)>> {
         let mut newest: BTreeMap<String, (u64, Option<Vec<u8>>)> = BTreeMap::new();
         let mut older = vec![];
@@ -196,10 +233,18 @@
                 }
                 continue;
             }
-            let Some((name, version)) = split_version(file) else { continue };
-            let body = self.runtime.read_file(&format!("{dir}/{file}")).await.ok().and_then(|b| decode_frame(&b));
+            let Some((name, version)) = split_version(file) else {
+                continue;
+            };
+            let body = self
+                .runtime
+                .read_file(&format!("{dir}/{file}"))
+                .await
+                .ok()
+                .and_then(|b| decode_frame(&b));
             if body.is_none() && !name.starts_with("bad") {
-                self.runtime.log(&format!("damaged file {dir}/{file} put aside"));
+                self.runtime
+                    .log(&format!("damaged file {dir}/{file} put aside"));
             }
             let sound = body.is_some();
             match newest.get_mut(name) {
@@ -217,19 +262,25 @@
             }
         }
         if !files.is_empty() {
-            // Only then may older versions go: a newer one that a killed process renamed is not yet safe under its name.
+            // Only then may older versions go: a newer one that a killed process renamed is not yet
+            // safe under its name.
             self.runtime.sync(dir).await?;
         }
         for path in older {
             let _ = self.runtime.remove(&path).await;
         }
-        Ok(newest.into_iter().map(|(name, (version, body))| (name, version, body)).collect())
+        Ok(newest
+            .into_iter()
+            .map(|(name, (version, body))| (name, version, body))
+            .collect())
     }
 
     /// The newest version of a name.
     pub async fn load(&self, dir: &str, name: &str) -> io::Result<Option<(u64, Vec<u8>)>> {
         let v = self.scan(dir).await?;
-        Ok(v.into_iter().find(|x| x.0 == name).and_then(|(_, v, b)| b.map(|b| (v, b))))
+        Ok(v.into_iter()
+            .find(|x| x.0 == name)
+            .and_then(|(_, v, b)| b.map(|b| (v, b))))
     }
 
     /// Whether the disk takes and syncs a file of usual size again.
@@ -245,9 +296,19 @@
     pub async fn bears_identity(&self) -> io::Result<bool> {
         let path = LOCAL_FOLDER;
         let files = self.runtime.list(path).await?;
-        let newest = files.iter().filter_map(|f| split_version(f)).filter(|x| x.0 == IDENTITY).map(|x| x.1).max();
-        let Some(version) = newest else { return Ok(false) };
-        let message = self.runtime.read_file(&version_path(path, IDENTITY, version)).await?;
+        let newest = files
+            .iter()
+            .filter_map(|f| split_version(f))
+            .filter(|x| x.0 == IDENTITY)
+            .map(|x| x.1)
+            .max();
+        let Some(version) = newest else {
+            return Ok(false);
+        };
+        let message = self
+            .runtime
+            .read_file(&version_path(path, IDENTITY, version))
+            .await?;
         Ok(decode_frame(&message).is_some_and(|b| b == self.disk_id.as_bytes()))
     }
 }
