--- a/yewcross-common/src/streaming_http.rs
+++ b/yewcross-common/src/streaming_http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 by hyper over the world's connections. Targets pass byte for byte; what cannot is answered 400.
+//! HTTP/1.1 by hyper over the world's connections. Targets pass byte for byte; what cannot is
+//! answered 400.
 
 use crate::configuration::route::Limits;
 use crate::constants::*;
@@ -21,7 +22,8 @@
 
 pub type Body = http_body_util::combinators::BoxBody<Bytes, io::Error>;
 /// A handler's future is dropped when its caller goes.
-pub type Handler = Arc<dyn Fn(Request<Incoming>, SocketAddr) -> BoxFuture<'static, Response<Body>> + Send + Sync>;
+pub type Handler =
+    Arc<dyn Fn(Request<Incoming>, SocketAddr) -> BoxFuture<'static, Response<Body>> + Send + Sync>;
 
 /// Counts what is open and tells everything that serves to come to an end. Woken by events only.
 pub struct ConnectionTracker {
@@ -96,7 +98,11 @@
 }
 
 impl AsyncRead for Watched {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         let n = std::task::ready!(Pin::new(&mut self.c).poll_read(cx, buf))?;
         let turn = self.seen.answered.load(SeqCst) + 1;
         if n > 0 && self.line != turn {
@@ -116,7 +122,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.c).poll_write(cx, buf)
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -127,8 +137,8 @@
     }
 }
 
-/// hyper's clock, told by the world. The wait for a head ends `idle` after it began while no byte came, and `head`
-/// after the first byte. us.
+/// hyper's clock, told by the world. The wait for a head ends `idle` after it began while no byte
+/// came, and `head` after the first byte. us.
 struct Clock {
     w: Runtime,
     t0: Instant,
@@ -150,7 +160,11 @@
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let began = self.seen.began.load(SeqCst);
-        let until = if began > 0 { self.until.min(began + self.head) } else { self.until };
+        let until = if began > 0 {
+            self.until.min(began + self.head)
+        } else {
+            self.until
+        };
         let t = self.w.now();
         if t >= until {
             return Poll::Ready(());
@@ -169,7 +183,14 @@
     fn sleep(&self, d: Duration) -> Pin<Box<dyn hyper::rt::Sleep>> {
         let until = self.w.now() + (d.as_micros() as u64).min(self.idle);
         let f = std::sync::Mutex::new(self.w.sleep(until - self.w.now()));
-        Box::pin(Nap { w: self.w.clone(), seen: self.seen.clone(), head: self.head, until, set: until, f })
+        Box::pin(Nap {
+            w: self.w.clone(),
+            seen: self.seen.clone(),
+            head: self.head,
+            until,
+            set: until,
+            f,
+        })
     }
     fn sleep_until(&self, at: Instant) -> Pin<Box<dyn hyper::rt::Sleep>> {
         self.sleep(at.saturating_duration_since(self.now()))
@@ -199,25 +220,45 @@
     }
 }
 
-async fn one(h: Handler, q: Request<Incoming>, from: SocketAddr, b: Busy) -> Result<Response<Body>, Infallible> {
+async fn one(
+    h: Handler,
+    q: Request<Incoming>,
+    from: SocketAddr,
+    b: Busy,
+) -> Result<Response<Body>, Infallible> {
     let odd = b.1.odd.swap(false, SeqCst) || q.uri().authority().is_some();
-    let mut r = if odd { bare(StatusCode::BAD_REQUEST) } else { h(q, from).await };
+    let mut r = if odd {
+        bare(StatusCode::BAD_REQUEST)
+    } else {
+        h(q, from).await
+    };
     if odd || b.0.is_last() {
-        r.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        r.headers_mut()
+            .insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(r)
 }
 
 async fn attend(runtime: Runtime, c: Connection, h: Handler, l: Limits, g: Arc<ConnectionTracker>) {
     let (seen, from) = (Arc::new(Seen::default()), c.peer);
-    let clock =
-        Clock { w: runtime.clone(), t0: Instant::now(), seen: seen.clone(), head: l.head_ms * MS, idle: l.idle_ms.max(l.head_ms) * MS };
+    let clock = Clock {
+        w: runtime.clone(),
+        t0: Instant::now(),
+        seen: seen.clone(),
+        head: l.head_ms * MS,
+        idle: l.idle_ms.max(l.head_ms) * MS,
+    };
     let (g2, s2) = (g.clone(), seen.clone());
     let service = hyper::service::service_fn(move |q| {
         g2.busy.fetch_add(1, SeqCst);
         one(h.clone(), q, from, Busy(g2.clone(), s2.clone()))
     });
-    let io = FuturesIo::new(Watched { c, w: runtime.clone(), seen, line: 0 });
+    let io = FuturesIo::new(Watched {
+        c,
+        w: runtime.clone(),
+        seen,
+        line: 0,
+    });
     let mut conn = std::pin::pin!(
         hyper::server::conn::http1::Builder::new()
             .timer(clock)
@@ -295,7 +336,13 @@
         return Err(Unread::TooLarge);
     }
     let got = Limited::new(b, max).collect().await;
-    got.map(|c| c.to_bytes()).map_err(|e| if e.is::<http_body_util::LengthLimitError>() { Unread::TooLarge } else { Unread::Broken })
+    got.map(|c| c.to_bytes()).map_err(|e| {
+        if e.is::<http_body_util::LengthLimitError>() {
+            Unread::TooLarge
+        } else {
+            Unread::Broken
+        }
+    })
 }
 
 pub(crate) fn wrong(e: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> io::Error {
@@ -303,21 +350,36 @@
 }
 
 /// Dial, ask, read all, all within `us`. Each ask has a connection of its own.
-pub async fn fetch(runtime: &Runtime, to: SocketAddr, mut q: Request<Full<Bytes>>, max: usize, us: u64) -> io::Result<Response<Bytes>> {
+pub async fn fetch(
+    runtime: &Runtime,
+    to: SocketAddr,
+    mut q: Request<Full<Bytes>>,
+    max: usize,
+    us: u64,
+) -> io::Result<Response<Bytes>> {
     if !q.headers().contains_key(header::HOST) {
-        q.headers_mut().insert(header::HOST, HeaderValue::try_from(to.to_string()).map_err(wrong)?);
+        q.headers_mut().insert(
+            header::HOST,
+            HeaderValue::try_from(to.to_string()).map_err(wrong)?,
+        );
     }
     runtime
         .timeout(us, async {
             let c = runtime.connect(to).await?;
-            let (mut s, conn) = hyper::client::conn::http1::handshake(FuturesIo::new(c)).await.map_err(wrong)?;
+            let (mut s, conn) = hyper::client::conn::http1::handshake(FuturesIo::new(c))
+                .await
+                .map_err(wrong)?;
             let drive = async {
                 let _ = conn.await;
                 std::future::pending().await
             };
             async {
                 let (p, b) = s.send_request(q).await.map_err(wrong)?.into_parts();
-                let b = Limited::new(b, max).collect().await.map_err(wrong)?.to_bytes();
+                let b = Limited::new(b, max)
+                    .collect()
+                    .await
+                    .map_err(wrong)?
+                    .to_bytes();
                 Ok(Response::from_parts(p, b))
             }
             .or(drive)
--- a/yewcross-common/src/transport/mod.rs
+++ b/yewcross-common/src/transport/mod.rs
@@ -75,9 +75,19 @@
     pub metrics: TransportMetrics,
 }
 
-pub fn pack(version: u16, id: u64, reply: bool, me: &str, site: &str, body: &[u8], blob: &[u8]) -> Vec<u8> {
+pub fn pack(
+    version: u16,
+    id: u64,
+    reply: bool,
+    me: &str,
+    site: &str,
+    body: &[u8],
+    blob: &[u8],
+) -> Vec<u8> {
     let words = (body.len() + blob.len() + me.len() + site.len()) / 8 + 24;
-    let mut m = capnp::message::Builder::new(capnp::message::HeapAllocator::new().first_segment_words(words as u32));
+    let mut m = capnp::message::Builder::new(
+        capnp::message::HeapAllocator::new().first_segment_words(words as u32),
+    );
     let mut f = m.init_root::<frame::Builder>();
     f.set_version(version);
     f.set_id(id);
@@ -89,7 +99,10 @@
     capnp::serialize::write_message_to_words(&m)
 }
 
-fn unpack(r: &capnp::message::Reader<capnp::serialize::OwnedSegments>, newest: u16) -> Option<(u64, bool, Envelope)> {
+fn unpack(
+    r: &capnp::message::Reader<capnp::serialize::OwnedSegments>,
+    newest: u16,
+) -> Option<(u64, bool, Envelope)> {
     let f = r.get_root::<frame::Reader>().ok()?;
     let p = Envelope {
         from: f.get_from().ok()?.to_string().ok()?,
@@ -98,7 +111,9 @@
         payload: f.get_blob().ok()?.to_vec(),
         version: f.get_version(),
     };
-    (WIRE_OLDEST..=newest).contains(&f.get_version()).then_some((f.get_id(), f.get_reply(), p))
+    (WIRE_OLDEST..=newest)
+        .contains(&f.get_version())
+        .then_some((f.get_id(), f.get_reply(), p))
 }
 
 fn limits() -> ReaderOptions {
@@ -128,33 +143,70 @@
 
     /// The version spoken with a peer; the oldest until it is known.
     pub fn version(&self, to: SocketAddr) -> u16 {
-        self.sites.lock().unwrap().get(&to).map_or(WIRE_OLDEST, |s| s.1.min(self.newest_version))
+        self.sites
+            .lock()
+            .unwrap()
+            .get(&to)
+            .map_or(WIRE_OLDEST, |s| s.1.min(self.newest_version))
     }
 
     fn count(&self, to: SocketAddr, n: usize) {
-        let near = self.sites.lock().unwrap().get(&to).is_none_or(|s| s.0 == self.site);
+        let near = self
+            .sites
+            .lock()
+            .unwrap()
+            .get(&to)
+            .is_none_or(|s| s.0 == self.site);
         self.metrics.sent.fetch_add(1, Relaxed);
-        if near { &self.metrics.bytes_within } else { &self.metrics.bytes_across }.fetch_add(n as u64, Relaxed);
+        if near {
+            &self.metrics.bytes_within
+        } else {
+            &self.metrics.bytes_across
+        }
+        .fetch_add(n as u64, Relaxed);
     }
 
     async fn link(self: &Arc<Self>, to: SocketAddr) -> Result<Arc<PeerConnection>, SendError> {
         if let Some(l) = self.connections.lock().unwrap().get(&to) {
             return Ok(l.clone());
         }
-        let c = self.runtime.connect_within(to, DIAL_WAIT).await.map_err(|_| SendError::NotSent)?;
+        let c = self
+            .runtime
+            .connect_within(to, DIAL_WAIT)
+            .await
+            .map_err(|_| SendError::NotSent)?;
         c.set_send_timeout(LINK_SILENT);
         let (tx, rx) = async_channel::bounded::<Vec<u8>>(1024);
-        let mine = Arc::new(PeerConnection { out: tx, wait: Default::default(), heard: AtomicU64::new(self.runtime.now()) });
-        let l = self.connections.lock().unwrap().entry(to).or_insert_with(|| mine.clone()).clone();
+        let mine = Arc::new(PeerConnection {
+            out: tx,
+            wait: Default::default(),
+            heard: AtomicU64::new(self.runtime.now()),
+        });
+        let l = self
+            .connections
+            .lock()
+            .unwrap()
+            .entry(to)
+            .or_insert_with(|| mine.clone())
+            .clone();
         if Arc::ptr_eq(&l, &mine) {
-            let (me, k, mut wr, mut rd) = (self.clone(), l.clone(), c.clone(), BufReader::with_capacity(LINK_READ, c));
+            let (me, k, mut wr, mut rd) = (
+                self.clone(),
+                l.clone(),
+                c.clone(),
+                BufReader::with_capacity(LINK_READ, c),
+            );
             self.runtime.spawn(async move {
                 let read = async {
-                    while let Ok(Some(r)) = capnp_futures::serialize::try_read_message(&mut rd, limits()).await {
+                    while let Ok(Some(r)) =
+                        capnp_futures::serialize::try_read_message(&mut rd, limits()).await
+                    {
                         k.heard.store(me.runtime.now(), Relaxed);
                         unpack(&r, me.newest_version)
                             .filter(|(_, reply, _)| *reply)
-                            .and_then(|(id, _, p)| k.wait.lock().unwrap().remove(&id).map(|s| s.try_send(p)));
+                            .and_then(|(id, _, p)| {
+                                k.wait.lock().unwrap().remove(&id).map(|s| s.try_send(p))
+                            });
                     }
                 };
                 let write = async {
@@ -177,7 +229,8 @@
         Ok(l)
     }
 
-    /// The next question opens a connection of its own; what is under way on the old one may still be answered.
+    /// The next question opens a connection of its own; what is under way on the old one may still
+    /// be answered.
     fn leave_link(self: &Arc<Self>, to: SocketAddr, l: &Arc<PeerConnection>) {
         let mut g = self.connections.lock().unwrap();
         if g.get(&to).is_some_and(|x| Arc::ptr_eq(x, l)) {
@@ -202,7 +255,15 @@
         let t0 = self.runtime.now();
         let l = self.link(to).await?;
         let id = self.next.fetch_add(1, Relaxed);
-        let b = pack(self.version(to), id, false, &self.own_name, &self.site, &body, blob);
+        let b = pack(
+            self.version(to),
+            id,
+            false,
+            &self.own_name,
+            &self.site,
+            &body,
+            blob,
+        );
         let (tx, rx) = async_channel::bounded(1);
         l.wait.lock().unwrap().insert(id, tx);
         self.count(to, b.len());
@@ -231,12 +292,19 @@
             .await
             .unwrap_or(Err(SendError::OutcomeUnknown));
         l.wait.lock().unwrap().remove(&id);
-        // A machine that lost power says nothing, and a retry on the old connection could come seconds after its return.
+        // A machine that lost power says nothing, and a retry on the old connection could come
+        // seconds after its return.
         let t = self.runtime.now();
-        if matches!(r, Err(SendError::OutcomeUnknown)) && t >= t0 + LINK_DOUBT && l.heard.load(Relaxed) < t0 {
+        if matches!(r, Err(SendError::OutcomeUnknown))
+            && t >= t0 + LINK_DOUBT
+            && l.heard.load(Relaxed) < t0
+        {
             self.leave_link(to, &l);
         }
-        let back = r.as_ref().map(|p| (p.message.len() + p.payload.len()) as u64).unwrap_or(0);
+        let back = r
+            .as_ref()
+            .map(|p| (p.message.len() + p.payload.len()) as u64)
+            .unwrap_or(0);
         let mut g = self.metrics.kinds.lock().unwrap();
         let e = g.entry(kind).or_default();
         *e = (e.0 + 1, e.1 + size, e.2 + back);
@@ -251,8 +319,18 @@
         blob: &[u8],
         us: u64,
     ) -> Result<(PeerResponse, Vec<u8>), SendError> {
-        let p = self.exchange(to, request.into(), serde_json::to_vec(request).unwrap_or_default(), blob, us).await?;
-        p.decode::<PeerResponse>().map(|b| (b, p.payload)).ok_or(SendError::OutcomeUnknown)
+        let p = self
+            .exchange(
+                to,
+                request.into(),
+                serde_json::to_vec(request).unwrap_or_default(),
+                blob,
+                us,
+            )
+            .await?;
+        p.decode::<PeerResponse>()
+            .map(|b| (b, p.payload))
+            .ok_or(SendError::OutcomeUnknown)
     }
 
     pub async fn serve(self: Arc<Self>, door: Box<dyn Listener>, h: Arc<dyn RequestHandler>) {
@@ -271,7 +349,9 @@
         c.set_send_timeout(LINK_SILENT);
         let (mut rd, mut wr) = (BufReader::with_capacity(LINK_READ, c.clone()), c);
         let read = async {
-            while let Ok(Some(r)) = capnp_futures::serialize::try_read_message(&mut rd, limits()).await {
+            while let Ok(Some(r)) =
+                capnp_futures::serialize::try_read_message(&mut rd, limits()).await
+            {
                 let Some((id, false, p)) = unpack(&r, self.newest_version) else {
                     self.rejected_frames.fetch_add(1, Relaxed);
                     continue;
@@ -282,7 +362,12 @@
                     let (b, x) = h.handle(p).await;
                     let out = pack(v, id, true, &me.own_name, &me.site, &b, &x);
                     me.metrics.sent.fetch_add(1, Relaxed);
-                    if near { &me.metrics.bytes_within } else { &me.metrics.bytes_across }.fetch_add(out.len() as u64, Relaxed);
+                    if near {
+                        &me.metrics.bytes_within
+                    } else {
+                        &me.metrics.bytes_across
+                    }
+                    .fetch_add(out.len() as u64, Relaxed);
                     let _ = tx.send(out).await;
                 });
             }
--- a/yewcross-common/src/turn_log/client.rs
+++ b/yewcross-common/src/turn_log/client.rs
@@ -1,4 +1,5 @@
-//! The front's side of `TurnLogService`: one question to a program's owner opens a turn, one to each of enough disks keeps it.
+//! The front's side of `TurnLogService`: one question to a program's owner opens a turn, one to
+//! each of enough disks keeps it.
 
 use crate::constants::*;
 use crate::documents::cache::DocumentCache;
@@ -79,13 +80,24 @@
 
 impl Drop for Undo {
     fn drop(&mut self) {
-        self.o.take().into_iter().for_each(|o| self.me.settle(o, self.used));
+        self.o
+            .take()
+            .into_iter()
+            .for_each(|o| self.me.settle(o, self.used));
     }
 }
 
 impl TurnLogClient {
-    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, settings: &ProcessSettings) -> TurnLogClient {
-        let max = if settings.bounds.memory_mb == 0 { CHAIN_HAND } else { (settings.bounds.memory_mb as usize) << 17 };
+    pub fn new(
+        members: &Arc<Membership>,
+        documents: &Arc<DocumentCache>,
+        settings: &ProcessSettings,
+    ) -> TurnLogClient {
+        let max = if settings.bounds.memory_mb == 0 {
+            CHAIN_HAND
+        } else {
+            (settings.bounds.memory_mb as usize) << 17
+        };
         let hand = Hand {
             turns: LruCache::unbounded(),
             bytes: 0,
@@ -94,7 +106,12 @@
             pins: LruCache::new(NonZeroUsize::new(CHAIN_OWNERS).unwrap_or(NonZeroUsize::MIN)),
         };
         let line = StoreClient::new(members, documents, &settings.name, settings.bounds.lost);
-        TurnLogClient(Arc::new(Inner { line, site: settings.site.clone(), hand: Mutex::new(hand), counts: Default::default() }))
+        TurnLogClient(Arc::new(Inner {
+            line,
+            site: settings.site.clone(),
+            hand: Mutex::new(hand),
+            counts: Default::default(),
+        }))
     }
 
     /// For an operator: what this front asked of the stores, and what it has on hand.
@@ -140,7 +157,13 @@
         })
     }
 
-    fn finish(&self, o: OpenTurn, t: Turn, used: u64, until: u64) -> BoxFuture<'_, Result<(), OpenTurnError>> {
+    fn finish(
+        &self,
+        o: OpenTurn,
+        t: Turn,
+        used: u64,
+        until: u64,
+    ) -> BoxFuture<'_, Result<(), OpenTurnError>> {
         let me = self.0.clone();
         Box::pin(async move { me.finish(o, t, used, until).await })
     }
@@ -157,7 +180,10 @@
 
     /// What ranks the stores for a turn.
     fn key(o: &OpenTurn) -> &str {
-        [&o.program, &o.prev, &o.turn].into_iter().find(|s| !s.is_empty()).map_or("", |s| s)
+        [&o.program, &o.prev, &o.turn]
+            .into_iter()
+            .find(|s| !s.is_empty())
+            .map_or("", |s| s)
     }
 
     fn owner(&self, program: &str) -> Option<String> {
@@ -166,7 +192,11 @@
 
     fn learn(&self, program: &str, disk: &str) {
         if !program.is_empty() {
-            self.hand.lock().unwrap().owners.put(program.into(), disk.into());
+            self.hand
+                .lock()
+                .unwrap()
+                .owners
+                .put(program.into(), disk.into());
         }
     }
 
@@ -176,7 +206,11 @@
             self.counts.at_hand.fetch_add(1, Relaxed);
         }
         if !need.is_empty() || Self::budgeted(&o) {
-            let mut undo = Undo { me: self.clone(), o: Some(o.clone()), used: 0 };
+            let mut undo = Undo {
+                me: self.clone(),
+                o: Some(o.clone()),
+                used: 0,
+            };
             let rows = self.ask_open(&o, need, until).await;
             if !matches!(rows, Err(OpenTurnError::Unavailable)) {
                 undo.o = None;
@@ -190,13 +224,21 @@
     }
 
     /// Hands back what was needed of the chain, newest first.
-    async fn ask_open(self: &Arc<Self>, o: &OpenTurn, need: String, until: u64) -> Result<Vec<StoredTurn>, OpenTurnError> {
+    async fn ask_open(
+        self: &Arc<Self>,
+        o: &OpenTurn,
+        need: String,
+        until: u64,
+    ) -> Result<Vec<StoredTurn>, OpenTurnError> {
         let w = &self.line.runtime;
         let (mut tried, mut take, mut told) = (BTreeSet::new(), false, None);
         while w.now() < until {
             let seats = self.line.replicas();
             let mut order = self.line.order_by_site(Self::key(o), &seats, &self.site);
-            let owner = told.take().or_else(|| self.owner(&o.program)).filter(|d| seats.has(d));
+            let owner = told
+                .take()
+                .or_else(|| self.owner(&o.program))
+                .filter(|d| seats.has(d));
             let first = owner.filter(|d| !tried.contains(d) && self.line.is_responsive(d));
             order.retain(|d| !tried.contains(d) && first.as_ref() != Some(d));
             let Some(to) = first.into_iter().chain(order).next() else {
@@ -222,7 +264,11 @@
                 Some(TurnLogResponse::BudgetSpent) => return Err(OpenTurnError::BudgetSpent),
                 Some(TurnLogResponse::UnknownTurn) => return Err(OpenTurnError::UnknownTurn),
                 Some(TurnLogResponse::NewerLayout(n)) => self.line.catch_up(n).await,
-                Some(TurnLogResponse::Owner(d)) if seats.has(&d) && self.line.is_responsive(&d) && !tried.contains(&d) => told = Some(d),
+                Some(TurnLogResponse::Owner(d))
+                    if seats.has(&d) && self.line.is_responsive(&d) && !tried.contains(&d) =>
+                {
+                    told = Some(d)
+                }
                 // It holds back for one that we cannot reach.
                 Some(TurnLogResponse::Owner(_)) => take = true,
                 _ => {
@@ -236,16 +282,30 @@
         Err(OpenTurnError::Unavailable)
     }
 
-    /// Waits for one store as long as it is not suspected and says anything at all: one that is merely slow is not passed by.
-    async fn patient(&self, to: &str, lay: u64, what: &TurnLogOperation, until: u64) -> Option<TurnLogResponse> {
+    /// Waits for one store as long as it is not suspected and says anything at all: one that is
+    /// merely slow is not passed by.
+    async fn patient(
+        &self,
+        to: &str,
+        lay: u64,
+        what: &TurnLogOperation,
+        until: u64,
+    ) -> Option<TurnLogResponse> {
         let w = &self.line.runtime;
         let sent = w.now();
-        let ask = async { self.line.request(to, lay, what, until.saturating_sub(w.now())).await.ok() };
+        let ask = async {
+            self.line
+                .request(to, lay, what, until.saturating_sub(w.now()))
+                .await
+                .ok()
+        };
         let watch = async {
             for n in 1.. {
                 w.sleep(CHAIN_SPARE).await;
                 self.line.mark_slow(to);
-                if !self.line.is_alive(to) || (n >= CHAIN_MUTE && self.line.has_not_answered_since(to, sent)) {
+                if !self.line.is_alive(to)
+                    || (n >= CHAIN_MUTE && self.line.has_not_answered_since(to, sent))
+                {
                     break;
                 }
             }
@@ -254,8 +314,18 @@
         futures_lite::future::or(ask, watch).await
     }
 
-    async fn finish(self: &Arc<Self>, o: OpenTurn, t: Turn, used: u64, until: u64) -> Result<(), OpenTurnError> {
-        let row = StoredTurn { turn: Arc::new(t), program: o.program.clone(), ended_at_ms: self.line.members.clock().0 };
+    async fn finish(
+        self: &Arc<Self>,
+        o: OpenTurn,
+        t: Turn,
+        used: u64,
+        until: u64,
+    ) -> Result<(), OpenTurnError> {
+        let row = StoredTurn {
+            turn: Arc::new(t),
+            program: o.program.clone(),
+            ended_at_ms: self.line.members.clock().0,
+        };
         let chain = {
             let mut g = self.hand.lock().unwrap();
             let pin = g.pins.pop(&o.turn);
@@ -263,11 +333,26 @@
         };
         let ledger = Self::budgeted(&o).then(|| Self::done(&o, used, row.turn.retain_ms));
         self.counts.finishes.fetch_add(1, Relaxed);
-        let mut undo = Undo { me: self.clone(), o: Some(o.clone()), used };
-        let got = self.write(&o, Some((row.clone(), chain)), ledger, until, &mut BTreeSet::new()).await;
+        let mut undo = Undo {
+            me: self.clone(),
+            o: Some(o.clone()),
+            used,
+        };
+        let got = self
+            .write(
+                &o,
+                Some((row.clone(), chain)),
+                ledger,
+                until,
+                &mut BTreeSet::new(),
+            )
+            .await;
         let told = self.owner(&o.program).is_none_or(|d| got.contains(&d));
         if !got.is_empty() {
-            self.hand.lock().unwrap().put(row, got.iter().cloned().collect());
+            self.hand
+                .lock()
+                .unwrap()
+                .put(row, got.iter().cloned().collect());
         }
         if told && !got.is_empty() {
             undo.o = None;
@@ -281,7 +366,12 @@
 
     fn done(o: &OpenTurn, used: u64, retain: u64) -> LedgerRecord {
         let entries = vec![(o.turn.clone(), LedgerEntry::Done(used))];
-        LedgerRecord { program: o.program.clone(), entries, retain_ms: retain.max(LEDGER_KEPT), ..Default::default() }
+        LedgerRecord {
+            program: o.program.clone(),
+            entries,
+            retain_ms: retain.max(LEDGER_KEPT),
+            ..Default::default()
+        }
     }
 
     /// Keeps it on enough disks; hands back which, none if it was not enough.
@@ -298,33 +388,60 @@
         while w.now() < until {
             let seats = self.line.replicas();
             let owner = self.owner(&o.program).filter(|d| seats.has(d));
-            let held = self.hand.lock().unwrap().turns.peek(&o.prev).map(|x| x.1.clone()).unwrap_or_default();
+            let held = self
+                .hand
+                .lock()
+                .unwrap()
+                .turns
+                .peek(&o.prev)
+                .map(|x| x.1.clone())
+                .unwrap_or_default();
             let mut order: Vec<String> = vec![];
             let rank = self.line.order(Self::key(o), &seats, owner.as_deref());
-            let likely = owner.iter().chain(&held).filter(|d| self.line.is_prompt(d) && seats.has(d)).cloned();
+            let likely = owner
+                .iter()
+                .chain(&held)
+                .filter(|d| self.line.is_prompt(d) && seats.has(d))
+                .cloned();
             likely.chain(rank).for_each(|d| {
                 if !order.contains(&d) && !kept.contains(&d) {
                     order.push(d);
                 }
             });
             let was = kept.clone();
-            let enough = |s: &BTreeSet<String>| seats.is_write_quorum(|d| s.contains(d) || was.contains(d));
+            let enough =
+                |s: &BTreeSet<String>| seats.is_write_quorum(|d| s.contains(d) || was.contains(d));
             let ask = |d: &str| -> BoxFuture<'static, TurnLogResponse> {
                 let mut ledger = ledger.clone();
                 // Whoever knows of another owner passes it on to that one.
-                ledger.iter_mut().for_each(|l| l.epoch.by = owner.as_deref().map_or(0, epoch_owner_id));
-                let (me, d, row, lay) = (self.clone(), d.to_string(), row.clone(), seats.layout_version);
+                ledger
+                    .iter_mut()
+                    .for_each(|l| l.epoch.by = owner.as_deref().map_or(0, epoch_owner_id));
+                let (me, d, row, lay) = (
+                    self.clone(),
+                    d.to_string(),
+                    row.clone(),
+                    seats.layout_version,
+                );
                 Box::pin(async move { me.write_to(&d, lay, row, ledger, until).await })
             };
             let g = self
                 .line
-                .gather(order, false, seats.layout_version, until, ask, enough, |d, t| match t {
-                    TurnLogResponse::Ok => {
-                        kept.insert(d.into());
-                        GatherStep::Accept
-                    }
-                    _ => GatherStep::Reject,
-                })
+                .gather(
+                    order,
+                    false,
+                    seats.layout_version,
+                    until,
+                    ask,
+                    enough,
+                    |d, t| match t {
+                        TurnLogResponse::Ok => {
+                            kept.insert(d.into());
+                            GatherStep::Accept
+                        }
+                        _ => GatherStep::Reject,
+                    },
+                )
                 .await;
             if g.enough {
                 return kept.clone();
@@ -348,13 +465,29 @@
         until: u64,
     ) -> TurnLogResponse {
         let w = &self.line.runtime;
-        let mut what = TurnLogOperation::StoreTurns { rows: row.iter().map(|x| x.0.clone()).collect(), ledger: ledger.clone() };
+        let mut what = TurnLogOperation::StoreTurns {
+            rows: row.iter().map(|x| x.0.clone()).collect(),
+            ledger: ledger.clone(),
+        };
         for _ in 0..2 {
-            let left = until.saturating_sub(w.now()).min(PEER_WAIT.max(4 * CHAIN_SPARE));
-            match self.line.request(d, lay, &what, left).await.unwrap_or(TurnLogResponse::Unavailable) {
+            let left = until
+                .saturating_sub(w.now())
+                .min(PEER_WAIT.max(4 * CHAIN_SPARE));
+            match self
+                .line
+                .request(d, lay, &what, left)
+                .await
+                .unwrap_or(TurnLogResponse::Unavailable)
+            {
                 TurnLogResponse::MissingParent(_) => {
-                    let rows = row.iter().flat_map(|x| x.1.iter().chain([&x.0]).cloned()).collect();
-                    what = TurnLogOperation::StoreTurns { rows, ledger: ledger.clone() };
+                    let rows = row
+                        .iter()
+                        .flat_map(|x| x.1.iter().chain([&x.0]).cloned())
+                        .collect();
+                    what = TurnLogOperation::StoreTurns {
+                        rows,
+                        ledger: ledger.clone(),
+                    };
                 }
                 t => return t,
             }
@@ -374,8 +507,12 @@
             let (end, mut rest, mut kept) = (w.now() + CHAIN_SETTLE, CHAIN_AGAIN, BTreeSet::new());
             while w.now() < end {
                 let l = Self::done(&o, used, 0);
-                let ok = !me.write(&o, None, Some(l), (w.now() + SEC).min(end), &mut kept).await.is_empty();
-                // The owner is told too, unless it is away: it counts the turn at its most until then.
+                let ok = !me
+                    .write(&o, None, Some(l), (w.now() + SEC).min(end), &mut kept)
+                    .await
+                    .is_empty();
+                // The owner is told too, unless it is away: it counts the turn at its most until
+                // then.
                 let owner = me.owner(&o.program).filter(|d| me.line.is_alive(d));
                 if ok && owner.is_none_or(|d| kept.contains(&d)) {
                     return;
--- a/yewcross-common/src/turn_log/mod.rs
+++ b/yewcross-common/src/turn_log/mod.rs
@@ -1,7 +1,7 @@
 //! Chains of turns and what programs may spend: what a front asks of the stores.
 //!
-//! A turn is written once under its own id and never changes. A program's ledger is a set of entries, one a turn; one
-//! store at a time gives out its budget.
+//! A turn is written once under its own id and never changes. A program's ledger is a set of
+//! entries, one a turn; one store at a time gives out its budget.
 
 pub mod client;
 pub mod store_client;
@@ -61,8 +61,15 @@
 pub trait TurnLogService: Send + Sync {
     /// Reserves the turn's tokens and hands over its chain. After `Err` nothing of it counts.
     fn open(&self, o: OpenTurn, until: u64) -> BoxFuture<'_, Result<OpenedTurn, OpenTurnError>>;
-    /// Keeps an answered turn on enough disks, and counts what it put out. `Err`: it may or may not be kept.
-    fn finish(&self, o: OpenTurn, t: Turn, used: u64, until: u64) -> BoxFuture<'_, Result<(), OpenTurnError>>;
+    /// Keeps an answered turn on enough disks, and counts what it put out. `Err`: it may or may not
+    /// be kept.
+    fn finish(
+        &self,
+        o: OpenTurn,
+        t: Turn,
+        used: u64,
+        until: u64,
+    ) -> BoxFuture<'_, Result<(), OpenTurnError>>;
     /// The turn ended otherwise, after this many tokens were passed on. Goes on by itself.
     fn settle(&self, o: OpenTurn, used: u64);
 }
--- a/yewcross-common/src/turn_log/store_client.rs
+++ b/yewcross-common/src/turn_log/store_client.rs
@@ -1,4 +1,5 @@
-//! What fronts and stores say to each other about turns and ledgers, and what counts as enough disks.
+//! What fronts and stores say to each other about turns and ledgers, and what counts as enough
+//! disks.
 
 use crate::constants::*;
 use crate::documents::cache::DocumentCache;
@@ -48,7 +49,13 @@
 impl StoredTurn {
     pub fn bytes(&self) -> usize {
         let t = &self.turn;
-        t.input.len() + t.output.len() + t.id.len() + t.prev.len() + t.server.len() + self.program.len() + 200
+        t.input.len()
+            + t.output.len()
+            + t.id.len()
+            + t.prev.len()
+            + t.server.len()
+            + self.program.len()
+            + 200
     }
 }
 
@@ -74,8 +81,8 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum TurnLogOperation {
-    /// Reserve `max` tokens of the program for the turn, where there is a budget, and hand over the chain that ends in
-    /// `need`, where one is named.
+    /// Reserve `max` tokens of the program for the turn, where there is a budget, and hand over the
+    /// chain that ends in `need`, where one is named.
     OpenTurn {
         program: String,
         turn: String,
@@ -91,12 +98,19 @@
     AcquireLedger { ledger: LedgerRecord },
     /// Add entries under the very epoch that was promised.
     AppendEntries { ledger: LedgerRecord },
-    /// Keep turns, and count what they used. The epoch is no promise: it names whom the asker takes for the owner.
-    StoreTurns { rows: Vec<StoredTurn>, ledger: Option<LedgerRecord> },
+    /// Keep turns, and count what they used. The epoch is no promise: it names whom the asker takes
+    /// for the owner.
+    StoreTurns {
+        rows: Vec<StoredTurn>,
+        ledger: Option<LedgerRecord>,
+    },
     /// Which of these turns, by the hash of their id, does the disk hold safely?
     ContainsTurns { ids: Vec<u128> },
     /// Turns and ledgers of another disk.
-    TransferRecords { rows: Vec<StoredTurn>, ledgers: Vec<LedgerRecord> },
+    TransferRecords {
+        rows: Vec<StoredTurn>,
+        ledgers: Vec<LedgerRecord>,
+    },
     /// The asker's disk was damaged: bring it up to date.
     Repair,
 }
@@ -162,7 +176,11 @@
     }
 
     pub fn all(&self) -> Vec<String> {
-        self.current.iter().chain(self.previous.iter().filter(|d| !self.current.contains(d))).cloned().collect()
+        self.current
+            .iter()
+            .chain(self.previous.iter().filter(|d| !self.current.contains(d)))
+            .cloned()
+            .collect()
     }
 
     pub fn has(&self, d: &str) -> bool {
@@ -171,7 +189,9 @@
 
     fn each(&self, need: impl Fn(&[String]) -> usize, ok: impl Fn(&str) -> bool) -> bool {
         let enough = |g: &[String]| g.iter().filter(|d| ok(d)).count() >= need(g);
-        !self.current.is_empty() && enough(&self.current) && (self.previous.is_empty() || enough(&self.previous))
+        !self.current.is_empty()
+            && enough(&self.current)
+            && (self.previous.is_empty() || enough(&self.previous))
     }
 
     /// Enough to outlast the loss of as many as may be lost.
@@ -204,13 +224,19 @@
     pub tolerated_losses: usize,
     /// Disks that let somebody wait, and until when they are asked last, us.
     slow_until_us: Mutex<BTreeMap<String, u64>>,
-    /// us of the last answer of each disk, and until when those count as gone that say nothing at all.
+    /// us of the last answer of each disk, and until when those count as gone that say nothing at
+    /// all.
     last_answer_us: Mutex<BTreeMap<String, u64>>,
     unresponsive_until_us: Mutex<BTreeMap<String, u64>>,
 }
 
 impl StoreClient {
-    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, lost: usize) -> Arc<StoreClient> {
+    pub fn new(
+        members: &Arc<Membership>,
+        documents: &Arc<DocumentCache>,
+        name: &str,
+        lost: usize,
+    ) -> Arc<StoreClient> {
         let w = members.runtime.clone();
         Arc::new(StoreClient {
             runtime: w,
@@ -235,32 +261,62 @@
 
     /// In the view and not suspected.
     pub fn is_alive(&self, disk: &str) -> bool {
-        self.members.view.load().values().any(|n| n.disk == disk && n.state == MemberState::Alive)
+        self.members
+            .view
+            .load()
+            .values()
+            .any(|n| n.disk == disk && n.state == MemberState::Alive)
     }
 
     /// Well as far as membership knows, and not silent of late.
     pub fn is_responsive(&self, disk: &str) -> bool {
-        self.is_alive(disk) && self.unresponsive_until_us.lock().unwrap().get(disk).is_none_or(|t| *t < self.runtime.now())
+        self.is_alive(disk)
+            && self
+                .unresponsive_until_us
+                .lock()
+                .unwrap()
+                .get(disk)
+                .is_none_or(|t| *t < self.runtime.now())
     }
 
-    /// A store that is merely slow answers something; one that has answered nothing since then is as good as gone.
+    /// A store that is merely slow answers something; one that has answered nothing since then is
+    /// as good as gone.
     pub fn has_not_answered_since(&self, disk: &str, since: u64) -> bool {
-        let silent = self.last_answer_us.lock().unwrap().get(disk).is_none_or(|t| *t < since);
+        let silent = self
+            .last_answer_us
+            .lock()
+            .unwrap()
+            .get(disk)
+            .is_none_or(|t| *t < since);
         if silent {
-            self.unresponsive_until_us.lock().unwrap().insert(disk.into(), self.runtime.now() + CHAIN_SLOW);
+            self.unresponsive_until_us
+                .lock()
+                .unwrap()
+                .insert(disk.into(), self.runtime.now() + CHAIN_SLOW);
         }
         silent
     }
 
     /// Fit, and not slow of late.
     pub fn is_prompt(&self, disk: &str) -> bool {
-        self.is_responsive(disk) && self.slow_until_us.lock().unwrap().get(disk).is_none_or(|t| *t < self.runtime.now())
+        self.is_responsive(disk)
+            && self
+                .slow_until_us
+                .lock()
+                .unwrap()
+                .get(disk)
+                .is_none_or(|t| *t < self.runtime.now())
     }
 
-    /// It let somebody wait: asked last for a while, and membership looks at it now, not when its turn comes.
+    /// It let somebody wait: asked last for a while, and membership looks at it now, not when its
+    /// turn comes.
     pub fn mark_slow(&self, disk: &str) {
         let t = self.runtime.now();
-        let was = self.slow_until_us.lock().unwrap().insert(disk.into(), t + CHAIN_SLOW);
+        let was = self
+            .slow_until_us
+            .lock()
+            .unwrap()
+            .insert(disk.into(), t + CHAIN_SLOW);
         if was.is_none_or(|u| u < t)
             && let Some(n) = self.node(disk)
         {
@@ -268,14 +324,24 @@
         }
     }
 
-    /// Disks in the order in which they are asked for a key: prompt ones first, then those of other sites than `beside`.
+    /// Disks in the order in which they are asked for a key: prompt ones first, then those of other
+    /// sites than `beside`.
     pub fn order(&self, key: &str, seats: &StoreReplicas, beside: Option<&str>) -> Vec<String> {
         let l = self.documents.layout.load();
         let site = |d: &str| l.1.sites.get(d).cloned();
         let all = seats.all();
-        let mut v: Vec<String> = ranked(key, all.iter().map(|d| d.as_str())).into_iter().map(|d| d.to_string()).collect();
+        let mut v: Vec<String> = ranked(key, all.iter().map(|d| d.as_str()))
+            .into_iter()
+            .map(|d| d.to_string())
+            .collect();
         let at = beside.and_then(&site);
-        v.sort_by_cached_key(|d| (!self.is_prompt(d), beside == Some(d), at.is_some() && site(d) == at));
+        v.sort_by_cached_key(|d| {
+            (
+                !self.is_prompt(d),
+                beside == Some(d),
+                at.is_some() && site(d) == at,
+            )
+        });
         v
     }
 
@@ -283,16 +349,40 @@
     pub fn order_by_site(&self, key: &str, seats: &StoreReplicas, site: &str) -> Vec<String> {
         let l = self.documents.layout.load();
         let mut v = self.order(key, seats, None);
-        v.sort_by_cached_key(|d| (!self.is_prompt(d), l.1.sites.get(d).is_none_or(|s| s != site)));
+        v.sort_by_cached_key(|d| {
+            (
+                !self.is_prompt(d),
+                l.1.sites.get(d).is_none_or(|s| s != site),
+            )
+        });
         v
     }
 
-    pub async fn request(&self, disk: &str, lay: u64, what: &TurnLogOperation, us: u64) -> Result<TurnLogResponse, SendError> {
+    pub async fn request(
+        &self,
+        disk: &str,
+        lay: u64,
+        what: &TurnLogOperation,
+        us: u64,
+    ) -> Result<TurnLogResponse, SendError> {
         let to = self.node(disk).ok_or(SendError::NotSent)?.peer;
-        let a = encode(&TurnLogRequest { layout_version: lay, disk: disk.into(), timeout_us: us, operation: what.clone() });
-        match self.members.peers.request(to, &PeerRequest::TurnLog, &a, us).await? {
+        let a = encode(&TurnLogRequest {
+            layout_version: lay,
+            disk: disk.into(),
+            timeout_us: us,
+            operation: what.clone(),
+        });
+        match self
+            .members
+            .peers
+            .request(to, &PeerRequest::TurnLog, &a, us)
+            .await?
+        {
             (PeerResponse::TurnLog, b) => {
-                self.last_answer_us.lock().unwrap().insert(disk.into(), self.runtime.now());
+                self.last_answer_us
+                    .lock()
+                    .unwrap()
+                    .insert(disk.into(), self.runtime.now());
                 self.unresponsive_until_us.lock().unwrap().remove(disk);
                 decode(&b).ok_or(SendError::OutcomeUnknown)
             }
@@ -310,8 +400,9 @@
         }
     }
 
-    /// Asks disks in this order: as many at once as would be `enough`, or `all`, the next when one fails or is slow. Ends once
-    /// `enough` have been taken, or nobody is left, or a newer layout is told.
+    /// Asks disks in this order: as many at once as would be `enough`, or `all`, the next when one
+    /// fails or is slow. Ends once `enough` have been taken, or nobody is left, or a newer layout
+    /// is told.
     #[allow(clippy::too_many_arguments)]
     pub async fn gather(
         self: &Arc<Self>,
@@ -324,7 +415,8 @@
         mut take: impl FnMut(&str, TurnLogResponse) -> GatherStep,
     ) -> GatherOutcome {
         let (tx, rx) = async_channel::unbounded();
-        let (mut asked, mut taken, mut out, mut heard) = (BTreeSet::new(), BTreeSet::new(), 0usize, BTreeSet::new());
+        let (mut asked, mut taken, mut out, mut heard) =
+            (BTreeSet::new(), BTreeSet::new(), 0usize, BTreeSet::new());
         let mut line = order.into_iter();
         let mut g = GatherOutcome::default();
         let mut spare = 0;
@@ -350,7 +442,14 @@
                 return g;
             }
             let patient = line.len() == 0;
-            match self.runtime.timeout(if patient { left } else { left.min(CHAIN_SPARE) }, rx.recv()).await {
+            match self
+                .runtime
+                .timeout(
+                    if patient { left } else { left.min(CHAIN_SPARE) },
+                    rx.recv(),
+                )
+                .await
+            {
                 Some(Ok((d, t))) => {
                     out -= 1;
                     heard.insert(d.clone());
@@ -399,7 +498,8 @@
     pub newer: u64,
 }
 
-/// A disk's mark in the epochs its machine takes; the low bits differ from one life of the process to the next.
+/// A disk's mark in the epochs its machine takes; the low bits differ from one life of the process
+/// to the next.
 pub fn epoch_owner_id(disk: &str) -> u64 {
     rendezvous_weight(disk, "owner") & !0xffff
 }
--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -13,7 +13,8 @@
     /// Once no front can serve by an older version any more: fronts hold leases.
     #[default]
     Proved,
-    /// Once a majority of the core disks has synced it: fronts serve by what they hold, and adopt within `Bounds::apply`.
+    /// Once a majority of the core disks has synced it: fronts serve by what they hold, and adopt
+    /// within `Bounds::apply`.
     Majority,
 }
 
@@ -33,7 +34,14 @@
 
 impl Default for Options {
     fn default() -> Self {
-        Options { dialect: Arc::new(NativeFormat), catalogue: None, rollout: Rollout::Proved, bind_http: true, tends: false, stays: false }
+        Options {
+            dialect: Arc::new(NativeFormat),
+            catalogue: None,
+            rollout: Rollout::Proved,
+            bind_http: true,
+            tends: false,
+            stays: false,
+        }
     }
 }
 
@@ -58,11 +66,15 @@
 }
 
 impl Control {
-    /// Puts an operator's text in force on top of version `base` (0: the first). Any core node may be asked; answers
-    /// within `Bounds::ack`.
+    /// Puts an operator's text in force on top of version `base` (0: the first). Any core node may
+    /// be asked; answers within `Bounds::ack`.
     pub async fn put(self: &Arc<Self>, base: u64, text: Vec<u8>) -> PutAnswer {
         if !quorum_contact::reach_quorum(self).await {
-            return if self.documents.layout.load().0 == 0 { PutAnswer::NotFounded } else { PutAnswer::NoMajority };
+            return if self.documents.layout.load().0 == 0 {
+                PutAnswer::NotFounded
+            } else {
+                PutAnswer::NoMajority
+            };
         }
         config::order(self, base, text).await
     }
--- a/yewcross-control/src/config.rs
+++ b/yewcross-control/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration in force: telling nodes whether a newer one may be, and handing documents out.
 //!
-//! [`orders`] decides operators' numbered orders by a majority, [`proved`] puts a configuration in force under leases of the
-//! fronts, `read` reads the newest one back, `distribution` sends decided documents to every node, and `late_documents` finds those
-//! that a core has missed.
+//! [`orders`] decides operators' numbered orders by a majority, [`proved`] puts a configuration in
+//! force under leases of the fronts, `read` reads the newest one back, `distribution` sends decided
+//! documents to every node, and `late_documents` finds those that a core has missed.
 
 mod distribution;
 mod late_documents;
@@ -25,25 +25,52 @@
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::*;
 
-/// Grants are written down before the disk is looked at, so that a put that follows cannot miss one.
-pub async fn newer(control: &Arc<Control>, have: Vec<(String, u64)>, front: bool, departed: u64, who: &str) -> PeerResponse {
+/// Grants are written down before the disk is looked at, so that a put that follows cannot miss
+/// one.
+pub async fn newer(
+    control: &Arc<Control>,
+    have: Vec<(String, u64)>,
+    front: bool,
+    departed: u64,
+    who: &str,
+) -> PeerResponse {
     if front && !who.is_empty() {
-        control.serving_leases.lock().unwrap().insert(who.into(), control.runtime.now() + SERVE_LEASE + 100 * MS);
+        control
+            .serving_leases
+            .lock()
+            .unwrap()
+            .insert(who.into(), control.runtime.now() + SERVE_LEASE + 100 * MS);
     }
     let mut newest = vec![];
     for d in DOCS {
-        // Where one core is believed, it tells of what it holds, which is decided; of anything else, whoever asks could only find
-        // that it is not to be had yet.
-        let on_disk = if control.options.tends { 0 } else { control.replica.peek(d).await.map_or(0, |record| record.seq) };
-        newest.push((d.to_string(), on_disk.max(control.documents.document(d).version)));
+        // Where one core is believed, it tells of what it holds, which is decided; of anything
+        // else, whoever asks could only find that it is not to be had yet.
+        let on_disk = if control.options.tends {
+            0
+        } else {
+            control.replica.peek(d).await.map_or(0, |record| record.seq)
+        };
+        newest.push((
+            d.to_string(),
+            on_disk.max(control.documents.document(d).version),
+        ));
     }
     let l = control.documents.layout.load();
     let seat = l.1.core.current.contains(&control.storage.disk_id);
-    let sure = seat && !control.storage.failed.load(SeqCst) && control.replica.peek("config").await.is_some() && !have.is_empty();
-    // Where fronts hold leases, majorities of cores are asked; where they don't, one core is, and must itself have a majority.
+    let sure = seat
+        && !control.storage.failed.load(SeqCst)
+        && control.replica.peek("config").await.is_some()
+        && !have.is_empty();
+    // Where fronts hold leases, majorities of cores are asked; where they don't, one core is, and
+    // must itself have a majority.
     let sure = sure && (!control.options.tends || control.has_quorum_contact());
     let behind = control.options.tends && late_documents::is_behind(control).await;
-    PeerResponse::DocumentVersions { newest, authoritative: sure, behind, leaving: control.documents.leaving_servers_unless(departed) }
+    PeerResponse::DocumentVersions {
+        newest,
+        authoritative: sure,
+        behind,
+        leaving: control.documents.leaving_servers_unless(departed),
+    }
 }
 
 pub async fn doc(control: &Arc<Control>, name: &str) -> (PeerResponse, Vec<u8>) {
@@ -53,7 +80,8 @@
     if control.settings.role != Role::Core || control.documents.layout.load().0 == 0 {
         return (PeerResponse::Rejected(Code::NotFounded), vec![]);
     }
-    // A core whose answers are lost on their way would only take the key from the one that has a majority.
+    // A core whose answers are lost on their way would only take the key from the one that has a
+    // majority.
     if !control.has_quorum_contact() {
         return (PeerResponse::Rejected(Code::NoMajority), vec![]);
     }
@@ -62,7 +90,13 @@
             if seq > 0 {
                 control.documents.apply(name, seq, epoch, v.to_vec());
             }
-            (PeerResponse::Document { version: seq, epoch }, v.to_vec())
+            (
+                PeerResponse::Document {
+                    version: seq,
+                    epoch,
+                },
+                v.to_vec(),
+            )
         }
         Err(_) => (PeerResponse::Rejected(Code::NoMajority), vec![]),
     }
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -8,7 +8,11 @@
 
 /// The newest version of a document that this core has heard of, decided or not.
 async fn version_told(control: &Control, name: &str) -> u64 {
-    let on_disk = control.replica.peek(name).await.map_or(0, |record| record.seq);
+    let on_disk = control
+        .replica
+        .peek(name)
+        .await
+        .map_or(0, |record| record.seq);
     on_disk.max(control.version_heard(name))
 }
 
@@ -22,8 +26,8 @@
     false
 }
 
-/// Finds the documents that this core has heard of and does not hold: a push is lost now and then, and nobody pushes to a core
-/// that restarts.
+/// Finds the documents that this core has heard of and does not hold: a push is lost now and then,
+/// and nobody pushes to a core that restarts.
 pub async fn find_late_documents(control: Arc<Control>) {
     let mut late: BTreeMap<&str, Late> = BTreeMap::new();
     loop {
@@ -36,7 +40,10 @@
             }
             let now = control.runtime.now();
             let wait = if held == 0 { 0 } else { DOCUMENT_LATE };
-            let due = late.entry(name).or_insert(Late { at: now + wait, pause: DOCUMENT_LATE });
+            let due = late.entry(name).or_insert(Late {
+                at: now + wait,
+                pause: DOCUMENT_LATE,
+            });
             if now < due.at || !control.has_quorum_contact() {
                 continue;
             }
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -1,9 +1,11 @@
-//! Operators' numbered orders: checked, decided by a majority of the core disks, then sent to every node.
+//! Operators' numbered orders: checked, decided by a majority of the core disks, then sent to every
+//! node.
 //!
-//! An order is a whole configuration with a number of the operator's choice, on top of the version that it names. Of the
-//! orders on one version, one is taken. An order whose answer was lost is sent again as it was, to any node and at any time
-//! after: whatever was taken is known by its digest for a time, and is acknowledged again. Once the digest is gone, such an
-//! order is left without a clear answer; it is never refused.
+//! An order is a whole configuration with a number of the operator's choice, on top of the version
+//! that it names. Of the orders on one version, one is taken. An order whose answer was lost is
+//! sent again as it was, to any node and at any time after: whatever was taken is known by its
+//! digest for a time, and is acknowledged again. Once the digest is gone, such an order is left
+//! without a clear answer; it is never refused.
 
 use super::proved::{Put, put};
 use super::push;
@@ -28,8 +30,8 @@
     pub text: &'a str,
     /// Of this attempt, not of the order: a repeat has another.
     pub attempt: &'a str,
-    /// ms since 1970 by the middle of the known clocks. Where few are known it may be wrong: digests may then go early, down to
-    /// `ORDERS_KEPT`, or stay, up to `ORDERS_KEPT_MOST`.
+    /// ms since 1970 by the middle of the known clocks. Where few are known it may be wrong:
+    /// digests may then go early, down to `ORDERS_KEPT`, or stay, up to `ORDERS_KEPT_MOST`.
     pub now_ms: u64,
     /// ms that digests of taken orders are kept at least, as far as `ORDERS_KEPT_MOST` allows.
     pub kept_ms: u64,
@@ -60,11 +62,24 @@
     pub document: Vec<u8>,
 }
 
-/// What an order makes of the register's value. Run again on a value that has its change, it comes to the same.
+/// What an order makes of the register's value. Run again on a value that has its change, it comes
+/// to the same.
 pub fn decide(seq: u64, value: &[u8], order: &Order) -> Step<Decision> {
-    let Ok(document) = ConfigDoc::decode(value) else { return Step::Keep(Decision::Unreadable) };
-    let current = if order.number.is_some() { document.number } else { seq };
-    let taken = |number| Step::Keep(Decision::Taken(TakenDocument { number, seq, document: value.to_vec() }));
+    let Ok(document) = ConfigDoc::decode(value) else {
+        return Step::Keep(Decision::Unreadable);
+    };
+    let current = if order.number.is_some() {
+        document.number
+    } else {
+        seq
+    };
+    let taken = |number| {
+        Step::Keep(Decision::Taken(TakenDocument {
+            number,
+            seq,
+            document: value.to_vec(),
+        }))
+    };
     if document.text == order.text && !order.text.is_empty() {
         return taken(current);
     }
@@ -74,7 +89,8 @@
         if earlier.iter().any(|o| o.digest == digest) {
             return taken(number);
         }
-        // What was taken had a number above its base, and whatever is forgotten is not above `forgotten`.
+        // What was taken had a number above its base, and whatever is forgotten is not above
+        // `forgotten`.
         if order.base < number && number <= document.forgotten {
             return Step::Keep(Decision::Forgotten);
         }
@@ -84,11 +100,21 @@
     }
     let number = order.number.unwrap_or(seq + 1);
     if number <= current {
-        return Step::Keep(Decision::Invalid(vec![InvalidSetting { path: "number".into(), why: format!("must be above {current}") }]));
+        return Step::Keep(Decision::Invalid(vec![InvalidSetting {
+            path: "number".into(),
+            why: format!("must be above {current}"),
+        }]));
     }
     let next = successor(&document, earlier, order);
     match next.encode() {
-        Ok(raw) => Step::Write(raw.clone(), Decision::Taken(TakenDocument { number, seq: seq + 1, document: raw })),
+        Ok(raw) => Step::Write(
+            raw.clone(),
+            Decision::Taken(TakenDocument {
+                number,
+                seq: seq + 1,
+                document: raw,
+            }),
+        ),
         Err(_) => Step::Keep(Decision::Unreadable),
     }
 }
@@ -99,9 +125,18 @@
     let newest_ms = earlier.first().map_or(0, |o| o.taken_ms);
     let now_ms = order.now_ms.max(newest_ms);
     if !document.text.is_empty() && order.number.is_some() {
-        earlier.insert(0, TakenOrder { number: document.number, digest: digest(&document.text), taken_ms: now_ms });
+        earlier.insert(
+            0,
+            TakenOrder {
+                number: document.number,
+                digest: digest(&document.text),
+                taken_ms: now_ms,
+            },
+        );
         let kept = kept(&earlier, now_ms, order.kept_ms);
-        forgotten = earlier.get(kept).map_or(forgotten, |o| o.number.max(forgotten));
+        forgotten = earlier
+            .get(kept)
+            .map_or(forgotten, |o| o.number.max(forgotten));
         earlier.truncate(kept);
     }
     ConfigDoc {
@@ -116,7 +151,10 @@
 
 /// How many of the digests, newest first, are kept.
 fn kept(orders: &[TakenOrder], now_ms: u64, kept_ms: u64) -> usize {
-    let young = orders.iter().take_while(|o| o.taken_ms + kept_ms >= now_ms).count();
+    let young = orders
+        .iter()
+        .take_while(|o| o.taken_ms + kept_ms >= now_ms)
+        .count();
     young.clamp(ORDERS_KEPT, ORDERS_KEPT_MOST).min(orders.len())
 }
 
@@ -125,14 +163,23 @@
     if !document.orders.is_empty() || document.number == 0 {
         return document.orders.clone();
     }
-    document.past.iter().map(|p| TakenOrder { number: p.0, digest: p.1.clone(), taken_ms: 0 }).collect()
+    document
+        .past
+        .iter()
+        .map(|p| TakenOrder {
+            number: p.0,
+            digest: p.1.clone(),
+            taken_ms: 0,
+        })
+        .collect()
 }
 
 fn digest(text: &str) -> String {
     yewcross_common::hash::content_digest(text.as_bytes())
 }
 
-/// ms that digests of taken orders are kept: an operator asks again for a few times the time for an answer.
+/// ms that digests of taken orders are kept: an operator asks again for a few times the time for an
+/// answer.
 pub fn kept_ms(bounds: &Bounds) -> u64 {
     ORDERS_KEPT_MS.max(bounds.ack.saturating_mul(ORDERS_KEPT_ACKS))
 }
@@ -142,11 +189,14 @@
     (c.settings.bounds.ack * MS / 4).min(1_500 * MS)
 }
 
-/// Checks an operator's text on top of version `base`, has it decided by a majority of core disks, and sends it out.
-/// Answers within a quarter of `Bounds::ack`.
+/// Checks an operator's text on top of version `base`, has it decided by a majority of core disks,
+/// and sends it out. Answers within a quarter of `Bounds::ack`.
 pub async fn order(c: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
     let Ok(text) = String::from_utf8(text) else {
-        return PutAnswer::Bad(vec![InvalidSetting { path: String::new(), why: "not UTF-8".into() }]);
+        return PutAnswer::Bad(vec![InvalidSetting {
+            path: String::new(),
+            why: "not UTF-8".into(),
+        }]);
     };
     if c.options.rollout == Rollout::Proved {
         return order_under_leases(c, base, text).await;
@@ -171,11 +221,18 @@
     answer.and_then(|a| a.ok()).unwrap_or(PutAnswer::Undecided)
 }
 
-/// What a decided document tells of an order for good: what it knows as taken stays taken. That an order is in conflict is told
-/// with the newest version, which only the proposer knows.
+/// What a decided document tells of an order for good: what it knows as taken stays taken. That an
+/// order is in conflict is told with the newest version, which only the proposer knows.
 fn answer_by_what_is_held(c: &Control, base: u64, text: &str) -> Option<PutAnswer> {
     let page = c.documents.document("config");
-    let order = Order { base, number: c.options.dialect.number(text.as_bytes()), text, attempt: "", now_ms: 0, kept_ms: 0 };
+    let order = Order {
+        base,
+        number: c.options.dialect.number(text.as_bytes()),
+        text,
+        attempt: "",
+        now_ms: 0,
+        kept_ms: 0,
+    };
     match decide(page.version, &page.content, &order) {
         Step::Keep(Decision::Taken(taken)) => Some(PutAnswer::InForce(taken.number)),
         _ => None,
@@ -190,7 +247,14 @@
         let left = until.saturating_sub(control.runtime.now());
         let answer = match control.duty_term() {
             Some(_) => order_here(control, base, &text, left).await,
-            None => match proposer::forward(control, &PeerRequest::ForwardPut { base }, text.as_bytes(), left).await {
+            None => match proposer::forward(
+                control,
+                &PeerRequest::ForwardPut { base },
+                text.as_bytes(),
+                left,
+            )
+            .await
+            {
                 Ok((PeerResponse::PutAnswer(answer), _)) => Some(answer),
                 Err(NotAnswered::Unknown) => {
                     may_be_taken = true;
@@ -200,17 +264,25 @@
             },
         };
         match answer {
-            Some(PutAnswer::NoMajority | PutAnswer::Busy) if may_be_taken => return PutAnswer::Undecided,
+            Some(PutAnswer::NoMajority | PutAnswer::Busy) if may_be_taken => {
+                return PutAnswer::Undecided;
+            }
             Some(answer) => return answer,
             None => proposer::wait_for_one(control).await,
         }
     }
-    if may_be_taken { PutAnswer::Undecided } else { PutAnswer::NoMajority }
+    if may_be_taken {
+        PutAnswer::Undecided
+    } else {
+        PutAnswer::NoMajority
+    }
 }
 
 /// An order that another core passed on, which has checked its text.
 pub async fn take_forwarded(c: &Arc<Control>, base: u64, text: Vec<u8>) -> PeerResponse {
-    let Ok(text) = String::from_utf8(text) else { return PeerResponse::Rejected(Code::BadConfig) };
+    let Ok(text) = String::from_utf8(text) else {
+        return PeerResponse::Rejected(Code::BadConfig);
+    };
     if c.duty_term().is_none() {
         return PeerResponse::Rejected(Code::NotOnDuty);
     }
@@ -237,8 +309,17 @@
     answer
 }
 
-async fn order_by_majority(control: &Arc<Control>, base: u64, text: &str, us: u64) -> Option<PutAnswer> {
-    let attempt = format!("{}-{:016x}", control.settings.name, control.runtime.random());
+async fn order_by_majority(
+    control: &Arc<Control>,
+    base: u64,
+    text: &str,
+    us: u64,
+) -> Option<PutAnswer> {
+    let attempt = format!(
+        "{}-{:016x}",
+        control.settings.name,
+        control.runtime.random()
+    );
     let (now_ms, _) = control.members.clock();
     let order = Order {
         base,
@@ -248,7 +329,11 @@
         now_ms,
         kept_ms: kept_ms(&control.settings.bounds),
     };
-    let answer = match control.registers.change("config", us, |seq, value| decide(seq, value, &order)).await {
+    let answer = match control
+        .registers
+        .change("config", us, |seq, value| decide(seq, value, &order))
+        .await
+    {
         Ok(Decision::Taken(taken)) => {
             push(control, "config", taken.seq, taken.document);
             PutAnswer::InForce(taken.number)
@@ -257,7 +342,9 @@
         Ok(Decision::Invalid(faults)) => PutAnswer::Bad(faults),
         Ok(Decision::Forgotten) => PutAnswer::Forgotten,
         Ok(Decision::Unreadable) => {
-            control.runtime.log("the configuration in the register cannot be read");
+            control
+                .runtime
+                .log("the configuration in the register cannot be read");
             PutAnswer::Undecided
         }
         Err(ChangeError::NotProposer) => return None,
--- a/yewcross-control/src/contact.rs
+++ b/yewcross-control/src/contact.rs
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Every change decided before this moment is among `versions`: a majority of the seats answered later questions.
+    /// Every change decided before this moment is among `versions`: a majority of the seats
+    /// answered later questions.
     pub fn since(&self, seats: &ReplicaGroup) -> u64 {
         let mut times: Vec<u64> = self.answered.values().copied().collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
@@ -38,6 +39,7 @@
 
     /// Seats that are no longer in the layout are forgotten.
     pub fn retain(&mut self, seats: &ReplicaGroup) {
-        self.answered.retain(|d, _| seats.current.contains(d) || seats.previous.contains(d));
+        self.answered
+            .retain(|d, _| seats.current.contains(d) || seats.previous.contains(d));
     }
 }
--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -1,7 +1,8 @@
 //! Brings a node back whose disk failed and works again: full, unreachable or in error for a while.
 //!
-//! The outcome of the write that failed is unknown. The node answers for nothing meanwhile; before it takes part again, the
-//! disk must take writes, bear the same identity, and hold what this process has answered for.
+//! The outcome of the write that failed is unknown. The node answers for nothing meanwhile; before
+//! it takes part again, the disk must take writes, bear the same identity, and hold what this
+//! process has answered for.
 
 use crate::Control;
 use std::io;
@@ -27,10 +28,15 @@
         }
         let since = control.runtime.now();
         if !restore_until_done(&control).await {
-            control.runtime.log("the disk is not the one that was opened; it takes no part until restart");
+            control
+                .runtime
+                .log("the disk is not the one that was opened; it takes no part until restart");
             return;
         }
-        control.runtime.log(&format!("disk works again after {} ms", (control.runtime.now() - since) / MS));
+        control.runtime.log(&format!(
+            "disk works again after {} ms",
+            (control.runtime.now() - since) / MS
+        ));
         control.documents.changed.notify(usize::MAX);
     }
 }
@@ -43,10 +49,14 @@
         match restore(control).await {
             Ok(Outcome::OtherDisk) => return false,
             // A write that was under way may have failed meanwhile.
-            Ok(Outcome::Restored { rewritten }) if control.storage.failures.load(SeqCst) == failures => {
+            Ok(Outcome::Restored { rewritten })
+                if control.storage.failures.load(SeqCst) == failures =>
+            {
                 control.storage.failed.store(false, SeqCst);
                 if rewritten > 0 {
-                    control.runtime.log(&format!("{rewritten} files of unknown outcome put right"));
+                    control
+                        .runtime
+                        .log(&format!("{rewritten} files of unknown outcome put right"));
                 }
                 return true;
             }
--- a/yewcross-control/src/duty.rs
+++ b/yewcross-control/src/duty.rs
@@ -1,6 +1,8 @@
-//! What one core process does for all under the duty lease: it polls the platform's list and keeps the seats.
+//! What one core process does for all under the duty lease: it polls the platform's list and keeps
+//! the seats.
 //!
-//! The lease's granter is `lease_granter`, its holder `lease_holder`, and the rules of both are `lease`.
+//! The lease's granter is `lease_granter`, its holder `lease_holder`, and the rules of both are
+//! `lease`.
 
 use crate::contact::Contact;
 use crate::lease::*;
@@ -22,7 +24,10 @@
 
 pub const DUTIES: [&str; 2] = ["list", "layout"];
 
-pub const LEASE_TIMES: LeaseTimes = LeaseTimes { length: LEASE_LENGTH, margin: LEASE_MARGIN };
+pub const LEASE_TIMES: LeaseTimes = LeaseTimes {
+    length: LEASE_LENGTH,
+    margin: LEASE_MARGIN,
+};
 
 pub struct Duties {
     pub candidate: Candidate,
@@ -66,11 +71,24 @@
         role: Role,
     ) -> io::Result<Duties> {
         let kept = GrantFile::read(storage).await?;
-        let life = if role == Role::Core { begin_life(runtime, storage).await? } else { 0 };
+        let life = if role == Role::Core {
+            begin_life(runtime, storage).await?
+        } else {
+            0
+        };
         let fresh = documents.layout.load().0 == 0;
         Ok(Duties {
-            candidate: Candidate { disk: storage.disk_id.clone(), process, life },
-            granter: Mutex::new(Granter::new(LEASE_TIMES, runtime.now(), kept.grant.clone(), fresh)),
+            candidate: Candidate {
+                disk: storage.disk_id.clone(),
+                process,
+                life,
+            },
+            granter: Mutex::new(Granter::new(
+                LEASE_TIMES,
+                runtime.now(),
+                kept.grant.clone(),
+                fresh,
+            )),
             holder: Mutex::new(Holder::new(LEASE_TIMES)),
             contact: Default::default(),
             had_contact: AtomicBool::new(false),
@@ -92,27 +110,46 @@
     }
 }
 
-/// Where the process is that holds the lease, as far as this seat granted it or was told lately; none if it is this one.
+/// Where the process is that holds the lease, as far as this seat granted it or was told lately;
+/// none if it is this one.
 pub fn holder_address(c: &Control) -> Option<SocketAddr> {
     let granted = with_granter(c, |granter, now| granter.holder(now).cloned());
-    let told = || c.duties.told_holder.lock().unwrap().clone().filter(|(_, at)| c.runtime.now() < at + LEASE_LENGTH).map(|told| told.0);
+    let told = || {
+        c.duties
+            .told_holder
+            .lock()
+            .unwrap()
+            .clone()
+            .filter(|(_, at)| c.runtime.now() < at + LEASE_LENGTH)
+            .map(|told| told.0)
+    };
     let holder = granted.or_else(told)?;
     let is_other = holder.disk != c.storage.disk_id;
-    is_other.then(|| c.members.by_disk(&holder.disk).map(|node| node.peer)).flatten()
+    is_other
+        .then(|| c.members.by_disk(&holder.disk).map(|node| node.peer))
+        .flatten()
 }
 
 impl Control {
-    /// The term of the lease that this process holds at this moment and under which it may act. Asked right before every
-    /// act, so that a process that woke from a freeze does not act on an old lease.
+    /// The term of the lease that this process holds at this moment and under which it may act.
+    /// Asked right before every act, so that a process that woke from a freeze does not act on an
+    /// old lease.
     pub fn duty_term(&self) -> Option<u64> {
         let founded = self.founded.load(SeqCst);
-        self.lease_term().filter(|term| founded && self.duties.fenced.load(SeqCst) == *term)
+        self.lease_term()
+            .filter(|term| founded && self.duties.fenced.load(SeqCst) == *term)
     }
 
-    /// The term of the lease that this process holds, whether or not it has taken the documents yet. It may propose.
+    /// The term of the lease that this process holds, whether or not it has taken the documents
+    /// yet. It may propose.
     pub fn lease_term(&self) -> Option<u64> {
         let ready = !self.members.replaced.is_set() && !self.storage.failed.load(SeqCst);
-        self.duties.holder.lock().unwrap().held(self.runtime.now()).filter(|_| ready)
+        self.duties
+            .holder
+            .lock()
+            .unwrap()
+            .held(self.runtime.now())
+            .filter(|_| ready)
     }
 
     /// Both duties lie with the holder of the one lease.
@@ -120,7 +157,8 @@
         self.duty_term().is_some()
     }
 
-    /// Whether what was planned under `term` may still be written over a document that was written under `written`.
+    /// Whether what was planned under `term` may still be written over a document that was written
+    /// under `written`.
     pub fn may_write(&self, term: u64, written: u64) -> bool {
         written <= term && self.duty_term() == Some(term)
     }
@@ -130,14 +168,23 @@
 async fn keep_seats(control: Arc<Control>) {
     let mut was = false;
     loop {
-        let (adopted, members, lease) =
-            (control.documents.changed.listen(), control.members.changed.listen(), control.duties.changed.listen());
+        let (adopted, members, lease) = (
+            control.documents.changed.listen(),
+            control.members.changed.listen(),
+            control.duties.changed.listen(),
+        );
         let now = control.on_duty();
         if was != now {
             was = now;
-            control.runtime.log(if now { "on duty" } else { "off duty" });
+            control
+                .runtime
+                .log(if now { "on duty" } else { "off duty" });
         }
-        let rest = if now { layout::tend_seats(&control).await } else { SEC };
+        let rest = if now {
+            layout::tend_seats(&control).await
+        } else {
+            SEC
+        };
         if rest > 0 {
             let any = futures_lite::future::or(lease, futures_lite::future::or(adopted, members));
             control.runtime.timeout(rest, any).await;
@@ -148,7 +195,8 @@
 async fn keep_list(control: Arc<Control>) {
     loop {
         let lease = control.duties.changed.listen();
-        // The list is read as soon as the lease is held: that a server leaves is told before anything can be decided.
+        // The list is read as soon as the lease is held: that a server leaves is told before
+        // anything can be decided.
         if control.lease_term().is_some() {
             let rest = platform_list::poll(&control).await;
             control.runtime.sleep(rest).await;
@@ -168,11 +216,15 @@
 }
 
 pub async fn run(control: Arc<Control>) {
-    control.runtime.spawn(quorum_contact::keep_contact(control.clone()));
+    control
+        .runtime
+        .spawn(quorum_contact::keep_contact(control.clone()));
     control.runtime.spawn(lease_holder::run(control.clone()));
     control.runtime.spawn(keep_list(control.clone()));
     if control.options.tends {
-        control.runtime.spawn(config::find_late_documents(control.clone()));
+        control
+            .runtime
+            .spawn(config::find_late_documents(control.clone()));
         control.runtime.spawn(layout::found_self(control.clone()));
         control.runtime.spawn(keep_seats(control.clone()));
     } else {
@@ -185,13 +237,19 @@
 pub fn holder_name(control: &Control) -> Option<String> {
     let holder = with_granter(control, |granter, now| granter.holder(now).cloned())?;
     let l = control.documents.layout.load();
-    let name = l.1.names.get(&holder.disk).cloned().unwrap_or(holder.disk.clone());
+    let name =
+        l.1.names
+            .get(&holder.disk)
+            .cloned()
+            .unwrap_or(holder.disk.clone());
     Some(format!("{name}#{:x}", holder.process))
 }
 
 /// The lease and contact as an operator sees them.
 pub fn status(control: &Control) -> Value {
-    let (term, free_in) = with_granter(control, |granter, now| (granter.term(), granter.free_at().saturating_sub(now) / MS));
+    let (term, free_in) = with_granter(control, |granter, now| {
+        (granter.term(), granter.free_at().saturating_sub(now) / MS)
+    });
     json!({"holder": holder_name(control), "term": term, "free_in_ms": free_in, "held_here": control.duty_term(),
         "contact": control.has_quorum_contact()})
 }
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -1,8 +1,9 @@
 //! The duty of keeping the seats of a tier that has no operator's hand.
 //!
-//! The core's and the stores' changes run beside each other: one may begin, be amended and end while the other is under way.
-//! A step that begins or amends is bound to the layout's version, one that ends to the group's sets (`ReplicaGroup::since`), and
-//! every step to the term of the duty lease under which it was planned.
+//! The core's and the stores' changes run beside each other: one may begin, be amended and end
+//! while the other is under way. A step that begins or amends is bound to the layout's version, one
+//! that ends to the group's sets (`ReplicaGroup::since`), and every step to the term of the duty
+//! lease under which it was planned.
 
 use super::planning::{self, IN_ORDER_OF_DANGER, Known, SeatReport, group};
 use super::report::survey;
@@ -21,7 +22,8 @@
 /// Layout and its version.
 type Versioned = Arc<(u64, Layout)>;
 
-/// Looks once at the seats and does the next step of each group. Returns how long to rest if nothing moves, us.
+/// Looks once at the seats and does the next step of each group. Returns how long to rest if
+/// nothing moves, us.
 pub async fn tend_seats(c: &Arc<Control>) -> u64 {
     let l: Versioned = c.documents.layout.load_full();
     if l.0 == 0 || !c.founded.load(SeqCst) {
@@ -29,31 +31,56 @@
     }
     let live: Vec<Node> = c.members.view.load().values().cloned().collect();
     let missing_since = note_missing(c, &l.1, &live);
-    let mut rest = if missing_since.is_empty() { SEC } else { SEATS_LOOK };
+    let mut rest = if missing_since.is_empty() {
+        SEC
+    } else {
+        SEATS_LOOK
+    };
     for role in IN_ORDER_OF_DANGER {
         let next = {
             let t = c.runtime.now();
             let missing = |d: &str| missing_since.get(d).map_or(0, |since| (t - since).max(1));
-            let known = Known { live: &live, heard: &c.members.all(), missing: &missing, lost: c.settings.bounds.lost };
+            let known = Known {
+                live: &live,
+                heard: &c.members.all(),
+                missing: &missing,
+                lost: c.settings.bounds.lost,
+            };
             planning::next_step(&l.1, l.0, &known, role)
         };
         let Some(next) = next else { continue };
         match held_back(c, &l, &next, role, &live).await {
             Some(us) => rest = rest.min(us),
-            None => return if decide(c, l.0, &next).await { 0 } else { rest.min(STEP_AGAIN) },
+            None => {
+                return if decide(c, l.0, &next).await {
+                    0
+                } else {
+                    rest.min(STEP_AGAIN)
+                };
+            }
         }
     }
     if !l.1.core.is_changing() && !l.1.store.is_changing() {
         return rest;
     }
-    if end_changes(c, &l).await { 0 } else { rest.min(MOVE_LOOK) }
+    if end_changes(c, &l).await {
+        0
+    } else {
+        rest.min(MOVE_LOOK)
+    }
 }
 
 /// Since when the machine of each seat, incoming or outgoing, is missing, us.
 fn note_missing(control: &Control, layout: &Layout, live: &[Node]) -> BTreeMap<String, u64> {
     let t = control.runtime.now();
-    let is_here = |disk: &String| live.iter().any(|n| n.disk == *disk && n.state == MemberState::Alive);
-    let seats: Vec<&String> = [&layout.core, &layout.store].into_iter().flat_map(|g| g.current.iter().chain(&g.previous)).collect();
+    let is_here = |disk: &String| {
+        live.iter()
+            .any(|n| n.disk == *disk && n.state == MemberState::Alive)
+    };
+    let seats: Vec<&String> = [&layout.core, &layout.store]
+        .into_iter()
+        .flat_map(|g| g.current.iter().chain(&g.previous))
+        .collect();
     let mut missing = control.duties.missing.lock().unwrap();
     missing.retain(|disk, _| seats.contains(&disk) && !is_here(disk));
     for disk in seats.into_iter().filter(|d| !is_here(d)) {
@@ -63,32 +90,69 @@
 }
 
 /// How long a step must wait, us: for more of the first stores, or for a seat that does not answer.
-async fn held_back(control: &Arc<Control>, l: &Versioned, next: &Layout, role: Role, live: &[Node]) -> Option<u64> {
+async fn held_back(
+    control: &Arc<Control>,
+    l: &Versioned,
+    next: &Layout,
+    role: Role,
+    live: &[Node],
+) -> Option<u64> {
     let (was, to) = (group(&l.1, role), group(next, role));
     if was.is_changing() {
         return None;
     }
     if was.current.is_empty() {
         // The first stores are seated together.
-        let stores = live.iter().filter(|n| n.role == Role::Store && n.state == MemberState::Alive).count();
-        let early = role == Role::Store && stores > 0 && control.runtime.now() < control.duties.since.load(SeqCst) + FOUND_WAIT;
+        let stores = live
+            .iter()
+            .filter(|n| n.role == Role::Store && n.state == MemberState::Alive)
+            .count();
+        let early = role == Role::Store
+            && stores > 0
+            && control.runtime.now() < control.duties.since.load(SeqCst) + FOUND_WAIT;
         return early.then_some(STEP_AGAIN);
     }
     if to.current.len() <= was.current.len() {
         return None;
     }
-    // A seat more is given only while all that keep theirs answer: a newcomer may stand for one whose loss is not yet seen.
-    let staying: Vec<String> = was.current.iter().filter(|d| to.current.contains(d)).cloned().collect();
-    let reports = survey(control, &staying, l.1.since(was, l.0), SEAT_REPORT_WAIT, |_| false).await;
-    let mute: Vec<&String> = staying.iter().filter(|d| !reports.iter().any(|r| r.disk == **d)).collect();
+    // A seat more is given only while all that keep theirs answer: a newcomer may stand for one
+    // whose loss is not yet seen.
+    let staying: Vec<String> = was
+        .current
+        .iter()
+        .filter(|d| to.current.contains(d))
+        .cloned()
+        .collect();
+    let reports = survey(
+        control,
+        &staying,
+        l.1.since(was, l.0),
+        SEAT_REPORT_WAIT,
+        |_| false,
+    )
+    .await;
+    let mute: Vec<&String> = staying
+        .iter()
+        .filter(|d| !reports.iter().any(|r| r.disk == **d))
+        .collect();
     if mute.is_empty() {
         return None;
     }
     let t = control.runtime.now();
     for disk in &mute {
-        control.duties.missing.lock().unwrap().entry(disk.to_string()).or_insert(t);
+        control
+            .duties
+            .missing
+            .lock()
+            .unwrap()
+            .entry(disk.to_string())
+            .or_insert(t);
     }
-    for node in mute.iter().filter_map(|d| control.members.by_disk(d)).collect::<Vec<_>>() {
+    for node in mute
+        .iter()
+        .filter_map(|d| control.members.by_disk(d))
+        .collect::<Vec<_>>()
+    {
         control.members.clone().probe_or_suspect(node).await;
     }
     Some(STEP_AGAIN / 2)
@@ -96,16 +160,31 @@
 
 /// Decides a layout on top of version `at`, and tells all of it.
 async fn decide(c: &Arc<Control>, at: u64, next: &Layout) -> bool {
-    let Some(term) = c.duty_term() else { return false };
+    let Some(term) = c.duty_term() else {
+        return false;
+    };
     let written = next.term;
-    let next = &Layout { term, ..next.clone() };
+    let next = &Layout {
+        term,
+        ..next.clone()
+    };
     let raw = serde_json::to_vec(next).unwrap_or_default();
     let may = |seq| seq == at && c.may_write(term, written);
-    let step = |seq, _: &[u8]| if may(seq) { Step::Write(raw.clone(), true) } else { Step::Keep(false) };
+    let step = |seq, _: &[u8]| {
+        if may(seq) {
+            Step::Write(raw.clone(), true)
+        } else {
+            Step::Keep(false)
+        }
+    };
     let decided = c.registers.change("layout", STEP_WAIT, step).await;
     match decided {
         Ok(true) => {
-            c.runtime.log(&format!("seats change: core {:?} store {:?}", machines(next, &next.core), machines(next, &next.store)));
+            c.runtime.log(&format!(
+                "seats change: core {:?} store {:?}",
+                machines(next, &next.core),
+                machines(next, &next.store)
+            ));
             config::push(c, "layout", at + 1, raw);
         }
         // Another's version, or one of ours whose answers were lost.
@@ -115,7 +194,11 @@
 }
 
 fn machines(layout: &Layout, seats: &ReplicaGroup) -> String {
-    let names: Vec<&str> = seats.current.iter().map(|d| layout.names.get(d).map_or("?", |n| n.as_str())).collect();
+    let names: Vec<&str> = seats
+        .current
+        .iter()
+        .map(|d| layout.names.get(d).map_or("?", |n| n.as_str()))
+        .collect();
     names.join(" ")
 }
 
@@ -127,13 +210,20 @@
     core || store
 }
 
-/// Once whoever decides does so in both sets, a document that majorities of both hold alike needs no more; any other is taken,
-/// and so written to both.
+/// Once whoever decides does so in both sets, a document that majorities of both hold alike needs
+/// no more; any other is taken, and so written to both.
 async fn end_core(c: &Arc<Control>, l: &Versioned) -> bool {
     let (seats, since) = (&l.1.core, l.1.since(&l.1.core, l.0));
-    let known = seats.previous.iter().filter(|d| c.members.by_disk(d).is_some()).count();
+    let known = seats
+        .previous
+        .iter()
+        .filter(|d| c.members.by_disk(d).is_some())
+        .count();
     let is_joint = |reports: &[SeatReport]| planning::core_is_joint(seats, since, reports);
-    let reports = survey(c, &seats.previous, since, SEAT_REPORT_WAIT, |r| r.len() == known && is_joint(r)).await;
+    let reports = survey(c, &seats.previous, since, SEAT_REPORT_WAIT, |r| {
+        r.len() == known && is_joint(r)
+    })
+    .await;
     if !is_joint(&reports) {
         tell_again(c, &reports, since);
         return false;
@@ -142,16 +232,28 @@
         if is_on_both(c, document, seats, since, &reports).await {
             continue;
         }
-        if c.duty_term().is_none() || c.registers.change(document, SEC, |_, _| Step::Keep(())).await.is_err() {
+        if c.duty_term().is_none()
+            || c.registers
+                .change(document, SEC, |_, _| Step::Keep(()))
+                .await
+                .is_err()
+        {
             return false;
         }
     }
     end_change(c, Role::Core, since).await
 }
 
-/// Whether majorities of both sets hold the document alike. Of the outgoing set only disks count that had kept the joint layout
-/// before: what was decided without the incoming set, they had accepted by then. So operators' orders go on undisturbed.
-async fn is_on_both(control: &Arc<Control>, document: &str, seats: &ReplicaGroup, since: u64, reports: &[SeatReport]) -> bool {
+/// Whether majorities of both sets hold the document alike. Of the outgoing set only disks count
+/// that had kept the joint layout before: what was decided without the incoming set, they had
+/// accepted by then. So operators' orders go on undisturbed.
+async fn is_on_both(
+    control: &Arc<Control>,
+    document: &str,
+    seats: &ReplicaGroup,
+    since: u64,
+    reports: &[SeatReport],
+) -> bool {
     let may_vote = |disk: &str| {
         let has_kept = reports.iter().any(|r| r.disk == disk && r.kept >= since);
         has_kept || !seats.previous.iter().any(|d| d == disk)
@@ -160,7 +262,15 @@
         if look > 0 {
             control.runtime.sleep(READ_LOOK_AGAIN).await;
         }
-        if control.runtime.timeout(SEAT_REPORT_WAIT, control.registers.is_settled(document, may_vote)).await == Some(true) {
+        if control
+            .runtime
+            .timeout(
+                SEAT_REPORT_WAIT,
+                control.registers.is_settled(document, may_vote),
+            )
+            .await
+            == Some(true)
+        {
             return true;
         }
     }
@@ -169,8 +279,15 @@
 
 async fn end_store(control: &Arc<Control>, l: &Versioned) -> bool {
     let (seats, since) = (&l.1.store, l.1.since(&l.1.store, l.0));
-    let both: Vec<String> = seats.previous.iter().chain(seats.current.iter().filter(|d| !seats.previous.contains(d))).cloned().collect();
-    let may_end = |reports: &[SeatReport]| planning::store_may_end(seats, since, control.settings.bounds.lost, reports);
+    let both: Vec<String> = seats
+        .previous
+        .iter()
+        .chain(seats.current.iter().filter(|d| !seats.previous.contains(d)))
+        .cloned()
+        .collect();
+    let may_end = |reports: &[SeatReport]| {
+        planning::store_may_end(seats, since, control.settings.bounds.lost, reports)
+    };
     let reports = survey(control, &both, since, SEAT_REPORT_WAIT, may_end).await;
     if !may_end(&reports) {
         tell_again(control, &reports, since);
@@ -182,9 +299,18 @@
 /// Tells the layout to those that have not kept it.
 fn tell_again(control: &Arc<Control>, reports: &[SeatReport], since: u64) {
     let page = control.documents.document("layout");
-    for node in reports.iter().filter(|r| r.kept < since).filter_map(|r| control.members.by_disk(&r.disk)) {
+    for node in reports
+        .iter()
+        .filter(|r| r.kept < since)
+        .filter_map(|r| control.members.by_disk(&r.disk))
+    {
         let (me, raw) = (control.clone(), page.content.clone());
-        let told = PeerRequest::PublishDocument { name: "layout".into(), version: page.version, epoch: Ballot::default(), relays: vec![] };
+        let told = PeerRequest::PublishDocument {
+            name: "layout".into(),
+            version: page.version,
+            epoch: Ballot::default(),
+            relays: vec![],
+        };
         control.runtime.spawn(async move {
             let _ = me.peers.request(node.peer, &told, &raw, PEER_WAIT).await;
         });
@@ -200,13 +326,20 @@
 
 /// Ends the change that layout number `since` began, whatever the other group did meanwhile.
 async fn end_change(control: &Arc<Control>, role: Role, since: u64) -> bool {
-    let Some(term) = control.duty_term() else { return false };
+    let Some(term) = control.duty_term() else {
+        return false;
+    };
     let ended = control
         .registers
         .change("layout", STEP_WAIT, |seq, v| {
-            let Ok(mut layout) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(None) };
+            let Ok(mut layout) = serde_json::from_slice::<Layout>(v) else {
+                return Step::Keep(None);
+            };
             let seats = group(&layout, role);
-            if !seats.is_changing() || layout.since(seats, seq) != since || !control.may_write(term, layout.term) {
+            if !seats.is_changing()
+                || layout.since(seats, seq) != since
+                || !control.may_write(term, layout.term)
+            {
                 return Step::Keep(None);
             }
             layout.term = term;
@@ -217,7 +350,10 @@
         .await;
     match ended {
         Ok(Some((seq, raw))) => {
-            control.runtime.log(&format!("change of {} disks done", if role == Role::Core { "core" } else { "store" }));
+            control.runtime.log(&format!(
+                "change of {} disks done",
+                if role == Role::Core { "core" } else { "store" }
+            ));
             config::push(control, "layout", seq, raw);
             true
         }
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -17,28 +17,61 @@
     Replace(String, String),
 }
 
-/// The layout that a change would begin with, `None` if it already stands; the planner asks the same.
-pub fn propose(l: &Layout, seq: u64, m: &Move, of: impl Fn(&str) -> Option<Node>) -> Result<Option<Layout>, String> {
+/// The layout that a change would begin with, `None` if it already stands; the planner asks the
+/// same.
+pub fn propose(
+    l: &Layout,
+    seq: u64,
+    m: &Move,
+    of: impl Fn(&str) -> Option<Node>,
+) -> Result<Option<Layout>, String> {
     let mut l = l.clone();
     let seated = |d: &String| l.store.current.contains(d) || l.core.current.contains(d);
     let seat = |d: &str| {
-        let by_name = l.names.iter().find(|x| x.1 == d && seated(x.0)).map(|x| x.0.clone());
-        if l.names.contains_key(d) { Some(d.to_string()) } else { by_name }
+        let by_name = l
+            .names
+            .iter()
+            .find(|x| x.1 == d && seated(x.0))
+            .map(|x| x.0.clone());
+        if l.names.contains_key(d) {
+            Some(d.to_string())
+        } else {
+            by_name
+        }
     };
     let (out, put) = match m {
         Move::Empty(d) => (Some(d), None),
         Move::Admit(d) => (None, Some(d)),
         Move::Replace(a, b) => (Some(a), Some(b)),
     };
-    let out = out.map(|d| seat(d).ok_or(format!("{d} has no seat"))).transpose()?;
-    let put = put.map(|d| of(d).filter(|n| !n.disk.is_empty()).ok_or(format!("{d} is not a live machine with a disk"))).transpose()?;
+    let out = out
+        .map(|d| seat(d).ok_or(format!("{d} has no seat")))
+        .transpose()?;
+    let put = put
+        .map(|d| {
+            of(d)
+                .filter(|n| !n.disk.is_empty())
+                .ok_or(format!("{d} is not a live machine with a disk"))
+        })
+        .transpose()?;
     let of_core = |d: &String| l.core.current.contains(d) || l.core.previous.contains(d);
-    let core = out.as_ref().map(of_core).unwrap_or(put.as_ref().is_some_and(|n| n.role == Role::Core));
-    let mut was = if core { l.core.current.clone() } else { l.store.current.clone() };
+    let core = out
+        .as_ref()
+        .map(of_core)
+        .unwrap_or(put.as_ref().is_some_and(|n| n.role == Role::Core));
+    let mut was = if core {
+        l.core.current.clone()
+    } else {
+        l.store.current.clone()
+    };
     was.sort();
     let mut now = was.clone();
     now.retain(|d| Some(d) != out.as_ref());
-    now.extend(put.iter().map(|n| n.disk.clone()).filter(|d| !was.contains(d)));
+    now.extend(
+        put.iter()
+            .map(|n| n.disk.clone())
+            .filter(|d| !was.contains(d)),
+    );
     now.sort();
     if now == was {
         return Ok(None);
@@ -52,8 +85,10 @@
     if now.len() < STORE_COPIES {
         return Err("too few disks would be left".into());
     }
-    l.names.extend(put.iter().map(|n| (n.disk.clone(), n.name.clone())));
-    l.sites.extend(put.iter().map(|n| (n.disk.clone(), n.site.clone())));
+    l.names
+        .extend(put.iter().map(|n| (n.disk.clone(), n.name.clone())));
+    l.sites
+        .extend(put.iter().map(|n| (n.disk.clone(), n.site.clone())));
     let g = if core { &mut l.core } else { &mut l.store };
     g.previous = std::mem::replace(&mut g.current, now);
     g.since = seq + 1;
@@ -68,7 +103,9 @@
     let got = control
         .registers
         .change("layout", PUT_WAIT, |seq, v| {
-            let Ok(l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(Err((Code::NotFounded, String::new()))) };
+            let Ok(l) = serde_json::from_slice::<Layout>(v) else {
+                return Step::Keep(Err((Code::NotFounded, String::new())));
+            };
             match propose(&l, seq, &m, of) {
                 Err(why) => Step::Keep(Err((Code::BadLayout, why))),
                 Ok(None) => Step::Keep(Ok(seq)),
@@ -76,13 +113,22 @@
             }
         })
         .await;
-    let r = got.unwrap_or_else(|t| Err((if t == ChangeError::Undecided { Code::Undecided } else { Code::NoMajority }, String::new())));
+    let r = got.unwrap_or_else(|t| {
+        Err((
+            if t == ChangeError::Undecided {
+                Code::Undecided
+            } else {
+                Code::NoMajority
+            },
+            String::new(),
+        ))
+    });
     spread(control).await;
     r
 }
 
-/// Of each outgoing seat of the changes under way: whether it has kept this layout and found all its keys whole under it, and
-/// how many it has yet to bring.
+/// Of each outgoing seat of the changes under way: whether it has kept this layout and found all
+/// its keys whole under it, and how many it has yet to bring.
 pub async fn progress(control: &Arc<Control>) -> (u64, Vec<(String, bool, u64)>) {
     let l = control.documents.layout.load_full();
     let mut filled = vec![];
@@ -90,7 +136,9 @@
         let seats = planning::group(&l.1, role);
         for disk in &seats.previous {
             let told = report::ask(control, disk, l.1.since(seats, l.0), SEAT_REPORT_WAIT).await;
-            filled.push(told.map_or((disk.clone(), false, 0), |(r, left)| (r.disk, r.swept, left)));
+            filled.push(told.map_or((disk.clone(), false, 0), |(r, left)| {
+                (r.disk, r.swept, left)
+            }));
         }
     }
     (l.0, filled)
@@ -104,12 +152,24 @@
     }
     if l.1.core.previous.is_empty() && l.1.store.previous.is_empty() {
         let back = control.members.view.load().values().find_map(|n| {
-            let seats = if n.role == Role::Core { &l.1.core.current } else { &l.1.store.current };
-            let lost = l.1.names.iter().find(|x| *x.1 == n.name && seats.contains(x.0) && *x.0 != n.disk)?.0.clone();
-            (n.role != Role::Front && !n.disk.is_empty() && !l.1.names.contains_key(&n.disk)).then(|| (lost, n.disk.clone()))
+            let seats = if n.role == Role::Core {
+                &l.1.core.current
+            } else {
+                &l.1.store.current
+            };
+            let lost =
+                l.1.names
+                    .iter()
+                    .find(|x| *x.1 == n.name && seats.contains(x.0) && *x.0 != n.disk)?
+                    .0
+                    .clone();
+            (n.role != Role::Front && !n.disk.is_empty() && !l.1.names.contains_key(&n.disk))
+                .then(|| (lost, n.disk.clone()))
         });
         if let Some((a, b)) = back.filter(|_| control.duty_term().is_some()) {
-            control.runtime.log(&format!("disk {a} came back empty as {b}"));
+            control
+                .runtime
+                .log(&format!("disk {a} came back empty as {b}"));
             let _ = begin(control, Move::Replace(a, b)).await;
         }
         return;
@@ -119,11 +179,15 @@
     if at != l.0 || done + control.settings.bounds.lost < v.len() {
         return;
     }
-    let Some(term) = control.duty_term() else { return };
+    let Some(term) = control.duty_term() else {
+        return;
+    };
     let got = control
         .registers
         .change("layout", PUT_WAIT, |seq, v| {
-            let Ok(mut l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep(()) };
+            let Ok(mut l) = serde_json::from_slice::<Layout>(v) else {
+                return Step::Keep(());
+            };
             if seq != at || !control.may_write(term, l.term) {
                 return Step::Keep(());
             }
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -38,8 +38,9 @@
     }
 }
 
-/// Takes a newer layout from any core process that has adopted it. Those refuse whatever is asked by an older layout, the
-/// layout itself too: who missed one cannot read it from the disks where their votes are needed.
+/// Takes a newer layout from any core process that has adopted it. Those refuse whatever is asked
+/// by an older layout, the layout itself too: who missed one cannot read it from the disks where
+/// their votes are needed.
 pub async fn catch_up(control: &Arc<Control>) -> bool {
     let more_than = control.documents.document("layout").version;
     let questions: Vec<BoxFuture<'static, bool>> = control
@@ -48,12 +49,22 @@
         .into_iter()
         .filter(|node| node.name != control.settings.name)
         .map(|node| {
-            let (me, question) = (control.clone(), PeerRequest::FetchDocument { name: "layout".into(), newer_than: more_than });
+            let (me, question) = (
+                control.clone(),
+                PeerRequest::FetchDocument {
+                    name: "layout".into(),
+                    newer_than: more_than,
+                },
+            );
             let asked: BoxFuture<'static, bool> = Box::pin(async move {
                 match me.peers.request(node.peer, &question, &[], PEER_WAIT).await {
-                    Ok((PeerResponse::Document { version: seq, epoch }, raw)) if seq > more_than => {
-                        me.documents.apply("layout", seq, epoch, raw)
-                    }
+                    Ok((
+                        PeerResponse::Document {
+                            version: seq,
+                            epoch,
+                        },
+                        raw,
+                    )) if seq > more_than => me.documents.apply("layout", seq, epoch, raw),
                     _ => false,
                 }
             });
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -1,8 +1,10 @@
-//! Decisions about seats as pure functions: which change begins, how one under way is amended, and when it may end.
+//! Decisions about seats as pure functions: which change begins, how one under way is amended, and
+//! when it may end.
 //!
-//! The seats of the core and of the stores form two groups. Each goes through joint sets by itself: while a change is under
-//! way, whatever is decided needs enough of the incoming set (`now`) and enough of the outgoing one (`old`). The outgoing
-//! set stays in force until the change ends, so the incoming one may be amended at any time.
+//! The seats of the core and of the stores form two groups. Each goes through joint sets by itself:
+//! while a change is under way, whatever is decided needs enough of the incoming set (`now`) and
+//! enough of the outgoing one (`old`). The outgoing set stays in force until the change ends, so
+//! the incoming one may be amended at any time.
 
 use yewcross_common::constants::{SEAT_LOST, SEAT_MISSING};
 use yewcross_common::membership::{MemberState, Node};
@@ -25,8 +27,8 @@
     pub lost: usize,
 }
 
-/// What a disk says of a change: the newest layout that it keeps, and whether all that it held is where the incoming set
-/// needs it.
+/// What a disk says of a change: the newest layout that it keeps, and whether all that it held is
+/// where the incoming set needs it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SeatReport {
     pub disk: String,
@@ -34,8 +36,9 @@
     pub swept: bool,
 }
 
-/// The layout that the group's next step leads to: the beginning of a change, or an amendment of the one under way. `None`
-/// where nothing is to be done, or nothing yet. It takes effect only if layout number `seq` is still the newest.
+/// The layout that the group's next step leads to: the beginning of a change, or an amendment of
+/// the one under way. `None` where nothing is to be done, or nothing yet. It takes effect only if
+/// layout number `seq` is still the newest.
 pub fn next_step(layout: &Layout, seq: u64, known: &Known, role: Role) -> Option<Layout> {
     match group(layout, role).previous.is_empty() {
         true => begin(layout, seq, known, role),
@@ -48,17 +51,32 @@
     lost.min(seats.saturating_sub(1) / 2)
 }
 
-/// Whether so many outgoing core seats refuse older layouts that no majority of them is left for anyone who knows only the
-/// outgoing set.
+/// Whether so many outgoing core seats refuse older layouts that no majority of them is left for
+/// anyone who knows only the outgoing set.
 pub fn core_is_joint(group: &ReplicaGroup, since: u64, reports: &[SeatReport]) -> bool {
-    let kept = reports.iter().filter(|r| group.previous.contains(&r.disk) && r.kept >= since).count();
-    kept >= majority(group.previous.len()) && group.previous.len() - kept < majority(group.previous.len())
+    let kept = reports
+        .iter()
+        .filter(|r| group.previous.contains(&r.disk) && r.kept >= since)
+        .count();
+    kept >= majority(group.previous.len())
+        && group.previous.len() - kept < majority(group.previous.len())
 }
 
-/// Whether the stores' outgoing set is no longer needed: whatever was written under it is on one of these at least, and they
-/// brought what they held to the incoming set; and enough of that set refuse older layouts.
-pub fn store_may_end(group: &ReplicaGroup, since: u64, lost: usize, reports: &[SeatReport]) -> bool {
-    let count = |set: &[String], ok: &dyn Fn(&SeatReport) -> bool| reports.iter().filter(|r| set.contains(&r.disk) && ok(r)).count();
+/// Whether the stores' outgoing set is no longer needed: whatever was written under it is on one of
+/// these at least, and they brought what they held to the incoming set; and enough of that set
+/// refuse older layouts.
+pub fn store_may_end(
+    group: &ReplicaGroup,
+    since: u64,
+    lost: usize,
+    reports: &[SeatReport],
+) -> bool {
+    let count = |set: &[String], ok: &dyn Fn(&SeatReport) -> bool| {
+        reports
+            .iter()
+            .filter(|r| set.contains(&r.disk) && ok(r))
+            .count()
+    };
     let swept = count(&group.previous, &|r| r.swept);
     let kept = count(&group.current, &|r| r.kept >= since);
     swept + tolerated(group.previous.len(), lost) >= group.previous.len()
@@ -74,40 +92,69 @@
 }
 
 fn forget_unseated(layout: &mut Layout) {
-    let seated: Vec<String> =
-        [&layout.core, &layout.store].into_iter().flat_map(|g| g.current.iter().chain(&g.previous)).cloned().collect();
+    let seated: Vec<String> = [&layout.core, &layout.store]
+        .into_iter()
+        .flat_map(|g| g.current.iter().chain(&g.previous))
+        .cloned()
+        .collect();
     layout.names.retain(|disk, _| seated.contains(disk));
     layout.sites.retain(|disk, _| seated.contains(disk));
 }
 
 pub fn group(layout: &Layout, role: Role) -> &ReplicaGroup {
-    if role == Role::Core { &layout.core } else { &layout.store }
+    if role == Role::Core {
+        &layout.core
+    } else {
+        &layout.store
+    }
 }
 
 pub fn group_mut(layout: &mut Layout, role: Role) -> &mut ReplicaGroup {
-    if role == Role::Core { &mut layout.core } else { &mut layout.store }
+    if role == Role::Core {
+        &mut layout.core
+    } else {
+        &mut layout.store
+    }
 }
 
 fn begin(layout: &Layout, seq: u64, known: &Known, role: Role) -> Option<Layout> {
     plan(layout, seq, known, role, true).or_else(|| plan(layout, seq, known, role, false))
 }
 
-/// A change under way whose seats were lost. Where a newcomer is gone it is planned anew from the outgoing set; where a seat
-/// that was to stay is lost, its successor is taken into the change.
+/// A change under way whose seats were lost. Where a newcomer is gone it is planned anew from the
+/// outgoing set; where a seat that was to stay is lost, its successor is taken into the change.
 fn amend(layout: &Layout, seq: u64, known: &Known, role: Role) -> Option<Layout> {
     let under_way = group(layout, role);
     let is_lost = |disk: &String| {
-        let came_back = known.live.iter().any(|n| n.disk != *disk && layout.names.get(disk) == Some(&n.name));
+        let came_back = known
+            .live
+            .iter()
+            .any(|n| n.disk != *disk && layout.names.get(disk) == Some(&n.name));
         came_back || (known.missing)(disk) >= SEAT_MISSING
     };
     if !under_way.current.iter().any(is_lost) {
         return None;
     }
-    let newcomer_is_lost = under_way.current.iter().any(|d| !under_way.previous.contains(d) && is_lost(d));
-    let base = if newcomer_is_lost { &under_way.previous } else { &under_way.current };
+    let newcomer_is_lost = under_way
+        .current
+        .iter()
+        .any(|d| !under_way.previous.contains(d) && is_lost(d));
+    let base = if newcomer_is_lost {
+        &under_way.previous
+    } else {
+        &under_way.current
+    };
     let mut from = layout.clone();
-    *group_mut(&mut from, role) = ReplicaGroup { current: base.clone(), previous: vec![], since: under_way.since };
-    let planned = if newcomer_is_lost { begin(&from, seq, known, role) } else { plan(&from, seq, known, role, false) };
+    *group_mut(&mut from, role) = ReplicaGroup {
+        current: base.clone(),
+        previous: vec![],
+        since: under_way.since,
+    };
+    let planned = if newcomer_is_lost {
+        begin(&from, seq, known, role)
+    } else {
+        plan(&from, seq, known, role, false)
+    };
     match planned {
         Some(mut next) => {
             group_mut(&mut next, role).previous = under_way.previous.clone();
@@ -121,7 +168,8 @@
     }
 }
 
-/// A change from a settled group: retired and lost seats first, then seats for disks that have none.
+/// A change from a settled group: retired and lost seats first, then seats for disks that have
+/// none.
 fn plan(layout: &Layout, seq: u64, known: &Known, role: Role, retire: bool) -> Option<Layout> {
     let seats = &group(layout, role).current;
     let free: Vec<&Node> = known
@@ -131,21 +179,38 @@
         .filter(|n| !seats.contains(&n.disk) && !layout.retired.contains(&n.name))
         .collect();
     let name = |disk: &String| layout.names.get(disk).cloned().unwrap_or_default();
-    let mut leaving: Vec<&String> = seats.iter().filter(|d| retire && role == Role::Store && layout.retired.contains(&name(d))).collect();
+    let mut leaving: Vec<&String> = seats
+        .iter()
+        .filter(|d| retire && role == Role::Store && layout.retired.contains(&name(d)))
+        .collect();
     let retires = !leaving.is_empty();
     let mut joining: Vec<&Node> = vec![];
     // A machine that came back empty, under its name or at its address.
     for node in &free {
-        let was_here = |d: &&String| name(d) == node.name || known.heard.iter().any(|h| h.disk == **d && h.peer == node.peer);
+        let was_here = |d: &&String| {
+            name(d) == node.name
+                || known
+                    .heard
+                    .iter()
+                    .any(|h| h.disk == **d && h.peer == node.peer)
+        };
         if let Some(disk) = seats.iter().find(|d| !leaving.contains(d) && was_here(d)) {
             leaving.push(disk);
             joining.push(node);
         }
     }
-    let mut missing: Vec<(u64, &String)> =
-        seats.iter().filter(|d| !leaving.contains(d)).map(|d| ((known.missing)(d), d)).filter(|x| x.0 > 0).collect();
+    let mut missing: Vec<(u64, &String)> = seats
+        .iter()
+        .filter(|d| !leaving.contains(d))
+        .map(|d| ((known.missing)(d), d))
+        .filter(|x| x.0 > 0)
+        .collect();
     missing.sort();
-    for node in free.iter().filter(|n| !joining.iter().any(|j| j.disk == n.disk)).collect::<Vec<_>>() {
+    for node in free
+        .iter()
+        .filter(|n| !joining.iter().any(|j| j.disk == n.disk))
+        .collect::<Vec<_>>()
+    {
         match missing.pop() {
             Some((us, disk)) if us >= SEAT_MISSING => {
                 leaving.push(disk);
@@ -165,7 +230,11 @@
             left -= 1;
         }
     }
-    let mut now: Vec<String> = seats.iter().filter(|d| !leaving.contains(d)).cloned().collect();
+    let mut now: Vec<String> = seats
+        .iter()
+        .filter(|d| !leaving.contains(d))
+        .cloned()
+        .collect();
     now.extend(joining.iter().map(|n| n.disk.clone()));
     now.sort();
     let short = role == Role::Store && now.len() < fewest;
@@ -173,8 +242,10 @@
         return None;
     }
     let mut next = layout.clone();
-    next.names.extend(joining.iter().map(|n| (n.disk.clone(), n.name.clone())));
-    next.sites.extend(joining.iter().map(|n| (n.disk.clone(), n.site.clone())));
+    next.names
+        .extend(joining.iter().map(|n| (n.disk.clone(), n.name.clone())));
+    next.sites
+        .extend(joining.iter().map(|n| (n.disk.clone(), n.site.clone())));
     let changed = group_mut(&mut next, role);
     changed.previous = std::mem::replace(&mut changed.current, now);
     changed.since = seq + 1;
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -1,5 +1,6 @@
-//! What disks report of a change of seats. The question names the disk that is meant and the answer the disk that gives it:
-//! a machine that came back empty at its address does not answer for the disk it lost.
+//! What disks report of a change of seats. The question names the disk that is meant and the answer
+//! the disk that gives it: a machine that came back empty at its address does not answer for the
+//! disk it lost.
 
 use super::planning::SeatReport;
 use crate::Control;
@@ -14,30 +15,59 @@
     let (chains_swept, chains_left) = control.chain.swept(since);
     let kept = control.layout_kept();
     let done = control.swept.load(SeqCst) >= since && kept >= since && chains_swept;
-    PeerResponse::SweepProgress { done, left: control.sweep_left.load(SeqCst) + chains_left, kept, disk: control.storage.disk_id.clone() }
+    PeerResponse::SweepProgress {
+        done,
+        left: control.sweep_left.load(SeqCst) + chains_left,
+        kept,
+        disk: control.storage.disk_id.clone(),
+    }
 }
 
 /// Asks one disk; also how many keys it has yet to bring.
-pub async fn ask(control: &Arc<Control>, disk: &str, since: u64, us: u64) -> Option<(SeatReport, u64)> {
+pub async fn ask(
+    control: &Arc<Control>,
+    disk: &str,
+    since: u64,
+    us: u64,
+) -> Option<(SeatReport, u64)> {
     let mut may_be_unnamed = false;
     let answer = if disk == control.storage.disk_id {
         report(control, since)
     } else {
         let node = control.members.by_disk(disk)?;
-        let question = PeerRequest::SweepProgress { layout: since, disk: disk.into() };
-        let answer = control.peers.request(node.peer, &question, &[], us).await.ok()?.0;
+        let question = PeerRequest::SweepProgress {
+            layout: since,
+            disk: disk.into(),
+        };
+        let answer = control
+            .peers
+            .request(node.peer, &question, &[], us)
+            .await
+            .ok()?
+            .0;
         may_be_unnamed = control.peers.version(node.peer) < WIRE_NAMED_DISKS;
         answer
     };
     match answer {
-        PeerResponse::SweepProgress { done, left, kept, disk: by } if by == disk || (by.is_empty() && may_be_unnamed) => {
-            Some((SeatReport { disk: disk.into(), kept, swept: done }, left))
-        }
+        PeerResponse::SweepProgress {
+            done,
+            left,
+            kept,
+            disk: by,
+        } if by == disk || (by.is_empty() && may_be_unnamed) => Some((
+            SeatReport {
+                disk: disk.into(),
+                kept,
+                swept: done,
+            },
+            left,
+        )),
         _ => None,
     }
 }
 
-/// Asks all of the disks at once; ends when what was reported is `enough`, all have answered, or the wait is over.
+/// Asks all of the disks at once; ends when what was reported is `enough`, all have answered, or
+/// the wait is over.
 pub async fn survey(
     control: &Arc<Control>,
     disks: &[String],
@@ -49,7 +79,8 @@
         .iter()
         .map(|disk| {
             let (me, disk) = (control.clone(), disk.clone());
-            let question: BoxFuture<'static, _> = Box::pin(async move { ask(&me, &disk, since, us).await.map(|x| x.0) });
+            let question: BoxFuture<'static, _> =
+                Box::pin(async move { ask(&me, &disk, since, us).await.map(|x| x.0) });
             question
         })
         .collect();
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -18,7 +18,14 @@
             return retire_here(control, node).await;
         }
         let question = PeerRequest::ForwardRetire { node: node.into() };
-        match proposer::forward(control, &question, &[], until.saturating_sub(control.runtime.now())).await {
+        match proposer::forward(
+            control,
+            &question,
+            &[],
+            until.saturating_sub(control.runtime.now()),
+        )
+        .await
+        {
             Ok((PeerResponse::RetireAnswer(answer), _)) => return answer,
             Err(NotAnswered::NoProposer) => proposer::wait_for_one(control).await,
             _ => return RetireBegin::Away,
@@ -41,20 +48,36 @@
         return RetireBegin::Away;
     }
     let fewest = 2 * control.settings.bounds.lost + 1;
-    let known = control.members.all().iter().any(|n| n.name == node && n.role == Role::Store);
+    let known = control
+        .members
+        .all()
+        .iter()
+        .any(|n| n.name == node && n.role == Role::Store);
     let got = control
         .registers
         .change("layout", SEC, |seq, v| {
-            let Ok(mut l) = serde_json::from_slice::<Layout>(v) else { return Step::Keep((RetireBegin::Away, 0, vec![])) };
+            let Ok(mut l) = serde_json::from_slice::<Layout>(v) else {
+                return Step::Keep((RetireBegin::Away, 0, vec![]));
+            };
             if l.retired.contains(node) {
                 return Step::Keep((RetireBegin::Begun, 0, vec![]));
             }
             let named = |d: &&String| l.names.get(*d).is_some_and(|n| n == node);
-            let seated = l.store.current.iter().chain(&l.store.previous).any(|d| named(&d));
+            let seated = l
+                .store
+                .current
+                .iter()
+                .chain(&l.store.previous)
+                .any(|d| named(&d));
             if !seated && !known {
                 return Step::Keep((RetireBegin::Unknown, 0, vec![]));
             }
-            let left = l.store.current.iter().filter(|d| !named(d) && !l.names.get(*d).is_some_and(|n| l.retired.contains(n))).count();
+            let left = l
+                .store
+                .current
+                .iter()
+                .filter(|d| !named(d) && !l.names.get(*d).is_some_and(|n| l.retired.contains(n)))
+                .count();
             if left < fewest {
                 return Step::Keep((RetireBegin::TooFew, 0, vec![]));
             }
@@ -79,10 +102,19 @@
     if control.documents.layout.load().0 == 0 {
         return RetireState::Away;
     }
-    let Ok((seq, epoch, raw)) = proposer::newest(control, "layout", PEER_WAIT).await else { return RetireState::Away };
-    let Ok(l) = serde_json::from_slice::<Layout>(&raw) else { return RetireState::Away };
+    let Ok((seq, epoch, raw)) = proposer::newest(control, "layout", PEER_WAIT).await else {
+        return RetireState::Away;
+    };
+    let Ok(l) = serde_json::from_slice::<Layout>(&raw) else {
+        return RetireState::Away;
+    };
     control.documents.apply("layout", seq, epoch, raw.to_vec());
-    let there = |g: &ReplicaGroup| g.current.iter().chain(&g.previous).any(|d| l.names.get(d).is_some_and(|n| n == node));
+    let there = |g: &ReplicaGroup| {
+        g.current
+            .iter()
+            .chain(&g.previous)
+            .any(|d| l.names.get(d).is_some_and(|n| n == node))
+    };
     match (l.retired.contains(node), there(&l.store)) {
         (false, _) => RetireState::Unknown,
         (true, true) => RetireState::Running,
--- a/yewcross-control/src/layout/sweep.rs
+++ b/yewcross-control/src/layout/sweep.rs
@@ -14,7 +14,10 @@
         let moved = c.documents.changed.listen();
         let l = c.documents.layout.load_full();
         let seats = group(&l.1, c.settings.role);
-        if l.0 == 0 || !(seats.current.contains(&c.storage.disk_id) || seats.previous.contains(&c.storage.disk_id)) {
+        if l.0 == 0
+            || !(seats.current.contains(&c.storage.disk_id)
+                || seats.previous.contains(&c.storage.disk_id))
+        {
             c.runtime.timeout(SWEEP_REST, moved).await;
             continue;
         }
@@ -39,7 +42,10 @@
             if c.replica.peek(&k).await.is_none() {
                 continue;
             }
-            let here = crate::place(&c.documents, &c.members, &k).all().iter().any(|s| s.disk == c.storage.disk_id);
+            let here = crate::place(&c.documents, &c.members, &k)
+                .all()
+                .iter()
+                .any(|s| s.disk == c.storage.disk_id);
             if !here && !moving {
                 c.replica.forget(&k).await;
                 continue;
@@ -53,11 +59,21 @@
                 continue;
             }
             c.counts.tended.fetch_add(1, SeqCst);
-            // Through the key's first owner, so that holders of the same key do not take it from each other.
-            let ok = matches!((c.store.route)(k.clone(), PeerRequest::RepairKey { key: k.clone() }).await, Some(PeerResponse::Ok));
+            // Through the key's first owner, so that holders of the same key do not take it from
+            // each other.
+            let ok = matches!(
+                (c.store.route)(k.clone(), PeerRequest::RepairKey { key: k.clone() }).await,
+                Some(PeerResponse::Ok)
+            );
             whole &= ok;
             let old = !DOCS.contains(&k.as_str()) && !k.starts_with("budget/");
-            if ok && old && c.replica.peek(&k).await.is_some_and(|s| s.value.is_empty() || c.store.outlived(&s.value)) {
+            if ok
+                && old
+                && c.replica
+                    .peek(&k)
+                    .await
+                    .is_some_and(|s| s.value.is_empty() || c.store.outlived(&s.value))
+            {
                 (c.store.route)(k.clone(), PeerRequest::ExpireSession { key: k.clone() }).await;
             }
             c.runtime.sleep(if moving { MS } else { SWEEP_PAUSE }).await;
@@ -73,7 +89,9 @@
             if t >= until || c.sweep_now.swap(false, SeqCst) || c.documents.layout.load().0 != l.0 {
                 break;
             }
-            c.runtime.timeout(until - t, futures_lite::future::or(m, s)).await;
+            c.runtime
+                .timeout(until - t, futures_lite::future::or(m, s))
+                .await;
         }
     }
 }
@@ -87,7 +105,8 @@
     control.registers.tend(name).await
 }
 
-/// Layout number that wrote the sets that this disk may have a seat in: changes of other seats do not hold its sweep up.
+/// Layout number that wrote the sets that this disk may have a seat in: changes of other seats do
+/// not hold its sweep up.
 fn own_since(control: &Control) -> u64 {
     let l = control.documents.layout.load();
     l.1.since(group(&l.1, control.settings.role), l.0)
@@ -95,11 +114,17 @@
 
 /// The names of damaged keys are lost with them; only the other copies can tell.
 fn call_for_help(control: &Arc<Control>) {
-    let me = control.members.nodes_of_role(control.settings.role).into_iter().filter(|n| n.name != control.settings.name);
+    let me = control
+        .members
+        .nodes_of_role(control.settings.role)
+        .into_iter()
+        .filter(|n| n.name != control.settings.name);
     me.for_each(|n| {
         let p = control.peers.clone();
         control.runtime.spawn(async move {
-            let _ = p.request(n.peer, &PeerRequest::StartSweep, &[], PEER_WAIT).await;
+            let _ = p
+                .request(n.peer, &PeerRequest::StartSweep, &[], PEER_WAIT)
+                .await;
         });
     });
 }
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -1,8 +1,10 @@
-//! The duty lease as pure state machines: the granter of each core seat, and the process that holds or wants the lease.
+//! The duty lease as pure state machines: the granter of each core seat, and the process that holds
+//! or wants the lease.
 //!
-//! At most one process holds the lease at any time. A granter promises one candidate at a time, for one lease length on its
-//! own clock from the moment of its answer; the holder counts from before it asked, and a margin less. Two majorities of one
-//! set of seats share a granter. Nothing here reads a clock, a disk or the network, so that a model checker can run it.
+//! At most one process holds the lease at any time. A granter promises one candidate at a time, for
+//! one lease length on its own clock from the moment of its answer; the holder counts from before
+//! it asked, and a margin less. Two majorities of one set of seats share a granter. Nothing here
+//! reads a clock, a disk or the network, so that a model checker can run it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,16 +29,22 @@
     if layout.core.current.is_empty() {
         return 0;
     }
-    yewcross_common::hash::rendezvous_weight(&layout.core.current.join(" "), &layout.core.previous.join(" "))
+    yewcross_common::hash::rendezvous_weight(
+        &layout.core.current.join(" "),
+        &layout.core.previous.join(" "),
+    )
 }
 
 /// Whether the disks are a majority of the seats, and of the old ones while a change is under way.
 pub fn quorum(seats: &ReplicaGroup, has: impl Fn(&str) -> bool) -> bool {
     let most = |disks: &[String]| disks.iter().filter(|d| has(d)).count() >= majority(disks.len());
-    !seats.current.is_empty() && most(&seats.current) && (seats.previous.is_empty() || most(&seats.previous))
+    !seats.current.is_empty()
+        && most(&seats.current)
+        && (seats.previous.is_empty() || most(&seats.previous))
 }
 
-/// What a granter remembers across its own restarts: it is on disk before a grant under a new term is told.
+/// What a granter remembers across its own restarts: it is on disk before a grant under a new term
+/// is told.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeptGrant {
     /// The highest term granted.
@@ -62,8 +70,8 @@
     times: LeaseTimes,
     term: u64,
     grant: Option<Grant>,
-    /// Nothing is granted to a candidate that holds no grant here before this: an earlier life of this process, or the
-    /// seats before the last change, may have granted what is not known here.
+    /// Nothing is granted to a candidate that holds no grant here before this: an earlier life of
+    /// this process, or the seats before the last change, may have granted what is not known here.
     quiet_until: u64,
     /// The last grant of an earlier life, while it alone is what the granter keeps quiet for.
     remembered: Option<KeptGrant>,
@@ -77,18 +85,30 @@
     pub fn new(times: LeaseTimes, now: u64, kept: KeptGrant, fresh: bool) -> Granter {
         let term = kept.term;
         let remembered = Some(kept).filter(|kept| kept.holder.is_some());
-        Granter { times, term, grant: None, quiet_until: now + times.length, remembered, seats: 0, fresh: fresh && term == 0 }
+        Granter {
+            times,
+            term,
+            grant: None,
+            quiet_until: now + times.length,
+            remembered,
+            seats: 0,
+            fresh: fresh && term == 0,
+        }
     }
 
-    /// Tells the core seats as known now, the term that the layout was written under, and whether that is the very first
-    /// layout. Before the first one nobody can have held the lease.
+    /// Tells the core seats as known now, the term that the layout was written under, and whether
+    /// that is the very first layout. Before the first one nobody can have held the lease.
     pub fn see_seats(&mut self, now: u64, seats: u64, term: u64, first_layout: bool) {
         self.term = self.term.max(term);
         if seats == self.seats {
             return;
         }
         let founding = self.fresh && first_layout && self.seats == 0;
-        let as_before = self.seats == 0 && self.remembered.as_ref().is_some_and(|kept| kept.seats == seats);
+        let as_before = self.seats == 0
+            && self
+                .remembered
+                .as_ref()
+                .is_some_and(|kept| kept.seats == seats);
         if founding {
             self.quiet_until = 0;
         } else if !as_before {
@@ -103,16 +123,23 @@
         self.term
     }
 
-    /// A process asks. Whatever was granted to an earlier one on the same disk is held by nobody any more, so that nobody has to
-    /// wait for it. Whether that frees the lease here.
+    /// A process asks. Whatever was granted to an earlier one on the same disk is held by nobody
+    /// any more, so that nobody has to wait for it. Whether that frees the lease here.
     pub fn meet(&mut self, asker: &Candidate) -> bool {
         let is_over = |holder: &Candidate| asker.succeeds(holder);
-        let remembered_is_over = self.remembered.as_ref().and_then(|kept| kept.holder.as_ref()).is_some_and(is_over);
+        let remembered_is_over = self
+            .remembered
+            .as_ref()
+            .and_then(|kept| kept.holder.as_ref())
+            .is_some_and(is_over);
         if remembered_is_over {
             self.remembered = None;
             self.quiet_until = 0;
         }
-        let grant_is_over = self.grant.as_ref().is_some_and(|grant| is_over(&grant.holder));
+        let grant_is_over = self
+            .grant
+            .as_ref()
+            .is_some_and(|grant| is_over(&grant.holder));
         if grant_is_over {
             self.grant = None;
         }
@@ -121,21 +148,35 @@
 
     /// What has to be on disk before a grant is told.
     pub fn to_keep(&self) -> KeptGrant {
-        KeptGrant { term: self.term, holder: self.grant.as_ref().map(|grant| grant.holder.clone()), seats: self.seats }
+        KeptGrant {
+            term: self.term,
+            holder: self.grant.as_ref().map(|grant| grant.holder.clone()),
+            seats: self.seats,
+        }
     }
 
     /// When the lease will be free here, if nobody renews it.
     pub fn free_at(&self) -> u64 {
-        self.quiet_until.max(self.grant.as_ref().map_or(0, |g| g.until))
+        self.quiet_until
+            .max(self.grant.as_ref().map_or(0, |g| g.until))
     }
 
     /// Who holds the lease as far as this seat knows.
     pub fn holder(&self, now: u64) -> Option<&Candidate> {
-        self.grant.as_ref().filter(|g| now < g.until).map(|g| &g.holder)
+        self.grant
+            .as_ref()
+            .filter(|g| now < g.until)
+            .map(|g| &g.holder)
     }
 
     /// A grant under a new term must be on disk before the answer leaves.
-    pub fn answer(&mut self, now: u64, asker: &Candidate, seats: u64, call: LeaseOperation) -> LeaseVerdict {
+    pub fn answer(
+        &mut self,
+        now: u64,
+        asker: &Candidate,
+        seats: u64,
+        call: LeaseOperation,
+    ) -> LeaseVerdict {
         if seats != self.seats || seats == 0 {
             return LeaseVerdict::Refused(LeaseDenial::OtherSeats);
         }
@@ -143,13 +184,19 @@
             LeaseOperation::Look if now < self.free_at() => LeaseVerdict::Held,
             LeaseOperation::Look => LeaseVerdict::Free,
             LeaseOperation::Request { term } => self.request(now, asker, term),
-            LeaseOperation::Renew { term, round, confirmed } => self.renew(now, asker, term, round, confirmed),
+            LeaseOperation::Renew {
+                term,
+                round,
+                confirmed,
+            } => self.renew(now, asker, term, round, confirmed),
             LeaseOperation::Release { term } => self.release(asker, term),
         }
     }
 
     fn is_granted_to(&self, asker: &Candidate, term: u64) -> bool {
-        self.grant.as_ref().is_some_and(|g| g.holder == *asker && g.term == term)
+        self.grant
+            .as_ref()
+            .is_some_and(|g| g.holder == *asker && g.term == term)
     }
 
     fn request(&mut self, now: u64, asker: &Candidate, term: u64) -> LeaseVerdict {
@@ -167,13 +214,25 @@
             return LeaseVerdict::Refused(LeaseDenial::NotFree);
         }
         self.term = term;
-        self.grant = Some(Grant { holder: asker.clone(), term, round, until: now + self.times.length });
+        self.grant = Some(Grant {
+            holder: asker.clone(),
+            term,
+            round,
+            until: now + self.times.length,
+        });
         LeaseVerdict::Granted
     }
 
-    /// A holder whose answers are lost on their way must not keep the lease from the others: it is extended only for one
-    /// that lately saw a majority's answers.
-    fn renew(&mut self, now: u64, asker: &Candidate, term: u64, round: u64, confirmed: u64) -> LeaseVerdict {
+    /// A holder whose answers are lost on their way must not keep the lease from the others: it is
+    /// extended only for one that lately saw a majority's answers.
+    fn renew(
+        &mut self,
+        now: u64,
+        asker: &Candidate,
+        term: u64,
+        round: u64,
+        confirmed: u64,
+    ) -> LeaseVerdict {
         if round > confirmed + UNCONFIRMED_ROUNDS {
             return LeaseVerdict::Refused(LeaseDenial::Unconfirmed);
         }
@@ -224,43 +283,78 @@
 
 impl Holder {
     pub fn new(times: LeaseTimes) -> Holder {
-        Holder { times, tenure: None }
+        Holder {
+            times,
+            tenure: None,
+        }
     }
 
     /// Begins a request for a term, at the moment before it is sent.
     pub fn request(&mut self, now: u64, term: u64, seats: &ReplicaGroup) -> LeaseOperation {
-        let first = Round { sent: now, seats: seats.clone(), granted: BTreeSet::new() };
-        self.tenure = Some(Tenure { term, round: 0, confirmed: None, until: 0, rounds: [(0, first)].into() });
+        let first = Round {
+            sent: now,
+            seats: seats.clone(),
+            granted: BTreeSet::new(),
+        };
+        self.tenure = Some(Tenure {
+            term,
+            round: 0,
+            confirmed: None,
+            until: 0,
+            rounds: [(0, first)].into(),
+        });
         LeaseOperation::Request { term }
     }
 
-    /// Begins the next round, at the moment before it is sent. `None` if the lease is not held any more.
+    /// Begins the next round, at the moment before it is sent. `None` if the lease is not held any
+    /// more.
     pub fn renew(&mut self, now: u64, seats: &ReplicaGroup) -> Option<LeaseOperation> {
         let t = self.tenure.as_mut().filter(|t| now < t.until)?;
         let confirmed = t.confirmed?;
         t.round += 1;
         t.rounds.retain(|r, _| *r > confirmed);
-        t.rounds.insert(t.round, Round { sent: now, seats: seats.clone(), granted: BTreeSet::new() });
-        Some(LeaseOperation::Renew { term: t.term, round: t.round, confirmed })
+        t.rounds.insert(
+            t.round,
+            Round {
+                sent: now,
+                seats: seats.clone(),
+                granted: BTreeSet::new(),
+            },
+        );
+        Some(LeaseOperation::Renew {
+            term: t.term,
+            round: t.round,
+            confirmed,
+        })
     }
 
-    /// A granter granted what was asked under this term in this round. True if that made the majority of the round.
+    /// A granter granted what was asked under this term in this round. True if that made the
+    /// majority of the round.
     pub fn granted(&mut self, term: u64, round: u64, granter: &str) -> bool {
         let times = self.times;
-        let Some(t) = self.tenure.as_mut().filter(|t| t.term == term) else { return false };
-        let Some(r) = t.rounds.get_mut(&round) else { return false };
+        let Some(t) = self.tenure.as_mut().filter(|t| t.term == term) else {
+            return false;
+        };
+        let Some(r) = t.rounds.get_mut(&round) else {
+            return false;
+        };
         r.granted.insert(granter.into());
         if !quorum(&r.seats, |d| r.granted.contains(d)) || t.confirmed.is_some_and(|c| c >= round) {
             return false;
         }
-        t.until = t.until.max((r.sent + times.length).saturating_sub(times.margin));
+        t.until = t
+            .until
+            .max((r.sent + times.length).saturating_sub(times.margin));
         t.confirmed = Some(round);
         true
     }
 
     /// The term held at this moment.
     pub fn held(&self, now: u64) -> Option<u64> {
-        self.tenure.as_ref().filter(|t| now < t.until).map(|t| t.term)
+        self.tenure
+            .as_ref()
+            .filter(|t| now < t.until)
+            .map(|t| t.term)
     }
 
     /// Gives up what is held or asked for; the term of it, for the granters to be told.
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -14,7 +14,8 @@
 use yewcross_common::register::{Ballot, Step};
 use yewcross_common::runtime::BoxFuture;
 
-/// Documents that only the holder of the lease writes where operators' orders are decided by any core.
+/// Documents that only the holder of the lease writes where operators' orders are decided by any
+/// core.
 const FENCED: [&str; 2] = ["layout", "list"];
 
 /// Wants the lease for as long as this process has a core seat.
@@ -22,7 +23,12 @@
     while !c.members.replaced.is_set() {
         if !may_hold(&c) {
             let (adopted, lease) = (c.documents.changed.listen(), c.duties.changed.listen());
-            c.runtime.timeout(SEC.min(UNFIT_FOR / 4), futures_lite::future::or(adopted, lease)).await;
+            c.runtime
+                .timeout(
+                    SEC.min(UNFIT_FOR / 4),
+                    futures_lite::future::or(adopted, lease),
+                )
+                .await;
             continue;
         }
         wait_until_free(&c).await;
@@ -31,51 +37,92 @@
         }
         match campaign(&c).await {
             Some(term) => hold(&c, term).await,
-            None => c.runtime.sleep(LEASE_RETRY + c.runtime.random() % LEASE_RETRY).await,
+            None => {
+                c.runtime
+                    .sleep(LEASE_RETRY + c.runtime.random() % LEASE_RETRY)
+                    .await
+            }
         }
     }
 }
 
 fn may_hold(c: &Control) -> bool {
-    let seated = c.documents.layout.load().1.core.current.contains(&c.storage.disk_id);
+    let seated = c
+        .documents
+        .layout
+        .load()
+        .1
+        .core
+        .current
+        .contains(&c.storage.disk_id);
     let is_fit = c.runtime.now() >= c.duties.unfit_until.load(SeqCst);
-    seated && is_fit && !c.storage.failed.load(SeqCst) && !c.members.replaced.is_set() && !c.duties.resigned.load(SeqCst)
+    seated
+        && is_fit
+        && !c.storage.failed.load(SeqCst)
+        && !c.members.replaced.is_set()
+        && !c.duties.resigned.load(SeqCst)
 }
 
 fn is_free_here(control: &Control) -> bool {
     with_granter(control, |granter, now| granter.free_at() <= now)
 }
 
-/// Returns some time after the lease ran out here, each candidate after its own, or early when something changed.
+/// Returns some time after the lease ran out here, each candidate after its own, or early when
+/// something changed.
 async fn wait_until_free(control: &Arc<Control>) {
     let changed = control.duties.changed.listen();
-    let left = with_granter(control, |granter, now| granter.free_at().saturating_sub(now));
+    let left = with_granter(control, |granter, now| {
+        granter.free_at().saturating_sub(now)
+    });
     if left > 0 {
         control.runtime.timeout(left, changed).await;
     }
-    control.runtime.sleep(rank(control) * LEASE_STAGGER + control.runtime.random() % (LEASE_STAGGER / 2)).await;
+    control
+        .runtime
+        .sleep(rank(control) * LEASE_STAGGER + control.runtime.random() % (LEASE_STAGGER / 2))
+        .await;
 }
 
 /// This process among the core seats that seem alive, in an order that all know.
 fn rank(c: &Control) -> u64 {
     let layout = c.documents.layout.load();
-    let alive = |d: &str| c.members.by_disk(d).is_some_and(|n| n.state == MemberState::Alive);
-    let candidates = layout.1.core.current.iter().map(|d| d.as_str()).filter(|d| *d == c.storage.disk_id || alive(d));
+    let alive = |d: &str| {
+        c.members
+            .by_disk(d)
+            .is_some_and(|n| n.state == MemberState::Alive)
+    };
+    let candidates = layout
+        .1
+        .core
+        .current
+        .iter()
+        .map(|d| d.as_str())
+        .filter(|d| *d == c.storage.disk_id || alive(d));
     let ranked = yewcross_common::hash::ranked("duty", candidates);
-    ranked.iter().position(|d| *d == c.storage.disk_id).unwrap_or(0) as u64
+    ranked
+        .iter()
+        .position(|d| *d == c.storage.disk_id)
+        .unwrap_or(0) as u64
 }
 
-/// First looks whether a majority calls the lease free, and only then asks for it: a process whose answers are lost on their
-/// way never locks the granters. The term, if it was got.
+/// First looks whether a majority calls the lease free, and only then asks for it: a process whose
+/// answers are lost on their way never locks the granters. The term, if it was got.
 async fn campaign(control: &Arc<Control>) -> Option<u64> {
     let seats = control.documents.layout.load().1.core.clone();
     let highest = look(control, &seats).await?;
     let term = highest.max(control.documents.layout.load().1.term) + 1;
-    let call = control.duties.holder.lock().unwrap().request(control.runtime.now(), term, &seats);
+    let call = control
+        .duties
+        .holder
+        .lock()
+        .unwrap()
+        .request(control.runtime.now(), term, &seats);
     let disks = all_seats(&seats);
     let (asked, answers) = (disks.len(), ask_seats(control, disks, call));
     for _ in 0..asked {
-        let Ok(answer) = answers.recv().await else { break };
+        let Ok(answer) = answers.recv().await else {
+            break;
+        };
         if answer.is_some_and(|tell| count(control, term, 0, &tell)) {
             return Some(term);
         }
@@ -90,7 +137,9 @@
     let (asked, answers) = (disks.len(), ask_seats(control, disks, LeaseOperation::Look));
     let (mut free, mut highest) = (vec![], 0);
     for _ in 0..asked {
-        let Some(tell) = answers.recv().await.ok()? else { continue };
+        let Some(tell) = answers.recv().await.ok()? else {
+            continue;
+        };
         highest = highest.max(tell.term);
         if tell.verdict == LeaseVerdict::Free {
             free.push(tell.granter);
@@ -104,7 +153,13 @@
 
 /// Counts a grant. True once the lease is held by it.
 fn count(control: &Control, term: u64, round: u64, tell: &LeaseResponse) -> bool {
-    tell.verdict == LeaseVerdict::Granted && control.duties.holder.lock().unwrap().granted(term, round, &tell.granter)
+    tell.verdict == LeaseVerdict::Granted
+        && control
+            .duties
+            .holder
+            .lock()
+            .unwrap()
+            .granted(term, round, &tell.granter)
 }
 
 /// Renews until the lease is lost or given up.
@@ -124,8 +179,18 @@
 /// Begins a round. False once the lease is not held any more.
 fn renew(control: &Arc<Control>, term: u64) -> bool {
     let seats = control.documents.layout.load().1.core.clone();
-    let Some(call) = control.duties.holder.lock().unwrap().renew(control.runtime.now(), &seats) else { return false };
-    let LeaseOperation::Renew { round, .. } = call else { return false };
+    let Some(call) = control
+        .duties
+        .holder
+        .lock()
+        .unwrap()
+        .renew(control.runtime.now(), &seats)
+    else {
+        return false;
+    };
+    let LeaseOperation::Renew { round, .. } = call else {
+        return false;
+    };
     for disk in all_seats(&seats) {
         let me = control.clone();
         control.runtime.spawn(async move {
@@ -137,8 +202,9 @@
     true
 }
 
-/// Takes the documents under new epochs, so that nothing that an earlier holder still has under way can be accepted any
-/// more. Only then does this holder act; one that cannot in time lets another one try.
+/// Takes the documents under new epochs, so that nothing that an earlier holder still has under way
+/// can be accepted any more. Only then does this holder act; one that cannot in time lets another
+/// one try.
 async fn fence(c: Arc<Control>, term: u64) {
     let until = c.runtime.now() + FENCE_WITHIN;
     let holds = |c: &Control| c.lease_term() == Some(term);
@@ -155,8 +221,11 @@
         c.runtime.sleep(20 * MS).await;
     }
     if holds(&c) {
-        c.runtime.log(&format!("the documents cannot be taken, term {term}"));
-        c.duties.unfit_until.store(c.runtime.now() + UNFIT_FOR, SeqCst);
+        c.runtime
+            .log(&format!("the documents cannot be taken, term {term}"));
+        c.duties
+            .unfit_until
+            .store(c.runtime.now() + UNFIT_FOR, SeqCst);
     }
 }
 
@@ -166,11 +235,13 @@
         return false;
     }
     let documents: &[&'static str] = if c.options.tends { &DOCS } else { &FENCED };
-    let takes = documents.iter().map(|document| -> BoxFuture<'static, bool> {
-        let control = c.clone();
-        let document = *document;
-        Box::pin(async move { take_document(&control, document).await })
-    });
+    let takes = documents
+        .iter()
+        .map(|document| -> BoxFuture<'static, bool> {
+            let control = c.clone();
+            let document = *document;
+            Box::pin(async move { take_document(&control, document).await })
+        });
     let taken = c.runtime.spawn_all(takes.collect());
     for _ in documents {
         if taken.recv().await != Ok(true) {
@@ -183,13 +254,19 @@
 /// What an earlier holder had decided and nobody was told of is told now.
 async fn take_document(control: &Arc<Control>, name: &'static str) -> bool {
     let held = control.documents.document(name).version;
-    let Ok((seq, document)) = control.registers.change(name, SEC, |seq, value| Step::Keep((seq, value.to_vec()))).await else {
+    let Ok((seq, document)) = control
+        .registers
+        .change(name, SEC, |seq, value| Step::Keep((seq, value.to_vec())))
+        .await
+    else {
         return false;
     };
     if control.options.tends && seq > held {
         match held {
             0 => {
-                control.documents.apply(name, seq, Ballot::default(), document);
+                control
+                    .documents
+                    .apply(name, seq, Ballot::default(), document);
             }
             _ => config::push(control, name, seq, document),
         }
@@ -199,16 +276,23 @@
 
 /// Stops holding or asking, and tells the granters, so that nobody waits for the lease to run out.
 fn give_up(control: &Arc<Control>, seats: &ReplicaGroup) {
-    let Some(term) = control.duties.holder.lock().unwrap().give_up() else { return };
+    let Some(term) = control.duties.holder.lock().unwrap().give_up() else {
+        return;
+    };
     ask_seats(control, all_seats(seats), LeaseOperation::Release { term });
 }
 
 /// A planned stop: the lease is free at once.
 pub async fn resign(control: &Arc<Control>) {
     control.duties.resigned.store(true, SeqCst);
-    let Some(term) = control.duties.holder.lock().unwrap().give_up() else { return };
+    let Some(term) = control.duties.holder.lock().unwrap().give_up() else {
+        return;
+    };
     let seats = all_seats(&control.documents.layout.load().1.core);
-    let (asked, answers) = (seats.len(), ask_seats(control, seats, LeaseOperation::Release { term }));
+    let (asked, answers) = (
+        seats.len(),
+        ask_seats(control, seats, LeaseOperation::Release { term }),
+    );
     let told = async {
         for _ in 0..asked {
             let _ = answers.recv().await;
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -102,12 +102,19 @@
 }
 
 impl Control {
-    pub async fn start(runtime: &Runtime, settings: ProcessSettings) -> Result<Arc<Control>, StartFault> {
+    pub async fn start(
+        runtime: &Runtime,
+        settings: ProcessSettings,
+    ) -> Result<Arc<Control>, StartFault> {
         Control::start_with(runtime, settings, api::Options::default()).await
     }
 
     /// Starts a node that another interface may stand before.
-    pub async fn start_with(runtime: &Runtime, settings: ProcessSettings, options: api::Options) -> Result<Arc<Control>, StartFault> {
+    pub async fn start_with(
+        runtime: &Runtime,
+        settings: ProcessSettings,
+        options: api::Options,
+    ) -> Result<Arc<Control>, StartFault> {
         let disk = |source| StartFault::Disk { source };
         let vault = DurableStorage::open(runtime).await.map_err(disk)?;
         let replica = Replica::open(&vault).await.map_err(disk)?;
@@ -120,31 +127,48 @@
         let kept_pages = load_pages(&book, &local);
         let kept_peers = load_peers(&local);
         *members.persisted_peers.lock().unwrap() = kept_peers.addresses.clone();
-        let proved = vault.load("local", "proved").await.map_err(disk)?.map(|x| x.0).unwrap_or(0);
+        let proved = vault
+            .load("local", "proved")
+            .await
+            .map_err(disk)?
+            .map(|x| x.0)
+            .unwrap_or(0);
         replica.layout_version.store(book.layout.load().0, SeqCst);
         let (b, m) = (book.clone(), members.clone());
-        let owner = RegisterClient::new(runtime, &peers, &replica, Arc::new(move |k| place(&b, &m, k)));
+        let owner = RegisterClient::new(
+            runtime,
+            &peers,
+            &replica,
+            Arc::new(move |k| place(&b, &m, k)),
+        );
         let (b, m, p) = (book.clone(), members.clone(), peers.clone());
         let me = settings.peer;
-        let own: Arc<Mutex<Option<std::sync::Weak<yewcross_state::records::Store>>>> = Default::default();
+        let own: Arc<Mutex<Option<std::sync::Weak<yewcross_state::records::Store>>>> =
+            Default::default();
         let own2 = own.clone();
-        let route = move |key: String, a: PeerRequest| -> BoxFuture<'static, Option<PeerResponse>> {
-            let (b, m, p, own) = (b.clone(), m.clone(), p.clone(), own2.clone());
-            Box::pin(async move {
-                for to in replicas_by_preference(&b, &m, &key) {
-                    let local = own.lock().unwrap().as_ref().and_then(|s| s.upgrade()).filter(|_| to == me);
-                    let r = match local {
-                        Some(s) => Some(s.handle(a.clone(), vec![]).await.0),
-                        None => p.request(to, &a, &[], PEER_WAIT).await.ok().map(|x| x.0),
-                    };
-                    match r {
-                        None | Some(PeerResponse::Rejected(Code::StoreAway)) => continue,
-                        r => return r,
+        let route =
+            move |key: String, a: PeerRequest| -> BoxFuture<'static, Option<PeerResponse>> {
+                let (b, m, p, own) = (b.clone(), m.clone(), p.clone(), own2.clone());
+                Box::pin(async move {
+                    for to in replicas_by_preference(&b, &m, &key) {
+                        let local = own
+                            .lock()
+                            .unwrap()
+                            .as_ref()
+                            .and_then(|s| s.upgrade())
+                            .filter(|_| to == me);
+                        let r = match local {
+                            Some(s) => Some(s.handle(a.clone(), vec![]).await.0),
+                            None => p.request(to, &a, &[], PEER_WAIT).await.ok().map(|x| x.0),
+                        };
+                        match r {
+                            None | Some(PeerResponse::Rejected(Code::StoreAway)) => continue,
+                            r => return r,
+                        }
                     }
-                }
-                None
-            })
-        };
+                    None
+                })
+            };
         let store = Arc::new(yewcross_state::records::Store {
             owner: owner.clone(),
             members: members.clone(),
@@ -154,10 +178,21 @@
         *own.lock().unwrap() = Some(Arc::downgrade(&store));
         let follow = match options.rollout {
             api::Rollout::Proved => DocumentWatcher::new(&members, &book, &settings.name, false),
-            api::Rollout::Majority => DocumentWatcher::without_leases(&members, &book, &settings.name, false, settings.bounds.apply * MS),
+            api::Rollout::Majority => DocumentWatcher::without_leases(
+                &members,
+                &book,
+                &settings.name,
+                false,
+                settings.bounds.apply * MS,
+            ),
         };
-        let duties = duty::Duties::open(runtime, &vault, &book, owner.proposer_id, settings.role).await.map_err(disk)?;
-        let chain = yewcross_state::turn_store::Engine::start(runtime, &settings, &members, &book, &vault).await.map_err(disk)?;
+        let duties = duty::Duties::open(runtime, &vault, &book, owner.proposer_id, settings.role)
+            .await
+            .map_err(disk)?;
+        let chain =
+            yewcross_state::turn_store::Engine::start(runtime, &settings, &members, &book, &vault)
+                .await
+                .map_err(disk)?;
         let c = Arc::new(Control {
             runtime: runtime.clone(),
             peers,
@@ -184,20 +219,42 @@
             outbox: Default::default(),
             counts: Default::default(),
             options,
-            settings: settings,
+            settings,
         });
         if c.options.tends {
             let holder = Arc::downgrade(&c);
-            let holds_lease = move || holder.upgrade().is_some_and(|control| control.lease_term().is_some());
-            c.registers.restrict(move |key| !DOCS.contains(&key) || holds_lease());
+            let holds_lease = move || {
+                holder
+                    .upgrade()
+                    .is_some_and(|control| control.lease_term().is_some())
+            };
+            c.registers
+                .restrict(move |key| !DOCS.contains(&key) || holds_lease());
         }
-        let bind = |at: std::net::SocketAddr| move |source| StartFault::Bind { at: at.to_string(), source };
-        let door = runtime.bind(c.settings.peer).await.map_err(bind(c.settings.peer))?;
+        let bind = |at: std::net::SocketAddr| {
+            move |source| StartFault::Bind {
+                at: at.to_string(),
+                source,
+            }
+        };
+        let door = runtime
+            .bind(c.settings.peer)
+            .await
+            .map_err(bind(c.settings.peer))?;
         if c.options.bind_http {
-            let http = runtime.bind(c.settings.http).await.map_err(bind(c.settings.http))?;
+            let http = runtime
+                .bind(c.settings.http)
+                .await
+                .map_err(bind(c.settings.http))?;
             let me = c.clone();
-            let h: yewcross_common::buffered_http::Handler = Arc::new(move |j| Box::pin(operator::answer(me.clone(), j)));
-            runtime.spawn(yewcross_common::buffered_http::serve(runtime.clone(), http, h, c.connections.clone()));
+            let h: yewcross_common::buffered_http::Handler =
+                Arc::new(move |j| Box::pin(operator::answer(me.clone(), j)));
+            runtime.spawn(yewcross_common::buffered_http::serve(
+                runtime.clone(),
+                http,
+                h,
+                c.connections.clone(),
+            ));
         }
         runtime.spawn(c.peers.clone().serve(door, Arc::new(Ear(c.clone()))));
         runtime.spawn(c.members.clone().run());
@@ -215,29 +272,61 @@
         Ok(c)
     }
 
-    pub async fn handle(self: &Arc<Self>, a: PeerRequest, blob: Vec<u8>, from: &str) -> (PeerResponse, Vec<u8>) {
+    pub async fn handle(
+        self: &Arc<Self>,
+        a: PeerRequest,
+        blob: Vec<u8>,
+        from: &str,
+    ) -> (PeerResponse, Vec<u8>) {
         match a {
             PeerRequest::Probe { .. }
             | PeerRequest::ProbeOnBehalf { .. }
             | PeerRequest::ExchangeMembership { .. }
             | PeerRequest::MembershipUpdate { .. } => (self.members.handle(a).await, vec![]),
-            PeerRequest::UnnamedRegister(request) => self.unnamed_register_request(request, blob).await,
+            PeerRequest::UnnamedRegister(request) => {
+                self.unnamed_register_request(request, blob).await
+            }
             PeerRequest::Register { disk, .. } | PeerRequest::SweepProgress { disk, .. }
                 if !disk.is_empty() && disk != self.storage.disk_id =>
             {
-                (PeerResponse::OtherDisk { disk: self.storage.disk_id.clone() }, vec![])
+                (
+                    PeerResponse::OtherDisk {
+                        disk: self.storage.disk_id.clone(),
+                    },
+                    vec![],
+                )
             }
             PeerRequest::Register { request, .. } => {
                 let (reply, value) = self.replica.handle(request, blob).await;
-                (PeerResponse::Register { disk: self.storage.disk_id.clone(), reply }, value)
+                (
+                    PeerResponse::Register {
+                        disk: self.storage.disk_id.clone(),
+                        reply,
+                    },
+                    value,
+                )
             }
-            PeerRequest::PollDocuments { known: have, front, leaving_digest: departed } => {
-                (config::newer(self, have, front, departed, from).await, vec![])
-            }
-            PeerRequest::FetchDocument { name, newer_than: more_than } => {
+            PeerRequest::PollDocuments {
+                known: have,
+                front,
+                leaving_digest: departed,
+            } => (
+                config::newer(self, have, front, departed, from).await,
+                vec![],
+            ),
+            PeerRequest::FetchDocument {
+                name,
+                newer_than: more_than,
+            } => {
                 let p = self.documents.document(&name);
                 if p.version > more_than && (!self.options.tends || self.has_quorum_contact()) {
-                    return (PeerResponse::Document { version: p.version, epoch: p.epoch }, p.content.to_vec());
+                    return (
+                        PeerResponse::Document {
+                            version: p.version,
+                            epoch: p.epoch,
+                        },
+                        p.content.to_vec(),
+                    );
                 }
                 match self.options.tends {
                     true => (PeerResponse::Rejected(Code::NoMajority), vec![]),
@@ -245,28 +334,83 @@
                 }
             }
             PeerRequest::ReadDecidedDocument { name, .. } => config::doc(self, &name).await,
-            PeerRequest::PublishDocument { name, version: seq, epoch, relays } => {
+            PeerRequest::PublishDocument {
+                name,
+                version: seq,
+                epoch,
+                relays,
+            } => {
                 self.documents.apply(&name, seq, epoch, blob);
-                config::relay(self, Notice::Document { name: name.clone(), seq, change: None }, &relays);
-                (PeerResponse::DocumentApplied { version: self.documents.document(&name).version }, vec![])
+                config::relay(
+                    self,
+                    Notice::Document {
+                        name: name.clone(),
+                        seq,
+                        change: None,
+                    },
+                    &relays,
+                );
+                (
+                    PeerResponse::DocumentApplied {
+                        version: self.documents.document(&name).version,
+                    },
+                    vec![],
+                )
             }
-            PeerRequest::PublishDelta { name, version: seq, epoch, base, base_digest, relays } => {
-                let _ = self.documents.apply_delta(&name, base, &base_digest, seq, epoch, &blob);
-                let change = Some(Arc::new(Change { base, base_digest, delta: blob }));
-                config::relay(self, Notice::Document { name: name.clone(), seq, change }, &relays);
-                (PeerResponse::DocumentApplied { version: self.documents.document(&name).version }, vec![])
+            PeerRequest::PublishDelta {
+                name,
+                version: seq,
+                epoch,
+                base,
+                base_digest,
+                relays,
+            } => {
+                let _ = self
+                    .documents
+                    .apply_delta(&name, base, &base_digest, seq, epoch, &blob);
+                let change = Some(Arc::new(Change {
+                    base,
+                    base_digest,
+                    delta: blob,
+                }));
+                config::relay(
+                    self,
+                    Notice::Document {
+                        name: name.clone(),
+                        seq,
+                        change,
+                    },
+                    &relays,
+                );
+                (
+                    PeerResponse::DocumentApplied {
+                        version: self.documents.document(&name).version,
+                    },
+                    vec![],
+                )
             }
             PeerRequest::ServersLeaving { servers, relays } => {
                 self.documents.mark_leaving(&servers);
                 config::relay(self, Notice::Departed(Arc::new(servers)), &relays);
                 (PeerResponse::Ok, vec![])
             }
-            PeerRequest::ForwardPut { base } => (config::take_forwarded(self, base, blob).await, vec![]),
-            PeerRequest::ForwardRetire { node } => (layout::retire_forwarded(self, &node).await, vec![]),
-            PeerRequest::CollectServingLeases { name, version: seq } => (config::grants(self, &name, seq).await, vec![]),
-            PeerRequest::AnnounceInForce { version: seq } => (config::proved(self, seq).await, vec![]),
+            PeerRequest::ForwardPut { base } => {
+                (config::take_forwarded(self, base, blob).await, vec![])
+            }
+            PeerRequest::ForwardRetire { node } => {
+                (layout::retire_forwarded(self, &node).await, vec![])
+            }
+            PeerRequest::CollectServingLeases { name, version: seq } => {
+                (config::grants(self, &name, seq).await, vec![])
+            }
+            PeerRequest::AnnounceInForce { version: seq } => {
+                (config::proved(self, seq).await, vec![])
+            }
             PeerRequest::Bootstrap => (layout::found_here(self, blob).await, vec![]),
-            PeerRequest::Lease(ask) => (PeerResponse::Lease(lease_granter::answer(self, &ask).await), vec![]),
+            PeerRequest::Lease(ask) => (
+                PeerResponse::Lease(lease_granter::answer(self, &ask).await),
+                vec![],
+            ),
             PeerRequest::StartSweep => {
                 self.sweep_now.store(true, SeqCst);
                 self.sweep_call.notify(usize::MAX);
@@ -278,10 +422,20 @@
         }
     }
 
-    /// An asker that names no disk means whichever was at this address when it last looked. Only a disk that the layout it
-    /// keeps gives a seat may be that one: a disk that has just been made here has none yet.
-    async fn unnamed_register_request(&self, request: RegisterRequest, blob: Vec<u8>) -> (PeerResponse, Vec<u8>) {
-        let seated = self.documents.layout.load().1.has_seat(&self.storage.disk_id);
+    /// An asker that names no disk means whichever was at this address when it last looked. Only a
+    /// disk that the layout it keeps gives a seat may be that one: a disk that has just been made
+    /// here has none yet.
+    async fn unnamed_register_request(
+        &self,
+        request: RegisterRequest,
+        blob: Vec<u8>,
+    ) -> (PeerResponse, Vec<u8>) {
+        let seated = self
+            .documents
+            .layout
+            .load()
+            .1
+            .has_seat(&self.storage.disk_id);
         if !seated {
             return (PeerResponse::UnnamedRegister(RegisterReply::Away), vec![]);
         }
@@ -306,7 +460,8 @@
 /// A document as this node's own disk holds it.
 #[derive(Clone, Copy, Default)]
 struct KeptPage {
-    /// Version of the file. It counts the writes, not the documents: each write removes the file of the version before.
+    /// Version of the file. It counts the writes, not the documents: each write removes the file of
+    /// the version before.
     file_version: u64,
     /// Sequence number of the document.
     seq: u64,
@@ -315,36 +470,66 @@
 /// A file of a folder: its name, its version, and its body unless that is damaged.
 type StoredFile = (String, u64, Option<Vec<u8>>);
 
-/// Takes the documents of a folder into the book; which files they stand in. A damaged file counts with its version, so that the
-/// next one is newer.
-fn load_pages(documents: &DocumentCache, folder: &[StoredFile]) -> BTreeMap<&'static str, KeptPage> {
+/// Takes the documents of a folder into the book; which files they stand in. A damaged file counts
+/// with its version, so that the next one is newer.
+fn load_pages(
+    documents: &DocumentCache,
+    folder: &[StoredFile],
+) -> BTreeMap<&'static str, KeptPage> {
     let mut kept = BTreeMap::new();
     for (name, file_version, body) in folder {
-        let Some(document) = DOCS.into_iter().find(|d| d == name) else { continue };
-        let body = body.as_ref().and_then(|b| serde_json::from_slice::<(u64, Ballot, String)>(b).ok());
+        let Some(document) = DOCS.into_iter().find(|d| d == name) else {
+            continue;
+        };
+        let body = body
+            .as_ref()
+            .and_then(|b| serde_json::from_slice::<(u64, Ballot, String)>(b).ok());
         if let Some((seq, epoch, raw)) = body {
             documents.apply(document, seq, epoch, raw.into_bytes());
         }
-        kept.insert(document, KeptPage { file_version: *file_version, seq: documents.document(document).version });
+        kept.insert(
+            document,
+            KeptPage {
+                file_version: *file_version,
+                seq: documents.document(document).version,
+            },
+        );
     }
     kept
 }
 
-/// Documents a control node adopts are kept on its own disk, so that a restart begins from them. One that is adopted and
-/// not yet kept is asked for again: a node believes no more than what its disk held, and is told of the rest as news.
+/// Documents a control node adopts are kept on its own disk, so that a restart begins from them.
+/// One that is adopted and not yet kept is asked for again: a node believes no more than what its
+/// disk held, and is told of the rest as news.
 async fn keep_pages(c: Arc<Control>, mut kept: BTreeMap<&'static str, KeptPage>) {
     loop {
         let moved = c.documents.changed.listen();
-        // Where cores are asked for all else, only the layout must be known again before anybody answers.
-        for d in DOCS.into_iter().filter(|d| !c.options.tends || *d == "layout") {
+        // Where cores are asked for all else, only the layout must be known again before anybody
+        // answers.
+        for d in DOCS
+            .into_iter()
+            .filter(|d| !c.options.tends || *d == "layout")
+        {
             let page = c.documents.document(d);
             let before = kept.get(d).copied().unwrap_or_default();
             if page.version <= before.seq {
                 continue;
             }
-            let now = KeptPage { file_version: before.file_version + 1, seq: page.version };
-            let body = serde_json::to_vec(&(page.version, page.epoch, String::from_utf8_lossy(&page.content))).unwrap_or_default();
-            if c.storage.persist("local", d, now.file_version, &body).await.is_err() {
+            let now = KeptPage {
+                file_version: before.file_version + 1,
+                seq: page.version,
+            };
+            let body = serde_json::to_vec(&(
+                page.version,
+                page.epoch,
+                String::from_utf8_lossy(&page.content),
+            ))
+            .unwrap_or_default();
+            if c.storage
+                .persist("local", d, now.file_version, &body)
+                .await
+                .is_err()
+            {
                 continue;
             }
             kept.insert(d, now);
@@ -352,7 +537,16 @@
                 c.replica.layout_version.fetch_max(page.version, SeqCst);
             }
         }
-        c.runtime.timeout(if c.storage.failed.load(SeqCst) { 50 * MS } else { 10 * SEC }, moved).await;
+        c.runtime
+            .timeout(
+                if c.storage.failed.load(SeqCst) {
+                    50 * MS
+                } else {
+                    10 * SEC
+                },
+                moved,
+            )
+            .await;
     }
 }
 
@@ -364,22 +558,50 @@
 }
 
 fn load_peers(folder: &[StoredFile]) -> KeptPeers {
-    let Some((_, file_version, body)) = folder.iter().find(|f| f.0 == "peers") else { return KeptPeers::default() };
-    let addresses = body.as_ref().and_then(|b| serde_json::from_slice(b).ok()).unwrap_or_default();
-    KeptPeers { file_version: *file_version, addresses }
+    let Some((_, file_version, body)) = folder.iter().find(|f| f.0 == "peers") else {
+        return KeptPeers::default();
+    };
+    let addresses = body
+        .as_ref()
+        .and_then(|b| serde_json::from_slice(b).ok())
+        .unwrap_or_default();
+    KeptPeers {
+        file_version: *file_version,
+        addresses,
+    }
 }
 
-/// Addresses of machines with disks are kept, so that a restart finds them where its seeds are down.
+/// Addresses of machines with disks are kept, so that a restart finds them where its seeds are
+/// down.
 async fn keep_peers(control: Arc<Control>, mut kept: KeptPeers) {
     loop {
         let moved = control.members.changed.listen();
-        let mut now: Vec<_> = control.members.view.load().values().filter(|n| !n.disk.is_empty()).map(|n| n.peer).collect();
+        let mut now: Vec<_> = control
+            .members
+            .view
+            .load()
+            .values()
+            .filter(|n| !n.disk.is_empty())
+            .map(|n| n.peer)
+            .collect();
         now.sort();
         if now != kept.addresses
             && now.len() > 1
-            && control.storage.persist("local", "peers", kept.file_version + 1, &serde_json::to_vec(&now).unwrap_or_default()).await.is_ok()
+            && control
+                .storage
+                .persist(
+                    "local",
+                    "peers",
+                    kept.file_version + 1,
+                    &serde_json::to_vec(&now).unwrap_or_default(),
+                )
+                .await
+                .is_ok()
         {
-            kept = KeptPeers { file_version: kept.file_version + 1, addresses: now };
+            kept = KeptPeers {
+                file_version: kept.file_version + 1,
+                addresses: now,
+            };
         }
         control.runtime.sleep(PEERS_KEPT).await;
         moved.await;
--- a/yewcross-control/src/main.rs
+++ b/yewcross-control/src/main.rs
@@ -26,12 +26,26 @@
             Ok(c) => c,
             Err(e) => {
                 eprintln!("{e}");
-                return if matches!(e, yewcross_control::StartFault::Bind { .. }) { exit::CANNOT_BIND } else { exit::BAD_DISK };
+                return if matches!(e, yewcross_control::StartFault::Bind { .. }) {
+                    exit::CANNOT_BIND
+                } else {
+                    exit::BAD_DISK
+                };
             }
         };
-        w.log(if role == Role::Core { "core up" } else { "store up" });
-        let sig = [async_signal::Signal::Term, async_signal::Signal::Int, async_signal::Signal::Hup];
-        let Ok(mut sigs) = async_signal::Signals::new(sig) else { return exit::CANNOT_BIND };
+        w.log(if role == Role::Core {
+            "core up"
+        } else {
+            "store up"
+        });
+        let sig = [
+            async_signal::Signal::Term,
+            async_signal::Signal::Int,
+            async_signal::Signal::Hup,
+        ];
+        let Ok(mut sigs) = async_signal::Signals::new(sig) else {
+            return exit::CANNOT_BIND;
+        };
         let gone = async {
             c.members.replaced.wait().await;
             exit::REPLACED
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -1,8 +1,9 @@
 //! The one proposer of the documents: the holder of the duty lease.
 //!
-//! Ballots keep two proposers from deciding against each other, and do no more: proposers that share a key outbid each other,
-//! and on slow processors none of them may ever get through. So only the holder prepares ballots for the configuration, the
-//! layout and the platform's list; every other core passes orders on to it, and reads without preparing anything.
+//! Ballots keep two proposers from deciding against each other, and do no more: proposers that
+//! share a key outbid each other, and on slow processors none of them may ever get through. So only
+//! the holder prepares ballots for the configuration, the layout and the platform's list; every
+//! other core passes orders on to it, and reads without preparing anything.
 
 use crate::{Control, duty};
 use std::sync::Arc;
@@ -22,10 +23,16 @@
 }
 
 /// Puts a question to the process that proposes, once.
-pub async fn forward(control: &Arc<Control>, question: &PeerRequest, blob: &[u8], us: u64) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
+pub async fn forward(
+    control: &Arc<Control>,
+    question: &PeerRequest,
+    blob: &[u8],
+    us: u64,
+) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
     let to = duty::holder_address(control).ok_or(NotAnswered::NoProposer)?;
     match control.peers.request(to, question, blob, us).await {
-        Ok((PeerResponse::Rejected(Code::NotOnDuty | Code::BadBody), _)) | Err(SendError::NotSent) => Err(NotAnswered::NoProposer),
+        Ok((PeerResponse::Rejected(Code::NotOnDuty | Code::BadBody), _))
+        | Err(SendError::NotSent) => Err(NotAnswered::NoProposer),
         Ok(answer) => Ok(answer),
         Err(SendError::OutcomeUnknown) => Err(NotAnswered::Unknown),
     }
@@ -34,14 +41,30 @@
 /// Returns once the lease has changed hands, or a little later.
 pub async fn wait_for_one(control: &Arc<Control>) {
     let changed = control.duties.changed.listen();
-    control.runtime.timeout(PROPOSER_AGAIN + control.runtime.random() % PROPOSER_AGAIN, changed).await;
+    control
+        .runtime
+        .timeout(
+            PROPOSER_AGAIN + control.runtime.random() % PROPOSER_AGAIN,
+            changed,
+        )
+        .await;
 }
 
-/// The newest decided version of a document: what a majority of the core disks holds alike, or what the proposer proves.
+/// The newest decided version of a document: what a majority of the core disks holds alike, or what
+/// the proposer proves.
 pub async fn newest(control: &Arc<Control>, name: &str, us: u64) -> Result<Decided, ChangeError> {
     let until = control.runtime.now() + us;
     loop {
-        match control.registers.newest(name, until.saturating_sub(control.runtime.now()).min(LOOKS_WITHIN)).await {
+        match control
+            .registers
+            .newest(
+                name,
+                until
+                    .saturating_sub(control.runtime.now())
+                    .min(LOOKS_WITHIN),
+            )
+            .await
+        {
             Err(ChangeError::NotProposer) => {}
             found => return found,
         }
@@ -49,9 +72,18 @@
         if left < MS {
             return Err(ChangeError::NotDone);
         }
-        let question = PeerRequest::ReadDecidedDocument { name: name.into(), hops: 1 };
+        let question = PeerRequest::ReadDecidedDocument {
+            name: name.into(),
+            hops: 1,
+        };
         match forward(control, &question, &[], left.min(LOOKS_WITHIN)).await {
-            Ok((PeerResponse::Document { version: seq, epoch }, raw)) => return Ok((seq, epoch, Arc::new(raw))),
+            Ok((
+                PeerResponse::Document {
+                    version: seq,
+                    epoch,
+                },
+                raw,
+            )) => return Ok((seq, epoch, Arc::new(raw))),
             _ => wait_for_one(control).await,
         }
     }
--- a/yewcross-control/tests/orders.rs
+++ b/yewcross-control/tests/orders.rs
@@ -17,7 +17,14 @@
 impl Register {
     fn order(&mut self, base: u64, text: &str) -> Decision {
         let number = text.split(' ').next().and_then(|n| n.parse().ok());
-        let order = Order { base, number, text, attempt: "test", now_ms: self.now_ms, kept_ms: kept_ms(&Bounds::default()) };
+        let order = Order {
+            base,
+            number,
+            text,
+            attempt: "test",
+            now_ms: self.now_ms,
+            kept_ms: kept_ms(&Bounds::default()),
+        };
         match decide(self.seq, &self.value, &order) {
             Step::Keep(decision) => decision,
             Step::Write(value, decision) => {
@@ -33,7 +40,8 @@
         assert_eq!(taken(self.order(base, text)), Some(number), "{text}");
     }
 
-    /// Takes the orders from one number to another, each on top of the one before, `every_ms` apart.
+    /// Takes the orders from one number to another, each on top of the one before, `every_ms`
+    /// apart.
     fn take_all(&mut self, numbers: std::ops::RangeInclusive<u64>, every_ms: u64) {
         for number in numbers {
             self.now_ms += every_ms;
@@ -58,9 +66,15 @@
     let mut register = Register::default();
     register.take(0, "5 first");
     register.take(5, "7 one operator");
-    assert_eq!(register.order(5, "7 another operator"), Decision::Conflict { current: 7 });
+    assert_eq!(
+        register.order(5, "7 another operator"),
+        Decision::Conflict { current: 7 }
+    );
     register.take(7, "9 next");
-    assert_eq!(register.order(5, "7 another operator"), Decision::Conflict { current: 9 });
+    assert_eq!(
+        register.order(5, "7 another operator"),
+        Decision::Conflict { current: 9 }
+    );
     assert_eq!(taken(register.order(5, "7 one operator")), Some(7));
 }
 
@@ -68,8 +82,12 @@
 fn an_order_run_again_on_its_own_change_comes_to_the_same() {
     let mut register = Register::default();
     register.take(0, "5 first");
-    let Decision::Taken(once) = register.order(5, "6 b") else { panic!() };
-    let Decision::Taken(twice) = register.order(5, "6 b") else { panic!() };
+    let Decision::Taken(once) = register.order(5, "6 b") else {
+        panic!()
+    };
+    let Decision::Taken(twice) = register.order(5, "6 b") else {
+        panic!()
+    };
     assert_eq!(once, twice);
 }
 
@@ -79,8 +97,16 @@
     register.take(0, "5 first");
     register.take(5, "6 b");
     for base in [0, 5, 6, 9] {
-        assert_eq!(taken(register.order(base, "6 b")), Some(6), "current, on {base}");
-        assert_eq!(taken(register.order(base, "5 first")), Some(5), "superseded, on {base}");
+        assert_eq!(
+            taken(register.order(base, "6 b")),
+            Some(6),
+            "current, on {base}"
+        );
+        assert_eq!(
+            taken(register.order(base, "5 first")),
+            Some(5),
+            "superseded, on {base}"
+        );
     }
 }
 
@@ -105,35 +131,55 @@
     register.take(6, "7 routes a");
     register.take(7, "8 routes b");
     assert_eq!(
-        [5, 6, 7, 8].map(|n| taken(register.order(n - 1, &format!("{n} routes {}", ["b", "a"][(n % 2) as usize])))),
+        [5, 6, 7, 8].map(|n| taken(register.order(
+            n - 1,
+            &format!("{n} routes {}", ["b", "a"][(n % 2) as usize])
+        ))),
         [5, 6, 7, 8].map(Some)
     );
 }
 
-/// An attempt that was left undecided and lost its race is refused, also when it names a number that was taken since.
+/// An attempt that was left undecided and lost its race is refused, also when it names a number
+/// that was taken since.
 #[test]
 fn an_attempt_that_lost_its_race_is_refused() {
     let mut register = Register::default();
     register.take(0, "5 first");
     register.take(5, "6 winner");
-    assert_eq!(register.order(5, "7 loser"), Decision::Conflict { current: 6 });
+    assert_eq!(
+        register.order(5, "7 loser"),
+        Decision::Conflict { current: 6 }
+    );
     register.take(6, "7 winner");
-    assert_eq!(register.order(5, "7 loser"), Decision::Conflict { current: 7 });
+    assert_eq!(
+        register.order(5, "7 loser"),
+        Decision::Conflict { current: 7 }
+    );
 }
 
-/// The highest rate that is asked of the tier, for the whole time in which an order may be sent again.
+/// The highest rate that is asked of the tier, for the whole time in which an order may be sent
+/// again.
 #[test]
 fn orders_are_known_for_the_time_in_which_they_are_sent_again() {
-    let mut register = Register { now_ms: 1_700_000_000_000, ..Default::default() };
+    let mut register = Register {
+        now_ms: 1_700_000_000_000,
+        ..Default::default()
+    };
     let kept_ms = kept_ms(&Bounds::default());
     assert!(kept_ms >= 4 * Bounds::default().ack);
     // Eight a second.
     let count = kept_ms / 125;
     register.take_all(1..=count, 125);
     for number in 1..=count {
-        assert_eq!(taken(register.order(number - 1, &format!("{number} text"))), Some(number));
+        assert_eq!(
+            taken(register.order(number - 1, &format!("{number} text"))),
+            Some(number)
+        );
         if number < count {
-            assert_eq!(register.order(number - 1, &format!("{number} other")), Decision::Conflict { current: count });
+            assert_eq!(
+                register.order(number - 1, &format!("{number} other")),
+                Decision::Conflict { current: count }
+            );
         }
     }
 }
@@ -142,7 +188,10 @@
 #[test]
 fn a_taken_order_is_never_refused() {
     for every_ms in [0, 10, 1_000, 100_000] {
-        let mut register = Register { now_ms: 1_700_000_000_000, ..Default::default() };
+        let mut register = Register {
+            now_ms: 1_700_000_000_000,
+            ..Default::default()
+        };
         register.take_all(1..=2_000, every_ms);
         let mut known = 0;
         for number in 1..=2_000 {
@@ -153,19 +202,39 @@
             }
         }
         let orders = register.document().orders.len();
-        println!("every {every_ms} ms: {known} of 2000 known, {} bytes", register.value.len());
-        assert!((ORDERS_KEPT..=ORDERS_KEPT_MOST).contains(&orders), "{orders}");
-        assert!(register.value.len() < 100 * ORDERS_KEPT_MOST, "{}", register.value.len());
+        println!(
+            "every {every_ms} ms: {known} of 2000 known, {} bytes",
+            register.value.len()
+        );
+        assert!(
+            (ORDERS_KEPT..=ORDERS_KEPT_MOST).contains(&orders),
+            "{orders}"
+        );
+        assert!(
+            register.value.len() < 100 * ORDERS_KEPT_MOST,
+            "{}",
+            register.value.len()
+        );
         // What could not have been taken is refused as ever.
-        assert!(matches!(register.order(2_000, "1500 other"), Decision::Invalid(_)));
-        assert_eq!(register.order(1_000, "3000 other"), Decision::Conflict { current: 2_000 });
+        assert!(matches!(
+            register.order(2_000, "1500 other"),
+            Decision::Invalid(_)
+        ));
+        assert_eq!(
+            register.order(1_000, "3000 other"),
+            Decision::Conflict { current: 2_000 }
+        );
     }
 }
 
-/// A clock that is not set, far ahead or behind: ages never fall, and nothing within the floor is lost.
+/// A clock that is not set, far ahead or behind: ages never fall, and nothing within the floor is
+/// lost.
 #[test]
 fn clocks_that_jump_cost_no_digest_within_the_floor() {
-    let mut register = Register { now_ms: 1_700_000_000_000, ..Default::default() };
+    let mut register = Register {
+        now_ms: 1_700_000_000_000,
+        ..Default::default()
+    };
     register.take_all(1..=40, 100);
     register.now_ms = 0;
     register.take_all(41..=50, 0);
@@ -173,7 +242,12 @@
     register.take_all(51..=60, 100);
     register.now_ms = 1_700_000_010_000;
     register.take_all(61..=64, 100);
-    let ages: Vec<u64> = register.document().orders.iter().map(|o| o.taken_ms).collect();
+    let ages: Vec<u64> = register
+        .document()
+        .orders
+        .iter()
+        .map(|o| o.taken_ms)
+        .collect();
     assert!(ages.windows(2).all(|w| w[0] >= w[1]), "{ages:?}");
     assert!((1..=64).all(|n| taken(register.order(n - 1, &format!("{n} text"))) == Some(n)));
 }
@@ -185,19 +259,33 @@
     let older = ConfigDoc {
         text: "7 c".into(),
         number: 7,
-        past: vec![(6, digest("6 b"), String::new()), (5, digest("5 a"), String::new())],
+        past: vec![
+            (6, digest("6 b"), String::new()),
+            (5, digest("5 a"), String::new()),
+        ],
         ..Default::default()
     };
-    let mut register = Register { seq: 4, value: older.encode().unwrap(), now_ms: 0 };
+    let mut register = Register {
+        seq: 4,
+        value: older.encode().unwrap(),
+        now_ms: 0,
+    };
     assert_eq!(taken(register.order(4, "5 a")), Some(5));
     register.take(7, "8 d");
-    assert_eq!([(4, "5 a"), (5, "6 b"), (6, "7 c")].map(|(b, t)| taken(register.order(b, t))), [5, 6, 7].map(Some));
+    assert_eq!(
+        [(4, "5 a"), (5, "6 b"), (6, "7 c")].map(|(b, t)| taken(register.order(b, t))),
+        [5, 6, 7].map(Some)
+    );
 }
 
 /// A value that is no document is not taken for an empty one.
 #[test]
 fn an_unreadable_document_is_not_replaced() {
-    let mut register = Register { seq: 3, value: b"{\"text\":".to_vec(), now_ms: 0 };
+    let mut register = Register {
+        seq: 3,
+        value: b"{\"text\":".to_vec(),
+        now_ms: 0,
+    };
     assert_eq!(register.order(0, "1 first"), Decision::Unreadable);
     assert_eq!(register.value, b"{\"text\":");
 }
@@ -205,13 +293,22 @@
 /// An order travels as its text and a line; digests that both versions hold do not.
 #[test]
 fn only_what_changed_travels() {
-    let mut register = Register { now_ms: 1_700_000_000_000, ..Default::default() };
+    let mut register = Register {
+        now_ms: 1_700_000_000_000,
+        ..Default::default()
+    };
     register.take_all(1..=300, 100);
     let before = register.value.clone();
     register.take_all(301..=301, 100);
     let delta = yewcross_common::documents::delta::encode(&before, &register.value);
     println!("{} of {} bytes", delta.len(), register.value.len());
     assert!(delta.len() < 600, "{}", delta.len());
-    assert_eq!(yewcross_common::documents::delta::apply(&before, &delta).as_deref(), Some(&register.value[..]));
-    assert_eq!(serde_json::from_slice::<ConfigDoc>(&register.value).unwrap(), register.document());
+    assert_eq!(
+        yewcross_common::documents::delta::apply(&before, &delta).as_deref(),
+        Some(&register.value[..])
+    );
+    assert_eq!(
+        serde_json::from_slice::<ConfigDoc>(&register.value).unwrap(),
+        register.document()
+    );
 }
--- a/yewcross-control/tests/record.rs
+++ b/yewcross-control/tests/record.rs
@@ -13,30 +13,73 @@
         r.trim(&mut x);
         x.len()
     };
-    assert_eq!([cut(Rule::All), cut(Rule::Turns(2)), cut(Rule::Turns(9)), cut(Rule::Tokens(4)), cut(Rule::Tokens(1))], [24, 16, 24, 16, 8]);
-    let m = |j: &str| Mark { job: j.into(), digest: "d".into(), nonce: 1, code: Code::Done, used: 3 };
-    let mut r = Record { hist: h.clone(), ..Default::default() };
+    assert_eq!(
+        [
+            cut(Rule::All),
+            cut(Rule::Turns(2)),
+            cut(Rule::Turns(9)),
+            cut(Rule::Tokens(4)),
+            cut(Rule::Tokens(1))
+        ],
+        [24, 16, 24, 16, 8]
+    );
+    let m = |j: &str| Mark {
+        job: j.into(),
+        digest: "d".into(),
+        nonce: 1,
+        code: Code::Done,
+        used: 3,
+    };
+    let mut r = Record {
+        hist: h.clone(),
+        ..Default::default()
+    };
     r.head.epoch = 7;
     r.head.marks.extend([m("a"), m("b")]);
     r.head.kept.push_back(("b".into(), "x\ny".into()));
     let b = Record::read(&r.write());
     assert_eq!((b.hist, b.head.epoch, b.head.kept), (h, 7, r.head.kept));
-    assert_eq!(b.head.marks.iter().map(|m| m.job.as_str()).collect::<Vec<_>>(), ["a", "b"]);
+    assert_eq!(
+        b.head
+            .marks
+            .iter()
+            .map(|m| m.job.as_str())
+            .collect::<Vec<_>>(),
+        ["a", "b"]
+    );
     assert_eq!(Record::read(&[]).head.epoch, 0);
 }
 
 #[test]
 fn every_id_of_a_session_is_remembered_and_costs_a_small_delta() {
-    let mut r = Record { hist: b"one\ntwo\n".to_vec(), ..Default::default() };
-    let run = |i: usize| Run { job: format!("j{i}"), digest: "d".into(), nonce: 1, front: "f".into(), until: 0, max_out: 0, budget: None };
+    let mut r = Record {
+        hist: b"one\ntwo\n".to_vec(),
+        ..Default::default()
+    };
+    let run = |i: usize| Run {
+        job: format!("j{i}"),
+        digest: "d".into(),
+        nonce: 1,
+        front: "f".into(),
+        until: 0,
+        max_out: 0,
+        budget: None,
+    };
     (0..MARKS_KEPT + 200).for_each(|i| {
         r.head.running = Some(run(i));
         r.close(Code::Done, 1);
     });
     let was = r.write();
     let mut b = Record::read(&was);
-    assert_eq!((b.hist.as_slice(), b.head.marks.len(), b.old.len()), (&b"one\ntwo\n"[..], MARKS_KEPT, 200 * 16 + 4));
-    assert!((0..200).all(|i| b.ran_before(&format!("j{i}"))) && !b.ran_before("j200") && !b.ran_before("never"));
+    assert_eq!(
+        (b.hist.as_slice(), b.head.marks.len(), b.old.len()),
+        (&b"one\ntwo\n"[..], MARKS_KEPT, 200 * 16 + 4)
+    );
+    assert!(
+        (0..200).all(|i| b.ran_before(&format!("j{i}")))
+            && !b.ran_before("j200")
+            && !b.ran_before("never")
+    );
     b.head.running = Some(run(5000));
     b.close(Code::Done, 1);
     let d = yewcross_common::documents::delta::encode(&was, &b.write()).len();
