--- a/yewcross-proxy/src/admission.rs
+++ b/yewcross-proxy/src/admission.rs
@@ -1,7 +1,8 @@
-//! Admission queues, one a service: bounded, urgent requests first within reason, then by earliest deadline.
+//! Admission queues, one a service: bounded, urgent requests first within reason, then by earliest
+//! deadline.
 //!
-//! A request waits here until a server has a free slot. It is refused at once when its expected wait passes what its
-//! deadline allows, and asked again of itself each time it wakes.
+//! A request waits here until a server has a free slot. It is refused at once when its expected
+//! wait passes what its deadline allows, and asked again of itself each time it wakes.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -12,8 +13,8 @@
 
 /// us. The longest a waiting request sleeps before it looks again.
 const LOOK_AGAIN: u64 = 100 * MS;
-/// us. How much later than its deadline a request of class `Normal` sorts, and one of class `Idle`; finite, so that
-/// nobody starves.
+/// us. How much later than its deadline a request of class `Normal` sorts, and one of class `Idle`;
+/// finite, so that nobody starves.
 const NORMAL_OFFSET: u64 = 3 * SEC;
 const IDLE_OFFSET: u64 = 6 * SEC;
 
@@ -77,23 +78,44 @@
     fn expected_wait(&self, position: Position, slots: Slots) -> u64 {
         let ahead = self.waiting.range(..position).count() as u64 + 1;
         let by_slots = self.service_time / slots.all.max(1) as u64;
-        let each = if self.intervals_seen < PACE_AFTER { by_slots } else { by_slots.max(self.interval) };
+        let each = if self.intervals_seen < PACE_AFTER {
+            by_slots
+        } else {
+            by_slots.max(self.interval)
+        };
         (ahead + self.admitted as u64).saturating_sub(slots.free as u64) * each
     }
 
     fn is_first(&self, position: Position) -> bool {
-        self.waiting.first_key_value().is_some_and(|(first, _)| *first == position)
+        self.waiting
+            .first_key_value()
+            .is_some_and(|(first, _)| *first == position)
     }
 
     /// Puts a request into the queue, unless it is bound to be refused later.
-    fn join(&mut self, request: &Request, slots: Slots, now: u64, wake: async_channel::Sender<()>) -> Result<Position, Refused> {
+    fn join(
+        &mut self,
+        request: &Request,
+        slots: Slots,
+        now: u64,
+        wake: async_channel::Sender<()>,
+    ) -> Result<Position, Refused> {
         if slots.all == 0 {
-            return Err(Refused { code: Code::NoServer, retry_after: BACK_SOON });
+            return Err(Refused {
+                code: Code::NoServer,
+                retry_after: BACK_SOON,
+            });
         }
-        let position = (request.deadline + class_offset(request.class), self.arrivals);
+        let position = (
+            request.deadline + class_offset(request.class),
+            self.arrivals,
+        );
         let wait = self.expected_wait(position, slots);
         if self.waiting.len() as u64 >= request.room() {
-            return Err(Refused { code: Code::LineFull, retry_after: seconds(wait) });
+            return Err(Refused {
+                code: Code::LineFull,
+                retry_after: seconds(wait),
+            });
         }
         request.check_in_time(now, wait)?;
         self.arrivals += 1;
@@ -109,7 +131,11 @@
             self.last_admission = 0;
             return;
         }
-        let gap = if self.last_admission == 0 { self.interval } else { now - self.last_admission };
+        let gap = if self.last_admission == 0 {
+            self.interval
+        } else {
+            now - self.last_admission
+        };
         self.interval = (7 * self.interval + gap) / 8;
         self.intervals_seen += 1;
         self.last_admission = now;
@@ -129,7 +155,10 @@
         let too_late = now + wait + self.needs > self.deadline;
         let too_patient = now + wait > self.patience;
         if too_late || too_patient {
-            return Err(Refused { code: Code::TooLate, retry_after: seconds(wait) });
+            return Err(Refused {
+                code: Code::TooLate,
+                retry_after: seconds(wait),
+            });
         }
         Ok(())
     }
@@ -164,7 +193,9 @@
 
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        self.admission.with(&self.service, |queue| queue.admitted = queue.admitted.saturating_sub(1));
+        self.admission.with(&self.service, |queue| {
+            queue.admitted = queue.admitted.saturating_sub(1)
+        });
         self.admission.wake(&self.service);
     }
 }
@@ -178,7 +209,8 @@
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        self.admission.with(self.service, |queue| queue.waiting.remove(&self.position));
+        self.admission
+            .with(self.service, |queue| queue.waiting.remove(&self.position));
         self.admission.wake(self.service);
     }
 }
@@ -192,7 +224,9 @@
     /// Has the first request of a service look again.
     pub fn wake(&self, service: &str) {
         let queues = self.0.lock().unwrap();
-        let first = queues.get(service).and_then(|queue| queue.waiting.first_key_value());
+        let first = queues
+            .get(service)
+            .and_then(|queue| queue.waiting.first_key_value());
         if let Some((_, wake)) = first {
             let _ = wake.try_send(());
         }
@@ -201,45 +235,85 @@
     /// A request of the service held its slot for so many us.
     pub fn served_in(&self, service: &str, us: u64) {
         self.with(service, |queue| {
-            queue.service_time = if queue.service_time == 0 { us } else { (7 * queue.service_time + us) / 8 };
+            queue.service_time = if queue.service_time == 0 {
+                us
+            } else {
+                (7 * queue.service_time + us) / 8
+            };
         });
     }
 
     /// Requests that wait, by service.
     pub fn depth(&self) -> BTreeMap<String, usize> {
-        self.0.lock().unwrap().iter().map(|(service, queue)| (service.clone(), queue.waiting.len())).collect()
+        self.0
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|(service, queue)| (service.clone(), queue.waiting.len()))
+            .collect()
     }
 
     /// Waits until a server has room. `slots` is asked again at each look.
-    pub async fn admit(&self, world: &Runtime, request: Request<'_>, slots: impl Fn() -> Slots) -> Result<Permit<'_>, Refused> {
+    pub async fn admit(
+        &self,
+        world: &Runtime,
+        request: Request<'_>,
+        slots: impl Fn() -> Slots,
+    ) -> Result<Permit<'_>, Refused> {
         let (wake, woken) = async_channel::bounded(1);
-        let position = self.with(request.service, |queue| queue.join(&request, slots(), world.now(), wake))?;
-        let waiter = Waiter { admission: self, service: request.service, position };
+        let position = self.with(request.service, |queue| {
+            queue.join(&request, slots(), world.now(), wake)
+        })?;
+        let waiter = Waiter {
+            admission: self,
+            service: request.service,
+            position,
+        };
         loop {
             if self.try_admit(world, &request, position, &slots)? {
                 self.wake(request.service);
                 drop(waiter);
-                return Ok(Permit { admission: self, service: request.service.into() });
+                return Ok(Permit {
+                    admission: self,
+                    service: request.service.into(),
+                });
             }
             let now = world.now();
             let end = request.give_up_at();
             if now > end {
-                return Err(Refused { code: Code::TooLate, retry_after: BACK_SOON });
+                return Err(Refused {
+                    code: Code::TooLate,
+                    retry_after: BACK_SOON,
+                });
             }
-            world.timeout((end - now).clamp(MS, LOOK_AGAIN), woken.recv()).await;
+            world
+                .timeout((end - now).clamp(MS, LOOK_AGAIN), woken.recv())
+                .await;
         }
     }
 
-    /// Whether the request may go now; what has become hopeless is refused now, not when its time is up.
-    fn try_admit(&self, world: &Runtime, request: &Request, position: Position, slots: impl Fn() -> Slots) -> Result<bool, Refused> {
+    /// Whether the request may go now; what has become hopeless is refused now, not when its time
+    /// is up.
+    fn try_admit(
+        &self,
+        world: &Runtime,
+        request: &Request,
+        position: Position,
+        slots: impl Fn() -> Slots,
+    ) -> Result<bool, Refused> {
         self.with(request.service, |queue| {
-            // Read under the queue's lock: a request that reaches its server leaves the one count only after it is in the other.
+            // Read under the queue's lock: a request that reaches its server leaves the one count
+            // only after it is in the other.
             let slots = slots();
             if queue.is_first(position) && slots.free > queue.admitted {
                 queue.admit(position, world.now());
                 return Ok(true);
             }
-            let wait = if slots.all == 0 { 0 } else { queue.expected_wait(position, slots) };
+            let wait = if slots.all == 0 {
+                0
+            } else {
+                queue.expected_wait(position, slots)
+            };
             request.check_in_time(world.now(), wait)?;
             Ok(false)
         })
--- a/yewcross-proxy/src/back.rs
+++ b/yewcross-proxy/src/back.rs
@@ -35,24 +35,49 @@
 impl Back<Unverified> {
     pub async fn dial(runtime: &Runtime, to: SocketAddr) -> io::Result<Back<Unverified>> {
         let conn = runtime.connect_within(to, DIAL_WAIT).await?;
-        let who = Stamp { service: String::new(), server: String::new(), inst: 0, weights: String::new(), job: String::new() };
-        Ok(Back { conn, who, _s: PhantomData })
+        let who = Stamp {
+            service: String::new(),
+            server: String::new(),
+            inst: 0,
+            weights: String::new(),
+            job: String::new(),
+        };
+        Ok(Back {
+            conn,
+            who,
+            _s: PhantomData,
+        })
     }
 
     /// Only the server that the pick named, of the service that was meant, gets through.
-    pub async fn verify(self, runtime: &Runtime, service: &str, server: &str) -> io::Result<Back<Verified>> {
+    pub async fn verify(
+        self,
+        runtime: &Runtime,
+        service: &str,
+        server: &str,
+    ) -> io::Result<Back<Verified>> {
         let got = runtime
             .timeout(BACK_WAIT, async {
-                let mut r = buffered_http::exchange(&self.conn, Method::Get, "/identity", &[], vec![]).await?;
+                let mut r =
+                    buffered_http::exchange(&self.conn, Method::Get, "/identity", &[], vec![])
+                        .await?;
                 buffered_http::body(&mut r, 64 << 10).await
             })
             .await
             .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
-        let who: Stamp = serde_json::from_slice(&got).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
+        let who: Stamp = serde_json::from_slice(&got)
+            .map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
         if who.service != service || who.server != server {
-            return Err(io::Error::new(io::ErrorKind::PermissionDenied, "another identity"));
+            return Err(io::Error::new(
+                io::ErrorKind::PermissionDenied,
+                "another identity",
+            ));
         }
-        Ok(Back { conn: self.conn, who, _s: PhantomData })
+        Ok(Back {
+            conn: self.conn,
+            who,
+            _s: PhantomData,
+        })
     }
 }
 
@@ -69,11 +94,20 @@
 
     /// True if the stamp is this server's, in this life, for this job.
     pub fn stamped(&self, s: &Stamp, job: &str) -> bool {
-        s.service == self.who.service && s.server == self.who.server && s.inst == self.who.inst && s.job == job
+        s.service == self.who.service
+            && s.server == self.who.server
+            && s.inst == self.who.inst
+            && s.job == job
     }
 
     pub async fn send(&self, runtime: &Runtime, path: &str, body: Vec<u8>, us: u64) -> Sent {
-        match runtime.timeout(us, buffered_http::exchange(&self.conn, Method::Post, path, &[], body)).await {
+        match runtime
+            .timeout(
+                us,
+                buffered_http::exchange(&self.conn, Method::Post, path, &[], body),
+            )
+            .await
+        {
             Some(Ok(r)) => Sent::Answered(r),
             _ => Sent::Lost,
         }
@@ -92,7 +126,13 @@
 const IDLE_US: u64 = 10 * SEC;
 
 impl Pool {
-    pub async fn get(&self, runtime: &Runtime, service: &str, server: &str, to: SocketAddr) -> io::Result<Back<Verified>> {
+    pub async fn get(
+        &self,
+        runtime: &Runtime,
+        service: &str,
+        server: &str,
+        to: SocketAddr,
+    ) -> io::Result<Back<Verified>> {
         let t = runtime.now();
         let kept = {
             let mut g = self.idle.lock().unwrap();
@@ -101,15 +141,30 @@
             v.pop()
         };
         match kept {
-            // An idle connection may have died unseen; asking who is there again costs less than a lost job.
+            // An idle connection may have died unseen; asking who is there again costs less than a
+            // lost job.
             Some((_, b)) if b.who.service == service => {
-                let fresh = Back { conn: b.conn, who: b.who, _s: PhantomData::<Unverified> };
+                let fresh = Back {
+                    conn: b.conn,
+                    who: b.who,
+                    _s: PhantomData::<Unverified>,
+                };
                 match fresh.verify(runtime, service, server).await {
                     Ok(b) => Ok(b),
-                    Err(_) => Back::dial(runtime, to).await?.verify(runtime, service, server).await,
+                    Err(_) => {
+                        Back::dial(runtime, to)
+                            .await?
+                            .verify(runtime, service, server)
+                            .await
+                    }
                 }
             }
-            _ => Back::dial(runtime, to).await?.verify(runtime, service, server).await,
+            _ => {
+                Back::dial(runtime, to)
+                    .await?
+                    .verify(runtime, service, server)
+                    .await
+            }
         }
     }
 
@@ -138,13 +193,21 @@
     /// One whole line, or nothing if the stream ended, broke, or went silent.
     pub async fn next(&mut self, runtime: &Runtime, us: u64) -> Option<Vec<u8>> {
         let mut v = vec![];
-        let n = runtime.timeout(us, self.0.read_until(b'\n', &mut v)).await?.ok()?;
+        let n = runtime
+            .timeout(us, self.0.read_until(b'\n', &mut v))
+            .await?
+            .ok()?;
         (n > 0 && v.pop() == Some(b'\n')).then_some(v)
     }
 
     pub async fn drained(&mut self, runtime: &Runtime) -> bool {
         let mut v = vec![];
-        matches!(runtime.timeout(50 * MS, self.0.read_until(b'\n', &mut v)).await, Some(Ok(0)))
+        matches!(
+            runtime
+                .timeout(50 * MS, self.0.read_until(b'\n', &mut v))
+                .await,
+            Some(Ok(0))
+        )
     }
 }
 
@@ -160,9 +223,14 @@
     us: u64,
 ) -> Option<Vec<u8>> {
     let b = p.get(runtime, service, server, to).await.ok()?;
-    let Sent::Answered(mut r) = b.send(runtime, path, body, us).await else { return None };
+    let Sent::Answered(mut r) = b.send(runtime, path, body, us).await else {
+        return None;
+    };
     let ok = r.status().is_success();
-    let v = runtime.timeout(us, buffered_http::body(&mut r, FRAME_MAX)).await?.ok()?;
+    let v = runtime
+        .timeout(us, buffered_http::body(&mut r, FRAME_MAX))
+        .await?
+        .ok()?;
     p.put(runtime, b);
     ok.then_some(v)
 }
--- a/yewcross-proxy/src/balance/claim.rs
+++ b/yewcross-proxy/src/balance/claim.rs
@@ -37,9 +37,15 @@
         self.headed_at = now;
         let took = (now - self.at) as f64;
         let mut g = self.service.lock().unwrap();
-        g.usual = if g.usual == 0.0 { took } else { g.usual * 0.9 + took * 0.1 };
+        g.usual = if g.usual == 0.0 {
+            took
+        } else {
+            g.usual * 0.9 + took * 0.1
+        };
         if self.had_slot && self.tokens > 0 {
-            g.observed.reading.add((self.missing + self.reading_ahead) as f64, took);
+            g.observed
+                .reading
+                .add((self.missing + self.reading_ahead) as f64, took);
         }
         if let Some(s) = g.servers.get_mut(&self.to.server) {
             s.reading = s.reading.saturating_sub(self.missing);
@@ -64,7 +70,11 @@
         let took = self.w.now() - self.headed_at;
         if events > 1 && self.headed_at > 0 {
             let gap_us = took as f64 / (events - 1) as f64;
-            self.service.lock().unwrap().observed.streamed(events, gap_us, self.load);
+            self.service
+                .lock()
+                .unwrap()
+                .observed
+                .streamed(events, gap_us, self.load);
         }
     }
 
@@ -74,7 +84,10 @@
         if self.policies.has(Mechanism::ToldLoad) {
             let mut g = self.service.lock().unwrap();
             g.told_at = now;
-            g.servers.entry(self.to.server.clone()).or_default().told(running, waiting, slots, now);
+            g.servers
+                .entry(self.to.server.clone())
+                .or_default()
+                .told(running, waiting, slots, now);
         }
     }
 
@@ -83,7 +96,10 @@
         let now = self.w.now();
         let mut g = self.service.lock().unwrap();
         let pause = (g.usual / 4.0).clamp(FULL_PAUSE_LEAST as f64, FULL_PAUSE_MOST as f64) as u64;
-        g.servers.entry(self.to.server.clone()).or_default().full_until = now + pause;
+        g.servers
+            .entry(self.to.server.clone())
+            .or_default()
+            .full_until = now + pause;
     }
 
     pub fn failed(&self) {
@@ -97,7 +113,14 @@
     }
 
     fn server(&self, change: impl FnOnce(&mut ServerState)) {
-        change(self.service.lock().unwrap().servers.entry(self.to.server.clone()).or_default())
+        change(
+            self.service
+                .lock()
+                .unwrap()
+                .servers
+                .entry(self.to.server.clone())
+                .or_default(),
+        )
     }
 }
 
--- a/yewcross-proxy/src/balance/cost.rs
+++ b/yewcross-proxy/src/balance/cost.rs
@@ -22,19 +22,28 @@
     pub(super) fn work(&self, state: &ServerState, server: &str) -> f64 {
         let load = state.load(self.now);
         if self.need.engine.is_none() {
-            return self.usual.max(LEAST_USUAL) * (load + 1.0) / state.slots(self.need).max(1) as f64;
+            return self.usual.max(LEAST_USUAL) * (load + 1.0)
+                / state.slots(self.need).max(1) as f64;
         }
         let tokens = (state.missing(self.need, server, self.policies) + state.reading) as f64;
         tokens * self.token_us() + load * self.neighbour_us()
     }
 
     fn token_us(&self) -> f64 {
-        if self.policies.has(Mechanism::LearnedReading) { self.observed.reading.value() } else { ASSUMED_READING_US }
+        if self.policies.has(Mechanism::LearnedReading) {
+            self.observed.reading.value()
+        } else {
+            ASSUMED_READING_US
+        }
     }
 
     /// us that each request under way beside it adds.
     pub(super) fn neighbour_us(&self) -> f64 {
-        if self.policies.has(Mechanism::LearnedCrowding) { self.observed.neighbour_us() } else { ASSUMED_NEIGHBOUR_US }
+        if self.policies.has(Mechanism::LearnedCrowding) {
+            self.observed.neighbour_us()
+        } else {
+            ASSUMED_NEIGHBOUR_US
+        }
     }
 
     /// What a server of another zone costs more.
@@ -49,6 +58,10 @@
 
     /// What a server costs more to which no connection is kept.
     pub(super) fn dial(&self, is_kept: bool) -> f64 {
-        if is_kept || !self.policies.has(Mechanism::KeptConnection) { 0.0 } else { DIAL_COST }
+        if is_kept || !self.policies.has(Mechanism::KeptConnection) {
+            0.0
+        } else {
+            DIAL_COST
+        }
     }
 }
--- a/yewcross-proxy/src/balance/load.rs
+++ b/yewcross-proxy/src/balance/load.rs
@@ -15,12 +15,18 @@
 impl Load {
     /// What is left of a sum without one of its parts.
     pub fn less(self, part: Load) -> Load {
-        Load { in_flight: self.in_flight.saturating_sub(part.in_flight), ejected_by: self.ejected_by.saturating_sub(part.ejected_by) }
+        Load {
+            in_flight: self.in_flight.saturating_sub(part.in_flight),
+            ejected_by: self.ejected_by.saturating_sub(part.ejected_by),
+        }
     }
 }
 
 impl Sum for Load {
     fn sum<I: Iterator<Item = Load>>(parts: I) -> Load {
-        parts.fold(Load::default(), |a, b| Load { in_flight: a.in_flight + b.in_flight, ejected_by: a.ejected_by + b.ejected_by })
+        parts.fold(Load::default(), |a, b| Load {
+            in_flight: a.in_flight + b.in_flight,
+            ejected_by: a.ejected_by + b.ejected_by,
+        })
     }
 }
--- a/yewcross-proxy/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -1,7 +1,8 @@
 //! Which server takes a request.
 //!
-//! `server` holds what is known of one server, `observed` what a service's answers teach, `cost` ranks servers by it,
-//! `ejection` leaves ill ones out, `queue` orders those who wait, `claim` is a place that was taken.
+//! `server` holds what is known of one server, `observed` what a service's answers teach, `cost`
+//! ranks servers by it, `ejection` leaves ill ones out, `queue` orders those who wait, `claim` is a
+//! place that was taken.
 
 mod claim;
 mod cost;
@@ -56,7 +57,8 @@
     pub target_us: u64,
     /// Place in the queue: rank, then us of the world's clock by which it should be over.
     pub rank: (u8, u64),
-    /// Names the thing that it concerns, where a server that saw it lately does the work faster; else empty.
+    /// Names the thing that it concerns, where a server that saw it lately does the work faster;
+    /// else empty.
     pub affinity: String,
     /// Connections that we may have to one server.
     pub conns: u32,
@@ -80,14 +82,31 @@
 impl ServiceState {
     /// us until a place is due.
     fn due(&self, need: &Need, servers: usize, now: u64) -> u64 {
-        let most = self.servers.values().map(|s| s.slots(need)).max().unwrap_or(1).max(1);
+        let most = self
+            .servers
+            .values()
+            .map(|s| s.slots(need))
+            .max()
+            .unwrap_or(1)
+            .max(1);
         let slots = most as usize * servers.max(1);
-        let first_free = self.servers.values().map(|s| s.full_until.saturating_sub(now)).min().unwrap_or(0);
-        ((self.queue.len() + 1) as f64 * self.usual.max(LEAST_USUAL) / slots as f64) as u64 + first_free
+        let first_free = self
+            .servers
+            .values()
+            .map(|s| s.full_until.saturating_sub(now))
+            .min()
+            .unwrap_or(0);
+        ((self.queue.len() + 1) as f64 * self.usual.max(LEAST_USUAL) / slots as f64) as u64
+            + first_free
     }
 
     /// Those that are neither ejected nor silent; all where none is well.
-    fn sound<'a>(&self, servers: Vec<&'a ListedServer>, now: u64, policies: Policies) -> Vec<&'a ListedServer> {
+    fn sound<'a>(
+        &self,
+        servers: Vec<&'a ListedServer>,
+        now: u64,
+        policies: Policies,
+    ) -> Vec<&'a ListedServer> {
         let is_well = |server: &&&ListedServer| {
             let ejection = &self.servers[&server.server].ejection;
             let ejected = policies.has(Mechanism::Ejection) && ejection.is_ejected(now);
@@ -96,44 +115,87 @@
         };
         let sound: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
         let sound = if sound.is_empty() { servers } else { sound };
-        if policies.has(Mechanism::SharedEjection) { self.well_by_others(sound, now) } else { sound }
+        if policies.has(Mechanism::SharedEjection) {
+            self.well_by_others(sound, now)
+        } else {
+            sound
+        }
     }
 
-    /// Those that other fronts do not leave alone; all where that would be too few: what so many fail at is no server's own.
-    fn well_by_others<'a>(&self, servers: Vec<&'a ListedServer>, now: u64) -> Vec<&'a ListedServer> {
-        let is_well = |server: &&&ListedServer| !self.servers[&server.server].ejection.is_ejected_by_others(now);
+    /// Those that other fronts do not leave alone; all where that would be too few: what so many
+    /// fail at is no server's own.
+    fn well_by_others<'a>(
+        &self,
+        servers: Vec<&'a ListedServer>,
+        now: u64,
+    ) -> Vec<&'a ListedServer> {
+        let is_well = |server: &&&ListedServer| {
+            !self.servers[&server.server]
+                .ejection
+                .is_ejected_by_others(now)
+        };
         let well: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
-        if well.len() * 100 < servers.len() * (100 - EJECTED_MOST_PERCENT) { servers } else { well }
+        if well.len() * 100 < servers.len() * (100 - EJECTED_MOST_PERCENT) {
+            servers
+        } else {
+            well
+        }
     }
 }
 
 /// Fronts that all saw the same load must not all choose the same server. One of the two is near.
-fn two_at_random<'a>(runtime: &Runtime, need: &Need, free: Vec<&'a ListedServer>) -> Vec<&'a ListedServer> {
+fn two_at_random<'a>(
+    runtime: &Runtime,
+    need: &Need,
+    free: Vec<&'a ListedServer>,
+) -> Vec<&'a ListedServer> {
     if free.len() < 3 {
         return free;
     }
-    let near: Vec<usize> = (0..free.len()).filter(|i| free[*i].site == need.site).collect();
-    let first = near.get(runtime.random_index(near.len())).copied().unwrap_or_else(|| runtime.random_index(free.len()));
+    let near: Vec<usize> = (0..free.len())
+        .filter(|i| free[*i].site == need.site)
+        .collect();
+    let first = near
+        .get(runtime.random_index(near.len()))
+        .copied()
+        .unwrap_or_else(|| runtime.random_index(free.len()));
     let second = (first + 1 + runtime.random_index(free.len() - 1)) % free.len();
     vec![free[first], free[second]]
 }
 
-/// The one for the request's affinity key, of those that are free: the same at all fronts, by rendezvous hashing.
-fn affine<'a>(need: &Need, free: &[&'a ListedServer], policies: Policies) -> Option<&'a ListedServer> {
-    let is_asked = !need.affinity.is_empty() && need.engine.is_none() && policies.has(Mechanism::Affinity);
-    free.iter().copied().filter(|_| is_asked).max_by_key(|server| rendezvous_weight(&need.affinity, &server.server))
+/// The one for the request's affinity key, of those that are free: the same at all fronts, by
+/// rendezvous hashing.
+fn affine<'a>(
+    need: &Need,
+    free: &[&'a ListedServer],
+    policies: Policies,
+) -> Option<&'a ListedServer> {
+    let is_asked =
+        !need.affinity.is_empty() && need.engine.is_none() && policies.has(Mechanism::Affinity);
+    free.iter()
+        .copied()
+        .filter(|_| is_asked)
+        .max_by_key(|server| rendezvous_weight(&need.affinity, &server.server))
 }
 
 impl Balance {
     pub fn with(policies: Policies) -> Balance {
-        Balance { policies, ..Balance::default() }
+        Balance {
+            policies,
+            ..Balance::default()
+        }
     }
 
     fn service(&self, name: &str) -> Arc<Mutex<ServiceState>> {
         if let Some(state) = self.services.read().unwrap().get(name) {
             return state.clone();
         }
-        self.services.write().unwrap().entry(name.into()).or_default().clone()
+        self.services
+            .write()
+            .unwrap()
+            .entry(name.into())
+            .or_default()
+            .clone()
     }
 
     /// us from dispatch to the head at this service; 0 while unknown.
@@ -162,8 +224,10 @@
     ) -> Result<Claim, NoSeat> {
         let (service, now, policies) = (self.service(&n.service), runtime.now(), self.policies);
         let mut g = service.lock().unwrap();
-        let may: Vec<&ListedServer> =
-            servers.iter().filter(|s| s.service == n.service && !s.leaving && !tried.contains(&s.server)).collect();
+        let may: Vec<&ListedServer> = servers
+            .iter()
+            .filter(|s| s.service == n.service && !s.leaving && !tried.contains(&s.server))
+            .collect();
         for server in &may {
             g.servers.entry(server.server.clone()).or_default();
         }
@@ -171,28 +235,56 @@
         if sound.is_empty() {
             return Err(NoSeat::None);
         }
-        let is_free = |server: &&&ListedServer| !g.servers[&server.server].full(n, &server.server, now, g.usual, policies);
+        let is_free = |server: &&&ListedServer| {
+            !g.servers[&server.server].full(n, &server.server, now, g.usual, policies)
+        };
         let free: Vec<&ListedServer> = sound.iter().filter(is_free).copied().collect();
-        let pricing = Pricing { need: n, observed: &g.observed, usual: g.usual, now, policies };
+        let pricing = Pricing {
+            need: n,
+            observed: &g.observed,
+            usual: g.usual,
+            now,
+            policies,
+        };
         let work = |server: &ListedServer| pricing.work(&g.servers[&server.server], &server.server);
         let by_affinity = affine(n, &free, policies);
         let candidates = match n.engine.is_none() && policies.has(Mechanism::ChoiceOfTwo) {
             true => two_at_random(runtime, n, free),
             false => free,
         };
-        // Those that cost about the same take turns: what is known of the load is a little old, and the same at all fronts.
-        let jitter = if n.engine.is_some() { pricing.neighbour_us().max(1.0) as usize } else { 1 };
+        // Those that cost about the same take turns: what is known of the load is a little old, and
+        // the same at all fronts.
+        let jitter = if n.engine.is_some() {
+            pricing.neighbour_us().max(1.0) as usize
+        } else {
+            1
+        };
         let price = |server: &&&ListedServer| {
-            (work(server) + pricing.distance(&server.site) + pricing.dial(kept(&server.server))) as u64
+            (work(server) + pricing.distance(&server.site) + pricing.dial(kept(&server.server)))
+                as u64
                 + runtime.random_index(jitter) as u64
         };
         let Some(best) = candidates.iter().min_by_key(price).copied() else {
             return Err(NoSeat::Full(g.due(n, sound.len(), now)));
         };
-        let to = by_affinity.filter(|server| work(server) <= work(best) * AFFINITY_BOUND).unwrap_or(best).clone();
-        let state = g.servers.get_mut(&to.server).expect("every server has a state");
-        let missing = if n.engine.is_some() { state.missing(n, &to.server, policies) } else { 0 };
-        let tokens = if n.engine.is_some() { missing + n.output } else { 0 };
+        let to = by_affinity
+            .filter(|server| work(server) <= work(best) * AFFINITY_BOUND)
+            .unwrap_or(best)
+            .clone();
+        let state = g
+            .servers
+            .get_mut(&to.server)
+            .expect("every server has a state");
+        let missing = if n.engine.is_some() {
+            state.missing(n, &to.server, policies)
+        } else {
+            0
+        };
+        let tokens = if n.engine.is_some() {
+            missing + n.output
+        } else {
+            0
+        };
         let load = state.load(now);
         let had_slot = load < state.slots(n) as f64;
         let reading_ahead = state.reading;
@@ -201,14 +293,29 @@
         state.tokens += tokens;
         state.ejection.sent(now);
         drop(g);
-        Ok(Claim { service, w: runtime.clone(), policies, to, at: now, missing, reading_ahead, tokens, load, had_slot, headed_at: 0 })
+        Ok(Claim {
+            service,
+            w: runtime.clone(),
+            policies,
+            to,
+            at: now,
+            missing,
+            reading_ahead,
+            tokens,
+            load,
+            had_slot,
+            headed_at: 0,
+        })
     }
 
     /// Waits for a place to come free, until `until`; false if none did.
     pub async fn wait(&self, runtime: &Runtime, n: &Need, until: u64) -> bool {
         let rank = self.policies.has(Mechanism::WaitingOrder).then_some(n.rank);
         let rx = self.service(&n.service).lock().unwrap().queue.join(rank);
-        runtime.timeout(until.saturating_sub(runtime.now()), rx.recv()).await.is_some()
+        runtime
+            .timeout(until.saturating_sub(runtime.now()), rx.recv())
+            .await
+            .is_some()
     }
 
     /// What we have under way and whom we leave alone, by server.
@@ -217,13 +324,17 @@
         let mut loads = vec![];
         for service in services.values() {
             let g = service.lock().unwrap();
-            let all = g.servers.iter().map(|(server, state)| (server.clone(), state.own_load(now)));
+            let all = g
+                .servers
+                .iter()
+                .map(|(server, state)| (server.clone(), state.own_load(now)));
             loads.extend(all.filter(|(_, load)| *load != Load::default()));
         }
         loads
     }
 
-    /// Whether all services at which we have requests under way have servers that tell their load themselves.
+    /// Whether all services at which we have requests under way have servers that tell their load
+    /// themselves.
     pub fn is_told_load(&self, now: u64) -> bool {
         let services = self.services.read().unwrap();
         services.values().all(|service| {
@@ -238,7 +349,9 @@
         for service in self.services.read().unwrap().values() {
             let mut g = service.lock().unwrap();
             for (server, state) in &mut g.servers {
-                others(server).iter().for_each(|load| state.shared(*load, now));
+                others(server)
+                    .iter()
+                    .for_each(|load| state.shared(*load, now));
             }
         }
     }
@@ -247,7 +360,8 @@
     pub fn tidy(&self, listed: impl Fn(&str) -> bool) {
         for service in self.services.read().unwrap().values() {
             let mut g = service.lock().unwrap();
-            g.servers.retain(|server, state| state.in_flight > 0 || listed(server));
+            g.servers
+                .retain(|server, state| state.in_flight > 0 || listed(server));
             g.queue.tidy();
         }
     }
--- a/yewcross-proxy/src/balance/observed.rs
+++ b/yewcross-proxy/src/balance/observed.rs
@@ -1,9 +1,10 @@
-//! What a service's answers tell of its servers: the time that a token of a prompt takes to read, and by how much a
-//! request slows those beside it.
+//! What a service's answers tell of its servers: the time that a token of a prompt takes to read,
+//! and by how much a request slows those beside it.
 
 use yewcross_common::constants::*;
 
-/// Least squares of `y` over `x`, in which older samples count less, drawn towards a slope that is assumed at first.
+/// Least squares of `y` over `x`, in which older samples count less, drawn towards a slope that is
+/// assumed at first.
 #[derive(Clone, Debug)]
 pub struct Slope {
     assumed: f64,
@@ -17,13 +18,30 @@
 }
 
 impl Slope {
-    /// `spread` is the usual deviation of `x`; the assumed slope weighs as much as `SLOPE_PRIOR` samples of it.
+    /// `spread` is the usual deviation of `x`; the assumed slope weighs as much as `SLOPE_PRIOR`
+    /// samples of it.
     pub fn new(assumed: f64, spread: f64) -> Slope {
-        Slope { assumed, stiffness: SLOPE_PRIOR * spread * spread, n: 0.0, x: 0.0, y: 0.0, xx: 0.0, xy: 0.0 }
+        Slope {
+            assumed,
+            stiffness: SLOPE_PRIOR * spread * spread,
+            n: 0.0,
+            x: 0.0,
+            y: 0.0,
+            xx: 0.0,
+            xy: 0.0,
+        }
     }
 
     pub fn add(&mut self, x: f64, y: f64) {
-        [&mut self.n, &mut self.x, &mut self.y, &mut self.xx, &mut self.xy].into_iter().for_each(|sum| *sum *= SLOPE_DECAY);
+        [
+            &mut self.n,
+            &mut self.x,
+            &mut self.y,
+            &mut self.xx,
+            &mut self.xy,
+        ]
+        .into_iter()
+        .for_each(|sum| *sum *= SLOPE_DECAY);
         self.n += 1.0;
         self.x += x;
         self.y += y;
@@ -69,7 +87,11 @@
     /// A stream of so many events came to its end, `gap_us` apart, beside `load` others.
     pub fn streamed(&mut self, events: u64, gap_us: f64, load: f64) {
         self.events = self.events * SLOPE_DECAY + events as f64 * (1.0 - SLOPE_DECAY);
-        self.pause = if self.pause == 0.0 { gap_us } else { self.pause * SLOPE_DECAY + gap_us * (1.0 - SLOPE_DECAY) };
+        self.pause = if self.pause == 0.0 {
+            gap_us
+        } else {
+            self.pause * SLOPE_DECAY + gap_us * (1.0 - SLOPE_DECAY)
+        };
         self.crowding.add(load, gap_us);
     }
 
--- a/yewcross-proxy/src/balance/queue.rs
+++ b/yewcross-proxy/src/balance/queue.rs
@@ -1,6 +1,7 @@
 //! Requests that wait for a place at a service.
 
-/// Place in the order: the route's rank, the time by which it should be over, and the order of arrival.
+/// Place in the order: the route's rank, the time by which it should be over, and the order of
+/// arrival.
 pub(super) type Order = (u8, u64, u64);
 
 struct Waiter {
@@ -25,14 +26,19 @@
         let (tx, rx) = async_channel::bounded(1);
         self.next += 1;
         let (first, second) = rank.unwrap_or_default();
-        self.waiters.push(Waiter { order: (first, second, self.next), tx });
+        self.waiters.push(Waiter {
+            order: (first, second, self.next),
+            tx,
+        });
         rx
     }
 
     /// Lets the first one in that is still there.
     pub(super) fn wake(&mut self) {
         while !self.waiters.is_empty() {
-            let first = (0..self.waiters.len()).min_by_key(|i| self.waiters[*i].order).unwrap_or(0);
+            let first = (0..self.waiters.len())
+                .min_by_key(|i| self.waiters[*i].order)
+                .unwrap_or(0);
             if self.waiters.swap_remove(first).tx.try_send(()).is_ok() {
                 return;
             }
--- a/yewcross-proxy/src/balance/server.rs
+++ b/yewcross-proxy/src/balance/server.rs
@@ -23,7 +23,8 @@
     held_tokens: u64,
 }
 
-/// Requests of other fronts under way: as last heard, and their mean, towards which what was heard fades.
+/// Requests of other fronts under way: as last heard, and their mean, towards which what was heard
+/// fades.
 #[derive(Default)]
 struct Others {
     last: f64,
@@ -33,7 +34,11 @@
 
 impl Others {
     fn heard(&mut self, count: f64, now: u64) {
-        self.mean = if self.at == 0 { count } else { self.mean * 0.9 + count * 0.1 };
+        self.mean = if self.at == 0 {
+            count
+        } else {
+            self.mean * 0.9 + count * 0.1
+        };
         (self.last, self.at) = (count, now);
     }
 
@@ -49,7 +54,10 @@
 impl ServerState {
     /// The server told its load in an answer to one of our requests.
     pub(super) fn told(&mut self, running: u32, waiting: u32, slots: u32, now: u64) {
-        self.others.heard((running + waiting).saturating_sub(self.in_flight.saturating_sub(1)) as f64, now);
+        self.others.heard(
+            (running + waiting).saturating_sub(self.in_flight.saturating_sub(1)) as f64,
+            now,
+        );
         self.slots = slots;
     }
 
@@ -63,7 +71,10 @@
     }
 
     pub(super) fn own_load(&self, now: u64) -> Load {
-        Load { in_flight: self.in_flight, ejected_by: self.ejection.is_ejected(now) as u32 }
+        Load {
+            in_flight: self.in_flight,
+            ejected_by: self.ejection.is_ejected(now) as u32,
+        }
     }
 
     /// Requests under way here, ours and those of others.
@@ -72,17 +83,30 @@
     }
 
     pub(super) fn slots(&self, need: &Need) -> u32 {
-        if self.slots > 0 { self.slots } else { need.engine.as_ref().map_or(0, |e| e.slots) }
+        if self.slots > 0 {
+            self.slots
+        } else {
+            need.engine.as_ref().map_or(0, |e| e.slots)
+        }
     }
 
     /// Tokens of the prompt that it would have to read.
     pub(super) fn missing(&self, need: &Need, server: &str, policies: Policies) -> u64 {
         let is_held = |part: &&(u64, u64)| self.held.as_ref().is_some_and(|h| h.contains(&part.0));
         let by_parts: u64 = match policies.has(Mechanism::PrefixPlacement) {
-            true => need.parts.iter().take_while(is_held).map(|part| part.1).sum(),
+            true => need
+                .parts
+                .iter()
+                .take_while(is_held)
+                .map(|part| part.1)
+                .sum(),
             false => 0,
         };
-        let by_turn = if need.prev == server && policies.has(Mechanism::PreviousServer) { need.prev_tokens } else { 0 };
+        let by_turn = if need.prev == server && policies.has(Mechanism::PreviousServer) {
+            need.prev_tokens
+        } else {
+            0
+        };
         need.prompt.saturating_sub(by_parts.max(by_turn))
     }
 
@@ -99,11 +123,21 @@
         }
     }
 
-    /// Whether it should not be sent another request now. `usual` is the time from dispatch to the head (us).
-    pub(super) fn full(&self, need: &Need, server: &str, now: u64, usual: f64, policies: Policies) -> bool {
-        let crowded = policies.has(Mechanism::FullServers) && (now < self.full_until || self.slots_taken(need, now, usual));
+    /// Whether it should not be sent another request now. `usual` is the time from dispatch to the
+    /// head (us).
+    pub(super) fn full(
+        &self,
+        need: &Need,
+        server: &str,
+        now: u64,
+        usual: f64,
+        policies: Policies,
+    ) -> bool {
+        let crowded = policies.has(Mechanism::FullServers)
+            && (now < self.full_until || self.slots_taken(need, now, usual));
         let linked = policies.has(Mechanism::ConnectionBound) && self.in_flight >= need.conns;
-        let no_memory = policies.has(Mechanism::MemoryBound) && self.memory_taken(need, server, now, policies);
+        let no_memory =
+            policies.has(Mechanism::MemoryBound) && self.memory_taken(need, server, now, policies);
         crowded || linked || no_memory
     }
 
@@ -117,9 +151,12 @@
     }
 
     fn memory_taken(&self, need: &Need, server: &str, now: u64, policies: Policies) -> bool {
-        let Some(engine) = need.engine.as_ref().filter(|_| self.in_flight > 0) else { return false };
+        let Some(engine) = need.engine.as_ref().filter(|_| self.in_flight > 0) else {
+            return false;
+        };
         let each = self.tokens as f64 / self.in_flight as f64;
         let taken = self.tokens as f64 + self.others.at(now) * each;
-        taken + (self.missing(need, server, policies) + need.output) as f64 > engine.cache_tokens as f64
+        taken + (self.missing(need, server, policies) + need.output) as f64
+            > engine.cache_tokens as f64
     }
 }
--- a/yewcross-proxy/src/judge.rs
+++ b/yewcross-proxy/src/judge.rs
@@ -40,7 +40,12 @@
 
 impl From<&ProgramClass> for Weights {
     fn from(f: &ProgramClass) -> Weights {
-        Weights { load: f.judge_load, standing: f.judge_standing, prefix: f.judge_prefix, site: f.judge_site }
+        Weights {
+            load: f.judge_load,
+            standing: f.judge_standing,
+            prefix: f.judge_prefix,
+            site: f.judge_site,
+        }
     }
 }
 
@@ -59,12 +64,17 @@
 
 /// What of the prompt the server would not have to read again, and how it would come by it.
 pub fn warmth(s: &Server, c: &Case) -> Warmth {
-    let placed = c.kv.home.iter().chain(c.kv.replica.iter().filter(|p| p.placed_tokens > 0));
+    let placed =
+        c.kv.home
+            .iter()
+            .chain(c.kv.replica.iter().filter(|p| p.placed_tokens > 0));
     let held = placed.filter(|p| s.holds(p)).map(|p| p.tokens).max();
-    let stored =
-        c.kv.replica.as_ref().filter(|p| {
-            !p.digest.is_empty() && p.server == s.at.server && p.instance == s.report.instance && p.weights == s.report.weights
-        });
+    let stored = c.kv.replica.as_ref().filter(|p| {
+        !p.digest.is_empty()
+            && p.server == s.at.server
+            && p.instance == s.report.instance
+            && p.weights == s.report.weights
+    });
     match (held, stored) {
         (Some(t), _) => Warmth::Held(t.min(c.tokens)),
         (None, Some(p)) if pays(s, p) => Warmth::Import(p.clone()),
@@ -78,7 +88,8 @@
         Warmth::Held(t) => *t,
         Warmth::Import(_) | Warmth::Cold => 0,
     };
-    prefill(s, c.tokens.saturating_sub(saved)).saturating_add(c.max_out * s.report.decode_us_per_token)
+    prefill(s, c.tokens.saturating_sub(saved))
+        .saturating_add(c.max_out * s.report.decode_us_per_token)
 }
 
 fn load(s: &Server) -> u64 {
@@ -106,11 +117,15 @@
 
 pub fn vote(s: &Server, c: &Case, w: &Weights) -> (u64, Warmth) {
     let m = warmth(s, c);
-    let v = w.load * load(s) + w.standing * standing(s) + w.prefix * prefix(c, &m) + w.site * site(s, c);
+    let v = w.load * load(s)
+        + w.standing * standing(s)
+        + w.prefix * prefix(c, &m)
+        + w.site * site(s, c);
     (v, m)
 }
 
-/// The best server with room that can finish in time. Near-equal votes fall to the rendezvous hash, so fronts do not herd.
+/// The best server with room that can finish in time. Near-equal votes fall to the rendezvous hash,
+/// so fronts do not herd.
 pub fn pick(servers: &[Server], c: &Case, w: &Weights, not: &[String]) -> Option<Pick> {
     servers
         .iter()
@@ -119,19 +134,35 @@
             let (v, m) = vote(s, c, w);
             let t = takes(s, c, &m);
             (t <= c.left).then(|| {
-                (v / 4096, yewcross_common::hash::rendezvous_weight(c.key, &s.at.server), Pick { server: s.clone(), warmth: m, takes: t })
+                (
+                    v / 4096,
+                    yewcross_common::hash::rendezvous_weight(c.key, &s.at.server),
+                    Pick {
+                        server: s.clone(),
+                        warmth: m,
+                        takes: t,
+                    },
+                )
             })
         })
         .max_by_key(|x| (x.0, x.1))
         .map(|x| x.2)
 }
 
-/// Where the session would go were its home away: the judges' own pick without it, occupancy left out so that it stays put.
+/// Where the session would go were its home away: the judges' own pick without it, occupancy left
+/// out so that it stays put.
 pub fn spill<'a>(servers: &'a [Server], key: &str, home: &Home, w: &Weights) -> Option<&'a Server> {
-    servers.iter().filter(|s| s.at.server != home.server && s.report.cache_tokens > 0).max_by_key(|s| {
-        let near = (s.at.site == home.site) as u64;
-        (w.standing * standing(s) / 4096, near * w.site, yewcross_common::hash::rendezvous_weight(key, &s.at.server))
-    })
+    servers
+        .iter()
+        .filter(|s| s.at.server != home.server && s.report.cache_tokens > 0)
+        .max_by_key(|s| {
+            let near = (s.at.site == home.site) as u64;
+            (
+                w.standing * standing(s) / 4096,
+                near * w.site,
+                yewcross_common::hash::rendezvous_weight(key, &s.at.server),
+            )
+        })
 }
 
 pub struct Home {
@@ -145,8 +176,13 @@
     use yewcross_common::protocol::{ListedServer, LoadReport};
 
     fn server(n: &str, site: &str, running: u32) -> Server {
-        let at =
-            ListedServer { server: n.into(), service: "llm".into(), addr: ([127, 0, 0, 1], 1).into(), site: site.into(), leaving: false };
+        let at = ListedServer {
+            server: n.into(),
+            service: "llm".into(),
+            addr: ([127, 0, 0, 1], 1).into(),
+            site: site.into(),
+            leaving: false,
+        };
         let report = LoadReport {
             server: n.into(),
             instance: 1,
@@ -157,7 +193,13 @@
             decode_us_per_token: 1000,
             ..Default::default()
         };
-        Server { at, report, age: 0, mine: 0, slow: 0 }
+        Server {
+            at,
+            report,
+            age: 0,
+            mine: 0,
+            slow: 0,
+        }
     }
 
     #[test]
@@ -170,22 +212,50 @@
             digest: "x".into(),
             placed_tokens: 0,
         };
-        let kv = SessionCacheState { home: Some(place("m1")), replica: Some(place("m2")), program: "p".into() };
-        let c = Case { key: "k", site: "a", tokens: 11_000, max_out: 50, kv: &kv, left: 6_000_000 };
+        let kv = SessionCacheState {
+            home: Some(place("m1")),
+            replica: Some(place("m2")),
+            program: "p".into(),
+        };
+        let c = Case {
+            key: "k",
+            site: "a",
+            tokens: 11_000,
+            max_out: 50,
+            kv: &kv,
+            left: 6_000_000,
+        };
         let w = Weights::from(&ProgramClass::default());
-        let mut v = vec![server("m1", "a", 1), server("m2", "a", 0), server("m3", "a", 0)];
+        let mut v = vec![
+            server("m1", "a", 1),
+            server("m2", "a", 0),
+            server("m3", "a", 0),
+        ];
         let p = pick(&v, &c, &w, &[]).unwrap();
-        assert_eq!((p.server.at.server.as_str(), p.warmth), ("m1", Warmth::Held(10_000)));
+        assert_eq!(
+            (p.server.at.server.as_str(), p.warmth),
+            ("m1", Warmth::Held(10_000))
+        );
         v[0].report.running = 4;
         let p = pick(&v, &c, &w, &[]).unwrap();
-        assert_eq!((p.server.at.server.as_str(), p.warmth), ("m2", Warmth::Import(place("m2"))));
+        assert_eq!(
+            (p.server.at.server.as_str(), p.warmth),
+            ("m2", Warmth::Import(place("m2")))
+        );
         v[1].report.instance = 2;
         let p = pick(&v, &c, &w, &[]).unwrap();
         assert_eq!(p.warmth, Warmth::Cold);
         v[0].report.running = 1;
         v[0].report.placed_tokens = 95_000;
-        assert_eq!(pick(&v, &c, &w, &[]).unwrap().warmth, Warmth::Cold, "evicted by what was placed since");
-        let short = Case { left: 1_000_000, ..c };
+        assert_eq!(
+            pick(&v, &c, &w, &[]).unwrap().warmth,
+            Warmth::Cold,
+            "evicted by what was placed since"
+        );
+        let short = Case {
+            left: 1_000_000,
+            ..c
+        };
         assert!(pick(&v, &short, &w, &[]).is_none());
     }
 }
--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -39,7 +39,8 @@
     pub placed: u64,
 }
 
-/// A session whose last turn this front ran: it holds the session's transfer state until a turn begins elsewhere.
+/// A session whose last turn this front ran: it holds the session's transfer state until a turn
+/// begins elsewhere.
 #[derive(Clone, Debug)]
 pub struct Spare {
     pub epoch: u64,
@@ -100,13 +101,22 @@
     /// A turn that ended here.
     pub fn ran(&self, key: &str, epoch: u64, kv: &SessionCacheState) {
         let mut g = self.shard(key).lock().unwrap();
-        let s = g.get_or_insert_mut(key.to_string(), || Spare { epoch, kv: kv.clone(), placed: vec![] });
+        let s = g.get_or_insert_mut(key.to_string(), || Spare {
+            epoch,
+            kv: kv.clone(),
+            placed: vec![],
+        });
         (s.epoch, s.kv) = (epoch, kv.clone());
         kv.home.iter().for_each(|h| place(&mut s.placed, h));
     }
 
     fn imported(&self, key: &str, p: &CachedPrefix) {
-        self.shard(key).lock().unwrap().peek_mut(key).into_iter().for_each(|s| place(&mut s.placed, p));
+        self.shard(key)
+            .lock()
+            .unwrap()
+            .peek_mut(key)
+            .into_iter()
+            .for_each(|s| place(&mut s.placed, p));
     }
 
     pub fn forget(&self, key: &str) {
@@ -116,30 +126,56 @@
     fn flows(&self, t: u64, servers: &[server_table::Server]) {
         let mut g = self.flow.lock().unwrap();
         g.retain(|n, _| servers.iter().any(|s| s.at.server == *n));
-        servers.iter().filter(|s| s.report.cache_tokens > 0).for_each(|s| {
-            let (inst, placed) = (s.report.instance, s.report.placed_tokens);
-            let e = g.entry(s.at.server.clone()).or_default();
-            if e.inst != inst {
-                *e = Flow { inst, since: t, from: placed, last: None };
-            } else if t >= e.since + KV_FLOW_OVER {
-                *e = Flow { inst, since: t, from: placed, last: Some(placed.saturating_sub(e.from)) };
-            }
-        });
+        servers
+            .iter()
+            .filter(|s| s.report.cache_tokens > 0)
+            .for_each(|s| {
+                let (inst, placed) = (s.report.instance, s.report.placed_tokens);
+                let e = g.entry(s.at.server.clone()).or_default();
+                if e.inst != inst {
+                    *e = Flow {
+                        inst,
+                        since: t,
+                        from: placed,
+                        last: None,
+                    };
+                } else if t >= e.since + KV_FLOW_OVER {
+                    *e = Flow {
+                        inst,
+                        since: t,
+                        from: placed,
+                        last: Some(placed.saturating_sub(e.from)),
+                    };
+                }
+            });
     }
 
     /// Whether what is placed there now is likely to stand for `KV_STANDS`.
     fn roomy(&self, s: &server_table::Server, tokens: u64) -> bool {
         let g = self.flow.lock().unwrap();
-        let Some(e) = g.get(&s.at.server).filter(|e| e.inst == s.report.instance) else { return false };
-        let fast = s.report.placed_tokens.saturating_sub(e.from).max(e.last.unwrap_or(0));
-        fast.saturating_mul(KV_STANDS / KV_FLOW_OVER).saturating_add(tokens) <= s.report.cache_tokens
+        let Some(e) = g.get(&s.at.server).filter(|e| e.inst == s.report.instance) else {
+            return false;
+        };
+        let fast = s
+            .report
+            .placed_tokens
+            .saturating_sub(e.from)
+            .max(e.last.unwrap_or(0));
+        fast.saturating_mul(KV_STANDS / KV_FLOW_OVER)
+            .saturating_add(tokens)
+            <= s.report.cache_tokens
     }
 
     /// Sessions whose home is one of these, the latest used of each shard first.
     fn homed(&self, at: &BTreeSet<String>) -> Vec<(String, Spare)> {
         let mine = |s: &Spare| s.kv.home.as_ref().is_some_and(|h| at.contains(&h.server));
         let of = |m: &Mutex<LruCache<String, Spare>>| {
-            m.lock().unwrap().iter().filter(|x| mine(x.1)).map(|(k, s)| (k.clone(), s.clone())).collect::<Vec<_>>()
+            m.lock()
+                .unwrap()
+                .iter()
+                .filter(|x| mine(x.1))
+                .map(|(k, s)| (k.clone(), s.clone()))
+                .collect::<Vec<_>>()
         };
         self.shards.iter().flat_map(of).collect()
     }
@@ -151,30 +187,51 @@
     v.truncate(KV_PLACES);
 }
 
-/// The record's state and what this front saw itself: an import made ahead, or a prefix that a turn or an import placed
-/// at the replica's server and that covers most of it. Whether it is still held is for the judges. A place without a digest is
-/// a held prefix alone: nothing stands there that could be imported.
+/// The record's state and what this front saw itself: an import made ahead, or a prefix that a turn
+/// or an import placed at the replica's server and that covers most of it. Whether it is still held
+/// is for the judges. A place without a digest is a held prefix alone: nothing stands there that
+/// could be imported.
 pub fn known(f: &Front, key: &str, kv: &SessionCacheState) -> SessionCacheState {
     let away = |p: &&CachedPrefix| kv.home.as_ref().is_none_or(|h| h.server != p.server);
     let pushed = f.replicas.lock().unwrap().get(key).filter(away).cloned();
     let placed = f.spares.get(key).map(|s| s.placed).unwrap_or_default();
     let Some(r) = pushed.or(kv.replica.clone()) else {
         // Nothing stands anywhere; yet the home before may still hold most of it.
-        let most = |p: &&CachedPrefix| kv.home.as_ref().is_some_and(|h| h.weights == p.weights && p.tokens * 100 >= h.tokens * KV_WARM);
-        let before = placed.iter().filter(away).find(most).map(|p| CachedPrefix { digest: String::new(), ..p.clone() });
-        return SessionCacheState { replica: before, ..kv.clone() };
+        let most = |p: &&CachedPrefix| {
+            kv.home
+                .as_ref()
+                .is_some_and(|h| h.weights == p.weights && p.tokens * 100 >= h.tokens * KV_WARM)
+        };
+        let before = placed.iter().filter(away).find(most).map(|p| CachedPrefix {
+            digest: String::new(),
+            ..p.clone()
+        });
+        return SessionCacheState {
+            replica: before,
+            ..kv.clone()
+        };
     };
     let covers = |p: &&CachedPrefix| {
-        (&p.server, p.instance, &p.weights) == (&r.server, r.instance, &r.weights) && p.tokens * 100 >= r.tokens * KV_WARM
+        (&p.server, p.instance, &p.weights) == (&r.server, r.instance, &r.weights)
+            && p.tokens * 100 >= r.tokens * KV_WARM
     };
-    let p = Some(r.clone()).filter(|r| r.placed_tokens > 0).or_else(|| placed.iter().find(covers).cloned());
+    let p = Some(r.clone())
+        .filter(|r| r.placed_tokens > 0)
+        .or_else(|| placed.iter().find(covers).cloned());
     SessionCacheState {
-        replica: p.map(|p| CachedPrefix { tokens: p.tokens, placed_tokens: p.placed_tokens, ..r.clone() }).or(Some(r)),
+        replica: p
+            .map(|p| CachedPrefix {
+                tokens: p.tokens,
+                placed_tokens: p.placed_tokens,
+                ..r.clone()
+            })
+            .or(Some(r)),
         ..kv.clone()
     }
 }
 
-/// A turn begins here under this epoch: what was known of the session is void if other turns began elsewhere since.
+/// A turn begins here under this epoch: what was known of the session is void if other turns began
+/// elsewhere since.
 pub fn begins(front: &Front, key: &str, epoch: u64) {
     if front.spares.get(key).is_some_and(|s| s.epoch + 1 < epoch) {
         front.spares.forget(key);
@@ -182,7 +239,8 @@
     }
 }
 
-/// Has a replica brought into its server's cache ahead of need, one at a time at each server. Nobody waits for it.
+/// Has a replica brought into its server's cache ahead of need, one at a time at each server.
+/// Nobody waits for it.
 pub fn ahead(front: &Arc<Front>, x: Due, first: bool) {
     let to = x.replica.server.clone();
     let mut g = front.spares.due.lock().unwrap();
@@ -216,13 +274,34 @@
 
 /// Whatever goes wrong, the session's next turn there is served cold.
 async fn bring(front: &Arc<Front>, x: Due) {
-    let Due { key, service, replica, tell } = x;
-    let newer = front.replicas.lock().unwrap().get(&key).is_some_and(|p| p.digest != replica.digest);
+    let Due {
+        key,
+        service,
+        replica,
+        tell,
+    } = x;
+    let newer = front
+        .replicas
+        .lock()
+        .unwrap()
+        .get(&key)
+        .is_some_and(|p| p.digest != replica.digest);
     let servers = server_table::fit(front, &service);
-    let Some(s) = servers.iter().find(|s| s.at.server == replica.server && s.report.instance == replica.instance).filter(|_| !newer) else {
+    let Some(s) = servers
+        .iter()
+        .find(|s| s.at.server == replica.server && s.report.instance == replica.instance)
+        .filter(|_| !newer)
+    else {
         return;
     };
-    let kv = known(front, &key, &SessionCacheState { replica: Some(replica.clone()), ..Default::default() });
+    let kv = known(
+        front,
+        &key,
+        &SessionCacheState {
+            replica: Some(replica.clone()),
+            ..Default::default()
+        },
+    );
     if let Some(p) = kv.replica.filter(|p| p.placed_tokens > 0 && s.holds(p)) {
         front.counts.imports_skipped.fetch_add(1, SeqCst);
         return stands(front, &key, p, tell).await;
@@ -230,44 +309,106 @@
     if s.report.weights != replica.weights || !judge::pays(s, &replica) {
         return;
     }
-    let body = serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
+    let body =
+        serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
     front.counts.imports.fetch_add(1, SeqCst);
     let t0 = front.runtime.now();
-    let got = back::ask_once(&front.runtime, &front.pool, &service, &replica.server, s.at.addr, "/kv/import", body, KV_IMPORT_WAIT).await;
-    front.counts.import_us.fetch_add(front.runtime.now() - t0, SeqCst);
-    let Some(i) = got.and_then(|b| serde_json::from_slice::<Imported>(&b).ok()).filter(|i| i.ok) else {
+    let got = back::ask_once(
+        &front.runtime,
+        &front.pool,
+        &service,
+        &replica.server,
+        s.at.addr,
+        "/kv/import",
+        body,
+        KV_IMPORT_WAIT,
+    )
+    .await;
+    front
+        .counts
+        .import_us
+        .fetch_add(front.runtime.now() - t0, SeqCst);
+    let Some(i) = got
+        .and_then(|b| serde_json::from_slice::<Imported>(&b).ok())
+        .filter(|i| i.ok)
+    else {
         front.counts.imports_failed.fetch_add(1, SeqCst);
         return;
     };
     // The count from before the import errs to the safe side.
-    let p = CachedPrefix { placed_tokens: if i.placed > 0 { i.placed } else { s.report.placed_tokens.max(1) }, ..replica };
+    let p = CachedPrefix {
+        placed_tokens: if i.placed > 0 {
+            i.placed
+        } else {
+            s.report.placed_tokens.max(1)
+        },
+        ..replica
+    };
     front.spares.imported(&key, &p);
     stands(front, &key, p, tell).await;
 }
 
-/// The replica is in its server's cache: kept in mind and, where others have to know, told to the record.
+/// The replica is in its server's cache: kept in mind and, where others have to know, told to the
+/// record.
 async fn stands(front: &Arc<Front>, key: &str, p: CachedPrefix, tell: bool) {
-    if front.replicas.lock().unwrap().get(key).is_some_and(|o| o.digest != p.digest) {
+    if front
+        .replicas
+        .lock()
+        .unwrap()
+        .get(key)
+        .is_some_and(|o| o.digest != p.digest)
+    {
         return;
     }
     remember(front, key, &p);
-    if let Some(s) = front.spares.get(key).filter(|s| tell && s.kv.replica.as_ref() != Some(&p)) {
-        note(front, key, s.epoch, SessionCacheState { replica: Some(p), ..s.kv }).await;
+    if let Some(s) = front
+        .spares
+        .get(key)
+        .filter(|s| tell && s.kv.replica.as_ref() != Some(&p))
+    {
+        note(
+            front,
+            key,
+            s.epoch,
+            SessionCacheState {
+                replica: Some(p),
+                ..s.kv
+            },
+        )
+        .await;
     }
 }
 
-/// Writes transfer state into the record. Refused once a later turn has begun; then that turn's front holds it.
+/// Writes transfer state into the record. Refused once a later turn has begun; then that turn's
+/// front holds it.
 async fn note(front: &Arc<Front>, key: &str, epoch: u64, kv: SessionCacheState) {
-    let told = front.store(key, &PeerRequest::RecordCacheState { key: key.into(), epoch, cache: kv }, &[], 2).await;
+    let told = front
+        .store(
+            key,
+            &PeerRequest::RecordCacheState {
+                key: key.into(),
+                epoch,
+                cache: kv,
+            },
+            &[],
+            2,
+        )
+        .await;
     if !matches!(told, Some((PeerResponse::Ok, _))) {
         front.counts.note_refused.fetch_add(1, SeqCst);
     }
 }
 
-/// Sessions whose home has begun to leave or has fallen silent since the last look: their replicas are brought in.
+/// Sessions whose home has begun to leave or has fallen silent since the last look: their replicas
+/// are brought in.
 pub fn watch(front: &Arc<Front>) {
     let conf = front.documents.config.load_full();
-    let servers: Vec<server_table::Server> = conf.1.services.keys().flat_map(|s| server_table::fit(front, s)).collect();
+    let servers: Vec<server_table::Server> = conf
+        .1
+        .services
+        .keys()
+        .flat_map(|s| server_table::fit(front, s))
+        .collect();
     front.spares.flows(front.runtime.now(), &servers);
     let fit: BTreeSet<String> = servers.into_iter().map(|s| s.at.server).collect();
     let was = std::mem::replace(&mut *front.spares.fit.lock().unwrap(), fit.clone());
@@ -276,29 +417,73 @@
         return;
     }
     front.spares.homed(&gone).into_iter().for_each(|(key, s)| {
-        let replica = front.replicas.lock().unwrap().get(&key).cloned().or(s.kv.replica);
-        let fam = conf.1.families.get(&s.kv.program).filter(|p| p.eff.kv_share);
+        let replica = front
+            .replicas
+            .lock()
+            .unwrap()
+            .get(&key)
+            .cloned()
+            .or(s.kv.replica);
+        let fam = conf
+            .1
+            .families
+            .get(&s.kv.program)
+            .filter(|p| p.eff.kv_share);
         replica.zip(fam).into_iter().for_each(|(replica, p)| {
-            ahead(front, Due { key: key.clone(), service: p.eff.service.clone(), replica, tell: true }, false);
+            ahead(
+                front,
+                Due {
+                    key: key.clone(),
+                    service: p.eff.service.clone(),
+                    replica,
+                    tell: true,
+                },
+                false,
+            );
         });
     });
 }
 
-/// A replica has just arrived: it is brought in at once where the target's cache turns over slowly, and else where the home
-/// is nearly full, or no longer takes turns, and the target has places.
+/// A replica has just arrived: it is brought in at once where the target's cache turns over slowly,
+/// and else where the home is nearly full, or no longer takes turns, and the target has places.
 fn after(f: &Arc<Front>, x: &Fresh, replica: CachedPrefix) {
     let servers = server_table::fit(f, &x.fam.service);
     let at = |n: &str| servers.iter().find(|s| s.at.server == n);
-    let full = |s: &server_table::Server| s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL;
-    let Some(to) = at(&replica.server) else { return };
-    let press = x.kv.home.as_ref().and_then(|h| at(&h.server)).is_none_or(full) && !full(to);
+    let full = |s: &server_table::Server| {
+        s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL
+    };
+    let Some(to) = at(&replica.server) else {
+        return;
+    };
+    let press =
+        x.kv.home
+            .as_ref()
+            .and_then(|h| at(&h.server))
+            .is_none_or(full)
+            && !full(to);
     if press || f.spares.roomy(to, replica.tokens) {
-        ahead(f, Due { key: x.key.clone(), service: x.fam.service.clone(), replica, tell: press }, false);
+        ahead(
+            f,
+            Due {
+                key: x.key.clone(),
+                service: x.fam.service.clone(),
+                replica,
+                tell: press,
+            },
+            false,
+        );
     }
 }
 
 /// How a finished turn began: counted for all turns and for those that changed server.
-pub fn count(f: &Front, fam: &ProgramClass, kv: &SessionCacheState, server: &str, prompt: u64, reused: u64) {
+pub fn count(
+    f: &Front,
+    fam: &ProgramClass,
+    kv: &SessionCacheState,
+    server: &str,
+    prompt: u64,
+    reused: u64,
+) {
     let moved = kv.home.as_ref().is_some_and(|h| h.server != server);
     let pct = reused.saturating_mul(100) / prompt.max(1);
     let c = &f.counts;
@@ -310,7 +495,10 @@
     all.fetch_add(1, SeqCst);
     if moved {
         // Short prompts have no replica by design.
-        let short = kv.home.as_ref().is_some_and(|h| h.tokens < fam.kv_min_tokens);
+        let short = kv
+            .home
+            .as_ref()
+            .is_some_and(|h| h.tokens < fam.kv_min_tokens);
         if short { &c.moved_short } else { mv }.fetch_add(1, SeqCst);
     }
 }
@@ -324,9 +512,15 @@
     pub fam: ProgramClass,
 }
 
-/// One push a session at a time; a turn that ends meanwhile waits, and only the newest of those is pushed.
+/// One push a session at a time; a turn that ends meanwhile waits, and only the newest of those is
+/// pushed.
 pub async fn share(f: Arc<Front>, x: Fresh) {
-    if x.fam.kv_share && x.kv.home.as_ref().is_some_and(|h| h.tokens >= x.fam.kv_min_tokens) {
+    if x.fam.kv_share
+        && x.kv
+            .home
+            .as_ref()
+            .is_some_and(|h| h.tokens >= x.fam.kv_min_tokens)
+    {
         f.spares.ran(&x.key, x.epoch, &x.kv);
     }
     {
@@ -345,8 +539,22 @@
         x.kv.replica = known.or(x.kv.replica);
         if let Some(p) = push(&f, &x).await {
             remember(&f, &key, &p);
-            if f.pushing.lock().unwrap().get(&key).is_some_and(|n| n.is_none()) {
-                note(&f, &key, x.epoch, SessionCacheState { replica: Some(p.clone()), ..x.kv.clone() }).await;
+            if f.pushing
+                .lock()
+                .unwrap()
+                .get(&key)
+                .is_some_and(|n| n.is_none())
+            {
+                note(
+                    &f,
+                    &key,
+                    x.epoch,
+                    SessionCacheState {
+                        replica: Some(p.clone()),
+                        ..x.kv.clone()
+                    },
+                )
+                .await;
             }
             after(&f, &x, p);
         }
@@ -366,19 +574,29 @@
     }
 }
 
-/// Save at the turn's server, send what is new to exactly one spill target; gives the replica that stands there.
+/// Save at the turn's server, send what is new to exactly one spill target; gives the replica that
+/// stands there.
 async fn push(f: &Arc<Front>, x: &Fresh) -> Option<CachedPrefix> {
     let Fresh { key, kv, fam, .. } = x;
     let home = kv.home.clone()?;
-    let big = home.tokens >= fam.kv_min_tokens && home.tokens * KV_TOKEN_BYTES <= fam.kv_session_bytes;
+    let big =
+        home.tokens >= fam.kv_min_tokens && home.tokens * KV_TOKEN_BYTES <= fam.kv_session_bytes;
     if !fam.kv_share || !big {
         return None;
     }
     let servers = server_table::fit(f, &fam.service);
-    let at = servers.iter().find(|s| s.at.server == home.server).cloned()?;
-    let here = judge::Home { server: home.server.clone(), site: at.at.site.clone() };
+    let at = servers
+        .iter()
+        .find(|s| s.at.server == home.server)
+        .cloned()?;
+    let here = judge::Home {
+        server: home.server.clone(),
+        site: at.at.site.clone(),
+    };
     let to = judge::spill(&servers, key, &here, &Weights::from(fam)).cloned()?;
-    let old = kv.replica.clone().filter(|r| r.server == to.at.server && r.instance == to.report.instance && r.weights == home.weights);
+    let old = kv.replica.clone().filter(|r| {
+        r.server == to.at.server && r.instance == to.report.instance && r.weights == home.weights
+    });
     if let Some(gone) = kv.replica.clone().filter(|r| r.server != to.at.server) {
         f.replicas.lock().unwrap().remove(key);
         drop_at(f, &fam.service, key, &gone.server).await;
@@ -392,26 +610,63 @@
         let (f, svc, at) = (f.clone(), fam.service.clone(), at.at.clone());
         async move {
             let b = serde_json::to_vec(&v).unwrap_or_default();
-            back::ask_once(&f.runtime, &f.pool, &svc, &at.server, at.addr, path, b, KV_PUSH_WAIT).await
+            back::ask_once(
+                &f.runtime,
+                &f.pool,
+                &svc,
+                &at.server,
+                at.addr,
+                path,
+                b,
+                KV_PUSH_WAIT,
+            )
+            .await
         }
     };
-    let saved = ask("/kv/save", json!({"session": key, "digest": home.digest, "base": base})).await;
-    let Some(s) = saved.and_then(|b| serde_json::from_slice::<Saved>(&b).ok()).filter(|s| s.digest == home.digest) else {
+    let saved = ask(
+        "/kv/save",
+        json!({"session": key, "digest": home.digest, "base": base}),
+    )
+    .await;
+    let Some(s) = saved
+        .and_then(|b| serde_json::from_slice::<Saved>(&b).ok())
+        .filter(|s| s.digest == home.digest)
+    else {
         f.counts.push_failed.fetch_add(1, SeqCst);
         return None;
     };
-    let limit = f.documents.config.load().1.services.get(&fam.service).map(|s| s.link_bytes).unwrap_or(u64::MAX);
+    let limit = f
+        .documents
+        .config
+        .load()
+        .1
+        .services
+        .get(&fam.service)
+        .map(|s| s.link_bytes)
+        .unwrap_or(u64::MAX);
     f.links.spend(f.runtime.now(), &home.server, s.bytes, limit);
     let v = json!({"session": key, "digest": s.digest, "base": base, "to": to.at.addr, "target": to.at.server, "service": fam.service});
-    let sent = ask("/kv/send", v).await.and_then(|b| serde_json::from_slice::<Pushed>(&b).ok()).filter(|p| p.ok);
+    let sent = ask("/kv/send", v)
+        .await
+        .and_then(|b| serde_json::from_slice::<Pushed>(&b).ok())
+        .filter(|p| p.ok);
     let Some(p) = sent else {
         f.counts.push_failed.fetch_add(1, SeqCst);
         return None;
     };
     let c = &f.counts;
     c.pushes.fetch_add(1, SeqCst);
-    if to.at.site == at.at.site { &c.push_within } else { &c.push_across }.fetch_add(p.bytes, SeqCst);
-    let inst = if p.inst > 0 { p.inst } else { to.report.instance };
+    if to.at.site == at.at.site {
+        &c.push_within
+    } else {
+        &c.push_across
+    }
+    .fetch_add(p.bytes, SeqCst);
+    let inst = if p.inst > 0 {
+        p.inst
+    } else {
+        to.report.instance
+    };
     Some(CachedPrefix {
         server: to.at.server.clone(),
         instance: inst,
@@ -427,6 +682,16 @@
     if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
         let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
         front.counts.drops.fetch_add(1, SeqCst);
-        back::ask_once(&front.runtime, &front.pool, svc, server, l.addr, "/kv/drop", b, BACK_WAIT).await;
+        back::ask_once(
+            &front.runtime,
+            &front.pool,
+            svc,
+            server,
+            l.addr,
+            "/kv/drop",
+            b,
+            BACK_WAIT,
+        )
+        .await;
     }
 }
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -139,7 +139,13 @@
 
 impl Drop for LinkPass<'_> {
     fn drop(&mut self) {
-        self.0.to.lock().unwrap().get_mut(&self.1).into_iter().for_each(|n| *n = n.saturating_sub(1));
+        self.0
+            .to
+            .lock()
+            .unwrap()
+            .get_mut(&self.1)
+            .into_iter()
+            .for_each(|n| *n = n.saturating_sub(1));
     }
 }
 
@@ -162,14 +168,18 @@
             if runtime.now() > end {
                 return None;
             }
-            runtime.sleep((at.saturating_sub(runtime.now())).max(50 * MS)).await;
+            runtime
+                .sleep((at.saturating_sub(runtime.now())).max(50 * MS))
+                .await;
         }
     }
 
     pub fn spend(&self, t: u64, from: &str, bytes: u64, per_s: u64) {
         let mut g = self.free_at.lock().unwrap();
         let e = g.entry(from.into()).or_default();
-        *e = (*e).max(t).saturating_add(bytes.saturating_mul(2 * SEC) / per_s.max(1));
+        *e = (*e)
+            .max(t)
+            .saturating_add(bytes.saturating_mul(2 * SEC) / per_s.max(1));
     }
 }
 
@@ -177,7 +187,13 @@
 
 impl Drop for Claim<'_> {
     fn drop(&mut self) {
-        self.0.sent.lock().unwrap().get_mut(&self.1).into_iter().for_each(|n| *n = n.saturating_sub(1));
+        self.0
+            .sent
+            .lock()
+            .unwrap()
+            .get_mut(&self.1)
+            .into_iter()
+            .for_each(|n| *n = n.saturating_sub(1));
     }
 }
 
@@ -202,15 +218,25 @@
         let f = Front::open(w, settings);
         let http = f.listen().await?;
         let me = f.clone();
-        let h: yewcross_common::buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.spawn(yewcross_common::buffered_http::serve(w.clone(), http, h, f.connections.clone()));
+        let h: yewcross_common::buffered_http::Handler =
+            Arc::new(move |j| Box::pin(answer(me.clone(), j)));
+        w.spawn(yewcross_common::buffered_http::serve(
+            w.clone(),
+            http,
+            h,
+            f.connections.clone(),
+        ));
         f.run();
         w.spawn(news::run(f.clone()));
         Ok(f)
     }
 
     /// A front that serves routed requests through another platform's ports.
-    pub async fn start_with(w: &Runtime, settings: ProcessSettings, o: FrontOptions) -> Result<Arc<Front>, BindFault> {
+    pub async fn start_with(
+        w: &Runtime,
+        settings: ProcessSettings,
+        o: FrontOptions,
+    ) -> Result<Arc<Front>, BindFault> {
         let f = Front::open(w, settings);
         f.serve_routes(o).await?;
         Ok(f)
@@ -238,10 +264,17 @@
         let r = relay.clone();
         let h: streaming_http::Handler = Arc::new(move |q, _| Box::pin(r.clone().serve(q)));
         let b = f.documents.clone();
-        w.spawn(streaming_http::serve(w.clone(), http, h, Arc::new(move || b.config.load().1.routing.limits.clone()), f.web.clone()));
+        w.spawn(streaming_http::serve(
+            w.clone(),
+            http,
+            h,
+            Arc::new(move || b.config.load().1.routing.limits.clone()),
+            f.web.clone(),
+        ));
         f.run();
         if relay.balance.policies.has(Mechanism::LoadExchange) {
-            let exchange = LoadExchange::new(&f.members, &f.documents, &f.settings.name, &f.settings.site);
+            let exchange =
+                LoadExchange::new(&f.members, &f.documents, &f.settings.name, &f.settings.site);
             let _ = f.load_exchange.set(exchange.clone());
             w.spawn(exchange.run(relay.clone()));
         }
@@ -249,7 +282,13 @@
         self.runtime.spawn(async move {
             loop {
                 w.sleep(TIDY_EVERY).await;
-                relay.tidy(m.view.load().values().filter(|n| n.role == Role::Front).count());
+                relay.tidy(
+                    m.view
+                        .load()
+                        .values()
+                        .filter(|n| n.role == Role::Front)
+                        .count(),
+                );
             }
         });
         Ok(())
@@ -266,10 +305,24 @@
     }
 
     async fn listen(self: &Arc<Self>) -> Result<Box<dyn Listener>, BindFault> {
-        let bind = |at: std::net::SocketAddr| move |source| BindFault { at: at.to_string(), source };
-        let door = self.runtime.bind(self.settings.peer).await.map_err(bind(self.settings.peer))?;
-        let http = self.runtime.bind(self.settings.http).await.map_err(bind(self.settings.http))?;
-        self.runtime.spawn(self.peers.clone().serve(door, Arc::new(Ear(self.clone()))));
+        let bind = |at: std::net::SocketAddr| {
+            move |source| BindFault {
+                at: at.to_string(),
+                source,
+            }
+        };
+        let door = self
+            .runtime
+            .bind(self.settings.peer)
+            .await
+            .map_err(bind(self.settings.peer))?;
+        let http = self
+            .runtime
+            .bind(self.settings.http)
+            .await
+            .map_err(bind(self.settings.http))?;
+        self.runtime
+            .spawn(self.peers.clone().serve(door, Arc::new(Ear(self.clone()))));
         Ok(http)
     }
 
@@ -278,12 +331,21 @@
         Front::open_by(runtime, settings, None)
     }
 
-    /// The same, where configurations are written in another dialect and fronts serve without leases, by what they hold.
-    pub fn open_unleased(runtime: &Runtime, settings: ProcessSettings, dialect: Arc<dyn ConfigurationFormat>) -> Arc<Front> {
+    /// The same, where configurations are written in another dialect and fronts serve without
+    /// leases, by what they hold.
+    pub fn open_unleased(
+        runtime: &Runtime,
+        settings: ProcessSettings,
+        dialect: Arc<dyn ConfigurationFormat>,
+    ) -> Arc<Front> {
         Front::open_by(runtime, settings, Some(dialect))
     }
 
-    fn open_by(runtime: &Runtime, settings: ProcessSettings, dialect: Option<Arc<dyn ConfigurationFormat>>) -> Arc<Front> {
+    fn open_by(
+        runtime: &Runtime,
+        settings: ProcessSettings,
+        dialect: Option<Arc<dyn ConfigurationFormat>>,
+    ) -> Arc<Front> {
         let peers = PeerClient::new(runtime, &settings.name, &settings.site, settings.wire);
         let members = Membership::new(runtime, &settings, &peers, "");
         let (book, follow) = match dialect {
@@ -294,7 +356,13 @@
             }
             Some(d) => {
                 let book = DocumentCache::of(runtime, d);
-                let follow = DocumentWatcher::without_leases(&members, &book, &settings.name, true, settings.bounds.apply * MS);
+                let follow = DocumentWatcher::without_leases(
+                    &members,
+                    &book,
+                    &settings.name,
+                    true,
+                    settings.bounds.apply * MS,
+                );
                 (book, follow)
             }
         };
@@ -321,14 +389,18 @@
             load_exchange: Default::default(),
             web: Default::default(),
             leaving: Default::default(),
-            settings: settings,
+            settings,
         })
     }
 
     /// A report of what another front, or another site, has under way.
     fn hear_load(&self, report: &Envelope, by_site: bool) -> (PeerResponse, Vec<u8>) {
         let from = if by_site { &report.site } else { &report.from };
-        match self.load_exchange.get().and_then(|exchange| exchange.answer(from, by_site, &report.payload)) {
+        match self
+            .load_exchange
+            .get()
+            .and_then(|exchange| exchange.answer(from, by_site, &report.payload))
+        {
             Some(loads) => (PeerResponse::Loads, loads),
             None => (PeerResponse::Rejected(Code::BadField), vec![]),
         }
@@ -345,19 +417,45 @@
                 self.documents.mark_leaving(&servers);
                 PeerResponse::Ok
             }
-            PeerRequest::PublishDelta { name, version: seq, epoch, base, base_digest, .. } => {
-                if self.documents.apply_delta(&name, base, &base_digest, seq, epoch, &blob).is_ok() && name != "list" {
+            PeerRequest::PublishDelta {
+                name,
+                version: seq,
+                epoch,
+                base,
+                base_digest,
+                ..
+            } => {
+                if self
+                    .documents
+                    .apply_delta(&name, base, &base_digest, seq, epoch, &blob)
+                    .is_ok()
+                    && name != "list"
+                {
                     self.watcher.reset();
                 }
-                PeerResponse::DocumentApplied { version: self.documents.document(&name).version }
+                PeerResponse::DocumentApplied {
+                    version: self.documents.document(&name).version,
+                }
             }
-            PeerRequest::PublishDocument { name, version: seq, epoch, .. } => {
+            PeerRequest::PublishDocument {
+                name,
+                version: seq,
+                epoch,
+                ..
+            } => {
                 if self.documents.apply(&name, seq, epoch, blob) && name != "list" {
                     self.watcher.reset();
                 }
-                PeerResponse::DocumentApplied { version: self.documents.document(&name).version }
+                PeerResponse::DocumentApplied {
+                    version: self.documents.document(&name).version,
+                }
             }
-            PeerRequest::LoadReports { service, reports, same, relay } => {
+            PeerRequest::LoadReports {
+                service,
+                reports,
+                same,
+                relay,
+            } => {
                 news::hear(self, &service, reports, same, relay);
                 PeerResponse::Ok
             }
@@ -366,7 +464,13 @@
     }
 
     /// Asks the key's owner, and the next in rank where it cannot be reached.
-    pub async fn store(self: &Arc<Self>, key: &str, a: &PeerRequest, blob: &[u8], rounds: usize) -> Option<(PeerResponse, Vec<u8>)> {
+    pub async fn store(
+        self: &Arc<Self>,
+        key: &str,
+        a: &PeerRequest,
+        blob: &[u8],
+        rounds: usize,
+    ) -> Option<(PeerResponse, Vec<u8>)> {
         self.store_until(key, a, blob, rounds, u64::MAX).await
     }
 
@@ -386,7 +490,9 @@
                     return last;
                 }
                 match self.peers.request(to, a, blob, PEER_WAIT).await {
-                    Ok((t @ PeerResponse::Rejected(Code::StoreAway | Code::Undecided), b)) => last = Some((t, b)),
+                    Ok((t @ PeerResponse::Rejected(Code::StoreAway | Code::Undecided), b)) => {
+                        last = Some((t, b))
+                    }
                     Ok(x) => return Some(x),
                     Err(SendError::NotSent) => {}
                     Err(SendError::OutcomeUnknown) => last = None,
@@ -403,9 +509,16 @@
     pub fn abort(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) {
         let (me, key, job) = (self.clone(), key.to_string(), job.to_string());
         self.runtime.spawn(async move {
-            let a = PeerRequest::AbortTurn { key: key.clone(), request_id: job, nonce, budget };
+            let a = PeerRequest::AbortTurn {
+                key: key.clone(),
+                request_id: job,
+                nonce,
+                budget,
+            };
             for i in 0..4u64 {
-                if let Some((PeerResponse::Ok | PeerResponse::Rejected(Code::Conflict), _)) = me.store(&key, &a, &[], 1).await {
+                if let Some((PeerResponse::Ok | PeerResponse::Rejected(Code::Conflict), _)) =
+                    me.store(&key, &a, &[], 1).await
+                {
                     return;
                 }
                 me.runtime.sleep((100 << i) * MS).await;
@@ -425,13 +538,18 @@
         self.members.announce_leaving().await;
     }
 
-    /// Callers are sent elsewhere first; then the door closes, and what is under way comes to its end.
+    /// Callers are sent elsewhere first; then the door closes, and what is under way comes to its
+    /// end.
     async fn stop_routes(&self) {
         let end = self.runtime.now() + (self.settings.bounds.grace * MS).saturating_sub(STOP_SPARE);
         self.web.last();
-        self.runtime.sleep(STOP_NOTICE.min(self.settings.bounds.grace * MS / 3)).await;
+        self.runtime
+            .sleep(STOP_NOTICE.min(self.settings.bounds.grace * MS / 3))
+            .await;
         self.web.close();
-        self.runtime.timeout(end.saturating_sub(self.runtime.now()), self.web.emptied()).await;
+        self.runtime
+            .timeout(end.saturating_sub(self.runtime.now()), self.web.emptied())
+            .await;
         self.members.announce_leaving().await;
     }
 
@@ -461,8 +579,19 @@
     pub fn tidy(&self) {
         let t = self.runtime.now();
         self.pool.prune(t);
-        self.told.lock().unwrap().retain(|n, _| self.documents.list.load().1.servers.iter().any(|s| s.server == *n));
-        self.heard.lock().unwrap().retain(|_, h| t < h.at + 60 * SEC);
+        self.told.lock().unwrap().retain(|n, _| {
+            self.documents
+                .list
+                .load()
+                .1
+                .servers
+                .iter()
+                .any(|s| s.server == *n)
+        });
+        self.heard
+            .lock()
+            .unwrap()
+            .retain(|_, h| t < h.at + 60 * SEC);
         self.slow.lock().unwrap().retain(|_, s| t < s.1);
     }
 }
@@ -489,7 +618,10 @@
         (Method::Get, "/health") => {
             let ok = front.watcher.may_serve();
             let v: BTreeMap<String, u64> = front.documents.versions().into_iter().collect();
-            reply(if ok { 200 } else { 503 }, &json!({"serving": ok, "versions": v}))
+            reply(
+                if ok { 200 } else { 503 },
+                &json!({"serving": ok, "versions": v}),
+            )
         }
         (Method::Get, "/metrics") => {
             let t = &front.peers.metrics;
@@ -500,7 +632,10 @@
                     "busy": front.connections.busy.load(SeqCst)}),
             )
         }
-        (_, "/v1/turn" | "/v1/lookup" | "/v1/session/end" | "/v1/servers" | "/health" | "/metrics") => refuse(Code::WrongVerb, "", 0),
+        (
+            _,
+            "/v1/turn" | "/v1/lookup" | "/v1/session/end" | "/v1/servers" | "/health" | "/metrics",
+        ) => refuse(Code::WrongVerb, "", 0),
         _ => refuse(Code::UnknownPath, &j.path, 0),
     }
 }
--- a/yewcross-proxy/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -1,9 +1,10 @@
-//! Fronts tell each other what they have under way at each server, so that each chooses by the load of all.
+//! Fronts tell each other what they have under way at each server, so that each chooses by the load
+//! of all.
 //!
-//! One front of each site collects what the fronts there report, and its answers tell them the sums. Collectors tell each
-//! other what their sites have under way in the other's, and hear the load of the servers there. Nothing rests on it but the
-//! quality of a choice: what is not heard in time fades, and a collector that cannot be reached is replaced as soon as
-//! membership says so.
+//! One front of each site collects what the fronts there report, and its answers tell them the
+//! sums. Collectors tell each other what their sites have under way in the other's, and hear the
+//! load of the servers there. Nothing rests on it but the quality of a choice: what is not heard in
+//! time fades, and a collector that cannot be reached is replaced as soon as membership says so.
 
 use crate::balance::{Balance, Load};
 use crate::relay::Relay;
@@ -56,18 +57,37 @@
 
 impl Collected {
     pub fn report(&mut self, from: &str, by_site: bool, loads: &[ServerLoad], now: u64) {
-        let report = Report { at: now, loads: loads.iter().map(|l| (l.server, l.load)).collect() };
-        let reports = if by_site { &mut self.sites } else { &mut self.fronts };
+        let report = Report {
+            at: now,
+            loads: loads.iter().map(|l| (l.server, l.load)).collect(),
+        };
+        let reports = if by_site {
+            &mut self.sites
+        } else {
+            &mut self.fronts
+        };
         reports.insert(from.into(), report);
     }
 
     /// Load at these servers by all reports that still count.
-    pub fn total<'a>(&self, servers: impl Iterator<Item = &'a ListedServer>, now: u64) -> Vec<ServerLoad> {
-        sums(self.fronts.values().chain(self.sites.values()), servers, now)
+    pub fn total<'a>(
+        &self,
+        servers: impl Iterator<Item = &'a ListedServer>,
+        now: u64,
+    ) -> Vec<ServerLoad> {
+        sums(
+            self.fronts.values().chain(self.sites.values()),
+            servers,
+            now,
+        )
     }
 
     /// What the fronts of this site alone have under way at these servers.
-    fn ours<'a>(&self, servers: impl Iterator<Item = &'a ListedServer>, now: u64) -> Vec<ServerLoad> {
+    fn ours<'a>(
+        &self,
+        servers: impl Iterator<Item = &'a ListedServer>,
+        now: u64,
+    ) -> Vec<ServerLoad> {
         let mut ours = sums(self.fronts.values(), servers, now);
         ours.retain(|l| l.load != Load::default());
         ours
@@ -80,10 +100,26 @@
 }
 
 /// What the reports that still count come to, for each of these servers.
-fn sums<'r, 's>(reports: impl Iterator<Item = &'r Report>, servers: impl Iterator<Item = &'s ListedServer>, now: u64) -> Vec<ServerLoad> {
+fn sums<'r, 's>(
+    reports: impl Iterator<Item = &'r Report>,
+    servers: impl Iterator<Item = &'s ListedServer>,
+    now: u64,
+) -> Vec<ServerLoad> {
     let counting: Vec<&Report> = reports.filter(|r| r.counts(now)).collect();
-    let sum = |server: ServerKey| counting.iter().filter_map(|r| r.loads.get(&server)).copied().sum();
-    servers.map(|s| ServerKey::of(&s.server)).map(|server| ServerLoad { server, load: sum(server) }).collect()
+    let sum = |server: ServerKey| {
+        counting
+            .iter()
+            .filter_map(|r| r.loads.get(&server))
+            .copied()
+            .sum()
+    };
+    servers
+        .map(|s| ServerKey::of(&s.server))
+        .map(|server| ServerLoad {
+            server,
+            load: sum(server),
+        })
+        .collect()
 }
 
 impl Report {
@@ -103,7 +139,12 @@
 }
 
 impl LoadExchange {
-    pub fn new(members: &Arc<Membership>, documents: &Arc<DocumentCache>, name: &str, site: &str) -> Arc<LoadExchange> {
+    pub fn new(
+        members: &Arc<Membership>,
+        documents: &Arc<DocumentCache>,
+        name: &str,
+        site: &str,
+    ) -> Arc<LoadExchange> {
         Arc::new(LoadExchange {
             runtime: members.runtime.clone(),
             name: name.into(),
@@ -120,7 +161,11 @@
         let now = self.runtime.now();
         let mut collected = self.collected.lock().unwrap();
         collected.report(from, by_site, &loads, now);
-        let told = if by_site { self.least_loaded(&collected, now) } else { self.known(&collected, now) };
+        let told = if by_site {
+            self.least_loaded(&collected, now)
+        } else {
+            self.known(&collected, now)
+        };
         postcard::to_allocvec(&told).ok()
     }
 
@@ -145,10 +190,13 @@
     pub async fn run(self: Arc<Self>, relay: Arc<Relay>) {
         let (mut idle_since, mut next_sites) = (0, 0);
         loop {
-            self.runtime.sleep(LOAD_EVERY * 9 / 10 + self.runtime.random() % (LOAD_EVERY / 5)).await;
+            self.runtime
+                .sleep(LOAD_EVERY * 9 / 10 + self.runtime.random() % (LOAD_EVERY / 5))
+                .await;
             let now = self.runtime.now();
             let loads = own_loads(&relay.balance, now);
-            // A front without requests has nothing to tell and nothing to choose, and servers that tell their load say more.
+            // A front without requests has nothing to tell and nothing to choose, and servers that
+            // tell their load say more.
             let is_needless = loads.is_empty() || relay.balance.is_told_load(now);
             if is_needless && now < idle_since + LOAD_IDLE_EVERY {
                 continue;
@@ -162,7 +210,9 @@
                     next_sites = now + LOAD_SITES_EVERY;
                     self.tell_sites(&fronts);
                 }
-            } else if let Some(node) = collector.and_then(|name| fronts.into_iter().find(|n| n.name == name)) {
+            } else if let Some(node) =
+                collector.and_then(|name| fronts.into_iter().find(|n| n.name == name))
+            {
                 self.report_to(&node, &loads, &relay.balance).await;
             }
         }
@@ -180,19 +230,41 @@
     }
 
     async fn report_to(&self, collector: &Node, loads: &[ServerLoad], balance: &Balance) {
-        let Ok(blob) = postcard::to_allocvec(loads) else { return };
-        let answer = self.members.peers.request(collector.peer, &PeerRequest::ExchangeLoads { by_site: false }, &blob, LOAD_WAIT).await;
-        let Ok((PeerResponse::Loads, blob)) = answer else { return };
+        let Ok(blob) = postcard::to_allocvec(loads) else {
+            return;
+        };
+        let answer = self
+            .members
+            .peers
+            .request(
+                collector.peer,
+                &PeerRequest::ExchangeLoads { by_site: false },
+                &blob,
+                LOAD_WAIT,
+            )
+            .await;
+        let Ok((PeerResponse::Loads, blob)) = answer else {
+            return;
+        };
         if let Ok(known) = postcard::from_bytes::<Vec<ServerLoad>>(&blob) {
             apply(balance, &known, loads, self.runtime.now());
         }
     }
 
-    /// Tells the collector of each other site what this one has under way there, and takes what it tells.
+    /// Tells the collector of each other site what this one has under way there, and takes what it
+    /// tells.
     fn tell_sites(self: &Arc<Self>, fronts: &[Node]) {
-        let sites: BTreeSet<&str> = fronts.iter().map(|n| n.site.as_str()).filter(|s| *s != self.site).collect();
+        let sites: BTreeSet<&str> = fronts
+            .iter()
+            .map(|n| n.site.as_str())
+            .filter(|s| *s != self.site)
+            .collect();
         for site in sites {
-            let Some(node) = home_of(fronts, COLLECTOR, site).and_then(|name| fronts.iter().find(|n| n.name == name)) else { continue };
+            let Some(node) = home_of(fronts, COLLECTOR, site)
+                .and_then(|name| fronts.iter().find(|n| n.name == name))
+            else {
+                continue;
+            };
             let (me, node) = (self.clone(), node.clone());
             self.runtime.spawn(async move { me.tell_site(node).await });
         }
@@ -202,27 +274,55 @@
         let ours = {
             let list = self.documents.list.load();
             let there = list.1.servers.iter().filter(|s| s.site == node.site);
-            self.collected.lock().unwrap().ours(there, self.runtime.now())
+            self.collected
+                .lock()
+                .unwrap()
+                .ours(there, self.runtime.now())
         };
-        let Ok(blob) = postcard::to_allocvec(&ours) else { return };
-        let answer = self.members.peers.request(node.peer, &PeerRequest::ExchangeLoads { by_site: true }, &blob, LOAD_WAIT).await;
+        let Ok(blob) = postcard::to_allocvec(&ours) else {
+            return;
+        };
+        let answer = self
+            .members
+            .peers
+            .request(
+                node.peer,
+                &PeerRequest::ExchangeLoads { by_site: true },
+                &blob,
+                LOAD_WAIT,
+            )
+            .await;
         let told = match answer {
             Ok((PeerResponse::Loads, blob)) => postcard::from_bytes(&blob).unwrap_or_default(),
             _ => vec![],
         };
-        self.collected.lock().unwrap().elsewhere.insert(node.site, told);
+        self.collected
+            .lock()
+            .unwrap()
+            .elsewhere
+            .insert(node.site, told);
     }
 }
 
 fn own_loads(balance: &Balance, now: u64) -> Vec<ServerLoad> {
-    balance.own_loads(now).into_iter().map(|(server, load)| ServerLoad { server: ServerKey::of(&server), load }).collect()
+    balance
+        .own_loads(now)
+        .into_iter()
+        .map(|(server, load)| ServerLoad {
+            server: ServerKey::of(&server),
+            load,
+        })
+        .collect()
 }
 
-/// Hands the balance what others have under way: all that is known, less what we reported ourselves.
+/// Hands the balance what others have under way: all that is known, less what we reported
+/// ourselves.
 fn apply(balance: &Balance, known: &[ServerLoad], reported: &[ServerLoad], now: u64) {
     let mut others: HashMap<ServerKey, Load> = known.iter().map(|l| (l.server, l.load)).collect();
     for own in reported {
-        others.entry(own.server).and_modify(|load| *load = load.less(own.load));
+        others
+            .entry(own.server)
+            .and_modify(|load| *load = load.less(own.load));
     }
     balance.learn_load(now, |server| others.get(&ServerKey::of(server)).copied());
 }
--- a/yewcross-proxy/src/main.rs
+++ b/yewcross-proxy/src/main.rs
@@ -25,8 +25,14 @@
             }
         };
         w.log("front up");
-        let sig = [async_signal::Signal::Term, async_signal::Signal::Int, async_signal::Signal::Hup];
-        let Ok(mut sigs) = async_signal::Signals::new(sig) else { return exit::CANNOT_BIND };
+        let sig = [
+            async_signal::Signal::Term,
+            async_signal::Signal::Int,
+            async_signal::Signal::Hup,
+        ];
+        let Ok(mut sigs) = async_signal::Signals::new(sig) else {
+            return exit::CANNOT_BIND;
+        };
         let gone = async {
             f.members.replaced.wait().await;
             exit::REPLACED
--- a/yewcross-proxy/src/news.rs
+++ b/yewcross-proxy/src/news.rs
@@ -24,17 +24,23 @@
                 .1
                 .servers
                 .iter()
-                .filter(|s| s.service == *svc && home(&f, svc, &s.site).as_deref() == Some(&f.settings.name))
+                .filter(|s| {
+                    s.service == *svc && home(&f, svc, &s.site).as_deref() == Some(&f.settings.name)
+                })
                 .cloned()
                 .collect();
             if !mine.is_empty() {
                 let (f, svc) = (f.clone(), svc.clone());
-                f.runtime.clone().spawn(async move { poll(f, svc, mine).await });
+                f.runtime
+                    .clone()
+                    .spawn(async move { poll(f, svc, mine).await });
             }
         }
         crate::kv::watch(&f);
         f.tidy();
-        f.runtime.sleep(REPORT_EVERY.saturating_sub(f.runtime.now() - t0)).await;
+        f.runtime
+            .sleep(REPORT_EVERY.saturating_sub(f.runtime.now() - t0))
+            .await;
     }
 }
 
@@ -45,8 +51,17 @@
             let (f, s) = (f.clone(), s.clone());
             let x: BoxFuture<'static, _> = Box::pin(async move {
                 f.counts.polls.fetch_add(1, SeqCst);
-                let (_, _, b) =
-                    buffered_http::fetch(&f.runtime, s.addr, http_types::Method::Get, "/report", &[], vec![], BACK_WAIT).await.ok()?;
+                let (_, _, b) = buffered_http::fetch(
+                    &f.runtime,
+                    s.addr,
+                    http_types::Method::Get,
+                    "/report",
+                    &[],
+                    vec![],
+                    BACK_WAIT,
+                )
+                .await
+                .ok()?;
                 let r: LoadReport = serde_json::from_slice(&b).ok()?;
                 if !r.sane() {
                     f.counts.absurd.fetch_add(1, SeqCst);
@@ -69,27 +84,55 @@
     hear(&f, &svc, got.clone(), vec![], false);
     let all = got.clone();
     let (got, same) = f.fresh(got);
-    let (near, far): (Vec<_>, Vec<_>) =
-        f.members.nodes_of_role(Role::Front).into_iter().filter(|n| n.name != f.settings.name).partition(|n| n.site == f.settings.site);
+    let (near, far): (Vec<_>, Vec<_>) = f
+        .members
+        .nodes_of_role(Role::Front)
+        .into_iter()
+        .filter(|n| n.name != f.settings.name)
+        .partition(|n| n.site == f.settings.site);
     let sites: std::collections::BTreeSet<String> = far.iter().map(|n| n.site.clone()).collect();
-    let homes = sites.iter().filter_map(|s| home(&f, &svc, s)).filter_map(|h| far.iter().find(|n| n.name == h).cloned());
-    near.iter().cloned().map(|n| (n, false)).chain(homes.map(|n| (n, true))).for_each(|(n, relay)| {
-        let by_difference = f.peers.version(n.peer) >= WIRE_DELTAS;
-        let (reports, same) = if by_difference { (got.clone(), same.clone()) } else { (all.clone(), vec![]) };
-        let (p, a) = (f.peers.clone(), PeerRequest::LoadReports { service: svc.clone(), reports, same, relay });
-        f.runtime.spawn(async move {
-            let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
+    let homes = sites
+        .iter()
+        .filter_map(|s| home(&f, &svc, s))
+        .filter_map(|h| far.iter().find(|n| n.name == h).cloned());
+    near.iter()
+        .cloned()
+        .map(|n| (n, false))
+        .chain(homes.map(|n| (n, true)))
+        .for_each(|(n, relay)| {
+            let by_difference = f.peers.version(n.peer) >= WIRE_DELTAS;
+            let (reports, same) = if by_difference {
+                (got.clone(), same.clone())
+            } else {
+                (all.clone(), vec![])
+            };
+            let (p, a) = (
+                f.peers.clone(),
+                PeerRequest::LoadReports {
+                    service: svc.clone(),
+                    reports,
+                    same,
+                    relay,
+                },
+            );
+            f.runtime.spawn(async move {
+                let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
+            });
         });
-    });
 }
 
 impl Front {
-    /// Parts reports into those that say something new and the names of the rest; now and then all are told whole.
+    /// Parts reports into those that say something new and the names of the rest; now and then all
+    /// are told whole.
     fn fresh(&self, got: Vec<LoadReport>) -> (Vec<LoadReport>, Vec<String>) {
         let whole = (self.runtime.now() / REPORT_EVERY).is_multiple_of(NEWS_WHOLE);
         let mut told = self.told.lock().unwrap();
         let (new, old): (Vec<LoadReport>, Vec<LoadReport>) = got.into_iter().partition(|r| {
-            let plain = LoadReport { sequence: 0, age_us: 0, ..r.clone() };
+            let plain = LoadReport {
+                sequence: 0,
+                age_us: 0,
+                ..r.clone()
+            };
             whole || told.insert(r.server.clone(), plain.clone()) != Some(plain)
         });
         (new, old.into_iter().map(|r| r.server).collect())
@@ -97,7 +140,13 @@
 }
 
 /// Takes news in; a home node passes on to its own site what came from another.
-pub fn hear(front: &Arc<Front>, svc: &str, reports: Vec<LoadReport>, same: Vec<String>, relay: bool) {
+pub fn hear(
+    front: &Arc<Front>,
+    svc: &str,
+    reports: Vec<LoadReport>,
+    same: Vec<String>,
+    relay: bool,
+) {
     let t = front.runtime.now();
     let mut left = false;
     {
@@ -107,16 +156,25 @@
             front.sent.lock().unwrap().remove(n);
         });
         reports.iter().filter(|r| r.sane()).for_each(|r| {
-            let newer = g
-                .get(&r.server)
-                .is_none_or(|h| (r.instance, r.sequence) > (h.report.instance, h.report.sequence) || t > h.at + REPORT_LOST);
+            let newer = g.get(&r.server).is_none_or(|h| {
+                (r.instance, r.sequence) > (h.report.instance, h.report.sequence)
+                    || t > h.at + REPORT_LOST
+            });
             if newer {
                 let was = g.get(&r.server).map(|h| h.report.leaving);
                 if r.leaving && was != Some(true) {
-                    front.runtime.log(&format!("server {} is leaving", r.server));
+                    front
+                        .runtime
+                        .log(&format!("server {} is leaving", r.server));
                     left = true;
                 }
-                g.insert(r.server.clone(), Heard { report: r.clone(), at: t.saturating_sub(r.age_us) });
+                g.insert(
+                    r.server.clone(),
+                    Heard {
+                        report: r.clone(),
+                        at: t.saturating_sub(r.age_us),
+                    },
+                );
                 front.sent.lock().unwrap().remove(&r.server);
             }
         });
@@ -134,7 +192,12 @@
             .for_each(|n| {
                 let (p, a) = (
                     front.peers.clone(),
-                    PeerRequest::LoadReports { service: svc.to_string(), reports: reports.clone(), same: same.clone(), relay: false },
+                    PeerRequest::LoadReports {
+                        service: svc.to_string(),
+                        reports: reports.clone(),
+                        same: same.clone(),
+                        relay: false,
+                    },
                 );
                 front.runtime.spawn(async move {
                     let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
--- a/yewcross-proxy/src/policy.rs
+++ b/yewcross-proxy/src/policy.rs
@@ -1,5 +1,5 @@
-//! Which mechanisms take part in placing requests. All do in a release; tests and measurements switch single ones off
-//! to see what each is worth.
+//! Which mechanisms take part in placing requests. All do in a release; tests and measurements
+//! switch single ones off to see what each is worth.
 
 use strum::{EnumIter, EnumString, IntoEnumIterator};
 
@@ -76,11 +76,13 @@
 }
 
 impl Default for Policies {
-    /// All but those that the build was told to leave out: `YEWCROSS_ABLATE` holds their names, joined by commas, while
-    /// it is compiled. No setting of a running process changes them.
+    /// All but those that the build was told to leave out: `YEWCROSS_ABLATE` holds their names,
+    /// joined by commas, while it is compiled. No setting of a running process changes them.
     fn default() -> Policies {
         let ablated = option_env!("YEWCROSS_ABLATE").unwrap_or_default();
         let is_named = |m: &Mechanism| ablated.split(',').any(|name| name == m.to_string());
-        Mechanism::iter().filter(is_named).fold(Policies::all(), Policies::without)
+        Mechanism::iter()
+            .filter(is_named)
+            .fold(Policies::all(), Policies::without)
     }
 }
--- a/yewcross-proxy/src/pool.rs
+++ b/yewcross-proxy/src/pool.rs
@@ -24,7 +24,8 @@
     written: AtomicU64,
     /// What `written` was when the request was handed over.
     begins_at: AtomicU64,
-    /// us of the world's clock. Later than this its first byte may not leave: what it was chosen by may have changed.
+    /// us of the world's clock. Later than this its first byte may not leave: what it was chosen by
+    /// may have changed.
     latest: AtomicU64,
 }
 
@@ -43,8 +44,9 @@
     }
 }
 
-/// Counts the bytes that leave, so that a request of which none did is known as not sent, and holds back the first byte
-/// of one that has been overtaken by time: a process that stood still does not know what it missed.
+/// Counts the bytes that leave, so that a request of which none did is known as not sent, and holds
+/// back the first byte of one that has been overtaken by time: a process that stood still does not
+/// know what it missed.
 struct Counted {
     conn: Connection,
     world: Runtime,
@@ -52,13 +54,21 @@
 }
 
 impl AsyncRead for Counted {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.conn).poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for Counted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if self.departure.too_late(self.world.now()) {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
@@ -93,7 +103,12 @@
 
 impl Link {
     /// Sends a request whose first byte leaves by `latest` (us of the world's clock) or not at all.
-    pub async fn ask(&mut self, runtime: &Runtime, q: Request<Full<Bytes>>, latest: u64) -> Result<Response<Incoming>, Failed> {
+    pub async fn ask(
+        &mut self,
+        runtime: &Runtime,
+        q: Request<Full<Bytes>>,
+        latest: u64,
+    ) -> Result<Response<Incoming>, Failed> {
         self.departure.begin(latest);
         let failed = match self.send.try_send_request(q).await {
             Ok(r) => return Ok(r),
@@ -116,7 +131,8 @@
 }
 
 impl Pool {
-    /// An idle connection, the last used first; those used long ago are left alone where `recent` is asked for.
+    /// An idle connection, the last used first; those used long ago are left alone where `recent`
+    /// is asked for.
     pub fn take(&self, server: &str, now: u64, recent: bool) -> Option<Link> {
         let mut g = self.idle.lock().unwrap();
         let v = g.get_mut(server)?;
@@ -126,26 +142,49 @@
     }
 
     pub fn has(&self, server: &str) -> bool {
-        self.idle.lock().unwrap().get(server).is_some_and(|v| !v.is_empty())
+        self.idle
+            .lock()
+            .unwrap()
+            .get(server)
+            .is_some_and(|v| !v.is_empty())
     }
 
     pub async fn dial(&self, runtime: &Runtime, to: &ListedServer, us: u64) -> io::Result<Link> {
         self.dials.fetch_add(1, SeqCst);
         let c = runtime.connect_within(to.addr, us).await?;
         let departure = Arc::new(Departure::default());
-        let io = FuturesIo::new(Counted { conn: c, world: runtime.clone(), departure: departure.clone() });
-        let (send, conn) = Builder::new().max_buf_size(LINK_BUF).handshake(io).await.map_err(io::Error::other)?;
+        let io = FuturesIo::new(Counted {
+            conn: c,
+            world: runtime.clone(),
+            departure: departure.clone(),
+        });
+        let (send, conn) = Builder::new()
+            .max_buf_size(LINK_BUF)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
         runtime.spawn(async move {
             let _ = conn.await;
         });
-        Ok(Link { send, departure, used_at: runtime.now(), until: u64::MAX, fresh: true })
+        Ok(Link {
+            send,
+            departure,
+            used_at: runtime.now(),
+            until: u64::MAX,
+            fresh: true,
+        })
     }
 
     /// Keeps a connection whose answer was read whole; `idle_ms` is the time that the server names.
     pub fn keep(&self, server: &str, mut l: Link, now: u64, idle_ms: Option<u64>, most: usize) {
         let told = idle_ms.unwrap_or(LINK_IDLE / MS) * MS;
         l.used_at = now;
-        l.until = now + if told > 2 * LINK_SPARE { told - LINK_SPARE } else { told / 2 };
+        l.until = now
+            + if told > 2 * LINK_SPARE {
+                told - LINK_SPARE
+            } else {
+                told / 2
+            };
         l.fresh = false;
         let mut g = self.idle.lock().unwrap();
         let v = g.entry(server.into()).or_default();
--- a/yewcross-proxy/src/relay.rs
+++ b/yewcross-proxy/src/relay.rs
@@ -1,8 +1,9 @@
 //! The path of a routed request, from its head to the last byte of its answer.
 //!
-//! `admission` reads it whole, finds its route and opens its turn; `dispatch` chooses servers and counts attempts, `hedge`
-//! asks a second one where the first is silent, `retry_budget` bounds both; `attempt` sends it to one server and judges what
-//! comes back; `streaming` forwards the answer, `resume` takes up a broken one elsewhere; `turn` settles it.
+//! `admission` reads it whole, finds its route and opens its turn; `dispatch` chooses servers and
+//! counts attempts, `hedge` asks a second one where the first is silent, `retry_budget` bounds
+//! both; `attempt` sends it to one server and judges what comes back; `streaming` forwards the
+//! answer, `resume` takes up a broken one elsewhere; `turn` settles it.
 
 mod admission;
 mod attempt;
@@ -43,7 +44,10 @@
     };
 }
 
-counts!(taken, sent, passed, not_run, unsent, withdrawn, lost, strangers, refused, expired, second, resumed, broken, unkept);
+counts!(
+    taken, sent, passed, not_run, unsent, withdrawn, lost, strangers, refused, expired, second,
+    resumed, broken, unkept
+);
 
 /// The data plane of a front: takes clients' requests and sends them on to servers.
 pub struct Relay {
@@ -74,7 +78,8 @@
     until: u64,
 }
 
-/// How a request ends without an answer of a server: the code, the reason, and ms after which coming back helps.
+/// How a request ends without an answer of a server: the code, the reason, and ms after which
+/// coming back helps.
 struct Rejection(Code, &'static str, u64);
 
 impl Relay {
@@ -101,13 +106,22 @@
     fn tokens_per_event(&self, service: &str) -> Option<u64> {
         let c = self.documents.config.load();
         let upstream = c.1.routing.upstreams.get(service)?;
-        Some(upstream.engine.as_ref().map_or(1, |e| e.tokens_per_event.max(1)))
+        Some(
+            upstream
+                .engine
+                .as_ref()
+                .map_or(1, |e| e.tokens_per_event.max(1)),
+        )
     }
 
     /// Tokens that a server of the service holds in memory.
     fn cache_tokens(&self, service: &str) -> u64 {
         let c = self.documents.config.load();
-        c.1.routing.upstreams.get(service).and_then(|u| u.engine.as_ref()).map_or(0, |e| e.cache_tokens)
+        c.1.routing
+            .upstreams
+            .get(service)
+            .and_then(|u| u.engine.as_ref())
+            .map_or(0, |e| e.cache_tokens)
     }
 
     /// Drops idle connections and records of servers that are gone.
--- a/yewcross-proxy/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -23,7 +23,10 @@
 }
 
 impl Relay {
-    pub(super) async fn handle(self: Arc<Self>, q: Request<Incoming>) -> Result<Response<Body>, Rejection> {
+    pub(super) async fn handle(
+        self: Arc<Self>,
+        q: Request<Incoming>,
+    ) -> Result<Response<Body>, Rejection> {
         let began = self.runtime.now();
         if !self.informed() {
             self.runtime.timeout(FIRST_NEWS, self.news()).await;
@@ -39,7 +42,9 @@
         if let (Some(opened), Some(tokens)) = (&mut turn, self.tokens_per_event(service)) {
             opened.tokens_per_event = tokens;
         }
-        answer.claim.read(&request.meta.parts, self.cache_tokens(service));
+        answer
+            .claim
+            .read(&request.meta.parts, self.cache_tokens(service));
         let keep = route.retained.then(|| Turn {
             id: request.meta.attempt.clone(),
             prev: request.meta.prev.clone(),
@@ -53,60 +58,132 @@
         if !streamed {
             drop(turn.take());
         }
-        let resumption = if streamed { Resumption::of(&self, &request, &dispatched) } else { None };
-        Ok(self.forward(dispatched.answer, turn, keep, request.until, streamed, resumption))
+        let resumption = if streamed {
+            Resumption::of(&self, &request, &dispatched)
+        } else {
+            None
+        };
+        Ok(self.forward(
+            dispatched.answer,
+            turn,
+            keep,
+            request.until,
+            streamed,
+            resumption,
+        ))
     }
 
     /// Reads a request whole: no server hears of one that its caller has not finished.
-    async fn read(&self, q: Request<Incoming>, began: u64) -> Result<(ClientRequest, Route, Upstream), Rejection> {
+    async fn read(
+        &self,
+        q: Request<Incoming>,
+        began: u64,
+    ) -> Result<(ClientRequest, Route, Upstream), Rejection> {
         let (mut head, body) = q.into_parts();
-        let meta = self.caller.request(&head.headers).map_err(|_| Rejection(Code::BadHead, "a field of the head is wrong", 0))?;
-        let host = the_host(&head.headers).ok_or(Rejection(Code::BadHead, "one host is needed", 0))?;
+        let meta = self
+            .caller
+            .request(&head.headers)
+            .map_err(|_| Rejection(Code::BadHead, "a field of the head is wrong", 0))?;
+        let host =
+            the_host(&head.headers).ok_or(Rejection(Code::BadHead, "one host is needed", 0))?;
         let (found, limit) = {
             let c = self.documents.config.load();
-            (self.route(&c.1.routing, c.0, &host, &head, &meta), c.1.routing.limits.body_bytes)
+            (
+                self.route(&c.1.routing, c.0, &host, &head, &meta),
+                c.1.routing.limits.body_bytes,
+            )
         };
-        // A refused request is read whole too: what is left of a body would be taken for the next request's head.
-        let timeout_ms = found.as_ref().map_or(BODY_WAIT / MS, |(route, _)| route.timeout_ms);
-        let until = began + meta.deadline_ms.unwrap_or(u64::MAX / MS / 2).min(timeout_ms) * MS;
+        // A refused request is read whole too: what is left of a body would be taken for the next
+        // request's head.
+        let timeout_ms = found
+            .as_ref()
+            .map_or(BODY_WAIT / MS, |(route, _)| route.timeout_ms);
+        let until = began
+            + meta
+                .deadline_ms
+                .unwrap_or(u64::MAX / MS / 2)
+                .min(timeout_ms)
+                * MS;
         let left = until.saturating_sub(self.runtime.now());
-        let body = self.runtime.timeout(left.min(BODY_WAIT), read_body(body, limit)).await;
+        let body = self
+            .runtime
+            .timeout(left.min(BODY_WAIT), read_body(body, limit))
+            .await;
         let (route, upstream) = found?;
         let body = body.unwrap_or(Err(Unread::Broken)).map_err(|e| match e {
             Unread::TooLarge => Rejection(Code::TooLarge, "the body is too large", 0),
             Unread::Broken => Rejection(Code::TooSlow, "the body did not come whole", 0),
         })?;
         strip_hop_by_hop(&mut head.headers);
-        [header::CONTENT_LENGTH, header::EXPECT].iter().for_each(|n| {
-            head.headers.remove(n);
-        });
-        Ok((ClientRequest { head, meta, host, body, began, until }, route, upstream))
+        [header::CONTENT_LENGTH, header::EXPECT]
+            .iter()
+            .for_each(|n| {
+                head.headers.remove(n);
+            });
+        Ok((
+            ClientRequest {
+                head,
+                meta,
+                host,
+                body,
+                began,
+                until,
+            },
+            route,
+            upstream,
+        ))
     }
 
-    /// Asks the stores for the chain that a turn goes on from and for its share of the budget; hands back the turn before.
+    /// Asks the stores for the chain that a turn goes on from and for its share of the budget;
+    /// hands back the turn before.
     async fn open_turn(
         &self,
         request: &mut ClientRequest,
         route: &Route,
         upstream: &Upstream,
     ) -> Result<(Option<OpenedTurn>, Option<Arc<Turn>>), Rejection> {
-        let away = || Rejection(Code::StoreAway, "the stores cannot be asked", self.soon(route));
-        let Some(chains) = self.chains.clone().filter(|_| is_accounted(route, &request.meta)) else {
-            return if route.retained { Err(away()) } else { Ok((None, None)) };
+        let away = || {
+            Rejection(
+                Code::StoreAway,
+                "the stores cannot be asked",
+                self.soon(route),
+            )
+        };
+        let Some(chains) = self
+            .chains
+            .clone()
+            .filter(|_| is_accounted(route, &request.meta))
+        else {
+            return if route.retained {
+                Err(away())
+            } else {
+                Ok((None, None))
+            };
         };
         let open = open_request(route, &request.meta);
         let until = request.until.min(self.runtime.now() + STORE_PATIENCE);
-        let opened = chains.open(open.clone(), until).await.map_err(|r| match r {
-            OpenTurnError::BudgetSpent => Rejection(Code::BudgetSpent, "the budget is spent", 0),
-            OpenTurnError::UnknownTurn => Rejection(Code::UnknownTurn, "no such turn", 0),
-            OpenTurnError::Unavailable => away(),
-        })?;
+        let opened = chains
+            .open(open.clone(), until)
+            .await
+            .map_err(|r| match r {
+                OpenTurnError::BudgetSpent => {
+                    Rejection(Code::BudgetSpent, "the budget is spent", 0)
+                }
+                OpenTurnError::UnknownTurn => Rejection(Code::UnknownTurn, "no such turn", 0),
+                OpenTurnError::Unavailable => away(),
+            })?;
         if route.retained {
             request.body = prompt(&opened.chain, &request.body);
             name_parts(&mut request.meta, &opened.chain);
         }
         let tokens_per_event = self.tokens_per_event(&upstream.name).unwrap_or(1);
-        let turn = OpenedTurn { chains, open, tokens_per_event, done: false, events: 0 };
+        let turn = OpenedTurn {
+            chains,
+            open,
+            tokens_per_event,
+            done: false,
+            events: 0,
+        };
         Ok((Some(turn), opened.chain.last().cloned()))
     }
 
@@ -141,14 +218,21 @@
         let route = r.find(host, head.uri.path()).ok_or(none)?;
         let all: u64 = route.variants.iter().map(|v| v.1).sum();
         // A program stays with one variant, where its prompts are held.
-        let key = if m.program.is_empty() { self.runtime.random() } else { rendezvous_weight(&m.program, &route.name) };
+        let key = if m.program.is_empty() {
+            self.runtime.random()
+        } else {
+            rendezvous_weight(&m.program, &route.name)
+        };
         let mut at = key % all.max(1);
         let name = route.variants.iter().find(|v| {
             let hit = at < v.1;
             at = at.saturating_sub(v.1);
             hit
         });
-        let up = name.and_then(|v| r.upstreams.get(&v.0)).cloned().ok_or(Rejection(Code::NoServer, "no such service", 300))?;
+        let up = name
+            .and_then(|v| r.upstreams.get(&v.0))
+            .cloned()
+            .ok_or(Rejection(Code::NoServer, "no such service", 300))?;
         Ok((route.clone(), up))
     }
 }
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -32,7 +32,8 @@
         matches!(self, Outcome::Unsent | Outcome::Withdrawn)
     }
 
-    /// What two servers asked the same come to: the answer of either, else what says least about a run.
+    /// What two servers asked the same come to: the answer of either, else what says least about a
+    /// run.
     pub(super) fn or(self, other: Outcome) -> Outcome {
         match (self, other) {
             (Outcome::Answer(a), _) | (_, Outcome::Answer(a)) => Outcome::Answer(a),
@@ -59,10 +60,20 @@
 }
 
 impl Relay {
-    /// Sends a request to the server of `c` and takes what comes back for an answer only if it plainly is one.
-    pub(super) async fn attempt(self: &Arc<Self>, s: &ClientRequest, mut c: Claim, route: &Route) -> Outcome {
+    /// Sends a request to the server of `c` and takes what comes back for an answer only if it
+    /// plainly is one.
+    pub(super) async fn attempt(
+        self: &Arc<Self>,
+        s: &ClientRequest,
+        mut c: Claim,
+        route: &Route,
+    ) -> Outcome {
         let left = s.until.saturating_sub(self.runtime.now());
-        let got = self.runtime.timeout(left, self.exchange(s, &c, route)).await.unwrap_or(Err(Failed::Lost));
+        let got = self
+            .runtime
+            .timeout(left, self.exchange(s, &c, route))
+            .await
+            .unwrap_or(Err(Failed::Lost));
         let (r, link) = match got {
             Ok(x) => x,
             Err(Failed::Withdrawn) => {
@@ -83,7 +94,8 @@
         let meta = self.back.answer(r.status().as_u16(), r.headers());
         let (ok, code) = (r.status().is_success(), r.status());
         // On a connection of its own nothing late can arrive: there a "not run" needs no id.
-        let ours = meta.attempt == s.meta.attempt || (meta.attempt.is_empty() && meta.not_run && link.fresh);
+        let ours = meta.attempt == s.meta.attempt
+            || (meta.attempt.is_empty() && meta.not_run && link.fresh);
         let foreign = ok && (!meta.stamped || !coding_asked_for(&s.head.headers, r.headers()));
         if !ours || foreign || code.is_informational() {
             self.counts.strangers.fetch_add(1, SeqCst);
@@ -94,7 +106,10 @@
         meta.load.into_iter().for_each(|l| c.told(l));
         if meta.not_run || code == StatusCode::MISDIRECTED_REQUEST {
             self.counts.not_run.fetch_add(1, SeqCst);
-            let full = matches!(code, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
+            let full = matches!(
+                code,
+                StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
+            );
             if full {
                 c.full()
             } else {
@@ -112,8 +127,16 @@
         if code.is_server_error() {
             c.failed();
         }
-        match self.whole(s, r, link, &meta, &c, route.mode == Mode::Stream).await {
-            Some((head, body)) => Outcome::Answer(Box::new(Answer { head, body, meta, claim: c })),
+        match self
+            .whole(s, r, link, &meta, &c, route.mode == Mode::Stream)
+            .await
+        {
+            Some((head, body)) => Outcome::Answer(Box::new(Answer {
+                head,
+                body,
+                meta,
+                claim: c,
+            })),
             None => {
                 self.counts.broken.fetch_add(1, SeqCst);
                 c.failed();
@@ -142,7 +165,12 @@
             return Some((head, AnswerBody::Coming(body, link)));
         }
         let left = s.until.saturating_sub(self.runtime.now());
-        let b = self.runtime.timeout(left, body.collect()).await?.ok()?.to_bytes();
+        let b = self
+            .runtime
+            .timeout(left, body.collect())
+            .await?
+            .ok()?
+            .to_bytes();
         self.give_back(&c.to.server, link, m);
         Some((head, AnswerBody::Whole(b)))
     }
@@ -162,17 +190,33 @@
 
     pub(super) fn give_back(&self, server: &str, l: Link, m: &AnswerMeta) {
         if !m.closes {
-            self.pool.keep(server, l, self.runtime.now(), m.idle_ms, (LINKS_KEPT / self.fronts.load(SeqCst).max(1)).max(4));
+            self.pool.keep(
+                server,
+                l,
+                self.runtime.now(),
+                m.idle_ms,
+                (LINKS_KEPT / self.fronts.load(SeqCst).max(1)).max(4),
+            );
         }
     }
 
-    /// Sends it over a kept connection, or else over a new one; only what has not left is sent again.
-    async fn exchange(&self, s: &ClientRequest, c: &Claim, route: &Route) -> Result<(Response<Incoming>, Link), Failed> {
+    /// Sends it over a kept connection, or else over a new one; only what has not left is sent
+    /// again.
+    async fn exchange(
+        &self,
+        s: &ClientRequest,
+        c: &Claim,
+        route: &Route,
+    ) -> Result<(Response<Incoming>, Link), Failed> {
         let mut stale = 0;
         loop {
             let mut link = match self.pool.take(&c.to.server, self.runtime.now(), stale > 0) {
                 Some(l) => l,
-                None => self.pool.dial(&self.runtime, &c.to, DIAL_WAIT).await.map_err(|_| Failed::Unsent)?,
+                None => self
+                    .pool
+                    .dial(&self.runtime, &c.to, DIAL_WAIT)
+                    .await
+                    .map_err(|_| Failed::Unsent)?,
             };
             let now = self.runtime.now();
             if now >= s.until || !self.still_holds(s, &c.to, route) {
@@ -180,7 +224,14 @@
             }
             let fresh = link.fresh;
             self.counts.sent.fetch_add(1, SeqCst);
-            match link.ask(&self.runtime, self.request(s, &c.to), s.until.min(now + SEND_WITHIN)).await {
+            match link
+                .ask(
+                    &self.runtime,
+                    self.request(s, &c.to),
+                    s.until.min(now + SEND_WITHIN),
+                )
+                .await
+            {
                 Ok(r) => return Ok((r, link)),
                 Err(Failed::Unsent) if !fresh && stale < 3 => stale += 1,
                 Err(e) => return Err(e),
@@ -188,14 +239,22 @@
         }
     }
 
-    /// Whether the newest configuration and list would still let the request go to this server: a process may stand
-    /// still, or wait for a connection, after it has chosen.
+    /// Whether the newest configuration and list would still let the request go to this server: a
+    /// process may stand still, or wait for a connection, after it has chosen.
     fn still_holds(&self, s: &ClientRequest, to: &ListedServer, route: &Route) -> bool {
         let config = self.documents.config.load();
-        let routed = config.1.routing.find(&s.host, s.head.uri.path()).is_some_and(|now| {
-            let same_kind = now.mode == route.mode && now.retained == route.retained;
-            same_kind && now.variants.iter().any(|(service, weight)| *service == to.service && *weight > 0)
-        });
+        let routed = config
+            .1
+            .routing
+            .find(&s.host, s.head.uri.path())
+            .is_some_and(|now| {
+                let same_kind = now.mode == route.mode && now.retained == route.retained;
+                same_kind
+                    && now
+                        .variants
+                        .iter()
+                        .any(|(service, weight)| *service == to.service && *weight > 0)
+            });
         routed && self.documents.list.load().1.servers.iter().any(|l| l == to)
     }
 
@@ -206,9 +265,18 @@
         *q.headers_mut() = s.head.headers.clone();
         let c = self.documents.config.load();
         let r = c.1.routing.find(&s.host, s.head.uri.path());
-        let engine = c.1.routing.upstreams.get(&to.service).is_some_and(|u| u.engine.is_some());
+        let engine =
+            c.1.routing
+                .upstreams
+                .get(&to.service)
+                .is_some_and(|u| u.engine.is_some());
         let urgency = r.and_then(|r| self.urgency(s, r, engine));
-        self.back.dress(q.headers_mut(), to, s.until.saturating_sub(self.runtime.now()) / MS, urgency);
+        self.back.dress(
+            q.headers_mut(),
+            to,
+            s.until.saturating_sub(self.runtime.now()) / MS,
+            urgency,
+        );
         q
     }
 }
--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -30,25 +30,39 @@
         }
     }
 
-    /// Sends it to one server after another until one answers; at most `max_tries` of them ever see a byte of it.
-    pub(super) async fn dispatch(self: &Arc<Self>, s: &ClientRequest, first: &Route, prev: Option<&Turn>) -> Result<Dispatched, Rejection> {
+    /// Sends it to one server after another until one answers; at most `max_tries` of them ever see
+    /// a byte of it.
+    pub(super) async fn dispatch(
+        self: &Arc<Self>,
+        s: &ClientRequest,
+        first: &Route,
+        prev: Option<&Turn>,
+    ) -> Result<Dispatched, Rejection> {
         let (mut tried, mut sent, mut lost): (Vec<String>, u32, bool) = (vec![], 0, false);
         let mut last: Option<Answer> = None;
         self.retries.deposit();
-        let done = |route: Route, answer: Answer, tried: Vec<String>, sent: u32| Dispatched { route, answer, tried, sent };
+        let done = |route: Route, answer: Answer, tried: Vec<String>, sent: u32| Dispatched {
+            route,
+            answer,
+            tried,
+            sent,
+        };
         loop {
             let (route, claim) = match self.seat(s, first, prev, &tried).await {
                 Ok(x) => x,
                 Err(e) => {
                     let rejection = if lost { self.gave_up(s) } else { e };
-                    return last.map(|a| done(first.clone(), a, tried, sent)).ok_or(rejection);
+                    return last
+                        .map(|a| done(first.clone(), a, tried, sent))
+                        .ok_or(rejection);
                 }
             };
             let repeatable = self.repeatable(&route);
             let server = claim.to.server.clone();
             tried.push(server.clone());
             let got = if repeatable && sent + 1 < route.max_tries {
-                self.attempt_hedged(s, &route, claim, &mut tried, &mut sent).await
+                self.attempt_hedged(s, &route, claim, &mut tried, &mut sent)
+                    .await
             } else {
                 self.attempt(s, claim, &route).await
             };
@@ -62,16 +76,19 @@
                     }
                     last = Some(*a);
                 }
-                // It may be chosen again by what holds now; where no time is left, that is told there.
+                // It may be chosen again by what holds now; where no time is left, that is told
+                // there.
                 Outcome::Withdrawn => tried.retain(|x| *x != server),
                 Outcome::NotRun | Outcome::Unsent if more => {}
                 Outcome::NotRun | Outcome::Unsent if lost => return Err(self.gave_up(s)),
                 Outcome::NotRun | Outcome::Unsent => {
-                    return last.map(|a| done(route.clone(), a, tried, sent)).ok_or(Rejection(
-                        Code::LineFull,
-                        "every server turned it away",
-                        self.soon(&route),
-                    ));
+                    return last
+                        .map(|a| done(route.clone(), a, tried, sent))
+                        .ok_or(Rejection(
+                            Code::LineFull,
+                            "every server turned it away",
+                            self.soon(&route),
+                        ));
                 }
                 Outcome::Lost if repeatable && more && self.retries.withdraw() => lost = true,
                 Outcome::Lost => return Err(self.gave_up(s)),
@@ -107,16 +124,27 @@
                 return Err(Rejection(Code::NotServing, "the route has changed", 20));
             }
             if now >= s.until {
-                return Err(Rejection(Code::TooLate, "no time is left", self.soon(&route)));
+                return Err(Rejection(
+                    Code::TooLate,
+                    "no time is left",
+                    self.soon(&route),
+                ));
             }
             let n = self.need(s, &route, &up, prev);
             let got = {
                 let l = self.documents.list.load();
-                self.balance.pick(&self.runtime, &n, &l.1.servers, tried, |x| self.pool.has(x))
+                self.balance
+                    .pick(&self.runtime, &n, &l.1.servers, tried, |x| self.pool.has(x))
             };
             let due = match got {
                 Ok(c) => return Ok((route, c)),
-                Err(NoSeat::None) => return Err(Rejection(Code::NoServer, "no server of the service may take it now", self.soon(&route))),
+                Err(NoSeat::None) => {
+                    return Err(Rejection(
+                        Code::NoServer,
+                        "no server of the service may take it now",
+                        self.soon(&route),
+                    ));
+                }
                 Err(NoSeat::Full(due)) => due,
             };
             let end = patience.min(s.until);
@@ -139,8 +167,15 @@
             prev_tokens: prev.map_or(0, |t| t.tokens),
             site: self.site.clone(),
             target_us: r.target_ms.max(1) * MS,
-            rank: (r.rank, s.began + s.meta.finish_ms.unwrap_or(r.timeout_ms) * MS),
-            affinity: if r.pinned { s.meta.affinity.clone() } else { String::new() },
+            rank: (
+                r.rank,
+                s.began + s.meta.finish_ms.unwrap_or(r.timeout_ms) * MS,
+            ),
+            affinity: if r.pinned {
+                s.meta.affinity.clone()
+            } else {
+                String::new()
+            },
             conns: (up.max_conns * 3 / 2 / fronts).max(2),
         }
     }
--- a/yewcross-proxy/src/relay/hedge.rs
+++ b/yewcross-proxy/src/relay/hedge.rs
@@ -11,14 +11,17 @@
 use yewcross_common::constants::*;
 
 impl Relay {
-    /// us of silence after which a second server is asked: longer than the first would take if it were well.
+    /// us of silence after which a second server is asked: longer than the first would take if it
+    /// were well.
     fn hedge_after(&self, route: &Route, claim: &Claim) -> u64 {
         let usual = HEDGE_FACTOR * self.balance.usual(&claim.to.service) + claim.reading_us();
-        usual.max(route.target_ms * MS * HEDGE_AIM_PERCENT / 100).max(HEDGE_LEAST)
+        usual
+            .max(route.target_ms * MS * HEDGE_AIM_PERCENT / 100)
+            .max(HEDGE_LEAST)
     }
 
-    /// Sends a repeatable request to a server, and to a second one if the first is silent. The first good answer counts; a
-    /// bad one leaves the other to be waited for.
+    /// Sends a repeatable request to a server, and to a second one if the first is silent. The
+    /// first good answer counts; a bad one leaves the other to be waited for.
     pub(super) async fn attempt_hedged(
         self: &Arc<Self>,
         s: &ClientRequest,
@@ -35,7 +38,9 @@
         if let Some(outcome) = self.runtime.timeout(pause, first.as_mut()).await {
             return outcome;
         }
-        let Ok((second_route, claim)) = self.seat(s, route, None, tried).await else { return first.await };
+        let Ok((second_route, claim)) = self.seat(s, route, None, tried).await else {
+            return first.await;
+        };
         if !self.retries.withdraw() {
             drop(claim);
             return first.await;
@@ -44,7 +49,9 @@
         tried.push(claim.to.server.clone());
         *sent += 1;
         let mut second = std::pin::pin!(self.attempt(s, claim, &second_route));
-        let (outcome, is_first) = async { (first.as_mut().await, true) }.or(async { (second.as_mut().await, false) }).await;
+        let (outcome, is_first) = async { (first.as_mut().await, true) }
+            .or(async { (second.as_mut().await, false) })
+            .await;
         match outcome {
             Outcome::Answer(_) => outcome,
             _ if is_first => outcome.or(second.await),
--- a/yewcross-proxy/src/relay/retry_budget.rs
+++ b/yewcross-proxy/src/relay/retry_budget.rs
@@ -1,4 +1,5 @@
-//! Bounds what is sent twice to a share of what is sent once, so that retries never become the load.
+//! Bounds what is sent twice to a share of what is sent once, so that retries never become the
+//! load.
 
 use crate::policy::{Mechanism, Policies};
 use std::sync::Mutex;
@@ -12,7 +13,10 @@
 
 impl RetryBudget {
     pub fn new(policies: Policies) -> RetryBudget {
-        RetryBudget { tokens: Mutex::new(RETRY_BURST), is_bounded: policies.has(Mechanism::RetryBudget) }
+        RetryBudget {
+            tokens: Mutex::new(RETRY_BURST),
+            is_bounded: policies.has(Mechanism::RetryBudget),
+        }
     }
 
     /// A request was sent for the first time.
--- a/yewcross-proxy/src/relay/streaming.rs
+++ b/yewcross-proxy/src/relay/streaming.rs
@@ -37,10 +37,12 @@
         let stalled_after = resumption.as_ref().and_then(|r| r.stalled_after(self, &a));
         let mut head = a.head;
         strip_hop_by_hop(&mut head.headers);
-        // The version is a connection's own: under an older one a body that breaks off would look complete.
+        // The version is a connection's own: under an older one a body that breaks off would look
+        // complete.
         head.version = Version::HTTP_11;
         if keep.is_some() {
-            // Whoever is told a length takes the last byte for the end, and the end waits until the turn is kept.
+            // Whoever is told a length takes the last byte for the end, and the end waits until the
+            // turn is kept.
             head.headers.remove(header::CONTENT_LENGTH);
         }
         let (body, link) = match a.body {
@@ -81,7 +83,11 @@
 
 impl Stall {
     fn new(w: &Runtime, after: u64) -> Stall {
-        Stall { after, heard_at: w.now(), timer: w.sleep(after) }
+        Stall {
+            after,
+            heard_at: w.now(),
+            timer: w.sleep(after),
+        }
     }
 
     /// Whether nothing was heard for too long; asks to be polled again otherwise.
@@ -99,7 +105,8 @@
     }
 }
 
-/// The body of an answer on its way. It ends whole only if the server's did, and the turn is kept; else it breaks off.
+/// The body of an answer on its way. It ends whole only if the server's did, and the turn is kept;
+/// else it breaks off.
 pub(super) struct ForwardedBody {
     relay: Arc<Relay>,
     body: Incoming,
@@ -112,7 +119,8 @@
     keep: Option<Turn>,
     until: u64,
     resumption: Option<Resumption>,
-    /// Of a stream that may be resumed: bytes of an event that is not whole yet. They are passed on with its end.
+    /// Of a stream that may be resumed: bytes of an event that is not whole yet. They are passed on
+    /// with its end.
     held: BytesMut,
     /// The rest of a stream that is being taken up elsewhere.
     rest: Mutex<Option<Rest>>,
@@ -129,9 +137,14 @@
         Poll::Ready(Some(Err(io::Error::new(io::ErrorKind::UnexpectedEof, why))))
     }
 
-    /// Begins to take the stream up elsewhere, where that may be done. What was held back of a broken event goes.
+    /// Begins to take the stream up elsewhere, where that may be done. What was held back of a
+    /// broken event goes.
     fn take_up(&mut self) -> bool {
-        let last_id = self.scan.as_ref().and_then(|s| s.last_id()).map(|id| id.to_vec());
+        let last_id = self
+            .scan
+            .as_ref()
+            .and_then(|s| s.last_id())
+            .map(|id| id.to_vec());
         let rest = match (&mut self.resumption, last_id) {
             (Some(resumption), Some(id)) => resumption.begin(&self.relay, &id),
             _ => None,
@@ -149,15 +162,22 @@
 
     /// Goes on with what another server sends.
     fn go_on(&mut self, answer: Answer) {
-        let AnswerBody::Coming(body, link) = answer.body else { return };
-        (self.body, self.link, self.meta, self.claim) = (body, Some(link), answer.meta, Some(answer.claim));
+        let AnswerBody::Coming(body, link) = answer.body else {
+            return;
+        };
+        (self.body, self.link, self.meta, self.claim) =
+            (body, Some(link), answer.meta, Some(answer.claim));
         let now = self.relay.runtime.now();
-        self.stall.iter_mut().for_each(|s| s.get_mut().unwrap().heard_at = now);
+        self.stall
+            .iter_mut()
+            .for_each(|s| s.get_mut().unwrap().heard_at = now);
     }
 
     /// What may be passed on of a piece: of a stream that may be resumed, whole events alone.
     fn ready_part(&mut self, piece: Bytes) -> Bytes {
-        let Some(scan) = &mut self.scan else { return piece };
+        let Some(scan) = &mut self.scan else {
+            return piece;
+        };
         scan.push(&piece);
         let (events, whole) = (scan.events(), scan.whole_bytes());
         self.turn.iter_mut().for_each(|t| t.events = events);
@@ -165,7 +185,9 @@
             return piece;
         }
         let now = self.relay.runtime.now();
-        self.stall.iter_mut().for_each(|s| s.get_mut().unwrap().heard_at = now);
+        self.stall
+            .iter_mut()
+            .for_each(|s| s.get_mut().unwrap().heard_at = now);
         if whole == 0 {
             self.held.extend_from_slice(&piece);
             return Bytes::new();
@@ -183,7 +205,11 @@
     fn over(&mut self) -> Result<(), &'static str> {
         let events = self.scan.as_ref().map_or(0, |s| s.events());
         self.claim.iter().for_each(|c| c.streamed(events));
-        let server = self.claim.take().map(|c| c.to.server.clone()).unwrap_or_default();
+        let server = self
+            .claim
+            .take()
+            .map(|c| c.to.server.clone())
+            .unwrap_or_default();
         if let Some(l) = self.link.take() {
             self.relay.give_back(&server, l, &self.meta);
         }
@@ -195,7 +221,9 @@
             t.output = s.data().into();
             t.tokens += used;
             let (chains, open, until) = (o.chains.clone(), o.open.clone(), self.until);
-            *self.end.get_mut().unwrap() = Some(Box::pin(async move { chains.finish(open, t, used, until).await }));
+            *self.end.get_mut().unwrap() = Some(Box::pin(async move {
+                chains.finish(open, t, used, until).await
+            }));
         }
         Ok(())
     }
@@ -205,7 +233,10 @@
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let me = &mut *self;
         loop {
             if me.nap.get_mut().unwrap().as_mut().poll(cx).is_ready() {
@@ -230,14 +261,18 @@
                 match answer {
                     Some(answer) => me.go_on(answer),
                     None if me.take_up() => {}
-                    None => return me.broken("the server broke off, and no other took the stream up"),
+                    None => {
+                        return me.broken("the server broke off, and no other took the stream up");
+                    }
                 }
                 continue;
             }
             let polled = Pin::new(&mut me.body).poll_frame(cx);
             if polled.is_pending() {
                 let (stall, w) = (&mut me.stall, &me.relay.runtime);
-                let is_stalled = stall.as_mut().is_some_and(|s| s.get_mut().unwrap().is_over(w, cx));
+                let is_stalled = stall
+                    .as_mut()
+                    .is_some_and(|s| s.get_mut().unwrap().is_over(w, cx));
                 if is_stalled && me.take_up() {
                     continue;
                 }
@@ -246,7 +281,11 @@
                 Some(Ok(f)) => {
                     let Ok(piece) = f.into_data() else { continue };
                     let ready = me.ready_part(piece);
-                    if me.scan.as_ref().is_some_and(|s| me.resumption.is_some() && !s.ids_rise()) {
+                    if me
+                        .scan
+                        .as_ref()
+                        .is_some_and(|s| me.resumption.is_some() && !s.ids_rise())
+                    {
                         return me.broken("it goes back in its events");
                     }
                     if ready.is_empty() {
@@ -261,7 +300,9 @@
                 }
                 None if me.claim.is_none() => return Poll::Ready(None),
                 None if !me.held.is_empty() && me.scan.as_ref().is_some_and(|s| s.whole()) => {
-                    return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut me.held).freeze()))));
+                    return Poll::Ready(Some(Ok(Frame::data(
+                        std::mem::take(&mut me.held).freeze(),
+                    ))));
                 }
                 None => {
                     if let Err(why) = me.over() {
@@ -280,6 +321,10 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.scan.is_some() { SizeHint::default() } else { self.hint }
+        if self.scan.is_some() {
+            SizeHint::default()
+        } else {
+            self.hint
+        }
     }
 }
--- a/yewcross-proxy/src/relay/turn.rs
+++ b/yewcross-proxy/src/relay/turn.rs
@@ -1,4 +1,5 @@
-//! A turn's part in a request: what is opened at the stores before it is sent, and settled however it ends.
+//! A turn's part in a request: what is opened at the stores before it is sent, and settled however
+//! it ends.
 
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
@@ -22,12 +23,14 @@
 impl Drop for OpenedTurn {
     fn drop(&mut self) {
         if !self.done {
-            self.chains.settle(self.open.clone(), self.events * self.tokens_per_event);
+            self.chains
+                .settle(self.open.clone(), self.events * self.tokens_per_event);
         }
     }
 }
 
-/// Whether the stores have to hear of the request: its turn is kept, or its tokens count against a budget.
+/// Whether the stores have to hear of the request: its turn is kept, or its tokens count against a
+/// budget.
 pub(super) fn is_accounted(r: &Route, m: &RequestMeta) -> bool {
     r.retained || (r.mode == Mode::Stream && m.budget.is_some() && !m.program.is_empty())
 }
@@ -37,7 +40,11 @@
     OpenTurn {
         turn: m.attempt.clone(),
         program: m.program.clone(),
-        prev: if r.retained { m.prev.clone() } else { String::new() },
+        prev: if r.retained {
+            m.prev.clone()
+        } else {
+            String::new()
+        },
         max_output_tokens: m.max_output_tokens,
         budget: m.budget,
     }
@@ -48,7 +55,11 @@
     if chain.is_empty() {
         return input.clone();
     }
-    let n = chain.iter().map(|t| t.input.len() + t.output.len()).sum::<usize>() + input.len();
+    let n = chain
+        .iter()
+        .map(|t| t.input.len() + t.output.len())
+        .sum::<usize>()
+        + input.len();
     let mut b = BytesMut::with_capacity(n);
     chain.iter().for_each(|t| {
         b.extend_from_slice(&t.input);
@@ -64,8 +75,17 @@
         let mut had = 0;
         m.parts = chain
             .iter()
-            .map(|t| (rendezvous_weight(&t.id, "turn"), t.tokens.saturating_sub(std::mem::replace(&mut had, t.tokens))))
+            .map(|t| {
+                (
+                    rendezvous_weight(&t.id, "turn"),
+                    t.tokens
+                        .saturating_sub(std::mem::replace(&mut had, t.tokens)),
+                )
+            })
             .collect();
-        m.parts.push((rendezvous_weight(&m.attempt, "turn"), m.prompt_tokens.saturating_sub(had)));
+        m.parts.push((
+            rendezvous_weight(&m.attempt, "turn"),
+            m.prompt_tokens.saturating_sub(had),
+        ));
     }
 }
--- a/yewcross-proxy/src/scan.rs
+++ b/yewcross-proxy/src/scan.rs
@@ -33,7 +33,10 @@
 impl Scan {
     /// With `keep` unset only the events are counted.
     pub fn new(keep: bool) -> Scan {
-        Scan { keep, ..Scan::default() }
+        Scan {
+            keep,
+            ..Scan::default()
+        }
     }
 
     fn end_line(&mut self, l: &[u8]) {
@@ -105,7 +108,8 @@
         !self.open && self.line.is_empty()
     }
 
-    /// What was read of an event that is not whole never came: the stream goes on behind the last whole one.
+    /// What was read of an event that is not whole never came: the stream goes on behind the last
+    /// whole one.
     pub fn forget_event(&mut self) {
         (self.open, self.cr, self.id) = (false, false, None);
         self.line.clear();
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -36,22 +36,36 @@
         p.server == self.at.server
             && p.instance == self.report.instance
             && p.weights == self.report.weights
-            && self.report.placed_tokens.saturating_sub(p.placed_tokens).saturating_add(p.tokens) <= self.report.cache_tokens
+            && self
+                .report
+                .placed_tokens
+                .saturating_sub(p.placed_tokens)
+                .saturating_add(p.tokens)
+                <= self.report.cache_tokens
     }
 }
 
-/// The front of a site that polls and tells for a service there; of any site where that one has none.
+/// The front of a site that polls and tells for a service there; of any site where that one has
+/// none.
 pub fn home_of(fronts: &[Node], service: &str, site: &str) -> Option<String> {
-    let near: Vec<&str> = fronts.iter().filter(|n| n.site == site).map(|n| n.name.as_str()).collect();
+    let near: Vec<&str> = fronts
+        .iter()
+        .filter(|n| n.site == site)
+        .map(|n| n.name.as_str())
+        .collect();
     let all: Vec<&str> = fronts.iter().map(|n| n.name.as_str()).collect();
     let from = if near.is_empty() { all } else { near };
-    yewcross_common::hash::ranked(service, from.into_iter()).first().map(|s| s.to_string())
+    yewcross_common::hash::ranked(service, from.into_iter())
+        .first()
+        .map(|s| s.to_string())
 }
 
 /// Servers that may take a job of the service now: allowed, listed, heard of, not leaving.
 pub fn fit(front: &Front, svc: &str) -> Vec<Server> {
     let conf = front.documents.config.load();
-    let Some(s) = conf.1.services.get(svc) else { return vec![] };
+    let Some(s) = conf.1.services.get(svc) else {
+        return vec![];
+    };
     let t = front.runtime.now();
     let heard = front.heard.lock().unwrap();
     let sent = front.sent.lock().unwrap();
@@ -73,18 +87,33 @@
                 report: h.report.clone(),
                 age,
                 mine: sent.get(&l.server).cloned().unwrap_or(0),
-                slow: slow.get(&l.server).filter(|x| t < x.1).map(|x| x.0).unwrap_or(0),
+                slow: slow
+                    .get(&l.server)
+                    .filter(|x| t < x.1)
+                    .map(|x| x.0)
+                    .unwrap_or(0),
             })
         })
         .collect()
 }
 
 pub fn table(front: &Front) -> BTreeMap<String, Vec<Server>> {
-    front.documents.config.load().1.services.keys().map(|s| (s.clone(), fit(front, s))).collect()
+    front
+        .documents
+        .config
+        .load()
+        .1
+        .services
+        .keys()
+        .map(|s| (s.clone(), fit(front, s)))
+        .collect()
 }
 
 /// Slots of the servers that may take a request of the service now.
 pub fn slots(front: &Front, service: &str) -> Slots {
     let servers = fit(front, service);
-    Slots { free: servers.iter().map(|s| s.free()).sum(), all: servers.iter().map(|s| s.report.slots).sum() }
+    Slots {
+        free: servers.iter().map(|s| s.free()).sum(),
+        all: servers.iter().map(|s| s.report.slots).sum(),
+    }
 }
--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -38,19 +38,35 @@
     if let Err((c, w)) = check(&b) {
         return refuse(c, &w, 0);
     }
-    let cap = front.documents.config.load().1.families.get(&b.program).map_or(HORIZON_MAX, |p| p.eff.horizon_ms);
+    let cap = front
+        .documents
+        .config
+        .load()
+        .1
+        .families
+        .get(&b.program)
+        .map_or(HORIZON_MAX, |p| p.eff.horizon_ms);
     let end = t0 + b.horizon_ms.min(cap) * MS + HORIZON_LATE;
     // What is said at the last moment still has to be sent.
     let cut = end + HORIZON_LATE / 2;
     // As long as a turn's output may be: a caller that reads slowly holds no server up.
     let (tx, rx) = async_channel::unbounded();
     let (me, streamed) = (front.clone(), b.stream);
-    front.runtime.spawn(async move { drive(me, b, t0, nonce, tx).await });
+    front
+        .runtime
+        .spawn(async move { drive(me, b, t0, nonce, tx).await });
     let w = front.runtime.clone();
     let next = async move || {
         let left = end.saturating_sub(w.now());
-        let late = Event::No(Code::StillRunning, "its horizon has passed".into(), BACK_SOON);
-        w.timeout(left, rx.recv()).await.unwrap_or(Ok(late)).unwrap_or(Event::No(Code::MayHaveRun, String::new(), 0))
+        let late = Event::No(
+            Code::StillRunning,
+            "its horizon has passed".into(),
+            BACK_SOON,
+        );
+        w.timeout(left, rx.recv())
+            .await
+            .unwrap_or(Ok(late))
+            .unwrap_or(Event::No(Code::MayHaveRun, String::new(), 0))
     };
     if !streamed {
         let mut text = String::new();
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -27,11 +27,22 @@
     if !name_ok(&b.program) || !name_ok(&b.session) {
         return refuse(Code::BadField, "program or session", 0);
     }
-    let Some(p) = front.documents.config.load().1.families.get(&b.program).cloned() else {
+    let Some(p) = front
+        .documents
+        .config
+        .load()
+        .1
+        .families
+        .get(&b.program)
+        .cloned()
+    else {
         return refuse(Code::UnknownProgram, &b.program, 0);
     };
     let key = format!("session/{}/{}", b.program, b.session);
-    match front.store(&key, &PeerRequest::EndSession { key: key.clone() }, &[], 3).await {
+    match front
+        .store(&key, &PeerRequest::EndSession { key: key.clone() }, &[], 3)
+        .await
+    {
         Some((PeerResponse::SessionEnded { cache: kv }, _)) => {
             let pushed = front.replicas.lock().unwrap().remove(&key);
             front.spares.forget(&key);
--- a/yewcross-proxy/src/turn/place.rs
+++ b/yewcross-proxy/src/turn/place.rs
@@ -12,8 +12,9 @@
 use yewcross_common::constants::{HORIZON_SPARE, MS};
 use yewcross_common::protocol::CachedPrefix;
 
-/// The judges' pick, with a verified connection to it. No import is waited for: while the session's home is full, its
-/// replica is brought in beside the wait, and a turn that must move before that is served cold.
+/// The judges' pick, with a verified connection to it. No import is waited for: while the session's
+/// home is full, its replica is brought in beside the wait, and a turn that must move before that
+/// is served cold.
 pub(super) async fn place(
     front: &Arc<Front>,
     g: &mut Begun,
@@ -24,7 +25,9 @@
     let began = front.runtime.now();
     let mut asked = false;
     loop {
-        let left = g.r.horizon.checked_sub(front.runtime.now() + HORIZON_SPARE)?;
+        let left =
+            g.r.horizon
+                .checked_sub(front.runtime.now() + HORIZON_SPARE)?;
         if !front.watcher.may_serve() {
             return None;
         }
@@ -42,8 +45,18 @@
             left,
         };
         let mut beside = || {
-            let due = |r: CachedPrefix| Due { key: g.r.key.clone(), service: g.r.fam.service.clone(), replica: r, tell: false };
-            let room = |r: &&CachedPrefix| !r.digest.is_empty() && servers.iter().any(|s| s.at.server == r.server && s.free() > 0);
+            let due = |r: CachedPrefix| Due {
+                key: g.r.key.clone(),
+                service: g.r.fam.service.clone(),
+                replica: r,
+                tell: false,
+            };
+            let room = |r: &&CachedPrefix| {
+                !r.digest.is_empty()
+                    && servers
+                        .iter()
+                        .any(|s| s.at.server == r.server && s.free() > 0)
+            };
             if let Some(r) = kv.replica.as_ref().filter(room)
                 && !std::mem::replace(&mut asked, true)
             {
@@ -52,7 +65,9 @@
         };
         let Some(p) = judge::pick(&servers, &case, &w, not) else {
             let could = servers.iter().filter(|s| !not.contains(&s.at.server));
-            let hopeless = could.map(|s| judge::takes(s, &case, &judge::warmth(s, &case))).all(|t| t > left);
+            let hopeless = could
+                .map(|s| judge::takes(s, &case, &judge::warmth(s, &case)))
+                .all(|t| t > left);
             if hopeless || front.runtime.now() > g.r.patience {
                 return None;
             }
@@ -61,11 +76,18 @@
             continue;
         };
         // A full home is waited for no longer than the move would cost over staying.
-        let stay = servers.iter().find(|s| g.kv.home.as_ref().is_some_and(|h| h.server == s.at.server) && !not.contains(&s.at.server));
-        let stay = stay.filter(|s| p.server.at.server != s.at.server).map(|s| (s, judge::warmth(s, &case)));
+        let stay = servers.iter().find(|s| {
+            g.kv.home.as_ref().is_some_and(|h| h.server == s.at.server)
+                && !not.contains(&s.at.server)
+        });
+        let stay = stay
+            .filter(|s| p.server.at.server != s.at.server)
+            .map(|s| (s, judge::warmth(s, &case)));
         if let Some((s, m @ Warmth::Held(_))) = stay {
             let more = p.takes.saturating_sub(judge::takes(s, &case, &m));
-            if front.runtime.now() < (began + more.min(left.saturating_sub(p.takes))).min(g.r.patience) {
+            if front.runtime.now()
+                < (began + more.min(left.saturating_sub(p.takes))).min(g.r.patience)
+            {
                 *pass = None;
                 beside();
                 front.runtime.sleep(20 * MS).await;
@@ -73,7 +95,11 @@
             }
         }
         let at = &p.server.at;
-        let b = match front.pool.get(&front.runtime, &g.r.fam.service, &at.server, at.addr).await {
+        let b = match front
+            .pool
+            .get(&front.runtime, &g.r.fam.service, &at.server, at.addr)
+            .await
+        {
             Ok(b) => b,
             Err(e) => {
                 if e.kind() == std::io::ErrorKind::PermissionDenied {
--- a/yewcross-proxy/src/turn/request.rs
+++ b/yewcross-proxy/src/turn/request.rs
@@ -27,7 +27,10 @@
 }
 
 pub fn name_ok(s: &str) -> bool {
-    !s.is_empty() && s.len() <= 128 && s.bytes().all(|b| b.is_ascii_graphic() && b != b'/' && b != b'|')
+    !s.is_empty()
+        && s.len() <= 128
+        && s.bytes()
+            .all(|b| b.is_ascii_graphic() && b != b'/' && b != b'|')
 }
 
 pub(super) fn check(b: &TurnBody) -> Result<(), (Code, String)> {
@@ -38,7 +41,10 @@
         _ if !name_ok(&b.job) => bad("job"),
         _ if b.messages.is_empty() => bad("messages"),
         _ if b.max_output == Some(0) => bad("max_output"),
-        _ if !(HORIZON_MIN..=HORIZON_MAX).contains(&b.horizon_ms) => Err((Code::BadHorizon, format!("{HORIZON_MIN} to {HORIZON_MAX} ms"))),
+        _ if !(HORIZON_MIN..=HORIZON_MAX).contains(&b.horizon_ms) => Err((
+            Code::BadHorizon,
+            format!("{HORIZON_MIN} to {HORIZON_MAX} ms"),
+        )),
         _ => Ok(()),
     }
 }
--- a/yewcross-proxy/tests/kv.rs
+++ b/yewcross-proxy/tests/kv.rs
@@ -7,7 +7,13 @@
 use yewcross_proxy::server_table::Server;
 
 fn server(n: &str, running: u32) -> Server {
-    let at = ListedServer { server: n.into(), service: "llm".into(), addr: ([127, 0, 0, 1], 1).into(), site: "a".into(), leaving: false };
+    let at = ListedServer {
+        server: n.into(),
+        service: "llm".into(),
+        addr: ([127, 0, 0, 1], 1).into(),
+        site: "a".into(),
+        leaving: false,
+    };
     let report = LoadReport {
         server: n.into(),
         instance: 1,
@@ -19,59 +25,118 @@
         weights: "w1".into(),
         ..Default::default()
     };
-    Server { at, report, age: 0, mine: 0, slow: 0 }
+    Server {
+        at,
+        report,
+        age: 0,
+        mine: 0,
+        slow: 0,
+    }
 }
 
 fn place(s: &str, tokens: u64, mark: u64) -> CachedPrefix {
-    CachedPrefix { server: s.into(), instance: 1, weights: "w1".into(), tokens, digest: "x".into(), placed_tokens: mark }
+    CachedPrefix {
+        server: s.into(),
+        instance: 1,
+        weights: "w1".into(),
+        tokens,
+        digest: "x".into(),
+        placed_tokens: mark,
+    }
 }
 
 fn case(kv: &SessionCacheState) -> Case<'_> {
-    Case { key: "k", site: "a", tokens: 11_000, max_out: 50, kv, left: 6 * SEC }
+    Case {
+        key: "k",
+        site: "a",
+        tokens: 11_000,
+        max_out: 50,
+        kv,
+        left: 6 * SEC,
+    }
 }
 
 #[test]
 fn a_replica_saves_time_only_once_it_is_in_the_cache() {
-    let of =
-        |mark| SessionCacheState { home: Some(place("m1", 10_000, 10_000)), replica: Some(place("m2", 9_000, mark)), program: "p".into() };
+    let of = |mark| SessionCacheState {
+        home: Some(place("m1", 10_000, 10_000)),
+        replica: Some(place("m2", 9_000, mark)),
+        program: "p".into(),
+    };
     let m2 = server("m2", 0);
     let (stored, ready) = (of(0), of(9_000));
     let cold = takes(&m2, &case(&stored), &Warmth::Cold);
     let w = warmth(&m2, &case(&stored));
-    assert_eq!((w.clone(), takes(&m2, &case(&stored), &w)), (Warmth::Import(place("m2", 9_000, 0)), cold));
+    assert_eq!(
+        (w.clone(), takes(&m2, &case(&stored), &w)),
+        (Warmth::Import(place("m2", 9_000, 0)), cold)
+    );
     let w = warmth(&m2, &case(&ready));
     assert_eq!(w, Warmth::Held(9_000));
     assert!(takes(&m2, &case(&ready), &w) * 4 < cold);
     // Everything placed there since may have pushed it out.
     let mut full = m2.clone();
     full.report.placed_tokens = 101_000;
-    assert_eq!(warmth(&full, &case(&ready)), Warmth::Import(place("m2", 9_000, 9_000)));
+    assert_eq!(
+        warmth(&full, &case(&ready)),
+        Warmth::Import(place("m2", 9_000, 9_000))
+    );
 }
 
 #[test]
 fn a_replica_of_other_weights_or_of_another_life_is_worth_nothing() {
     for mark in [0, 9_000] {
-        let kv = SessionCacheState { home: None, replica: Some(place("m2", 9_000, mark)), program: "p".into() };
+        let kv = SessionCacheState {
+            home: None,
+            replica: Some(place("m2", 9_000, mark)),
+            program: "p".into(),
+        };
         let (mut other, mut next) = (server("m2", 0), server("m2", 0));
         other.report.weights = "w2".into();
         next.report.instance = 2;
-        assert_eq!([other, next].map(|s| warmth(&s, &case(&kv))), [Warmth::Cold, Warmth::Cold]);
+        assert_eq!(
+            [other, next].map(|s| warmth(&s, &case(&kv))),
+            [Warmth::Cold, Warmth::Cold]
+        );
     }
 }
 
 #[test]
 fn the_ordinary_path_shares_from_8192_tokens_on_with_one_server() {
     let f = ProgramClass::default();
-    assert_eq!((f.kv_share, f.kv_min_tokens, KV_MIN_TOKENS), (true, 8_192, 8_192));
+    assert_eq!(
+        (f.kv_share, f.kv_min_tokens, KV_MIN_TOKENS),
+        (true, 8_192, 8_192)
+    );
     // Occupancy does not move the target, so that it stays the one server where the replica stands.
-    let home = Home { server: "m1".into(), site: "a".into() };
+    let home = Home {
+        server: "m1".into(),
+        site: "a".into(),
+    };
     let mut v = ["m1", "m2", "m3", "m4"].map(|n| server(n, 0)).to_vec();
-    let to = |v: &[Server]| spill(v, "k", &home, &Weights::from(&f)).unwrap().at.server.clone();
+    let to = |v: &[Server]| {
+        spill(v, "k", &home, &Weights::from(&f))
+            .unwrap()
+            .at
+            .server
+            .clone()
+    };
     let first = to(&v);
-    v.iter_mut().filter(|s| s.at.server == first).for_each(|s| s.report.running = 4);
+    v.iter_mut()
+        .filter(|s| s.at.server == first)
+        .for_each(|s| s.report.running = 4);
     assert_eq!(to(&v), first);
     // Without a replica a full home's turn is picked another server, cold.
-    let kv = SessionCacheState { home: Some(place("m1", 10_000, 0)), replica: None, program: "p".into() };
-    v.iter_mut().filter(|s| s.at.server == "m1").for_each(|s| s.report.running = 4);
-    assert!(pick(&v, &case(&kv), &Weights::from(&f), &[]).is_some_and(|p| p.server.at.server != "m1" && p.warmth == Warmth::Cold));
+    let kv = SessionCacheState {
+        home: Some(place("m1", 10_000, 0)),
+        replica: None,
+        program: "p".into(),
+    };
+    v.iter_mut()
+        .filter(|s| s.at.server == "m1")
+        .for_each(|s| s.report.running = 4);
+    assert!(
+        pick(&v, &case(&kv), &Weights::from(&f), &[])
+            .is_some_and(|p| p.server.at.server != "m1" && p.warmth == Warmth::Cold)
+    );
 }
--- a/yewcross-proxy/tests/scan.rs
+++ b/yewcross-proxy/tests/scan.rs
@@ -22,7 +22,9 @@
         ("data: a", 1, false, ""),
         ("database: a\n\n", 0, true, ""),
     ];
-    rows.iter().for_each(|(t, n, w, d)| assert_eq!(read(&[t.as_bytes()]), (*n, *w, d.to_string()), "{t:?}"));
+    rows.iter().for_each(|(t, n, w, d)| {
+        assert_eq!(read(&[t.as_bytes()]), (*n, *w, d.to_string()), "{t:?}")
+    });
 }
 
 /// A line feed that comes alone behind a carriage return ends that line, and only that one.
@@ -35,7 +37,9 @@
 #[test]
 fn cuts_change_nothing() {
     arbtest(|u| {
-        let words = ["data: ", "data", "id: 4", "\n", "\r\n", "\r", "\n\n", "é", " x", ":", ""];
+        let words = [
+            "data: ", "data", "id: 4", "\n", "\r\n", "\r", "\n\n", "é", " x", ":", "",
+        ];
         let n = u.int_in_range(0..=30)?;
         let mut t = String::new();
         for _ in 0..n {
--- a/yewcross-state/src/records/purse.rs
+++ b/yewcross-state/src/records/purse.rs
@@ -25,20 +25,25 @@
 impl Purse {
     pub fn read(v: &[u8]) -> Purse {
         let mut p = Purse::default();
-        v.split(|b| *b == b'\n').for_each(|l| match serde_json::from_slice::<PurseLine>(l) {
-            Ok(PurseLine::Open(e, o)) => {
-                p.open.insert(e, o);
-            }
-            Ok(PurseLine::Settled(e)) => p.recent.push_back(e),
-            Ok(PurseLine::Spent(n)) => p.spent = n,
-            Err(_) => {}
-        });
+        v.split(|b| *b == b'\n')
+            .for_each(|l| match serde_json::from_slice::<PurseLine>(l) {
+                Ok(PurseLine::Open(e, o)) => {
+                    p.open.insert(e, o);
+                }
+                Ok(PurseLine::Settled(e)) => p.recent.push_back(e),
+                Ok(PurseLine::Spent(n)) => p.spent = n,
+                Err(_) => {}
+            });
         p
     }
     pub(super) fn write(&self) -> Vec<u8> {
         let mut v = vec![];
-        self.recent.iter().for_each(|e| line(&mut v, &PurseLine::Settled(e.clone())));
-        self.open.iter().for_each(|(e, o)| line(&mut v, &PurseLine::Open(e.clone(), o.clone())));
+        self.recent
+            .iter()
+            .for_each(|e| line(&mut v, &PurseLine::Settled(e.clone())));
+        self.open
+            .iter()
+            .for_each(|(e, o)| line(&mut v, &PurseLine::Open(e.clone(), o.clone())));
         line(&mut v, &PurseLine::Spent(self.spent));
         v
     }
--- a/yewcross-state/src/records/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -47,8 +47,8 @@
     olds: usize,
 }
 
-/// One line for each thing that may change by itself, so that a change is a small delta of the value:
-/// history, bare ids of jobs whose marks are gone, kept outcomes, marks, the rest.
+/// One line for each thing that may change by itself, so that a change is a small delta of the
+/// value: history, bare ids of jobs whose marks are gone, kept outcomes, marks, the rest.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     pub hist: Vec<u8>,
@@ -69,22 +69,36 @@
 impl Record {
     pub fn read(v: &[u8]) -> Record {
         let mut lines = v.split_inclusive(|b| *b == b'\n').rev();
-        let Some((mut head, marks, kept)) = lines.next().and_then(|l| serde_json::from_slice::<(Head, usize, usize)>(l).ok()) else {
+        let Some((mut head, marks, kept)) = lines
+            .next()
+            .and_then(|l| serde_json::from_slice::<(Head, usize, usize)>(l).ok())
+        else {
             return Record::default();
         };
-        let mut tail = v.len() - v.split_inclusive(|b| *b == b'\n').next_back().map_or(0, |l| l.len());
+        let mut tail = v.len()
+            - v.split_inclusive(|b| *b == b'\n')
+                .next_back()
+                .map_or(0, |l| l.len());
         (0..marks).for_each(|_| {
             let Some(l) = lines.next() else { return };
             tail -= l.len();
-            serde_json::from_slice(l).into_iter().for_each(|m| head.marks.push_front(m));
+            serde_json::from_slice(l)
+                .into_iter()
+                .for_each(|m| head.marks.push_front(m));
         });
         (0..kept).for_each(|_| {
             let Some(l) = lines.next() else { return };
             tail -= l.len();
-            serde_json::from_slice(l).into_iter().for_each(|m| head.kept.push_front(m));
+            serde_json::from_slice(l)
+                .into_iter()
+                .for_each(|m| head.kept.push_front(m));
         });
         let ids: usize = lines.by_ref().take(head.olds).map(|l| l.len()).sum();
-        Record { hist: v[..tail - ids].to_vec(), old: v[tail - ids..tail].to_vec(), head }
+        Record {
+            hist: v[..tail - ids].to_vec(),
+            old: v[tail - ids..tail].to_vec(),
+            head,
+        }
     }
     pub fn write(&self) -> Vec<u8> {
         let mut v = self.hist.clone();
@@ -92,12 +106,28 @@
         let olds = self.old.iter().filter(|b| **b == b'\n').count();
         self.head.kept.iter().for_each(|k| line(&mut v, k));
         self.head.marks.iter().for_each(|m| line(&mut v, m));
-        line(&mut v, &(&Head { olds, ..self.head.clone() }, self.head.marks.len(), self.head.kept.len()));
+        line(
+            &mut v,
+            &(
+                &Head {
+                    olds,
+                    ..self.head.clone()
+                },
+                self.head.marks.len(),
+                self.head.kept.len(),
+            ),
+        );
         v
     }
     pub fn close(&mut self, code: Code, used: u64) -> Option<Run> {
         self.head.running.take().inspect(|r| {
-            self.head.marks.push_back(Mark { job: r.job.clone(), digest: r.digest.clone(), nonce: r.nonce, code, used });
+            self.head.marks.push_back(Mark {
+                job: r.job.clone(),
+                digest: r.digest.clone(),
+                nonce: r.nonce,
+                code,
+                used,
+            });
             while self.head.marks.len() > MARKS_KEPT {
                 let m = self.head.marks.pop_front();
                 m.iter().for_each(|m| grow(&mut self.old, &bare(&m.job)));
@@ -108,7 +138,10 @@
 
 /// Ids stand in lines of a fixed length, so that a change stays a small delta.
 fn grow(old: &mut Vec<u8>, id: &str) {
-    let last = old.split_inclusive(|b| *b == b'\n').next_back().map_or(0, |l| l.len());
+    let last = old
+        .split_inclusive(|b| *b == b'\n')
+        .next_back()
+        .map_or(0, |l| l.len());
     if last > 0 && last <= 16 * OLD_LINE {
         old.pop();
     }
@@ -119,7 +152,9 @@
 impl Record {
     pub fn ran_before(&self, job: &str) -> bool {
         let id = bare(job);
-        self.old.split(|b| *b == b'\n').any(|l| l.chunks(16).any(|x| x == id.as_bytes()))
+        self.old
+            .split(|b| *b == b'\n')
+            .any(|l| l.chunks(16).any(|x| x == id.as_bytes()))
     }
     pub fn full(&self) -> bool {
         self.old.len() >= 17 * OLD_KEPT
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -4,9 +4,13 @@
 use crate::records::purse::purse_key;
 use crate::records::record::{Record, Run};
 use std::sync::Arc;
-use yewcross_common::constants::{BAR_KEPT, HORIZON_MAX, KEEP_MAX, MS, OUTCOMES_KEPT, PEER_WAIT, RUN_GRACE};
+use yewcross_common::constants::{
+    BAR_KEPT, HORIZON_MAX, KEEP_MAX, MS, OUTCOMES_KEPT, PEER_WAIT, RUN_GRACE,
+};
 use yewcross_common::error_code::Code;
-use yewcross_common::protocol::{BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState, TurnBegun};
+use yewcross_common::protocol::{
+    BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState, TurnBegun,
+};
 use yewcross_common::register::{ChangeError, Step};
 
 #[allow(clippy::large_enum_variant)]
@@ -24,7 +28,11 @@
     pub async fn begin(self: &Arc<Self>, b: BeginTurn) -> (PeerResponse, Vec<u8>) {
         let seen = self.owner.hint(&b.key).is_some_and(|v| {
             let r = Record::read(&v);
-            r.head.marks.iter().any(|m| m.job == b.request_id) || r.head.running.as_ref().is_some_and(|x| self.wall() < x.until)
+            r.head.marks.iter().any(|m| m.job == b.request_id)
+                || r.head
+                    .running
+                    .as_ref()
+                    .is_some_and(|x| self.wall() < x.until)
         });
         let mut reserve = b.budget.clone().filter(|_| !seen);
         if let Some((name, limit)) = reserve.clone() {
@@ -55,7 +63,12 @@
                     if m.digest != b.digest {
                         return Step::Keep(Pre::No(Code::OtherBody));
                     }
-                    let kept = r.head.kept.iter().find(|k| k.0 == b.request_id).map(|k| k.1.clone());
+                    let kept = r
+                        .head
+                        .kept
+                        .iter()
+                        .find(|k| k.0 == b.request_id)
+                        .map(|k| k.1.clone());
                     return Step::Keep(match (m.code, kept) {
                         (Code::Done, Some(k)) => Pre::Kept(m.code, k),
                         (Code::Done, None) => Pre::No(Code::Forgotten),
@@ -83,7 +96,11 @@
                         return Step::Keep(Pre::Go(g, r.hist, None));
                     }
                     if wall < x.until {
-                        return Step::Keep(Pre::No(if x.job == b.request_id { Code::StillRunning } else { Code::SessionBusy }));
+                        return Step::Keep(Pre::No(if x.job == b.request_id {
+                            Code::StillRunning
+                        } else {
+                            Code::SessionBusy
+                        }));
                     }
                     let (same, used) = (x.job == b.request_id, x.max_out);
                     closed = r.close(Code::MayHaveRun, used);
@@ -109,24 +126,31 @@
                     max_out: b.max_output_tokens,
                     budget: b.budget.as_ref().map(|x| x.0.clone()),
                 });
-                let g =
-                    TurnBegun { epoch: r.head.epoch, cache: r.head.kv.clone(), history_bytes: r.hist.len() as u64, history_complete: true };
+                let g = TurnBegun {
+                    epoch: r.head.epoch,
+                    cache: r.head.kv.clone(),
+                    history_bytes: r.hist.len() as u64,
+                    history_complete: true,
+                };
                 Step::Write(r.write(), Pre::Go(g, r.hist, closed))
             })
             .await;
         let free = |me: &Arc<Self>| {
-            reserve.iter().for_each(|(n, _)| me.settle_soon(n, entry(&b), Some(0)));
+            reserve
+                .iter()
+                .for_each(|(n, _)| me.settle_soon(n, entry(&b), Some(0)));
         };
         match got {
             Ok(Pre::Go(mut g, hist, closed)) => {
                 closed.into_iter().for_each(|x| {
                     let e = format!("{}|{}|{}", b.key, x.job, x.nonce);
-                    x.budget.iter().for_each(|n| self.settle_soon(n, e.clone(), None));
+                    x.budget
+                        .iter()
+                        .for_each(|n| self.settle_soon(n, e.clone(), None));
+                });
+                let same = b.known_history.as_ref().is_some_and(|(n, d)| {
+                    *n == hist.len() as u64 && *d == yewcross_common::hash::content_digest(&hist)
                 });
-                let same = b
-                    .known_history
-                    .as_ref()
-                    .is_some_and(|(n, d)| *n == hist.len() as u64 && *d == yewcross_common::hash::content_digest(&hist));
                 g.history_complete = !same;
                 (PeerResponse::TurnBegun(g), if same { vec![] } else { hist })
             }
@@ -134,7 +158,8 @@
                 free(self);
                 (PeerResponse::StoredOutcome { code }, k.into_bytes())
             }
-            // The front may ask again with this very shot: it keeps its reservation until it is barred.
+            // The front may ask again with this very shot: it keeps its reservation until it is
+            // barred.
             Ok(Pre::No(Code::StoreAway)) | Err(ChangeError::NotDone | ChangeError::NotProposer) => {
                 (PeerResponse::Rejected(Code::StoreAway), vec![])
             }
@@ -148,7 +173,10 @@
 
     pub async fn commit(self: &Arc<Self>, c: CommitTurn, blob: Vec<u8>) -> PeerResponse {
         let n = (c.history_bytes as usize).min(blob.len());
-        let (line, kept) = (blob[..n].to_vec(), String::from_utf8_lossy(&blob[n..]).into_owned());
+        let (line, kept) = (
+            blob[..n].to_vec(),
+            String::from_utf8_lossy(&blob[n..]).into_owned(),
+        );
         let got = self
             .owner
             .change(&c.key, PEER_WAIT, |_, v| {
@@ -156,7 +184,12 @@
                 if let Some(m) = r.head.marks.iter().find(|m| m.job == c.request_id) {
                     return Step::Keep((m.nonce == c.nonce && m.code == c.code).then_some(None));
                 }
-                if r.head.epoch != c.epoch || r.head.running.as_ref().is_none_or(|x| x.nonce != c.nonce || x.job != c.request_id) {
+                if r.head.epoch != c.epoch
+                    || r.head
+                        .running
+                        .as_ref()
+                        .is_none_or(|x| x.nonce != c.nonce || x.job != c.request_id)
+                {
                     return Step::Keep(None);
                 }
                 let run = r.close(c.code, c.used_tokens);
@@ -174,24 +207,43 @@
             .await;
         match got {
             Ok(Some(b)) => {
-                b.into_iter().for_each(|n| self.settle_soon(&n, format!("{}|{}|{}", c.key, c.request_id, c.nonce), Some(c.used_tokens)));
+                b.into_iter().for_each(|n| {
+                    self.settle_soon(
+                        &n,
+                        format!("{}|{}|{}", c.key, c.request_id, c.nonce),
+                        Some(c.used_tokens),
+                    )
+                });
                 PeerResponse::Committed
             }
             Ok(None) => PeerResponse::Rejected(Code::MayHaveRun),
-            Err(ChangeError::NotDone | ChangeError::NotProposer) => PeerResponse::Rejected(Code::StoreAway),
+            Err(ChangeError::NotDone | ChangeError::NotProposer) => {
+                PeerResponse::Rejected(Code::StoreAway)
+            }
             Err(ChangeError::Undecided) => PeerResponse::Rejected(Code::Undecided),
         }
     }
 
-    /// This shot will never be dispatched: as if it had not begun, and it never can begin any more. Only then is its
-    /// reservation given back.
-    pub async fn abort(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) -> PeerResponse {
+    /// This shot will never be dispatched: as if it had not begun, and it never can begin any more.
+    /// Only then is its reservation given back.
+    pub async fn abort(
+        self: &Arc<Self>,
+        key: &str,
+        job: &str,
+        nonce: u64,
+        budget: Option<String>,
+    ) -> PeerResponse {
         let wall = self.wall();
         let got = self
             .owner
             .change(key, PEER_WAIT, |_, v| {
                 let mut r = Record::read(v);
-                if r.head.marks.iter().any(|m| m.job == job && m.nonce == nonce) || r.ran_before(job) {
+                if r.head
+                    .marks
+                    .iter()
+                    .any(|m| m.job == job && m.nonce == nonce)
+                    || r.ran_before(job)
+                {
                     return Step::Keep(false);
                 }
                 if r.head.barred.contains(&nonce) {
@@ -207,7 +259,9 @@
             .await;
         match got {
             Ok(true) => {
-                budget.iter().for_each(|n| self.settle_soon(n, format!("{key}|{job}|{nonce}"), Some(0)));
+                budget
+                    .iter()
+                    .for_each(|n| self.settle_soon(n, format!("{key}|{job}|{nonce}"), Some(0)));
                 PeerResponse::Ok
             }
             Ok(false) => PeerResponse::Rejected(Code::Conflict),
@@ -227,7 +281,11 @@
                 Step::Write(r.write(), true)
             })
             .await;
-        if got == Ok(true) { PeerResponse::Ok } else { PeerResponse::Rejected(Code::Conflict) }
+        if got == Ok(true) {
+            PeerResponse::Ok
+        } else {
+            PeerResponse::Rejected(Code::Conflict)
+        }
     }
 
     /// The session is over: history and transfer state go, marks and kept outcomes stay.
@@ -251,7 +309,9 @@
         match got {
             Ok(Ok(kv)) => PeerResponse::SessionEnded { cache: kv },
             Ok(Err(c)) => PeerResponse::Rejected(c),
-            Err(ChangeError::NotDone | ChangeError::NotProposer) => PeerResponse::Rejected(Code::StoreAway),
+            Err(ChangeError::NotDone | ChangeError::NotProposer) => {
+                PeerResponse::Rejected(Code::StoreAway)
+            }
             Err(ChangeError::Undecided) => PeerResponse::Rejected(Code::Undecided),
         }
     }
@@ -264,7 +324,11 @@
     }
 
     pub async fn expire(&self, key: &str) -> PeerResponse {
-        if self.owner.erase(key, |v| self.outlived(v)).await { PeerResponse::Ok } else { PeerResponse::Rejected(Code::Undecided) }
+        if self.owner.erase(key, |v| self.outlived(v)).await {
+            PeerResponse::Ok
+        } else {
+            PeerResponse::Rejected(Code::Undecided)
+        }
     }
 
     pub async fn look(&self, key: &str) -> PeerResponse {
@@ -278,10 +342,24 @@
                 if late {
                     r.close(Code::MayHaveRun, used);
                 }
-                let open = r.head.running.iter().map(|x| (x.job.clone(), x.nonce)).collect();
-                let done = r.head.marks.iter().map(|m| (m.job.clone(), m.nonce, m.used)).collect();
+                let open = r
+                    .head
+                    .running
+                    .iter()
+                    .map(|x| (x.job.clone(), x.nonce))
+                    .collect();
+                let done = r
+                    .head
+                    .marks
+                    .iter()
+                    .map(|m| (m.job.clone(), m.nonce, m.used))
+                    .collect();
                 let t = PeerResponse::SessionReservations { open, done };
-                if late { Step::Write(r.write(), t) } else { Step::Keep(t) }
+                if late {
+                    Step::Write(r.write(), t)
+                } else {
+                    Step::Keep(t)
+                }
             })
             .await;
         got.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
--- a/yewcross-state/src/restore.rs
+++ b/yewcross-state/src/restore.rs
@@ -11,16 +11,17 @@
 use yewcross_common::turn_log::store_client::encode;
 
 impl Engine {
-    /// Replaces what is in memory, which may be ahead of the disk, by what the log holds. Only called while the disk counts
-    /// as failed, so that nothing is answered meanwhile. Where bytes that were answered for are gone, the store is in doubt,
-    /// as after a start that finds damage.
+    /// Replaces what is in memory, which may be ahead of the disk, by what the log holds. Only
+    /// called while the disk counts as failed, so that nothing is answered meanwhile. Where bytes
+    /// that were answered for are gone, the store is in doubt, as after a start that finds damage.
     pub async fn restore(self: &Arc<Self>) -> io::Result<()> {
         while self.log.lock().unwrap().is_busy() {
             self.w.sleep(DISK_RETRY / 10).await;
         }
         let answered = self.log.lock().unwrap().sizes.clone();
         let (shelf, found) = Shelf::read(&self.w).await?;
-        let is_shorter = |(segment, bytes): (&u64, &u64)| found.sizes.get(segment).is_none_or(|now| now < bytes);
+        let is_shorter =
+            |(segment, bytes): (&u64, &u64)| found.sizes.get(segment).is_none_or(|now| now < bytes);
         let damaged = !found.hurt.is_empty() || answered.iter().any(is_shorter);
         let mut sizes = found.sizes;
         let segment = sizes.keys().last().map_or(1, |newest| newest + 1);
@@ -28,18 +29,27 @@
         *self.st.lock().unwrap() = shelf;
         *self.log.lock().unwrap() = Log::new(segment, sizes);
         if damaged {
-            self.w.log("the log lost what was answered for; asking the other disks");
+            self.w
+                .log("the log lost what was answered for; asking the other disks");
             self.doubt.store(true, SeqCst);
         }
         Ok(())
     }
 
     /// Torn ends are marked before anything else is written behind them.
-    async fn mark_torn(&self, segment: u64, torn: &[(u64, u64)], sizes: &mut BTreeMap<u64, u64>) -> io::Result<()> {
+    async fn mark_torn(
+        &self,
+        segment: u64,
+        torn: &[(u64, u64)],
+        sizes: &mut BTreeMap<u64, u64>,
+    ) -> io::Result<()> {
         if torn.is_empty() {
             return Ok(());
         }
-        let marks: Vec<Item> = torn.iter().map(|(segment, bytes)| Item::Torn(*segment, *bytes)).collect();
+        let marks: Vec<Item> = torn
+            .iter()
+            .map(|(segment, bytes)| Item::Torn(*segment, *bytes))
+            .collect();
         let body = encode_frame(&encode(&marks));
         let bytes = body.len() as u64;
         self.w.append(&path(segment), body).await?;
--- a/yewcross-state/src/segment_log.rs
+++ b/yewcross-state/src/segment_log.rs
@@ -1,4 +1,5 @@
-//! A store's log: batches sealed and appended to segments, one sync a batch, whatever the number that waited for it.
+//! A store's log: batches sealed and appended to segments, one sync a batch, whatever the number
+//! that waited for it.
 
 use crate::turn_store::Engine;
 use async_channel::Receiver;
@@ -24,7 +25,9 @@
     pub fn bytes(&self) -> usize {
         match self {
             Item::Turn(r) => r.bytes(),
-            Item::Ledger(l, _) => 64 + l.program.len() + l.entries.iter().map(|e| e.0.len() + 10).sum::<usize>(),
+            Item::Ledger(l, _) => {
+                64 + l.program.len() + l.entries.iter().map(|e| e.0.len() + 10).sum::<usize>()
+            }
             Item::Torn(..) => 24,
         }
     }
@@ -44,7 +47,11 @@
 
 impl Log {
     pub fn new(seg: u64, sizes: BTreeMap<u64, u64>) -> Log {
-        Log { seg, sizes, ..Default::default() }
+        Log {
+            seg,
+            sizes,
+            ..Default::default()
+        }
     }
 
     /// Whether a batch is on its way to the disk.
@@ -76,7 +83,8 @@
     pub hurt: Vec<u64>,
 }
 
-/// Sealed bodies from the start, the bytes they take, and whether another one follows what is broken.
+/// Sealed bodies from the start, the bytes they take, and whether another one follows what is
+/// broken.
 fn bodies(b: &[u8]) -> (Vec<&[u8]>, usize, bool) {
     let (mut v, mut at) = (vec![], 0);
     while let Some((x, n)) = decode_first_frame(&b[at..]) {
@@ -84,16 +92,26 @@
         at += n;
     }
     let mark = DISK_FORMAT.to_le_bytes();
-    let more = (at + 1..b.len()).any(|i| b[i..].starts_with(&mark) && decode_first_frame(&b[i..]).is_some());
+    let more = (at + 1..b.len())
+        .any(|i| b[i..].starts_with(&mark) && decode_first_frame(&b[i..]).is_some());
     (v, at, more)
 }
 
 /// Hands over each item with its segment, one segment in memory at a time.
-pub async fn read(w: &yewcross_common::runtime::Runtime, mut take: impl FnMut(&Item, u64)) -> io::Result<Found> {
-    let mut segs: Vec<u64> = w.list(DIR).await?.iter().filter_map(|f| u64::from_str_radix(f.strip_prefix("s-")?, 16).ok()).collect();
+pub async fn read(
+    w: &yewcross_common::runtime::Runtime,
+    mut take: impl FnMut(&Item, u64),
+) -> io::Result<Found> {
+    let mut segs: Vec<u64> = w
+        .list(DIR)
+        .await?
+        .iter()
+        .filter_map(|f| u64::from_str_radix(f.strip_prefix("s-")?, 16).ok())
+        .collect();
     segs.sort();
     if let Some(newest) = segs.last() {
-        // A killed process may have left a batch unsynced: what is read here is answered for, so it must outlast the power.
+        // A killed process may have left a batch unsynced: what is read here is answered for, so it
+        // must outlast the power.
         w.sync(&path(*newest)).await?;
         w.sync(DIR).await?;
     }
@@ -131,7 +149,8 @@
 }
 
 impl Engine {
-    /// Queues items for the disk; `true` comes once they are safe. Called under the shelf's lock, where order matters.
+    /// Queues items for the disk; `true` comes once they are safe. Called under the shelf's lock,
+    /// where order matters.
     pub fn keep(self: &Arc<Self>, items: Vec<Item>) -> Receiver<bool> {
         let (tx, rx) = async_channel::bounded(1);
         if self.vault.failed.load(SeqCst) {
@@ -201,22 +220,31 @@
             }
             {
                 let mut st = self.st.lock().unwrap();
-                line.iter().flat_map(|x| &x.0).for_each(|i| st.apply(i, seg));
+                line.iter()
+                    .flat_map(|x| &x.0)
+                    .for_each(|i| st.apply(i, seg));
             }
             self.log.lock().unwrap().waiting -= size;
             line.iter().for_each(|x| _ = x.1.try_send(true));
         }
     }
 
-    /// Rewrites what lives in the oldest segment and removes it, as long as the log is much larger than what lives.
+    /// Rewrites what lives in the oldest segment and removes it, as long as the log is much larger
+    /// than what lives.
     pub async fn compact(self: &Arc<Self>) {
         loop {
             let live = self.st.lock().unwrap().bytes as u64;
             let (old, cur, total) = {
                 let g = self.log.lock().unwrap();
-                (g.sizes.keys().next().cloned(), g.seg, g.sizes.values().sum::<u64>())
+                (
+                    g.sizes.keys().next().cloned(),
+                    g.seg,
+                    g.sizes.values().sum::<u64>(),
+                )
+            };
+            let Some(s) = old.filter(|s| *s < cur) else {
+                return;
             };
-            let Some(s) = old.filter(|s| *s < cur) else { return };
             let items = {
                 let mut g = self.st.lock().unwrap();
                 if total <= live + live / 2 + SEGMENT_SLACK && g.needs(s) {
@@ -236,7 +264,8 @@
                     size = 0;
                 }
             }
-            // Segments go for good in their order: the mark of a torn end stands in a later one than the end itself.
+            // Segments go for good in their order: the mark of a torn end stands in a later one
+            // than the end itself.
             if !ok || self.w.remove(&path(s)).await.is_err() {
                 return;
             }
