--- a/yewcross-state/src/sweep.rs
+++ b/yewcross-state/src/sweep.rs
@@ -9,15 +9,19 @@
 use yewcross_common::runtime::*;
 use yewcross_common::turn_log::store_client::*;
 
-/// us. Longest wait for a disk that something is brought to: its own sync, and the way there and back.
+/// us. Longest wait for a disk that something is brought to: its own sync, and the way there and
+/// back.
 const PUSH_WAIT: u64 = PEER_WAIT + SYNC_WAIT;
 
 impl Engine {
-    /// Whether all that this disk held when it adopted the layout is where that layout needs it, and how much is not yet. A disk
-    /// without a seat has nothing to bring.
+    /// Whether all that this disk held when it adopted the layout is where that layout needs it,
+    /// and how much is not yet. A disk without a seat has nothing to bring.
     pub fn swept(&self, layout: u64) -> (bool, u64) {
         let seated = self.line.replicas().has(&self.me);
-        (!seated || self.swept.load(SeqCst) >= layout, self.left.load(SeqCst))
+        (
+            !seated || self.swept.load(SeqCst) >= layout,
+            self.left.load(SeqCst),
+        )
     }
 
     pub(crate) async fn watch(self: Arc<Self>) {
@@ -34,7 +38,11 @@
                 if done && self.line.replicas().since == seats.since {
                     self.swept.fetch_max(seats.since, SeqCst);
                     if !seats.previous.is_empty() {
-                        self.w.log(&format!("swept for layout {} in {} ms", seats.since, (self.w.now() - begun) / MS));
+                        self.w.log(&format!(
+                            "swept for layout {} in {} ms",
+                            seats.since,
+                            (self.w.now() - begun) / MS
+                        ));
                     }
                     continue;
                 }
@@ -63,31 +71,74 @@
         let (me, lay) = (self.clone(), seats.layout_version);
         let ask = move |d: &str| -> BoxFuture<'static, TurnLogResponse> {
             let (me, d) = (me.clone(), d.to_string());
-            Box::pin(
-                async move { me.line.request(&d, lay, &TurnLogOperation::Repair, 10 * SEC).await.unwrap_or(TurnLogResponse::Unavailable) },
-            )
+            Box::pin(async move {
+                me.line
+                    .request(&d, lay, &TurnLogOperation::Repair, 10 * SEC)
+                    .await
+                    .unwrap_or(TurnLogResponse::Unavailable)
+            })
         };
         let enough = |s: &BTreeSet<String>| seats.is_read_quorum(|d| s.contains(d));
-        let took = |_: &str, t| if t == TurnLogResponse::Ok { GatherStep::Accept } else { GatherStep::Reject };
-        let g = self.line.gather(order, true, lay, until, ask, enough, took).await;
+        let took = |_: &str, t| {
+            if t == TurnLogResponse::Ok {
+                GatherStep::Accept
+            } else {
+                GatherStep::Reject
+            }
+        };
+        let g = self
+            .line
+            .gather(order, true, lay, until, ask, enough, took)
+            .await;
         if g.enough {
             self.doubt.store(false, SeqCst);
             self.w.log("what was damaged is whole again");
         }
     }
 
-    async fn push(self: &Arc<Self>, d: &str, lay: u64, rows: Vec<StoredTurn>, ledgers: Vec<LedgerRecord>) -> bool {
+    async fn push(
+        self: &Arc<Self>,
+        d: &str,
+        lay: u64,
+        rows: Vec<StoredTurn>,
+        ledgers: Vec<LedgerRecord>,
+    ) -> bool {
         let n = rows.len() + ledgers.len();
-        let ok =
-            self.line.request(d, lay, &TurnLogOperation::TransferRecords { rows, ledgers }, PUSH_WAIT).await == Ok(TurnLogResponse::Ok);
-        self.counts.pushed.fetch_add(if ok { n as u64 } else { 0 }, Relaxed);
+        let ok = self
+            .line
+            .request(
+                d,
+                lay,
+                &TurnLogOperation::TransferRecords { rows, ledgers },
+                PUSH_WAIT,
+            )
+            .await
+            == Ok(TurnLogResponse::Ok);
+        self.counts
+            .pushed
+            .fetch_add(if ok { n as u64 } else { 0 }, Relaxed);
         ok
     }
 
     async fn push_ledgers(self: &Arc<Self>, d: &str) -> bool {
-        let all: Vec<LedgerRecord> = self.st.lock().unwrap().ledgers.iter().map(|(p, l)| l.row(p)).collect();
+        let all: Vec<LedgerRecord> = self
+            .st
+            .lock()
+            .unwrap()
+            .ledgers
+            .iter()
+            .map(|(p, l)| l.row(p))
+            .collect();
         for part in all.chunks(1024) {
-            if !self.push(d, self.line.replicas().layout_version, vec![], part.to_vec()).await {
+            if !self
+                .push(
+                    d,
+                    self.line.replicas().layout_version,
+                    vec![],
+                    part.to_vec(),
+                )
+                .await
+            {
                 return false;
             }
         }
@@ -100,7 +151,8 @@
             .iter()
             .map(|d| {
                 let (me, d) = (self.clone(), d.to_string());
-                let push: BoxFuture<'static, bool> = Box::pin(async move { me.push_ledgers(&d).await });
+                let push: BoxFuture<'static, bool> =
+                    Box::pin(async move { me.push_ledgers(&d).await });
                 push
             })
             .collect();
@@ -112,8 +164,9 @@
         reached
     }
 
-    /// Brings all ledgers to the disks that lack them. Where one of those cannot be reached, to every disk of the incoming set,
-    /// of which as many may then be missed as may be lost: what is read meets the rest.
+    /// Brings all ledgers to the disks that lack them. Where one of those cannot be reached, to
+    /// every disk of the incoming set, of which as many may then be missed as may be lost: what is
+    /// read meets the rest.
     async fn sweep_ledgers(self: &Arc<Self>, seats: &StoreReplicas, to: &[String]) -> bool {
         let lacking: Vec<&String> = to.iter().filter(|d| **d != self.me).collect();
         if self.push_ledgers_to(&lacking).await == lacking.len() {
@@ -125,20 +178,41 @@
     }
 
     /// Which of these turns each of the other disks holds.
-    async fn holders(self: &Arc<Self>, seats: &StoreReplicas, ids: &[u128]) -> HashMap<String, BTreeSet<u128>> {
-        // One that does not answer at all holds nothing that counts, and is not waited for in every pass.
-        let others: Vec<String> = seats.current.iter().filter(|d| **d != self.me && self.line.is_responsive(d)).cloned().collect();
+    async fn holders(
+        self: &Arc<Self>,
+        seats: &StoreReplicas,
+        ids: &[u128],
+    ) -> HashMap<String, BTreeSet<u128>> {
+        // One that does not answer at all holds nothing that counts, and is not waited for in every
+        // pass.
+        let others: Vec<String> = seats
+            .current
+            .iter()
+            .filter(|d| **d != self.me && self.line.is_responsive(d))
+            .cloned()
+            .collect();
         let n = others.len();
         let fs = others
             .into_iter()
             .map(|d| {
-                let (me, ids, lay) = (self.clone(), ids.to_vec(), self.line.replicas().layout_version);
+                let (me, ids, lay) = (
+                    self.clone(),
+                    ids.to_vec(),
+                    self.line.replicas().layout_version,
+                );
                 let f: BoxFuture<'static, _> = Box::pin(async move {
                     let mut has = BTreeSet::new();
                     let asked = me.w.now();
                     for part in ids.chunks(CHAIN_IDS) {
-                        let Ok(TurnLogResponse::Contains(v)) =
-                            me.line.request(&d, lay, &TurnLogOperation::ContainsTurns { ids: part.to_vec() }, PEER_WAIT).await
+                        let Ok(TurnLogResponse::Contains(v)) = me
+                            .line
+                            .request(
+                                &d,
+                                lay,
+                                &TurnLogOperation::ContainsTurns { ids: part.to_vec() },
+                                PEER_WAIT,
+                            )
+                            .await
                         else {
                             me.line.has_not_answered_since(&d, asked);
                             me.line.mark_slow(&d);
@@ -161,10 +235,16 @@
 
     /// Makes the change of disks that is under way good for what this disk holds.
     async fn sweep(self: &Arc<Self>, seats: &StoreReplicas) -> bool {
-        let fresh: Vec<String> = seats.current.iter().filter(|d| !seats.previous.contains(d)).cloned().collect();
+        let fresh: Vec<String> = seats
+            .current
+            .iter()
+            .filter(|d| !seats.previous.contains(d))
+            .cloned()
+            .collect();
         // Fewer disks than before: what was enough on the old ones may not be on those that stay.
         let fewer = seats.current.len() < seats.previous.len();
-        self.sweep_to(seats, if fewer { &seats.current } else { &fresh }).await
+        self.sweep_to(seats, if fewer { &seats.current } else { &fresh })
+            .await
     }
 
     /// Brings ledgers to these disks, and every turn to as many present disks as it needs.
@@ -178,19 +258,29 @@
             return false;
         }
         for pass in 0.. {
-            if self.line.replicas().since != seats.since || self.vault.failed.load(SeqCst) || pass > 50 {
+            if self.line.replicas().since != seats.since
+                || self.vault.failed.load(SeqCst)
+                || pass > 50
+            {
                 return false;
             }
             let now = self.line.members.clock();
             let ids: Vec<u128> = {
                 let g = self.st.lock().unwrap();
-                g.turns.iter().filter(|(_, k)| !now.1 || k.until >= now.0).map(|x| *x.0).collect()
+                g.turns
+                    .iter()
+                    .filter(|(_, k)| !now.1 || k.until >= now.0)
+                    .map(|x| *x.0)
+                    .collect()
             };
             let has = self.holders(seats, &ids).await;
             let mine = seats.current.contains(&self.me);
             let short: Vec<u128> = ids
                 .into_iter()
-                .filter(|i| mine as usize + has.values().filter(|s| s.contains(i)).count() < seats.replica_count())
+                .filter(|i| {
+                    mine as usize + has.values().filter(|s| s.contains(i)).count()
+                        < seats.replica_count()
+                })
                 .collect();
             self.left.store(short.len() as u64, SeqCst);
             if short.is_empty() {
@@ -202,7 +292,8 @@
                 .into_iter()
                 .map(|(d, rows)| {
                     let me = self.clone();
-                    let f: BoxFuture<'static, bool> = Box::pin(async move { me.push_turns(&d, rows).await });
+                    let f: BoxFuture<'static, bool> =
+                        Box::pin(async move { me.push_turns(&d, rows).await });
                     f
                 })
                 .collect::<Vec<_>>();
@@ -225,7 +316,14 @@
             size += r.bytes();
             part.push(r);
             if (size >= CHAIN_PUSH || i + 1 == n)
-                && !self.push(d, self.line.replicas().layout_version, std::mem::take(&mut part), vec![]).await
+                && !self
+                    .push(
+                        d,
+                        self.line.replicas().layout_version,
+                        std::mem::take(&mut part),
+                        vec![],
+                    )
+                    .await
             {
                 return false;
             }
@@ -236,8 +334,8 @@
         true
     }
 
-    /// Who gets which turns from this disk, each with all that comes before it that is not there. Of the holders one begins;
-    /// the others join in after some passes.
+    /// Who gets which turns from this disk, each with all that comes before it that is not there.
+    /// Of the holders one begins; the others join in after some passes.
     fn plan(
         &self,
         seats: &StoreReplicas,
@@ -250,12 +348,26 @@
         let mut jobs: BTreeMap<String, (Vec<StoredTurn>, BTreeSet<u128>)> = BTreeMap::new();
         for i in short {
             let Some(k) = g.turns.get(i) else { continue };
-            let holds: Vec<&str> = has.iter().filter(|x| x.1.contains(i)).map(|x| x.0.as_str()).chain([self.me.as_str()]).collect();
-            let key = if k.row.program.is_empty() { &k.row.turn.id } else { &k.row.program };
+            let holds: Vec<&str> = has
+                .iter()
+                .filter(|x| x.1.contains(i))
+                .map(|x| x.0.as_str())
+                .chain([self.me.as_str()])
+                .collect();
+            let key = if k.row.program.is_empty() {
+                &k.row.turn.id
+            } else {
+                &k.row.program
+            };
             if pass < 3 && ranked(key, holds.iter().cloned()).first() != Some(&self.me.as_str()) {
                 continue;
             }
-            let want = seats.replica_count().saturating_sub(holds.iter().filter(|d| seats.current.iter().any(|x| x == *d)).count());
+            let want = seats.replica_count().saturating_sub(
+                holds
+                    .iter()
+                    .filter(|d| seats.current.iter().any(|x| x == *d))
+                    .count(),
+            );
             let mut to: Vec<&str> = ranked(key, seats.current.iter().map(|d| d.as_str()));
             to.retain(|d| !holds.contains(d) && *d != self.me && self.line.is_alive(d));
             to.sort_by_key(|d| !fresh.iter().any(|x| x == d));
--- a/yewcross-state/src/turn_store.rs
+++ b/yewcross-state/src/turn_store.rs
@@ -1,7 +1,8 @@
 //! What a store keeps of chains of turns and of programs' budgets, and how it answers for them.
 //!
-//! A turn is immutable: enough disks keep it, and any that holds it, holds what comes before it. A ledger is a set that
-//! only grows; reservations are added by one owner at a time, under an epoch that enough disks have promised.
+//! A turn is immutable: enough disks keep it, and any that holds it, holds what comes before it. A
+//! ledger is a set that only grows; reservations are added by one owner at a time, under an epoch
+//! that enough disks have promised.
 
 use crate::segment_log::{self, Item, Log};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -18,7 +19,8 @@
 use yewcross_common::storage::DurableStorage;
 use yewcross_common::turn_log::store_client::*;
 
-/// A turn on this disk; `until` is in ms of the middle clock, the longest that it or one after it is kept.
+/// A turn on this disk; `until` is in ms of the middle clock, the longest that it or one after it
+/// is kept.
 pub struct Kept {
     pub row: StoredTurn,
     pub until: u64,
@@ -38,7 +40,14 @@
 
 impl Default for Ledger {
     fn default() -> Ledger {
-        Ledger { promised: Ballot::default(), entries: HashMap::new(), spent: 0, at: 0, keep: 0, seg: u64::MAX }
+        Ledger {
+            promised: Ballot::default(),
+            entries: HashMap::new(),
+            spent: 0,
+            at: 0,
+            keep: 0,
+            seg: u64::MAX,
+        }
     }
 }
 
@@ -61,7 +70,12 @@
 
     pub fn row(&self, program: &str) -> LedgerRecord {
         let entries = self.entries.iter().map(|(k, e)| (k.clone(), *e)).collect();
-        LedgerRecord { program: program.into(), epoch: self.promised, entries, retain_ms: self.keep }
+        LedgerRecord {
+            program: program.into(),
+            epoch: self.promised,
+            entries,
+            retain_ms: self.keep,
+        }
     }
 
     fn bytes(&self) -> usize {
@@ -83,23 +97,36 @@
     pub async fn read(runtime: &Runtime) -> io::Result<(Shelf, segment_log::Found)> {
         let mut shelf = Shelf::default();
         let found = segment_log::read(runtime, |item, segment| shelf.apply(item, segment)).await?;
-        let ends: Vec<(String, u64)> = shelf.turns.values().map(|k| (k.row.turn.prev.clone(), k.until)).collect();
+        let ends: Vec<(String, u64)> = shelf
+            .turns
+            .values()
+            .map(|k| (k.row.turn.prev.clone(), k.until))
+            .collect();
         ends.iter().for_each(|(p, u)| shelf.lengthen(p, *u));
         Ok((shelf, found))
     }
 
     pub fn get(&self, id: &str) -> Option<&Kept> {
-        self.turns.get(&key_128(id.as_bytes())).filter(|k| k.row.turn.id == id)
+        self.turns
+            .get(&key_128(id.as_bytes()))
+            .filter(|k| k.row.turn.id == id)
     }
 
     pub fn apply(&mut self, i: &Item, seg: u64) {
         match i {
             Item::Turn(r) => {
                 let until = r.ended_at_ms + r.turn.retain_ms;
-                let k = self.turns.entry(key_128(r.turn.id.as_bytes())).or_insert_with(|| {
-                    self.bytes += r.bytes();
-                    Kept { row: r.clone(), until, seg }
-                });
+                let k = self
+                    .turns
+                    .entry(key_128(r.turn.id.as_bytes()))
+                    .or_insert_with(|| {
+                        self.bytes += r.bytes();
+                        Kept {
+                            row: r.clone(),
+                            until,
+                            seg,
+                        }
+                    });
                 k.seg = k.seg.max(seg);
                 self.lengthen(&r.turn.prev, until);
             }
@@ -116,7 +143,11 @@
     /// What comes before a turn is kept as long as the turn.
     fn lengthen(&mut self, prev: &str, until: u64) {
         let mut at = prev.to_string();
-        while let Some(k) = self.turns.get_mut(&key_128(at.as_bytes())).filter(|k| k.until < until) {
+        while let Some(k) = self
+            .turns
+            .get_mut(&key_128(at.as_bytes()))
+            .filter(|k| k.until < until)
+        {
             k.until = until;
             at = k.row.turn.prev.clone();
         }
@@ -137,14 +168,22 @@
         self.turns.values().any(|k| k.seg <= s) || self.ledgers.values().any(|l| l.seg <= s)
     }
 
-    /// What the segment is needed for, to be written anew at once: from here on its ledgers count as needing none.
+    /// What the segment is needed for, to be written anew at once: from here on its ledgers count
+    /// as needing none.
     pub fn in_segment(&mut self, s: u64) -> Vec<Item> {
-        let turns = self.turns.values().filter(|k| k.seg <= s).map(|k| Item::Turn(k.row.clone()));
+        let turns = self
+            .turns
+            .values()
+            .filter(|k| k.seg <= s)
+            .map(|k| Item::Turn(k.row.clone()));
         let mut v: Vec<Item> = turns.collect();
-        self.ledgers.iter_mut().filter(|x| x.1.seg <= s).for_each(|(p, l)| {
-            l.seg = u64::MAX;
-            v.push(Item::Ledger(l.row(p), l.at));
-        });
+        self.ledgers
+            .iter_mut()
+            .filter(|x| x.1.seg <= s)
+            .for_each(|(p, l)| {
+                l.seg = u64::MAX;
+                v.push(Item::Ledger(l.row(p), l.at));
+            });
         v
     }
 
@@ -233,9 +272,17 @@
         storage: &Arc<DurableStorage>,
     ) -> io::Result<Arc<Engine>> {
         let (shelf, f) = Shelf::read(runtime).await?;
-        f.hurt.iter().for_each(|s| runtime.log(&format!("damaged segment {s:x} of the log; asking the other disks")));
+        f.hurt.iter().for_each(|s| {
+            runtime.log(&format!(
+                "damaged segment {s:x} of the log; asking the other disks"
+            ))
+        });
         let seg = f.sizes.keys().last().map_or(1, |s| s + 1);
-        let max = if settings.bounds.memory_mb == 0 { CHAIN_HELD } else { (settings.bounds.memory_mb as usize) * (3 << 17) };
+        let max = if settings.bounds.memory_mb == 0 {
+            CHAIN_HELD
+        } else {
+            (settings.bounds.memory_mb as usize) * (3 << 17)
+        };
         let e = Arc::new(Engine {
             w: runtime.clone(),
             line: StoreClient::new(members, documents, &settings.name, settings.bounds.lost),
@@ -270,8 +317,22 @@
             if sure {
                 let mut g = self.st.lock().unwrap();
                 let tight = g.weight() > self.max / 2;
-                g.expire(now, if tight { CHAIN_MARGIN_SHORT } else { CHAIN_MARGIN });
-                let gone: Vec<String> = self.own.lock().unwrap().keys().filter(|p| !g.ledgers.contains_key(*p)).cloned().collect();
+                g.expire(
+                    now,
+                    if tight {
+                        CHAIN_MARGIN_SHORT
+                    } else {
+                        CHAIN_MARGIN
+                    },
+                );
+                let gone: Vec<String> = self
+                    .own
+                    .lock()
+                    .unwrap()
+                    .keys()
+                    .filter(|p| !g.ledgers.contains_key(*p))
+                    .cloned()
+                    .collect();
                 drop(g);
                 let mut o = self.own.lock().unwrap();
                 gone.iter().for_each(|p| {
@@ -329,7 +390,9 @@
     }
 
     pub async fn handle(self: &Arc<Self>, blob: Vec<u8>) -> Vec<u8> {
-        let Some(a) = decode::<TurnLogRequest>(&blob) else { return encode(&TurnLogResponse::Unavailable) };
+        let Some(a) = decode::<TurnLogRequest>(&blob) else {
+            return encode(&TurnLogResponse::Unavailable);
+        };
         drop(blob);
         let n = self.busy.fetch_add(1, SeqCst);
         let t = if n >= CHAIN_BUSY || self.clogged() {
@@ -351,26 +414,47 @@
             let me = self.clone();
             let f = async move { me.line.catch_up(a.layout_version).await };
             // Only an owner counts disks itself; the others can answer before they have the layout.
-            if matches!(a.operation, TurnLogOperation::OpenTurn { .. }) { f.await } else { self.w.spawn(f) }
+            if matches!(a.operation, TurnLogOperation::OpenTurn { .. }) {
+                f.await
+            } else {
+                self.w.spawn(f)
+            }
         } else if !self.line.replicas().has(&self.me) {
-            return if a.layout_version < self.lay() { TurnLogResponse::NewerLayout(self.lay()) } else { TurnLogResponse::Unavailable };
+            return if a.layout_version < self.lay() {
+                TurnLogResponse::NewerLayout(self.lay())
+            } else {
+                TurnLogResponse::Unavailable
+            };
         }
         match a.operation {
-            TurnLogOperation::OpenTurn { program, turn, max_output_tokens: max, budget, parent: need, take_over: take } => {
+            TurnLogOperation::OpenTurn {
+                program,
+                turn,
+                max_output_tokens: max,
+                budget,
+                parent: need,
+                take_over: take,
+            } => {
                 if a.layout_version < self.lay() {
                     return TurnLogResponse::NewerLayout(self.lay());
                 }
                 self.counts.opens.fetch_add(1, Relaxed);
-                self.open(&program, &turn, max, budget, &need, take, until).await
+                self.open(&program, &turn, max, budget, &need, take, until)
+                    .await
             }
             TurnLogOperation::FindHistory { id } => self.find(a.layout_version, &id),
-            TurnLogOperation::AcquireLedger { ledger } => self.promise(a.layout_version, ledger).await,
+            TurnLogOperation::AcquireLedger { ledger } => {
+                self.promise(a.layout_version, ledger).await
+            }
             TurnLogOperation::AppendEntries { ledger } => self.add(a.layout_version, ledger).await,
             TurnLogOperation::StoreTurns { rows, ledger } => {
                 ledger.iter().for_each(|l| self.pass_on(l));
-                self.take_in(a.layout_version, rows, ledger.into_iter().collect()).await
+                self.take_in(a.layout_version, rows, ledger.into_iter().collect())
+                    .await
+            }
+            TurnLogOperation::TransferRecords { rows, ledgers } => {
+                self.take_in(a.layout_version, rows, ledgers).await
             }
-            TurnLogOperation::TransferRecords { rows, ledgers } => self.take_in(a.layout_version, rows, ledgers).await,
             TurnLogOperation::ContainsTurns { ids } => {
                 let g = self.st.lock().unwrap();
                 TurnLogResponse::Contains(ids.iter().map(|i| g.turns.contains_key(i)).collect())
@@ -411,9 +495,20 @@
             x.promised = l.epoch;
             x.merge(&l.entries, at, l.retain_ms);
             let all = x.row("").entries;
-            (self.keep(if again { vec![] } else { vec![Item::Ledger(l, at)] }), all)
+            (
+                self.keep(if again {
+                    vec![]
+                } else {
+                    vec![Item::Ledger(l, at)]
+                }),
+                all,
+            )
         };
-        if self.safe(rx).await { TurnLogResponse::LedgerAcquired(all) } else { TurnLogResponse::Unavailable }
+        if self.safe(rx).await {
+            TurnLogResponse::LedgerAcquired(all)
+        } else {
+            TurnLogResponse::Unavailable
+        }
     }
 
     async fn add(self: &Arc<Self>, lay: u64, l: LedgerRecord) -> TurnLogResponse {
@@ -423,36 +518,76 @@
             if lay < self.lay() {
                 return TurnLogResponse::NewerLayout(self.lay());
             }
-            // Only what was promised is accepted: a disk that forgot, or never knew, does not vouch for the owner.
-            let was = g.ledgers.get(&l.program).map(|x| x.promised).unwrap_or_default();
-            let Some(x) = g.ledgers.get_mut(&l.program).filter(|x| x.promised == l.epoch) else {
+            // Only what was promised is accepted: a disk that forgot, or never knew, does not vouch
+            // for the owner.
+            let was = g
+                .ledgers
+                .get(&l.program)
+                .map(|x| x.promised)
+                .unwrap_or_default();
+            let Some(x) = g
+                .ledgers
+                .get_mut(&l.program)
+                .filter(|x| x.promised == l.epoch)
+            else {
                 self.counts.refused.fetch_add(1, Relaxed);
                 return TurnLogResponse::StaleEpoch(was);
             };
             x.merge(&l.entries, at, l.retain_ms);
             self.keep(vec![Item::Ledger(l, at)])
         };
-        if self.safe(rx).await { TurnLogResponse::Ok } else { TurnLogResponse::Unavailable }
+        if self.safe(rx).await {
+            TurnLogResponse::Ok
+        } else {
+            TurnLogResponse::Unavailable
+        }
     }
 
     /// What is told to a disk by one who does not know the program's owner goes on to that owner.
     fn pass_on(self: &Arc<Self>, l: &LedgerRecord) {
         let by = |e: Ballot| e.by & !0xffff;
-        let Some(real) = self.st.lock().unwrap().ledgers.get(&l.program).map(|x| by(x.promised)) else { return };
+        let Some(real) = self
+            .st
+            .lock()
+            .unwrap()
+            .ledgers
+            .get(&l.program)
+            .map(|x| by(x.promised))
+        else {
+            return;
+        };
         let seats = self.line.replicas();
-        let to = seats.all().into_iter().find(|d| epoch_owner_id(d) == real && *d != self.me && real != by(l.epoch));
+        let to = seats
+            .all()
+            .into_iter()
+            .find(|d| epoch_owner_id(d) == real && *d != self.me && real != by(l.epoch));
         let Some(d) = to else { return };
         self.counts.passed.fetch_add(1, Relaxed);
         let (me, mut l) = (self.clone(), l.clone());
         l.epoch.by = real;
         self.w.spawn(async move {
-            let _ =
-                me.line.request(&d, seats.layout_version, &TurnLogOperation::StoreTurns { rows: vec![], ledger: Some(l) }, PEER_WAIT).await;
+            let _ = me
+                .line
+                .request(
+                    &d,
+                    seats.layout_version,
+                    &TurnLogOperation::StoreTurns {
+                        rows: vec![],
+                        ledger: Some(l),
+                    },
+                    PEER_WAIT,
+                )
+                .await;
         });
     }
 
     /// Turns, oldest first, and entries that need no epoch.
-    pub async fn take_in(self: &Arc<Self>, lay: u64, rows: Vec<StoredTurn>, ledgers: Vec<LedgerRecord>) -> TurnLogResponse {
+    pub async fn take_in(
+        self: &Arc<Self>,
+        lay: u64,
+        rows: Vec<StoredTurn>,
+        ledgers: Vec<LedgerRecord>,
+    ) -> TurnLogResponse {
         let at = self.clock();
         self.counts.writes.fetch_add(1, Relaxed);
         let rx = {
@@ -471,15 +606,27 @@
                 }
                 new.insert(&r.turn.id);
             }
-            let mut items: Vec<Item> = rows.iter().filter(|r| g.get(&r.turn.id).is_none()).cloned().map(Item::Turn).collect();
+            let mut items: Vec<Item> = rows
+                .iter()
+                .filter(|r| g.get(&r.turn.id).is_none())
+                .cloned()
+                .map(Item::Turn)
+                .collect();
             ledgers.into_iter().for_each(|mut l| {
                 l.epoch = Ballot::default();
-                g.ledgers.entry(l.program.clone()).or_default().merge(&l.entries, at, l.retain_ms);
+                g.ledgers
+                    .entry(l.program.clone())
+                    .or_default()
+                    .merge(&l.entries, at, l.retain_ms);
                 items.push(Item::Ledger(l, at));
             });
             self.keep(items)
         };
-        if self.safe(rx).await { TurnLogResponse::Ok } else { TurnLogResponse::Unavailable }
+        if self.safe(rx).await {
+            TurnLogResponse::Ok
+        } else {
+            TurnLogResponse::Unavailable
+        }
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -496,7 +643,13 @@
         if let Some(d) = budget.and_then(|_| self.elsewhere(program, take)) {
             return TurnLogResponse::Owner(d);
         }
-        let chain = async { if need.is_empty() { Ok(vec![]) } else { self.look(program, need, until).await } };
+        let chain = async {
+            if need.is_empty() {
+                Ok(vec![])
+            } else {
+                self.look(program, need, until).await
+            }
+        };
         let room = async {
             match budget {
                 Some(b) => self.reserve(program, turn, max, b, take, until).await,
@@ -518,14 +671,30 @@
 
     /// Another disk whose machine holds the program, as far as this disk knows, and is well.
     fn elsewhere(&self, program: &str, take: bool) -> Option<String> {
-        let p = self.st.lock().unwrap().ledgers.get(program).map(|l| l.promised)?;
+        let p = self
+            .st
+            .lock()
+            .unwrap()
+            .ledgers
+            .get(program)
+            .map(|l| l.promised)?;
         let by = p.by & !0xffff;
-        let d = self.line.replicas().all().into_iter().find(|d| epoch_owner_id(d) == by)?;
+        let d = self
+            .line
+            .replicas()
+            .all()
+            .into_iter()
+            .find(|d| epoch_owner_id(d) == by)?;
         (!take && p.n > 0 && d != self.me && self.line.is_alive(&d)).then_some(d)
     }
 
     /// The chain that ends in `need`, newest first.
-    async fn look(self: &Arc<Self>, program: &str, need: &str, until: u64) -> Result<Vec<StoredTurn>, TurnLogResponse> {
+    async fn look(
+        self: &Arc<Self>,
+        program: &str,
+        need: &str,
+        until: u64,
+    ) -> Result<Vec<StoredTurn>, TurnLogResponse> {
         let mut rows: Vec<StoredTurn> = vec![];
         let mut at = need.to_string();
         loop {
@@ -541,18 +710,28 @@
             self.counts.lookups.fetch_add(1, Relaxed);
             let seats = self.line.replicas();
             let key = if program.is_empty() { need } else { program };
-            let order: Vec<String> = self.line.order(key, &seats, None).into_iter().filter(|d| *d != self.me).collect();
+            let order: Vec<String> = self
+                .line
+                .order(key, &seats, None)
+                .into_iter()
+                .filter(|d| *d != self.me)
+                .collect();
             let mine = seats.has(&self.me) && !self.doubt.load(SeqCst);
             let (me, id, lay) = (self.clone(), at.clone(), seats.layout_version);
             let ask = move |d: &str| -> BoxFuture<'static, TurnLogResponse> {
                 let (me, d, id) = (me.clone(), d.to_string(), id.clone());
                 Box::pin(async move {
                     let us = until.saturating_sub(me.w.now()).min(PEER_WAIT);
-                    me.line.request(&d, lay, &TurnLogOperation::FindHistory { id }, us).await.unwrap_or(TurnLogResponse::Unavailable)
+                    me.line
+                        .request(&d, lay, &TurnLogOperation::FindHistory { id }, us)
+                        .await
+                        .unwrap_or(TurnLogResponse::Unavailable)
                 })
             };
             let mut hit = None;
-            let enough = |s: &BTreeSet<String>| seats.is_read_quorum(|d| s.contains(d) || (mine && d == self.me));
+            let enough = |s: &BTreeSet<String>| {
+                seats.is_read_quorum(|d| s.contains(d) || (mine && d == self.me))
+            };
             let g = self
                 .line
                 .gather(order, false, lay, until, ask, enough, |_, t| match t {
@@ -576,12 +755,30 @@
                 self.line.catch_up(g.newer).await;
                 continue;
             }
-            return Err(if g.enough && rows.is_empty() { TurnLogResponse::UnknownTurn } else { TurnLogResponse::Unavailable });
+            return Err(if g.enough && rows.is_empty() {
+                TurnLogResponse::UnknownTurn
+            } else {
+                TurnLogResponse::Unavailable
+            });
         }
     }
 
-    async fn reserve(self: &Arc<Self>, program: &str, turn: &str, max: u64, budget: u64, take: bool, until: u64) -> TurnLogResponse {
-        let own = self.own.lock().unwrap().entry(program.into()).or_default().clone();
+    async fn reserve(
+        self: &Arc<Self>,
+        program: &str,
+        turn: &str,
+        max: u64,
+        budget: u64,
+        take: bool,
+        until: u64,
+    ) -> TurnLogResponse {
+        let own = self
+            .own
+            .lock()
+            .unwrap()
+            .entry(program.into())
+            .or_default()
+            .clone();
         let entry = vec![(turn.to_string(), LedgerEntry::Open(max))];
         let keep = LEDGER_KEPT;
         while self.w.now() < until {
@@ -590,13 +787,25 @@
             if self.w.now() >= until || !seats.has(&self.me) || self.doubt.load(SeqCst) {
                 return TurnLogResponse::Unavailable;
             }
-            let promised = self.st.lock().unwrap().ledgers.get(program).map(|l| l.promised).unwrap_or_default();
+            let promised = self
+                .st
+                .lock()
+                .unwrap()
+                .ledgers
+                .get(program)
+                .map(|l| l.promised)
+                .unwrap_or_default();
             let holds = h.epoch == Some(promised) && seats.is_read_quorum(|d| h.by.contains(d));
             if !holds {
                 if let Some(d) = self.elsewhere(program, take) {
                     return TurnLogResponse::Owner(d);
                 }
-                let row = LedgerRecord { program: program.into(), epoch: Ballot::default(), entries: entry.clone(), retain_ms: keep };
+                let row = LedgerRecord {
+                    program: program.into(),
+                    epoch: Ballot::default(),
+                    entries: entry.clone(),
+                    retain_ms: keep,
+                };
                 match self.take(&mut h, &seats, row, until).await {
                     Taken::Yes => {}
                     Taken::Away => return TurnLogResponse::Unavailable,
@@ -607,13 +816,18 @@
                     }
                     Taken::Refused => {
                         drop(h);
-                        self.w.sleep(CHAIN_AGAIN / 4 + self.w.random() % CHAIN_AGAIN).await;
+                        self.w
+                            .sleep(CHAIN_AGAIN / 4 + self.w.random() % CHAIN_AGAIN)
+                            .await;
                         continue;
                     }
                 }
                 let (spent, mine) = {
                     let g = self.st.lock().unwrap();
-                    g.ledgers.get(program).map(|l| (l.spent, l.entries.get(turn).cloned())).unwrap_or_default()
+                    g.ledgers
+                        .get(program)
+                        .map(|l| (l.spent, l.entries.get(turn).cloned()))
+                        .unwrap_or_default()
                 };
                 if mine != Some(LedgerEntry::Open(max)) {
                     return TurnLogResponse::Unavailable;
@@ -625,11 +839,21 @@
                 return TurnLogResponse::Ok;
             }
             let epoch = promised;
-            let full =
-                self.st.lock().unwrap().ledgers.get(program).is_some_and(|l| l.spent + max > budget && !l.entries.contains_key(turn));
+            let full = self
+                .st
+                .lock()
+                .unwrap()
+                .ledgers
+                .get(program)
+                .is_some_and(|l| l.spent + max > budget && !l.entries.contains_key(turn));
             if full && self.w.now() >= h.fresh + CHAIN_FRESH {
                 // Ends of turns may have been told to others only.
-                let row = LedgerRecord { program: program.into(), epoch, entries: vec![], retain_ms: keep };
+                let row = LedgerRecord {
+                    program: program.into(),
+                    epoch,
+                    entries: vec![],
+                    retain_ms: keep,
+                };
                 match self.round(&mut h, &seats, row, None, until).await {
                     Taken::Yes | Taken::Refused => continue,
                     Taken::Away => return TurnLogResponse::Unavailable,
@@ -640,15 +864,23 @@
                     }
                 }
             }
-            let row = LedgerRecord { program: program.into(), epoch, entries: entry.clone(), retain_ms: keep };
+            let row = LedgerRecord {
+                program: program.into(),
+                epoch,
+                entries: entry.clone(),
+                retain_ms: keep,
+            };
             let at = self.clock();
             let rx = {
                 let mut g = self.st.lock().unwrap();
-                let Some(l) = g.ledgers.get_mut(program).filter(|l| l.promised == epoch) else { continue };
+                let Some(l) = g.ledgers.get_mut(program).filter(|l| l.promised == epoch) else {
+                    continue;
+                };
                 let left = l.entries.get(turn).copied();
                 match left {
                     Some(LedgerEntry::Done(_)) => return TurnLogResponse::Unavailable,
-                    // Left by an opening that was not answered: it was never weighed against the budget.
+                    // Left by an opening that was not answered: it was never weighed against the
+                    // budget.
                     Some(_) if l.spent > budget => {}
                     None if l.spent + max > budget => return TurnLogResponse::BudgetSpent,
                     _ => {
@@ -669,22 +901,43 @@
             let mut order = self.line.order(program, &seats, Some(&self.me));
             order.retain(|d| *d != self.me);
             order.sort_by_cached_key(|d| (!self.line.is_prompt(d), !by.contains(d)));
-            let ask = self.asker(seats.layout_version, TurnLogOperation::AppendEntries { ledger: row }, until);
+            let ask = self.asker(
+                seats.layout_version,
+                TurnLogOperation::AppendEntries { ledger: row },
+                until,
+            );
             let mut refused = Ballot::default();
-            let enough = |s: &BTreeSet<String>| seats.is_write_quorum(|d| s.contains(d) || d == self.me);
+            let enough =
+                |s: &BTreeSet<String>| seats.is_write_quorum(|d| s.contains(d) || d == self.me);
             let g = self
                 .line
-                .gather(order, false, seats.layout_version, until, ask, enough, |_, t| match t {
-                    TurnLogResponse::Ok => GatherStep::Accept,
-                    TurnLogResponse::StaleEpoch(e) => {
-                        refused = refused.max(e);
-                        if e > epoch { GatherStep::Stop } else { GatherStep::Reject }
-                    }
-                    _ => GatherStep::Reject,
-                })
+                .gather(
+                    order,
+                    false,
+                    seats.layout_version,
+                    until,
+                    ask,
+                    enough,
+                    |_, t| match t {
+                        TurnLogResponse::Ok => GatherStep::Accept,
+                        TurnLogResponse::StaleEpoch(e) => {
+                            refused = refused.max(e);
+                            if e > epoch {
+                                GatherStep::Stop
+                            } else {
+                                GatherStep::Reject
+                            }
+                        }
+                        _ => GatherStep::Reject,
+                    },
+                )
                 .await;
             if g.enough {
-                return if self.safe(rx).await { TurnLogResponse::Ok } else { TurnLogResponse::Unavailable };
+                return if self.safe(rx).await {
+                    TurnLogResponse::Ok
+                } else {
+                    TurnLogResponse::Unavailable
+                };
             }
             if g.newer > seats.layout_version {
                 self.line.catch_up(g.newer).await;
@@ -715,19 +968,31 @@
             let (me, d, what) = (me.clone(), d.to_string(), what.clone());
             Box::pin(async move {
                 let us = until.saturating_sub(me.w.now()).min(PEER_WAIT);
-                me.line.request(&d, lay, &what, us).await.unwrap_or(TurnLogResponse::Unavailable)
+                me.line
+                    .request(&d, lay, &what, us)
+                    .await
+                    .unwrap_or(TurnLogResponse::Unavailable)
             })
         }
     }
 
     /// Becomes the program's owner, with a first entry.
-    async fn take(self: &Arc<Self>, h: &mut Hold, seats: &StoreReplicas, mut row: LedgerRecord, until: u64) -> Taken {
+    async fn take(
+        self: &Arc<Self>,
+        h: &mut Hold,
+        seats: &StoreReplicas,
+        mut row: LedgerRecord,
+        until: u64,
+    ) -> Taken {
         self.counts.takes.fetch_add(1, Relaxed);
         let at = self.clock();
         let rx = {
             let mut g = self.st.lock().unwrap();
             let l = g.ledgers.entry(row.program.clone()).or_default();
-            row.epoch = Ballot { n: l.promised.n.max(h.top) + 1, by: self.mark };
+            row.epoch = Ballot {
+                n: l.promised.n.max(h.top) + 1,
+                by: self.mark,
+            };
             l.promised = row.epoch;
             l.merge(&row.entries, at, row.retain_ms);
             self.keep(vec![Item::Ledger(row.clone(), at)])
@@ -749,23 +1014,35 @@
         let epoch = row.epoch;
         let mut order = self.line.order(&program, seats, Some(&self.me));
         order.retain(|d| *d != self.me);
-        let ask = self.asker(seats.layout_version, TurnLogOperation::AcquireLedger { ledger: row }, until);
+        let ask = self.asker(
+            seats.layout_version,
+            TurnLogOperation::AcquireLedger { ledger: row },
+            until,
+        );
         let mut known: Vec<(String, LedgerEntry)> = vec![];
         let mut refused = Ballot::default();
         let enough = |s: &BTreeSet<String>| seats.is_read_quorum(|d| s.contains(d) || d == self.me);
         let g = self
             .line
-            .gather(order, true, seats.layout_version, until, ask, enough, |_, t| match t {
-                TurnLogResponse::LedgerAcquired(es) => {
-                    known.extend(es);
-                    GatherStep::Accept
-                }
-                TurnLogResponse::StaleEpoch(e) => {
-                    refused = refused.max(e);
-                    GatherStep::Stop
-                }
-                _ => GatherStep::Reject,
-            })
+            .gather(
+                order,
+                true,
+                seats.layout_version,
+                until,
+                ask,
+                enough,
+                |_, t| match t {
+                    TurnLogResponse::LedgerAcquired(es) => {
+                        known.extend(es);
+                        GatherStep::Accept
+                    }
+                    TurnLogResponse::StaleEpoch(e) => {
+                        refused = refused.max(e);
+                        GatherStep::Stop
+                    }
+                    _ => GatherStep::Reject,
+                },
+            )
             .await;
         if g.newer > seats.layout_version {
             return Taken::Newer(g.newer);
@@ -803,17 +1080,44 @@
         };
         let me = self.clone();
         // Here at once: the next one must not find it.
-        me.st.lock().unwrap().ledgers.entry(l.program.clone()).or_default().merge(&l.entries, me.clock(), l.retain_ms);
+        me.st
+            .lock()
+            .unwrap()
+            .ledgers
+            .entry(l.program.clone())
+            .or_default()
+            .merge(&l.entries, me.clock(), l.retain_ms);
         self.w.spawn(async move {
             for _ in 0..5 {
                 let seats = me.line.replicas();
                 let until = me.w.now() + PEER_WAIT;
-                let mine = me.take_in(seats.layout_version, vec![], vec![l.clone()]).await == TurnLogResponse::Ok;
+                let mine = me
+                    .take_in(seats.layout_version, vec![], vec![l.clone()])
+                    .await
+                    == TurnLogResponse::Ok;
                 let order: Vec<String> = seats.all().into_iter().filter(|d| *d != me.me).collect();
-                let ask = me.asker(seats.layout_version, TurnLogOperation::StoreTurns { rows: vec![], ledger: Some(l.clone()) }, until);
-                let enough = |s: &BTreeSet<String>| seats.is_write_quorum(|d| s.contains(d) || (mine && d == me.me));
-                let took = |_: &str, t| if t == TurnLogResponse::Ok { GatherStep::Accept } else { GatherStep::Reject };
-                let g = me.line.gather(order, true, seats.layout_version, until, ask, enough, took).await;
+                let ask = me.asker(
+                    seats.layout_version,
+                    TurnLogOperation::StoreTurns {
+                        rows: vec![],
+                        ledger: Some(l.clone()),
+                    },
+                    until,
+                );
+                let enough = |s: &BTreeSet<String>| {
+                    seats.is_write_quorum(|d| s.contains(d) || (mine && d == me.me))
+                };
+                let took = |_: &str, t| {
+                    if t == TurnLogResponse::Ok {
+                        GatherStep::Accept
+                    } else {
+                        GatherStep::Reject
+                    }
+                };
+                let g = me
+                    .line
+                    .gather(order, true, seats.layout_version, until, ask, enough, took)
+                    .await;
                 if g.enough {
                     return;
                 }
--- a/yewcross-testkit/examples/chain_load.rs
+++ b/yewcross-testkit/examples/chain_load.rs
@@ -1,5 +1,6 @@
-//! Stores and a front as they run in deployment, one thread each, over loopback: what a turn costs in processor time.
-//! `cargo run --release --example chain_load -- TURNS_A_SECOND SECONDS BYTES_A_TURN`
+//! Stores and a front as they run in deployment, one thread each, over loopback: what a turn costs
+//! in processor time. `cargo run --release --example chain_load -- TURNS_A_SECOND SECONDS
+//! BYTES_A_TURN`
 
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -25,7 +26,9 @@
     fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
             let (t, b) = match (p.decode::<PeerRequest>(), &self.1) {
-                (Some(PeerRequest::TurnLog), Some(e)) => (PeerResponse::TurnLog, e.handle(p.payload).await),
+                (Some(PeerRequest::TurnLog), Some(e)) => {
+                    (PeerResponse::TurnLog, e.handle(p.payload).await)
+                }
                 (Some(a), _) => (self.0.handle(a).await, vec![]),
                 _ => (PeerResponse::Ok, vec![]),
             };
@@ -51,7 +54,11 @@
             let (a, b) = s.rsplit_once(')')?;
             let f: Vec<&str> = b.split_whitespace().collect();
             let (id, name) = a.split_once('(')?;
-            Some((id.trim().parse().ok()?, name.to_string(), (f[11].parse::<u64>().ok()? + f[12].parse::<u64>().ok()?) * 10))
+            Some((
+                id.trim().parse().ok()?,
+                name.to_string(),
+                (f[11].parse::<u64>().ok()? + f[12].parse::<u64>().ok()?) * 10,
+            ))
         })
         .collect();
     v.sort();
@@ -59,8 +66,15 @@
 }
 
 fn main() {
-    let a: Vec<u64> = std::env::args().skip(1).filter_map(|x| x.parse().ok()).collect();
-    let (rate, secs, bytes) = (a.first().copied().unwrap_or(100), a.get(1).copied().unwrap_or(10), a.get(2).copied().unwrap_or(5000));
+    let a: Vec<u64> = std::env::args()
+        .skip(1)
+        .filter_map(|x| x.parse().ok())
+        .collect();
+    let (rate, secs, bytes) = (
+        a.first().copied().unwrap_or(100),
+        a.get(1).copied().unwrap_or(10),
+        a.get(2).copied().unwrap_or(5000),
+    );
     let root = std::env::temp_dir().join(format!("chain-load-{}", std::process::id()));
     let nodes: Arc<Mutex<Vec<Up>>> = Arc::default();
     let client: Arc<Mutex<Option<Arc<TurnLogClient>>>> = Arc::default();
@@ -87,8 +101,15 @@
         };
         let (nodes, client) = (nodes.clone(), client.clone());
         w.clone().spawn(async move {
-            let vault = if store { DurableStorage::open(&w).await.ok() } else { None };
-            let disk = vault.as_ref().map(|v| v.disk_id.clone()).unwrap_or_default();
+            let vault = if store {
+                DurableStorage::open(&w).await.ok()
+            } else {
+                None
+            };
+            let disk = vault
+                .as_ref()
+                .map(|v| v.disk_id.clone())
+                .unwrap_or_default();
             let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
             let members = Membership::new(&w, &st, &peers, &disk);
             let book = DocumentCache::new(&w);
@@ -100,7 +121,11 @@
                 *client.lock().unwrap() = Some(Arc::new(TurnLogClient::new(&members, &book, &st)));
             }
             let door = w.bind(st.peer).await.expect("a port");
-            w.spawn(peers.clone().serve(door, Arc::new(Ear(members.clone(), engine))));
+            w.spawn(
+                peers
+                    .clone()
+                    .serve(door, Arc::new(Ear(members.clone(), engine))),
+            );
             w.spawn(members.run());
             nodes.lock().unwrap().push((disk, book, st.site));
         });
@@ -110,13 +135,25 @@
         nap(50);
     }
     nap(3000);
-    let mut l = Layout { change_started: 1, ..Default::default() };
-    nodes.lock().unwrap().iter().filter(|n| !n.0.is_empty()).for_each(|n| {
-        l.store.current.push(n.0.clone());
-        l.sites.insert(n.0.clone(), n.2.clone());
-    });
+    let mut l = Layout {
+        change_started: 1,
+        ..Default::default()
+    };
+    nodes
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|n| !n.0.is_empty())
+        .for_each(|n| {
+            l.store.current.push(n.0.clone());
+            l.sites.insert(n.0.clone(), n.2.clone());
+        });
     let raw = serde_json::to_vec(&l).unwrap_or_default();
-    nodes.lock().unwrap().iter().for_each(|n| _ = n.1.apply("layout", 1, Ballot::default(), raw.clone()));
+    nodes
+        .lock()
+        .unwrap()
+        .iter()
+        .for_each(|n| _ = n.1.apply("layout", 1, Ballot::default(), raw.clone()));
     nap(500);
     let idle = times();
     nap(3000);
@@ -128,7 +165,13 @@
     // Lines of five turns, a turn a second.
     let lines = rate;
     for i in 0..lines {
-        let (c, w, done, failed, waits) = (c.clone(), w.clone(), done.clone(), failed.clone(), waits.clone());
+        let (c, w, done, failed, waits) = (
+            c.clone(),
+            w.clone(),
+            done.clone(),
+            failed.clone(),
+            waits.clone(),
+        );
         w.clone().spawn(async move {
             w.sleep(i * SEC / lines).await;
             let mut prev = String::new();
@@ -173,16 +216,26 @@
     let mut ws = waits.lock().unwrap().clone();
     let mut at = |f: fn(&(u64, u64)) -> u64| {
         ws.sort_by_key(f);
-        (f(&ws[ws.len() / 2]) as f64 / 1000.0, f(&ws[ws.len() * 99 / 100]) as f64 / 1000.0)
+        (
+            f(&ws[ws.len() / 2]) as f64 / 1000.0,
+            f(&ws[ws.len() * 99 / 100]) as f64 / 1000.0,
+        )
     };
-    println!("opening ms, half and 99 in 100: {:?}; keeping: {:?}", at(|x| x.0), at(|x| x.1));
+    println!(
+        "opening ms, half and 99 in 100: {:?}; keeping: {:?}",
+        at(|x| x.0),
+        at(|x| x.1)
+    );
     let mut all = 0;
     for (id, name, t) in &t1 {
         let get = |v: &[(u64, String, u64)]| v.iter().find(|x| x.0 == *id).map_or(0, |x| x.2);
         let (busy, rest) = (t - get(&t0), get(&t0) - get(&idle));
         all += busy;
         if busy > 0 {
-            println!("{name} {id}: {busy} ms busy, {} us a turn of all; idle {rest} ms in 3 s", busy * 1000 / n);
+            println!(
+                "{name} {id}: {busy} ms busy, {} us a turn of all; idle {rest} ms in 3 s",
+                busy * 1000 / n
+            );
         }
     }
     println!("in all {} us a turn", all * 1000 / n);
--- a/yewcross-testkit/examples/relay_load.rs
+++ b/yewcross-testkit/examples/relay_load.rs
@@ -1,4 +1,5 @@
-//! What a front's thread costs for streams and lookups, over real sockets: `cargo run --release --example relay_load`.
+//! What a front's thread costs for streams and lookups, over real sockets: `cargo run --release
+//! --example relay_load`.
 
 use bytes::Bytes;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -27,10 +28,18 @@
 
 impl Caller for Ports {
     fn request(&self, h: &HeaderMap) -> Result<RequestMeta, String> {
-        Ok(RequestMeta { attempt: text(h, "try").into(), prompt_tokens: 4_000, max_output_tokens: 100, ..Default::default() })
+        Ok(RequestMeta {
+            attempt: text(h, "try").into(),
+            prompt_tokens: 4_000,
+            max_output_tokens: 100,
+            ..Default::default()
+        })
     }
     fn refuse(&self, c: Code, _: &str, _: u64) -> Response<Bytes> {
-        Response::builder().status(c.http()).body(Bytes::new()).unwrap()
+        Response::builder()
+            .status(c.http())
+            .body(Bytes::new())
+            .unwrap()
     }
 }
 
@@ -40,7 +49,13 @@
     }
     fn resume_after(&self, _: &mut http::HeaderMap, _: &[u8]) {}
     fn answer(&self, _: u16, h: &HeaderMap) -> AnswerMeta {
-        AnswerMeta { attempt: text(h, "try").into(), stamped: true, load: Some((1, 0, 96)), idle_ms: Some(5_000), ..Default::default() }
+        AnswerMeta {
+            attempt: text(h, "try").into(),
+            stamped: true,
+            load: Some((1, 0, 96)),
+            idle_ms: Some(5_000),
+            ..Default::default()
+        }
     }
 }
 
@@ -57,8 +72,14 @@
             }
         };
         let head = String::from_utf8_lossy(&buf[..end]).into_owned();
-        let get = |k: &str| head.split("\r\n").find_map(|l| l.strip_prefix(k)).unwrap_or("").to_string();
-        let (len, id): (usize, String) = (get("content-length: ").parse().unwrap_or(0), get("try: "));
+        let get = |k: &str| {
+            head.split("\r\n")
+                .find_map(|l| l.strip_prefix(k))
+                .unwrap_or("")
+                .to_string()
+        };
+        let (len, id): (usize, String) =
+            (get("content-length: ").parse().unwrap_or(0), get("try: "));
         while buf.len() < end + len {
             match c.read(&mut b).await {
                 Ok(n) if n > 0 => buf.extend_from_slice(&b[..n]),
@@ -67,17 +88,25 @@
         }
         buf.drain(..end + len);
         let ok = if head.starts_with("POST") {
-            let top = format!("HTTP/1.1 200 OK\r\ntry: {id}\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n");
+            let top = format!(
+                "HTTP/1.1 200 OK\r\ntry: {id}\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
+            );
             let mut ok = c.write_all(top.as_bytes()).await.is_ok();
             for i in 0..events {
                 runtime.sleep(12 * MS).await;
                 let e = format!("id: {i}\ndata: {}\n\n", "x".repeat(32));
-                ok &= c.write_all(format!("{:x}\r\n{e}\r\n", e.len()).as_bytes()).await.is_ok();
+                ok &= c
+                    .write_all(format!("{:x}\r\n{e}\r\n", e.len()).as_bytes())
+                    .await
+                    .is_ok();
             }
             ok && c.write_all(b"0\r\n\r\n").await.is_ok()
         } else {
             runtime.sleep(50 * MS).await;
-            let a = format!("HTTP/1.1 200 OK\r\ntry: {id}\r\ncontent-length: 800\r\n\r\n{}", "y".repeat(800));
+            let a = format!(
+                "HTTP/1.1 200 OK\r\ntry: {id}\r\ncontent-length: 800\r\n\r\n{}",
+                "y".repeat(800)
+            );
             c.write_all(a.as_bytes()).await.is_ok()
         };
         if !ok {
@@ -88,14 +117,22 @@
 
 async fn caller(runtime: Runtime, to: SocketAddr, post: bool, n: Arc<AtomicU64>) {
     let c = runtime.connect(to).await.unwrap();
-    let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c)).await.unwrap();
+    let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c))
+        .await
+        .unwrap();
     runtime.spawn(async move {
         let _ = conn.await;
     });
     let body = Bytes::from(vec![b'p'; if post { 5_000 } else { 0 }]);
     loop {
-        let q = Request::builder().method(if post { "POST" } else { "GET" }).uri(if post { "/s/x" } else { "/l/x" });
-        let q = q.header("host", "h").header("try", format!("{:x}", runtime.random())).body(Full::new(body.clone())).unwrap();
+        let q = Request::builder()
+            .method(if post { "POST" } else { "GET" })
+            .uri(if post { "/s/x" } else { "/l/x" });
+        let q = q
+            .header("host", "h")
+            .header("try", format!("{:x}", runtime.random()))
+            .body(Full::new(body.clone()))
+            .unwrap();
         s.ready().await.unwrap();
         let r = s.send_request(q).await.unwrap();
         assert_eq!(r.status(), 200);
@@ -109,15 +146,29 @@
     let (tx, rx) = async_channel::bounded(1);
     runtime.spawn(async move {
         let t = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-        let _ = tx.try_send(t.split(' ').next().and_then(|x| x.parse().ok()).unwrap_or(0));
+        let _ = tx.try_send(
+            t.split(' ')
+                .next()
+                .and_then(|x| x.parse().ok())
+                .unwrap_or(0),
+        );
     });
     rx.recv().await.unwrap_or(0)
 }
 
 fn main() {
-    let arg = |i: usize, d: u64| std::env::args().nth(i).and_then(|a| a.parse().ok()).unwrap_or(d);
+    let arg = |i: usize, d: u64| {
+        std::env::args()
+            .nth(i)
+            .and_then(|a| a.parse().ok())
+            .unwrap_or(d)
+    };
     let (streams, lookups, events, secs) = (arg(1, 20), arg(2, 10), arg(3, 17), arg(4, 5));
-    let (front, back, call) = (OsRuntime::world(".", 1), OsRuntime::world(".", 1), OsRuntime::world(".", 1));
+    let (front, back, call) = (
+        OsRuntime::world(".", 1),
+        OsRuntime::world(".", 1),
+        OsRuntime::world(".", 1),
+    );
     smol::block_on(async {
         let at = |p: u16| SocketAddr::from(([127, 0, 0, 1], p));
         let mut servers = vec![];
@@ -144,9 +195,20 @@
             "config",
             1,
             Ballot::default(),
-            serde_json::to_vec(&json!({"text": t.to_string(), "put": "", "note": "", "past": []})).unwrap(),
+            serde_json::to_vec(&json!({"text": t.to_string(), "put": "", "note": "", "past": []}))
+                .unwrap(),
+        );
+        book.apply(
+            "list",
+            1,
+            Ballot::default(),
+            serde_json::to_vec(&ServerList {
+                revision: 1,
+                term: 0,
+                servers,
+            })
+            .unwrap(),
         );
-        book.apply("list", 1, Ballot::default(), serde_json::to_vec(&ServerList { revision: 1, term: 0, servers }).unwrap());
         let relay = Arc::new(Relay {
             runtime: front.clone(),
             documents: book,
@@ -161,8 +223,15 @@
             counts: Default::default(),
         });
         let d = front.bind(at(7_599)).await.unwrap();
-        let h: yewcross_common::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
-        front.spawn(yewcross_common::streaming_http::serve(front.clone(), d, h, Arc::new(Limits::default), Default::default()));
+        let h: yewcross_common::streaming_http::Handler =
+            Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
+        front.spawn(yewcross_common::streaming_http::serve(
+            front.clone(),
+            d,
+            h,
+            Arc::new(Limits::default),
+            Default::default(),
+        ));
         let (ns, nl) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         (0..streams).for_each(|_| call.spawn(caller(call.clone(), at(7_599), true, ns.clone())));
         (0..lookups).for_each(|_| call.spawn(caller(call.clone(), at(7_599), false, nl.clone())));
--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -96,7 +96,11 @@
 }
 
 fn heads(s: &mut Seen, r: &http_types::Response) {
-    let head = |n: &str| r.header(n).map(|v| v.as_str().to_string()).unwrap_or_default();
+    let head = |n: &str| {
+        r.header(n)
+            .map(|v| v.as_str().to_string())
+            .unwrap_or_default()
+    };
     s.config = head("yewcross-config").parse().unwrap_or(0);
     s.shot = head("yewcross-shot");
 }
@@ -127,7 +131,10 @@
 }
 
 pub async fn turn(runtime: &Runtime, to: SocketAddr, a: &Ask) -> Seen {
-    let mut s = Seen { front: Some(to), ..blank(runtime, "turn", a) };
+    let mut s = Seen {
+        front: Some(to),
+        ..blank(runtime, "turn", a)
+    };
     let body = json!({"program": a.program, "session": a.session, "job": a.job, "budget": a.budget, "horizon_ms": a.horizon_ms,
         "messages": [{"role": "user", "text": a.text}], "max_output": a.max_output, "stream": a.stream});
     let body = serde_json::to_vec(&body).unwrap_or_default();
@@ -135,11 +142,16 @@
     let r = runtime
         .timeout(limit, async {
             let c = runtime.connect(to).await.ok()?;
-            let mut r = buffered_http::exchange(&c, http_types::Method::Post, "/v1/turn", &[], body).await.ok()?;
+            let mut r =
+                buffered_http::exchange(&c, http_types::Method::Post, "/v1/turn", &[], body)
+                    .await
+                    .ok()?;
             heads(&mut s, &r);
             if !a.stream || !r.status().is_success() {
                 let b = buffered_http::body(&mut r, FRAME_MAX).await.ok();
-                let v: Value = b.and_then(|b| serde_json::from_slice(&b).ok()).unwrap_or(Value::Null);
+                let v: Value = b
+                    .and_then(|b| serde_json::from_slice(&b).ok())
+                    .unwrap_or(Value::Null);
                 if r.status().is_success() && v["end"] == json!(true) {
                     s.text = v["text"].as_str().unwrap_or("").into();
                     ended(&mut s, &v, 1);
@@ -173,9 +185,26 @@
     s
 }
 
-pub async fn lookup(runtime: &Runtime, to: SocketAddr, service: &str, method: &str, key: &str, job: &str, horizon_ms: u64) -> Seen {
-    let a = Ask { program: format!("{service}/{method}"), session: key.into(), job: job.into(), horizon_ms, ..Default::default() };
-    let mut s = Seen { front: Some(to), ..blank(runtime, "lookup", &a) };
+pub async fn lookup(
+    runtime: &Runtime,
+    to: SocketAddr,
+    service: &str,
+    method: &str,
+    key: &str,
+    job: &str,
+    horizon_ms: u64,
+) -> Seen {
+    let a = Ask {
+        program: format!("{service}/{method}"),
+        session: key.into(),
+        job: job.into(),
+        horizon_ms,
+        ..Default::default()
+    };
+    let mut s = Seen {
+        front: Some(to),
+        ..blank(runtime, "lookup", &a)
+    };
     let body = json!({"service": service, "method": method, "key": key, "horizon_ms": horizon_ms, "job": job});
     let r = buffered_http::fetch(
         runtime,
@@ -209,7 +238,11 @@
 
 /// One session's life: turns in order, each checked against what this caller knows was kept.
 pub async fn session(runtime: Runtime, sh: Arc<Shape>, d: Arc<Diary>, id: usize, turns: usize) {
-    let fronts: Vec<SocketAddr> = sh.of(yewcross_common::process_settings::Role::Front).iter().map(|n| n.http).collect();
+    let fronts: Vec<SocketAddr> = sh
+        .of(yewcross_common::process_settings::Role::Front)
+        .iter()
+        .map(|n| n.http)
+        .collect();
     let total: u32 = sh.mix.turns.iter().map(|t| t.2).sum();
     let mut x = (runtime.random() % total as u64) as u32;
     let kind = sh.mix.turns.iter().find(|t| {
@@ -217,7 +250,9 @@
         x = x.wrapping_sub(t.2);
         hit
     });
-    let Some((program, budget, _, first, later, max)) = kind.cloned() else { return };
+    let Some((program, budget, _, first, later, max)) = kind.cloned() else {
+        return;
+    };
     let name = format!("s{id}");
     let mut known: Vec<String> = vec![];
     let mut unsure = 0usize;
@@ -231,20 +266,40 @@
             let (s, _, _) = sh.mix.lookups[runtime.random_index(sh.mix.lookups.len())].clone();
             let job = format!("{name}-once-{t}");
             for _ in 0..1 + runtime.random_index(3) {
-                let seen = lookup(&runtime, fronts[runtime.random_index(fronts.len())], &s, "confirm", &job, &job, 1500).await;
+                let seen = lookup(
+                    &runtime,
+                    fronts[runtime.random_index(fronts.len())],
+                    &s,
+                    "confirm",
+                    &job,
+                    &job,
+                    1500,
+                )
+                .await;
                 d.seen.lock().unwrap().push(seen);
             }
         }
         for _ in 0..runtime.random_index(3) {
             let (s, m, _) = sh.mix.lookups[runtime.random_index(sh.mix.lookups.len())].clone();
-            let seen = lookup(&runtime, fronts[at], &s, &m, &format!("k{}", runtime.random() % 1000), "", 1500).await;
+            let seen = lookup(
+                &runtime,
+                fronts[at],
+                &s,
+                &m,
+                &format!("k{}", runtime.random() % 1000),
+                "",
+                1500,
+            )
+            .await;
             d.seen.lock().unwrap().push(seen);
         }
         if runtime.random().is_multiple_of(4) {
             at = runtime.random_index(fronts.len());
         }
         let n = if t == 0 { first } else { later };
-        let text: String = (0..n / 8).map(|_| format!("{:07x} ", runtime.random() & 0xfffffff)).collect();
+        let text: String = (0..n / 8)
+            .map(|_| format!("{:07x} ", runtime.random() & 0xfffffff))
+            .collect();
         let a = Ask {
             program: program.clone(),
             session: name.clone(),
@@ -260,7 +315,12 @@
         let before = known.len();
         if twin {
             // An impatient caller: the same job at another front at the same time.
-            let (w2, d2, a2, to) = (runtime.clone(), d.clone(), a.clone(), fronts[runtime.random_index(fronts.len())]);
+            let (w2, d2, a2, to) = (
+                runtime.clone(),
+                d.clone(),
+                a.clone(),
+                fronts[runtime.random_index(fronts.len())],
+            );
             runtime.spawn(async move {
                 w2.sleep(w2.random() % (400 * MS)).await;
                 let s = turn(&w2, to, &a2).await;
@@ -271,19 +331,32 @@
             let mut s = turn(&runtime, fronts[at], &a).await;
             let again = match &s.heard {
                 Heard::Done => {
-                    let listed = s.text.trim_start_matches('[').split(']').next().unwrap_or("").to_string();
+                    let listed = s
+                        .text
+                        .trim_start_matches('[')
+                        .split(']')
+                        .next()
+                        .unwrap_or("")
+                        .to_string();
                     let mut have = listed.split(',');
                     let due = known.len().saturating_sub(MARKS.saturating_sub(unsure));
                     if !s.replayed && !known[due..].iter().all(|k| have.any(|h| h == k)) {
                         s.fault = format!("forgot a turn: knew {known:?}, prompt had [{listed}]");
                     }
                     let msgs = json!([{"role": "user", "text": a.text}]);
-                    let line = format!("{}\t{}\n", msgs, serde_json::to_string(&s.text).unwrap_or_default());
+                    let line = format!(
+                        "{}\t{}\n",
+                        msgs,
+                        serde_json::to_string(&s.text).unwrap_or_default()
+                    );
                     known.push(mark(&line));
                     false
                 }
                 Heard::Code(c) => {
-                    (3000..4000).contains(c) || *c == 5001 || *c == 4002 || (*c == 4001 && runtime.random().is_multiple_of(2))
+                    (3000..4000).contains(c)
+                        || *c == 5001
+                        || *c == 4002
+                        || (*c == 4001 && runtime.random().is_multiple_of(2))
                 }
                 Heard::Cut | Heard::Nothing => true,
             };
@@ -294,7 +367,9 @@
             if !again || tries >= 6 || d.stop.load(SeqCst) {
                 break;
             }
-            runtime.sleep(rest.max(1) * SEC / 2 + runtime.random() % (SEC / 2)).await;
+            runtime
+                .sleep(rest.max(1) * SEC / 2 + runtime.random() % (SEC / 2))
+                .await;
             at = runtime.random_index(fronts.len());
         }
         // The twin may have been done though this one gave up.
@@ -319,7 +394,12 @@
         let mut t: Vec<u64> = done.iter().map(|s| s.took / 1000).collect();
         t.sort();
         let p = |q: usize| t.get(t.len() * q / 100).or(t.last()).cloned().unwrap_or(0);
-        let faults: Vec<&str> = x.iter().filter(|s| !s.fault.is_empty()).map(|s| s.fault.as_str()).take(3).collect();
+        let faults: Vec<&str> = x
+            .iter()
+            .filter(|s| !s.fault.is_empty())
+            .map(|s| s.fault.as_str())
+            .take(3)
+            .collect();
         json!({"asked": x.len(), "done": done.len(), "not_done_by_code": codes, "ms_p50": p(50), "ms_p99": p(99), "faults": faults})
     };
     json!({"turns": by("turn"), "lookups": by("lookup")})
--- a/yewcross-testkit/src/fleet.rs
+++ b/yewcross-testkit/src/fleet.rs
@@ -34,39 +34,76 @@
 
 impl Fleet {
     pub fn plan(runtime: &Runtime, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
-        let at = |base: u16| shape(name, &move |n: usize, k: u16| SocketAddr::from(([127, 0, 0, 1], base + 2 * n as u16 + k)));
+        let at = |base: u16| {
+            shape(name, &move |n: usize, k: u16| {
+                SocketAddr::from(([127, 0, 0, 1], base + 2 * n as u16 + k))
+            })
+        };
         let free = |sh: &Shape| {
-            let all = sh.nodes.iter().flat_map(|n| [n.peer, n.http]).chain(sh.backs.iter().map(|b| b.addr)).chain([sh.platform]);
-            all.map(std::net::TcpListener::bind).collect::<Result<Vec<_>, _>>().is_ok()
+            let all = sh
+                .nodes
+                .iter()
+                .flat_map(|n| [n.peer, n.http])
+                .chain(sh.backs.iter().map(|b| b.addr))
+                .chain([sh.platform]);
+            all.map(std::net::TcpListener::bind)
+                .collect::<Result<Vec<_>, _>>()
+                .is_ok()
         };
-        // Base 0: the first run of ports that nobody holds, beginning at a place of this process's own.
+        // Base 0: the first run of ports that nobody holds, beginning at a place of this process's
+        // own.
         let first = (std::process::id() % 60) as u16;
-        let bases: Vec<u16> = if base > 0 { vec![base] } else { (0..60).map(|i| 20_000 + 500 * ((first + i) % 60)).collect() };
+        let bases: Vec<u16> = if base > 0 {
+            vec![base]
+        } else {
+            (0..60).map(|i| 20_000 + 500 * ((first + i) % 60)).collect()
+        };
         let mut sh = None;
         for b in bases {
-            let s = at(b).ok_or(format!("no shape {name}; there are kowhai, consorcio, small"))?;
+            let s = at(b).ok_or(format!(
+                "no shape {name}; there are kowhai, consorcio, small"
+            ))?;
             if base > 0 || free(&s) {
                 sh = Some(s);
                 break;
             }
         }
         let mut sh = sh.ok_or("no run of free ports was found")?;
-        sh.nodes.iter_mut().filter(|n| n.role != Role::Front).for_each(|n| n.data = dir.join(&n.name).display().to_string());
+        sh.nodes
+            .iter_mut()
+            .filter(|n| n.role != Role::Front)
+            .for_each(|n| n.data = dir.join(&n.name).display().to_string());
         let me = std::env::current_exe().map_err(|e| e.to_string())?;
         let bin = me.parent().map(|p| p.to_path_buf()).unwrap_or_default();
-        let bin = if bin.ends_with("deps") { bin.parent().map(|p| p.to_path_buf()).unwrap_or_default() } else { bin };
+        let bin = if bin.ends_with("deps") {
+            bin.parent().map(|p| p.to_path_buf()).unwrap_or_default()
+        } else {
+            bin
+        };
         for b in ["yewcross-front", "yewcross-control", "yewcross-lab"] {
             if !bin.join(b).exists() {
-                return Err(format!("{} is not built; run cargo build", bin.join(b).display()));
+                return Err(format!(
+                    "{} is not built; run cargo build",
+                    bin.join(b).display()
+                ));
             }
         }
         std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-        Ok(Fleet { w: runtime.clone(), sh: Arc::new(sh), dir: dir.into(), bin, kids: BTreeMap::new() })
+        Ok(Fleet {
+            w: runtime.clone(),
+            sh: Arc::new(sh),
+            dir: dir.into(),
+            bin,
+            kids: BTreeMap::new(),
+        })
     }
 
     fn spawn(&mut self, name: &str, prog: &str, args: &[String]) -> Result<(), String> {
-        let log =
-            std::fs::File::options().create(true).append(true).open(self.dir.join(format!("{name}.log"))).map_err(|e| e.to_string())?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.dir.join(format!("{name}.log")))
+            .map_err(|e| e.to_string())?;
         let err = log.try_clone().map_err(|e| e.to_string())?;
         let k = Command::new(self.bin.join(prog))
             .args(args)
@@ -82,21 +119,41 @@
     pub fn start_back(&mut self, s: &Spec) -> Result<(), String> {
         let f = self.dir.join(format!("{}.json", s.server));
         std::fs::write(&f, serde_json::to_vec(s).unwrap_or_default()).map_err(|e| e.to_string())?;
-        self.spawn(&s.server.clone(), "yewcross-lab", &["standin".into(), "--spec".into(), f.display().to_string()])
+        self.spawn(
+            &s.server.clone(),
+            "yewcross-lab",
+            &["standin".into(), "--spec".into(), f.display().to_string()],
+        )
     }
 
     pub fn start_node(&mut self, n: &ProcessSettings) -> Result<(), String> {
         let f = self.dir.join(format!("{}.toml", n.name));
-        std::fs::write(&f, toml::to_string(n).map_err(|e| e.to_string())?).map_err(|e| e.to_string())?;
-        let prog = if n.role == Role::Front { "yewcross-front" } else { "yewcross-control" };
-        self.spawn(&n.name.clone(), prog, &["--startup".into(), f.display().to_string()])
+        std::fs::write(&f, toml::to_string(n).map_err(|e| e.to_string())?)
+            .map_err(|e| e.to_string())?;
+        let prog = if n.role == Role::Front {
+            "yewcross-front"
+        } else {
+            "yewcross-control"
+        };
+        self.spawn(
+            &n.name.clone(),
+            prog,
+            &["--startup".into(), f.display().to_string()],
+        )
     }
 
     pub fn start_all(&mut self) -> Result<(), String> {
         let sh = self.sh.clone();
         let p = self.dir.join("list.json");
-        std::fs::write(&p, serde_json::to_vec(&sh.listed()).unwrap_or_default()).map_err(|e| e.to_string())?;
-        let args = ["platform".into(), "--at".into(), sh.platform.to_string(), "--list".into(), p.display().to_string()];
+        std::fs::write(&p, serde_json::to_vec(&sh.listed()).unwrap_or_default())
+            .map_err(|e| e.to_string())?;
+        let args = [
+            "platform".into(),
+            "--at".into(),
+            sh.platform.to_string(),
+            "--list".into(),
+            p.display().to_string(),
+        ];
         self.spawn("platform", "yewcross-lab", &args)?;
         sh.backs.iter().try_for_each(|b| self.start_back(b))?;
         sh.nodes.iter().try_for_each(|n| self.start_node(n))
@@ -121,15 +178,27 @@
     }
 
     pub fn wait_exit(&mut self, name: &str) -> Option<i32> {
-        self.kids.remove(name).and_then(|mut k| k.wait().ok()).and_then(|s| s.code())
+        self.kids
+            .remove(name)
+            .and_then(|mut k| k.wait().ok())
+            .and_then(|s| s.code())
     }
 
     pub async fn get(&self, to: SocketAddr, path: &str) -> Option<Value> {
-        let r = fetch(&self.w, to, http_types::Method::Get, path, &[], vec![], SEC).await.ok()?;
+        let r = fetch(&self.w, to, http_types::Method::Get, path, &[], vec![], SEC)
+            .await
+            .ok()?;
         serde_json::from_slice(&r.2).ok()
     }
 
-    pub async fn send(&self, to: SocketAddr, verb: http_types::Method, path: &str, heads: &[(&str, String)], v: &[u8]) -> (u16, Value) {
+    pub async fn send(
+        &self,
+        to: SocketAddr,
+        verb: http_types::Method,
+        path: &str,
+        heads: &[(&str, String)],
+        v: &[u8],
+    ) -> (u16, Value) {
         match fetch(&self.w, to, verb, path, heads, v.to_vec(), 8 * SEC).await {
             Ok((s, _, b)) => (s, serde_json::from_slice(&b).unwrap_or(Value::Null)),
             Err(e) => (0, json!(e.to_string())),
@@ -142,16 +211,34 @@
         let t0 = self.w.now();
         let want = self.sh.nodes.len();
         while self.w.now() < t0 + 20 * SEC {
-            let n = self.get(core, "/v1/status").await.and_then(|v| v["nodes"].as_array().map(|a| a.len())).unwrap_or(0);
+            let n = self
+                .get(core, "/v1/status")
+                .await
+                .and_then(|v| v["nodes"].as_array().map(|a| a.len()))
+                .unwrap_or(0);
             if n == want {
                 break;
             }
             self.w.sleep(100 * MS).await;
         }
         let known = self.w.now() - t0;
-        let names = |r| self.sh.of(r).iter().map(|n| n.name.clone()).collect::<Vec<_>>();
+        let names = |r| {
+            self.sh
+                .of(r)
+                .iter()
+                .map(|n| n.name.clone())
+                .collect::<Vec<_>>()
+        };
         let v = json!({"cores": names(Role::Core), "stores": names(Role::Store)});
-        let (s, r) = self.send(core, http_types::Method::Post, "/v1/found", &[], v.to_string().as_bytes()).await;
+        let (s, r) = self
+            .send(
+                core,
+                http_types::Method::Post,
+                "/v1/found",
+                &[],
+                v.to_string().as_bytes(),
+            )
+            .await;
         if s != 200 {
             return Err(format!("found: {s} {r}"));
         }
@@ -164,11 +251,9 @@
         while self.w.now() < t1 + 20 * SEC {
             let mut ok = 0;
             for f in self.sh.of(Role::Front) {
-                ok += self
-                    .get(f.http, "/health")
-                    .await
-                    .is_some_and(|v| v["serving"] == json!(true) && v["versions"]["list"].as_u64() > Some(0))
-                    as usize;
+                ok += self.get(f.http, "/health").await.is_some_and(|v| {
+                    v["serving"] == json!(true) && v["versions"]["list"].as_u64() > Some(0)
+                }) as usize;
             }
             if ok == self.sh.of(Role::Front).len() {
                 break;
@@ -180,16 +265,33 @@
 
     pub async fn put(&self, core: usize, base: u64, text: &str) -> (u16, Value) {
         let to = self.sh.of(Role::Core)[core].http;
-        self.send(to, http_types::Method::Put, "/v1/config", &[("if-match", format!("\"{base}\""))], text.as_bytes()).await
+        self.send(
+            to,
+            http_types::Method::Put,
+            "/v1/config",
+            &[("if-match", format!("\"{base}\""))],
+            text.as_bytes(),
+        )
+        .await
     }
 
     pub async fn counts(&self) -> BTreeMap<String, u64> {
         let mut sum = BTreeMap::new();
-        let mut add = |k: &str, v: &Value| *sum.entry(k.to_string()).or_default() += v.as_u64().unwrap_or(0);
+        let mut add =
+            |k: &str, v: &Value| *sum.entry(k.to_string()).or_default() += v.as_u64().unwrap_or(0);
         for n in &self.sh.nodes {
-            let Some(v) = self.get(n.http, "/metrics").await else { continue };
-            v.as_object().into_iter().flatten().for_each(|(k, x)| add(k, x));
-            v["counts"].as_object().into_iter().flatten().for_each(|(k, x)| add(k, x));
+            let Some(v) = self.get(n.http, "/metrics").await else {
+                continue;
+            };
+            v.as_object()
+                .into_iter()
+                .flatten()
+                .for_each(|(k, x)| add(k, x));
+            v["counts"]
+                .as_object()
+                .into_iter()
+                .flatten()
+                .for_each(|(k, x)| add(k, x));
         }
         sum
     }
@@ -217,33 +319,80 @@
         "syncs",
     ];
     keys.iter()
-        .map(|k| (k.to_string(), json!(b.get(*k).unwrap_or(&0) - a.get(*k).unwrap_or(&0).min(b.get(*k).unwrap_or(&0)))))
+        .map(|k| {
+            (
+                k.to_string(),
+                json!(
+                    b.get(*k).unwrap_or(&0) - a.get(*k).unwrap_or(&0).min(b.get(*k).unwrap_or(&0))
+                ),
+            )
+        })
         .collect::<serde_json::Map<_, _>>()
         .into()
 }
 
-/// The newcomer's tour: a fleet comes up, serves, loses a server to a drain, to load, and to a kill.
-pub async fn up(runtime: Runtime, name: &str, dir: &Path, base: u16, seconds: u64, sessions: usize) -> Result<(), String> {
+/// The newcomer's tour: a fleet comes up, serves, loses a server to a drain, to load, and to a
+/// kill.
+pub async fn up(
+    runtime: Runtime,
+    name: &str,
+    dir: &Path,
+    base: u16,
+    seconds: u64,
+    sessions: usize,
+) -> Result<(), String> {
     let mut f = Fleet::plan(&runtime, name, dir, base)?;
-    println!("{name}: {} processes in {}", f.sh.nodes.len() + f.sh.backs.len() + 1, dir.display());
+    println!(
+        "{name}: {} processes in {}",
+        f.sh.nodes.len() + f.sh.backs.len() + 1,
+        dir.display()
+    );
     f.start_all()?;
     println!("founded: {}", f.found().await?);
     let d = Arc::new(Diary::default());
     let part = seconds.max(8) * SEC / 4;
-    (0..sessions).for_each(|i| runtime.spawn(caller::session(runtime.clone(), f.sh.clone(), d.clone(), i, 100_000)));
+    (0..sessions).for_each(|i| {
+        runtime.spawn(caller::session(
+            runtime.clone(),
+            f.sh.clone(),
+            d.clone(),
+            i,
+            100_000,
+        ))
+    });
     let mut c0 = f.counts().await;
-    let model = |i: usize| f.sh.backs.iter().filter(|b| b.model).nth(i).map(|b| b.server.clone()).unwrap_or_default();
+    let model = |i: usize| {
+        f.sh.backs
+            .iter()
+            .filter(|b| b.model)
+            .nth(i)
+            .map(|b| b.server.clone())
+            .unwrap_or_default()
+    };
     let (drained, killed) = (model(0), model(1));
     for phase in ["calm", "drain", "overload", "kill"] {
         match phase {
             "drain" => {
                 let v = json!({"server": drained, "leaving": true}).to_string();
-                f.send(f.sh.platform, http_types::Method::Post, "/lab/leaving", &[], v.as_bytes()).await;
+                f.send(
+                    f.sh.platform,
+                    http_types::Method::Post,
+                    "/lab/leaving",
+                    &[],
+                    v.as_bytes(),
+                )
+                .await;
             }
             // Four times the sessions: homes are full, and some turns cannot wait for theirs.
-            "overload" => {
-                (0..4 * sessions).for_each(|i| runtime.spawn(caller::session(runtime.clone(), f.sh.clone(), d.clone(), 10_000 + i, 6)))
-            }
+            "overload" => (0..4 * sessions).for_each(|i| {
+                runtime.spawn(caller::session(
+                    runtime.clone(),
+                    f.sh.clone(),
+                    d.clone(),
+                    10_000 + i,
+                    6,
+                ))
+            }),
             "kill" => f.kill(&killed),
             _ => {}
         }
--- a/yewcross-testkit/src/grind.rs
+++ b/yewcross-testkit/src/grind.rs
@@ -1,5 +1,6 @@
-//! The register alone, ground hard: every store machine changes the same few keys at once while disks and
-//! links fail. What was acknowledged must stand once and in order, what was refused must not stand.
+//! The register alone, ground hard: every store machine changes the same few keys at once while
+//! disks and links fail. What was acknowledged must stand once and in order, what was refused must
+//! not stand.
 
 use crate::proof::{Act, Lab};
 use std::collections::BTreeMap;
@@ -25,7 +26,9 @@
 }
 
 fn ids(v: &[u8]) -> Vec<u64> {
-    v.chunks_exact(8).map(|c| u64::from_le_bytes([c[0], c[1], c[2], c[3], c[4], c[5], c[6], c[7]])).collect()
+    v.chunks_exact(8)
+        .map(|c| u64::from_le_bytes([c[0], c[1], c[2], c[3], c[4], c[5], c[6], c[7]]))
+        .collect()
 }
 
 pub fn grind(seed: u64, acts: &[Act], keys: usize, secs: u64) -> Ground {
@@ -35,7 +38,9 @@
 /// A planted fault: disks that say they synced and did not, then power goes everywhere.
 pub fn lying(seed: u64) -> Ground {
     let lab = Lab::new(seed, "disks");
-    lab.names(Role::Store).iter().for_each(|n| lab.sim.disk(lab.sim.find(n), |d| d.lies = true));
+    lab.names(Role::Store)
+        .iter()
+        .for_each(|n| lab.sim.disk(lab.sim.find(n), |d| d.lies = true));
     on(lab, &[Act::PowerAllStores], 3, 16)
 }
 
@@ -45,7 +50,13 @@
     let ops: Arc<Mutex<Vec<Op>>> = Default::default();
     let over = Arc::new(Mutex::new(false));
     let ends: Arc<Mutex<BTreeMap<String, Option<Vec<u64>>>>> = Default::default();
-    let (me, o, ov, en, acts) = (lab.clone(), ops.clone(), over.clone(), ends.clone(), acts.to_vec());
+    let (me, o, ov, en, acts) = (
+        lab.clone(),
+        ops.clone(),
+        over.clone(),
+        ends.clone(),
+        acts.to_vec(),
+    );
     lab.op.spawn(async move {
         me.op.sleep(1500 * MS).await;
         me.found().await;
@@ -82,19 +93,35 @@
     });
     lab.sim.run(300 * SEC, || *over.lock().unwrap());
 
-    Ground { ops: ops.lock().unwrap().clone(), ends: ends.lock().unwrap().clone(), hash: lab.sim.hash(), log: lab.sim.log() }
+    Ground {
+        ops: ops.lock().unwrap().clone(),
+        ends: ends.lock().unwrap().clone(),
+        hash: lab.sim.hash(),
+        log: lab.sim.log(),
+    }
 }
 
 /// Changes run as part of the machine's own life and die with it.
 async fn client(lab: Arc<Lab>, node: String, ops: Arc<Mutex<Vec<Op>>>, keys: usize, stop: u64) {
     while lab.sim.now() < stop {
         lab.op.sleep(lab.sim.rand() % (60 * MS)).await;
-        let Some(c) = lab.control(&node).filter(|_| lab.sim.up(lab.sim.find(&node))) else { continue };
+        let Some(c) = lab
+            .control(&node)
+            .filter(|_| lab.sim.up(lab.sim.find(&node)))
+        else {
+            continue;
+        };
         let key = format!("k{}", lab.sim.rand() as usize % keys);
         let id = {
             let mut g = ops.lock().unwrap();
             let id = g.len() as u64 + 1;
-            g.push(Op { id, key: key.clone(), from: lab.sim.now(), to: None, won: None });
+            g.push(Op {
+                id,
+                key: key.clone(),
+                from: lab.sim.now(),
+                to: None,
+                won: None,
+            });
             id
         };
         let (sim, o, w) = (lab.sim.clone(), ops.clone(), c.runtime.clone());
@@ -134,17 +161,29 @@
             v.push(format!("{k} holds a change twice"));
         }
         let mine: Vec<&Op> = g.ops.iter().filter(|o| o.key == *k).collect();
-        mine.iter().for_each(|o| match (&o.won, at.contains_key(&o.id)) {
-            (Some(Ok(())), false) => v.push(format!("{k}: change {} was acknowledged at {:?} and is lost", o.id, o.to)),
-            (Some(Err(ChangeError::NotDone)), true) => v.push(format!("{k}: change {} was refused at {:?} and stands", o.id, o.to)),
-            _ => {}
-        });
+        mine.iter()
+            .for_each(|o| match (&o.won, at.contains_key(&o.id)) {
+                (Some(Ok(())), false) => v.push(format!(
+                    "{k}: change {} was acknowledged at {:?} and is lost",
+                    o.id, o.to
+                )),
+                (Some(Err(ChangeError::NotDone)), true) => v.push(format!(
+                    "{k}: change {} was refused at {:?} and stands",
+                    o.id, o.to
+                )),
+                _ => {}
+            });
         let by: BTreeMap<u64, &&Op> = mine.iter().map(|o| (o.id, o)).collect();
         let mut latest_start = (0u64, 0u64);
         for id in end {
             let Some(o) = by.get(id) else { continue };
-            if o.to.is_some_and(|t| o.won == Some(Ok(())) && t < latest_start.0) {
-                v.push(format!("{k}: change {id} ended before {} began, yet stands after it", latest_start.1));
+            if o.to
+                .is_some_and(|t| o.won == Some(Ok(())) && t < latest_start.0)
+            {
+                v.push(format!(
+                    "{k}: change {id} ended before {} began, yet stands after it",
+                    latest_start.1
+                ));
             }
             latest_start = latest_start.max((o.from, *id));
         }
@@ -194,7 +233,9 @@
             if v.is_empty() { "holds" } else { "BROKEN" }
         );
         if trace {
-            g.log.iter().for_each(|(t, n, l)| out += &format!("\n  {:>10.3} {n}: {l}", *t as f64 / 1e6));
+            g.log
+                .iter()
+                .for_each(|(t, n, l)| out += &format!("\n  {:>10.3} {n}: {l}", *t as f64 / 1e6));
         }
         v.iter().take(6).for_each(|x| out += &format!("\n  {x}"));
         if !v.is_empty() {
--- a/yewcross-testkit/src/history.rs
+++ b/yewcross-testkit/src/history.rs
@@ -1,9 +1,10 @@
-//! Checks recorded calls for linearizability: each call has an order in which one after another gives the same answers, and no
-//! call stands there before one that had ended when it began.
+//! Checks recorded calls for linearizability: each call has an order in which one after another
+//! gives the same answers, and no call stands there before one that had ended when it began.
 //!
-//! The search is the one of Wing and Gong, with Lowe's memory of what was tried. A call that changes nothing is placed as soon
-//! as it fits, which loses no order; so only calls that change the register branch. A call without an answer may take effect
-//! at any time after its beginning, or never.
+//! The search is the one of Wing and Gong, with Lowe's memory of what was tried. A call that
+//! changes nothing is placed as soon as it fits, which loses no order; so only calls that change
+//! the register branch. A call without an answer may take effect at any time after its beginning,
+//! or never.
 
 use std::collections::{BTreeSet, HashSet};
 use std::fmt::Debug;
@@ -18,8 +19,8 @@
     type Call: Clone + Debug;
     type Answer: Clone + Debug;
 
-    /// The register after the call; `None` where it would not answer so. Without an answer: after the call took effect,
-    /// or `None` where it would have none.
+    /// The register after the call; `None` where it would not answer so. Without an answer: after
+    /// the call took effect, or `None` where it would have none.
     fn apply(&self, call: &Self::Call, answer: Option<&Self::Answer>) -> Option<Self>;
 }
 
@@ -62,17 +63,28 @@
     register: S,
 }
 
-/// Whether the calls have an order in which the register, beginning as given, answers each as it did.
+/// Whether the calls have an order in which the register, beginning as given, answers each as it
+/// did.
 pub fn check<S: Specification>(first: S, calls: &[Operation<S>]) -> Verdict {
     let mut calls = calls.to_vec();
     calls.sort_by_key(|c| c.begin);
     let mut tried: HashSet<(Vec<bool>, S)> = HashSet::new();
     let mut longest: Option<Partial<S>> = None;
-    let mut open = vec![Partial { placed: vec![false; calls.len()], count: 0, register: first }];
+    let mut open = vec![Partial {
+        placed: vec![false; calls.len()],
+        count: 0,
+        register: first,
+    }];
     while let Some(mut partial) = open.pop() {
         place_without_effect(&mut partial, &calls);
-        if calls.iter().zip(&partial.placed).all(|(c, placed)| *placed || c.ended.is_none()) {
-            return Verdict::Linearizable { states: tried.len() };
+        if calls
+            .iter()
+            .zip(&partial.placed)
+            .all(|(c, placed)| *placed || c.ended.is_none())
+        {
+            return Verdict::Linearizable {
+                states: tried.len(),
+            };
         }
         if !tried.insert((partial.placed.clone(), partial.register.clone())) {
             continue;
@@ -85,37 +97,71 @@
         }
         let next = candidates(&partial, &calls);
         // The last one pushed is tried first: calls with an answer before those without.
-        let (answered, unanswered): (Vec<usize>, Vec<usize>) = next.into_iter().partition(|i| calls[*i].ended.is_some());
+        let (answered, unanswered): (Vec<usize>, Vec<usize>) =
+            next.into_iter().partition(|i| calls[*i].ended.is_some());
         for index in unanswered.into_iter().chain(answered.into_iter().rev()) {
             let call = &calls[index];
             let answer = call.ended.as_ref().map(|e| &e.answer);
             if let Some(register) = partial.register.apply(&call.call, answer) {
                 let mut placed = partial.placed.clone();
                 placed[index] = true;
-                open.push(Partial { placed, count: partial.count + 1, register });
+                open.push(Partial {
+                    placed,
+                    count: partial.count + 1,
+                    register,
+                });
             }
         }
     }
-    let Some(longest) = longest else { return Verdict::Broken { placed: 0, left: vec![] } };
-    let mut left: Vec<String> = candidates(&longest, &calls).into_iter().map(|i| format!("{:?}", calls[i])).collect();
+    let Some(longest) = longest else {
+        return Verdict::Broken {
+            placed: 0,
+            left: vec![],
+        };
+    };
+    let mut left: Vec<String> = candidates(&longest, &calls)
+        .into_iter()
+        .map(|i| format!("{:?}", calls[i]))
+        .collect();
     left.insert(0, format!("register: {:?}", longest.register));
-    Verdict::Broken { placed: longest.count, left }
+    Verdict::Broken {
+        placed: longest.count,
+        left,
+    }
 }
 
 /// Calls that may come next: none that is not placed had ended before they began.
 fn candidates<S: Specification>(partial: &Partial<S>, calls: &[Operation<S>]) -> Vec<usize> {
-    let waiting = calls.iter().enumerate().filter(|(i, _)| !partial.placed[*i]);
-    let first_end = waiting.clone().filter_map(|(_, c)| c.ended.as_ref().map(|e| e.at)).min().unwrap_or(u64::MAX);
-    waiting.take_while(|(_, c)| c.begin <= first_end).map(|(i, _)| i).collect()
+    let waiting = calls
+        .iter()
+        .enumerate()
+        .filter(|(i, _)| !partial.placed[*i]);
+    let first_end = waiting
+        .clone()
+        .filter_map(|(_, c)| c.ended.as_ref().map(|e| e.at))
+        .min()
+        .unwrap_or(u64::MAX);
+    waiting
+        .take_while(|(_, c)| c.begin <= first_end)
+        .map(|(i, _)| i)
+        .collect()
 }
 
 fn place_without_effect<S: Specification>(partial: &mut Partial<S>, calls: &[Operation<S>]) {
     loop {
         let fits = |i: &usize| {
-            let Some(ended) = &calls[*i].ended else { return false };
-            partial.register.apply(&calls[*i].call, Some(&ended.answer)).is_some_and(|r| r == partial.register)
+            let Some(ended) = &calls[*i].ended else {
+                return false;
+            };
+            partial
+                .register
+                .apply(&calls[*i].call, Some(&ended.answer))
+                .is_some_and(|r| r == partial.register)
         };
-        let fitting: Vec<usize> = candidates(partial, calls).into_iter().filter(fits).collect();
+        let fitting: Vec<usize> = candidates(partial, calls)
+            .into_iter()
+            .filter(fits)
+            .collect();
         if fitting.is_empty() {
             return;
         }
@@ -136,7 +182,11 @@
 
 #[derive(Clone, Debug)]
 pub enum ConfigCall {
-    Put { base: u64, number: u64, text: String },
+    Put {
+        base: u64,
+        number: u64,
+        text: String,
+    },
     Read,
 }
 
@@ -165,7 +215,11 @@
         }
         let mut taken = BTreeSet::clone(&self.taken);
         taken.insert(text.into());
-        Some(ConfigRegister { number, text: text.into(), taken: Arc::new(taken) })
+        Some(ConfigRegister {
+            number,
+            text: text.into(),
+            taken: Arc::new(taken),
+        })
     }
 }
 
@@ -177,12 +231,15 @@
         let same = |fits: bool| fits.then(|| self.clone());
         match (call, answer) {
             (ConfigCall::Put { base, number, text }, None) => self.put(*base, *number, text),
-            (ConfigCall::Put { number, text, .. }, Some(ConfigAnswer::Taken { number: told })) if self.taken.contains(text) => {
+            (ConfigCall::Put { number, text, .. }, Some(ConfigAnswer::Taken { number: told }))
+                if self.taken.contains(text) =>
+            {
                 same(number == told)
             }
-            (ConfigCall::Put { base, number, text }, Some(ConfigAnswer::Taken { number: told })) => {
-                self.put(*base, *number, text).filter(|_| number == told)
-            }
+            (
+                ConfigCall::Put { base, number, text },
+                Some(ConfigAnswer::Taken { number: told }),
+            ) => self.put(*base, *number, text).filter(|_| number == told),
             (ConfigCall::Put { base, text, .. }, Some(ConfigAnswer::Conflict { current })) => {
                 same(*base != self.number && *current == self.number && !self.taken.contains(text))
             }
@@ -190,7 +247,9 @@
                 same(*base == self.number && *number <= self.number && !self.taken.contains(text))
             }
             (ConfigCall::Put { .. }, Some(ConfigAnswer::NotDone)) => same(true),
-            (ConfigCall::Read, Some(ConfigAnswer::Text { number, text })) => same(*number == self.number && *text == self.text),
+            (ConfigCall::Read, Some(ConfigAnswer::Text { number, text })) => {
+                same(*number == self.number && *text == self.text)
+            }
             (ConfigCall::Read, Some(ConfigAnswer::Nothing)) => same(self.text.is_empty()),
             _ => None,
         }
--- a/yewcross-testkit/src/main.rs
+++ b/yewcross-testkit/src/main.rs
@@ -12,7 +12,8 @@
         cmd up {
             /// kowhai, consorcio or small
             optional --shape shape: String
-            /// Folder for startup files, data and logs (default: a new one in the temporary folder).
+            /// Folder for startup files, data and logs (default: a new one in the temporary
+            /// folder).
             optional --dir dir: PathBuf
             /// First port (default: the first run of ports that nobody holds).
             optional --base base: u16
@@ -25,7 +26,8 @@
         cmd sim {
             /// kowhai, consorcio or small (default small)
             optional --shape shape: String
-            /// Breakdowns in turn, joined by +; "each" runs every one alone, "pairs" draws two per seed.
+            /// Breakdowns in turn, joined by +; "each" runs every one alone, "pairs" draws two per
+            /// seed.
             optional --acts acts: String
             /// First seed (default 1).
             optional --from from: u64
@@ -69,13 +71,16 @@
 }
 
 fn read<T: for<'a> serde::Deserialize<'a>>(path: &str) -> T {
-    let b = std::fs::read(path).unwrap_or_else(|e| fail(exit::BAD_STARTUP, &format!("{path}: {e}")));
+    let b =
+        std::fs::read(path).unwrap_or_else(|e| fail(exit::BAD_STARTUP, &format!("{path}: {e}")));
     serde_json::from_slice(&b).unwrap_or_else(|e| fail(exit::BAD_STARTUP, &format!("{path}: {e}")))
 }
 
 fn seeds(from: Option<u64>, count: Option<u64>) -> std::ops::Range<u64> {
     let from = from.unwrap_or(1);
-    let to = from.checked_add(count.unwrap_or(1)).unwrap_or_else(|| fail(exit::USAGE, "--from, --count: past the last seed"));
+    let to = from
+        .checked_add(count.unwrap_or(1))
+        .unwrap_or_else(|| fail(exit::USAGE, "--from, --count: past the last seed"));
     from..to
 }
 
@@ -85,25 +90,42 @@
         YewcrossLabCmd::Up(u) => {
             let w = OsRuntime::world(".", 2);
             let shape = u.shape.unwrap_or("kowhai".into());
-            let dir = u.dir.unwrap_or(std::env::temp_dir().join(format!("yewcross-{}", std::process::id())));
+            let dir = u
+                .dir
+                .unwrap_or(std::env::temp_dir().join(format!("yewcross-{}", std::process::id())));
             let base = u.base.unwrap_or(0);
             if base > 0 && !(1024..=60_000).contains(&base) {
                 fail(exit::USAGE, "--base: must be 1024 to 60000");
             }
-            let r = smol::block_on(fleet::up(w, &shape, &dir, base, u.seconds.unwrap_or(40), u.sessions.unwrap_or(24)));
+            let r = smol::block_on(fleet::up(
+                w,
+                &shape,
+                &dir,
+                base,
+                u.seconds.unwrap_or(40),
+                u.sessions.unwrap_or(24),
+            ));
             r.unwrap_or_else(|e| fail(1, &e));
         }
         YewcrossLabCmd::Sim(s) => {
             let shape = s.shape.unwrap_or("small".into());
-            if yewcross_testkit::shape::shape(&shape, &|_, _| ([127, 0, 0, 1], 1).into()).is_none() {
-                fail(exit::USAGE, &format!("--shape: no shape {shape}; there are kowhai, consorcio, small, metered, wide, disks"));
+            if yewcross_testkit::shape::shape(&shape, &|_, _| ([127, 0, 0, 1], 1).into()).is_none()
+            {
+                fail(
+                    exit::USAGE,
+                    &format!(
+                        "--shape: no shape {shape}; there are kowhai, consorcio, small, metered, wide, disks"
+                    ),
+                );
             }
             let which = s.acts.unwrap_or("calm".into());
             let all: Vec<Act> = Act::iter().collect();
             let mut plans = vec![];
             for seed in seeds(s.from, s.count) {
                 match which.as_str() {
-                    "each" => all.iter().for_each(|a| plans.push(Plan::new(seed, &shape, &[*a]))),
+                    "each" => all
+                        .iter()
+                        .for_each(|a| plans.push(Plan::new(seed, &shape, &[*a]))),
                     "pairs" => {
                         let mut r = fastrand::Rng::with_seed(seed);
                         let (a, b) = (all[r.usize(0..all.len())], all[r.usize(0..all.len())]);
@@ -111,7 +133,9 @@
                     }
                     v => {
                         let acts: Option<Vec<Act>> = v.split('+').map(|x| x.parse().ok()).collect();
-                        let acts = acts.unwrap_or_else(|| fail(exit::USAGE, &format!("--acts: unknown act in {v}")));
+                        let acts = acts.unwrap_or_else(|| {
+                            fail(exit::USAGE, &format!("--acts: unknown act in {v}"))
+                        });
                         plans.push(Plan::new(seed, &shape, &acts));
                     }
                 }
@@ -131,15 +155,23 @@
         }
         YewcrossLabCmd::Standin(s) => {
             let w = OsRuntime::world(".", 1);
-            let r = smol::block_on(standin::Standin::start(&w, read(&s.spec), Default::default()));
-            r.map(|_| ()).unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
+            let r = smol::block_on(standin::Standin::start(
+                &w,
+                read(&s.spec),
+                Default::default(),
+            ));
+            r.map(|_| ())
+                .unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
             smol::block_on(std::future::pending::<()>())
         }
         YewcrossLabCmd::Platform(p) => {
             let w = OsRuntime::world(".", 1);
-            let at = p.at.parse().unwrap_or_else(|_| fail(exit::USAGE, "--at: not an address"));
+            let at =
+                p.at.parse()
+                    .unwrap_or_else(|_| fail(exit::USAGE, "--at: not an address"));
             let r = smol::block_on(platform::Platform::start(&w, at, read(&p.list)));
-            r.map(|_| ()).unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
+            r.map(|_| ())
+                .unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
             smol::block_on(std::future::pending::<()>())
         }
     }
--- a/yewcross-testkit/src/platform.rs
+++ b/yewcross-testkit/src/platform.rs
@@ -19,18 +19,31 @@
 }
 
 impl Platform {
-    pub async fn start(runtime: &Runtime, at: SocketAddr, servers: Vec<ListedServer>) -> std::io::Result<Arc<Platform>> {
+    pub async fn start(
+        runtime: &Runtime,
+        at: SocketAddr,
+        servers: Vec<ListedServer>,
+    ) -> std::io::Result<Arc<Platform>> {
         let door = runtime.bind(at).await?;
         let p = Arc::new(Platform {
             w: runtime.clone(),
-            list: Mutex::new(ServerList { revision: 1, term: 0, servers }),
+            list: Mutex::new(ServerList {
+                revision: 1,
+                term: 0,
+                servers,
+            }),
             last: Mutex::new(0),
             pause: 300 * MS,
             refused: Default::default(),
         });
         let me = p.clone();
         let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        runtime.spawn(buffered_http::serve(runtime.clone(), door, h, Arc::new(ConnectionTracker::default())));
+        runtime.spawn(buffered_http::serve(
+            runtime.clone(),
+            door,
+            h,
+            Arc::new(ConnectionTracker::default()),
+        ));
         Ok(p)
     }
 
@@ -59,7 +72,11 @@
             *last = t;
             let l = p.list.lock().unwrap().clone();
             let tag = l.revision.to_string();
-            let mut r = if j.etag.as_deref() == Some(&tag) { reply(304, &()) } else { reply(200, &l) };
+            let mut r = if j.etag.as_deref() == Some(&tag) {
+                reply(304, &())
+            } else {
+                reply(200, &l)
+            };
             if r.status() == 304 {
                 r.take_body();
             }
@@ -75,8 +92,15 @@
         },
         (Method::Post, "/lab/leaving") => {
             let v: serde_json::Value = serde_json::from_slice(&j.body).unwrap_or_default();
-            let (n, on) = (v["server"].as_str().unwrap_or("").to_string(), v["leaving"].as_bool().unwrap_or(true));
-            p.edit(|s| s.iter_mut().filter(|x| x.server == n).for_each(|x| x.leaving = on));
+            let (n, on) = (
+                v["server"].as_str().unwrap_or("").to_string(),
+                v["leaving"].as_bool().unwrap_or(true),
+            );
+            p.edit(|s| {
+                s.iter_mut()
+                    .filter(|x| x.server == n)
+                    .for_each(|x| x.leaving = on)
+            });
             reply(200, &json!({"ok": true}))
         }
         _ => reply(404, &json!({"why": "no such path"})),
--- a/yewcross-testkit/src/proof/checks/mod.rs
+++ b/yewcross-testkit/src/proof/checks/mod.rs
@@ -37,7 +37,10 @@
     v.extend(availability::back_in_time(e));
     v.extend(answers::prompt_finals(e));
     if e.odd > 0 {
-        v.push(format!("15 {} frames of a version that the receiver does not speak", e.odd));
+        v.push(format!(
+            "15 {} frames of a version that the receiver does not speak",
+            e.odd
+        ));
     }
     if e.log.iter().any(|l| l.2.starts_with("not whole in time")) {
         v.push("14 copies were not made whole in 30 s".into());
--- a/yewcross-testkit/src/proof/evidence.rs
+++ b/yewcross-testkit/src/proof/evidence.rs
@@ -54,7 +54,8 @@
     pub moving: bool,
 }
 
-/// What a budget allows at most: the largest figure any version stood for, and after a lower one was acknowledged, that.
+/// What a budget allows at most: the largest figure any version stood for, and after a lower one
+/// was acknowledged, that.
 #[derive(Clone, Debug)]
 pub struct Cap {
     pub from: u64,
--- a/yewcross-testkit/src/proof/faults/disks.rs
+++ b/yewcross-testkit/src/proof/faults/disks.rs
@@ -11,9 +11,21 @@
     pub(super) async fn stall_or_fill_disk(self: &Arc<Self>, act: Act) {
         let s = self.sim.clone();
         let name: &str = act.into();
-        let n = self.any(if s.rand().is_multiple_of(2) { Role::Core } else { Role::Store });
+        let n = self.any(if s.rand().is_multiple_of(2) {
+            Role::Core
+        } else {
+            Role::Store
+        });
         let m = s.find(&n);
-        let on = |v: bool| s.disk(m, |d| if act == Act::StallDisk { d.stalled = v } else { d.full = v });
+        let on = |v: bool| {
+            s.disk(m, |d| {
+                if act == Act::StallDisk {
+                    d.stalled = v
+                } else {
+                    d.full = v
+                }
+            })
+        };
         on(true);
         self.hard(name);
         self.nap(6).await;
@@ -39,20 +51,29 @@
         self.boot(&n);
     }
 
-    /// Power goes at a drawn sync, or up to 3 ms after: at a promise, an acceptance, a reservation, a commit, a put.
+    /// Power goes at a drawn sync, or up to 3 ms after: at a promise, an acceptance, a reservation,
+    /// a commit, a put.
     pub(super) async fn trip_power(self: &Arc<Self>, act: Act) {
         let s = self.sim.clone();
         for i in 0..if act == Act::TripStoreDisk { 1 } else { 3 } {
-            let n = self.any(if act == Act::TripCore { Role::Core } else { Role::Store });
+            let n = self.any(if act == Act::TripCore {
+                Role::Core
+            } else {
+                Role::Store
+            });
             let m = s.find(&n);
-            let after = (1 + s.rand() % 40, [0, s.rand() % 3000][s.rand() as usize % 2]);
+            let after = (
+                1 + s.rand() % 40,
+                [0, s.rand() % 3000][s.rand() as usize % 2],
+            );
             s.disk(m, |d| d.trip = Some(after));
             if act == Act::TripCore {
                 let (me, base) = (self.clone(), self.version().await);
                 let core = [n.clone(), self.any(Role::Core)][s.rand() as usize % 2].clone();
                 s.disk(m, |d| d.trip = Some((1 + after.0 % 6, after.1)));
                 self.op.spawn(async move {
-                    me.put(&core, base, &format!("trip{i}-{}", me.sim.now())).await;
+                    me.put(&core, base, &format!("trip{i}-{}", me.sim.now()))
+                        .await;
                 });
             }
             let end = s.now() + 6 * SEC;
@@ -87,7 +108,11 @@
     /// A node starts on a full disk.
     pub(super) async fn full_at_start(self: &Arc<Self>) {
         let s = self.sim.clone();
-        let n = self.any(if s.rand().is_multiple_of(2) { Role::Core } else { Role::Store });
+        let n = self.any(if s.rand().is_multiple_of(2) {
+            Role::Core
+        } else {
+            Role::Store
+        });
         let m = s.find(&n);
         s.kill(m, true);
         self.hard(&n);
--- a/yewcross-testkit/src/proof/faults/mod.rs
+++ b/yewcross-testkit/src/proof/faults/mod.rs
@@ -88,7 +88,8 @@
         self.op.sleep(seconds * SEC).await;
     }
 
-    /// Kills a machine, with its power or not, and starts it again after `rest` seconds, with its disk wiped or not.
+    /// Kills a machine, with its power or not, and starts it again after `rest` seconds, with its
+    /// disk wiped or not.
     async fn restart(self: &Arc<Self>, n: String, power: bool, wipe: bool, rest: u64) {
         let m = self.sim.find(&n);
         self.sim.kill(m, power);
--- a/yewcross-testkit/src/proof/faults/network.rs
+++ b/yewcross-testkit/src/proof/faults/network.rs
@@ -14,7 +14,11 @@
         let s = self.sim.clone();
         let name: &str = act.into();
         let v = self.ids(Role::Core);
-        let k = if act == Act::CoreSplitEven { v.len() / 2 } else { 1 };
+        let k = if act == Act::CoreSplitEven {
+            v.len() / 2
+        } else {
+            1
+        };
         s.split(&v[..k], &v[k..]);
         self.hard(name);
         let me = self.clone();
@@ -47,7 +51,12 @@
                 .nodes
                 .iter()
                 .map(|n| (n.name.clone(), n.site.clone()))
-                .chain(self.sh.backs.iter().map(|b| (b.server.clone(), b.site.clone())))
+                .chain(
+                    self.sh
+                        .backs
+                        .iter()
+                        .map(|b| (b.server.clone(), b.site.clone())),
+                )
         };
         let (x, y): (Vec<_>, Vec<_>) = all().partition(|n| n.1 == z);
         let ids = |v: Vec<(String, String)>| v.iter().map(|n| s.find(&n.0)).collect::<Vec<_>>();
@@ -63,7 +72,10 @@
         let name: &str = act.into();
         let v: Vec<usize> = self.sh.nodes.iter().map(|n| s.find(&n.name)).collect();
         for _ in 0..4 {
-            let (x, y) = (v[s.rand() as usize % v.len()], v[s.rand() as usize % v.len()]);
+            let (x, y) = (
+                v[s.rand() as usize % v.len()],
+                v[s.rand() as usize % v.len()],
+            );
             s.cut(x, y);
         }
         self.hard(name);
@@ -74,7 +86,12 @@
     /// Messages are lost, doubled and late.
     pub(super) async fn lossy_network(self: &Arc<Self>) {
         let s = self.sim.clone();
-        s.weather(Weather { lose: 20, twice: 30, late: 40, jitter: 3 * MS });
+        s.weather(Weather {
+            lose: 20,
+            twice: 30,
+            late: 40,
+            jitter: 3 * MS,
+        });
         self.nap(8).await;
         s.weather(Weather::default());
     }
@@ -82,7 +99,10 @@
     /// Every message takes up to 40 ms longer.
     pub(super) async fn slow_links(self: &Arc<Self>) {
         let s = self.sim.clone();
-        s.weather(Weather { jitter: 40 * MS, ..Default::default() });
+        s.weather(Weather {
+            jitter: 40 * MS,
+            ..Default::default()
+        });
         self.nap(8).await;
         s.weather(Weather::default());
     }
@@ -106,13 +126,25 @@
     /// A core or store comes back at another address; something else takes the old one.
     pub(super) async fn move_to_other_address(self: &Arc<Self>, act: Act) {
         let s = self.sim.clone();
-        let n = self.any(if act == Act::CoreElsewhere { Role::Core } else { Role::Store });
-        let Some(mut st) = self.startup(&n) else { return };
+        let n = self.any(if act == Act::CoreElsewhere {
+            Role::Core
+        } else {
+            Role::Store
+        });
+        let Some(mut st) = self.startup(&n) else {
+            return;
+        };
         s.kill(s.find(&n), true);
         self.hard(&n);
         // A lookup service takes the old address and answers HTTP where frames were spoken.
         let old = s.machine("x-squatter", &st.site, st.peer.ip());
-        let squat = Spec { server: "x9".into(), service: "squat".into(), addr: st.peer, model: false, ..self.sh.backs[0].clone() };
+        let squat = Spec {
+            server: "x9".into(),
+            service: "squat".into(),
+            addr: st.peer,
+            model: false,
+            ..self.sh.backs[0].clone()
+        };
         self.boot_back(s.boot(old), squat);
         self.nap(2).await;
         let i = 800 + s.rand() as usize % 90;
--- a/yewcross-testkit/src/proof/faults/orders.rs
+++ b/yewcross-testkit/src/proof/faults/orders.rs
@@ -81,7 +81,8 @@
         let (c, r) = self.post("core1", &format!("/v1/disks/{n}/empty")).await;
         s.note(&format!("empty {n}: {c} {r}"));
         self.op.sleep(s.rand() % (2 * SEC)).await;
-        self.restart(other, s.rand().is_multiple_of(2), false, 3).await;
+        self.restart(other, s.rand().is_multiple_of(2), false, 3)
+            .await;
         for _ in 0..40 {
             self.nap(1).await;
             let (_, v) = self.get("core1", &format!("/v1/disks/{n}")).await;
@@ -98,14 +99,28 @@
         let s = self.sim.clone();
         let (svc, method, _) = self.sh.mix.lookups[0].clone();
         let gone = self.any_back(true);
-        let left: Vec<String> = self.sh.backs.iter().filter(|b| b.model && b.server != gone).map(|b| b.server.clone()).collect();
+        let left: Vec<String> = self
+            .sh
+            .backs
+            .iter()
+            .filter(|b| b.model && b.server != gone)
+            .map(|b| b.server.clone())
+            .collect();
         let was = self.text.lock().unwrap().clone();
         let mut cuts: Vec<(String, Edit)> = vec![];
-        cuts.push((gone, Box::new(move |t| t["services"]["llm"]["allow"] = json!(left))));
+        cuts.push((
+            gone,
+            Box::new(move |t| t["services"]["llm"]["allow"] = json!(left)),
+        ));
         let (v, m) = (svc.clone(), method.clone());
         cuts.push((
             format!("{svc}/{method}"),
-            Box::new(move |t| t["services"][&v]["methods"].as_array_mut().into_iter().for_each(|a| a.retain(|x| *x != json!(m)))),
+            Box::new(move |t| {
+                t["services"][&v]["methods"]
+                    .as_array_mut()
+                    .into_iter()
+                    .for_each(|a| a.retain(|x| *x != json!(m)))
+            }),
         ));
         let v = svc.clone();
         cuts.push((
@@ -119,12 +134,15 @@
         for (i, (what, cut)) in cuts.into_iter().enumerate() {
             cut(&mut self.text.lock().unwrap());
             let base = self.version().await;
-            let a = self.put("core1", base, &format!("cut{i}-{}", s.now())).await;
+            let a = self
+                .put("core1", base, &format!("cut{i}-{}", s.now()))
+                .await;
             self.nap(4).await;
             *self.text.lock().unwrap() = was.clone();
             let until = s.now();
             let base = self.version().await;
-            self.put("core2", base, &format!("uncut{i}-{}", s.now())).await;
+            self.put("core2", base, &format!("uncut{i}-{}", s.now()))
+                .await;
             if a.code == 1000 {
                 self.banned.lock().unwrap().push((a.at, until, what));
             }
@@ -136,15 +154,28 @@
     pub(super) async fn add_machines(self: &Arc<Self>) {
         let s = self.sim.clone();
         let st = self.newcomer(Role::Front).await;
-        self.text.lock().unwrap()["fronts"].as_array_mut().into_iter().for_each(|f| f.push(json!(st)));
+        self.text.lock().unwrap()["fronts"]
+            .as_array_mut()
+            .into_iter()
+            .for_each(|f| f.push(json!(st)));
         let base = self.version().await;
         self.put("core1", base, &format!("front{}", s.now())).await;
         self.newcomer(Role::Store).await;
         self.newcomer(Role::Core).await;
-        let b = Spec { server: "m70".into(), addr: addr(703, 0), ..self.sh.backs[0].clone() };
+        let b = Spec {
+            server: "m70".into(),
+            addr: addr(703, 0),
+            ..self.sh.backs[0].clone()
+        };
         let k = s.machine(&b.server, &b.site, b.addr.ip());
         self.boot_back(s.boot(k), b.clone());
-        let l = ListedServer { server: b.server, service: b.service, addr: b.addr, site: b.site, leaving: false };
+        let l = ListedServer {
+            server: b.server,
+            service: b.service,
+            addr: b.addr,
+            site: b.site,
+            leaving: false,
+        };
         let p = self.platform.lock().unwrap().clone();
         p.iter().for_each(|p| p.edit(|v| v.push(l.clone())));
         self.nap(4).await;
@@ -161,12 +192,24 @@
             was.iter().for_each(|(b, a)| {
                 self.text.lock().unwrap()["budgets"][b]["tokens"] = json!(is(a));
             });
-            let a = self.put(&self.any(Role::Core), base, &format!("purse{i}-{}", s.now())).await;
-            // A raise may count from when it was sent, a lowering only from when it was acknowledged.
-            let from = if up > down { Some(a.sent) } else { Some(a.at).filter(|_| a.code == 1000) };
+            let a = self
+                .put(
+                    &self.any(Role::Core),
+                    base,
+                    &format!("purse{i}-{}", s.now()),
+                )
+                .await;
+            // A raise may count from when it was sent, a lowering only from when it was
+            // acknowledged.
+            let from = if up > down {
+                Some(a.sent)
+            } else {
+                Some(a.at).filter(|_| a.code == 1000)
+            };
             self.accounts.lock().unwrap().values_mut().for_each(|x| {
                 let tokens = is(x);
-                from.iter().for_each(|f| x.caps.push(Cap { from: *f, tokens }));
+                from.iter()
+                    .for_each(|f| x.caps.push(Cap { from: *f, tokens }));
             });
             self.nap(4).await;
         }
--- a/yewcross-testkit/src/proof/faults/processes.rs
+++ b/yewcross-testkit/src/proof/faults/processes.rs
@@ -42,7 +42,10 @@
             let m = s.find(&n);
             let (f, c) = (self.front(&n), self.control(&n));
             let (dx, dr) = async_channel::bounded(1);
-            let w = f.as_ref().map(|f| f.runtime.clone()).or(c.as_ref().map(|c| c.runtime.clone()));
+            let w = f
+                .as_ref()
+                .map(|f| f.runtime.clone())
+                .or(c.as_ref().map(|c| c.runtime.clone()));
             w.into_iter().for_each(|w| {
                 let (f, c, dx) = (f.clone(), c.clone(), dx.clone());
                 w.spawn(async move {
@@ -68,11 +71,22 @@
     /// The holder of a duty dies, freezes, or dies while a server is listed as leaving.
     pub(super) async fn kill_duty(self: &Arc<Self>, act: Act) {
         let s = self.sim.clone();
-        let holder = self.names(Role::Core).into_iter().find(|n| self.control(n).is_some_and(|c| c.on_duty()));
+        let holder = self
+            .names(Role::Core)
+            .into_iter()
+            .find(|n| self.control(n).is_some_and(|c| c.on_duty()));
         let n = holder.unwrap_or("core1".into());
         let server = self.any_back(true);
         let p = self.platform.lock().unwrap().clone();
-        let listed = |on: bool| p.iter().for_each(|p| p.edit(|v| v.iter_mut().filter(|x| x.server == server).for_each(|x| x.leaving = on)));
+        let listed = |on: bool| {
+            p.iter().for_each(|p| {
+                p.edit(|v| {
+                    v.iter_mut()
+                        .filter(|x| x.server == server)
+                        .for_each(|x| x.leaving = on)
+                })
+            })
+        };
         let m = s.find(&n);
         if act == Act::FreezeDuty {
             s.freeze(m);
@@ -85,12 +99,15 @@
         s.kill(m, s.rand().is_multiple_of(2));
         self.hard(&n);
         if act == Act::ListedDutyDies {
-            // Known from its report at once, whoever polls the list; the list must not be needed for it.
+            // Known from its report at once, whoever polls the list; the list must not be needed
+            // for it.
             self.leave(&server);
         }
         self.nap(6).await;
         listed(false);
-        self.back(&server).into_iter().for_each(|b| b.leaving(false));
+        self.back(&server)
+            .into_iter()
+            .for_each(|b| b.leaving(false));
         self.boot(&n);
     }
 
@@ -98,16 +115,28 @@
     pub(super) async fn kill_home(self: &Arc<Self>, act: Act) {
         let s = self.sim.clone();
         let server = self.any_back(true);
-        let site = self.sh.backs.iter().find(|b| b.server == server).map(|b| b.site.clone()).unwrap_or_default();
-        let fronts: Vec<_> = self.front("front1").map(|f| f.members.nodes_of_role(Role::Front)).unwrap_or_default();
-        let n = yewcross_proxy::server_table::home_of(&fronts, "llm", &site).unwrap_or("front1".into());
+        let site = self
+            .sh
+            .backs
+            .iter()
+            .find(|b| b.server == server)
+            .map(|b| b.site.clone())
+            .unwrap_or_default();
+        let fronts: Vec<_> = self
+            .front("front1")
+            .map(|f| f.members.nodes_of_role(Role::Front))
+            .unwrap_or_default();
+        let n =
+            yewcross_proxy::server_table::home_of(&fronts, "llm", &site).unwrap_or("front1".into());
         s.kill(s.find(&n), false);
         self.hard(&n);
         if act == Act::LeavingHomeDies {
             self.leave(&server);
         }
         self.nap(6).await;
-        self.back(&server).into_iter().for_each(|b| b.leaving(false));
+        self.back(&server)
+            .into_iter()
+            .for_each(|b| b.leaving(false));
         self.boot(&n);
     }
 
@@ -116,10 +145,22 @@
         let s = self.sim.clone();
         let program = &self.sh.mix.turns[0].0;
         let key = format!("session/{program}/s{}", s.rand() % 14);
-        let at = self
-            .control("store1")
-            .and_then(|c| yewcross_common::documents::cache::replicas_by_preference(&c.documents, &c.members, &key).first().cloned());
-        let n = self.sh.nodes.iter().find(|n| Some(n.peer) == at).map(|n| n.name.clone()).unwrap_or("store1".into());
+        let at = self.control("store1").and_then(|c| {
+            yewcross_common::documents::cache::replicas_by_preference(
+                &c.documents,
+                &c.members,
+                &key,
+            )
+            .first()
+            .cloned()
+        });
+        let n = self
+            .sh
+            .nodes
+            .iter()
+            .find(|n| Some(n.peer) == at)
+            .map(|n| n.name.clone())
+            .unwrap_or("store1".into());
         let m = s.find(&n);
         self.hard(&n);
         match act {
@@ -140,7 +181,10 @@
     /// Every wall clock is stepped by up to 10 s.
     pub(super) async fn step_clocks(self: &Arc<Self>) {
         let s = self.sim.clone();
-        self.sh.nodes.iter().for_each(|n| s.skew(s.find(&n.name), (s.rand() % 20_000) as i64 - 10_000));
+        self.sh
+            .nodes
+            .iter()
+            .for_each(|n| s.skew(s.find(&n.name), (s.rand() % 20_000) as i64 - 10_000));
     }
 
     /// The platform's list cannot be read for 5 s.
--- a/yewcross-testkit/src/proof/faults/servers.rs
+++ b/yewcross-testkit/src/proof/faults/servers.rs
@@ -13,8 +13,13 @@
         let name: &str = act.into();
         self.hard(name);
         for _ in 0..6 {
-            let f = Faults { lose: 2, ..Default::default() };
-            self.back(&self.any_back(s.rand().is_multiple_of(2))).into_iter().for_each(|b| b.fault(f.clone()));
+            let f = Faults {
+                lose: 2,
+                ..Default::default()
+            };
+            self.back(&self.any_back(s.rand().is_multiple_of(2)))
+                .into_iter()
+                .for_each(|b| b.fault(f.clone()));
             self.op.sleep(500 * MS).await;
         }
     }
@@ -24,8 +29,17 @@
         let name: &str = act.into();
         for i in 0..9u32 {
             let mut f = Faults::default();
-            *[&mut f.splice, &mut f.truncate, &mut f.mistake, &mut f.repeat, &mut f.stall, &mut f.fail_import][i as usize % 6] = 2;
-            self.back(&self.any_back(true)).into_iter().for_each(|b| b.fault(f.clone()));
+            *[
+                &mut f.splice,
+                &mut f.truncate,
+                &mut f.mistake,
+                &mut f.repeat,
+                &mut f.stall,
+                &mut f.fail_import,
+            ][i as usize % 6] = 2;
+            self.back(&self.any_back(true))
+                .into_iter()
+                .for_each(|b| b.fault(f.clone()));
             self.op.sleep(400 * MS).await;
         }
         self.hard(name);
@@ -43,12 +57,26 @@
     pub(super) async fn listed_server_leaves(self: &Arc<Self>) {
         let n = self.any_back(true);
         let p = self.platform.lock().unwrap().clone();
-        p.iter().for_each(|p| p.edit(|v| v.iter_mut().filter(|x| x.server == n).for_each(|x| x.leaving = true)));
+        p.iter().for_each(|p| {
+            p.edit(|v| {
+                v.iter_mut()
+                    .filter(|x| x.server == n)
+                    .for_each(|x| x.leaving = true)
+            })
+        });
         // Knowable from the list once the platform's own pause has passed.
-        self.op.sleep(p.as_ref().map(|p| p.pause).unwrap_or(0)).await;
+        self.op
+            .sleep(p.as_ref().map(|p| p.pause).unwrap_or(0))
+            .await;
         self.leave(&n);
         self.nap(6).await;
-        p.iter().for_each(|p| p.edit(|v| v.iter_mut().filter(|x| x.server == n).for_each(|x| x.leaving = false)));
+        p.iter().for_each(|p| {
+            p.edit(|v| {
+                v.iter_mut()
+                    .filter(|x| x.server == n)
+                    .for_each(|x| x.leaving = false)
+            })
+        });
         self.back(&n).into_iter().for_each(|b| b.leaving(false));
     }
 
@@ -66,7 +94,11 @@
                 *g += 1;
                 *g
             };
-            let spec = Spec { server: format!("m{i}"), addr: addr(100 + i, 0), ..b.clone() };
+            let spec = Spec {
+                server: format!("m{i}"),
+                addr: addr(100 + i, 0),
+                ..b.clone()
+            };
             let k = s.machine(&spec.server, &spec.site, spec.addr.ip());
             self.boot_back(s.boot(k), spec.clone());
             let p = self.platform.lock().unwrap().clone();
@@ -90,7 +122,10 @@
         s.kill(m, true);
         self.hard(&n);
         if let Some(b) = b {
-            let other = Spec { server: "x9".into(), ..b };
+            let other = Spec {
+                server: "x9".into(),
+                ..b
+            };
             let k = s.machine("x9", &other.site, other.addr.ip());
             self.boot_back(s.boot(k), other);
             self.nap(8).await;
@@ -103,7 +138,10 @@
     pub(super) async fn slow_servers(self: &Arc<Self>) {
         let s = self.sim.clone();
         for _ in 0..4 {
-            let f = Faults { slow: 8, ..Default::default() };
+            let f = Faults {
+                slow: 8,
+                ..Default::default()
+            };
             let b = self.back(&self.any_back(!s.rand().is_multiple_of(3)));
             b.iter().for_each(|b| b.fault(f.clone()));
             self.nap(3).await;
--- a/yewcross-testkit/src/proof/lab.rs
+++ b/yewcross-testkit/src/proof/lab.rs
@@ -1,4 +1,5 @@
-//! A simulated deployment: its machines, the operator, the platform's list, and what is written down about them.
+//! A simulated deployment: its machines, the operator, the platform's list, and what is written
+//! down about them.
 
 use crate::caller::Diary;
 use crate::platform::Platform;
@@ -48,7 +49,10 @@
 }
 
 pub(super) fn addr(n: usize, k: u16) -> SocketAddr {
-    SocketAddr::new(IpAddr::from([10, 0, (n / 250) as u8, (n % 250) as u8 + 1]), 1000 + k)
+    SocketAddr::new(
+        IpAddr::from([10, 0, (n / 250) as u8, (n % 250) as u8 + 1]),
+        1000 + k,
+    )
 }
 
 pub fn stranger() -> SocketAddr {
@@ -104,7 +108,13 @@
         let w = self.sim.boot(m);
         let (me, n) = (self.clone(), name.to_string());
         if name == "platform" {
-            let v = self.platform.lock().unwrap().as_ref().map(|p| p.list()).unwrap_or(self.sh.listed());
+            let v = self
+                .platform
+                .lock()
+                .unwrap()
+                .as_ref()
+                .map(|p| p.list())
+                .unwrap_or(self.sh.listed());
             w.clone().spawn(async move {
                 let p = Platform::start(&w, me.sh.platform, v).await.ok();
                 *me.platform.lock().unwrap() = p;
@@ -131,7 +141,10 @@
         let me = self.clone();
         runtime.clone().spawn(async move {
             let n = b.server.clone();
-            let p = Standin::start(&runtime, b, me.ledger.clone()).await.ok().map(Proc::Back);
+            let p = Standin::start(&runtime, b, me.ledger.clone())
+                .await
+                .ok()
+                .map(Proc::Back);
             p.map(|p| me.procs.lock().unwrap().insert(n, p));
         });
     }
@@ -140,7 +153,9 @@
         let moved = self.elsewhere.lock().unwrap().get(name).cloned();
         let mut st = moved.or_else(|| self.sh.nodes.iter().find(|n| n.name == name).cloned());
         let old = self.old.lock().unwrap().contains(name);
-        st.iter_mut().filter(|_| old).for_each(|s| s.wire = WIRE_OLDEST);
+        st.iter_mut()
+            .filter(|_| old)
+            .for_each(|s| s.wire = WIRE_OLDEST);
         st
     }
 
@@ -184,8 +199,17 @@
         v[self.sim.rand() as usize % v.len()].server.clone()
     }
 
-    async fn http(&self, node: &str, verb: http_types::Method, path: &str, heads: &[(&str, String)], body: Vec<u8>) -> (u16, Value) {
-        let Some(n) = self.startup(node) else { return (0, Value::Null) };
+    async fn http(
+        &self,
+        node: &str,
+        verb: http_types::Method,
+        path: &str,
+        heads: &[(&str, String)],
+        body: Vec<u8>,
+    ) -> (u16, Value) {
+        let Some(n) = self.startup(node) else {
+            return (0, Value::Null);
+        };
         match fetch(&self.op, n.http, verb, path, heads, body, 8 * SEC).await {
             Ok((s, _, b)) => (s, serde_json::from_slice(&b).unwrap_or(Value::Null)),
             Err(_) => (0, Value::Null),
@@ -193,9 +217,18 @@
     }
 
     pub async fn found(&self) -> bool {
-        let v = json!({"cores": self.names(Role::Core), "stores": self.names(Role::Store)}).to_string();
+        let v =
+            json!({"cores": self.names(Role::Core), "stores": self.names(Role::Store)}).to_string();
         for _ in 0..60 {
-            let (s, _) = self.http("core1", http_types::Method::Post, "/v1/found", &[], v.clone().into_bytes()).await;
+            let (s, _) = self
+                .http(
+                    "core1",
+                    http_types::Method::Post,
+                    "/v1/found",
+                    &[],
+                    v.clone().into_bytes(),
+                )
+                .await;
             if s == 200 {
                 return true;
             }
@@ -210,17 +243,41 @@
         t["budgets"][format!("mark-{mark}")] = json!({"tokens": 0});
         let sent = self.sim.now();
         let h = [("if-match", format!("\"{base}\""))];
-        let (s, v) = self.http(core, http_types::Method::Put, "/v1/config", &h, t.to_string().into_bytes()).await;
-        let code = if s == 0 { 0 } else { v["code"].as_u64().unwrap_or(0) as u16 };
-        let a = Ack { sent, at: self.sim.now(), base, mark: mark.into(), code, version: v["version"].as_u64().unwrap_or(0) };
-        self.sim.note(&format!("put {mark} over {base} by {core}: {code} {}", a.version));
+        let (s, v) = self
+            .http(
+                core,
+                http_types::Method::Put,
+                "/v1/config",
+                &h,
+                t.to_string().into_bytes(),
+            )
+            .await;
+        let code = if s == 0 {
+            0
+        } else {
+            v["code"].as_u64().unwrap_or(0) as u16
+        };
+        let a = Ack {
+            sent,
+            at: self.sim.now(),
+            base,
+            mark: mark.into(),
+            code,
+            version: v["version"].as_u64().unwrap_or(0),
+        };
+        self.sim.note(&format!(
+            "put {mark} over {base} by {core}: {code} {}",
+            a.version
+        ));
         self.acks.lock().unwrap().push(a.clone());
         a
     }
 
     pub async fn version(&self) -> u64 {
         for c in self.names(Role::Core) {
-            let (s, v) = self.http(&c, http_types::Method::Get, "/v1/config", &[], vec![]).await;
+            let (s, v) = self
+                .http(&c, http_types::Method::Get, "/v1/config", &[], vec![])
+                .await;
             if s == 200 {
                 return v["version"].as_u64().unwrap_or(0);
             }
@@ -229,11 +286,13 @@
     }
 
     pub async fn post(&self, node: &str, path: &str) -> (u16, Value) {
-        self.http(node, http_types::Method::Post, path, &[], vec![]).await
+        self.http(node, http_types::Method::Post, path, &[], vec![])
+            .await
     }
 
     pub async fn get(&self, node: &str, path: &str) -> (u16, Value) {
-        self.http(node, http_types::Method::Get, path, &[], vec![]).await
+        self.http(node, http_types::Method::Get, path, &[], vec![])
+            .await
     }
 
     pub fn leave(&self, server: &str) {
@@ -257,13 +316,24 @@
                     _ => None,
                 })
                 .collect();
-            let l = v.iter().map(|c| c.documents.layout.load().0).max().unwrap_or(0);
+            let l = v
+                .iter()
+                .map(|c| c.documents.layout.load().0)
+                .max()
+                .unwrap_or(0);
             let mut ok = !v.is_empty();
             for c in &v {
                 let b = c.documents.layout.load();
-                let seat = b.1.store.current.iter().chain(&b.1.core.current).any(|d| *d == c.storage.disk_id);
-                let here = b.0 == l && b.1.store.previous.is_empty() && b.1.core.previous.is_empty();
-                ok &= here && (!seat || (c.swept.load(SeqCst) >= l && c.replica.keys().await.1 == 0));
+                let seat =
+                    b.1.store
+                        .current
+                        .iter()
+                        .chain(&b.1.core.current)
+                        .any(|d| *d == c.storage.disk_id);
+                let here =
+                    b.0 == l && b.1.store.previous.is_empty() && b.1.core.previous.is_empty();
+                ok &=
+                    here && (!seat || (c.swept.load(SeqCst) >= l && c.replica.keys().await.1 == 0));
             }
             if ok {
                 return true;
@@ -278,7 +348,13 @@
         let like = self.sh.of(role)[0].clone();
         let i = 700 + role as usize;
         let name = format!("{}-new", like.name);
-        let st = ProcessSettings { name: name.clone(), site: self.sh.sites[3].clone(), peer: addr(i, 0), http: addr(i, 1), ..like };
+        let st = ProcessSettings {
+            name: name.clone(),
+            site: self.sh.sites[3].clone(),
+            peer: addr(i, 0),
+            http: addr(i, 1),
+            ..like
+        };
         self.sim.machine(&name, &st.site, st.peer.ip());
         self.elsewhere.lock().unwrap().insert(name.clone(), st);
         self.boot(&name);
--- a/yewcross-testkit/src/proof/long_day.rs
+++ b/yewcross-testkit/src/proof/long_day.rs
@@ -23,13 +23,18 @@
     pub done: usize,
 }
 
-/// Many short sessions, some ended by their callers and some just left, with a fault at the day's end.
+/// Many short sessions, some ended by their callers and some just left, with a fault at the day's
+/// end.
 pub fn long_day(seed: u64, secs: u64) -> (Vec<Sizes>, Evidence) {
     let lab = Lab::new(seed, "small");
     {
         let mut t = lab.text.lock().unwrap();
         t["families"]["talk"]["set"]["keep_ms"] = json!(15_000);
-        t["services"].as_object_mut().into_iter().flatten().for_each(|s| s.1["keep_ms"] = json!(15_000));
+        t["services"]
+            .as_object_mut()
+            .into_iter()
+            .flatten()
+            .for_each(|s| s.1["keep_ms"] = json!(15_000));
     }
     lab.boot("platform");
     lab.sh.backs.iter().for_each(|b| lab.boot(&b.server));
@@ -54,9 +59,20 @@
                     caller::session(w2.clone(), me.sh.clone(), me.diary.clone(), id, 3).await;
                     if n % 2 == 0 {
                         for p in me.sh.mix.turns.iter() {
-                            let v = json!({"program": p.0, "session": format!("s{id}")}).to_string().into_bytes();
+                            let v = json!({"program": p.0, "session": format!("s{id}")})
+                                .to_string()
+                                .into_bytes();
                             let to = me.sh.of(Role::Front)[0].http;
-                            let _ = fetch(&w2, to, http_types::Method::Post, "/v1/session/end", &[], v, SEC).await;
+                            let _ = fetch(
+                                &w2,
+                                to,
+                                http_types::Method::Post,
+                                "/v1/session/end",
+                                &[],
+                                v,
+                                SEC,
+                            )
+                            .await;
                         }
                     }
                 }
@@ -65,7 +81,13 @@
         for k in 0..4 {
             me.op.sleep(secs * SEC / 4).await;
             let (tasks, _, files) = me.sim.sizes();
-            let s = Sizes { at: me.sim.now(), tasks, files, lines: me.sim.log().len(), done: me.diary.seen.lock().unwrap().len() };
+            let s = Sizes {
+                at: me.sim.now(),
+                tasks,
+                files,
+                lines: me.sim.log().len(),
+                done: me.diary.seen.lock().unwrap().len(),
+            };
             sz.lock().unwrap().push(s);
             if k == 1 {
                 // Frozen for longer than records are kept.
@@ -94,7 +116,14 @@
         planned: vec![],
         log: lab.sim.log(),
         last: Some((2, ConfigDoc::default())),
-        once: lab.sh.mix.turns.iter().map(|t| t.0.clone()).chain(["confirm".to_string()]).collect(),
+        once: lab
+            .sh
+            .mix
+            .turns
+            .iter()
+            .map(|t| t.0.clone())
+            .chain(["confirm".to_string()])
+            .collect(),
         banned: vec![],
         history: BTreeMap::new(),
         doors: BTreeMap::new(),
--- a/yewcross-testkit/src/proof/run.rs
+++ b/yewcross-testkit/src/proof/run.rs
@@ -17,7 +17,11 @@
 pub fn run(p: &Plan) -> Evidence {
     let lab = Lab::of(p.seed, &p.shape, |sh| {
         let one = sh.mix.turns[0].1.clone();
-        sh.mix.turns.iter_mut().filter(|_| p.one_purse).for_each(|m| m.1 = one.clone());
+        sh.mix
+            .turns
+            .iter_mut()
+            .filter(|_| p.one_purse)
+            .for_each(|m| m.1 = one.clone());
     });
     {
         let mut t = lab.text.lock().unwrap();
@@ -35,10 +39,17 @@
             a.turn = a.turn.max(m.5);
             a.caps = vec![Cap { from: 0, tokens: n }];
         });
-        lab.accounts.lock().unwrap().iter().for_each(|(b, a)| t["budgets"][b]["tokens"] = json!(a.caps[0].tokens));
+        lab.accounts
+            .lock()
+            .unwrap()
+            .iter()
+            .for_each(|(b, a)| t["budgets"][b]["tokens"] = json!(a.caps[0].tokens));
     }
     if p.acts.contains(&Act::RollUpgrade) {
-        lab.old.lock().unwrap().extend(lab.sh.nodes.iter().map(|n| n.name.clone()));
+        lab.old
+            .lock()
+            .unwrap()
+            .extend(lab.sh.nodes.iter().map(|n| n.name.clone()));
     }
     lab.boot("platform");
     lab.sh.backs.iter().for_each(|b| lab.boot(&b.server));
@@ -56,12 +67,21 @@
                 let m = me.sim.find(&f.name);
                 me.sim.kill(m, false);
                 let w = me.sim.boot(m);
-                w.clone().spawn(crate::rogue::start(me.clone(), w, f.http, sin));
+                w.clone()
+                    .spawn(crate::rogue::start(me.clone(), w, f.http, sin));
             }
             crate::rogue::prepare(&me, sin).await;
         }
         let w = me.sim.boot(me.sim.find("callers"));
-        (0..plan.sessions).for_each(|i| w.spawn(caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
+        (0..plan.sessions).for_each(|i| {
+            w.spawn(caller::session(
+                w.clone(),
+                me.sh.clone(),
+                me.diary.clone(),
+                i,
+                100_000,
+            ))
+        });
         me.op.sleep(6 * SEC).await;
         for a in plan.acts {
             me.clone().act(a).await;
@@ -71,8 +91,13 @@
         // With all at rest a put must get through, whichever core it is sent to.
         if plan.sin.is_none() {
             let base = me.version().await;
-            let up: Vec<String> = me.names(Role::Core).into_iter().filter(|n| me.sim.up(me.sim.find(n))).collect();
-            me.put(&up[me.sim.rand() as usize % up.len()], base, "last").await;
+            let up: Vec<String> = me
+                .names(Role::Core)
+                .into_iter()
+                .filter(|n| me.sim.up(me.sim.find(n)))
+                .collect();
+            me.put(&up[me.sim.rand() as usize % up.len()], base, "last")
+                .await;
             me.op.sleep(3 * SEC).await;
         }
         me.diary.stop.store(true, SeqCst);
@@ -110,7 +135,8 @@
         }
         *f2.lock().unwrap() = true;
     });
-    lab.sim.run(lab.sim.now() + 40 * SEC, || *fin.lock().unwrap());
+    lab.sim
+        .run(lab.sim.now() + 40 * SEC, || *fin.lock().unwrap());
     let mut sums: BTreeMap<&str, u64> = BTreeMap::new();
     let mut kinds: BTreeMap<&str, (u64, u64, u64)> = BTreeMap::new();
     let mut odd = 0;
@@ -118,7 +144,10 @@
     lab.procs.lock().unwrap().values().for_each(|p| {
         let t = match p {
             Proc::Front(f) => {
-                f.counts.all().into_iter().for_each(|(k, v)| *sums.entry(k).or_default() += v);
+                f.counts
+                    .all()
+                    .into_iter()
+                    .for_each(|(k, v)| *sums.entry(k).or_default() += v);
                 &f.peers.metrics
             }
             Proc::Control(c) => {
@@ -141,7 +170,14 @@
         far += t.bytes_across.load(SeqCst);
     });
     let seen = lab.diary.seen.lock().unwrap().clone();
-    let puts: Vec<u64> = lab.acks.lock().unwrap().iter().filter(|a| a.code == 1000).map(|a| (a.at - a.sent) / 1000).collect();
+    let puts: Vec<u64> = lab
+        .acks
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|a| a.code == 1000)
+        .map(|a| (a.at - a.sent) / 1000)
+        .collect();
     let knocks = lab.ledger.knocks.lock().unwrap().clone();
     let last: Vec<u64> = lab
         .left
@@ -149,7 +185,10 @@
         .unwrap()
         .iter()
         .map(|l| {
-            let mine = knocks.iter().filter(|k| k.1.starts_with(&format!("{} ", l.1)) && k.0 >= l.0).map(|k| (k.0 - l.0) / 1000);
+            let mine = knocks
+                .iter()
+                .filter(|k| k.1.starts_with(&format!("{} ", l.1)) && k.0 >= l.0)
+                .map(|k| (k.0 - l.0) / 1000);
             mine.max().unwrap_or(0)
         })
         .collect();
@@ -168,13 +207,23 @@
         planned: lab.planned.lock().unwrap().clone(),
         log: lab.sim.log(),
         last,
-        once: lab.sh.mix.turns.iter().map(|t| t.0.clone()).filter(|_| !p.repeatable).chain(["confirm".to_string()]).collect(),
+        once: lab
+            .sh
+            .mix
+            .turns
+            .iter()
+            .map(|t| t.0.clone())
+            .filter(|_| !p.repeatable)
+            .chain(["confirm".to_string()])
+            .collect(),
         banned: lab.banned.lock().unwrap().clone(),
         history: history.lock().unwrap().clone(),
         doors: {
             let moved = lab.elsewhere.lock().unwrap();
             let all = lab.sh.nodes.iter().chain(moved.values());
-            all.filter(|n| n.role == Role::Front).map(|n| (n.http, (n.name.clone(), n.site.clone()))).collect()
+            all.filter(|n| n.role == Role::Front)
+                .map(|n| (n.http, (n.name.clone(), n.site.clone())))
+                .collect()
         },
         whole: true,
         budgets: lab.accounts.lock().unwrap().clone(),
@@ -188,24 +237,31 @@
         moving: {
             let g = lab.procs.lock().unwrap();
             let v = g.iter().filter_map(|x| match x.1 {
-                Proc::Control(c) if lab.sim.up(lab.sim.find(x.0)) => Some(c.documents.layout.load_full()),
+                Proc::Control(c) if lab.sim.up(lab.sim.find(x.0)) => {
+                    Some(c.documents.layout.load_full())
+                }
                 _ => None,
             });
-            v.max_by_key(|l| l.0).is_some_and(|l| !l.1.core.previous.is_empty() || !l.1.store.previous.is_empty())
+            v.max_by_key(|l| l.0)
+                .is_some_and(|l| !l.1.core.previous.is_empty() || !l.1.store.previous.is_empty())
         },
     }
 }
 
 /// Runs `f` over all items on all cores; returns how many came out bad.
 pub fn each<T: Send>(items: Vec<T>, f: impl Fn(T) -> bool + Sync) -> usize {
-    let n = std::thread::available_parallelism().map(|n| n.get()).unwrap_or(1);
+    let n = std::thread::available_parallelism()
+        .map(|n| n.get())
+        .unwrap_or(1);
     let line = Mutex::new(items.into_iter().collect::<std::collections::VecDeque<_>>());
     let bad = std::sync::atomic::AtomicUsize::new(0);
     std::thread::scope(|s| {
         (0..n).for_each(|_| {
             s.spawn(|| {
                 loop {
-                    let Some(x) = line.lock().unwrap().pop_front() else { return };
+                    let Some(x) = line.lock().unwrap().pop_front() else {
+                        return;
+                    };
                     if !f(x) {
                         bad.fetch_add(1, SeqCst);
                     }
@@ -223,14 +279,34 @@
         let v = judge(&e);
         let acts: Vec<&str> = p.acts.iter().map(|a| a.into()).collect();
         let word = if v.is_empty() { "holds" } else { "BROKEN" };
-        let back = back_ms(&e).map(|b| format!(" back {b} ms")).unwrap_or_default();
-        let mut out =
-            format!("seed {} {} {}: {word} hash {:016x} fingerprint {:032x}{back}", p.seed, p.shape, acts.join("+"), e.hash, e.fingerprint);
+        let back = back_ms(&e)
+            .map(|b| format!(" back {b} ms"))
+            .unwrap_or_default();
+        let mut out = format!(
+            "seed {} {} {}: {word} hash {:016x} fingerprint {:032x}{back}",
+            p.seed,
+            p.shape,
+            acts.join("+"),
+            e.hash,
+            e.fingerprint
+        );
         if trace {
-            e.log.iter().for_each(|(t, n, l)| out += &format!("\n  {:>10.3} {n}: {l}", *t as f64 / 1e6));
-            e.seen.iter().filter(|s| s.heard != Heard::Done).for_each(|s| {
-                out += &format!("\n  {:>10.3} {} {} {:?} took {} ms", s.at as f64 / 1e6, s.kind, s.job, s.heard, s.took / 1000)
-            });
+            e.log
+                .iter()
+                .for_each(|(t, n, l)| out += &format!("\n  {:>10.3} {n}: {l}", *t as f64 / 1e6));
+            e.seen
+                .iter()
+                .filter(|s| s.heard != Heard::Done)
+                .for_each(|s| {
+                    out += &format!(
+                        "\n  {:>10.3} {} {} {:?} took {} ms",
+                        s.at as f64 / 1e6,
+                        s.kind,
+                        s.job,
+                        s.heard,
+                        s.took / 1000
+                    )
+                });
             out += &format!("\n  {}", e.figures);
         }
         v.iter().take(6).for_each(|x| out += &format!("\n  {x}"));
--- a/yewcross-testkit/src/proof/scenario.rs
+++ b/yewcross-testkit/src/proof/scenario.rs
@@ -4,7 +4,9 @@
 use strum::{EnumIter, EnumString, IntoStaticStr};
 
 /// A way for things to go wrong. Each begins, lasts a while, and is undone.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, EnumIter, EnumString, IntoStaticStr)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, EnumIter, EnumString, IntoStaticStr,
+)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Act {
     Calm,
@@ -105,10 +107,24 @@
 
     pub fn command(&self) -> String {
         let a: Vec<&str> = self.acts.iter().map(|a| a.into()).collect();
-        let mut s = format!("yewcross-lab sim --shape {} --acts {} --from {} --count 1 --trace", self.shape, a.join("+"), self.seed);
-        self.budget.iter().for_each(|b| s += &format!(" --budget {b}"));
-        let flags = [(self.no_share, "no-share"), (self.repeatable, "repeatable"), (self.one_purse, "one-purse")];
-        flags.into_iter().filter(|f| f.0).for_each(|f| s += &format!(" --{}", f.1));
+        let mut s = format!(
+            "yewcross-lab sim --shape {} --acts {} --from {} --count 1 --trace",
+            self.shape,
+            a.join("+"),
+            self.seed
+        );
+        self.budget
+            .iter()
+            .for_each(|b| s += &format!(" --budget {b}"));
+        let flags = [
+            (self.no_share, "no-share"),
+            (self.repeatable, "repeatable"),
+            (self.one_purse, "one-purse"),
+        ];
+        flags
+            .into_iter()
+            .filter(|f| f.0)
+            .for_each(|f| s += &format!(" --{}", f.1));
         s
     }
 }
--- a/yewcross-testkit/src/rogue.rs
+++ b/yewcross-testkit/src/rogue.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use strum::{EnumIter, IntoStaticStr};
-use yewcross_common::buffered_http::{self, BufferedRequest, ConnectionTracker, fetch, refuse, reply, stream};
+use yewcross_common::buffered_http::{
+    self, BufferedRequest, ConnectionTracker, fetch, refuse, reply, stream,
+};
 use yewcross_common::constants::*;
 use yewcross_common::hash::digest;
 use yewcross_common::runtime::*;
@@ -39,8 +41,15 @@
 
 /// Takes the place of every front at the callers' side.
 pub async fn start(lab: Arc<Lab>, runtime: Runtime, at: std::net::SocketAddr, sin: Sin) {
-    let Ok(door) = runtime.bind(at).await else { return };
-    let r = Arc::new(Rogue { w: runtime.clone(), lab, sin, n: AtomicU64::new(0) });
+    let Ok(door) = runtime.bind(at).await else {
+        return;
+    };
+    let r = Arc::new(Rogue {
+        w: runtime.clone(),
+        lab,
+        sin,
+        n: AtomicU64::new(0),
+    });
     let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(r.clone(), j)));
     buffered_http::serve(runtime, door, h, Arc::new(ConnectionTracker::default())).await;
 }
@@ -50,16 +59,31 @@
     match sin {
         Sin::UsesLeaving => lab.leave("m1"),
         Sin::UsesStranger => {
-            let b = Spec { server: "x9".into(), addr: crate::proof::lab::stranger(), ..lab.sh.backs[0].clone() };
+            let b = Spec {
+                server: "x9".into(),
+                addr: crate::proof::lab::stranger(),
+                ..lab.sh.backs[0].clone()
+            };
             let m = lab.sim.machine("x9", &b.site, b.addr.ip());
             lab.boot_back(lab.sim.boot(m), b);
         }
-        Sin::Drops => lab.planned.lock().unwrap().push((lab.sim.now(), lab.sim.now())),
+        Sin::Drops => lab
+            .planned
+            .lock()
+            .unwrap()
+            .push((lab.sim.now(), lab.sim.now())),
         Sin::OldConfig => {
             lab.put("core1", 2, "newer").await;
         }
         Sin::FalseAck => {
-            let a = Ack { sent: 0, at: lab.sim.now(), base: 2, mark: "never".into(), code: 1000, version: 9 };
+            let a = Ack {
+                sent: 0,
+                at: lab.sim.now(),
+                base: 2,
+                mark: "never".into(),
+                code: 1000,
+                version: 9,
+            };
             lab.acks.lock().unwrap().push(a);
         }
         _ => {}
@@ -67,11 +91,29 @@
 }
 
 async fn at_server(r: &Rogue, job: &str, v: &Value, server: &str) -> Value {
-    let b = r.lab.sh.backs.iter().find(|b| b.server == server).map(|b| b.addr).unwrap_or(crate::proof::lab::stranger());
+    let b = r
+        .lab
+        .sh
+        .backs
+        .iter()
+        .find(|b| b.server == server)
+        .map(|b| b.addr)
+        .unwrap_or(crate::proof::lab::stranger());
     let q = json!({"job": job, "session": format!("session/{}/{}", v["program"].as_str().unwrap_or(""), v["session"].as_str().unwrap_or("")),
         "program": v["program"], "prompt": "hello\t", "max_output": v["max_output"], "horizon_ms": 6000});
-    let got = fetch(&r.w, b, http_types::Method::Post, "/turn", &[], q.to_string().into_bytes(), 5 * SEC).await;
-    let text = got.map(|x| String::from_utf8_lossy(&x.2).into_owned()).unwrap_or_default();
+    let got = fetch(
+        &r.w,
+        b,
+        http_types::Method::Post,
+        "/turn",
+        &[],
+        q.to_string().into_bytes(),
+        5 * SEC,
+    )
+    .await;
+    let text = got
+        .map(|x| String::from_utf8_lossy(&x.2).into_owned())
+        .unwrap_or_default();
     let whole: String = text
         .lines()
         .filter_map(|l| serde_json::from_str::<Value>(l).ok())
@@ -95,7 +137,14 @@
         };
     }
     let server = match r.sin {
-        Sin::UsesLeaving => r.lab.left.lock().unwrap().first().map(|l| l.1.clone()).unwrap_or("m1".into()),
+        Sin::UsesLeaving => r
+            .lab
+            .left
+            .lock()
+            .unwrap()
+            .first()
+            .map(|l| l.1.clone())
+            .unwrap_or("m1".into()),
         Sin::UsesStranger => "x9".into(),
         _ => "m1".into(),
     };
@@ -115,7 +164,11 @@
         return no;
     }
     let text = got["text"].as_str().unwrap_or("").to_string();
-    let said = if r.sin == Sin::OthersAnswer { "another".to_string() } else { job };
+    let said = if r.sin == Sin::OthersAnswer {
+        "another".to_string()
+    } else {
+        job
+    };
     let mut e = json!({"end": true, "code": 1000, "pieces": 1, "digest": digest(text.as_bytes()), "replayed": false,
         "usage": {"prompt": 2, "reused": 0, "output": v["max_output"]}, "stamp": {"server": server, "job": said}});
     let mut out = if v["stream"] == json!(true) {
--- a/yewcross-testkit/src/routed.rs
+++ b/yewcross-testkit/src/routed.rs
@@ -1,5 +1,6 @@
-//! Whole tiers that serve routed requests, in virtual time: stand-ins of a platform of our own making that misbehave,
-//! callers that keep to the rules, troubles, and what must hold in spite of them.
+//! Whole tiers that serve routed requests, in virtual time: stand-ins of a platform of our own
+//! making that misbehave, callers that keep to the rules, troubles, and what must hold in spite of
+//! them.
 
 pub mod caller;
 pub mod cfg;
--- a/yewcross-testkit/src/routed/caller.rs
+++ b/yewcross-testkit/src/routed/caller.rs
@@ -1,5 +1,5 @@
-//! Callers that keep to the rules: tries with ids of their own, again only what may be sent again, programs of turns
-//! and calls; each writes down what it heard.
+//! Callers that keep to the rules: tries with ids of their own, again only what may be sent again,
+//! programs of turns and calls; each writes down what it heard.
 
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -111,7 +111,12 @@
 
 impl Caller {
     pub fn new(runtime: &Runtime, book: &Arc<Book>, fronts: &Fronts) -> Caller {
-        Caller { w: runtime.clone(), book: book.clone(), fronts: fronts.clone(), conn: None }
+        Caller {
+            w: runtime.clone(),
+            book: book.clone(),
+            fronts: fronts.clone(),
+            conn: None,
+        }
     }
 
     async fn open(&mut self) -> Option<(String, SendRequest<Full<Bytes>>)> {
@@ -127,13 +132,21 @@
 
     /// One try, on the connection at hand or a new one.
     pub async fn send(&mut self, x: &Want) -> Try {
-        let kept = self.conn.take().filter(|c| c.1.is_ready() && !self.w.random().is_multiple_of(4));
+        let kept = self
+            .conn
+            .take()
+            .filter(|c| c.1.is_ready() && !self.w.random().is_multiple_of(4));
         let opened = match kept {
             Some(c) => Some(c),
             None => self.open().await,
         };
         let attempt = format!("t{:x}", self.book.next.fetch_add(1, SeqCst));
-        let target = format!("/{}/{:x}?q={:x}", x.route.name, self.w.random() % 4096, self.w.random() % 256);
+        let target = format!(
+            "/{}/{:x}?q={:x}",
+            x.route.name,
+            self.w.random() % 4096,
+            self.w.random() % 256
+        );
         let at = self.w.now();
         let front = opened.as_ref().map(|c| c.0.clone()).unwrap_or_default();
         let mut t = Try {
@@ -155,13 +168,19 @@
             whole: false,
             gave_up: false,
         };
-        let mut q = Request::builder().method(x.method.clone()).uri(&target).header("host", HOST).header("try", &attempt);
+        let mut q = Request::builder()
+            .method(x.method.clone())
+            .uri(&target)
+            .header("host", HOST)
+            .header("try", &attempt);
         q = q.header("patience", x.route.deadline_ms);
         if x.route.mode == Mode::Stream {
             q = q.header("tokens", x.prompt).header("most", x.most);
         }
         if !x.program.is_empty() {
-            q = q.header("program", &x.program).header("session", &x.program);
+            q = q
+                .header("program", &x.program)
+                .header("session", &x.program);
         }
         if x.budget > 0 && x.route.mode == Mode::Stream {
             q = q.header("budget", x.budget);
@@ -184,13 +203,17 @@
         };
         let until = at + x.route.deadline_ms * MS;
         let over = async {
-            self.w.sleep(until.saturating_sub(self.w.now()) + 50 * MS).await;
+            self.w
+                .sleep(until.saturating_sub(self.w.now()) + 50 * MS)
+                .await;
             false
         };
         let (w, book) = (self.w.clone(), self.book.clone());
         let heard = Mutex::new(t.clone());
         let go = async {
-            let Ok(r) = s.send_request(q).await else { return true };
+            let Ok(r) = s.send_request(q).await else {
+                return true;
+            };
             let (p, mut b) = r.into_parts();
             {
                 let mut g = heard.lock().unwrap();
@@ -242,7 +265,9 @@
             }
             let back = text(&t.heads, "back-ms").parse::<u64>().unwrap_or(0) * MS;
             self.conn = None;
-            self.w.sleep(back.min(until.saturating_sub(self.w.now()) / 3) + 10 * MS).await;
+            self.w
+                .sleep(back.min(until.saturating_sub(self.w.now()) / 3) + 10 * MS)
+                .await;
         }
     }
 }
@@ -251,17 +276,31 @@
 pub async fn plain(mut c: Caller, routes: Vec<Known>, pause: u64) {
     while !c.book.stop.load(SeqCst) {
         let r = routes[c.w.random_index(routes.len())].clone();
-        let n = if c.w.random().is_multiple_of(3) { c.w.random() % 5000 } else { 0 };
+        let n = if c.w.random().is_multiple_of(3) {
+            c.w.random() % 5000
+        } else {
+            0
+        };
         let input: Vec<u8> = (0..n).map(|i| (i % 251) as u8).collect();
         let method = if n > 0 { Method::POST } else { Method::GET };
-        let x = Want { route: r, method, input, program: String::new(), budget: 0, most: 40, prev: String::new(), prompt: 10 };
+        let x = Want {
+            route: r,
+            method,
+            input,
+            program: String::new(),
+            budget: 0,
+            most: 40,
+            prev: String::new(),
+            prompt: 10,
+        };
         c.ask(&x).await;
         let p = c.w.random() % (pause + 1);
         c.w.sleep(pause / 2 + p).await;
     }
 }
 
-/// Programs: a row of turns that bring only what is new, with calls between; now and then two turns go on from one.
+/// Programs: a row of turns that bring only what is new, with calls between; now and then two turns
+/// go on from one.
 pub async fn programs(mut c: Caller, turn: Known, calls: Vec<Known>, pause: u64) {
     while !c.book.stop.load(SeqCst) {
         let n = c.book.next.fetch_add(1, SeqCst);
@@ -270,11 +309,18 @@
         let turns = 2 + c.w.random() % 6;
         let most = 16 + 2 * (c.w.random() % 20);
         // A third of the programs cannot end within their budget.
-        let budget = if c.w.random().is_multiple_of(3) { most * turns / 3 } else { most * (turns + 2) };
+        let budget = if c.w.random().is_multiple_of(3) {
+            most * turns / 3
+        } else {
+            most * (turns + 2)
+        };
         let (mut prev, mut prompt, mut done) = (String::new(), 0, true);
         for i in 0..turns {
             let size = 1 + c.w.random() % 2000;
-            let input: Vec<u8> = format!("{program} turn {i} ").bytes().chain((0..size).map(|i| b'a' + (i % 26) as u8)).collect();
+            let input: Vec<u8> = format!("{program} turn {i} ")
+                .bytes()
+                .chain((0..size).map(|i| b'a' + (i % 26) as u8))
+                .collect();
             prompt += size / 4;
             let x = Want {
                 route: turn.clone(),
@@ -301,12 +347,23 @@
             }
             // A side line that ends at once.
             if c.w.random().is_multiple_of(5) {
-                c.ask(&Want { prev: t.attempt.clone(), input: b"aside".to_vec(), ..x.clone() }).await;
+                c.ask(&Want {
+                    prev: t.attempt.clone(),
+                    input: b"aside".to_vec(),
+                    ..x.clone()
+                })
+                .await;
             }
             prev = t.attempt.clone();
             for _ in 0..c.w.random() % 3 {
                 let r = calls[c.w.random_index(calls.len())].clone();
-                let y = Want { route: r, method: Method::POST, input: b"call".to_vec(), prev: String::new(), ..x.clone() };
+                let y = Want {
+                    route: r,
+                    method: Method::POST,
+                    input: b"call".to_vec(),
+                    prev: String::new(),
+                    ..x.clone()
+                };
                 c.ask(&y).await;
             }
             let p = c.w.random() % (pause + 1);
--- a/yewcross-testkit/src/routed/cfg.rs
+++ b/yewcross-testkit/src/routed/cfg.rs
@@ -20,7 +20,13 @@
 pub const SERVICES: [(&str, usize); 4] = [("read", 3), ("write", 3), ("spare", 2), ("model", 3)];
 
 pub fn known() -> Vec<Known> {
-    let of = |name: &str, mode, retained, deadline_ms| Known { name: name.into(), mode, retained, retain_ms: 60_000, deadline_ms };
+    let of = |name: &str, mode, retained, deadline_ms| Known {
+        name: name.into(),
+        mode,
+        retained,
+        retain_ms: 60_000,
+        deadline_ms,
+    };
     vec![
         of("look", Mode::Pure, false, 1500),
         of("do", Mode::Effectful, false, 1500),
@@ -61,6 +67,13 @@
         })
         .collect();
     let text = json!({"routing": {"routes": routes, "upstreams": ups}}).to_string();
-    let to = to.into_iter().map(|(k, v)| (k, v.into_iter().map(|x| x.0).collect())).collect();
-    Version { text, to, ..Version::default() }
+    let to = to
+        .into_iter()
+        .map(|(k, v)| (k, v.into_iter().map(|x| x.0).collect()))
+        .collect();
+    Version {
+        text,
+        to,
+        ..Version::default()
+    }
 }
--- a/yewcross-testkit/src/routed/ports.rs
+++ b/yewcross-testkit/src/routed/ports.rs
@@ -3,7 +3,9 @@
 use bytes::Bytes;
 use http::{HeaderMap, Response};
 use serde::{Deserialize, Serialize};
-use yewcross_common::adapter::{AnswerMeta, Caller, RequestMeta, ServerCatalogue, UpstreamProtocol};
+use yewcross_common::adapter::{
+    AnswerMeta, Caller, RequestMeta, ServerCatalogue, UpstreamProtocol,
+};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ListedServer;
 
@@ -14,7 +16,13 @@
 }
 
 fn parts(s: &str) -> Option<Vec<(u64, u64)>> {
-    s.split(',').filter(|p| !p.is_empty()).map(|p| p.split_once(':').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)))).collect()
+    s.split(',')
+        .filter(|p| !p.is_empty())
+        .map(|p| {
+            p.split_once(':')
+                .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)))
+        })
+        .collect()
 }
 
 impl Caller for Ports {
@@ -39,7 +47,10 @@
         })
     }
     fn refuse(&self, c: Code, why: &str, back: u64) -> Response<Bytes> {
-        let r = Response::builder().status(c.http()).header("back-ms", back).header("why", why);
+        let r = Response::builder()
+            .status(c.http())
+            .header("back-ms", back)
+            .header("why", why);
         r.body(Bytes::new()).unwrap_or_default()
     }
 }
@@ -55,12 +66,17 @@
         });
     }
     fn resume_after(&self, h: &mut HeaderMap, event_id: &[u8]) {
-        http::HeaderValue::from_bytes(event_id).into_iter().for_each(|v| {
-            h.insert("resume-after", v);
-        });
+        http::HeaderValue::from_bytes(event_id)
+            .into_iter()
+            .for_each(|v| {
+                h.insert("resume-after", v);
+            });
     }
     fn answer(&self, status: u16, h: &HeaderMap) -> AnswerMeta {
-        let load: Vec<u32> = text(h, "load").split(',').filter_map(|x| x.parse().ok()).collect();
+        let load: Vec<u32> = text(h, "load")
+            .split(',')
+            .filter_map(|x| x.parse().ok())
+            .collect();
         AnswerMeta {
             attempt: text(h, "try").into(),
             stamped: h.contains_key("stamp"),
--- a/yewcross-testkit/src/routed/server.rs
+++ b/yewcross-testkit/src/routed/server.rs
@@ -1,5 +1,6 @@
-//! Servers that run a request and lose the answer, say that they did not run it, send what belongs to nothing, break
-//! off, slow down, end, and whose addresses go to others; each run is written down as it begins.
+//! Servers that run a request and lose the answer, say that they did not run it, send what belongs
+//! to nothing, break off, slow down, end, and whose addresses go to others; each run is written
+//! down as it begins.
 
 use super::ports::Page;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -14,7 +15,18 @@
 use yewcross_common::protocol::ListedServer;
 use yewcross_common::runtime::*;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::EnumString, strum::Display, strum::EnumIter)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    strum::EnumString,
+    strum::Display,
+    strum::EnumIter,
+)]
 #[strum(serialize_all = "snake_case")]
 pub enum Fault {
     /// It runs, and the connection closes without a word.
@@ -122,13 +134,21 @@
             httparse::Status::Complete(n) => {
                 let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
                 let mut seen = BTreeSet::new();
-                if let Some(h) = q.headers.iter().find(|h| !seen.insert(h.name.to_ascii_lowercase())) {
+                if let Some(h) = q
+                    .headers
+                    .iter()
+                    .find(|h| !seen.insert(h.name.to_ascii_lowercase()))
+                {
                     return Err(format!("{} comes twice", h.name));
                 }
                 let h = Head {
                     method: q.method.unwrap_or_default().into(),
                     target: q.path.unwrap_or_default().into(),
-                    heads: q.headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect(),
+                    heads: q
+                        .headers
+                        .iter()
+                        .map(|h| (h.name.to_ascii_lowercase(), text(h.value)))
+                        .collect(),
                 };
                 buf.drain(..n);
                 return Ok(Some(h));
@@ -167,7 +187,12 @@
 }
 
 impl Server {
-    pub async fn start(runtime: &Runtime, spec: ServerSpec, g: Arc<Ground>, mood: Mood) -> io::Result<Arc<Server>> {
+    pub async fn start(
+        runtime: &Runtime,
+        spec: ServerSpec,
+        g: Arc<Ground>,
+        mood: Mood,
+    ) -> io::Result<Arc<Server>> {
         let door = runtime.bind(spec.addr).await?;
         let s = Arc::new(Server {
             spec,
@@ -225,7 +250,14 @@
                 return None;
             }
             self.waiting.fetch_add(1, SeqCst);
-            let free = self.w.timeout(500 * MS, self.freed.wait_until(|| self.active.load(SeqCst) < self.spec.slots)).await;
+            let free = self
+                .w
+                .timeout(
+                    500 * MS,
+                    self.freed
+                        .wait_until(|| self.active.load(SeqCst) < self.spec.slots),
+                )
+                .await;
             self.waiting.fetch_sub(1, SeqCst);
             free?;
         }
@@ -238,14 +270,32 @@
         loop {
             let h = match self.w.timeout(20 * SEC, head(&mut c, &mut buf)).await {
                 Some(Ok(Some(h))) => h,
-                Some(Err(e)) => return self.g.odd.lock().unwrap().push(format!("{}: {e}", self.spec.id)),
+                Some(Err(e)) => {
+                    return self
+                        .g
+                        .odd
+                        .lock()
+                        .unwrap()
+                        .push(format!("{}: {e}", self.spec.id));
+                }
                 _ => return,
             };
             if h.heads.contains_key("transfer-encoding") {
-                return self.g.odd.lock().unwrap().push(format!("{}: a body in chunks", self.spec.id));
+                return self
+                    .g
+                    .odd
+                    .lock()
+                    .unwrap()
+                    .push(format!("{}: a body in chunks", self.spec.id));
             }
-            let n = h.heads.get("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
-            let Some(body) = fill(&mut c, &mut buf, n).await else { return };
+            let n = h
+                .heads
+                .get("content-length")
+                .and_then(|v| v.parse().ok())
+                .unwrap_or(0);
+            let Some(body) = fill(&mut c, &mut buf, n).await else {
+                return;
+            };
             if self.answer(&mut c, h, body).await.is_none() {
                 let _ = c.close().await;
                 return;
@@ -257,38 +307,80 @@
     async fn answer(self: &Arc<Self>, c: &mut Connection, h: Head, body: Vec<u8>) -> Option<()> {
         let get = |n: &str| h.heads.get(n).cloned().unwrap_or_default();
         let attempt = get("try");
-        let load = format!("{},{},{}", self.active.load(SeqCst), self.waiting.load(SeqCst), self.spec.slots);
-        let bye = if self.leaving.load(SeqCst) { "connection: close\r\n" } else { "" };
+        let load = format!(
+            "{},{},{}",
+            self.active.load(SeqCst),
+            self.waiting.load(SeqCst),
+            self.spec.slots
+        );
+        let bye = if self.leaving.load(SeqCst) {
+            "connection: close\r\n"
+        } else {
+            ""
+        };
         let say = |status: u16, a: &str, more: &str, body: &[u8]| {
-            let top = format!("HTTP/1.1 {status} X\r\ntry: {a}\r\nload: {load}\r\n{bye}{more}content-length: {}\r\n\r\n", body.len());
+            let top = format!(
+                "HTTP/1.1 {status} X\r\ntry: {a}\r\nload: {load}\r\n{bye}{more}content-length: {}\r\n\r\n",
+                body.len()
+            );
             [top.as_bytes(), body].concat()
         };
         if h.heads.get("for").is_some_and(|x| *x != self.spec.id) {
-            return c.write_all(&say(421, &attempt, "unrun: 1\r\n", b"")).await.ok();
+            return c
+                .write_all(&say(421, &attempt, "unrun: 1\r\n", b""))
+                .await
+                .ok();
         }
-        self.g.reached.lock().unwrap().push((self.w.now(), self.spec.id.clone(), attempt.clone()));
+        self.g
+            .reached
+            .lock()
+            .unwrap()
+            .push((self.w.now(), self.spec.id.clone(), attempt.clone()));
         let fault = self.fault();
-        fault.iter().for_each(|f| *self.g.faults.lock().unwrap().entry(*f).or_default() += 1);
+        fault
+            .iter()
+            .for_each(|f| *self.g.faults.lock().unwrap().entry(*f).or_default() += 1);
         match fault {
             Some(Fault::Reset) => return None,
-            Some(Fault::NotRun) => return c.write_all(&say(503, &attempt, "unrun: 1\r\n", b"")).await.ok(),
+            Some(Fault::NotRun) => {
+                return c
+                    .write_all(&say(503, &attempt, "unrun: 1\r\n", b""))
+                    .await
+                    .ok();
+            }
             _ => {}
         }
         let Some(_seat) = self.seat().await else {
-            return c.write_all(&say(503, &attempt, "unrun: 1\r\n", b"full")).await.ok();
+            return c
+                .write_all(&say(503, &attempt, "unrun: 1\r\n", b"full"))
+                .await
+                .ok();
         };
         let most: u64 = get("most").parse().unwrap_or(0);
         let stream = most > 0;
         let (n, events) = {
             let mut g = self.g.runs.lock().unwrap();
             let n = g.len();
-            let k = if stream { 1 + self.w.random() % (most / super::PER_EVENT).max(1) } else { 0 };
+            let k = if stream {
+                1 + self.w.random() % (most / super::PER_EVENT).max(1)
+            } else {
+                0
+            };
             let events: Vec<String> = (0..k).map(|i| format!("{attempt}.{i}")).collect();
             let own = self.w.random().is_multiple_of(40);
             let out = match (stream, own) {
-                (true, _) => events.iter().enumerate().map(|(i, d)| event(i, d)).collect::<String>().into_bytes(),
+                (true, _) => events
+                    .iter()
+                    .enumerate()
+                    .map(|(i, d)| event(i, d))
+                    .collect::<String>()
+                    .into_bytes(),
                 (_, true) => format!("none of that for {attempt}").into_bytes(),
-                _ => format!("run {n} of {attempt}: {}", "z".repeat((self.w.random() % 6000) as usize)).into_bytes(),
+                _ => format!(
+                    "run {n} of {attempt}: {}",
+                    "z".repeat((self.w.random() % 6000) as usize)
+                )
+                .into_bytes(),
             };
             g.push(Run {
                 at: self.w.now(),
@@ -309,10 +401,26 @@
             (g[n].status, g[n].out.clone())
         };
         let slow = if fault == Some(Fault::Slow) { 5 } else { 1 };
-        self.w.sleep(slow * (self.spec.work / 2 + self.w.random() % (self.spec.work + 1))).await;
+        self.w
+            .sleep(slow * (self.spec.work / 2 + self.w.random() % (self.spec.work + 1)))
+            .await;
         let stamp = format!("stamp: r{n}\r\n");
-        if stream && !matches!(fault, Some(Fault::Lose | Fault::Silent | Fault::Fails | Fault::Garble | Fault::OtherTry | Fault::NoStamp)) {
-            return self.row(c, fault, &attempt, &stamp, bye, slow, &events).await;
+        if stream
+            && !matches!(
+                fault,
+                Some(
+                    Fault::Lose
+                        | Fault::Silent
+                        | Fault::Fails
+                        | Fault::Garble
+                        | Fault::OtherTry
+                        | Fault::NoStamp
+                )
+            )
+        {
+            return self
+                .row(c, fault, &attempt, &stamp, bye, slow, &events)
+                .await;
         }
         let good = say(status, &attempt, &stamp, &out);
         let whole = match fault {
@@ -322,14 +430,18 @@
                 return None;
             }
             Some(Fault::Half) => {
-                c.write_all(&good[..good.len() - 1 - out.len() / 2]).await.ok()?;
+                c.write_all(&good[..good.len() - 1 - out.len() / 2])
+                    .await
+                    .ok()?;
                 return None;
             }
             Some(Fault::Fails) => say(500, &attempt, "", b"mine"),
             Some(Fault::NoStamp) => say(200, &attempt, "", &out),
             Some(Fault::OtherTry) => say(200, "nobody", &stamp, &out),
             Some(Fault::Garble) => {
-                c.write_all(b"\x00\x01no answer at all\r\n\r\n").await.ok()?;
+                c.write_all(b"\x00\x01no answer at all\r\n\r\n")
+                    .await
+                    .ok()?;
                 return None;
             }
             _ => good,
@@ -341,10 +453,19 @@
     /// What follows a whole answer.
     async fn after(&self, c: &mut Connection, fault: Option<Fault>) -> Option<()> {
         match fault {
-            Some(Fault::Surplus) => c.write_all(b"HTTP/1.1 200 X\r\ntry: nobody\r\nstamp: r0\r\ncontent-length: 2\r\n\r\nno").await.ok(),
+            Some(Fault::Surplus) => c
+                .write_all(
+                    b"HTTP/1.1 200 X\r\ntry: nobody\r\nstamp: r0\r\ncontent-length: 2\r\n\r\nno",
+                )
+                .await
+                .ok(),
             Some(Fault::Late) => {
                 self.w.sleep(20 * MS).await;
-                c.write_all(b"HTTP/1.1 200 X\r\ntry: nobody\r\nstamp: r0\r\ncontent-length: 5\r\n\r\nstale").await.ok()
+                c.write_all(
+                    b"HTTP/1.1 200 X\r\ntry: nobody\r\nstamp: r0\r\ncontent-length: 5\r\n\r\nstale",
+                )
+                .await
+                .ok()
             }
             Some(Fault::ThenClose) => {
                 self.w.sleep(30 * MS).await;
@@ -415,7 +536,13 @@
 }
 
 impl Roster {
-    pub async fn start(runtime: &Runtime, at: SocketAddr, lag: u64, page: usize, rate: u64) -> io::Result<Arc<Roster>> {
+    pub async fn start(
+        runtime: &Runtime,
+        at: SocketAddr,
+        lag: u64,
+        page: usize,
+        rate: u64,
+    ) -> io::Result<Arc<Roster>> {
         let door = runtime.bind(at).await?;
         let r = Arc::new(Roster {
             w: runtime.clone(),
@@ -430,7 +557,12 @@
         });
         let me = r.clone();
         let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        runtime.spawn(buffered_http::serve(runtime.clone(), door, h, Arc::new(ConnectionTracker::default())));
+        runtime.spawn(buffered_http::serve(
+            runtime.clone(),
+            door,
+            h,
+            Arc::new(ConnectionTracker::default()),
+        ));
         Ok(r)
     }
 
@@ -443,7 +575,12 @@
     pub fn shown(&self) -> Vec<ListedServer> {
         let t = self.w.now();
         let g = self.past.lock().unwrap();
-        g.iter().rev().find(|x| x.0 + self.lag <= t).or(g.first()).map(|x| x.1.clone()).unwrap_or_default()
+        g.iter()
+            .rev()
+            .find(|x| x.0 + self.lag <= t)
+            .or(g.first())
+            .map(|x| x.1.clone())
+            .unwrap_or_default()
     }
 }
 
@@ -459,15 +596,33 @@
     };
     // The product's own list, whole and numbered.
     if !over && j.path == "/servers" {
-        let rev = r.past.lock().unwrap().iter().filter(|x| x.0 + r.lag <= r.w.now()).count() as u64;
-        return buffered_http::reply(200, &yewcross_common::protocol::ServerList { revision: rev.max(1), term: 0, servers: r.shown() });
+        let rev = r
+            .past
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|x| x.0 + r.lag <= r.w.now())
+            .count() as u64;
+        return buffered_http::reply(
+            200,
+            &yewcross_common::protocol::ServerList {
+                revision: rev.max(1),
+                term: 0,
+                servers: r.shown(),
+            },
+        );
     }
     if over || j.path != "/roster" {
         r.refused.fetch_add(1, SeqCst);
         return buffered_http::reply(if over { 429 } else { 404 }, &serde_json::json!({}));
     }
     r.served.fetch_add(1, SeqCst);
-    let from: usize = j.query.as_deref().and_then(|q| q.strip_prefix("page=")).and_then(|p| p.parse().ok()).unwrap_or(0);
+    let from: usize = j
+        .query
+        .as_deref()
+        .and_then(|q| q.strip_prefix("page="))
+        .and_then(|p| p.parse().ok())
+        .unwrap_or(0);
     let all = r.shown();
     let servers: Vec<ListedServer> = all.iter().skip(from).take(r.page).cloned().collect();
     let next = (from + servers.len() < all.len()).then(|| (from + servers.len()).to_string());
