--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -90,12 +90,18 @@
 }
 
 fn addr(n: usize, k: u16) -> SocketAddr {
-    SocketAddr::new(IpAddr::from([10, 0, (n / 250) as u8, (n % 250) as u8 + 1]), 1000 + k)
+    SocketAddr::new(
+        IpAddr::from([10, 0, (n / 250) as u8, (n % 250) as u8 + 1]),
+        1000 + k,
+    )
 }
 
 /// Servers' machines, each with the service of its first life.
 fn machines() -> Vec<(String, &'static str)> {
-    cfg::SERVICES.iter().flat_map(|(s, n)| (0..*n).map(move |k| (format!("{s}{k}"), *s))).collect()
+    cfg::SERVICES
+        .iter()
+        .flat_map(|(s, n)| (0..*n).map(move |k| (format!("{s}{k}"), *s)))
+        .collect()
 }
 
 /// us that the list lags.
@@ -171,7 +177,11 @@
                 Role::Front => {
                     let f = Front::open_unleased(&w, st, Arc::new(NativeFormat));
                     let chains = TurnLogClient::new(&f.members, &f.documents, &f.settings);
-                    let o = FrontOptions { caller: Arc::new(Ports), back: Arc::new(Ports), chains: Some(Arc::new(chains)) };
+                    let o = FrontOptions {
+                        caller: Arc::new(Ports),
+                        back: Arc::new(Ports),
+                        chains: Some(Arc::new(chains)),
+                    };
                     f.serve_routes(o).await.ok().map(|_| Node::Front(f))
                 }
                 _ => {
@@ -190,7 +200,11 @@
                 Some(p) => {
                     me.nodes.lock().unwrap().insert(n, p);
                 }
-                None => me.wrong.lock().unwrap().push(format!("START {n} did not start")),
+                None => me
+                    .wrong
+                    .lock()
+                    .unwrap()
+                    .push(format!("START {n} did not start")),
             }
         });
     }
@@ -216,7 +230,11 @@
             work: 20 * MS,
             gap: 10 * MS,
         };
-        let (me, n, mood) = (self.clone(), machine.to_string(), self.mood.lock().unwrap().clone());
+        let (me, n, mood) = (
+            self.clone(),
+            machine.to_string(),
+            self.mood.lock().unwrap().clone(),
+        );
         w.clone().spawn(async move {
             if let Ok(s) = Server::start(&w, spec, me.ground.clone(), mood).await {
                 me.servers.lock().unwrap().insert(n, s);
@@ -227,12 +245,28 @@
 
     /// Tells the platform's list what runs.
     fn list(&self) {
-        let v: Vec<_> = self.servers.lock().unwrap().values().map(|s| s.listed()).collect();
-        self.roster.lock().unwrap().iter().for_each(|r| r.set(v.clone()));
+        let v: Vec<_> = self
+            .servers
+            .lock()
+            .unwrap()
+            .values()
+            .map(|s| s.listed())
+            .collect();
+        self.roster
+            .lock()
+            .unwrap()
+            .iter()
+            .for_each(|r| r.set(v.clone()));
     }
 
     fn machines_of(&self, service: &str) -> Vec<String> {
-        self.servers.lock().unwrap().iter().filter(|(_, s)| s.spec.service == service).map(|(m, _)| m.clone()).collect()
+        self.servers
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|(_, s)| s.spec.service == service)
+            .map(|(m, _)| m.clone())
+            .collect()
     }
 
     /// Starts all, puts the first configuration, and returns once it is acknowledged.
@@ -247,10 +281,19 @@
         *self.founded.lock().unwrap() = true;
         // Where the tier does not found itself.
         let names = |r| self.names(r);
-        let v = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)}).to_string();
+        let v = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)})
+            .to_string();
         let to = self.sh.of(Role::Core)[0].http;
-        let _ =
-            yewcross_common::buffered_http::fetch(&self.op, to, http_types::Method::Post, "/v1/found", &[], v.into_bytes(), 8 * SEC).await;
+        let _ = yewcross_common::buffered_http::fetch(
+            &self.op,
+            to,
+            http_types::Method::Post,
+            "/v1/found",
+            &[],
+            v.into_bytes(),
+            8 * SEC,
+        )
+        .await;
         self.put(0).await;
         self.op.sleep(3 * SEC).await;
     }
@@ -268,12 +311,16 @@
         v.get(self.op.random_index(v.len())).map(|c| (*c).clone())
     }
 
-    /// Sends the next configuration as an operator does: the same text again until the answer is clear.
+    /// Sends the next configuration as an operator does: the same text again until the answer is
+    /// clear.
     pub async fn put(self: &Arc<Self>, shift: u64) {
         let n = {
             let mut g = self.versions.lock().unwrap();
             let n = g.len();
-            g.push(Version { sent: self.op.now(), ..cfg::version(n as u64 + 1 + shift) });
+            g.push(Version {
+                sent: self.op.now(),
+                ..cfg::version(n as u64 + 1 + shift)
+            });
             n
         };
         let text = self.versions.lock().unwrap()[n].text.clone().into_bytes();
@@ -301,9 +348,16 @@
                     )
                     .await;
                     r.ok().and_then(|r| {
-                        self.sim.note(&format!("http put {n} on {base}: {} {}", r.0, String::from_utf8_lossy(&r.2)));
+                        self.sim.note(&format!(
+                            "http put {n} on {base}: {} {}",
+                            r.0,
+                            String::from_utf8_lossy(&r.2)
+                        ));
                         let v: serde_json::Value = serde_json::from_slice(&r.2).ok()?;
-                        v["version"].as_u64().filter(|_| r.0 == 200).map(PutAnswer::InForce)
+                        v["version"]
+                            .as_u64()
+                            .filter(|_| r.0 == 200)
+                            .map(PutAnswer::InForce)
                     })
                 }
                 x => x,
@@ -316,14 +370,26 @@
                 }
                 Some(PutAnswer::Conflict(k)) if n == 0 => base = k,
                 Some(PutAnswer::Conflict(_)) => return,
-                Some(PutAnswer::Bad(b)) => return self.wrong.lock().unwrap().push(format!("BAD a proper configuration: {b:?}")),
+                Some(PutAnswer::Bad(b)) => {
+                    return self
+                        .wrong
+                        .lock()
+                        .unwrap()
+                        .push(format!("BAD a proper configuration: {b:?}"));
+                }
                 _ => self.op.sleep(200 * MS).await,
             }
         }
     }
 
     fn newest(&self) -> u64 {
-        self.versions.lock().unwrap().iter().map(|v| v.number).max().unwrap_or(0)
+        self.versions
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|v| v.number)
+            .max()
+            .unwrap_or(0)
     }
 
     pub fn traffic(self: &Arc<Self>, plain: usize, programs: usize) {
@@ -337,14 +403,31 @@
         let fronts: Fronts = Arc::new(move || {
             let g = me.nodes.lock().unwrap();
             let fs = me.sh.of(Role::Front);
-            let ready = |n: &str| matches!(g.get(n), Some(Node::Front(f)) if f.ready()) && me.sim.up(me.sim.find(n));
-            let v: Vec<_> = fs.iter().filter(|n| ready(&n.name)).map(|n| (n.name.clone(), n.http)).collect();
-            if v.is_empty() { fs.iter().map(|n| (n.name.clone(), n.http)).collect() } else { v }
+            let ready = |n: &str| {
+                matches!(g.get(n), Some(Node::Front(f)) if f.ready()) && me.sim.up(me.sim.find(n))
+            };
+            let v: Vec<_> = fs
+                .iter()
+                .filter(|n| ready(&n.name))
+                .map(|n| (n.name.clone(), n.http))
+                .collect();
+            if v.is_empty() {
+                fs.iter().map(|n| (n.name.clone(), n.http)).collect()
+            } else {
+                v
+            }
         });
         let all = cfg::known();
         let new = || Caller::new(runtime, &self.callers, &fronts);
         (0..plain).for_each(|_| runtime.spawn(caller::plain(new(), all[..3].to_vec(), pause)));
-        (0..programs).for_each(|_| runtime.spawn(caller::programs(new(), all[3].clone(), all[..2].to_vec(), pause)));
+        (0..programs).for_each(|_| {
+            runtime.spawn(caller::programs(
+                new(),
+                all[3].clone(),
+                all[..2].to_vec(),
+                pause,
+            ))
+        });
     }
 
     fn trouble(&self, from: u64) {
@@ -381,7 +464,13 @@
 
     async fn apart(&self, xs: &[usize], us: u64) {
         let t = self.op.now();
-        let rest: Vec<usize> = self.sh.nodes.iter().map(|n| self.sim.find(&n.name)).filter(|m| !xs.contains(m)).collect();
+        let rest: Vec<usize> = self
+            .sh
+            .nodes
+            .iter()
+            .map(|n| self.sim.find(&n.name))
+            .filter(|m| !xs.contains(m))
+            .collect();
         self.sim.split(xs, &rest);
         self.op.sleep(us).await;
         self.sim.heal();
@@ -389,12 +478,18 @@
         self.trouble(t);
     }
 
-    /// Shown as leaving, still serving for a while, and gone; another life begins where `service` is given.
+    /// Shown as leaving, still serving for a while, and gone; another life begins where `service`
+    /// is given.
     async fn leave(self: &Arc<Self>, machine: &str, service: Option<&str>) {
-        let Some(s) = self.servers.lock().unwrap().get(machine).cloned() else { return };
+        let Some(s) = self.servers.lock().unwrap().get(machine).cloned() else {
+            return;
+        };
         s.leaving.store(true, SeqCst);
         self.list();
-        self.leaving.lock().unwrap().push((self.op.now() + LAG, s.spec.id.clone()));
+        self.leaving
+            .lock()
+            .unwrap()
+            .push((self.op.now() + LAG, s.spec.id.clone()));
         self.op.sleep(LAG + 4_000 * MS).await;
         self.servers.lock().unwrap().remove(machine);
         self.list();
@@ -409,10 +504,16 @@
         let back = (1 + self.op.random() % 4) * SEC;
         self.sim.note(&format!("act {a}"));
         match a {
-            Act::KillFront => self.down(&self.any(Role::Front), false, false, back / 4).await,
+            Act::KillFront => {
+                self.down(&self.any(Role::Front), false, false, back / 4)
+                    .await
+            }
             Act::PowerFront => self.down(&self.any(Role::Front), true, false, back).await,
             Act::FreezeFront => self.frozen(&self.any(Role::Front), back).await,
-            Act::CutFront => self.apart(&[self.sim.find(&self.any(Role::Front))], back).await,
+            Act::CutFront => {
+                self.apart(&[self.sim.find(&self.any(Role::Front))], back)
+                    .await
+            }
             Act::StopFront => {
                 let n = self.any(Role::Front);
                 let f = match self.nodes.lock().unwrap().get(&n) {
@@ -426,22 +527,37 @@
                 self.op.sleep(500 * MS).await;
                 self.boot(&n);
             }
-            Act::KillStore => self.down(&self.any(Role::Store), false, false, back / 4).await,
+            Act::KillStore => {
+                self.down(&self.any(Role::Store), false, false, back / 4)
+                    .await
+            }
             Act::PowerStore => self.down(&self.any(Role::Store), true, false, back).await,
             Act::WipeStore => self.down(&self.any(Role::Store), true, true, back).await,
             Act::FreezeStore => self.frozen(&self.any(Role::Store), back).await,
-            Act::KillCore => self.down(&self.any(Role::Core), false, false, back / 4).await,
+            Act::KillCore => {
+                self.down(&self.any(Role::Core), false, false, back / 4)
+                    .await
+            }
             Act::PowerCore => self.down(&self.any(Role::Core), true, false, back).await,
             Act::WipeCore => self.down(&self.any(Role::Core), true, true, back).await,
             Act::FreezeCore => self.frozen(&self.any(Role::Core), back).await,
             Act::SplitCores => {
-                let v: Vec<usize> = self.names(Role::Core).iter().map(|n| self.sim.find(n)).collect();
+                let v: Vec<usize> = self
+                    .names(Role::Core)
+                    .iter()
+                    .map(|n| self.sim.find(n))
+                    .collect();
                 let k = 1 + self.op.random_index(v.len() - 1);
                 self.apart(&v[..k], back).await
             }
             Act::Storm => {
                 let t = self.op.now();
-                self.sim.weather(Weather { lose: 50, twice: 50, late: 50, jitter: 20 * MS });
+                self.sim.weather(Weather {
+                    lose: 50,
+                    twice: 50,
+                    late: 50,
+                    jitter: 20 * MS,
+                });
                 self.op.sleep(back).await;
                 self.sim.weather(Weather::default());
                 self.op.sleep(SEC).await;
@@ -450,23 +566,39 @@
             Act::Faults => {
                 let v: Mood = Fault::iter().map(|f| (f, 15)).collect();
                 *self.mood.lock().unwrap() = v.clone();
-                self.servers.lock().unwrap().values().for_each(|s| *s.mood.lock().unwrap() = v.clone());
+                self.servers
+                    .lock()
+                    .unwrap()
+                    .values()
+                    .for_each(|s| *s.mood.lock().unwrap() = v.clone());
                 self.op.sleep(back + 4 * SEC).await;
                 self.mood.lock().unwrap().clear();
-                self.servers.lock().unwrap().values().for_each(|s| s.mood.lock().unwrap().clear());
+                self.servers
+                    .lock()
+                    .unwrap()
+                    .values()
+                    .for_each(|s| s.mood.lock().unwrap().clear());
             }
             Act::KillServer => {
                 let v: Vec<String> = self.servers.lock().unwrap().keys().cloned().collect();
                 let m = v[self.op.random_index(v.len())].clone();
                 let service = self.servers.lock().unwrap()[&m].spec.service.clone();
-                self.sim.kill(self.sim.find(&m), self.op.random().is_multiple_of(2));
+                self.sim
+                    .kill(self.sim.find(&m), self.op.random().is_multiple_of(2));
                 self.op.sleep(back).await;
                 self.server(&m, &service);
             }
             Act::ReuseAddress => {
-                // A crash, which the list learns late; a server of another service comes to the address.
+                // A crash, which the list learns late; a server of another service comes to the
+                // address.
                 let v = self.machines_of("read");
-                let Some(m) = v.get(self.op.random_index(v.len())).filter(|_| v.len() > 1).cloned() else { return };
+                let Some(m) = v
+                    .get(self.op.random_index(v.len()))
+                    .filter(|_| v.len() > 1)
+                    .cloned()
+                else {
+                    return;
+                };
                 self.sim.kill(self.sim.find(&m), false);
                 self.op.sleep(2_500 * MS).await;
                 self.server(&m, "write");
@@ -506,7 +638,10 @@
                 self.put(0).await;
                 let t = self.op.now();
                 let lost = self.any(Role::Store);
-                self.sh.nodes.iter().for_each(|n| self.sim.kill(self.sim.find(&n.name), a != Act::KillAll));
+                self.sh
+                    .nodes
+                    .iter()
+                    .for_each(|n| self.sim.kill(self.sim.find(&n.name), a != Act::KillAll));
                 self.nodes.lock().unwrap().clear();
                 if a == Act::WipeOnePowerRest {
                     self.sim.wipe(self.sim.find(&lost));
@@ -526,16 +661,32 @@
 
     /// What the operator reads back at the end must be the newest that was acknowledged, or newer.
     pub async fn read_back(&self) {
-        let acked = self.versions.lock().unwrap().iter().filter(|v| v.acked.is_some()).map(|v| v.number).max().unwrap_or(0);
+        let acked = self
+            .versions
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|v| v.acked.is_some())
+            .map(|v| v.number)
+            .max()
+            .unwrap_or(0);
         let until = self.op.now() + 6 * SEC;
         let mut last = "nobody to ask".to_string();
         while self.op.now() < until {
             if let Some(c) = self.core() {
                 match self.op.timeout(3 * SEC, c.read_config()).await {
                     Some(ReadAnswer::Text(n, t)) if n >= acked => {
-                        let sent = self.versions.lock().unwrap().iter().any(|v| v.text == *t && (v.number == n || v.number == 0));
+                        let sent = self
+                            .versions
+                            .lock()
+                            .unwrap()
+                            .iter()
+                            .any(|v| v.text == *t && (v.number == n || v.number == 0));
                         if !sent {
-                            self.wrong.lock().unwrap().push(format!("CONFIG what is read back as {n} was not sent so"));
+                            self.wrong
+                                .lock()
+                                .unwrap()
+                                .push(format!("CONFIG what is read back as {n} was not sent so"));
                         }
                         return;
                     }
@@ -545,7 +696,10 @@
             }
             self.op.sleep(300 * MS).await;
         }
-        self.wrong.lock().unwrap().push(format!("CONFIG read back: {last}"));
+        self.wrong
+            .lock()
+            .unwrap()
+            .push(format!("CONFIG read back: {last}"));
     }
 
     pub fn evidence(&self) -> Evidence {
@@ -553,7 +707,15 @@
             tries: self.callers.tries.lock().unwrap().clone(),
             runs: self.ground.runs.lock().unwrap().clone(),
             reached: self.ground.reached.lock().unwrap().clone(),
-            odd: self.ground.odd.lock().unwrap().iter().chain(self.wrong.lock().unwrap().iter()).cloned().collect(),
+            odd: self
+                .ground
+                .odd
+                .lock()
+                .unwrap()
+                .iter()
+                .chain(self.wrong.lock().unwrap().iter())
+                .cloned()
+                .collect(),
             versions: self.versions.lock().unwrap().clone(),
             leaving: self.leaving.lock().unwrap().clone(),
             troubles: self.troubles.lock().unwrap().clone(),
@@ -596,7 +758,10 @@
     });
     t.sim.run(600 * SEC, || *done.lock().unwrap());
     if !*done.lock().unwrap() {
-        t.wrong.lock().unwrap().push("STUCK the plan did not end".into());
+        t.wrong
+            .lock()
+            .unwrap()
+            .push("STUCK the plan did not end".into());
     }
     let e = t.evidence();
     (t, e)
--- a/yewcross-testkit/src/script.rs
+++ b/yewcross-testkit/src/script.rs
@@ -9,7 +9,9 @@
 
 /// Sends the bytes as they are and reads until the other side closes or falls silent.
 pub async fn raw(runtime: &Runtime, to: SocketAddr, parts: &[&[u8]], pause: u64) -> String {
-    let Ok(mut c) = runtime.connect(to).await else { return "refused\n".into() };
+    let Ok(mut c) = runtime.connect(to).await else {
+        return "refused\n".into();
+    };
     for (i, p) in parts.iter().enumerate() {
         if i > 0 {
             runtime.sleep(pause).await;
@@ -31,7 +33,10 @@
 }
 
 pub fn request(verb: &str, path: &str, heads: &str, body: &str) -> String {
-    format!("{verb} {path} HTTP/1.1\r\nhost: tier\r\nconnection: close\r\n{heads}content-length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "{verb} {path} HTTP/1.1\r\nhost: tier\r\nconnection: close\r\n{heads}content-length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Heads sorted, chunk framing undone, what differs by seed blanked.
@@ -39,11 +44,23 @@
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((answer, ""));
     let mut lines = head.lines();
     let first = lines.next().unwrap_or("").to_string();
-    let mut heads: Vec<&str> = lines.filter(|l| !["date", "content-length", "yewcross-shot"].iter().any(|n| l.starts_with(n))).collect();
+    let mut heads: Vec<&str> = lines
+        .filter(|l| {
+            !["date", "content-length", "yewcross-shot"]
+                .iter()
+                .any(|n| l.starts_with(n))
+        })
+        .collect();
     heads.sort();
     let chunked = heads.iter().any(|h| h.contains("chunked"));
-    let text = if chunked { unchunk(body) } else { body.to_string() };
-    let blank = ["\"inst\":", "\"retry_in\":"].iter().fold(text, |t, k| blank(&t, k));
+    let text = if chunked {
+        unchunk(body)
+    } else {
+        body.to_string()
+    };
+    let blank = ["\"inst\":", "\"retry_in\":"]
+        .iter()
+        .fold(text, |t, k| blank(&t, k));
     let blank = hide(&blank, "\"put\":\"");
     let blank = hide(&hide(&blank, "\"disk\":\""), "\"stored\":\"");
     format!("{first}\n{}\n\n{}\n", heads.join("\n"), blank.trim_end())
--- a/yewcross-testkit/src/shape.rs
+++ b/yewcross-testkit/src/shape.rs
@@ -31,10 +31,20 @@
 }
 
 impl Charges {
-    /// Small machines with slow disks. 20 us a task and 3 ns a byte are what the daemons' release builds took.
+    /// Small machines with slow disks. 20 us a task and 3 ns a byte are what the daemons' release
+    /// builds took.
     pub fn small(sync: u64) -> Charges {
-        let of = |share| Costs { share, wake: 20, byte: 3, sync };
-        Charges { front: of(25), core: of(30), store: of(50) }
+        let of = |share| Costs {
+            share,
+            wake: 20,
+            byte: 3,
+            sync,
+        };
+        Charges {
+            front: of(25),
+            core: of(30),
+            store: of(50),
+        }
     }
     pub fn of(&self, r: Role) -> Costs {
         match r {
@@ -70,7 +80,11 @@
     let mut n = 0;
     let mut nodes = vec![];
     let platform = addr(0, 0);
-    for (role, k, tag) in [(Role::Core, cores, "core"), (Role::Store, stores, "store"), (Role::Front, fronts, "front")] {
+    for (role, k, tag) in [
+        (Role::Core, cores, "core"),
+        (Role::Store, stores, "store"),
+        (Role::Front, fronts, "front"),
+    ] {
         for i in 0..k {
             n += 1;
             nodes.push(ProcessSettings {
@@ -108,7 +122,11 @@
         })
         .collect();
     let lk: Vec<(&str, &str)> = if kow {
-        vec![("settlement", "status"), ("terminal", "details"), ("fees", "quote")]
+        vec![
+            ("settlement", "status"),
+            ("terminal", "details"),
+            ("fees", "quote"),
+        ]
     } else {
         vec![("thumbs", "get"), ("playlist", "next"), ("events", "last")]
     };
@@ -131,7 +149,11 @@
     let mut services = json!({"llm": {"kind": "model", "allow": ["m*"], "line": 64}});
     used.iter()
         .for_each(|(s, m)| services[*s] = json!({"kind": "lookup", "allow": ["l*"], "methods": [m, "confirm"], "once": ["confirm"]}));
-    let (common, rare) = if kow { ("chargeback", "onboarding") } else { ("cliptag", "commentary") };
+    let (common, rare) = if kow {
+        ("chargeback", "onboarding")
+    } else {
+        ("cliptag", "commentary")
+    };
     let config = json!({
         "families": {"talk": {"set": {"horizon_ms": 6000, "max_output": 128}, "under": {
             common: {"set": {"budget": common, "class": "normal"}},
@@ -141,11 +163,31 @@
         "fronts": nodes.iter().filter(|n| n.role == Role::Front).map(|n| n.name.clone()).collect::<Vec<_>>(),
     });
     let mix = Mix {
-        turns: vec![(common.into(), common.into(), 6, 36_000, 400, 64), (rare.into(), rare.into(), 1, 2_000, 200, 32)],
-        lookups: used.iter().map(|(s, m)| (s.to_string(), m.to_string(), 4)).collect(),
+        turns: vec![
+            (common.into(), common.into(), 6, 36_000, 400, 64),
+            (rare.into(), rare.into(), 1, 2_000, 200, 32),
+        ],
+        lookups: used
+            .iter()
+            .map(|(s, m)| (s.to_string(), m.to_string(), 4))
+            .collect(),
+    };
+    let charges = if name == "metered" {
+        Charges::small(2 * MS)
+    } else {
+        Charges::default()
     };
-    let charges = if name == "metered" { Charges::small(2 * MS) } else { Charges::default() };
-    Some(Shape { name: name.into(), sites, nodes, backs, platform, config: config.to_string(), gap, mix, charges })
+    Some(Shape {
+        name: name.into(),
+        sites,
+        nodes,
+        backs,
+        platform,
+        config: config.to_string(),
+        gap,
+        mix,
+        charges,
+    })
 }
 
 impl Shape {
--- a/yewcross-testkit/src/sim.rs
+++ b/yewcross-testkit/src/sim.rs
@@ -42,7 +42,8 @@
     waker: Waker,
 }
 
-/// What a machine charges. All 0, as in the shapes that came first: its processor is free and a sync takes 400 us.
+/// What a machine charges. All 0, as in the shapes that came first: its processor is free and a
+/// sync takes 400 us.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Costs {
@@ -52,7 +53,8 @@
     pub wake: u64,
     /// ns of a whole core a byte read from or written to a connection.
     pub byte: u64,
-    /// us that the disk is taken by a sync, one at a time; 0: 400 us and up to half of it, all at once.
+    /// us that the disk is taken by a sync, one at a time; 0: 400 us and up to half of it, all at
+    /// once.
     pub sync: u64,
 }
 
@@ -191,18 +193,30 @@
         self.machines.iter().rposition(|m| m.ip == ip && m.powered)
     }
     fn note(&mut self, who: &str, line: &str) {
-        self.hash = yewcross_common::hash::rendezvous_weight(&format!("{} {who} {line}", self.now), &self.hash.to_string());
+        self.hash = yewcross_common::hash::rendezvous_weight(
+            &format!("{} {who} {line}", self.now),
+            &self.hash.to_string(),
+        );
         self.log.push((self.now, who.into(), line.into()));
     }
     /// Takes what the machine does into the fingerprint.
     fn did(&mut self, m: usize, event: Event) {
-        self.fingerprint.add(self.now, &self.machines[m].name, event);
-    }
-    /// The same for an event on a connection: `event` is told the connection's number and the name of the machine at its other end.
-    fn did_on<'a>(&'a mut self, id: u64, side: usize, event: impl FnOnce(u64, &'a str) -> Event<'a>) {
+        self.fingerprint
+            .add(self.now, &self.machines[m].name, event);
+    }
+    /// The same for an event on a connection: `event` is told the connection's number and the name
+    /// of the machine at its other end.
+    fn did_on<'a>(
+        &'a mut self,
+        id: u64,
+        side: usize,
+        event: impl FnOnce(u64, &'a str) -> Event<'a>,
+    ) {
         if let Some(wire) = self.wires.get(&id) {
-            let [me, other] = [side, 1 - side].map(|end| self.machines[wire.ends[end].0].name.as_str());
-            self.fingerprint.add(self.now, me, event(wire.number, other));
+            let [me, other] =
+                [side, 1 - side].map(|end| self.machines[wire.ends[end].0].name.as_str());
+            self.fingerprint
+                .add(self.now, me, event(wire.number, other));
         }
     }
 }
@@ -228,7 +242,10 @@
             opened: 0,
             polls: 0,
         };
-        Sim { i: Arc::new(Mutex::new(i)), ready: Default::default() }
+        Sim {
+            i: Arc::new(Mutex::new(i)),
+            ready: Default::default(),
+        }
     }
 
     pub fn machine(&self, name: &str, site: &str, ip: IpAddr) -> usize {
@@ -250,7 +267,13 @@
     }
 
     pub fn find(&self, name: &str) -> usize {
-        self.i.lock().unwrap().machines.iter().rposition(|m| m.name == name).unwrap_or_else(|| panic!("no machine {name}"))
+        self.i
+            .lock()
+            .unwrap()
+            .machines
+            .iter()
+            .rposition(|m| m.name == name)
+            .unwrap_or_else(|| panic!("no machine {name}"))
     }
 
     /// A fresh process on the machine.
@@ -263,13 +286,19 @@
         let who = (m, x.life);
         g.did(m, Event::Booted);
         drop(g);
-        Runtime(Arc::new(SimHost { sim: self.clone(), who }))
+        Runtime(Arc::new(SimHost {
+            sim: self.clone(),
+            who,
+        }))
     }
 
     /// The process that runs on the machine, for more tasks of its.
     pub fn beside(&self, m: usize) -> Runtime {
         let life = self.i.lock().unwrap().machines[m].life;
-        Runtime(Arc::new(SimHost { sim: self.clone(), who: (m, life) }))
+        Runtime(Arc::new(SimHost {
+            sim: self.clone(),
+            who: (m, life),
+        }))
     }
     pub fn charge(&self, m: usize, c: Costs) {
         self.i.lock().unwrap().machines[m].cpu.costs = c;
@@ -297,7 +326,8 @@
     pub fn hash(&self) -> u64 {
         self.i.lock().unwrap().hash
     }
-    /// Over what the machines did on connections and disks, and when: whatever is logged does not enter.
+    /// Over what the machines did on connections and disks, and when: whatever is logged does not
+    /// enter.
     pub fn fingerprint(&self) -> u128 {
         self.i.lock().unwrap().fingerprint.value()
     }
@@ -322,15 +352,27 @@
     }
     pub fn sizes(&self) -> (usize, usize, usize) {
         let g = self.i.lock().unwrap();
-        (g.tasks.len(), g.wires.len(), g.machines.iter().map(|m| m.disk.files()).sum())
+        (
+            g.tasks.len(),
+            g.wires.len(),
+            g.machines.iter().map(|m| m.disk.files()).sum(),
+        )
     }
 
-    /// Ends the process; with `power`, the machine too: no farewell on the wire, unsynced bytes lost.
+    /// Ends the process; with `power`, the machine too: no farewell on the wire, unsynced bytes
+    /// lost.
     pub fn kill(&self, m: usize, power: bool) {
         let mut g = self.i.lock().unwrap();
         let name = g.machines[m].name.clone();
         g.note(&name, if power { "loses power" } else { "killed" });
-        g.did(m, if power { Event::LostPower } else { Event::Killed });
+        g.did(
+            m,
+            if power {
+                Event::LostPower
+            } else {
+                Event::Killed
+            },
+        );
         g.machines[m].up = false;
         g.machines[m].frozen = false;
         g.machines[m].parked.clear();
@@ -343,13 +385,28 @@
             let mut r = fastrand::Rng::with_seed(g.rng.u64(..));
             g.machines[m].disk.lose_power(&mut r);
         }
-        let ids: Vec<u64> = g.tasks.iter().filter(|t| t.1.who.0 == m).map(|t| *t.0).collect();
+        let ids: Vec<u64> = g
+            .tasks
+            .iter()
+            .filter(|t| t.1.who.0 == m)
+            .map(|t| *t.0)
+            .collect();
         let dead: Vec<Slot> = ids.iter().filter_map(|i| g.tasks.remove(i)).collect();
-        let shut: Vec<SocketAddr> = g.doors.iter().filter(|d| d.1.who.0 == m).map(|d| *d.0).collect();
+        let shut: Vec<SocketAddr> = g
+            .doors
+            .iter()
+            .filter(|d| d.1.who.0 == m)
+            .map(|d| *d.0)
+            .collect();
         let doors: Vec<DoorState> = shut.iter().filter_map(|a| g.doors.remove(a)).collect();
         let t = g.now;
         let (mut wake, mut stuck) = (vec![], vec![]);
-        let wires: Vec<u64> = g.wires.iter().filter(|w| w.1.ends.iter().any(|e| e.0 == m)).map(|w| *w.0).collect();
+        let wires: Vec<u64> = g
+            .wires
+            .iter()
+            .filter(|w| w.1.ends.iter().any(|e| e.0 == m))
+            .map(|w| *w.0)
+            .collect();
         for w in wires {
             for side in 0..2 {
                 let ends = g.wires[&w].ends;
@@ -367,7 +424,8 @@
                 }
             }
         }
-        wake.into_iter().for_each(|(w, d, at)| g.at(at, Due::Reader(w, d)));
+        wake.into_iter()
+            .for_each(|(w, d, at)| g.at(at, Due::Reader(w, d)));
         drop(g);
         stuck.into_iter().for_each(|w: Waker| w.wake());
         drop((dead, doors));
@@ -434,12 +492,23 @@
             for d in 0..2 {
                 let ends = g.wires[&w].ends;
                 let hop = g.hop(ends[d].0, ends[1 - d].0);
-                let Some(x) = g.wires.get_mut(&w) else { continue };
-                let held = x.dirs[d].chunks.iter().any(|c| c.0 == u64::MAX) || x.dirs[d].closed == Some(u64::MAX);
+                let Some(x) = g.wires.get_mut(&w) else {
+                    continue;
+                };
+                let held = x.dirs[d].chunks.iter().any(|c| c.0 == u64::MAX)
+                    || x.dirs[d].closed == Some(u64::MAX);
                 if held {
-                    x.dirs[d].chunks.iter_mut().filter(|c| c.0 == u64::MAX).for_each(|c| c.0 = t + hop);
+                    x.dirs[d]
+                        .chunks
+                        .iter_mut()
+                        .filter(|c| c.0 == u64::MAX)
+                        .for_each(|c| c.0 = t + hop);
                     x.dirs[d].last = t + hop;
-                    x.dirs[d].closed.iter_mut().filter(|c| **c == u64::MAX).for_each(|c| *c = t + hop);
+                    x.dirs[d]
+                        .closed
+                        .iter_mut()
+                        .filter(|c| **c == u64::MAX)
+                        .for_each(|c| *c = t + hop);
                     g.at(t + hop, Due::Reader(w, d));
                 }
             }
@@ -454,7 +523,14 @@
         g.next += 1;
         let id = g.next;
         let waker = Waker::from(Arc::new(Nudge(self.ready.clone(), id)));
-        g.tasks.insert(id, Slot { who, fut: Some(f), waker: waker.clone() });
+        g.tasks.insert(
+            id,
+            Slot {
+                who,
+                fut: Some(f),
+                waker: waker.clone(),
+            },
+        );
         drop(g);
         waker.wake();
     }
@@ -482,7 +558,9 @@
                 Some(id) => self.poll(id, false),
                 None => {
                     let mut g = self.i.lock().unwrap();
-                    let Some((&(t, n), _)) = g.timers.first_key_value() else { return };
+                    let Some((&(t, n), _)) = g.timers.first_key_value() else {
+                        return;
+                    };
                     if t > until {
                         g.now = until;
                         return;
@@ -501,7 +579,9 @@
                     }
                     let w = match d {
                         Some(Due::Wake(w)) => Some(w),
-                        Some(Due::Reader(w, d)) => g.wires.get_mut(&w).and_then(|x| x.dirs[d].waker.take()),
+                        Some(Due::Reader(w, d)) => {
+                            g.wires.get_mut(&w).and_then(|x| x.dirs[d].waker.take())
+                        }
                         _ => None,
                     };
                     drop(g);
@@ -541,7 +621,9 @@
 
     fn poll(&self, id: u64, its_turn: bool) {
         let mut g = self.i.lock().unwrap();
-        let Some(s) = g.tasks.get_mut(&id) else { return };
+        let Some(s) = g.tasks.get_mut(&id) else {
+            return;
+        };
         let who = s.who;
         let now = g.now;
         let c = &mut g.machines[who.0].cpu;
@@ -558,14 +640,20 @@
             g.machines[who.0].parked.push(id);
             return;
         }
-        let Some(s) = g.tasks.get_mut(&id) else { return };
+        let Some(s) = g.tasks.get_mut(&id) else {
+            return;
+        };
         let Some(mut f) = s.fut.take() else { return };
         let w = s.waker.clone();
         drop(g);
         let r = f.as_mut().poll(&mut Context::from_waker(&w));
         let mut g = self.i.lock().unwrap();
         let (now, c) = (g.now, &mut g.machines[who.0].cpu);
-        let us = if c.costs.share > 0 { c.costs.wake + c.bytes * c.costs.byte / 1000 } else { 0 };
+        let us = if c.costs.share > 0 {
+            c.costs.wake + c.bytes * c.costs.byte / 1000
+        } else {
+            0
+        };
         c.used += us;
         c.until = now + (us * 100).checked_div(c.costs.share).unwrap_or(0);
         let gone = if r.is_ready() || !g.alive(who) {
@@ -615,7 +703,9 @@
     fn read(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let mut g = self.sim.i.lock().unwrap();
         let t = g.now;
-        let Some(w) = g.wires.get_mut(&self.id) else { return Poll::Ready(Ok(0)) };
+        let Some(w) = g.wires.get_mut(&self.id) else {
+            return Poll::Ready(Ok(0));
+        };
         let d = &mut w.dirs[1 - self.side];
         if let Some(c) = d.chunks.front_mut().filter(|c| c.0 <= t) {
             let n = buf.len().min(c.1.len());
@@ -633,7 +723,11 @@
             return Poll::Ready(Ok(n));
         }
         if d.chunks.is_empty() && d.closed.is_some_and(|c| c <= t) {
-            return Poll::Ready(if d.reset { Err(io::ErrorKind::ConnectionReset.into()) } else { Ok(0) });
+            return Poll::Ready(if d.reset {
+                Err(io::ErrorKind::ConnectionReset.into())
+            } else {
+                Ok(0)
+            });
         }
         d.waker = Some(cx.waker().clone());
         Poll::Pending
@@ -642,12 +736,16 @@
     fn write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let mut g = self.sim.i.lock().unwrap();
         let (t, window) = (g.now, g.window);
-        let Some(ends) = g.wires.get(&self.id).map(|w| w.ends) else { return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())) };
+        let Some(ends) = g.wires.get(&self.id).map(|w| w.ends) else {
+            return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
+        };
         let (a, b) = (ends[self.side].0, ends[1 - self.side].0);
         let hop = g.hop(a, b);
         let cut = g.cut(a, b);
         let (id, side) = (self.id, self.side);
-        let Some(w) = g.wires.get_mut(&id) else { return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())) };
+        let Some(w) = g.wires.get_mut(&id) else {
+            return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
+        };
         let d = &mut w.dirs[side];
         if d.closed.is_some() || d.reader_gone {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
@@ -661,16 +759,26 @@
         }
         d.held += n;
         g.machines[a].cpu.bytes += n as u64;
-        let Some(w) = g.wires.get_mut(&id) else { return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())) };
+        let Some(w) = g.wires.get_mut(&id) else {
+            return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
+        };
         let d = &mut w.dirs[side];
         let buf = &buf[..n];
         let held = cut || d.chunks.back().is_some_and(|c| c.0 == u64::MAX);
-        let at = if held { u64::MAX } else { (t + hop).max(d.last) };
+        let at = if held {
+            u64::MAX
+        } else {
+            (t + hop).max(d.last)
+        };
         if !held {
             d.last = at;
         }
         d.chunks.push_back((at, buf.to_vec()));
-        g.did_on(id, side, |wire, to| Event::Wrote { wire, to, data: buf });
+        g.did_on(id, side, |wire, to| Event::Wrote {
+            wire,
+            to,
+            data: buf,
+        });
         if !held {
             g.at(at, Due::Reader(id, side));
         }
@@ -688,13 +796,21 @@
         let mut g = self.sim.i.lock().unwrap();
         let t = g.now;
         let (id, side) = (self.id, self.side);
-        let Some(ends) = g.wires.get(&id).map(|w| w.ends) else { return };
+        let Some(ends) = g.wires.get(&id).map(|w| w.ends) else {
+            return;
+        };
         let (a, b) = (ends[side].0, ends[1 - side].0);
         let hop = g.hop(a, b);
         let cut = g.cut(a, b);
-        let Some(w) = g.wires.get_mut(&id) else { return };
+        let Some(w) = g.wires.get_mut(&id) else {
+            return;
+        };
         if w.dirs[side].closed.is_none() {
-            let at = if cut { u64::MAX } else { (t + hop).max(w.dirs[side].last) };
+            let at = if cut {
+                u64::MAX
+            } else {
+                (t + hop).max(w.dirs[side].last)
+            };
             w.dirs[side].closed = Some(at);
             g.did_on(id, side, |wire, to| Event::Closed { wire, to });
             if !cut {
@@ -735,7 +851,9 @@
     type Output = io::Result<Connection>;
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<Connection>> {
         let mut g = self.0.sim.i.lock().unwrap();
-        let Some(d) = g.doors.get_mut(&self.0.at) else { return Poll::Pending };
+        let Some(d) = g.doors.get_mut(&self.0.at) else {
+            return Poll::Pending;
+        };
         match d.line.pop_front() {
             Some(c) => Poll::Ready(Ok(c)),
             None => {
@@ -756,7 +874,8 @@
     fn drop(&mut self) {
         let mut g = self.sim.i.lock().unwrap();
         let d = g.doors.remove(&self.at);
-        d.iter().for_each(|d| g.did(d.who.0, Event::Unbound { at: self.at }));
+        d.iter()
+            .for_each(|d| g.did(d.who.0, Event::Unbound { at: self.at }));
         drop(g);
         drop(d);
     }
@@ -765,7 +884,11 @@
 impl SimHost {
     fn nap(&self, us: u64) -> Nap {
         let at = self.sim.now() + us;
-        Nap { sim: self.sim.clone(), at, set: false }
+        Nap {
+            sim: self.sim.clone(),
+            at,
+            set: false,
+        }
     }
 
     fn on_disk<T: Send + 'static>(
@@ -787,13 +910,35 @@
         let (sim, m) = (self.sim.clone(), self.who.0);
         Box::pin(async move {
             let at = sim.now() + us * sim.disk(m, |d| d.slowness.max(1));
-            Nap { sim: sim.clone(), at, set: false }.await;
+            Nap {
+                sim: sim.clone(),
+                at,
+                set: false,
+            }
+            .await;
             while sim.disk(m, |d| d.stalled) {
                 let at = sim.now() + 50 * MS;
-                Nap { sim: sim.clone(), at, set: false }.await;
+                Nap {
+                    sim: sim.clone(),
+                    at,
+                    set: false,
+                }
+                .await;
             }
-            let r = sim.disk(m, |d| if d.failing { Err(io::Error::other("input/output error")) } else { f(d) });
-            sim.i.lock().unwrap().did(m, Event::Stored { step: &step, ok: r.is_ok() });
+            let r = sim.disk(m, |d| {
+                if d.failing {
+                    Err(io::Error::other("input/output error"))
+                } else {
+                    f(d)
+                }
+            });
+            sim.i.lock().unwrap().did(
+                m,
+                Event::Stored {
+                    step: &step,
+                    ok: r.is_ok(),
+                },
+            );
             r
         })
     }
@@ -825,7 +970,11 @@
                     let b = g.machine_at(to.ip());
                     b.map(|b| {
                         let hop = g.hop(me.0, b) + g.hop(b, me.0);
-                        (b, hop, g.cut(me.0, b) || g.cut(b, me.0) || g.machines[b].frozen)
+                        (
+                            b,
+                            hop,
+                            g.cut(me.0, b) || g.cut(b, me.0) || g.machines[b].frozen,
+                        )
                     })
                 };
                 let Some((b, hop, cut)) = wait else {
@@ -835,7 +984,12 @@
                     continue;
                 };
                 let at = sim.now() + if cut { 200 * MS } else { hop };
-                Nap { sim: sim.clone(), at, set: false }.await;
+                Nap {
+                    sim: sim.clone(),
+                    at,
+                    set: false,
+                }
+                .await;
                 if cut {
                     continue;
                 }
@@ -849,11 +1003,31 @@
                 let id = g.next;
                 g.opened += 1;
                 let number = g.opened;
-                g.wires.insert(id, Wire { number, ends: [me, who], dirs: Default::default() });
-                g.did_on(id, 0, |wire, name| Event::Opened { wire, to: name, at: to });
+                g.wires.insert(
+                    id,
+                    Wire {
+                        number,
+                        ends: [me, who],
+                        dirs: Default::default(),
+                    },
+                );
+                g.did_on(id, 0, |wire, name| Event::Opened {
+                    wire,
+                    to: name,
+                    at: to,
+                });
                 let ip = g.machines[me.0].ip;
-                let end = |side| Arc::new(End { sim: sim.clone(), id, side });
-                let (mine, theirs) = (Connection::new(end(0), to), Connection::new(end(1), SocketAddr::new(ip, 1)));
+                let end = |side| {
+                    Arc::new(End {
+                        sim: sim.clone(),
+                        id,
+                        side,
+                    })
+                };
+                let (mine, theirs) = (
+                    Connection::new(end(0), to),
+                    Connection::new(end(1), SocketAddr::new(ip, 1)),
+                );
                 let w = g.doors.get_mut(&to).and_then(|d| {
                     d.line.push_back(theirs);
                     d.waker.take()
@@ -871,8 +1045,18 @@
         let r = if taken {
             Err(io::ErrorKind::AddrInUse.into())
         } else {
-            g.doors.insert(at, DoorState { who, line: VecDeque::new(), waker: None });
-            Ok(Box::new(SimDoor { sim: self.sim.clone(), at }) as Box<dyn Listener>)
+            g.doors.insert(
+                at,
+                DoorState {
+                    who,
+                    line: VecDeque::new(),
+                    waker: None,
+                },
+            );
+            Ok(Box::new(SimDoor {
+                sim: self.sim.clone(),
+                at,
+            }) as Box<dyn Listener>)
         };
         g.did(who.0, Event::Bound { at, ok: !taken });
         drop(g);
@@ -890,7 +1074,9 @@
     }
     fn write_file(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         let p = path.to_string();
-        self.on_disk(60, DiskStep::new(DiskKind::Put, path, &data), move |d| d.write(p, data))
+        self.on_disk(60, DiskStep::new(DiskKind::Put, path, &data), move |d| {
+            d.write(p, data)
+        })
     }
     fn sync(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
         let p = path.to_string();
@@ -915,7 +1101,12 @@
                     c.disk_until = c.disk_until.max(now) + each;
                     c.disk_until
                 };
-                Nap { sim: sim.clone(), at, set: false }.await;
+                Nap {
+                    sim: sim.clone(),
+                    at,
+                    set: false,
+                }
+                .await;
             }
             if let Some(us) = f.await? {
                 let mut g = sim.i.lock().unwrap();
@@ -930,8 +1121,19 @@
         let (a, b) = (a.to_string(), b.to_string());
         self.on_disk(20, step, move |d| d.rename(&a, b))
     }
-    fn write_durably(&self, aside: &str, at: &str, dir: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
-        let (me, aside, at, dir) = (self.clone(), aside.to_string(), at.to_string(), dir.to_string());
+    fn write_durably(
+        &self,
+        aside: &str,
+        at: &str,
+        dir: &str,
+        data: Vec<u8>,
+    ) -> BoxFuture<'static, io::Result<()>> {
+        let (me, aside, at, dir) = (
+            self.clone(),
+            aside.to_string(),
+            at.to_string(),
+            dir.to_string(),
+        );
         Box::pin(async move {
             me.write_file(&aside, data).await?;
             me.sync(&aside).await?;
@@ -941,11 +1143,18 @@
     }
     fn remove(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
         let p = path.to_string();
-        self.on_disk(20, DiskStep::new(DiskKind::Remove, path, &[]), move |d| d.remove(&p))
+        self.on_disk(20, DiskStep::new(DiskKind::Remove, path, &[]), move |d| {
+            d.remove(&p)
+        })
     }
     fn append(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
-        let (p, dir) = (path.to_string(), path.rsplit_once('/').map_or("", |x| x.0).to_string());
-        let write = self.on_disk(60, DiskStep::new(DiskKind::Append, path, &data), move |d| d.append(p, data));
+        let (p, dir) = (
+            path.to_string(),
+            path.rsplit_once('/').map_or("", |x| x.0).to_string(),
+        );
+        let write = self.on_disk(60, DiskStep::new(DiskKind::Append, path, &data), move |d| {
+            d.append(p, data)
+        });
         let (safe, named) = (self.sync(path), self.sync(&dir));
         Box::pin(async move {
             let new = write.await?;
@@ -955,7 +1164,9 @@
     }
     fn read_file(&self, path: &str) -> BoxFuture<'static, io::Result<Vec<u8>>> {
         let p = path.to_string();
-        self.on_disk(60, DiskStep::new(DiskKind::Get, path, &[]), move |d| d.read(&p))
+        self.on_disk(60, DiskStep::new(DiskKind::Get, path, &[]), move |d| {
+            d.read(&p)
+        })
     }
     fn list(&self, dir: &str) -> BoxFuture<'static, io::Result<Vec<String>>> {
         let step = DiskStep::new(DiskKind::List, dir, &[]);
--- a/yewcross-testkit/src/sim/disk.rs
+++ b/yewcross-testkit/src/sim/disk.rs
@@ -1,8 +1,8 @@
 //! A machine's disk: names and contents that are safe, and those that are not yet.
 //!
-//! Contents are safe once their file was synced, names once their folder was. A loss of power keeps or loses each name by
-//! itself that was made, renamed or removed since; of writes after the last sync of a file, any part is present, missing
-//! or torn.
+//! Contents are safe once their file was synced, names once their folder was. A loss of power keeps
+//! or loses each name by itself that was made, renamed or removed since; of writes after the last
+//! sync of a file, any part is present, missing or torn.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -36,7 +36,11 @@
 
 /// Whether the path names something directly in the folder; the root is the empty folder.
 fn is_in(folder: &str, path: &str) -> bool {
-    let rest = if folder.is_empty() { Some(path) } else { path.strip_prefix(folder).and_then(|r| r.strip_prefix('/')) };
+    let rest = if folder.is_empty() {
+        Some(path)
+    } else {
+        path.strip_prefix(folder).and_then(|r| r.strip_prefix('/'))
+    };
     rest.is_some_and(|r| !r.is_empty() && !r.contains('/'))
 }
 
@@ -46,7 +50,11 @@
 
 /// Either of two, by lot, where they differ.
 fn either<T: PartialEq>(live: Option<T>, safe: Option<T>, random: &mut fastrand::Rng) -> Option<T> {
-    if live == safe || random.bool() { live } else { safe }
+    if live == safe || random.bool() {
+        live
+    } else {
+        safe
+    }
 }
 
 impl Disk {
@@ -56,14 +64,28 @@
         let names: BTreeSet<String> = self.live.keys().chain(self.safe.keys()).cloned().collect();
         let mut left = BTreeMap::new();
         for name in names {
-            let live = self.live.get(&name).map(|file| self.contents_left(&name, file, random));
+            let live = self
+                .live
+                .get(&name)
+                .map(|file| self.contents_left(&name, file, random));
             let safe = self.safe.get(&name).cloned();
             let kept = either(live, safe, random);
             if let Some(data) = kept.filter(|_| folders.contains(parent(&name))) {
                 left.insert(name, data);
             }
         }
-        self.live = left.iter().map(|(k, d)| (k.clone(), File { data: d.clone(), synced: true })).collect();
+        self.live = left
+            .iter()
+            .map(|(k, d)| {
+                (
+                    k.clone(),
+                    File {
+                        data: d.clone(),
+                        synced: true,
+                    },
+                )
+            })
+            .collect();
         self.safe = left;
         self.safe_folders = folders.clone();
         self.folders = folders;
@@ -87,7 +109,11 @@
         if file.synced {
             return file.data.clone();
         }
-        let safe = self.safe.get(name).filter(|s| file.data.starts_with(s)).map_or(0, |s| s.len());
+        let safe = self
+            .safe
+            .get(name)
+            .filter(|s| file.data.starts_with(s))
+            .map_or(0, |s| s.len());
         let end = safe + random.usize(0..=file.data.len() - safe);
         let mut data = file.data[..end].to_vec();
         if random.u8(0..4) == 0 && end > safe {
@@ -105,18 +131,33 @@
 
     /// Bytes in a folder and those beneath it.
     pub fn bytes(&self, dir: &str) -> u64 {
-        self.live.iter().filter(|x| x.0.starts_with(dir)).map(|x| x.1.data.len() as u64).sum()
+        self.live
+            .iter()
+            .filter(|x| x.0.starts_with(dir))
+            .map(|x| x.1.data.len() as u64)
+            .sum()
     }
 
     /// Turns one bit of some file of the folder; returns its name.
     pub fn spoil(&mut self, dir: &str, r: u64) -> Option<String> {
-        let v: Vec<String> = self.live.keys().filter(|k| k.starts_with(dir)).cloned().collect();
+        let v: Vec<String> = self
+            .live
+            .keys()
+            .filter(|k| k.starts_with(dir))
+            .cloned()
+            .collect();
         let n = v.get(r as usize % v.len().max(1))?.clone();
         let mut d = self.live.get(&n)?.data.to_vec();
         let i = (r >> 16) as usize % d.len().max(1);
         *d.get_mut(i)? ^= 1 << (r % 8);
         let d = Arc::new(d);
-        self.live.insert(n.clone(), File { data: d.clone(), synced: true });
+        self.live.insert(
+            n.clone(),
+            File {
+                data: d.clone(),
+                synced: true,
+            },
+        );
         self.safe.insert(n.clone(), d);
         Some(n)
     }
@@ -127,7 +168,11 @@
 
     /// Names of files in a folder and beneath it.
     pub fn names(&self, dir: &str) -> Vec<String> {
-        self.live.keys().filter(|k| k.starts_with(dir)).cloned().collect()
+        self.live
+            .keys()
+            .filter(|k| k.starts_with(dir))
+            .cloned()
+            .collect()
     }
 
     /// Syncs a file's contents, or a folder's names.
@@ -139,19 +184,32 @@
         if let Some(file) = self.live.get_mut(path) {
             file.synced = true;
             let data = file.data.clone();
-            self.safe.get_mut(path).into_iter().for_each(|s| *s = data.clone());
+            self.safe
+                .get_mut(path)
+                .into_iter()
+                .for_each(|s| *s = data.clone());
             return;
         }
         let named: Vec<(String, Arc<Vec<u8>>)> = self
             .live
             .iter()
             .filter(|x| is_in(path, x.0))
-            .map(|(k, f)| (k.clone(), if f.synced { f.data.clone() } else { self.safe.get(k).cloned().unwrap_or_default() }))
+            .map(|(k, f)| {
+                (
+                    k.clone(),
+                    if f.synced {
+                        f.data.clone()
+                    } else {
+                        self.safe.get(k).cloned().unwrap_or_default()
+                    },
+                )
+            })
             .collect();
         self.safe.retain(|k, _| !is_in(path, k));
         self.safe.extend(named);
         self.safe_folders.retain(|f| !is_in(path, f));
-        self.safe_folders.extend(self.folders.iter().filter(|f| is_in(path, f)).cloned());
+        self.safe_folders
+            .extend(self.folders.iter().filter(|f| is_in(path, f)).cloned());
     }
 
     /// Makes a folder and those above it.
@@ -171,7 +229,11 @@
     fn take_room(&mut self, bytes: usize) -> io::Result<()> {
         let short = self.room.is_some_and(|room| room < bytes);
         self.room = self.room.map(|room| room.saturating_sub(bytes));
-        if self.full || short { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        if self.full || short {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 
     pub(super) fn write(&mut self, path: String, data: Vec<u8>) -> io::Result<()> {
@@ -179,7 +241,13 @@
         if !self.has_folder(parent(&path)) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        self.live.insert(path, File { data: Arc::new(data), synced: false });
+        self.live.insert(
+            path,
+            File {
+                data: Arc::new(data),
+                synced: false,
+            },
+        );
         Ok(())
     }
 
@@ -203,11 +271,17 @@
     }
 
     pub(super) fn remove(&mut self, path: &str) -> io::Result<()> {
-        self.live.remove(path).map(|_| ()).ok_or(io::ErrorKind::NotFound.into())
+        self.live
+            .remove(path)
+            .map(|_| ())
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 
     pub(super) fn read(&self, path: &str) -> io::Result<Vec<u8>> {
-        self.live.get(path).map(|f| f.data.to_vec()).ok_or(io::ErrorKind::NotFound.into())
+        self.live
+            .get(path)
+            .map(|f| f.data.to_vec())
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 
     /// Files directly in the folder.
@@ -216,6 +290,8 @@
             return Err(io::ErrorKind::NotFound.into());
         }
         let inside = self.live.keys().filter(|k| is_in(folder, k));
-        Ok(inside.map(|k| k.rsplit_once('/').map_or(k.as_str(), |x| x.1).to_string()).collect())
+        Ok(inside
+            .map(|k| k.rsplit_once('/').map_or(k.as_str(), |x| x.1).to_string())
+            .collect())
     }
 }
--- a/yewcross-testkit/src/sim/fingerprint.rs
+++ b/yewcross-testkit/src/sim/fingerprint.rs
@@ -1,8 +1,9 @@
 //! A running digest over what the machines do, free of any text that is only logged.
 //!
-//! Names of items in the source do not enter: machines go by the names of the deployment, files by their paths, connections
-//! by their number, and kinds of events by codes that are fixed here. The time in an answer's `date` header does not enter: the
-//! HTTP library takes it from the computer's own clock.
+//! Names of items in the source do not enter: machines go by the names of the deployment, files by
+//! their paths, connections by their number, and kinds of events by codes that are fixed here. The
+//! time in an answer's `date` header does not enter: the HTTP library takes it from the computer's
+//! own clock.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -15,10 +16,16 @@
 /// The bytes, with each time in a `date` header blanked.
 fn undated(data: &[u8]) -> Cow<'_, [u8]> {
     let mut blanked = Cow::Borrowed(data);
-    let starts = data.windows(DATE.len()).enumerate().filter(|(_, window)| *window == DATE);
+    let starts = data
+        .windows(DATE.len())
+        .enumerate()
+        .filter(|(_, window)| *window == DATE);
     for (start, _) in starts {
         let time = start + DATE.len()..start + DATE.len() + DATE_LENGTH;
-        if data.get(time.clone()).is_some_and(|time| time.ends_with(b" GMT")) {
+        if data
+            .get(time.clone())
+            .is_some_and(|time| time.ends_with(b" GMT"))
+        {
             blanked.to_mut()[time].fill(b' ');
         }
     }
@@ -109,7 +116,12 @@
 
 impl DiskStep {
     pub(super) fn new(kind: DiskKind, path: &str, data: &[u8]) -> DiskStep {
-        DiskStep { kind, path: path.into(), length: data.len(), digest: key_128(data) }
+        DiskStep {
+            kind,
+            path: path.into(),
+            length: data.len(),
+            digest: key_128(data),
+        }
     }
 }
 
@@ -142,12 +154,19 @@
             Event::Opened { wire, to, at } => self.code(10).number(wire).text(to).address(at),
             Event::Refused { to, at } => self.code(11).text(to).address(at),
             Event::Unheard { at } => self.code(12).address(at),
-            Event::Wrote { wire, to, data } => self.code(13).number(wire).text(to).content(data.len(), key_128(&undated(data))),
+            Event::Wrote { wire, to, data } => self
+                .code(13)
+                .number(wire)
+                .text(to)
+                .content(data.len(), key_128(&undated(data))),
             Event::Closed { wire, to } => self.code(14).number(wire).text(to),
             Event::Left { wire, to } => self.code(15).number(wire).text(to),
-            Event::Stored { step, ok } => {
-                self.code(16).code(step.kind as u8).text(&step.path).content(step.length, step.digest).code(ok.into())
-            }
+            Event::Stored { step, ok } => self
+                .code(16)
+                .code(step.kind as u8)
+                .text(&step.path)
+                .content(step.length, step.digest)
+                .code(ok.into()),
         };
     }
 
--- a/yewcross-testkit/src/standin.rs
+++ b/yewcross-testkit/src/standin.rs
@@ -125,7 +125,11 @@
 }
 
 impl Standin {
-    pub async fn start(runtime: &Runtime, spec: Spec, ledger: Arc<Ledger>) -> std::io::Result<Arc<Standin>> {
+    pub async fn start(
+        runtime: &Runtime,
+        spec: Spec,
+        ledger: Arc<Ledger>,
+    ) -> std::io::Result<Arc<Standin>> {
         let door = runtime.bind(spec.addr).await?;
         let s = Arc::new(Standin {
             w: runtime.clone(),
@@ -136,7 +140,12 @@
         });
         let me = s.clone();
         let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        runtime.spawn(buffered_http::serve(runtime.clone(), door, h, Arc::new(ConnectionTracker::default())));
+        runtime.spawn(buffered_http::serve(
+            runtime.clone(),
+            door,
+            h,
+            Arc::new(ConnectionTracker::default()),
+        ));
         Ok(s)
     }
 
@@ -153,7 +162,10 @@
     /// Tokens of the session's replica stored here, and of its prefix in the cache.
     pub fn holds(&self, session: &str) -> (Option<u64>, Option<u64>) {
         let g = self.s.lock().unwrap();
-        (g.replicas.get(session).map(|e| e.tokens), g.cache.get(session).map(|e| e.tokens))
+        (
+            g.replicas.get(session).map(|e| e.tokens),
+            g.cache.get(session).map(|e| e.tokens),
+        )
     }
 
     fn times(&self) -> u64 {
@@ -161,7 +173,13 @@
     }
 
     fn name(&self) -> String {
-        self.s.lock().unwrap().faults.become_server.clone().unwrap_or_else(|| self.spec.server.clone())
+        self.s
+            .lock()
+            .unwrap()
+            .faults
+            .become_server
+            .clone()
+            .unwrap_or_else(|| self.spec.server.clone())
     }
 
     fn stamp(&self, job: &str) -> Value {
@@ -204,7 +222,12 @@
 
     fn evict(s: &mut State, cap: u64) {
         while s.cache.values().map(|e| e.tokens).sum::<u64>() > cap && s.cache.len() > 1 {
-            let k = s.cache.iter().min_by_key(|e| e.1.used).map(|e| e.0.clone()).unwrap_or_default();
+            let k = s
+                .cache
+                .iter()
+                .min_by_key(|e| e.1.used)
+                .map(|e| e.0.clone())
+                .unwrap_or_default();
             s.cache.remove(&k);
         }
     }
@@ -227,7 +250,11 @@
 
     fn knock(&self, job: &str) {
         if self.s.lock().unwrap().leaving {
-            self.ledger.knocks.lock().unwrap().push((self.w.now(), format!("{} {job}", self.spec.server)));
+            self.ledger
+                .knocks
+                .lock()
+                .unwrap()
+                .push((self.w.now(), format!("{} {job}", self.spec.server)));
         }
     }
 
@@ -275,7 +302,10 @@
             drop(g);
             // A job that is not under way here has no figure to tell.
             let output = run.map(|i| s.ledger.runs.lock().unwrap()[i].output);
-            reply(200, &json!({"ok": true, "output": output, "stamp": s.stamp(&job)}))
+            reply(
+                200,
+                &json!({"ok": true, "output": output, "stamp": s.stamp(&job)}),
+            )
         }
         (Method::Post, "/kv/save") => save(s, v).await,
         (Method::Post, "/kv/send") => send(s, v).await,
@@ -302,10 +332,18 @@
 
 pub const MARKS: usize = 12;
 
-/// The newest lines of history in a prompt, each by a short mark, so that a caller can see what was kept.
+/// The newest lines of history in a prompt, each by a short mark, so that a caller can see what was
+/// kept.
 pub fn marks(prompt: &str) -> String {
-    let v: Vec<&str> = prompt.split_inclusive('\n').filter(|l| l.ends_with('\n')).collect();
-    let v: Vec<String> = v.iter().skip(v.len().saturating_sub(MARKS)).map(|l| mark(l)).collect();
+    let v: Vec<&str> = prompt
+        .split_inclusive('\n')
+        .filter(|l| l.ends_with('\n'))
+        .collect();
+    let v: Vec<String> = v
+        .iter()
+        .skip(v.len().saturating_sub(MARKS))
+        .map(|l| mark(l))
+        .collect();
     v.join(",")
 }
 
@@ -411,7 +449,9 @@
 async fn lookup(s: Arc<Standin>, v: Value) -> Response {
     let (job, key) = (text(&v, "job"), text(&v, "key"));
     s.knock(&job);
-    let Some(_slot) = s.slot().await else { return s.refuse(&job) };
+    let Some(_slot) = s.slot().await else {
+        return s.refuse(&job);
+    };
     s.runs(&job, &key, &text(&v, "method"));
     s.w.sleep(s.spec.per_out * s.times()).await;
     if s.take(|f| &mut f.stall) {
@@ -420,20 +460,39 @@
     if s.take(|f| &mut f.lose) {
         return reply(200, &"lost");
     }
-    let said = if s.take(|f| &mut f.mistake) { format!("{job}-other") } else { job };
-    reply(200, &json!({"value": format!("{}={}", key, &digest(key.as_bytes())[..8]), "stamp": s.stamp(&said)}))
+    let said = if s.take(|f| &mut f.mistake) {
+        format!("{job}-other")
+    } else {
+        job
+    };
+    reply(
+        200,
+        &json!({"value": format!("{}={}", key, &digest(key.as_bytes())[..8]), "stamp": s.stamp(&said)}),
+    )
 }
 
 async fn save(s: Arc<Standin>, v: Value) -> Response {
     let e = s.s.lock().unwrap().cache.get(&text(&v, "session")).cloned();
     match e.filter(|e| e.digest == text(&v, "digest")) {
         Some(e) => {
-            let base =
-                v["base"].as_str().and_then(|b| s.s.lock().unwrap().saved.get(&text(&v, "session")).filter(|x| x.0 == b).map(|x| x.1));
+            let base = v["base"].as_str().and_then(|b| {
+                s.s.lock()
+                    .unwrap()
+                    .saved
+                    .get(&text(&v, "session"))
+                    .filter(|x| x.0 == b)
+                    .map(|x| x.1)
+            });
             let bytes = e.tokens.saturating_sub(base.unwrap_or(0)) * KV_TOKEN_BYTES;
-            s.s.lock().unwrap().saved.insert(text(&v, "session"), (e.digest.clone(), e.tokens));
+            s.s.lock()
+                .unwrap()
+                .saved
+                .insert(text(&v, "session"), (e.digest.clone(), e.tokens));
             s.w.sleep(bytes / 4_000).await;
-            reply(200, &json!({"tokens": e.tokens, "digest": e.digest, "bytes": bytes}))
+            reply(
+                200,
+                &json!({"tokens": e.tokens, "digest": e.digest, "bytes": bytes}),
+            )
         }
         None => reply(404, &json!({"ok": false})),
     }
@@ -442,14 +501,18 @@
 async fn send(s: Arc<Standin>, v: Value) -> Response {
     let session = text(&v, "session");
     let e = s.s.lock().unwrap().cache.get(&session).cloned();
-    let (Some(e), Ok(to)) = (e.filter(|e| e.digest == text(&v, "digest")), text(&v, "to").parse::<SocketAddr>()) else {
+    let (Some(e), Ok(to)) = (
+        e.filter(|e| e.digest == text(&v, "digest")),
+        text(&v, "to").parse::<SocketAddr>(),
+    ) else {
         return reply(404, &json!({"ok": false, "bytes": 0}));
     };
     let offer = |base: &str| json!({"session": session, "digest": e.digest, "len": e.len, "tokens": e.tokens, "base": base, "target": text(&v, "target")});
     let mut bytes = 0;
     for base in [text(&v, "base"), String::new()] {
         let ask = serde_json::to_vec(&offer(&base)).unwrap_or_default();
-        let got = buffered_http::fetch(&s.w, to, Method::Post, "/kv/put", &[], ask, KV_PUSH_WAIT).await;
+        let got =
+            buffered_http::fetch(&s.w, to, Method::Post, "/kv/put", &[], ask, KV_PUSH_WAIT).await;
         let Ok((status, _, b)) = got else { break };
         let r: Value = serde_json::from_slice(&b).unwrap_or_default();
         bytes += r["bytes"].as_u64().unwrap_or(0);
@@ -472,16 +535,35 @@
         return reply(403, &json!({"ok": false, "bytes": 0}));
     }
     let had = s.s.lock().unwrap().replicas.get(&session).cloned();
-    let from = if base.is_empty() { Some(0) } else { had.filter(|h| h.digest == base).map(|h| h.tokens) };
-    let Some(from) = from else { return reply(409, &json!({"ok": false, "bytes": 0})) };
+    let from = if base.is_empty() {
+        Some(0)
+    } else {
+        had.filter(|h| h.digest == base).map(|h| h.tokens)
+    };
+    let Some(from) = from else {
+        return reply(409, &json!({"ok": false, "bytes": 0}));
+    };
     let n = v["tokens"].as_u64().unwrap_or(0);
     let bytes = n.saturating_sub(from) * KV_TOKEN_BYTES;
-    s.w.sleep(bytes.saturating_mul(SEC) / s.spec.link.max(1)).await;
-    let e = Entry { len: v["len"].as_u64().unwrap_or(0) as usize, digest: text(&v, "digest"), tokens: n, used: s.w.now() };
+    s.w.sleep(bytes.saturating_mul(SEC) / s.spec.link.max(1))
+        .await;
+    let e = Entry {
+        len: v["len"].as_u64().unwrap_or(0) as usize,
+        digest: text(&v, "digest"),
+        tokens: n,
+        used: s.w.now(),
+    };
     let mut g = s.s.lock().unwrap();
     g.replicas.insert(session, e);
-    while g.replicas.values().map(|e| e.tokens).sum::<u64>() > 4 * s.spec.cache && g.replicas.len() > 1 {
-        let k = g.replicas.iter().min_by_key(|e| e.1.used).map(|e| e.0.clone()).unwrap_or_default();
+    while g.replicas.values().map(|e| e.tokens).sum::<u64>() > 4 * s.spec.cache
+        && g.replicas.len() > 1
+    {
+        let k = g
+            .replicas
+            .iter()
+            .min_by_key(|e| e.1.used)
+            .map(|e| e.0.clone())
+            .unwrap_or_default();
         g.replicas.remove(&k);
     }
     reply(200, &json!({"ok": true, "bytes": bytes, "inst": s.inst}))
@@ -491,7 +573,9 @@
     let session = text(&v, "session");
     s.knock(&format!("import of {session}"));
     let e = s.s.lock().unwrap().replicas.get(&session).cloned();
-    let Some(e) = e.filter(|e| e.digest == text(&v, "digest")) else { return reply(200, &json!({"ok": false})) };
+    let Some(e) = e.filter(|e| e.digest == text(&v, "digest")) else {
+        return reply(200, &json!({"ok": false}));
+    };
     let times = s.s.lock().unwrap().faults.slow_import.max(1) as u64;
     s.w.sleep(e.tokens * KV_IMPORT_PER_K / 1000 * times).await;
     if s.take(|f| &mut f.fail_import) {
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -1,4 +1,5 @@
-//! A tier in the simulator whose control plane keeps itself, for the tests of orders, seats and duties.
+//! A tier in the simulator whose control plane keeps itself, for the tests of orders, seats and
+//! duties.
 
 use crate::platform::Platform;
 use crate::sim::Sim;
@@ -26,11 +27,19 @@
     fn read(&self, text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
         match self.number(text) {
             Some(_) => Configuration::read(b"{}"),
-            None => Err(vec![InvalidSetting { path: "number".into(), why: "none".into() }]),
+            None => Err(vec![InvalidSetting {
+                path: "number".into(),
+                why: "none".into(),
+            }]),
         }
     }
     fn number(&self, text: &[u8]) -> Option<u64> {
-        std::str::from_utf8(text).ok()?.split(' ').next()?.parse().ok()
+        std::str::from_utf8(text)
+            .ok()?
+            .split(' ')
+            .next()?
+            .parse()
+            .ok()
     }
 }
 
@@ -51,13 +60,31 @@
                     | PeerRequest::ExchangeMembership { .. }
                     | PeerRequest::MembershipUpdate { .. }),
                 ) => self.members.handle(a).await,
-                Some(PeerRequest::PublishDocument { name, version: seq, epoch, .. }) => {
+                Some(PeerRequest::PublishDocument {
+                    name,
+                    version: seq,
+                    epoch,
+                    ..
+                }) => {
                     self.book.apply(&name, seq, epoch, p.payload);
-                    PeerResponse::DocumentApplied { version: self.book.document(&name).version }
+                    PeerResponse::DocumentApplied {
+                        version: self.book.document(&name).version,
+                    }
                 }
-                Some(PeerRequest::PublishDelta { name, version: seq, epoch, base, base_digest, .. }) => {
-                    let _ = self.book.apply_delta(&name, base, &base_digest, seq, epoch, &p.payload);
-                    PeerResponse::DocumentApplied { version: self.book.document(&name).version }
+                Some(PeerRequest::PublishDelta {
+                    name,
+                    version: seq,
+                    epoch,
+                    base,
+                    base_digest,
+                    ..
+                }) => {
+                    let _ =
+                        self.book
+                            .apply_delta(&name, base, &base_digest, seq, epoch, &p.payload);
+                    PeerResponse::DocumentApplied {
+                        version: self.book.document(&name).version,
+                    }
                 }
                 Some(PeerRequest::ServersLeaving { servers, .. }) => {
                     self.book.mark_leaving(&servers);
@@ -72,7 +99,9 @@
 
 impl Bare {
     pub fn text(&self) -> String {
-        serde_json::from_slice::<ConfigDoc>(&self.book.document("config").content).map(|d| d.text).unwrap_or_default()
+        serde_json::from_slice::<ConfigDoc>(&self.book.document("config").content)
+            .map(|d| d.text)
+            .unwrap_or_default()
     }
 }
 
@@ -89,7 +118,11 @@
     SocketAddr::new(IpAddr::from([10, 1, 0, n as u8 + 1]), 7000)
 }
 
-pub const ROLES: [(Role, &str); 3] = [(Role::Core, "core"), (Role::Store, "store"), (Role::Front, "front")];
+pub const ROLES: [(Role, &str); 3] = [
+    (Role::Core, "core"),
+    (Role::Store, "store"),
+    (Role::Front, "front"),
+];
 
 impl Tier {
     pub fn new(seed: u64, counts: [usize; 3], lost: usize) -> Arc<Tier> {
@@ -129,7 +162,11 @@
             threads: 1,
             wire: WIRE_VERSION,
             found: true,
-            bounds: Bounds { lost, beat: 1200, ..Default::default() },
+            bounds: Bounds {
+                lost,
+                beat: 1200,
+                ..Default::default()
+            },
         };
         self.specs.lock().unwrap().insert(name.into(), st);
     }
@@ -137,27 +174,50 @@
     /// Starts a platform that lists these servers, and tells all machines that start later of it.
     pub async fn list_servers(&self, servers: Vec<ListedServer>) -> Arc<Platform> {
         let at = SocketAddr::new(IpAddr::from([10, 9, 0, 1]), 80);
-        self.specs.lock().unwrap().values_mut().filter(|s| s.role == Role::Core).for_each(|s| s.platform = Some(at));
+        self.specs
+            .lock()
+            .unwrap()
+            .values_mut()
+            .filter(|s| s.role == Role::Core)
+            .for_each(|s| s.platform = Some(at));
         Platform::start(&self.op, at, servers).await.unwrap()
     }
 
     /// Stops what flows from one machine to each of the others.
     pub fn cut_from(&self, name: &str, others: &[String]) {
-        others.iter().filter(|o| *o != name).for_each(|o| self.sim.cut(self.sim.find(name), self.sim.find(o)));
+        others
+            .iter()
+            .filter(|o| *o != name)
+            .for_each(|o| self.sim.cut(self.sim.find(name), self.sim.find(o)));
     }
 
     /// Stops what flows to one machine from each of the others.
     pub fn cut_to(&self, name: &str, others: &[String]) {
-        others.iter().filter(|o| *o != name).for_each(|o| self.sim.cut(self.sim.find(o), self.sim.find(name)));
+        others
+            .iter()
+            .filter(|o| *o != name)
+            .for_each(|o| self.sim.cut(self.sim.find(o), self.sim.find(name)));
     }
 
     /// Machines that hold the duties at this moment.
     pub fn on_duty(&self) -> Vec<String> {
-        self.control.lock().unwrap().iter().filter(|c| c.1.on_duty()).map(|c| c.0.clone()).collect()
+        self.control
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|c| c.1.on_duty())
+            .map(|c| c.0.clone())
+            .collect()
     }
 
     pub fn names(&self, r: Role) -> Vec<String> {
-        self.specs.lock().unwrap().values().filter(|s| s.role == r).map(|s| s.name.clone()).collect()
+        self.specs
+            .lock()
+            .unwrap()
+            .values()
+            .filter(|s| s.role == r)
+            .map(|s| s.name.clone())
+            .collect()
     }
 
     pub fn boot(self: &Arc<Self>, name: &str, first: bool) {
@@ -169,7 +229,11 @@
         if !first {
             // The operator's list of now, which may name the machine itself or ones that are down.
             let g = self.specs.lock().unwrap();
-            let mut v: Vec<SocketAddr> = g.values().filter(|s| s.role == Role::Core).map(|s| s.peer).collect();
+            let mut v: Vec<SocketAddr> = g
+                .values()
+                .filter(|s| s.role == Role::Core)
+                .map(|s| s.peer)
+                .collect();
             v.rotate_left(self.sim.rand() as usize % self.cores.max(1));
             v.truncate(3);
             st.seeds = v;
@@ -180,8 +244,18 @@
                 let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
                 let members = Membership::new(&w, &st, &peers, "");
                 let book = DocumentCache::of(&w, Arc::new(Numbered));
-                let follow = DocumentWatcher::without_leases(&members, &book, &st.name, true, st.bounds.apply * MS);
-                let b = Arc::new(Bare { members: members.clone(), book, seen: Default::default() });
+                let follow = DocumentWatcher::without_leases(
+                    &members,
+                    &book,
+                    &st.name,
+                    true,
+                    st.bounds.apply * MS,
+                );
+                let b = Arc::new(Bare {
+                    members: members.clone(),
+                    book,
+                    seen: Default::default(),
+                });
                 let door = w.bind(st.peer).await.unwrap();
                 w.spawn(peers.serve(door, b.clone()));
                 w.spawn(members.run());
@@ -234,7 +308,11 @@
     }
 
     /// An order run on the node itself; none where the node dies, or is silent for a second.
-    pub async fn on<T: Send + 'static>(&self, name: &str, f: impl FnOnce(Arc<Control>) -> BoxFuture<'static, T>) -> Option<T> {
+    pub async fn on<T: Send + 'static>(
+        &self,
+        name: &str,
+        f: impl FnOnce(Arc<Control>) -> BoxFuture<'static, T>,
+    ) -> Option<T> {
         let c = self.at(name)?;
         let (tx, rx) = async_channel::bounded(1);
         let go = f(c.clone());
@@ -246,27 +324,47 @@
 
     pub async fn put(&self, name: &str, base: u64, text: &str) -> Option<PutAnswer> {
         let text = text.as_bytes().to_vec();
-        self.on(name, move |c| Box::pin(async move { c.put(base, text).await })).await
+        self.on(name, move |c| {
+            Box::pin(async move { c.put(base, text).await })
+        })
+        .await
     }
 
     pub async fn read(&self, name: &str) -> Option<ReadAnswer> {
-        self.on(name, |c| Box::pin(async move { c.read_config().await })).await
+        self.on(name, |c| Box::pin(async move { c.read_config().await }))
+            .await
     }
 
-    /// Names behind the seats, and whether no change is under way, as a majority of the core disks has it.
+    /// Names behind the seats, and whether no change is under way, as a majority of the core disks
+    /// has it.
     pub async fn seats(&self) -> Option<(BTreeSet<String>, BTreeSet<String>, bool)> {
         for n in self.names(Role::Core) {
-            let got = self.on(&n, |c| Box::pin(async move { c.registers.newest("layout", SEC).await.ok() })).await.flatten();
+            let got = self
+                .on(&n, |c| {
+                    Box::pin(async move { c.registers.newest("layout", SEC).await.ok() })
+                })
+                .await
+                .flatten();
             if let Some((_, _, raw)) = got.filter(|g| g.0 > 0) {
                 let l: Layout = serde_json::from_slice(&raw).unwrap();
-                let f = |g: &ReplicaGroup| g.current.iter().map(|d| l.names[d].clone()).collect::<BTreeSet<_>>();
-                return Some((f(&l.core), f(&l.store), l.core.previous.is_empty() && l.store.previous.is_empty()));
+                let f = |g: &ReplicaGroup| {
+                    g.current
+                        .iter()
+                        .map(|d| l.names[d].clone())
+                        .collect::<BTreeSet<_>>()
+                };
+                return Some((
+                    f(&l.core),
+                    f(&l.store),
+                    l.core.previous.is_empty() && l.store.previous.is_empty(),
+                ));
             }
         }
         None
     }
 
-    /// Waits until these and no others have seats, on the disks that they have now, and no change is under way.
+    /// Waits until these and no others have seats, on the disks that they have now, and no change
+    /// is under way.
     pub async fn seated(&self, core: &[String], store: &[String], us: u64) -> Option<u64> {
         let t0 = self.op.now();
         while self.op.now() < t0 + us {
@@ -275,7 +373,8 @@
                 let own = core.iter().chain(store).all(|n| {
                     self.at(n).is_some_and(|x| {
                         let l = x.documents.layout.load();
-                        l.1.core.current.contains(&x.storage.disk_id) || l.1.store.current.contains(&x.storage.disk_id)
+                        l.1.core.current.contains(&x.storage.disk_id)
+                            || l.1.store.current.contains(&x.storage.disk_id)
                     })
                 });
                 if still && own && c == set(core) && s == set(store) {
@@ -316,7 +415,13 @@
     pub async fn adopted(&self, text: &str, us: u64) -> Option<u64> {
         let t0 = self.op.now();
         while self.op.now() < t0 + us {
-            if self.fronts.lock().unwrap().values().all(|f| f.text() == text) {
+            if self
+                .fronts
+                .lock()
+                .unwrap()
+                .values()
+                .all(|f| f.text() == text)
+            {
                 return Some(self.op.now() - t0);
             }
             self.op.sleep(5 * MS).await;
@@ -325,7 +430,10 @@
     }
 }
 
-pub fn play<T: Send + 'static>(t: &Arc<Tier>, f: impl FnOnce(Arc<Tier>) -> BoxFuture<'static, T>) -> T {
+pub fn play<T: Send + 'static>(
+    t: &Arc<Tier>,
+    f: impl FnOnce(Arc<Tier>) -> BoxFuture<'static, T>,
+) -> T {
     let out: Arc<Mutex<Option<T>>> = Default::default();
     let (o, go) = (out.clone(), f(t.clone()));
     t.op.spawn(async move {
@@ -335,17 +443,29 @@
     t.sim.run(300 * SEC, || out.lock().unwrap().is_some());
     let x = out.lock().unwrap().take();
     x.unwrap_or_else(|| {
-        t.sim.log().iter().rev().take(60).rev().for_each(|l| eprintln!("{} {} {}", l.0 / MS, l.1, l.2));
+        t.sim
+            .log()
+            .iter()
+            .rev()
+            .take(60)
+            .rev()
+            .for_each(|l| eprintln!("{} {} {}", l.0 / MS, l.1, l.2));
         panic!("the script did not end")
     })
 }
 
 pub fn tell(t: &Tier) -> String {
-    t.sim.log().iter().map(|l| format!("{} {} {}\n", l.0 / MS, l.1, l.2)).collect()
+    t.sim
+        .log()
+        .iter()
+        .map(|l| format!("{} {} {}\n", l.0 / MS, l.1, l.2))
+        .collect()
 }
 
 pub async fn up(t: &Arc<Tier>) -> u64 {
     t.boot_all();
     let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-    t.seated(&c, &s, 10 * SEC).await.unwrap_or_else(|| panic!("not founded\n{}", tell(t)))
+    t.seated(&c, &s, 10 * SEC)
+        .await
+        .unwrap_or_else(|| panic!("not founded\n{}", tell(t)))
 }
--- a/yewcross-testkit/tests/balance.rs
+++ b/yewcross-testkit/tests/balance.rs
@@ -11,13 +11,30 @@
 use yewcross_proxy::balance::{Balance, Claim, Need, NoSeat};
 
 fn plain() -> Need {
-    Need { service: "x".into(), site: "z0".into(), target_us: 250 * MS, conns: 100, ..Need::default() }
+    Need {
+        service: "x".into(),
+        site: "z0".into(),
+        target_us: 250 * MS,
+        conns: 100,
+        ..Need::default()
+    }
 }
 
 fn model(parts: &[(u64, u64)]) -> Need {
-    let engine = Some(Engine { slots: 8, cache_tokens: 20_000, token_bytes: 1, tokens_per_event: 2 });
+    let engine = Some(Engine {
+        slots: 8,
+        cache_tokens: 20_000,
+        token_bytes: 1,
+        tokens_per_event: 2,
+    });
     let prompt = parts.iter().map(|p| p.1).sum();
-    Need { engine, parts: parts.to_vec(), prompt, output: 100, ..plain() }
+    Need {
+        engine,
+        parts: parts.to_vec(),
+        prompt,
+        output: 100,
+        ..plain()
+    }
 }
 
 fn take(b: &Balance, w: &Runtime, n: &Need, v: &[ListedServer]) -> Result<Claim, NoSeat> {
@@ -26,7 +43,11 @@
 
 /// A claim that has told a load with so many slots, given back.
 fn tell(b: &Balance, w: &Runtime, v: &[ListedServer], slots: u32) {
-    v.iter().for_each(|s| take(b, w, &plain(), std::slice::from_ref(s)).unwrap().told((1, 0, slots)));
+    v.iter().for_each(|s| {
+        take(b, w, &plain(), std::slice::from_ref(s))
+            .unwrap()
+            .told((1, 0, slots))
+    });
 }
 
 #[test]
@@ -36,8 +57,16 @@
     tell(&b, &w, &v, 6);
     let mut held: Vec<Claim> = vec![];
     (0..20).for_each(|_| held.push(take(&b, &w, &plain(), &v).unwrap()));
-    let n = |i: usize| held.iter().filter(|c| c.to.server == format!("s{i}")).count();
-    assert!((0..4).all(|i| (3..=7).contains(&n(i))), "{:?}", (0..4).map(n).collect::<Vec<_>>());
+    let n = |i: usize| {
+        held.iter()
+            .filter(|c| c.to.server == format!("s{i}"))
+            .count()
+    };
+    assert!(
+        (0..4).all(|i| (3..=7).contains(&n(i))),
+        "{:?}",
+        (0..4).map(n).collect::<Vec<_>>()
+    );
 }
 
 #[test]
@@ -45,9 +74,14 @@
     let (_, w) = world();
     let (b, v) = (Balance::default(), servers(3, 2));
     tell(&b, &w, &v, 6);
-    let held: Vec<Claim> = (0..18).map(|_| take(&b, &w, &plain(), &v).unwrap()).collect();
+    let held: Vec<Claim> = (0..18)
+        .map(|_| take(&b, &w, &plain(), &v).unwrap())
+        .collect();
     assert_eq!(held.len(), 18);
-    let more = (0..20).map(|_| take(&b, &w, &plain(), &v)).filter_map(|r| r.err()).next();
+    let more = (0..20)
+        .map(|_| take(&b, &w, &plain(), &v))
+        .filter_map(|r| r.err())
+        .next();
     drop(held);
     assert!(more.is_none_or(|e| matches!(e, NoSeat::Full(_))));
 }
@@ -63,7 +97,11 @@
     // Where it is the only one, it is still asked.
     assert_eq!(take(&b, &w, &plain(), &v[..1]).unwrap().to.server, "s0");
     rest(&sim, &w, EJECTION_TIME);
-    assert_eq!(take(&b, &w, &plain(), &v).unwrap().to.server, "s0", "its zone is ours");
+    assert_eq!(
+        take(&b, &w, &plain(), &v).unwrap().to.server,
+        "s0",
+        "its zone is ours"
+    );
 }
 
 #[test]
@@ -76,16 +114,34 @@
     drop(c);
     let longer = [(7, 2_500), (8, 1_000), (9, 300)];
     assert_eq!(take(&b, &w, &model(&longer), &v).unwrap().to.server, "s3");
-    let n = Need { prev: "s1".into(), prev_tokens: 3_500, ..model(&[(17, 3_500), (18, 300)]) };
-    assert_eq!(take(&b, &w, &n, &v).unwrap().to.server, "s1", "the turn before ran there");
-    let held: Vec<Claim> = (0..8).map(|_| take(&b, &w, &model(&[]), &v[3..]).unwrap()).collect();
-    assert_ne!(take(&b, &w, &model(&longer), &v).unwrap().to.server, "s3", "all its places are taken");
+    let n = Need {
+        prev: "s1".into(),
+        prev_tokens: 3_500,
+        ..model(&[(17, 3_500), (18, 300)])
+    };
+    assert_eq!(
+        take(&b, &w, &n, &v).unwrap().to.server,
+        "s1",
+        "the turn before ran there"
+    );
+    let held: Vec<Claim> = (0..8)
+        .map(|_| take(&b, &w, &model(&[]), &v[3..]).unwrap())
+        .collect();
+    assert_ne!(
+        take(&b, &w, &model(&longer), &v).unwrap().to.server,
+        "s3",
+        "all its places are taken"
+    );
     drop(held);
     let c = take(&b, &w, &model(&parts), &v[3..]).unwrap();
     c.read(&[(30, 19_000)], 20_000);
     drop(c);
     let (longer, other) = (model(&longer), model(&[(40, 3_800)]));
-    let where_to = |n: &Need| (0..12).map(|_| take(&b, &w, n, &v).unwrap().to.server.clone()).collect::<std::collections::BTreeSet<_>>();
+    let where_to = |n: &Need| {
+        (0..12)
+            .map(|_| take(&b, &w, n, &v).unwrap().to.server.clone())
+            .collect::<std::collections::BTreeSet<_>>()
+    };
     assert_eq!(where_to(&longer), where_to(&other), "what it held gave way");
 }
 
@@ -93,11 +149,21 @@
 fn those_who_wait_are_let_in_by_rank_and_by_the_time_they_have() {
     let (sim, w) = world();
     let (b, v) = (std::sync::Arc::new(Balance::default()), servers(1, 2));
-    let held: Vec<Claim> = (0..8).map(|_| take(&b, &w, &model(&[]), &v).unwrap()).collect();
-    assert!(matches!(take(&b, &w, &model(&[]), &v), Err(NoSeat::Full(_))));
+    let held: Vec<Claim> = (0..8)
+        .map(|_| take(&b, &w, &model(&[]), &v).unwrap())
+        .collect();
+    assert!(matches!(
+        take(&b, &w, &model(&[]), &v),
+        Err(NoSeat::Full(_))
+    ));
     let order: std::sync::Arc<std::sync::Mutex<Vec<u64>>> = Default::default();
     for (id, rank) in [(1, (2, 10)), (2, (0, 90)), (3, (0, 20)), (4, (1, 5))] {
-        let (b, w2, o, n) = (b.clone(), w.clone(), order.clone(), Need { rank, ..model(&[]) });
+        let (b, w2, o, n) = (
+            b.clone(),
+            w.clone(),
+            order.clone(),
+            Need { rank, ..model(&[]) },
+        );
         w.spawn(async move {
             if b.wait(&w2, &n, w2.now() + SEC).await {
                 o.lock().unwrap().push(id);
--- a/yewcross-testkit/tests/behaviour.rs
+++ b/yewcross-testkit/tests/behaviour.rs
@@ -1,5 +1,6 @@
-//! What the simulated deployments do, event by event, as a table of fingerprints: a change of names or of log lines leaves every
-//! row as it is, a change of behaviour does not. `YEWCROSS_WRITE_FIXTURES=1` writes the table anew.
+//! What the simulated deployments do, event by event, as a table of fingerprints: a change of names
+//! or of log lines leaves every row as it is, a change of behaviour does not.
+//! `YEWCROSS_WRITE_FIXTURES=1` writes the table anew.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -19,19 +20,28 @@
 
 impl StoredTurn {
     fn new(name: String, run: impl Fn() -> u128 + Send + Sync + 'static) -> StoredTurn {
-        StoredTurn { name, run: Box::new(run) }
+        StoredTurn {
+            name,
+            run: Box::new(run),
+        }
     }
 
     /// Faults one after another, in the deployment that the proof runs use.
     fn of_proof(seed: u64, acts: &[Act]) -> StoredTurn {
         let words: Vec<&str> = acts.iter().map(|act| act.into()).collect();
         let plan = Plan::new(seed, "small", acts);
-        StoredTurn::new(format!("proof small {seed} {}", words.join("+")), move || run(&plan).fingerprint)
+        StoredTurn::new(
+            format!("proof small {seed} {}", words.join("+")),
+            move || run(&plan).fingerprint,
+        )
     }
 
     /// A control plane that keeps itself, takes orders and loses a core and a store.
     fn of_control(seed: u64) -> StoredTurn {
-        StoredTurn::new(format!("control 4+4+2 {seed} orders+power-core+power-store"), move || control(seed))
+        StoredTurn::new(
+            format!("control 4+4+2 {seed} orders+power-core+power-store"),
+            move || control(seed),
+        )
     }
 }
 
@@ -55,16 +65,21 @@
     tier.sim.fingerprint()
 }
 
-/// Runs of routed requests are not among them: the stores' `Chain` messages list their entries, and servers' connections are
-/// closed, in an order that is another one in each process, as that of a hash map is.
+/// Runs of routed requests are not among them: the stores' `Chain` messages list their entries, and
+/// servers' connections are closed, in an order that is another one in each process, as that of a
+/// hash map is.
 fn rows() -> Vec<StoredTurn> {
     let acts: Vec<Act> = Act::iter().collect();
     let alone = acts.iter().map(|act| StoredTurn::of_proof(1, &[*act]));
     let pairs = (300..320u64).map(|seed| {
-        let [first, second] = [7, 13].map(|stride| acts[(seed * stride % acts.len() as u64) as usize]);
+        let [first, second] =
+            [7, 13].map(|stride| acts[(seed * stride % acts.len() as u64) as usize]);
         StoredTurn::of_proof(seed, &[first, second])
     });
-    alone.chain(pairs).chain([StoredTurn::of_control(1)]).collect()
+    alone
+        .chain(pairs)
+        .chain([StoredTurn::of_control(1)])
+        .collect()
 }
 
 fn table_file() -> PathBuf {
@@ -75,11 +90,15 @@
 fn read_table() -> BTreeMap<String, String> {
     let text = std::fs::read_to_string(table_file()).unwrap_or_default();
     let rows = text.lines().filter_map(|line| line.split_once(' '));
-    rows.map(|(fingerprint, name)| (name.into(), fingerprint.into())).collect()
+    rows.map(|(fingerprint, name)| (name.into(), fingerprint.into()))
+        .collect()
 }
 
 fn write_table(table: &BTreeMap<String, String>) {
-    let lines: String = table.iter().map(|(name, fingerprint)| format!("{fingerprint} {name}\n")).collect();
+    let lines: String = table
+        .iter()
+        .map(|(name, fingerprint)| format!("{fingerprint} {name}\n"))
+        .collect();
     std::fs::write(table_file(), lines).unwrap();
 }
 
@@ -87,7 +106,11 @@
     let table: Mutex<BTreeMap<String, String>> = Mutex::default();
     let panicked = each(rows(), |row| {
         let fingerprint = (row.run)();
-        table.lock().unwrap().insert(row.name, format!("{fingerprint:032x}")).is_none()
+        table
+            .lock()
+            .unwrap()
+            .insert(row.name, format!("{fingerprint:032x}"))
+            .is_none()
     });
     assert_eq!(panicked, 0, "two rows have one name");
     table.into_inner().unwrap()
@@ -96,9 +119,17 @@
 /// The rows in which two tables differ, each as it is in the old one and in the new one.
 fn differences(old: &BTreeMap<String, String>, new: &BTreeMap<String, String>) -> Vec<String> {
     let names: std::collections::BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-    let row = |table: &BTreeMap<String, String>, name: &str| table.get(name).map_or("none".into(), |print| format!("{print} {name}"));
-    let differing = names.into_iter().filter(|name| old.get(*name) != new.get(*name));
-    differing.map(|name| format!("old: {}\nnew: {}", row(old, name), row(new, name))).collect()
+    let row = |table: &BTreeMap<String, String>, name: &str| {
+        table
+            .get(name)
+            .map_or("none".into(), |print| format!("{print} {name}"))
+    };
+    let differing = names
+        .into_iter()
+        .filter(|name| old.get(*name) != new.get(*name));
+    differing
+        .map(|name| format!("old: {}\nnew: {}", row(old, name), row(new, name)))
+        .collect()
 }
 
 #[test]
@@ -106,10 +137,19 @@
     let (old, new) = (read_table(), run_all());
     if std::env::var("YEWCROSS_WRITE_FIXTURES").is_ok_and(|value| value == "1") {
         write_table(&new);
-        panic!("YEWCROSS_WRITE_FIXTURES=1: {} rows were written and none was compared", new.len());
+        panic!(
+            "YEWCROSS_WRITE_FIXTURES=1: {} rows were written and none was compared",
+            new.len()
+        );
     }
     let differing = differences(&old, &new);
-    assert!(differing.is_empty(), "{} of {} rows differ\n{}", differing.len(), new.len(), differing.join("\n"));
+    assert!(
+        differing.is_empty(),
+        "{} of {} rows differ\n{}",
+        differing.len(),
+        new.len(),
+        differing.join("\n")
+    );
 }
 
 /// A caller asks a machine once; the machine stores the question, logs, and answers.
@@ -124,7 +164,15 @@
     caller: &'static str,
 }
 
-const TALK: Talk = Talk { answer: "yes", log: "asked", path: "question", stored: "well?", pause: 10 * MS, port: 7000, caller: "caller" };
+const TALK: Talk = Talk {
+    answer: "yes",
+    log: "asked",
+    path: "question",
+    stored: "well?",
+    pause: 10 * MS,
+    port: 7000,
+    caller: "caller",
+};
 
 impl Talk {
     fn fingerprint(&self) -> u128 {
@@ -133,7 +181,15 @@
             let index = sim.machine(name, "site", IpAddr::from([10, 0, 0, last]));
             sim.boot(index)
         });
-        let Talk { answer, log, path, stored, pause, port, .. } = *self;
+        let Talk {
+            answer,
+            log,
+            path,
+            stored,
+            pause,
+            port,
+            ..
+        } = *self;
         let address = |port| SocketAddr::new(IpAddr::from([10, 0, 0, 2]), port);
         machine.clone().spawn(async move {
             let door = machine.bind(address(7000)).await.unwrap();
@@ -141,7 +197,9 @@
             machine.log(log);
             machine.write_file(path, stored.into()).await.unwrap();
             machine.sleep(pause).await;
-            futures_lite::AsyncWriteExt::write_all(&mut connection, answer.as_bytes()).await.unwrap();
+            futures_lite::AsyncWriteExt::write_all(&mut connection, answer.as_bytes())
+                .await
+                .unwrap();
         });
         caller.clone().spawn(async move {
             caller.sleep(MS).await;
@@ -157,7 +215,14 @@
 
 #[test]
 fn words_of_the_log_do_not_enter() {
-    assert_eq!(TALK.fingerprint(), Talk { log: "somebody has a question", ..TALK }.fingerprint());
+    assert_eq!(
+        TALK.fingerprint(),
+        Talk {
+            log: "somebody has a question",
+            ..TALK
+        }
+        .fingerprint()
+    );
 }
 
 #[test]
@@ -175,16 +240,55 @@
 #[test]
 fn whatever_else_happens_enters() {
     let others = [
-        ("an answer's bytes", Talk { answer: "yea", ..TALK }),
-        ("an answer's length", Talk { answer: "yes!", ..TALK }),
-        ("a stored file's bytes", Talk { stored: "what?", ..TALK }),
-        ("a stored file's path", Talk { path: "questions", ..TALK }),
-        ("the time of an answer", Talk { pause: 10 * MS + 1, ..TALK }),
+        (
+            "an answer's bytes",
+            Talk {
+                answer: "yea",
+                ..TALK
+            },
+        ),
+        (
+            "an answer's length",
+            Talk {
+                answer: "yes!",
+                ..TALK
+            },
+        ),
+        (
+            "a stored file's bytes",
+            Talk {
+                stored: "what?",
+                ..TALK
+            },
+        ),
+        (
+            "a stored file's path",
+            Talk {
+                path: "questions",
+                ..TALK
+            },
+        ),
+        (
+            "the time of an answer",
+            Talk {
+                pause: 10 * MS + 1,
+                ..TALK
+            },
+        ),
         ("a refusal", Talk { port: 7001, ..TALK }),
-        ("the machine that is answered", Talk { caller: "customer", ..TALK }),
+        (
+            "the machine that is answered",
+            Talk {
+                caller: "customer",
+                ..TALK
+            },
+        ),
     ];
     let prints: Vec<u128> = others.iter().map(|(_, talk)| talk.fingerprint()).collect();
     for (index, (what, _)) in others.iter().enumerate() {
-        assert!(prints[index] != TALK.fingerprint() && !prints[..index].contains(&prints[index]), "{what} was not seen");
+        assert!(
+            prints[index] != TALK.fingerprint() && !prints[..index].contains(&prints[index]),
+            "{what} was not seen"
+        );
     }
 }
--- a/yewcross-testkit/tests/calls.rs
+++ b/yewcross-testkit/tests/calls.rs
@@ -1,6 +1,6 @@
-//! Calls under everything at once: servers with every fault, fronts that are killed, frozen, slow and stopped in order,
-//! addresses passed on, callers that leave. Each answer is compared with what its server gave, each run counted by its id.
-//! `CALLS=from..to` plays other seeds.
+//! Calls under everything at once: servers with every fault, fronts that are killed, frozen, slow
+//! and stopped in order, addresses passed on, callers that leave. Each answer is compared with what
+//! its server gave, each run counted by its id. `CALLS=from..to` plays other seeds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::SeqCst;
@@ -15,9 +15,27 @@
 /// Troubles that follow each other; the rows go on side by side.
 const ROWS: [&[Act]; 4] = [
     &[Act::Faults, Act::Burst, Act::Faults],
-    &[Act::FreezeFront, Act::KillFront, Act::FreezeFront, Act::StopFront, Act::PowerFront],
-    &[Act::ReuseAddress, Act::KillServer, Act::Release, Act::ReuseAddress, Act::LeaveServer],
-    &[Act::PutConfig, Act::Storm, Act::CutFront, Act::PutConfig, Act::RosterAway],
+    &[
+        Act::FreezeFront,
+        Act::KillFront,
+        Act::FreezeFront,
+        Act::StopFront,
+        Act::PowerFront,
+    ],
+    &[
+        Act::ReuseAddress,
+        Act::KillServer,
+        Act::Release,
+        Act::ReuseAddress,
+        Act::LeaveServer,
+    ],
+    &[
+        Act::PutConfig,
+        Act::Storm,
+        Act::CutFront,
+        Act::PutConfig,
+        Act::RosterAway,
+    ],
 ];
 
 /// us. A front's processor is slowed for this long, to a fifth of its share.
@@ -68,7 +86,10 @@
     });
     t.sim.run(600 * SEC, || *over.lock().unwrap() > 0);
     if *over.lock().unwrap() == 0 {
-        t.wrong.lock().unwrap().push("STUCK the plan did not end".into());
+        t.wrong
+            .lock()
+            .unwrap()
+            .push("STUCK the plan did not end".into());
     }
     let e = t.evidence();
     (t, e)
@@ -80,23 +101,46 @@
     e.reached.iter().for_each(|(_, server, attempt)| {
         servers.entry(attempt).or_default().insert(server);
     });
-    servers.iter().filter(|(_, s)| s.len() > TRIES).map(|(a, s)| format!("TRIES {a} reached {s:?}")).collect()
+    servers
+        .iter()
+        .filter(|(_, s)| s.len() > TRIES)
+        .map(|(a, s)| format!("TRIES {a} reached {s:?}"))
+        .collect()
 }
 
 /// An answer is not older than its request, and a run is not older than the try that asked for it.
 fn in_time(e: &Evidence) -> Vec<String> {
     let begun: BTreeMap<&str, u64> = e.tries.iter().map(|t| (t.attempt.as_str(), t.at)).collect();
-    let early = e.runs.iter().filter(|r| begun.get(r.attempt.as_str()).is_some_and(|at| r.at < *at));
-    early.map(|r| format!("EARLY {} ran at {} us", r.attempt, r.at)).collect()
+    let early = e
+        .runs
+        .iter()
+        .filter(|r| begun.get(r.attempt.as_str()).is_some_and(|at| r.at < *at));
+    early
+        .map(|r| format!("EARLY {} ran at {} us", r.attempt, r.at))
+        .collect()
 }
 
 /// A stream that looks complete has every event of its run.
 fn ends(e: &Evidence) -> Vec<String> {
     let count = |b: &[u8]| String::from_utf8_lossy(b).matches("\n\n").count();
-    let whole = e.tries.iter().filter(|t| t.route.mode == Mode::Stream && t.good());
+    let whole = e
+        .tries
+        .iter()
+        .filter(|t| t.route.mode == Mode::Stream && t.good());
     whole
-        .filter(|t| e.runs.iter().find(|r| r.attempt == t.attempt).is_none_or(|r| count(&r.out) != count(&t.heard)))
-        .map(|t| format!("END {} looks complete with {} events", t.attempt, count(&t.heard)))
+        .filter(|t| {
+            e.runs
+                .iter()
+                .find(|r| r.attempt == t.attempt)
+                .is_none_or(|r| count(&r.out) != count(&t.heard))
+        })
+        .map(|t| {
+            format!(
+                "END {} looks complete with {} events",
+                t.attempt,
+                count(&t.heard)
+            )
+        })
         .collect()
 }
 
@@ -129,9 +173,18 @@
 
 #[test]
 fn calls_of_other_seeds() {
-    let Ok(r) = std::env::var("CALLS") else { return };
-    let (a, b) = r.split_once("..").map(|(a, b)| (a.parse::<u64>().unwrap(), b.parse::<u64>().unwrap())).unwrap();
-    assert_eq!(yewcross_testkit::proof::each((a..b).collect(), check), 0, "seeds that broke a rule or showed too little");
+    let Ok(r) = std::env::var("CALLS") else {
+        return;
+    };
+    let (a, b) = r
+        .split_once("..")
+        .map(|(a, b)| (a.parse::<u64>().unwrap(), b.parse::<u64>().unwrap()))
+        .unwrap();
+    assert_eq!(
+        yewcross_testkit::proof::each((a..b).collect(), check),
+        0,
+        "seeds that broke a rule or showed too little"
+    );
 }
 
 /// The checks of this file can fail: each sees its own wrong, put into good evidence.
@@ -144,7 +197,11 @@
     assert!(spread(&e).iter().any(|l| l.contains(&attempt)));
     e.runs[0].at = 0;
     assert!(in_time(&e).iter().any(|l| l.contains(&e.runs[0].attempt)));
-    let i = e.tries.iter().position(|t| t.route.mode == Mode::Stream && t.good()).unwrap();
+    let i = e
+        .tries
+        .iter()
+        .position(|t| t.route.mode == Mode::Stream && t.good())
+        .unwrap();
     let cut = e.tries[i].heard.len() / 2;
     e.tries[i].heard.truncate(cut);
     assert!(ends(&e).iter().any(|l| l.contains(&e.tries[i].attempt)));
--- a/yewcross-testkit/tests/catching_up.rs
+++ b/yewcross-testkit/tests/catching_up.rs
@@ -1,4 +1,5 @@
-//! Members that were away while hundreds of orders were taken: how soon they hold the newest, and that none leads with old state.
+//! Members that were away while hundreds of orders were taken: how soon they hold the newest, and
+//! that none leads with old state.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
@@ -58,7 +59,14 @@
         Away::Killed | Away::WithoutPower => tier.kill(name, away == Away::WithoutPower),
         Away::Frozen => tier.sim.freeze(machine),
         Away::CutOff => {
-            let all: Vec<String> = tier.specs.lock().unwrap().keys().filter(|n| *n != name).cloned().collect();
+            let all: Vec<String> = tier
+                .specs
+                .lock()
+                .unwrap()
+                .keys()
+                .filter(|n| *n != name)
+                .cloned()
+                .collect();
             let others: Vec<usize> = all.iter().map(|n| tier.sim.find(n)).collect();
             tier.sim.split(&[machine], &others);
         }
@@ -88,19 +96,29 @@
     let begin = tier.op.now();
     while held(&tier, name) < newest {
         tier.op.sleep(5 * MS).await;
-        assert!(tier.op.now() < begin + limit, "{name} holds {} of {newest}\n{}", held(&tier, name), tell(&tier));
+        assert!(
+            tier.op.now() < begin + limit,
+            "{name} holds {} of {newest}\n{}",
+            held(&tier, name),
+            tell(&tier)
+        );
     }
     tier.op.now() - begin
 }
 
-/// Whatever the core answers an operator is no older than what was acknowledged before it was asked.
+/// Whatever the core answers an operator is no older than what was acknowledged before it was
+/// asked.
 async fn read_back(tier: Arc<Tier>, core: &'static str, progress: Arc<Progress>) -> u64 {
     let begin = tier.op.now();
     let mut first = None;
     while tier.op.now() < begin + 3 * SEC {
         let newest = progress.newest.load(SeqCst);
         if let Some(ReadAnswer::Text(number, _)) = tier.read(core).await {
-            assert!(number >= newest, "{core} answers {number}, and {newest} was acknowledged\n{}", tell(&tier));
+            assert!(
+                number >= newest,
+                "{core} answers {number}, and {newest} was acknowledged\n{}",
+                tell(&tier)
+            );
             first.get_or_insert(tier.op.now() - begin);
         }
         tier.op.sleep(20 * MS).await;
@@ -117,8 +135,13 @@
             tier.put_surely(0, &text(1)).await;
             tier.op.sleep(2 * SEC).await;
             let files = |tier: &Tier| -> BTreeMap<String, usize> {
-                let names = tier.names(Role::Core).into_iter().chain(tier.names(Role::Store));
-                names.map(|n| (n.clone(), tier.sim.disk(tier.sim.find(&n), |d| d.files()))).collect()
+                let names = tier
+                    .names(Role::Core)
+                    .into_iter()
+                    .chain(tier.names(Role::Store));
+                names
+                    .map(|n| (n.clone(), tier.sim.disk(tier.sim.find(&n), |d| d.files())))
+                    .collect()
             };
             let before = files(&tier);
             let progress: Arc<Progress> = Default::default();
@@ -147,13 +170,23 @@
             while !progress.ended.load(SeqCst) {
                 tier.op.sleep(100 * MS).await;
             }
-            tier.adopted(&text(ORDERS + 1), 2 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&tier)));
+            tier.adopted(&text(ORDERS + 1), 2 * SEC)
+                .await
+                .unwrap_or_else(|| panic!("{}", tell(&tier)));
             tier.op.sleep(5 * SEC).await;
             let document = tier.at("core1").unwrap().documents.document("config");
-            assert!(document.content.len() < TEXT + 100 * ORDERS_KEPT_MOST, "{}", document.content.len());
+            assert!(
+                document.content.len() < TEXT + 100 * ORDERS_KEPT_MOST,
+                "{}",
+                document.content.len()
+            );
             // A change of seats more on disk, and no file for an order.
             for (name, count) in files(&tier) {
-                assert!(count <= before[&name] + 4, "{name} had {} files and has {count}", before[&name]);
+                assert!(
+                    count <= before[&name] + 4,
+                    "{name} had {} files and has {count}",
+                    before[&name]
+                );
             }
             times.lock().unwrap().clone()
         })
@@ -166,7 +199,10 @@
         let times = run(seed + nth as u64, away, gone_for * SEC);
         println!(
             "{away:?} for {gone_for} s: ms until it holds the newest {:?}",
-            times.iter().map(|(n, us)| (*n, us / MS)).collect::<Vec<_>>()
+            times
+                .iter()
+                .map(|(n, us)| (*n, us / MS))
+                .collect::<Vec<_>>()
         );
         times.into_iter().for_each(|(n, us)| {
             let most = worst.entry(n).or_default();
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -1,4 +1,5 @@
-//! Stores that keep chains of turns and budgets, over the simulated world: several engines, several fronts, one judge.
+//! Stores that keep chains of turns and budgets, over the simulated world: several engines, several
+//! fronts, one judge.
 
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,10 +30,13 @@
     fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
         Box::pin(async move {
             let (t, b) = match (p.decode::<PeerRequest>(), &self.engine) {
-                (Some(PeerRequest::TurnLog), Some(e)) => (PeerResponse::TurnLog, e.handle(p.payload).await),
-                (Some(PeerRequest::TurnLog), None) | (None, _) => {
-                    (PeerResponse::Rejected(yewcross_common::error_code::Code::BadField), vec![])
+                (Some(PeerRequest::TurnLog), Some(e)) => {
+                    (PeerResponse::TurnLog, e.handle(p.payload).await)
                 }
+                (Some(PeerRequest::TurnLog), None) | (None, _) => (
+                    PeerResponse::Rejected(yewcross_common::error_code::Code::BadField),
+                    vec![],
+                ),
                 (Some(a), _) => (self.members.handle(a).await, vec![]),
             };
             (serde_json::to_vec(&t).unwrap_or_default(), b)
@@ -59,7 +63,8 @@
 struct Judge {
     /// Per program: its budget, and per turn what it may still put out or has put out.
     spend: BTreeMap<String, (u64, BTreeMap<String, u64>)>,
-    /// Tokens that ended, by the time they were told to the client: late ones may still count at most.
+    /// Tokens that ended, by the time they were told to the client: late ones may still count at
+    /// most.
     ended: BTreeMap<String, u64>,
     /// Turns asked for and not yet answered.
     asked: BTreeMap<String, String>,
@@ -111,7 +116,8 @@
 impl Town {
     fn new(seed: u64, stores: usize, fronts: usize, lost: usize) -> Arc<Town> {
         let sim = Sim::new(seed, 500);
-        let names = |tag: &str, n: usize| -> Vec<String> { (1..=n).map(|i| format!("{tag}{i}")).collect() };
+        let names =
+            |tag: &str, n: usize| -> Vec<String> { (1..=n).map(|i| format!("{tag}{i}")).collect() };
         let (s, f) = (names("store", stores), names("front", fronts));
         s.iter().chain(&f).enumerate().for_each(|(i, n)| {
             sim.machine(n, &format!("z{}", i % 4), addr(i).ip());
@@ -132,7 +138,13 @@
         });
         t.stores.iter().chain(&t.fronts).for_each(|n| t.boot(n));
         t.pass(2000);
-        let (mut l, mut sites) = (Layout { change_started: 1, ..Default::default() }, BTreeMap::new());
+        let (mut l, mut sites) = (
+            Layout {
+                change_started: 1,
+                ..Default::default()
+            },
+            BTreeMap::new(),
+        );
         for n in &t.stores {
             let x = t.node(n).unwrap_or_else(|| panic!("{n} did not start"));
             l.store.current.push(x.disk.clone());
@@ -150,14 +162,19 @@
     }
 
     fn client(&self, f: usize) -> Arc<TurnLogClient> {
-        self.node(&self.fronts[f % self.fronts.len()]).and_then(|n| n.client).expect("a front that runs")
+        self.node(&self.fronts[f % self.fronts.len()])
+            .and_then(|n| n.client)
+            .expect("a front that runs")
     }
 
     fn decide(&self, l: Layout) {
         let mut g = self.lay.lock().unwrap();
         *g = (g.0 + 1, l);
         self.past.lock().unwrap().insert(g.0, g.1.clone());
-        self.sim.note(&format!("layout {}: {:?} from {:?}", g.0, g.1.store.current, g.1.store.previous));
+        self.sim.note(&format!(
+            "layout {}: {:?} from {:?}",
+            g.0, g.1.store.current, g.1.store.previous
+        ));
     }
 
     fn boot(self: &Arc<Self>, name: &str) {
@@ -178,28 +195,60 @@
             threads: 1,
             wire: WIRE_VERSION,
             found: false,
-            bounds: Bounds { lost: self.lost, ..Default::default() },
+            bounds: Bounds {
+                lost: self.lost,
+                ..Default::default()
+            },
         };
         let had = self.had.lock().unwrap().get(&name).cloned();
         let past = had.and_then(|s| self.past.lock().unwrap().get(&s).cloned().map(|l| (s, l)));
         w.clone().spawn(async move {
-            let vault = if store { DurableStorage::open(&w).await.ok() } else { None };
-            let disk = vault.as_ref().map(|v| v.disk_id.clone()).unwrap_or_default();
+            let vault = if store {
+                DurableStorage::open(&w).await.ok()
+            } else {
+                None
+            };
+            let disk = vault
+                .as_ref()
+                .map(|v| v.disk_id.clone())
+                .unwrap_or_default();
             let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
             let members = Membership::new(&w, &st, &peers, &disk);
             let book = DocumentCache::new(&w);
             past.into_iter().for_each(|(s, l)| {
-                book.apply("layout", s, Ballot::default(), serde_json::to_vec(&l).unwrap());
+                book.apply(
+                    "layout",
+                    s,
+                    Ballot::default(),
+                    serde_json::to_vec(&l).unwrap(),
+                );
             });
             let engine = match &vault {
                 Some(v) => Engine::start(&w, &st, &members, &book, v).await.ok(),
                 None => None,
             };
             let client = (!store).then(|| Arc::new(TurnLogClient::new(&members, &book, &st)));
-            let Ok(door) = w.bind(st.peer).await else { return };
-            w.spawn(peers.clone().serve(door, Arc::new(Ear { members: members.clone(), engine: engine.clone() })));
+            let Ok(door) = w.bind(st.peer).await else {
+                return;
+            };
+            w.spawn(peers.clone().serve(
+                door,
+                Arc::new(Ear {
+                    members: members.clone(),
+                    engine: engine.clone(),
+                }),
+            ));
             w.spawn(members.clone().run());
-            me.nodes.lock().unwrap().insert(name, Node { w, book, disk, engine, client });
+            me.nodes.lock().unwrap().insert(
+                name,
+                Node {
+                    w,
+                    book,
+                    disk,
+                    engine,
+                    client,
+                },
+            );
         });
     }
 
@@ -217,7 +266,13 @@
 
     fn cut(&self, n: &str) {
         let m = self.sim.find(n);
-        let all: Vec<usize> = self.stores.iter().chain(&self.fronts).map(|x| self.sim.find(x)).filter(|x| *x != m).collect();
+        let all: Vec<usize> = self
+            .stores
+            .iter()
+            .chain(&self.fronts)
+            .map(|x| self.sim.find(x))
+            .filter(|x| *x != m)
+            .collect();
         self.sim.split(&[m], &all);
         self.apart.lock().unwrap().insert(n.into());
     }
@@ -225,12 +280,28 @@
     /// Only half of the fronts see this store, and they see no other.
     fn side(&self, n: &str) {
         let m = self.sim.find(n);
-        let half: Vec<usize> = self.fronts.iter().skip(1).step_by(2).map(|f| self.sim.find(f)).collect();
-        let rest: Vec<usize> =
-            self.stores.iter().chain(&self.fronts).map(|x| self.sim.find(x)).filter(|x| *x != m && !half.contains(x)).collect();
+        let half: Vec<usize> = self
+            .fronts
+            .iter()
+            .skip(1)
+            .step_by(2)
+            .map(|f| self.sim.find(f))
+            .collect();
+        let rest: Vec<usize> = self
+            .stores
+            .iter()
+            .chain(&self.fronts)
+            .map(|x| self.sim.find(x))
+            .filter(|x| *x != m && !half.contains(x))
+            .collect();
         self.sim.split(&[m], &rest);
         self.sim.split(&half, &rest);
-        self.fronts.iter().skip(1).step_by(2).chain([&n.to_string()]).for_each(|x| _ = self.apart.lock().unwrap().insert(x.clone()));
+        self.fronts
+            .iter()
+            .skip(1)
+            .step_by(2)
+            .chain([&n.to_string()])
+            .for_each(|x| _ = self.apart.lock().unwrap().insert(x.clone()));
     }
 
     fn freeze(&self, n: &str) {
@@ -247,7 +318,8 @@
         self.apart.lock().unwrap().clear();
     }
 
-    /// Carries the layout to whoever can be reached, and finishes changes of disks as the layout duty would.
+    /// Carries the layout to whoever can be reached, and finishes changes of disks as the layout
+    /// duty would.
     fn tend(&self) {
         let nodes = self.nodes.lock().unwrap().clone();
         let apart = self.apart.lock().unwrap().clone();
@@ -258,23 +330,45 @@
         for (n, x) in nodes.iter().filter(|x| !apart.contains(x.0)) {
             // Now and then, so that some have it before others.
             if x.book.layout.load().0 < seq && self.sim.rand().is_multiple_of(4) {
-                x.book.apply("layout", seq, Ballot::default(), serde_json::to_vec(&l).unwrap());
+                x.book.apply(
+                    "layout",
+                    seq,
+                    Ballot::default(),
+                    serde_json::to_vec(&l).unwrap(),
+                );
                 self.had.lock().unwrap().insert(n.clone(), seq);
             }
         }
         if l.store.previous.is_empty() {
             let lost = self.stores.iter().find_map(|n| {
                 let x = nodes.get(n).filter(|_| !apart.contains(n))?;
-                let was = l.names.iter().find(|y| y.1 == n && l.store.current.contains(y.0))?.0.clone();
+                let was = l
+                    .names
+                    .iter()
+                    .find(|y| y.1 == n && l.store.current.contains(y.0))?
+                    .0
+                    .clone();
                 (was != x.disk).then(|| (was, x.disk.clone(), n.clone()))
             });
             if let Some((a, b, n)) = lost {
-                self.change(|g| g.iter_mut().filter(|d| **d == a).for_each(|d| *d = b.clone()), &[(b.clone(), n)]);
+                self.change(
+                    |g| {
+                        g.iter_mut()
+                            .filter(|d| **d == a)
+                            .for_each(|d| *d = b.clone())
+                    },
+                    &[(b.clone(), n)],
+                );
             }
             return;
         }
-        let done =
-            |d: &String| nodes.iter().any(|(n, x)| !apart.contains(n) && x.disk == *d && x.engine.as_ref().is_some_and(|e| e.swept(seq).0));
+        let done = |d: &String| {
+            nodes.iter().any(|(n, x)| {
+                !apart.contains(n)
+                    && x.disk == *d
+                    && x.engine.as_ref().is_some_and(|e| e.swept(seq).0)
+            })
+        };
         let k = l.store.previous.len();
         if l.store.previous.iter().filter(|d| done(d)).count() >= k - self.lost.min((k - 1) / 2) {
             let mut l = l;
@@ -305,7 +399,13 @@
 
     fn settled(&self) -> bool {
         let l = self.lay.lock().unwrap().clone();
-        l.1.store.previous.is_empty() && self.nodes.lock().unwrap().values().all(|x| x.book.layout.load().0 == l.0)
+        l.1.store.previous.is_empty()
+            && self
+                .nodes
+                .lock()
+                .unwrap()
+                .values()
+                .all(|x| x.book.layout.load().0 == l.0)
     }
 
     /// Waits until no change of disks is under way.
@@ -332,7 +432,9 @@
 
     fn open(&self, program: &str, turn: &str, max: u64) {
         let mut j = self.judge.lock().unwrap();
-        let Some((b, m)) = j.spend.get_mut(program) else { return };
+        let Some((b, m)) = j.spend.get_mut(program) else {
+            return;
+        };
         m.insert(turn.into(), max);
         let (b, sum) = (*b, m.values().sum::<u64>());
         if sum > b {
@@ -343,7 +445,9 @@
     fn end(&self, program: &str, turn: &str, used: u64) {
         let t = self.sim.now();
         let mut j = self.judge.lock().unwrap();
-        j.spend.get_mut(program).map(|x| x.1.insert(turn.into(), used));
+        j.spend
+            .get_mut(program)
+            .map(|x| x.1.insert(turn.into(), used));
         j.ended.insert(turn.into(), t);
     }
 
@@ -354,7 +458,12 @@
         // Its client lives outside: a driver that no fault touches.
         let w = self.node(&self.fronts[0]).expect("a front").w;
         if let Some(b) = p.budget {
-            self.judge.lock().unwrap().spend.entry(p.program.clone()).or_insert((b, BTreeMap::new()));
+            self.judge
+                .lock()
+                .unwrap()
+                .spend
+                .entry(p.program.clone())
+                .or_insert((b, BTreeMap::new()));
         }
         w.clone().spawn(async move {
             let (mut prev, mut done, mut tries) = (p.from.clone(), 0, 0);
@@ -370,7 +479,11 @@
                     budget: p.budget,
                 };
                 let t0 = w.now();
-                me.judge.lock().unwrap().asked.insert(id.clone(), p.program.clone());
+                me.judge
+                    .lock()
+                    .unwrap()
+                    .asked
+                    .insert(id.clone(), p.program.clone());
                 let r = c.open(o.clone(), t0 + p.patience).await;
                 me.judge.lock().unwrap().asked.remove(&id);
                 match r {
@@ -381,7 +494,11 @@
                         j.waits.push(w.now() - t0);
                         let got: Vec<Turn> = x.chain.iter().map(|t| (**t).clone()).collect();
                         if got != j.chain(&prev) {
-                            let s = format!("{id} after {prev}: chain of {} for {}", got.len(), j.chain(&prev).len());
+                            let s = format!(
+                                "{id} after {prev}: chain of {} for {}",
+                                got.len(),
+                                j.chain(&prev).len()
+                            );
                             j.bad(s);
                         }
                     }
@@ -405,7 +522,13 @@
                     retain_ms: 600_000,
                 };
                 let session = p.program.clone();
-                me.judge.lock().unwrap().turns.insert(id.clone(), Kept { turn: t.clone(), session });
+                me.judge.lock().unwrap().turns.insert(
+                    id.clone(),
+                    Kept {
+                        turn: t.clone(),
+                        session,
+                    },
+                );
                 match w.random_index(10) {
                     0 if p.settles => {
                         me.end(&p.program, &id, used);
@@ -414,7 +537,8 @@
                     // Neither: a front that crashed.
                     1 if p.settles => {}
                     _ => {
-                        // All that it puts out is out: what it leaves of its most may be given to others from here on.
+                        // All that it puts out is out: what it leaves of its most may be given to
+                        // others from here on.
                         me.end(&p.program, &id, used);
                         let r = c.finish(o, t, used, w.now() + 3 * SEC).await;
                         if r.is_ok() {
@@ -438,7 +562,9 @@
         let sum = asked
             + j.spend.get(&p.program).map_or(0, |x| {
                 let late = |id: &String| j.ended.get(id).is_none_or(|t| now < t + SEC);
-                x.1.iter().map(|(id, n)| if late(id) { p.max.max(*n) } else { *n }).sum::<u64>()
+                x.1.iter()
+                    .map(|(id, n)| if late(id) { p.max.max(*n) } else { *n })
+                    .sum::<u64>()
             });
         match e {
             OpenTurnError::BudgetSpent => {
@@ -475,7 +601,11 @@
                 let turn = me.id("read");
                 let mut r = Err(OpenTurnError::Unavailable);
                 for _ in 0..5 {
-                    let o = OpenTurn { turn: turn.clone(), prev: id.clone(), ..Default::default() };
+                    let o = OpenTurn {
+                        turn: turn.clone(),
+                        prev: id.clone(),
+                        ..Default::default()
+                    };
                     r = c.open(o, w.now() + 2 * SEC).await;
                     if r != Err(OpenTurnError::Unavailable) {
                         break;
@@ -501,12 +631,20 @@
     }
 
     fn syncs(&self) -> u64 {
-        self.stores.iter().map(|n| self.sim.disk(self.sim.find(n), |d| d.syncs)).sum()
+        self.stores
+            .iter()
+            .map(|n| self.sim.disk(self.sim.find(n), |d| d.syncs))
+            .sum()
     }
 
     fn verdict(&self, what: &str) {
         let j = self.judge.lock().unwrap();
-        let held = j.turns.values().map(|k| &k.session).collect::<BTreeSet<_>>().len();
+        let held = j
+            .turns
+            .values()
+            .map(|k| &k.session)
+            .collect::<BTreeSet<_>>()
+            .len();
         println!(
             "{what}: {} opened, {} kept, {} away, {} spent, {held} programs, {} wrong",
             j.opened,
@@ -516,9 +654,16 @@
             j.wrong.len()
         );
         if std::env::var("TRACE").is_ok() {
-            self.sim.log().iter().for_each(|(t, n, l)| println!("{:>9} {n}: {l}", t / MS));
+            self.sim
+                .log()
+                .iter()
+                .for_each(|(t, n, l)| println!("{:>9} {n}: {l}", t / MS));
         }
-        assert!(j.wrong.is_empty(), "{what}: {:#?}", &j.wrong[..j.wrong.len().min(12)]);
+        assert!(
+            j.wrong.is_empty(),
+            "{what}: {:#?}",
+            &j.wrong[..j.wrong.len().min(12)]
+        );
     }
 }
 
@@ -563,7 +708,12 @@
 fn a_chain_is_kept_and_handed_on() {
     let t = Town::new(1, 4, 3, 1);
     (0..10).for_each(|i| t.session(Plan::of(&format!("p{i}"))));
-    (0..3).for_each(|_| t.session(Plan { budget: None, ..Plan::of("") }));
+    (0..3).for_each(|_| {
+        t.session(Plan {
+            budget: None,
+            ..Plan::of("")
+        })
+    });
     t.finish(20_000);
     assert_eq!(t.judge.lock().unwrap().acked.len(), 13 * 6);
     assert_eq!(t.read_back(), 78);
@@ -584,10 +734,20 @@
     All,
 }
 
-const FAULTS: [Fault; 8] = [Fault::Stall, Fault::Kill, Fault::Power, Fault::Freeze, Fault::Cut, Fault::Wipe, Fault::Side, Fault::All];
+const FAULTS: [Fault; 8] = [
+    Fault::Stall,
+    Fault::Kill,
+    Fault::Power,
+    Fault::Freeze,
+    Fault::Cut,
+    Fault::Wipe,
+    Fault::Side,
+    Fault::All,
+];
 
 impl Town {
-    /// Loses as many stores as may be lost, each in its own way, and brings them back whole before it ends.
+    /// Loses as many stores as may be lost, each in its own way, and brings them back whole before
+    /// it ends.
     fn suffer(self: &Arc<Self>, kinds: &[Fault]) {
         let r = |n: u64| self.sim.rand() % n;
         let kind = kinds[r(kinds.len() as u64) as usize];
@@ -597,7 +757,9 @@
             self.stores.iter().for_each(|n| self.boot(n));
         } else {
             let mut left = self.stores.clone();
-            let hit: Vec<String> = (0..self.lost).map(|_| left.swap_remove(r(left.len() as u64) as usize)).collect();
+            let hit: Vec<String> = (0..self.lost)
+                .map(|_| left.swap_remove(r(left.len() as u64) as usize))
+                .collect();
             for n in &hit {
                 match kind {
                     Fault::Side => self.side(n),
@@ -612,18 +774,35 @@
             }
             self.pass(300 + r(4000));
             self.calm();
-            hit.iter().filter(|n| !self.sim.up(self.sim.find(n))).for_each(|n| self.boot(n));
+            hit.iter()
+                .filter(|n| !self.sim.up(self.sim.find(n)))
+                .for_each(|n| self.boot(n));
         }
         self.pass(1500);
-        assert!(self.until_settled(20_000), "{kind:?}: the disks are not whole again");
+        assert!(
+            self.until_settled(20_000),
+            "{kind:?}: the disks are not whole again"
+        );
         self.pass(300);
     }
 }
 
-fn storm(seed: u64, stores: usize, lost: usize, rounds: usize, kinds: &[Fault], plans: &[Plan]) -> Arc<Town> {
+fn storm(
+    seed: u64,
+    stores: usize,
+    lost: usize,
+    rounds: usize,
+    kinds: &[Fault],
+    plans: &[Plan],
+) -> Arc<Town> {
     let t = Town::new(seed, stores, 4, lost);
     if seed % 2 == 1 {
-        t.sim.weather(Weather { lose: 5, twice: 20, late: 20, jitter: 2 * MS });
+        t.sim.weather(Weather {
+            lose: 5,
+            twice: 20,
+            late: 20,
+            jitter: 2 * MS,
+        });
     }
     plans.iter().for_each(|p| t.session(p.clone()));
     t.pass(500);
@@ -638,11 +817,24 @@
 /// These seeds, or those named as `SEEDS=FIRST..LAST`.
 fn seeds(d: std::ops::Range<u64>) -> std::ops::Range<u64> {
     let v = std::env::var("SEEDS").ok();
-    v.and_then(|s| s.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?))).unwrap_or(d)
+    v.and_then(|s| {
+        s.split_once("..")
+            .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?))
+    })
+    .unwrap_or(d)
 }
 
 fn shared(budget: u64, n: usize) -> Vec<Plan> {
-    (0..n).map(|_| Plan { budget: Some(budget), turns: 400, pause: 150 * MS, settles: true, strict: false, ..Plan::of("one") }).collect()
+    (0..n)
+        .map(|_| Plan {
+            budget: Some(budget),
+            turns: 400,
+            pause: 150 * MS,
+            settles: true,
+            strict: false,
+            ..Plan::of("one")
+        })
+        .collect()
 }
 
 #[test]
@@ -652,7 +844,10 @@
         let j = t.judge.lock().unwrap();
         let sum: u64 = j.spend["one"].1.values().sum();
         println!("seed {seed}: {sum} of 8000 put out");
-        assert!(sum > 7_600, "seed {seed}: refused at {sum}: what turns left of their most is not counted back");
+        assert!(
+            sum > 7_600,
+            "seed {seed}: refused at {sum}: what turns left of their most is not counted back"
+        );
     }
     storm(120, 9, 2, 3, &FAULTS, &shared(8_000, 12));
 }
@@ -661,7 +856,14 @@
 fn a_refusal_for_the_budget_is_right_while_nothing_is_lost() {
     let t = Town::new(2, 4, 4, 1);
     for i in 0..6 {
-        (0..4).for_each(|_| t.session(Plan { budget: Some(400), turns: 60, pause: 1200 * MS, ..Plan::of(&format!("p{i}")) }));
+        (0..4).for_each(|_| {
+            t.session(Plan {
+                budget: Some(400),
+                turns: 60,
+                pause: 1200 * MS,
+                ..Plan::of(&format!("p{i}"))
+            })
+        });
     }
     t.finish(200_000);
     t.verdict("refusals");
@@ -671,7 +873,12 @@
 #[test]
 fn what_was_kept_comes_back_whole_whatever_is_lost() {
     let plans: Vec<Plan> = (0..12)
-        .map(|i| Plan { turns: 40, pause: 300 * MS, budget: (i % 3 > 0).then_some(100_000), ..Plan::of(&format!("p{i}")) })
+        .map(|i| Plan {
+            turns: 40,
+            pause: 300 * MS,
+            budget: (i % 3 > 0).then_some(100_000),
+            ..Plan::of(&format!("p{i}"))
+        })
         .collect();
     for seed in seeds(200..212) {
         storm(seed, 4, 1, 4, &FAULTS, &plans);
@@ -682,7 +889,12 @@
 
 #[test]
 fn one_disk_after_the_other_may_be_lost() {
-    let plans: Vec<Plan> = (0..10).map(|i| Plan { turns: 25, ..Plan::of(&format!("p{i}")) }).collect();
+    let plans: Vec<Plan> = (0..10)
+        .map(|i| Plan {
+            turns: 25,
+            ..Plan::of(&format!("p{i}"))
+        })
+        .collect();
     for seed in 300..304 {
         let t = Town::new(seed, 4, 4, 1);
         plans.iter().for_each(|p| t.session(p.clone()));
@@ -694,7 +906,10 @@
             let t0 = t.sim.now();
             t.pass(1000);
             assert!(t.until_settled(10_000), "seed {seed}: {n} is not filled");
-            println!("{n} filled {} ms after it came back", (t.sim.now() - t0) / MS);
+            println!(
+                "{n} filled {} ms after it came back",
+                (t.sim.now() - t0) / MS
+            );
         }
         t.stores.iter().for_each(|n| t.kill(n, true));
         t.stores.iter().for_each(|n| t.boot(n));
@@ -707,7 +922,15 @@
 fn told(t: &Arc<Town>, n: &str, disk: &str, lay: u64, what: TurnLogOperation) -> TurnLogResponse {
     let x = t.node(n).expect("a store that runs");
     let got: Arc<Mutex<Option<TurnLogResponse>>> = Arc::default();
-    let (g, a) = (got.clone(), encode(&TurnLogRequest { layout_version: lay, disk: disk.into(), timeout_us: SEC, operation: what }));
+    let (g, a) = (
+        got.clone(),
+        encode(&TurnLogRequest {
+            layout_version: lay,
+            disk: disk.into(),
+            timeout_us: SEC,
+            operation: what,
+        }),
+    );
     x.w.spawn(async move {
         let b = x.engine.unwrap().handle(a).await;
         *g.lock().unwrap() = decode(&b);
@@ -731,51 +954,122 @@
     let (open, done) = (("a", LedgerEntry::Open(5)), ("a", LedgerEntry::Done(2)));
     let e = |n| Ballot { n, by: 7 };
     assert_eq!(
-        ask(TurnLogOperation::AppendEntries { ledger: ledger(1, &[open]) }),
+        ask(TurnLogOperation::AppendEntries {
+            ledger: ledger(1, &[open])
+        }),
         TurnLogResponse::StaleEpoch(Ballot::default()),
         "nothing was promised"
     );
     assert_eq!(
-        ask(TurnLogOperation::AcquireLedger { ledger: ledger(3, &[open]) }),
+        ask(TurnLogOperation::AcquireLedger {
+            ledger: ledger(3, &[open])
+        }),
         TurnLogResponse::LedgerAcquired(vec![("a".into(), LedgerEntry::Open(5))])
     );
-    assert_eq!(ask(TurnLogOperation::AcquireLedger { ledger: ledger(2, &[]) }), TurnLogResponse::StaleEpoch(e(3)), "a promise goes back");
-    assert_eq!(ask(TurnLogOperation::AppendEntries { ledger: ledger(2, &[]) }), TurnLogResponse::StaleEpoch(e(3)));
     assert_eq!(
-        ask(TurnLogOperation::AppendEntries { ledger: ledger(4, &[]) }),
+        ask(TurnLogOperation::AcquireLedger {
+            ledger: ledger(2, &[])
+        }),
+        TurnLogResponse::StaleEpoch(e(3)),
+        "a promise goes back"
+    );
+    assert_eq!(
+        ask(TurnLogOperation::AppendEntries {
+            ledger: ledger(2, &[])
+        }),
+        TurnLogResponse::StaleEpoch(e(3))
+    );
+    assert_eq!(
+        ask(TurnLogOperation::AppendEntries {
+            ledger: ledger(4, &[])
+        }),
         TurnLogResponse::StaleEpoch(e(3)),
         "an epoch that was never promised"
     );
-    assert_eq!(ask(TurnLogOperation::StoreTurns { rows: vec![], ledger: Some(ledger(9, &[done])) }), TurnLogResponse::Ok);
-    assert_eq!(ask(TurnLogOperation::AppendEntries { ledger: ledger(3, &[open]) }), TurnLogResponse::Ok);
     assert_eq!(
-        ask(TurnLogOperation::AcquireLedger { ledger: ledger(4, &[]) }),
+        ask(TurnLogOperation::StoreTurns {
+            rows: vec![],
+            ledger: Some(ledger(9, &[done]))
+        }),
+        TurnLogResponse::Ok
+    );
+    assert_eq!(
+        ask(TurnLogOperation::AppendEntries {
+            ledger: ledger(3, &[open])
+        }),
+        TurnLogResponse::Ok
+    );
+    assert_eq!(
+        ask(TurnLogOperation::AcquireLedger {
+            ledger: ledger(4, &[])
+        }),
         TurnLogResponse::LedgerAcquired(vec![("a".into(), LedgerEntry::Done(2))]),
         "what is done stands"
     );
     assert_eq!(
-        told(&t, "store1", "another", 1, TurnLogOperation::AcquireLedger { ledger: ledger(5, &[]) }),
+        told(
+            &t,
+            "store1",
+            "another",
+            1,
+            TurnLogOperation::AcquireLedger {
+                ledger: ledger(5, &[])
+            }
+        ),
         TurnLogResponse::Unavailable,
         "meant for another disk"
     );
     let row = |id: &str, prev: &str| {
-        let turn = Turn { id: id.into(), prev: prev.into(), retain_ms: 60_000, ..Default::default() };
-        StoredTurn { turn: Arc::new(turn), program: "p".into(), ended_at_ms: 1_790_000_000_000 }
+        let turn = Turn {
+            id: id.into(),
+            prev: prev.into(),
+            retain_ms: 60_000,
+            ..Default::default()
+        };
+        StoredTurn {
+            turn: Arc::new(turn),
+            program: "p".into(),
+            ended_at_ms: 1_790_000_000_000,
+        }
     };
-    assert_eq!(ask(TurnLogOperation::StoreTurns { rows: vec![row("y", "x")], ledger: None }), TurnLogResponse::MissingParent("x".into()));
-    assert_eq!(ask(TurnLogOperation::FindHistory { id: "y".into() }), TurnLogResponse::NotStored, "what was refused is not kept");
-    assert_eq!(ask(TurnLogOperation::StoreTurns { rows: vec![row("x", ""), row("y", "x")], ledger: None }), TurnLogResponse::Ok);
-    assert_eq!(ask(TurnLogOperation::FindHistory { id: "y".into() }), TurnLogResponse::History(vec![row("y", "x"), row("x", "")]));
+    assert_eq!(
+        ask(TurnLogOperation::StoreTurns {
+            rows: vec![row("y", "x")],
+            ledger: None
+        }),
+        TurnLogResponse::MissingParent("x".into())
+    );
+    assert_eq!(
+        ask(TurnLogOperation::FindHistory { id: "y".into() }),
+        TurnLogResponse::NotStored,
+        "what was refused is not kept"
+    );
+    assert_eq!(
+        ask(TurnLogOperation::StoreTurns {
+            rows: vec![row("x", ""), row("y", "x")],
+            ledger: None
+        }),
+        TurnLogResponse::Ok
+    );
+    assert_eq!(
+        ask(TurnLogOperation::FindHistory { id: "y".into() }),
+        TurnLogResponse::History(vec![row("y", "x"), row("x", "")])
+    );
     t.kill("store1", true);
     t.boot("store1");
     t.pass(500);
     let ask = |what| told(&t, "store1", &d, 1, what);
     assert_eq!(
-        ask(TurnLogOperation::AppendEntries { ledger: ledger(3, &[]) }),
+        ask(TurnLogOperation::AppendEntries {
+            ledger: ledger(3, &[])
+        }),
         TurnLogResponse::StaleEpoch(e(4)),
         "a promise outlasts the power"
     );
-    assert_eq!(ask(TurnLogOperation::FindHistory { id: "y".into() }), TurnLogResponse::History(vec![row("y", "x"), row("x", "")]));
+    assert_eq!(
+        ask(TurnLogOperation::FindHistory { id: "y".into() }),
+        TurnLogResponse::History(vec![row("y", "x"), row("x", "")])
+    );
     t.change(|_| (), &[]);
     assert!(t.until_settled(5_000));
     assert_eq!(
@@ -787,9 +1081,22 @@
 
 #[test]
 fn an_owner_that_falls_silent_holds_a_turn_up_for_half_a_second() {
-    for (seed, f) in [(700, Fault::Freeze), (701, Fault::Power), (702, Fault::Cut), (703, Fault::Stall), (704, Fault::Kill)] {
+    for (seed, f) in [
+        (700, Fault::Freeze),
+        (701, Fault::Power),
+        (702, Fault::Cut),
+        (703, Fault::Stall),
+        (704, Fault::Kill),
+    ] {
         let t = Town::new(seed, 4, 4, 1);
-        (0..20).for_each(|i| t.session(Plan { turns: 40, pause: 60 * MS, patience: SEC, ..Plan::of(&format!("p{i}")) }));
+        (0..20).for_each(|i| {
+            t.session(Plan {
+                turns: 40,
+                pause: 60 * MS,
+                patience: SEC,
+                ..Plan::of(&format!("p{i}"))
+            })
+        });
         t.pass(1_000);
         t.judge.lock().unwrap().waits.clear();
         match f {
@@ -818,15 +1125,27 @@
     for seed in 800..803 {
         let t = Town::new(seed, 4, 3, 1);
         for round in 0..3 {
-            (0..30).for_each(|i| t.session(Plan { turns: 30, run: MS, pause: MS, budget: None, ..Plan::of(&format!("p{round}-{i}")) }));
-            t.sim.run(t.sim.now() + 20 * MS + t.sim.rand() % (40 * MS), || false);
+            (0..30).for_each(|i| {
+                t.session(Plan {
+                    turns: 30,
+                    run: MS,
+                    pause: MS,
+                    budget: None,
+                    ..Plan::of(&format!("p{round}-{i}"))
+                })
+            });
+            t.sim
+                .run(t.sim.now() + 20 * MS + t.sim.rand() % (40 * MS), || false);
             t.stores.iter().for_each(|n| t.kill(n, true));
             t.pass(200);
             t.stores.iter().for_each(|n| t.boot(n));
             t.pass(1_000);
             for n in &t.stores {
                 let e = t.node(n).and_then(|x| x.engine).unwrap();
-                assert!(!e.doubt.load(SeqCst), "seed {seed}, round {round}: {n} takes a torn end for damage");
+                assert!(
+                    !e.doubt.load(SeqCst),
+                    "seed {seed}, round {round}: {n} takes a torn end for damage"
+                );
                 torn += e.figures()["torn"];
             }
         }
@@ -864,12 +1183,21 @@
         };
         let (a, b) = (some()?, some()?);
         let has = |v: &BTreeSet<&String>, d: &str| v.iter().any(|x| *x == d);
-        for g in [&l.store.current, &l.store.previous].into_iter().filter(|g| !g.is_empty()) {
+        for g in [&l.store.current, &l.store.previous]
+            .into_iter()
+            .filter(|g| !g.is_empty())
+        {
             let n = |v: &BTreeSet<&String>| g.iter().filter(|d| v.contains(d)).count();
             if s.is_write_quorum(|d| has(&a, d)) {
-                assert!(n(&a) > lost.min((g.len() - 1) / 2), "it does not outlast the losses");
+                assert!(
+                    n(&a) > lost.min((g.len() - 1) / 2),
+                    "it does not outlast the losses"
+                );
                 if s.is_read_quorum(|d| has(&b, d)) {
-                    assert!(g.iter().any(|d| a.contains(d) && b.contains(d)), "they do not meet");
+                    assert!(
+                        g.iter().any(|d| a.contains(d) && b.contains(d)),
+                        "they do not meet"
+                    );
                 }
             }
         }
@@ -889,20 +1217,47 @@
             entries: e.iter().map(|(k, e)| (k.to_string(), *e)).collect(),
             retain_ms: 100_000,
         };
-        let turn = Turn { id: "x".into(), input: Bytes::from(vec![1; 9_000]), retain_ms: 600_000, ..Default::default() };
-        let row = StoredTurn { turn: Arc::new(turn), program: "p".into(), ended_at_ms: 1_790_000_000_000 };
+        let turn = Turn {
+            id: "x".into(),
+            input: Bytes::from(vec![1; 9_000]),
+            retain_ms: 600_000,
+            ..Default::default()
+        };
+        let row = StoredTurn {
+            turn: Arc::new(turn),
+            program: "p".into(),
+            ended_at_ms: 1_790_000_000_000,
+        };
         let all = [
-            TurnLogOperation::AcquireLedger { ledger: ledger(&[("a", LedgerEntry::Open(3))]) },
-            TurnLogOperation::AppendEntries { ledger: ledger(&[("b", LedgerEntry::Open(4))]) },
-            TurnLogOperation::StoreTurns { rows: vec![row.clone()], ledger: Some(ledger(&[("a", LedgerEntry::Done(1))])) },
+            TurnLogOperation::AcquireLedger {
+                ledger: ledger(&[("a", LedgerEntry::Open(3))]),
+            },
+            TurnLogOperation::AppendEntries {
+                ledger: ledger(&[("b", LedgerEntry::Open(4))]),
+            },
+            TurnLogOperation::StoreTurns {
+                rows: vec![row.clone()],
+                ledger: Some(ledger(&[("a", LedgerEntry::Done(1))])),
+            },
         ];
         for what in all {
             let x = t.node("store1").expect("a store that runs");
             let done = Arc::new(AtomicUsize::new(0));
-            let (n, a) = (done.clone(), encode(&TurnLogRequest { layout_version: 1, disk: d.clone(), timeout_us: SEC, operation: what }));
+            let (n, a) = (
+                done.clone(),
+                encode(&TurnLogRequest {
+                    layout_version: 1,
+                    disk: d.clone(),
+                    timeout_us: SEC,
+                    operation: what,
+                }),
+            );
             x.w.spawn(async move {
                 let b = x.engine.unwrap().handle(a).await;
-                assert!(matches!(decode(&b), Some(TurnLogResponse::Ok | TurnLogResponse::LedgerAcquired(_))));
+                assert!(matches!(
+                    decode(&b),
+                    Some(TurnLogResponse::Ok | TurnLogResponse::LedgerAcquired(_))
+                ));
                 n.store(1, SeqCst);
             });
             t.sim.run(t.sim.now() + SEC, || done.load(SeqCst) > 0);
@@ -911,21 +1266,41 @@
             t.pass(300);
         }
         assert_eq!(
-            told(&t, "store1", &d, 1, TurnLogOperation::FindHistory { id: "x".into() }),
+            told(
+                &t,
+                "store1",
+                &d,
+                1,
+                TurnLogOperation::FindHistory { id: "x".into() }
+            ),
             TurnLogResponse::History(vec![row]),
             "seed {seed}"
         );
-        let TurnLogResponse::LedgerAcquired(mut v) = told(&t, "store1", &d, 1, TurnLogOperation::AcquireLedger { ledger: ledger(&[]) })
-        else {
+        let TurnLogResponse::LedgerAcquired(mut v) = told(
+            &t,
+            "store1",
+            &d,
+            1,
+            TurnLogOperation::AcquireLedger {
+                ledger: ledger(&[]),
+            },
+        ) else {
             panic!("seed {seed}: no promise")
         };
         v.sort_by(|a, b| a.0.cmp(&b.0));
-        assert_eq!(v, [("a".to_string(), LedgerEntry::Done(1)), ("b".to_string(), LedgerEntry::Open(4))], "seed {seed}");
+        assert_eq!(
+            v,
+            [
+                ("a".to_string(), LedgerEntry::Done(1)),
+                ("b".to_string(), LedgerEntry::Open(4))
+            ],
+            "seed {seed}"
+        );
     }
 }
 
-/// An owner whose promise was given by disks that have left must not count on them, even if a disk that it never heard of
-/// hears its old question late.
+/// An owner whose promise was given by disks that have left must not count on them, even if a disk
+/// that it never heard of hears its old question late.
 #[test]
 fn an_owner_asks_anew_when_its_disks_have_changed() {
     let mut seen = 0;
@@ -942,32 +1317,77 @@
                 &t.stores[n],
                 &d[n],
                 lay(),
-                TurnLogOperation::OpenTurn { program, turn, max_output_tokens: max, budget: Some(100), parent: need, take_over: take },
+                TurnLogOperation::OpenTurn {
+                    program,
+                    turn,
+                    max_output_tokens: max,
+                    budget: Some(100),
+                    parent: need,
+                    take_over: take,
+                },
             )
         };
         t.kill("store2", true);
-        assert_eq!(open(0, "a", 10, false), TurnLogResponse::Opened { rows: vec![] });
-        let promise = |n: &str| t.node(n).unwrap().engine.unwrap().st.lock().unwrap().ledgers["p"].promised;
+        assert_eq!(
+            open(0, "a", 10, false),
+            TurnLogResponse::Opened { rows: vec![] }
+        );
+        let promise = |n: &str| {
+            t.node(n)
+                .unwrap()
+                .engine
+                .unwrap()
+                .st
+                .lock()
+                .unwrap()
+                .ledgers["p"]
+                .promised
+        };
         let e = promise("store1");
         t.boot("store2");
         t.pass(3_000);
         let was = d[2].clone();
-        t.change(|g| g.iter_mut().filter(|x| **x == was).for_each(|x| *x = d[3].clone()), &[(d[3].clone(), "store4".into())]);
+        t.change(
+            |g| {
+                g.iter_mut()
+                    .filter(|x| **x == was)
+                    .for_each(|x| *x = d[3].clone())
+            },
+            &[(d[3].clone(), "store4".into())],
+        );
         assert!(t.until_settled(5_000));
         t.cut("store1");
-        assert_eq!(open(1, "b", 85, true), TurnLogResponse::Opened { rows: vec![] });
+        assert_eq!(
+            open(1, "b", 85, true),
+            TurnLogResponse::Opened { rows: vec![] }
+        );
         t.calm();
         t.pass(3_000);
         if promise("store2") >= e {
             continue;
         }
         seen += 1;
-        let late = LedgerRecord { program: "p".into(), epoch: e, entries: vec![], retain_ms: 1000 };
+        let late = LedgerRecord {
+            program: "p".into(),
+            epoch: e,
+            entries: vec![],
+            retain_ms: 1000,
+        };
         assert!(matches!(
-            told(&t, "store4", &d[3], lay(), TurnLogOperation::AcquireLedger { ledger: late }),
+            told(
+                &t,
+                "store4",
+                &d[3],
+                lay(),
+                TurnLogOperation::AcquireLedger { ledger: late }
+            ),
             TurnLogResponse::LedgerAcquired(_)
         ));
-        assert_ne!(open(0, "c", 10, true), TurnLogResponse::Opened { rows: vec![] }, "seed {seed}: 105 of 100");
+        assert_ne!(
+            open(0, "c", 10, true),
+            TurnLogResponse::Opened { rows: vec![] },
+            "seed {seed}: 105 of 100"
+        );
     }
     assert!(seen > 0);
 }
@@ -979,7 +1399,13 @@
         let n = (rate / 2) as usize;
         // Each line takes two turns a second.
         (0..n).for_each(|i| {
-            t.session(Plan { turns: 20, run: 250 * MS, pause: 243 * MS, bytes: 4_000, ..Plan::of(&format!("p{i}")) });
+            t.session(Plan {
+                turns: 20,
+                run: 250 * MS,
+                pause: 243 * MS,
+                bytes: 4_000,
+                ..Plan::of(&format!("p{i}"))
+            });
             t.pass(7);
         });
         let (s0, t0, k0) = (t.syncs(), t.sim.now(), t.judge.lock().unwrap().acked.len());
@@ -1009,7 +1435,9 @@
     }
 
     fn records(&self, n: &str) -> usize {
-        self.node(n).and_then(|x| x.engine).map_or(0, |e| e.st.lock().unwrap().turns.len())
+        self.node(n)
+            .and_then(|x| x.engine)
+            .map_or(0, |e| e.st.lock().unwrap().turns.len())
     }
 }
 
@@ -1021,21 +1449,54 @@
         let (spare, also) = (t.disk("store5"), t.disk("store6"));
         t.change(|g| g.retain(|d| *d != spare && *d != also), &[]);
         assert!(t.until_settled(5_000));
-        (0..10).for_each(|i| t.session(Plan { turns: 60, pause: 100 * MS, budget: Some(100_000), ..Plan::of(&format!("p{i}")) }));
+        (0..10).for_each(|i| {
+            t.session(Plan {
+                turns: 60,
+                pause: 100 * MS,
+                budget: Some(100_000),
+                ..Plan::of(&format!("p{i}"))
+            })
+        });
         (0..6).for_each(|_| {
-            t.session(Plan { turns: 400, pause: 150 * MS, settles: true, strict: false, budget: Some(6_000), ..Plan::of("one") })
+            t.session(Plan {
+                turns: 400,
+                pause: 150 * MS,
+                settles: true,
+                strict: false,
+                budget: Some(6_000),
+                ..Plan::of("one")
+            })
         });
         t.pass(2_000);
-        t.change(|g| g.push(spare.clone()), &[(spare.clone(), "store5".into())]);
-        assert!(t.until_settled(5_000), "seed {seed}: the added disk is not filled");
+        t.change(
+            |g| g.push(spare.clone()),
+            &[(spare.clone(), "store5".into())],
+        );
+        assert!(
+            t.until_settled(5_000),
+            "seed {seed}: the added disk is not filled"
+        );
         let gone = t.disk("store1");
         t.change(|g| g.retain(|d| *d != gone), &[]);
-        assert!(t.until_settled(5_000), "seed {seed}: the leaving disk is not emptied");
+        assert!(
+            t.until_settled(5_000),
+            "seed {seed}: the leaving disk is not emptied"
+        );
         t.wipe("store1");
         t.pass(1_000);
         let moved = t.disk("store2");
-        t.change(|g| g.iter_mut().filter(|d| **d == moved).for_each(|d| *d = also.clone()), &[(also.clone(), "store6".into())]);
-        assert!(t.until_settled(5_000), "seed {seed}: the new disk is not filled");
+        t.change(
+            |g| {
+                g.iter_mut()
+                    .filter(|d| **d == moved)
+                    .for_each(|d| *d = also.clone())
+            },
+            &[(also.clone(), "store6".into())],
+        );
+        assert!(
+            t.until_settled(5_000),
+            "seed {seed}: the new disk is not filled"
+        );
         t.wipe("store2");
         t.pass(500);
         // And only now one is lost for good.
@@ -1051,7 +1512,14 @@
 fn a_disk_is_filled_well_within_two_seconds() {
     let t = Town::new(6, 4, 3, 1);
     for i in 0..50 {
-        t.session(Plan { turns: 40, run: MS, pause: 100 * MS, bytes: 30_000, budget: Some(100_000), ..Plan::of(&format!("p{i}")) });
+        t.session(Plan {
+            turns: 40,
+            run: MS,
+            pause: 100 * MS,
+            bytes: 30_000,
+            budget: Some(100_000),
+            ..Plan::of(&format!("p{i}"))
+        });
         t.pass(1);
     }
     t.finish(120_000);
@@ -1068,7 +1536,10 @@
     let t1 = t.sim.now();
     assert!(t.until_settled(10_000));
     let (back, took) = (t.records("store2"), (t.sim.now() - t1) / MS);
-    println!("{n} turns of 30 kB: {back} back {took} ms after the layout named the disk, {} ms after it came up", (t.sim.now() - t0) / MS);
+    println!(
+        "{n} turns of 30 kB: {back} back {took} ms after the layout named the disk, {} ms after it came up",
+        (t.sim.now() - t0) / MS
+    );
     assert!(took < 2_000);
     t.kill("store1", true);
     t.pass(2000);
@@ -1080,25 +1551,55 @@
 fn a_damaged_disk_says_neither_no_nor_yes_until_it_is_mended() {
     for seed in seeds(500..506) {
         let t = Town::new(seed, 4, 4, 1);
-        (0..10).for_each(|i| t.session(Plan { turns: 20, ..Plan::of(&format!("p{i}")) }));
+        (0..10).for_each(|i| {
+            t.session(Plan {
+                turns: 20,
+                ..Plan::of(&format!("p{i}"))
+            })
+        });
         t.finish(60_000);
         let m = t.sim.find("store2");
         t.kill("store2", true);
         let hit = t.sim.disk(m, |d| d.spoil("chain/", seed * 7919));
         assert!(hit.is_some(), "nothing to damage");
         // Alone it cannot be mended, and answers for nothing that it does not hold.
-        let others: Vec<String> = t.stores.iter().filter(|n| *n != "store2").cloned().collect();
+        let others: Vec<String> = t
+            .stores
+            .iter()
+            .filter(|n| *n != "store2")
+            .cloned()
+            .collect();
         others.iter().for_each(|n| t.kill(n, true));
         t.boot("store2");
         t.pass(300);
         let d = t.disk("store2");
         assert_eq!(
-            told(&t, "store2", &d, 1, TurnLogOperation::FindHistory { id: "never".into() }),
+            told(
+                &t,
+                "store2",
+                &d,
+                1,
+                TurnLogOperation::FindHistory { id: "never".into() }
+            ),
+            TurnLogResponse::Unavailable,
+            "seed {seed}"
+        );
+        let ledger = LedgerRecord {
+            program: "p0".into(),
+            epoch: Ballot { n: 99, by: 1 },
+            ..Default::default()
+        };
+        assert_eq!(
+            told(
+                &t,
+                "store2",
+                &d,
+                1,
+                TurnLogOperation::AcquireLedger { ledger }
+            ),
             TurnLogResponse::Unavailable,
             "seed {seed}"
         );
-        let ledger = LedgerRecord { program: "p0".into(), epoch: Ballot { n: 99, by: 1 }, ..Default::default() };
-        assert_eq!(told(&t, "store2", &d, 1, TurnLogOperation::AcquireLedger { ledger }), TurnLogResponse::Unavailable, "seed {seed}");
         others.iter().for_each(|n| t.boot(n));
         t.pass(3_000);
         let e = t.node("store2").and_then(|x| x.engine).unwrap();
@@ -1107,7 +1608,10 @@
         t.pass(2_000);
         t.read_back();
         t.verdict(&format!("seed {seed}"));
-        assert!(t.sim.log().iter().any(|l| l.2.contains("damaged segment")), "seed {seed}: the damage went unseen");
+        assert!(
+            t.sim.log().iter().any(|l| l.2.contains("damaged segment")),
+            "seed {seed}: the damage went unseen"
+        );
     }
 }
 
@@ -1127,49 +1631,96 @@
             retain_ms: keep,
             ..Default::default()
         };
-        let o = |id: &str, prev: &str| OpenTurn { turn: id.into(), prev: prev.into(), ..Default::default() };
+        let o = |id: &str, prev: &str| OpenTurn {
+            turn: id.into(),
+            prev: prev.into(),
+            ..Default::default()
+        };
         let end = w.now() + 2 * SEC;
         // Alone, and followed by one that is kept longer.
-        for (id, prev, keep) in [("alone", "", 5_000), ("first", "", 5_000), ("second", "first", 200_000)] {
+        for (id, prev, keep) in [
+            ("alone", "", 5_000),
+            ("first", "", 5_000),
+            ("second", "first", 200_000),
+        ] {
             c.open(o(id, prev), end).await.unwrap();
-            c.finish(o(id, prev), turn(id, prev, keep), 0, end).await.unwrap();
+            c.finish(o(id, prev), turn(id, prev, keep), 0, end)
+                .await
+                .unwrap();
         }
         w.sleep(100 * SEC).await;
         for id in ["alone", "first", "second", "never"] {
-            let r = me.client(2).open(o(&me.id("r"), id), w.now() + 2 * SEC).await;
-            s.lock().unwrap().push((id.into(), r.map(|x| x.chain.len().to_string()).unwrap_or_else(|e| format!("{e:?}"))));
+            let r = me
+                .client(2)
+                .open(o(&me.id("r"), id), w.now() + 2 * SEC)
+                .await;
+            s.lock().unwrap().push((
+                id.into(),
+                r.map(|x| x.chain.len().to_string())
+                    .unwrap_or_else(|e| format!("{e:?}")),
+            ));
         }
     });
     t.pass(110_000);
     let v = seen.lock().unwrap().clone();
-    let want = [("alone", "Unknown"), ("first", "1"), ("second", "2"), ("never", "Unknown")];
+    let want = [
+        ("alone", "Unknown"),
+        ("first", "1"),
+        ("second", "2"),
+        ("never", "Unknown"),
+    ];
     assert_eq!(v, want.map(|(a, b)| (a.to_string(), b.to_string())));
 }
 
 #[test]
 fn the_log_does_not_grow_beyond_what_lives() {
     let t = Town::new(8, 4, 3, 1);
-    // 250 MB in all, each kept for ten minutes by its word, so only the clock can end it: here none may be lost.
+    // 250 MB in all, each kept for ten minutes by its word, so only the clock can end it: here none
+    // may be lost.
     for i in 0..50 {
-        t.session(Plan { turns: 25, run: MS, pause: 20 * MS, bytes: 20_000, budget: None, ..Plan::of(&format!("p{i}")) });
+        t.session(Plan {
+            turns: 25,
+            run: MS,
+            pause: 20 * MS,
+            bytes: 20_000,
+            budget: None,
+            ..Plan::of(&format!("p{i}"))
+        });
     }
     t.finish(60_000);
     t.pass(5_000);
-    let logs: u64 = t.stores.iter().map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/"))).sum();
+    let logs: u64 = t
+        .stores
+        .iter()
+        .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/")))
+        .sum();
     println!("{logs} bytes of log for {}", 2 * 50 * 25 * 20_000);
     assert!(logs < 3 * 50 * 25 * 20_000 + 4 * (SEGMENT_SLACK + SEGMENT));
     t.pass(680_000);
-    let logs: u64 = t.stores.iter().map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/"))).sum();
+    let logs: u64 = t
+        .stores
+        .iter()
+        .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/")))
+        .sum();
     println!("{logs} bytes of log when all is over");
     assert!(logs < 4 * 2 * SEGMENT);
 }
 
-/// What a program's budget let through when all its turns are asked for at once while every store starts anew.
+/// What a program's budget let through when all its turns are asked for at once while every store
+/// starts anew.
 fn rush(seed: u64) -> Arc<Town> {
     let t = Town::new(seed, 9, 4, 2);
     t.stores.iter().for_each(|n| t.kill(n, false));
     t.pass(700);
-    let at_once = Plan { turns: 3, max: 135, budget: Some(270), run: 800 * MS, pause: 20 * MS, strict: false, ..Plan::of("rush") };
+    let at_once = Plan {
+        turns: 3,
+        max: 135,
+        budget: Some(270),
+        run: 800 * MS,
+        pause: 20 * MS,
+        strict: false,
+        ..Plan::of("rush")
+    };
     (0..30).for_each(|_| t.session(at_once.clone()));
     t.stores.iter().for_each(|n| t.boot(n));
     t.finish(60_000);
@@ -1184,16 +1735,32 @@
 #[test]
 fn a_budget_long_at_rest_outlives_the_segments_of_the_log() {
     let t = Town::new(9, 4, 3, 1);
-    let one = Plan { turns: 5, max: 20, budget: Some(100), ..Plan::of("rest") };
+    let one = Plan {
+        turns: 5,
+        max: 20,
+        budget: Some(100),
+        ..Plan::of("rest")
+    };
     t.session(one.clone());
     t.finish(20_000);
     for i in 0..50 {
-        let p = Plan { turns: 25, run: MS, pause: 20 * MS, bytes: 20_000, budget: None, ..Plan::of(&format!("p{i}")) };
+        let p = Plan {
+            turns: 25,
+            run: MS,
+            pause: 20 * MS,
+            bytes: 20_000,
+            budget: None,
+            ..Plan::of(&format!("p{i}"))
+        };
         t.session(p);
     }
     t.finish(60_000);
     t.pass(30_000);
-    let held = |n: &str| t.node(n).and_then(|x| x.engine).is_some_and(|e| e.st.lock().unwrap().ledgers.contains_key("rest"));
+    let held = |n: &str| {
+        t.node(n)
+            .and_then(|x| x.engine)
+            .is_some_and(|e| e.st.lock().unwrap().ledgers.contains_key("rest"))
+    };
     let before: Vec<String> = t.stores.iter().filter(|n| held(n)).cloned().collect();
     assert!(before.len() >= 2);
     t.stores.iter().for_each(|n| t.kill(n, true));
--- a/yewcross-testkit/tests/charges.rs
+++ b/yewcross-testkit/tests/charges.rs
@@ -9,7 +9,13 @@
 
 /// Founded and left alone for ten seconds: what each role's first machine was charged, us.
 fn idle(c: Costs) -> Vec<u64> {
-    let lab = Lab::of(7, "small", |s| s.charges = Charges { front: c, core: c, store: c });
+    let lab = Lab::of(7, "small", |s| {
+        s.charges = Charges {
+            front: c,
+            core: c,
+            store: c,
+        }
+    });
     lab.boot("platform");
     lab.sh.nodes.iter().for_each(|n| lab.boot(&n.name));
     let me = lab.clone();
@@ -28,7 +34,12 @@
 
 #[test]
 fn an_idle_machine_is_charged_by_its_wakes() {
-    let v = idle(Costs { share: 100, wake: 1, byte: 0, sync: 0 });
+    let v = idle(Costs {
+        share: 100,
+        wake: 1,
+        byte: 0,
+        sync: 0,
+    });
     println!("tasks woken over 10 s at rest: front, core, store: {v:?}");
     assert!(v.iter().all(|n| *n > 0));
     let free = idle(Costs::default());
@@ -39,7 +50,10 @@
 fn done(charges: Charges, sessions: usize) -> (usize, u64) {
     let lab = Lab::of(11, "metered", |s| {
         s.charges = charges;
-        s.backs.iter_mut().filter(|b| b.model).for_each(|b| (b.slots, b.per_k, b.per_out) = (1000, 10, 10));
+        s.backs
+            .iter_mut()
+            .filter(|b| b.model)
+            .for_each(|b| (b.slots, b.per_k, b.per_out) = (1000, 10, 10));
     });
     lab.boot("platform");
     lab.sh.backs.iter().for_each(|b| lab.boot(&b.server));
@@ -51,12 +65,26 @@
         me.put("core1", 1, "first").await;
         me.op.sleep(4 * SEC).await;
         let w = me.sim.boot(me.sim.find("callers"));
-        (0..sessions).for_each(|i| w.spawn(yewcross_testkit::caller::session(w.clone(), me.sh.clone(), me.diary.clone(), i, 100_000)));
+        (0..sessions).for_each(|i| {
+            w.spawn(yewcross_testkit::caller::session(
+                w.clone(),
+                me.sh.clone(),
+                me.diary.clone(),
+                i,
+                100_000,
+            ))
+        });
     });
     lab.sim.run(18 * SEC, || false);
     let store = lab.sim.used(lab.sim.find("store1"));
     let d: Arc<_> = lab.diary.clone();
-    let n = d.seen.lock().unwrap().iter().filter(|s| s.kind == "turn" && matches!(s.heard, yewcross_testkit::caller::Heard::Done)).count();
+    let n = d
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|s| s.kind == "turn" && matches!(s.heard, yewcross_testkit::caller::Heard::Done))
+        .count();
     (n, store)
 }
 
@@ -64,7 +92,10 @@
 fn slow_disks_and_small_processors_bound_what_is_served() {
     let (free, _) = done(Charges::default(), 150);
     let (small, used) = done(Charges::small(2 * MS), 150);
-    println!("done by 150 sessions: free {free}, charged {small}, store1 used {} ms", used / MS);
+    println!(
+        "done by 150 sessions: free {free}, charged {small}, store1 used {} ms",
+        used / MS
+    );
     assert!(small * 2 < free, "free {free}, charged {small}");
     assert!(small > 0);
 }
--- a/yewcross-testkit/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -1,5 +1,5 @@
-//! A core that no majority of core seats answers gives no news, takes no orders and takes no documents
-//! (docs/control-safety.md, 1b).
+//! A core that no majority of core seats answers gives no news, takes no orders and takes no
+//! documents (docs/control-safety.md, 1b).
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -13,7 +13,8 @@
 mod cuts;
 use cuts::{CUTS, Cut, SIZES, cut};
 
-/// Contact is lost within half of the time to apply; a question under way may take that of another round.
+/// Contact is lost within half of the time to apply; a question under way may take that of another
+/// round.
 const NOTICED: u64 = 1500 * MS;
 
 /// What a core says when it is asked for news of everything.
@@ -21,20 +22,54 @@
     let asked = t.on(name, |c| {
         Box::pin(async move {
             let newer = c
-                .handle(PeerRequest::PollDocuments { known: c.documents.versions(), front: false, leaving_digest: 0 }, vec![], "front1")
+                .handle(
+                    PeerRequest::PollDocuments {
+                        known: c.documents.versions(),
+                        front: false,
+                        leaving_digest: 0,
+                    },
+                    vec![],
+                    "front1",
+                )
+                .await
+                .0;
+            let page = c
+                .handle(
+                    PeerRequest::FetchDocument {
+                        name: "config".into(),
+                        newer_than: 0,
+                    },
+                    vec![],
+                    "front1",
+                )
                 .await
                 .0;
-            let page = c.handle(PeerRequest::FetchDocument { name: "config".into(), newer_than: 0 }, vec![], "front1").await.0;
             (newer, page)
         })
     });
-    asked.await.unwrap_or_else(|| panic!("{name} is silent\n{}", tell(t)))
+    asked
+        .await
+        .unwrap_or_else(|| panic!("{name} is silent\n{}", tell(t)))
 }
 
 async fn says_nothing(t: &Arc<Tier>, name: &str) {
     let (newer, page) = news(t, name).await;
-    assert!(matches!(newer, PeerResponse::DocumentVersions { authoritative: false, .. }), "{newer:?}\n{}", tell(t));
-    assert!(matches!(page, PeerResponse::Rejected(_)), "{page:?}\n{}", tell(t));
+    assert!(
+        matches!(
+            newer,
+            PeerResponse::DocumentVersions {
+                authoritative: false,
+                ..
+            }
+        ),
+        "{newer:?}\n{}",
+        tell(t)
+    );
+    assert!(
+        matches!(page, PeerResponse::Rejected(_)),
+        "{page:?}\n{}",
+        tell(t)
+    );
 }
 
 #[test]
@@ -55,27 +90,55 @@
                     let takes = t.at(&victim).unwrap().registers.takes.load(SeqCst);
                     for base in 5..12u64 {
                         let next = format!("{} b", base + 1);
-                        assert_eq!(t.put(&other, base, &next).await, Some(PutAnswer::InForce(base + 1)), "{}", tell(&t));
+                        assert_eq!(
+                            t.put(&other, base, &next).await,
+                            Some(PutAnswer::InForce(base + 1)),
+                            "{}",
+                            tell(&t)
+                        );
                         says_nothing(&t, &victim).await;
                         let t0 = t.op.now();
-                        assert_eq!(t.put(&victim, base, "99 c").await, Some(PutAnswer::NoMajority));
-                        assert_eq!(t.put(&victim, base, &next).await, Some(PutAnswer::NoMajority));
+                        assert_eq!(
+                            t.put(&victim, base, "99 c").await,
+                            Some(PutAnswer::NoMajority)
+                        );
+                        assert_eq!(
+                            t.put(&victim, base, &next).await,
+                            Some(PutAnswer::NoMajority)
+                        );
                         assert_eq!(t.read(&victim).await, Some(ReadAnswer::Away));
                         assert!(t.op.now() < t0 + SEC, "operators wait");
                         t.op.sleep(SEC).await;
                     }
-                    let retired = t.on(&victim, |c| Box::pin(async move { c.retire_begin("store1").await })).await;
+                    let retired = t
+                        .on(&victim, |c| {
+                            Box::pin(async move { c.retire_begin("store1").await })
+                        })
+                        .await;
                     assert_eq!(retired, Some(RetireBegin::Away));
                     let c = t.at(&victim).unwrap();
                     assert!(!c.has_quorum_contact());
-                    assert_eq!(c.registers.takes.load(SeqCst), takes, "it takes keys from their owners\n{}", tell(&t));
+                    assert_eq!(
+                        c.registers.takes.load(SeqCst),
+                        takes,
+                        "it takes keys from their owners\n{}",
+                        tell(&t)
+                    );
                     t.sim.heal();
                     let t0 = t.op.now();
                     while t.read(&victim).await != Some(ReadAnswer::Text(12, "12 b".into())) {
                         t.op.sleep(20 * MS).await;
-                        assert!(t.op.now() < t0 + 5 * SEC, "{how:?}: no contact after the cut\n{}", tell(&t));
+                        assert!(
+                            t.op.now() < t0 + 5 * SEC,
+                            "{how:?}: no contact after the cut\n{}",
+                            tell(&t)
+                        );
                     }
-                    println!("{} cores, {how:?}: reads again {} ms after the cut", counts[0], (t.op.now() - t0) / MS);
+                    println!(
+                        "{} cores, {how:?}: reads again {} ms after the cut",
+                        counts[0],
+                        (t.op.now() - t0) / MS
+                    );
                 })
             });
         }
@@ -104,13 +167,24 @@
                 t.sim.heal();
                 t.op.sleep(4 * SEC).await;
                 let (newer, _) = news(&t, "core2").await;
-                assert!(matches!(newer, PeerResponse::DocumentVersions { authoritative: true, .. }), "{newer:?}\n{}", tell(&t));
+                assert!(
+                    matches!(
+                        newer,
+                        PeerResponse::DocumentVersions {
+                            authoritative: true,
+                            ..
+                        }
+                    ),
+                    "{newer:?}\n{}",
+                    tell(&t)
+                );
             })
         });
     }
 }
 
-/// One core is cut off from the others, and whoever decides reaches no front: the fronts learn it from the rest in time.
+/// One core is cut off from the others, and whoever decides reaches no front: the fronts learn it
+/// from the rest in time.
 #[test]
 fn fronts_follow_the_side_with_a_majority() {
     let bound = Bounds::default().apply * MS;
@@ -129,14 +203,26 @@
                     let mut worst = 0;
                     for base in 5..15u64 {
                         let next = format!("{} b", base + 1);
-                        assert_eq!(t.put("core2", base, &next).await, Some(PutAnswer::InForce(base + 1)), "{}", tell(&t));
-                        let us = t.adopted(&next, 4 * SEC).await.unwrap_or_else(|| panic!("{how:?}\n{}", tell(&t)));
+                        assert_eq!(
+                            t.put("core2", base, &next).await,
+                            Some(PutAnswer::InForce(base + 1)),
+                            "{}",
+                            tell(&t)
+                        );
+                        let us = t
+                            .adopted(&next, 4 * SEC)
+                            .await
+                            .unwrap_or_else(|| panic!("{how:?}\n{}", tell(&t)));
                         worst = worst.max(us);
                     }
                     worst
                 })
             });
-            println!("{} cores, {how:?}: adopted after {} ms at most", counts[0], us / MS);
+            println!(
+                "{} cores, {how:?}: adopted after {} ms at most",
+                counts[0],
+                us / MS
+            );
             worst = worst.max(us);
         }
     }
