--- a/yewcross-testkit/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -11,7 +11,13 @@
 
 #[test]
 fn a_tier_founds_itself() {
-    for (seed, counts, lost) in [(1, [4, 4, 6], 1), (2, [8, 9, 20], 2), (3, [5, 9, 30], 2), (4, [1, 3, 1], 1), (5, [3, 4, 2], 1)] {
+    for (seed, counts, lost) in [
+        (1, [4, 4, 6], 1),
+        (2, [8, 9, 20], 2),
+        (3, [5, 9, 30], 2),
+        (4, [1, 3, 1], 1),
+        (5, [3, 4, 2], 1),
+    ] {
         let t = Tier::new(seed, counts, lost);
         let us = play(&t, |t| Box::pin(async move { up(&t).await }));
         println!("{counts:?}: seated after {} ms", us / MS);
@@ -19,7 +25,8 @@
     }
 }
 
-/// Machines come up over 1.5 s; one of the seeds dies in the middle and comes back, no longer told that it founds.
+/// Machines come up over 1.5 s; one of the seeds dies in the middle and comes back, no longer told
+/// that it founds.
 #[test]
 fn founding_stands_crashes() {
     let mut worst = 0;
@@ -44,7 +51,10 @@
                     t.boot(&n, false);
                 }
                 let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-                let us = t.seated(&c, &s, 20 * SEC).await.unwrap_or_else(|| panic!("not founded\n{}", tell(&t)));
+                let us = t
+                    .seated(&c, &s, 20 * SEC)
+                    .await
+                    .unwrap_or_else(|| panic!("not founded\n{}", tell(&t)));
                 t.put_surely(0, "5 a").await;
                 us
             })
@@ -64,19 +74,34 @@
             let mut v = vec![];
             let mut base = 0;
             for i in 1..=6u64 {
-                let syncs = |t: &Tier| t.control.lock().unwrap().values().map(|c| c.storage.syncs.load(SeqCst)).sum::<u64>();
+                let syncs = |t: &Tier| {
+                    t.control
+                        .lock()
+                        .unwrap()
+                        .values()
+                        .map(|c| c.storage.syncs.load(SeqCst))
+                        .sum::<u64>()
+                };
                 let (s0, text) = (syncs(&t), format!("{} text", 10 * i));
                 let ack = t.put_surely(base, &text).await;
                 let all = t.adopted(&text, 2 * SEC).await.unwrap();
                 t.op.sleep(300 * MS).await;
                 v.push((ack, all, syncs(&t) - s0));
                 base = 10 * i;
-                assert_eq!(t.read("core3").await, Some(ReadAnswer::Text(base, text.as_str().into())));
+                assert_eq!(
+                    t.read("core3").await,
+                    Some(ReadAnswer::Text(base, text.as_str().into()))
+                );
             }
             v
         })
     });
-    v.iter().for_each(|(a, b, s)| println!("acknowledged after {} us, adopted by all {} us later, {s} syncs", a, b));
+    v.iter().for_each(|(a, b, s)| {
+        println!(
+            "acknowledged after {} us, adopted by all {} us later, {s} syncs",
+            a, b
+        )
+    });
     assert!(v.iter().all(|x| x.0 < 100 * MS && x.1 < 200 * MS), "{v:?}");
 }
 
@@ -94,12 +119,18 @@
             assert_eq!(put("core2", 0, "5 a").await, PutAnswer::InForce(5));
             assert_eq!(put("core2", 0, "6 b").await, PutAnswer::Conflict(5));
             assert!(matches!(put("core3", 5, "5 b").await, PutAnswer::Bad(_)));
-            assert!(matches!(put("core3", 5, "no number").await, PutAnswer::Bad(_)));
+            assert!(matches!(
+                put("core3", 5, "no number").await,
+                PutAnswer::Bad(_)
+            ));
             assert_eq!(put("core3", 5, "9 b").await, PutAnswer::InForce(9));
             assert_eq!(put("core1", 9, "10 c").await, PutAnswer::InForce(10));
             assert_eq!(put("core2", 5, "9 b").await, PutAnswer::InForce(9));
             assert_eq!(put("core4", 5, "9 c").await, PutAnswer::Conflict(10));
-            assert_eq!(t.read("core2").await, Some(ReadAnswer::Text(10, "10 c".into())));
+            assert_eq!(
+                t.read("core2").await,
+                Some(ReadAnswer::Text(10, "10 c".into()))
+            );
         })
     });
 }
@@ -116,14 +147,17 @@
                 t.put_surely(0, "5 a").await;
                 t.op.sleep(2 * SEC).await;
                 let cores: Vec<usize> = t.names(Role::Core).iter().map(|n| t.sim.find(n)).collect();
-                let fronts: Vec<usize> = t.names(Role::Front).iter().map(|n| t.sim.find(n)).collect();
+                let fronts: Vec<usize> =
+                    t.names(Role::Front).iter().map(|n| t.sim.find(n)).collect();
                 // Nothing that the putter sends arrives, at fronts.
                 t.sim.split(&[cores[1]], &fronts);
                 let mut ok = false;
                 while !ok {
                     ok = matches!(t.put("core2", 5, "6 b").await, Some(PutAnswer::InForce(6)));
                 }
-                t.adopted("6 b", 5 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)))
+                t.adopted("6 b", 5 * SEC)
+                    .await
+                    .unwrap_or_else(|| panic!("{}", tell(&t)))
             })
         });
         worst = worst.max(us);
@@ -161,7 +195,12 @@
         Box::pin(async move {
             up(&t).await;
             t.put_surely(0, "1 first").await;
-            t.sim.weather(Weather { lose: 10, twice: 20, late: 20, jitter: 500 });
+            t.sim.weather(Weather {
+                lose: 10,
+                twice: 20,
+                late: 20,
+                jitter: 500,
+            });
             // Text, base, and the answer; what was told of each.
             let told: Arc<Mutex<Vec<(String, u64, PutAnswer)>>> = Default::default();
             let (dx, done) = async_channel::bounded(2);
@@ -185,7 +224,14 @@
                             if let Some(a) = a.clone() {
                                 told.lock().unwrap().push((text.clone(), base, a));
                             }
-                            if matches!(a, Some(PutAnswer::InForce(_) | PutAnswer::Conflict(_) | PutAnswer::Bad(_))) {
+                            if matches!(
+                                a,
+                                Some(
+                                    PutAnswer::InForce(_)
+                                        | PutAnswer::Conflict(_)
+                                        | PutAnswer::Bad(_)
+                                )
+                            ) {
                                 break;
                             }
                             t.op.sleep(100 * MS).await;
@@ -198,7 +244,12 @@
             while t.op.now() < end {
                 let n = format!("core{}", 1 + t.op.random() % 4);
                 let m = t.sim.find(&n);
-                let others: Vec<usize> = t.names(Role::Core).iter().filter(|x| **x != n).map(|x| t.sim.find(x)).collect();
+                let others: Vec<usize> = t
+                    .names(Role::Core)
+                    .iter()
+                    .filter(|x| **x != n)
+                    .map(|x| t.sim.find(x))
+                    .collect();
                 match t.op.random() % 4 {
                     0 => {
                         t.sim.split(&[m], &others);
@@ -224,25 +275,47 @@
             t.op.sleep(4 * SEC).await;
             let mut last = vec![];
             for n in t.names(Role::Core) {
-                let Some(ReadAnswer::Text(v, s)) = t.read(&n).await else { panic!("{n} cannot read\n{}", tell(&t)) };
+                let Some(ReadAnswer::Text(v, s)) = t.read(&n).await else {
+                    panic!("{n} cannot read\n{}", tell(&t))
+                };
                 last.push((v, s.to_string()));
             }
             last.dedup();
             assert_eq!(last.len(), 1, "{last:?}");
             let told = told.lock().unwrap().clone();
-            let acks: BTreeMap<String, u64> =
-                told.iter().filter(|x| matches!(x.2, PutAnswer::InForce(_))).map(|x| (x.0.clone(), x.1)).collect();
+            let acks: BTreeMap<String, u64> = told
+                .iter()
+                .filter(|x| matches!(x.2, PutAnswer::InForce(_)))
+                .map(|x| (x.0.clone(), x.1))
+                .collect();
             let by_base: BTreeSet<u64> = acks.values().cloned().collect();
-            assert_eq!(by_base.len(), acks.len(), "two were acknowledged on one base\n{acks:?}");
-            let most = acks.keys().map(|s| s.split(' ').next().unwrap().parse::<u64>().unwrap()).max().unwrap_or(1);
+            assert_eq!(
+                by_base.len(),
+                acks.len(),
+                "two were acknowledged on one base\n{acks:?}"
+            );
+            let most = acks
+                .keys()
+                .map(|s| s.split(' ').next().unwrap().parse::<u64>().unwrap())
+                .max()
+                .unwrap_or(1);
             assert!(last[0].0 >= most, "{last:?} {most}");
-            let refused: BTreeSet<&String> =
-                told.iter().filter(|x| matches!(x.2, PutAnswer::Conflict(_) | PutAnswer::Bad(_))).map(|x| &x.0).collect();
+            let refused: BTreeSet<&String> = told
+                .iter()
+                .filter(|x| matches!(x.2, PutAnswer::Conflict(_) | PutAnswer::Bad(_)))
+                .map(|x| &x.0)
+                .collect();
             assert!(refused.iter().all(|r| !acks.contains_key(*r)), "both told");
             for (n, f) in t.fronts.lock().unwrap().iter() {
                 let seen = f.seen.lock().unwrap();
                 assert!(seen.windows(2).all(|w| w[0].1 < w[1].1), "{n} went back");
-                seen.iter().for_each(|s| assert!(!refused.contains(&s.2), "{n} adopted what was refused: {}", s.2));
+                seen.iter().for_each(|s| {
+                    assert!(
+                        !refused.contains(&s.2),
+                        "{n} adopted what was refused: {}",
+                        s.2
+                    )
+                });
                 assert_eq!(f.text(), last[0].1, "{n}");
             }
             (acks.len(), refused.len())
@@ -260,7 +333,10 @@
 #[test]
 fn a_wiped_machine_has_its_seat_again() {
     let mut worst = 0;
-    for (i, n) in ["core1", "core2", "core4", "store1", "store3"].into_iter().enumerate() {
+    for (i, n) in ["core1", "core2", "core4", "store1", "store3"]
+        .into_iter()
+        .enumerate()
+    {
         let t = Tier::new(300 + i as u64, [4, 4, 3], 1);
         let us = play(&t, |t| {
             Box::pin(async move {
@@ -271,8 +347,14 @@
                 t.op.sleep(1500 * MS).await;
                 t.boot(n, false);
                 let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-                let us = t.seated(&c, &s, 10 * SEC).await.unwrap_or_else(|| panic!("{n}\n{}", tell(&t)));
-                assert_eq!(t.read("core3").await, Some(ReadAnswer::Text(5, "5 a".into())));
+                let us = t
+                    .seated(&c, &s, 10 * SEC)
+                    .await
+                    .unwrap_or_else(|| panic!("{n}\n{}", tell(&t)));
+                assert_eq!(
+                    t.read("core3").await,
+                    Some(ReadAnswer::Text(5, "5 a".into()))
+                );
                 us
             })
         });
@@ -293,13 +375,23 @@
                 t.put_surely(0, "5 a").await;
                 t.kill(n, true);
                 t.op.sleep(1200 * MS).await;
-                let role = if n.starts_with("core") { Role::Core } else { Role::Store };
+                let role = if n.starts_with("core") {
+                    Role::Core
+                } else {
+                    Role::Store
+                };
                 t.add("spare", role, 1, 50, 1);
                 t.specs.lock().unwrap().remove(n);
                 t.boot("spare", false);
                 let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-                let us = t.seated(&c, &s, 10 * SEC).await.unwrap_or_else(|| panic!("{n}\n{}", tell(&t)));
-                assert_eq!(t.read("core1").await, Some(ReadAnswer::Text(5, "5 a".into())));
+                let us = t
+                    .seated(&c, &s, 10 * SEC)
+                    .await
+                    .unwrap_or_else(|| panic!("{n}\n{}", tell(&t)));
+                assert_eq!(
+                    t.read("core1").await,
+                    Some(ReadAnswer::Text(5, "5 a".into()))
+                );
                 us
             })
         });
@@ -318,18 +410,27 @@
             t.add("core9", Role::Core, 1, 50, 1);
             t.add("store9", Role::Store, 2, 51, 1);
             t.add("front9", Role::Front, 2, 52, 1);
-            ["core9", "store9", "front9"].iter().for_each(|n| t.boot(n, false));
+            ["core9", "store9", "front9"]
+                .iter()
+                .for_each(|n| t.boot(n, false));
             let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-            let us = t.seated(&c, &s, 10 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+            let us = t
+                .seated(&c, &s, 10 * SEC)
+                .await
+                .unwrap_or_else(|| panic!("{}", tell(&t)));
             println!("{} ms", us / MS);
             assert!(us < 2 * SEC);
             assert_eq!(t.front("front9").unwrap().text(), "5 a");
-            assert_eq!(t.read("core9").await, Some(ReadAnswer::Text(5, "5 a".into())));
+            assert_eq!(
+                t.read("core9").await,
+                Some(ReadAnswer::Text(5, "5 a".into()))
+            );
         })
     });
 }
 
-/// A machine added in a change dies before the change ends: the change does not wait for it for ever.
+/// A machine added in a change dies before the change ends: the change does not wait for it for
+/// ever.
 #[test]
 fn a_newcomer_that_dies_holds_nothing_up() {
     for (i, role) in [Role::Core, Role::Store].into_iter().enumerate() {
@@ -363,11 +464,19 @@
             t.put_surely(0, "5 a").await;
             let begin = |n: &'static str, m: &'static str| {
                 let t = t.clone();
-                async move { t.on(n, move |c| Box::pin(async move { c.retire_begin(m).await })).await.unwrap() }
+                async move {
+                    t.on(n, move |c| Box::pin(async move { c.retire_begin(m).await }))
+                        .await
+                        .unwrap()
+                }
             };
             let state = |n: &'static str, m: &'static str| {
                 let t = t.clone();
-                async move { t.on(n, move |c| Box::pin(async move { c.retire_state(m).await })).await.unwrap() }
+                async move {
+                    t.on(n, move |c| Box::pin(async move { c.retire_state(m).await }))
+                        .await
+                        .unwrap()
+                }
             };
             assert_eq!(begin("core1", "store77").await, RetireBegin::Unknown);
             assert_eq!(begin("core1", "core2").await, RetireBegin::Unknown);
@@ -397,7 +506,12 @@
 /// Right after an acknowledgement every machine loses power, and as many disks as may be lost are.
 #[test]
 fn an_acknowledged_configuration_outlives_all() {
-    for (seed, counts, lost) in [(0u64, [4, 4, 3], 1), (1, [5, 5, 3], 2), (2, [8, 5, 3], 2), (3, [3, 3, 2], 1)] {
+    for (seed, counts, lost) in [
+        (0u64, [4, 4, 3], 1),
+        (1, [5, 5, 3], 2),
+        (2, [8, 5, 3], 2),
+        (3, [3, 3, 2], 1),
+    ] {
         for k in 0..6 {
             let t = Tier::new(400 + 20 * seed + k, counts, lost);
             play(&t, |t| {
@@ -414,7 +528,10 @@
                     let all: Vec<String> = t.specs.lock().unwrap().keys().cloned().collect();
                     all.iter().for_each(|n| t.kill(n, true));
                     let mut v = cores.clone();
-                    (0..lost).for_each(|_| t.sim.wipe(t.sim.find(&v.swap_remove(t.op.random() as usize % v.len()))));
+                    (0..lost).for_each(|_| {
+                        t.sim
+                            .wipe(t.sim.find(&v.swap_remove(t.op.random() as usize % v.len())))
+                    });
                     t.op.sleep(700 * MS).await;
                     all.iter().for_each(|n| t.boot(n, false));
                     let t0 = t.op.now();
@@ -424,9 +541,13 @@
                             assert!(t.op.now() < t0 + 5 * SEC, "{n} does not know\n{}", tell(&t));
                         }
                     }
-                    t.adopted("6 b", 2 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+                    t.adopted("6 b", 2 * SEC)
+                        .await
+                        .unwrap_or_else(|| panic!("{}", tell(&t)));
                     let s = t.names(Role::Store);
-                    t.seated(&cores, &s, 6 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+                    t.seated(&cores, &s, 6 * SEC)
+                        .await
+                        .unwrap_or_else(|| panic!("{}", tell(&t)));
                 })
             });
         }
@@ -442,7 +563,15 @@
             Box::pin(async move {
                 up(&t).await;
                 t.op.sleep(2 * SEC).await;
-                let on = |t: &Tier| t.control.lock().unwrap().iter().filter(|c| c.1.on_duty()).map(|c| c.0.clone()).collect::<Vec<_>>();
+                let on = |t: &Tier| {
+                    t.control
+                        .lock()
+                        .unwrap()
+                        .iter()
+                        .filter(|c| c.1.on_duty())
+                        .map(|c| c.0.clone())
+                        .collect::<Vec<_>>()
+                };
                 let was = on(&t);
                 assert_eq!(was.len(), 1);
                 t.kill(&was[0], power);
@@ -464,7 +593,17 @@
 fn many_small_machines_stay_cheap() {
     let t = Tier::new(600, [8, 9, 55], 2);
     for (r, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
-        t.names(r).iter().for_each(|n| t.sim.charge(t.sim.find(n), Costs { share, wake: 20, byte: 3, sync: 500 }));
+        t.names(r).iter().for_each(|n| {
+            t.sim.charge(
+                t.sim.find(n),
+                Costs {
+                    share,
+                    wake: 20,
+                    byte: 3,
+                    sync: 500,
+                },
+            )
+        });
     }
     let (found, put, all, quiet, kinds) = play(&t, |t| {
         Box::pin(async move {
@@ -472,22 +611,55 @@
             t.op.sleep(5 * SEC).await;
             let text = format!("5 {}", "x".repeat(20_000));
             let put = t.put_surely(0, &text).await;
-            let all = t.adopted(&text, 3 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+            let all = t
+                .adopted(&text, 3 * SEC)
+                .await
+                .unwrap_or_else(|| panic!("{}", tell(&t)));
             t.op.sleep(5 * SEC).await;
-            let used = |t: &Tier, r| t.names(r).iter().map(|n| t.sim.used(t.sim.find(n))).collect::<Vec<u64>>();
+            let used = |t: &Tier, r| {
+                t.names(r)
+                    .iter()
+                    .map(|n| t.sim.used(t.sim.find(n)))
+                    .collect::<Vec<u64>>()
+            };
             let sum = |t: &Tier| {
                 let mut m: BTreeMap<&str, u64> = BTreeMap::new();
                 t.control.lock().unwrap().values().for_each(|c| {
-                    c.peers.metrics.kinds.lock().unwrap().iter().for_each(|(k, v)| *m.entry(k).or_default() += v.0);
+                    c.peers
+                        .metrics
+                        .kinds
+                        .lock()
+                        .unwrap()
+                        .iter()
+                        .for_each(|(k, v)| *m.entry(k).or_default() += v.0);
                 });
                 m
             };
-            let (a, ka) = ([Role::Core, Role::Store, Role::Front].map(|r| used(&t, r)), sum(&t));
+            let (a, ka) = (
+                [Role::Core, Role::Store, Role::Front].map(|r| used(&t, r)),
+                sum(&t),
+            );
             t.op.sleep(20 * SEC).await;
-            let (b, kb) = ([Role::Core, Role::Store, Role::Front].map(|r| used(&t, r)), sum(&t));
-            let quiet: Vec<u64> = a.iter().zip(&b).map(|(a, b)| a.iter().zip(b).map(|(a, b)| (b - a) / 20).max().unwrap_or(0)).collect();
-            let kinds: Vec<(String, u64)> =
-                kb.iter().map(|(k, v)| (k.to_string(), v - ka.get(k).unwrap_or(&0))).filter(|x| x.1 > 0).collect();
+            let (b, kb) = (
+                [Role::Core, Role::Store, Role::Front].map(|r| used(&t, r)),
+                sum(&t),
+            );
+            let quiet: Vec<u64> = a
+                .iter()
+                .zip(&b)
+                .map(|(a, b)| {
+                    a.iter()
+                        .zip(b)
+                        .map(|(a, b)| (b - a) / 20)
+                        .max()
+                        .unwrap_or(0)
+                })
+                .collect();
+            let kinds: Vec<(String, u64)> = kb
+                .iter()
+                .map(|(k, v)| (k.to_string(), v - ka.get(k).unwrap_or(&0)))
+                .filter(|x| x.1 > 0)
+                .collect();
             (found, put, all, quiet, kinds)
         })
     });
@@ -500,11 +672,15 @@
     println!("asked by the 17 with disks in 20 s: {kinds:?}");
     assert!(found < 5 * SEC, "{found}");
     assert!(put < SEC && all < SEC, "{put} {all}");
-    assert!(quiet[0] < 20_000 && quiet[1] < 20_000 && quiet[2] < 10_000, "{quiet:?}");
+    assert!(
+        quiet[0] < 20_000 && quiet[1] < 20_000 && quiet[2] < 10_000,
+        "{quiet:?}"
+    );
 }
 
-/// As many machines with disks as may be lost die at once, are wiped, freeze, or come back elsewhere under another name.
-/// Puts go on meanwhile and are answered in time; what was acknowledged stays readable; in the end every machine has a seat.
+/// As many machines with disks as may be lost die at once, are wiped, freeze, or come back
+/// elsewhere under another name. Puts go on meanwhile and are answered in time; what was
+/// acknowledged stays readable; in the end every machine has a seat.
 fn wear(seed: u64, counts: [usize; 3], lost: usize) -> u64 {
     let t = Tier::new(seed, counts, lost);
     play(&t, |t| {
@@ -512,9 +688,18 @@
             up(&t).await;
             t.put_surely(0, "1 a").await;
             let (mut base, mut spare, mut worst) = (1u64, 60, 0);
-            t.sim.weather(Weather { lose: 5, twice: 10, late: 10, jitter: 300 });
+            t.sim.weather(Weather {
+                lose: 5,
+                twice: 10,
+                late: 10,
+                jitter: 300,
+            });
             for _ in 0..14 {
-                let mut all: Vec<String> = t.names(Role::Core).into_iter().chain(t.names(Role::Store)).collect();
+                let mut all: Vec<String> = t
+                    .names(Role::Core)
+                    .into_iter()
+                    .chain(t.names(Role::Store))
+                    .collect();
                 let down = 200 * MS + t.op.random() % (2 * SEC);
                 let mut back: Vec<(String, bool)> = vec![];
                 for _ in 0..lost {
@@ -550,16 +735,31 @@
                 let next = format!("{} b", base + 1);
                 worst = worst.max(t.put_surely(base, &next).await);
                 t.op.sleep(down / 2).await;
-                back.iter().for_each(|(n, frozen)| if *frozen { t.sim.thaw(t.sim.find(n)) } else { t.boot(n, false) });
+                back.iter().for_each(|(n, frozen)| {
+                    if *frozen {
+                        t.sim.thaw(t.sim.find(n))
+                    } else {
+                        t.boot(n, false)
+                    }
+                });
                 base += 1;
                 // Whole again within the bound, then the next.
                 t.op.sleep(4_200 * MS).await;
-                assert_eq!(t.read(&t.names(Role::Core)[0]).await, Some(ReadAnswer::Text(base, next.as_str().into())), "{}", tell(&t));
+                assert_eq!(
+                    t.read(&t.names(Role::Core)[0]).await,
+                    Some(ReadAnswer::Text(base, next.as_str().into())),
+                    "{}",
+                    tell(&t)
+                );
             }
             t.sim.weather(Weather::default());
             let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-            t.seated(&c, &s, 8 * SEC).await.unwrap_or_else(|| panic!("seed {seed}: no end\n{}", tell(&t)));
-            t.adopted(&format!("{base} b"), 2 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+            t.seated(&c, &s, 8 * SEC)
+                .await
+                .unwrap_or_else(|| panic!("seed {seed}: no end\n{}", tell(&t)));
+            t.adopted(&format!("{base} b"), 2 * SEC)
+                .await
+                .unwrap_or_else(|| panic!("{}", tell(&t)));
             worst
         })
     })
@@ -571,10 +771,15 @@
     let two = (0..8).map(|i| wear(740 + i, [5, 6, 3], 2)).max();
     let more = (0..8).map(|i| wear(760 + i, [8, 9, 3], 2)).max();
     println!("slowest put, us: {one:?} {two:?} {more:?}");
-    assert!([one, two, more].iter().all(|w| w.is_some_and(|w| w < 4 * SEC)));
+    assert!(
+        [one, two, more]
+            .iter()
+            .all(|w| w.is_some_and(|w| w < 4 * SEC))
+    );
 }
 
-/// Every core process dies at once and is back within a second, disks kept; then every machine loses power.
+/// Every core process dies at once and is back within a second, disks kept; then every machine
+/// loses power.
 #[test]
 fn the_core_comes_back_whole() {
     for power in [false, true] {
@@ -591,7 +796,9 @@
                 let t0 = t.op.now();
                 t.put_surely(5, "6 b").await;
                 let us = t.op.now() - t0;
-                t.adopted("6 b", 2 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+                t.adopted("6 b", 2 * SEC)
+                    .await
+                    .unwrap_or_else(|| panic!("{}", tell(&t)));
                 us
             })
         });
--- a/yewcross-testkit/tests/core_outages.rs
+++ b/yewcross-testkit/tests/core_outages.rs
@@ -1,5 +1,5 @@
-//! The whole core away or in halves: what was acknowledged is read back after all power and some disks are lost, and a read in
-//! a split core is the newest or none (docs/control-safety.md, 1c).
+//! The whole core away or in halves: what was acknowledged is read back after all power and some
+//! disks are lost, and a read in a split core is the newest or none (docs/control-safety.md, 1c).
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -12,13 +12,14 @@
 mod operators;
 use operators::{begin, small_machines};
 
-/// us. Longest time from the return of all machines until an operator reads the newest acknowledged configuration, and until
-/// every front holds it: within what a deployment gives for recovery, 12 s and more.
+/// us. Longest time from the return of all machines until an operator reads the newest acknowledged
+/// configuration, and until every front holds it: within what a deployment gives for recovery, 12 s
+/// and more.
 const READ_WITHIN: u64 = 4 * SEC;
 const HELD_WITHIN: u64 = 8 * SEC;
 
-/// Every machine loses power right after an order was acknowledged, those without a disk too, and as many disks are lost at the
-/// same moment as may be, the proposer's among them.
+/// Every machine loses power right after an order was acknowledged, those without a disk too, and
+/// as many disks are lost at the same moment as may be, the proposer's among them.
 #[test]
 fn what_was_acknowledged_outlives_all_power_and_the_disks_that_may_be_lost() {
     let runs: Vec<u64> = (0..6).collect();
@@ -37,10 +38,15 @@
                 let (cores, stores) = (tier.names(Role::Core), tier.names(Role::Store));
                 let holder = tier.on_duty().first().cloned().unwrap();
                 let other = cores.iter().find(|name| **name != holder).unwrap().clone();
-                let lost = if nth % 2 == 0 { vec![holder, other] } else { vec![holder, stores[0].clone()] };
+                let lost = if nth % 2 == 0 {
+                    vec![holder, other]
+                } else {
+                    vec![holder, stores[0].clone()]
+                };
                 let all: Vec<String> = tier.specs.lock().unwrap().keys().cloned().collect();
                 all.iter().for_each(|name| tier.kill(name, true));
-                lost.iter().for_each(|name| tier.sim.wipe(tier.sim.find(name)));
+                lost.iter()
+                    .for_each(|name| tier.sim.wipe(tier.sim.find(name)));
                 tier.op.sleep(600 * MS).await;
                 all.iter().for_each(|name| tier.boot(name, false));
                 let begin = tier.op.now();
@@ -48,32 +54,65 @@
                 loop {
                     match tier.read(reader).await {
                         Some(ReadAnswer::Text(number, _)) if number >= acknowledged => break,
-                        Some(ReadAnswer::Text(number, _)) => panic!("{number} is read, {acknowledged} was acknowledged\n{}", tell(&tier)),
+                        Some(ReadAnswer::Text(number, _)) => panic!(
+                            "{number} is read, {acknowledged} was acknowledged\n{}",
+                            tell(&tier)
+                        ),
                         _ => tier.op.sleep(20 * MS).await,
                     }
-                    assert!(tier.op.now() < begin + 30 * SEC, "not read back\n{}", tell(&tier));
+                    assert!(
+                        tier.op.now() < begin + 30 * SEC,
+                        "not read back\n{}",
+                        tell(&tier)
+                    );
                 }
                 let read = tier.op.now() - begin;
-                let holds =
-                    |front: &Arc<Bare>| front.text().split(' ').next().is_some_and(|n| n.parse::<u64>().unwrap_or(0) >= acknowledged);
+                let holds = |front: &Arc<Bare>| {
+                    front
+                        .text()
+                        .split(' ')
+                        .next()
+                        .is_some_and(|n| n.parse::<u64>().unwrap_or(0) >= acknowledged)
+                };
                 let fronts = tier.names(Role::Front).len();
-                while tier.fronts.lock().unwrap().values().filter(|front| holds(front)).count() < fronts {
+                while tier
+                    .fronts
+                    .lock()
+                    .unwrap()
+                    .values()
+                    .filter(|front| holds(front))
+                    .count()
+                    < fronts
+                {
                     tier.op.sleep(20 * MS).await;
-                    assert!(tier.op.now() < begin + 30 * SEC, "not held by all\n{}", tell(&tier));
+                    assert!(
+                        tier.op.now() < begin + 30 * SEC,
+                        "not held by all\n{}",
+                        tell(&tier)
+                    );
                 }
                 (read, tier.op.now() - begin)
             })
         });
-        println!("seed {}: read back after {} ms, held by all fronts after {} ms", 9200 + nth, read / MS, held / MS);
+        println!(
+            "seed {}: read back after {} ms, held by all fronts after {} ms",
+            9200 + nth,
+            read / MS,
+            held / MS
+        );
         read < READ_WITHIN && held < HELD_WITHIN
     });
     assert_eq!(late, 0, "runs that were late");
 }
 
-/// The core is cut into halves, which all other machines reach: an operator reads the newest at any core, or is sent on.
+/// The core is cut into halves, which all other machines reach: an operator reads the newest at any
+/// core, or is sent on.
 #[test]
 fn a_read_in_a_split_core_is_the_newest_or_none() {
-    for (nth, (counts, lost)) in [([4, 4, 4], 1), ([8, 5, 4], 2), ([5, 5, 4], 2)].into_iter().enumerate() {
+    for (nth, (counts, lost)) in [([4, 4, 4], 1), ([8, 5, 4], 2), ([5, 5, 4], 2)]
+        .into_iter()
+        .enumerate()
+    {
         let tier = Tier::new(9300 + nth as u64, counts, lost);
         let (read, sent_on) = play(&tier, |tier| {
             Box::pin(async move {
@@ -82,19 +121,27 @@
                 let cores = tier.names(Role::Core);
                 let (mut newest, mut read, mut sent_on) = (1, 0, 0);
                 for _ in 0..4 {
-                    let machines: Vec<usize> = cores.iter().map(|name| tier.sim.find(name)).collect();
+                    let machines: Vec<usize> =
+                        cores.iter().map(|name| tier.sim.find(name)).collect();
                     let (left, right) = machines.split_at(machines.len() / 2);
                     tier.sim.split(left, right);
                     let end = tier.op.now() + 3 * SEC;
                     while tier.op.now() < end {
                         let core = &cores[tier.op.random() as usize % cores.len()];
-                        if let Some(PutAnswer::InForce(number)) = tier.put(core, newest, &format!("{} next", newest + 1)).await {
+                        if let Some(PutAnswer::InForce(number)) = tier
+                            .put(core, newest, &format!("{} next", newest + 1))
+                            .await
+                        {
                             newest = number;
                         }
                         for core in &cores {
                             match tier.read(core).await {
                                 Some(ReadAnswer::Text(number, _)) => {
-                                    assert!(number >= newest, "{core} reads {number} of {newest}\n{}", tell(&tier));
+                                    assert!(
+                                        number >= newest,
+                                        "{core} reads {number} of {newest}\n{}",
+                                        tell(&tier)
+                                    );
                                     read += 1;
                                 }
                                 _ => sent_on += 1,
@@ -108,7 +155,10 @@
                 (read, sent_on)
             })
         });
-        println!("{} cores: {read} reads answered, {sent_on} sent on", counts[0]);
+        println!(
+            "{} cores: {read} reads answered, {sent_on} sent on",
+            counts[0]
+        );
         let a_half_has_a_majority = counts[0] % 2 == 1;
         assert!(sent_on > 0 && (read > 0) == a_half_has_a_majority);
     }
@@ -118,7 +168,10 @@
 async fn read_surely(tier: &Arc<Tier>, at_least: u64) -> u64 {
     for _ in 0..200 {
         if let Some(ReadAnswer::Text(number, _)) = tier.read("core1").await {
-            assert!(number >= at_least, "{number} is read, {at_least} was acknowledged");
+            assert!(
+                number >= at_least,
+                "{number} is read, {at_least} was acknowledged"
+            );
             return number;
         }
         tier.op.sleep(50 * MS).await;
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -35,7 +35,15 @@
 fn ranked(lab: &Lab, key: &str) -> Vec<String> {
     let c = lab.control("store1").unwrap();
     let at = replicas_by_preference(&c.documents, &c.members, key);
-    at.iter().filter_map(|a| lab.sh.of(Role::Store).iter().find(|n| n.peer == *a).map(|n| n.name.clone())).collect()
+    at.iter()
+        .filter_map(|a| {
+            lab.sh
+                .of(Role::Store)
+                .iter()
+                .find(|n| n.peer == *a)
+                .map(|n| n.name.clone())
+        })
+        .collect()
 }
 
 async fn purse(lab: &Lab, budget: &str) -> Purse {
@@ -44,7 +52,8 @@
     Purse::read(&v)
 }
 
-/// A begin that could not be written was given its reservation back, and the same shot then began elsewhere without one.
+/// A begin that could not be written was given its reservation back, and the same shot then began
+/// elsewhere without one.
 #[test]
 fn a_shot_that_begins_at_the_second_try_keeps_its_reservation() {
     let (first, second, open) = on_fleet_of(
@@ -57,24 +66,37 @@
                 let key = "session/p/s".to_string();
                 let copies = ranked(&lab, &key);
                 let out = names.iter().find(|n| !copies.contains(n)).unwrap().clone();
-                let b = (0..).map(|i| format!("b{i}")).find(|b| ranked(&lab, &purse_key(b))[0] == out).unwrap();
+                let b = (0..)
+                    .map(|i| format!("b{i}"))
+                    .find(|b| ranked(&lab, &purse_key(b))[0] == out)
+                    .unwrap();
                 let id = |n: &String| lab.sim.find(n);
-                lab.sim.split(&[id(&copies[0])], &[id(&copies[1]), id(&copies[2])]);
+                lab.sim
+                    .split(&[id(&copies[0])], &[id(&copies[1]), id(&copies[2])]);
                 let x = begin(&key, "j", 7, Some(&b));
-                let first = ask(&lab.control(&copies[0]).unwrap(), PeerRequest::BeginTurn(x.clone())).await;
+                let first = ask(
+                    &lab.control(&copies[0]).unwrap(),
+                    PeerRequest::BeginTurn(x.clone()),
+                )
+                .await;
                 lab.sim.heal();
                 lab.op.sleep(2 * SEC).await;
-                let second = ask(&lab.control(&copies[1]).unwrap(), PeerRequest::BeginTurn(x)).await;
+                let second =
+                    ask(&lab.control(&copies[1]).unwrap(), PeerRequest::BeginTurn(x)).await;
                 (first, second, purse(&lab, &b).await.open.len())
             })
         },
     );
-    assert!(matches!(first, PeerResponse::Rejected(Code::StoreAway)), "{first:?}");
+    assert!(
+        matches!(first, PeerResponse::Rejected(Code::StoreAway)),
+        "{first:?}"
+    );
     assert!(matches!(second, PeerResponse::TurnBegun(_)), "{second:?}");
     assert_eq!(open, 1, "it runs on no reservation");
 }
 
-/// A begin that was given up and arrives late blocked its session, and its budget, for a whole horizon.
+/// A begin that was given up and arrives late blocked its session, and its budget, for a whole
+/// horizon.
 #[test]
 fn a_shot_given_up_cannot_begin_any_more() {
     let (late, next, p) = on_fleet_of(
@@ -85,17 +107,41 @@
             Box::pin(async move {
                 let c = lab.control("store1").unwrap();
                 let x = begin("session/p/s", "j", 7, Some("b"));
-                let a = PeerRequest::AbortTurn { key: x.key.clone(), request_id: "j".into(), nonce: 7, budget: Some("b".into()) };
+                let a = PeerRequest::AbortTurn {
+                    key: x.key.clone(),
+                    request_id: "j".into(),
+                    nonce: 7,
+                    budget: Some("b".into()),
+                };
                 ask(&c, a).await;
                 let late = ask(&c, PeerRequest::BeginTurn(x.clone())).await;
-                let next = ask(&c, PeerRequest::BeginTurn(BeginTurn { nonce: 8, ..x.clone() })).await;
-                ask(&c, PeerRequest::AbortTurn { key: x.key, request_id: "j".into(), nonce: 8, budget: Some("b".into()) }).await;
+                let next = ask(
+                    &c,
+                    PeerRequest::BeginTurn(BeginTurn {
+                        nonce: 8,
+                        ..x.clone()
+                    }),
+                )
+                .await;
+                ask(
+                    &c,
+                    PeerRequest::AbortTurn {
+                        key: x.key,
+                        request_id: "j".into(),
+                        nonce: 8,
+                        budget: Some("b".into()),
+                    },
+                )
+                .await;
                 lab.op.sleep(50 * SEC).await;
                 (late, next, purse(&lab, "b").await)
             })
         },
     );
-    assert!(matches!(late, PeerResponse::Rejected(Code::StoreAway)), "{late:?}");
+    assert!(
+        matches!(late, PeerResponse::Rejected(Code::StoreAway)),
+        "{late:?}"
+    );
     assert!(matches!(next, PeerResponse::TurnBegun(_)), "{next:?}");
     assert_eq!((p.spent, p.open.len()), (0, 0));
 }
@@ -121,7 +167,8 @@
                     retain_ms: keep,
                 };
                 ask(&c, a(1, 3_600_000)).await;
-                // The second one's record may have been forgotten by the time it is looked for: that one counts in full.
+                // The second one's record may have been forgotten by the time it is looked for:
+                // that one counts in full.
                 ask(&c, a(2, 1000)).await;
                 let early = purse(&lab, "b").await;
                 lab.op.sleep(50 * SEC).await;
@@ -145,7 +192,12 @@
                 let c = lab.control("store1").unwrap();
                 let (key, mut done) = ("session/p/s", 0);
                 for i in 0..MARKS_KEPT as u64 + 3 {
-                    let PeerResponse::TurnBegun(g) = ask(&c, PeerRequest::BeginTurn(begin(key, &format!("j{i}"), i, None))).await else {
+                    let PeerResponse::TurnBegun(g) = ask(
+                        &c,
+                        PeerRequest::BeginTurn(begin(key, &format!("j{i}"), i, None)),
+                    )
+                    .await
+                    else {
                         continue;
                     };
                     let x = CommitTurn {
@@ -159,25 +211,40 @@
                         cache: SessionCacheState::default(),
                         history_bytes: 0,
                     };
-                    done += matches!(ask(&c, PeerRequest::CommitTurn(x)).await, PeerResponse::Committed) as u64;
+                    done += matches!(
+                        ask(&c, PeerRequest::CommitTurn(x)).await,
+                        PeerResponse::Committed
+                    ) as u64;
                 }
                 let old = ask(&c, PeerRequest::BeginTurn(begin(key, "j0", 9000, None))).await;
-                (done, old, ask(&c, PeerRequest::BeginTurn(begin(key, "jnew", 9001, None))).await)
+                (
+                    done,
+                    old,
+                    ask(&c, PeerRequest::BeginTurn(begin(key, "jnew", 9001, None))).await,
+                )
             })
         },
     );
     assert_eq!(done, MARKS_KEPT as u64 + 3);
-    assert!(matches!(old, PeerResponse::Rejected(Code::Forgotten)), "{old:?}");
+    assert!(
+        matches!(old, PeerResponse::Rejected(Code::Forgotten)),
+        "{old:?}"
+    );
     assert!(matches!(new, PeerResponse::TurnBegun(_)), "{new:?}");
 }
 
-/// An owner frozen past the keeping time wrote over the key's next life: its epoch was higher than the new one's.
+/// An owner frozen past the keeping time wrote over the key's next life: its epoch was higher than
+/// the new one's.
 #[test]
 fn an_owner_that_wakes_after_its_key_was_forgotten_cannot_bring_it_back() {
     use yewcross_common::register::Step;
     let add = |what: &'static str| {
         move |_: u64, v: &[u8]| {
-            if v.ends_with(what.as_bytes()) { Step::Keep(()) } else { Step::Write([v, what.as_bytes()].concat(), ()) }
+            if v.ends_with(what.as_bytes()) {
+                Step::Keep(())
+            } else {
+                Step::Write([v, what.as_bytes()].concat(), ())
+            }
         }
     };
     let end = on_fleet_of(
@@ -211,28 +278,50 @@
     assert!(end.starts_with("new"), "{end}");
 }
 
-/// Fronts cut off together kept each other's lease under an old list while a put two steps on was acknowledged.
+/// Fronts cut off together kept each other's lease under an old list while a put two steps on was
+/// acknowledged.
 #[test]
 fn lists_of_fronts_not_yet_proved_are_not_stepped_over() {
     let fronts = |lab: &Lab, n: &[u8]| {
-        lab.text.lock().unwrap()["fronts"] = serde_json::json!(n.iter().map(|i| format!("front{i}")).collect::<Vec<_>>());
+        lab.text.lock().unwrap()["fronts"] =
+            serde_json::json!(n.iter().map(|i| format!("front{i}")).collect::<Vec<_>>());
     };
-    let edit = |t: &mut serde_json::Value| t["fronts"] = serde_json::json!(["front1", "front2", "front3"]);
+    let edit =
+        |t: &mut serde_json::Value| t["fronts"] = serde_json::json!(["front1", "front2", "front3"]);
     let (acks, stale, healed) = on_fleet_of("consorcio", 36, edit, move |lab| {
         Box::pin(async move {
             let id = |n: &String| lab.sim.find(n);
             let cut: Vec<String> = vec!["front1".into(), "front2".into()];
-            let rest: Vec<usize> = lab.sh.nodes.iter().map(|n| &n.name).filter(|n| !cut.contains(n)).map(id).collect();
-            lab.sim.split(&cut.iter().map(id).collect::<Vec<_>>(), &rest);
+            let rest: Vec<usize> = lab
+                .sh
+                .nodes
+                .iter()
+                .map(|n| &n.name)
+                .filter(|n| !cut.contains(n))
+                .map(id)
+                .collect();
+            lab.sim
+                .split(&cut.iter().map(id).collect::<Vec<_>>(), &rest);
             lab.op.sleep(3 * SEC).await;
             let (mut acks, mut stale) = (vec![], vec![]);
             for list in [&[2, 3][..], &[2, 3, 4], &[4, 5, 6]] {
                 fronts(&lab, list);
                 let base = lab.version().await;
-                let a = lab.put("core1", base, &format!("l{}", list.len() * 10 + list[0] as usize)).await;
+                let a = lab
+                    .put(
+                        "core1",
+                        base,
+                        &format!("l{}", list.len() * 10 + list[0] as usize),
+                    )
+                    .await;
                 if a.code == 1000 {
-                    let old =
-                        |f: &String| lab.front(f).filter(|f| f.watcher.may_serve() && f.documents.config.load().0 < a.version).is_some();
+                    let old = |f: &String| {
+                        lab.front(f)
+                            .filter(|f| {
+                                f.watcher.may_serve() && f.documents.config.load().0 < a.version
+                            })
+                            .is_some()
+                    };
                     stale.extend(cut.iter().filter(|f| old(f)).cloned());
                 }
                 acks.push(a.code);
@@ -243,12 +332,21 @@
             fronts(&lab, &[4, 5, 6]);
             let whole = lab.put("core1", base, "whole").await.code;
             // What was left behind is proved by now: the old fronts may go for good.
-            cut.iter().chain([&"front3".to_string()]).for_each(|f| lab.sim.kill(lab.sim.find(f), true));
+            cut.iter()
+                .chain([&"front3".to_string()])
+                .for_each(|f| lab.sim.kill(lab.sim.find(f), true));
             let base = lab.version().await;
-            (acks, stale, vec![whole, lab.put("core2", base, "after").await.code])
+            (
+                acks,
+                stale,
+                vec![whole, lab.put("core2", base, "after").await.code],
+            )
         })
     });
-    assert!(stale.is_empty(), "{stale:?} served by an older list after {acks:?}");
+    assert!(
+        stale.is_empty(),
+        "{stale:?} served by an older list after {acks:?}"
+    );
     assert_ne!(acks[1], 1000);
     assert_eq!(healed, [1000, 1000]);
 }
@@ -273,7 +371,12 @@
             let mut deaf = vec![];
             for i in 0..12 {
                 let mut c = lab.op.connect(to).await.unwrap();
-                let q = yewcross_testkit::script::request("POST", "/v1/turn", "", &body(&format!("s{i}")));
+                let q = yewcross_testkit::script::request(
+                    "POST",
+                    "/v1/turn",
+                    "",
+                    &body(&format!("s{i}")),
+                );
                 c.write_all(q.as_bytes()).await.unwrap();
                 deaf.push(c);
             }
@@ -291,10 +394,16 @@
             });
             // By now all are made: 6,000 tokens take 24 s, in two rounds at most.
             lab.op.sleep(50 * SEC).await;
-            let held: u32 = yewcross_proxy::server_table::fit(&f, "llm").iter().map(|s| s.report.running).sum();
+            let held: u32 = yewcross_proxy::server_table::fit(&f, "llm")
+                .iter()
+                .map(|s| s.report.running)
+                .sum();
             let t0 = lab.sim.now();
             let g = f.clone();
-            let stopped = lab.op.timeout(60 * SEC, async move { g.stop().await }).await;
+            let stopped = lab
+                .op
+                .timeout(60 * SEC, async move { g.stop().await })
+                .await;
             let stop = stopped.map(|_| (lab.sim.now() - t0) / SEC);
             let mut b = [0u8; 64];
             let cut = deaf[0].read(&mut b).await.is_ok();
@@ -302,8 +411,15 @@
         })
     });
     assert_eq!(held, 0, "slots are held by callers that do not read");
-    assert!(stop.is_some_and(|s| s < 15), "a planned stop took {stop:?} s");
-    assert!(cut && whole.contains(r#""end":true"#), "the slow reader got {} bytes", whole.len());
+    assert!(
+        stop.is_some_and(|s| s < 15),
+        "a planned stop took {stop:?} s"
+    );
+    assert!(
+        cut && whole.contains(r#""end":true"#),
+        "the slow reader got {} bytes",
+        whole.len()
+    );
 }
 
 /// One machine's clock, days ahead, erased what was to be kept and closed what still ran.
@@ -318,7 +434,9 @@
                 let key = "session/p/s".to_string();
                 let first = ranked(&lab, &key)[0].clone();
                 let c = lab.control(&first).unwrap();
-                let PeerResponse::TurnBegun(g) = ask(&c, PeerRequest::BeginTurn(begin(&key, "j1", 1, None))).await else {
+                let PeerResponse::TurnBegun(g) =
+                    ask(&c, PeerRequest::BeginTurn(begin(&key, "j1", 1, None))).await
+                else {
                     panic!("not begun")
                 };
                 let x = CommitTurn {
@@ -332,7 +450,9 @@
                     cache: SessionCacheState::default(),
                     history_bytes: 5,
                 };
-                c.store.handle(PeerRequest::CommitTurn(x), b"turn\n".to_vec()).await;
+                c.store
+                    .handle(PeerRequest::CommitTurn(x), b"turn\n".to_vec())
+                    .await;
                 lab.sim.skew(lab.sim.find(&first), 5 * 86_400_000);
                 // Long enough for several sweeps.
                 lab.op.sleep(40 * SEC).await;
@@ -340,19 +460,28 @@
                 lab.op.sleep(SEC).await;
                 lab.sim.skew(lab.sim.find(&first), 9 * 86_400_000);
                 let second = ask(&c, PeerRequest::BeginTurn(begin(&key, "j3", 3, None))).await;
-                let PeerResponse::SessionReservations { open, .. } = ask(&c, PeerRequest::InspectSession { key }).await else {
+                let PeerResponse::SessionReservations { open, .. } =
+                    ask(&c, PeerRequest::InspectSession { key }).await
+                else {
                     panic!("no look")
                 };
                 (kept, open.len(), second)
             })
         },
     );
-    assert!(matches!(&kept, PeerResponse::TurnBegun(g) if g.history_bytes == 5), "{kept:?}");
-    assert!(matches!(second, PeerResponse::Rejected(Code::SessionBusy)), "{second:?}");
+    assert!(
+        matches!(&kept, PeerResponse::TurnBegun(g) if g.history_bytes == 5),
+        "{kept:?}"
+    );
+    assert!(
+        matches!(second, PeerResponse::Rejected(Code::SessionBusy)),
+        "{second:?}"
+    );
     assert_eq!(running, 1);
 }
 
-/// A machine whose clock had been ahead ended itself at every start until its last life was forgotten.
+/// A machine whose clock had been ahead ended itself at every start until its last life was
+/// forgotten.
 #[test]
 fn a_clock_set_back_does_not_keep_a_machine_out() {
     let (out, in_again) = on_fleet_of(
@@ -371,15 +500,26 @@
                 lab.boot("store2");
                 lab.op.sleep(5 * SEC).await;
                 let c = lab.control("store2").unwrap();
-                let seen = lab.control("core1").unwrap().members.view.load().get("store2").map(|n| n.incarnation);
-                (c.members.replaced.is_set(), seen == Some(c.members.own_node.lock().unwrap().incarnation))
+                let seen = lab
+                    .control("core1")
+                    .unwrap()
+                    .members
+                    .view
+                    .load()
+                    .get("store2")
+                    .map(|n| n.incarnation);
+                (
+                    c.members.replaced.is_set(),
+                    seen == Some(c.members.own_node.lock().unwrap().incarnation),
+                )
             })
         },
     );
     assert!(!out && in_again);
 }
 
-/// With more disks than sites, two of a key's three copies could stand in one site, and a lost site took the key along.
+/// With more disks than sites, two of a key's three copies could stand in one site, and a lost site
+/// took the key along.
 #[test]
 fn no_site_holds_a_majority_of_a_key() {
     let (mut tried, mut away) = (0, 0);
@@ -390,15 +530,23 @@
             |_| (),
             |lab| {
                 Box::pin(async move {
-                    let all: Vec<_> = lab.sh.nodes.iter().map(|n| (lab.sim.find(&n.name), n.site == "z2")).collect();
+                    let all: Vec<_> = lab
+                        .sh
+                        .nodes
+                        .iter()
+                        .map(|n| (lab.sim.find(&n.name), n.site == "z2"))
+                        .collect();
                     let (x, y): (Vec<_>, Vec<_>) = all.into_iter().partition(|n| n.1);
-                    let ids = |v: Vec<(usize, bool)>| v.into_iter().map(|n| n.0).collect::<Vec<_>>();
+                    let ids =
+                        |v: Vec<(usize, bool)>| v.into_iter().map(|n| n.0).collect::<Vec<_>>();
                     lab.sim.split(&ids(x), &ids(y));
                     lab.op.sleep(6 * SEC).await;
                     let (mut tried, mut away) = (0, 0);
                     for i in 0..40u64 {
                         let key = format!("session/p/s{i}");
-                        let to = ranked(&lab, &key).into_iter().find(|n| !["store2", "store6"].contains(&n.as_str()));
+                        let to = ranked(&lab, &key)
+                            .into_iter()
+                            .find(|n| !["store2", "store6"].contains(&n.as_str()));
                         let c = lab.control(&to.unwrap()).unwrap();
                         let t = ask(&c, PeerRequest::BeginTurn(begin(&key, "j", i, None))).await;
                         tried += 1;
@@ -414,7 +562,8 @@
     assert_eq!((tried, away), (120, 0));
 }
 
-/// A run cut short as its caller left settled what had been passed on, not what the server had put out.
+/// A run cut short as its caller left settled what had been passed on, not what the server had put
+/// out.
 #[test]
 fn a_run_cut_short_settles_what_was_put_out() {
     let edit = |t: &mut serde_json::Value| {
@@ -427,21 +576,48 @@
             Box::pin(async move {
                 use futures_lite::{AsyncReadExt, AsyncWriteExt};
                 let body = r#"{"program":"chargeback","session":"s","job":"j","budget":"chargeback","horizon_ms":6000,"messages":[{"role":"user","text":"hi"}],"max_output":600,"stream":true}"#;
-                let mut c = lab.op.connect(lab.sh.of(Role::Front)[0].http).await.unwrap();
-                c.write_all(yewcross_testkit::script::request("POST", "/v1/turn", "", body).as_bytes()).await.unwrap();
+                let mut c = lab
+                    .op
+                    .connect(lab.sh.of(Role::Front)[0].http)
+                    .await
+                    .unwrap();
+                c.write_all(
+                    yewcross_testkit::script::request("POST", "/v1/turn", "", body).as_bytes(),
+                )
+                .await
+                .unwrap();
                 // Pieces are under way while the cancel is.
-                lab.sim.weather(yewcross_testkit::sim::Weather { jitter: 100 * MS, ..Default::default() });
+                lab.sim.weather(yewcross_testkit::sim::Weather {
+                    jitter: 100 * MS,
+                    ..Default::default()
+                });
                 let mut b = [0u8; 2000];
-                while c.read(&mut b).await.is_ok_and(|n| !b[..n].windows(5).any(|w| w == b"\"n\":2")) {}
+                while c
+                    .read(&mut b)
+                    .await
+                    .is_ok_and(|n| !b[..n].windows(5).any(|w| w == b"\"n\":2"))
+                {}
                 drop(c);
                 lab.op.sleep(8 * SEC).await;
                 let f = lab.front("front1").unwrap();
                 let cut = f.counts.cancelled.load(std::sync::atomic::Ordering::SeqCst);
-                let out: u64 = lab.ledger.runs.lock().unwrap().iter().map(|r| r.output).sum();
+                let out: u64 = lab
+                    .ledger
+                    .runs
+                    .lock()
+                    .unwrap()
+                    .iter()
+                    .map(|r| r.output)
+                    .sum();
                 (cut, purse(&lab, "chargeback").await.spent, out)
             })
         });
-        assert!(got.1 >= got.2, "seed {seed}: {} spent, {} put out", got.1, got.2);
+        assert!(
+            got.1 >= got.2,
+            "seed {seed}: {} spent, {} put out",
+            got.1,
+            got.2
+        );
         (cut, spent, out) = (cut + got.0, spent + got.1, out + got.2);
     }
     println!("seeds 60 to 63: {cut} runs cut short, {spent} spent for {out} put out");
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -1,4 +1,5 @@
-//! What a disk keeps over a kill and a loss of power, and how a node comes back whose disk failed for a while.
+//! What a disk keeps over a kill and a loss of power, and how a node comes back whose disk failed
+//! for a while.
 
 use std::net::IpAddr;
 use std::sync::atomic::Ordering::SeqCst;
@@ -27,11 +28,19 @@
     fn new(seed: u64) -> Bench {
         let sim = Sim::new(seed, 900);
         let machine = sim.machine("m", "z1", IpAddr::from([10, 1, 0, 1]));
-        Bench { sim, machine, random: fastrand::Rng::with_seed(seed) }
+        Bench {
+            sim,
+            machine,
+            random: fastrand::Rng::with_seed(seed),
+        }
     }
 
     /// Starts a process that runs the task; it is left running for so many us at most.
-    fn run<T: Send + 'static>(&self, us: u64, task: impl FnOnce(Runtime) -> BoxFuture<'static, T>) -> Option<T> {
+    fn run<T: Send + 'static>(
+        &self,
+        us: u64,
+        task: impl FnOnce(Runtime) -> BoxFuture<'static, T>,
+    ) -> Option<T> {
         let world = self.sim.boot(self.machine);
         let done: Arc<Mutex<Option<T>>> = Default::default();
         let (result, task) = (done.clone(), task(world.clone()));
@@ -39,7 +48,8 @@
             let outcome = task.await;
             *result.lock().unwrap() = Some(outcome);
         });
-        self.sim.run(self.sim.now() + us, || done.lock().unwrap().is_some());
+        self.sim
+            .run(self.sim.now() + us, || done.lock().unwrap().is_some());
         done.lock().unwrap().take()
     }
 
@@ -58,11 +68,21 @@
 }
 
 fn promise(n: u64) -> RegisterRequest {
-    RegisterRequest::Promise { key: KEY.into(), epoch: epoch(n), lay: 0 }
+    RegisterRequest::Promise {
+        key: KEY.into(),
+        epoch: epoch(n),
+        lay: 0,
+    }
 }
 
 fn accept(n: u64, seq: u64) -> RegisterRequest {
-    RegisterRequest::Accept { key: KEY.into(), epoch: epoch(n), seq, lay: 0, delta: false }
+    RegisterRequest::Accept {
+        key: KEY.into(),
+        epoch: epoch(n),
+        seq,
+        lay: 0,
+        delta: false,
+    }
 }
 
 async fn open(w: &Runtime) -> Arc<Replica> {
@@ -79,7 +99,10 @@
         let vote = |w: Runtime| -> BoxFuture<'static, String> {
             Box::pin(async move {
                 let replica = open(&w).await;
-                assert!(matches!(replica.handle(promise(5), vec![]).await.0, RegisterReply::Promised { .. }));
+                assert!(matches!(
+                    replica.handle(promise(5), vec![]).await.0,
+                    RegisterReply::Promised { .. }
+                ));
                 replica.storage.disk_id.clone()
             })
         };
@@ -88,22 +111,32 @@
         let look = |w: Runtime| -> BoxFuture<'static, (String, u64)> {
             Box::pin(async move {
                 let replica = open(&w).await;
-                (replica.storage.disk_id.clone(), replica.peek(KEY).await.map_or(0, |slot| slot.promised.n))
+                (
+                    replica.storage.disk_id.clone(),
+                    replica.peek(KEY).await.map_or(0, |slot| slot.promised.n),
+                )
             })
         };
         let (after, promised) = bench.run(SEC, look).unwrap();
         if after == before {
             same += 1;
-            assert_eq!(promised, 5, "seed {seed}: {after} forgot its vote and keeps its name");
+            assert_eq!(
+                promised, 5,
+                "seed {seed}: {after} forgot its vote and keeps its name"
+            );
         } else {
             new += 1;
         }
     }
     println!("identity kept {same} times, new {new} times");
-    assert_eq!(new, 0, "an identity that was answered with must outlast the power");
+    assert_eq!(
+        new, 0,
+        "an identity that was answered with must outlast the power"
+    );
 }
 
-/// The process dies at any moment of its first start, by a kill or a loss of power, and then power goes once more.
+/// The process dies at any moment of its first start, by a kill or a loss of power, and then power
+/// goes once more.
 #[test]
 fn a_first_start_cut_short_leaves_no_forgetful_disk() {
     for seed in 0..400 {
@@ -117,14 +150,31 @@
                     let replica = open(&w).await;
                     let id = replica.storage.disk_id.clone();
                     let known = replica.peek(KEY).await.map_or(0, |slot| slot.promised.n);
-                    let vouched = told.lock().unwrap().iter().filter(|x| x.0 == id).map(|x| x.1).max().unwrap_or(0);
-                    assert!(known >= vouched, "seed {seed}: {id} promised {vouched} and knows {known}");
-                    if matches!(replica.handle(promise(known + 1), vec![]).await.0, RegisterReply::Promised { .. }) {
+                    let vouched = told
+                        .lock()
+                        .unwrap()
+                        .iter()
+                        .filter(|x| x.0 == id)
+                        .map(|x| x.1)
+                        .max()
+                        .unwrap_or(0);
+                    assert!(
+                        known >= vouched,
+                        "seed {seed}: {id} promised {vouched} and knows {known}"
+                    );
+                    if matches!(
+                        replica.handle(promise(known + 1), vec![]).await.0,
+                        RegisterReply::Promised { .. }
+                    ) {
                         told.lock().unwrap().push((id, known + 1));
                     }
                 })
             });
-            if bench.random.bool() { bench.kill() } else { bench.lose_power() }
+            if bench.random.bool() {
+                bench.kill()
+            } else {
+                bench.lose_power()
+            }
         }
     }
 }
@@ -146,13 +196,22 @@
         });
         bench.kill();
         let known = |w: Runtime| -> BoxFuture<'static, u64> {
-            Box::pin(async move { open(&w).await.peek(KEY).await.map_or(0, |slot| slot.promised.n) })
+            Box::pin(async move {
+                open(&w)
+                    .await
+                    .peek(KEY)
+                    .await
+                    .map_or(0, |slot| slot.promised.n)
+            })
         };
         let read = bench.run(SEC, known).unwrap();
         bench.lose_power();
         let left = bench.run(SEC, known).unwrap();
         read_after_a_kill += read.min(1);
-        assert!(left >= read, "seed {seed}: {read} was read after the kill, {left} after the loss of power");
+        assert!(
+            left >= read,
+            "seed {seed}: {read} was read after the kill, {left} after the loss of power"
+        );
     }
     assert!(read_after_a_kill > 100, "{read_after_a_kill}");
 }
@@ -166,32 +225,66 @@
             Box::pin(async move {
                 let replica = open(&w).await;
                 for (n, value) in [(1, "old"), (2, "older"), (3, "")] {
-                    assert!(matches!(replica.handle(promise(n), vec![]).await.0, RegisterReply::Promised { .. }));
-                    assert_eq!(replica.handle(accept(n, n), value.into()).await.0, RegisterReply::Accepted);
+                    assert!(matches!(
+                        replica.handle(promise(n), vec![]).await.0,
+                        RegisterReply::Promised { .. }
+                    ));
+                    assert_eq!(
+                        replica.handle(accept(n, n), value.into()).await.0,
+                        RegisterReply::Accepted
+                    );
                 }
                 if dropped {
-                    let drop = RegisterRequest::Drop { key: KEY.into(), epoch: epoch(3), seq: 3, lay: 0 };
-                    assert_eq!(replica.handle(drop, vec![]).await.0, RegisterReply::Accepted);
+                    let drop = RegisterRequest::Drop {
+                        key: KEY.into(),
+                        epoch: epoch(3),
+                        seq: 3,
+                        lay: 0,
+                    };
+                    assert_eq!(
+                        replica.handle(drop, vec![]).await.0,
+                        RegisterReply::Accepted
+                    );
                 } else {
                     replica.forget(KEY).await;
                 }
-                assert!(matches!(replica.handle(promise(1), vec![]).await.0, RegisterReply::Promised { .. }));
-                assert_eq!(replica.handle(accept(1, 1), b"new".to_vec()).await.0, RegisterReply::Accepted);
+                assert!(matches!(
+                    replica.handle(promise(1), vec![]).await.0,
+                    RegisterReply::Promised { .. }
+                ));
+                assert_eq!(
+                    replica.handle(accept(1, 1), b"new".to_vec()).await.0,
+                    RegisterReply::Accepted
+                );
             })
         };
         bench.run(SEC, lives).unwrap();
         bench.lose_power();
-        let value = bench.run(SEC, |w| Box::pin(async move { open(&w).await.peek(KEY).await.unwrap().value.to_vec() })).unwrap();
-        assert_eq!(String::from_utf8_lossy(&value), "new", "seed {seed}, dropped {dropped}");
+        let value = bench
+            .run(SEC, |w| {
+                Box::pin(async move { open(&w).await.peek(KEY).await.unwrap().value.to_vec() })
+            })
+            .unwrap();
+        assert_eq!(
+            String::from_utf8_lossy(&value),
+            "new",
+            "seed {seed}, dropped {dropped}"
+        );
     }
 }
 
 fn ledger(n: u64) -> Item {
-    Item::Ledger(LedgerRecord { program: format!("p{n}"), ..Default::default() }, n)
+    Item::Ledger(
+        LedgerRecord {
+            program: format!("p{n}"),
+            ..Default::default()
+        },
+        n,
+    )
 }
 
-/// Segments are appended to, the process is killed at any moment, another reads and goes on, and power goes: nothing that
-/// was read is gone, and no torn end passes for damage.
+/// Segments are appended to, the process is killed at any moment, another reads and goes on, and
+/// power goes: nothing that was read is gone, and no torn end passes for damage.
 #[test]
 fn a_log_read_after_a_kill_outlasts_the_power() {
     // What the log holds, and which of its segments are damaged.
@@ -208,7 +301,9 @@
             let next = found.sizes.keys().last().map_or(1, |s| s + 1);
             let mut batch: Vec<Item> = found.torn.iter().map(|(s, n)| Item::Torn(*s, *n)).collect();
             batch.push(ledger(1_000_000 + next));
-            w.append(&segment_log::path(next), encode_frame(&encode(&batch))).await.unwrap();
+            w.append(&segment_log::path(next), encode_frame(&encode(&batch)))
+                .await
+                .unwrap();
             (items, found.hurt)
         })
     };
@@ -221,7 +316,12 @@
                 segment_log::read(&w, |_, _| {}).await.unwrap();
                 for n in 1u64.. {
                     let segment = 1 + n / 6;
-                    let _ = w.append(&segment_log::path(segment), encode_frame(&encode(&vec![ledger(n)]))).await;
+                    let _ = w
+                        .append(
+                            &segment_log::path(segment),
+                            encode_frame(&encode(&vec![ledger(n)])),
+                        )
+                        .await;
                 }
             })
         });
@@ -234,8 +334,14 @@
         for round in 0..2 {
             bench.lose_power();
             let (items, hurt) = bench.run(SEC, read).unwrap();
-            assert!(hurt.is_empty(), "seed {seed}, round {round}: damage in {hurt:?}");
-            assert!(known.iter().all(|n| items.contains(n)), "seed {seed}, round {round}: {known:?} became {items:?}");
+            assert!(
+                hurt.is_empty(),
+                "seed {seed}, round {round}: damage in {hurt:?}"
+            );
+            assert!(
+                known.iter().all(|n| items.contains(n)),
+                "seed {seed}, round {round}: {known:?} became {items:?}"
+            );
             known = items;
         }
     }
@@ -259,7 +365,10 @@
 async fn until_restored(tier: &Tier, name: &str, us: u64) -> Option<u64> {
     let since = tier.op.now();
     while tier.op.now() < since + us {
-        if tier.at(name).is_some_and(|c| !c.storage.failed.load(SeqCst)) {
+        if tier
+            .at(name)
+            .is_some_and(|c| !c.storage.failed.load(SeqCst))
+        {
             return Some(tier.op.now() - since);
         }
         tier.op.sleep(5 * MS).await;
@@ -267,12 +376,13 @@
     None
 }
 
-/// A core disk fails for 4 s while configurations are put, and works again. The node is back without a restart, so that the
-/// next loss is not one too many.
+/// A core disk fails for 4 s while configurations are put, and works again. The node is back
+/// without a restart, so that the next loss is not one too many.
 #[test]
 fn a_core_disk_that_works_again_bears_the_next_loss() {
     let mut worst = 0;
-    for (seed, trouble) in (0..6).flat_map(|seed| [(seed, Trouble::Full), (seed, Trouble::Errors)]) {
+    for (seed, trouble) in (0..6).flat_map(|seed| [(seed, Trouble::Full), (seed, Trouble::Errors)])
+    {
         let tier = Tier::new(4000 + seed, [4, 4, 3], 1);
         let us = play(&tier, move |t| {
             Box::pin(async move {
@@ -284,7 +394,11 @@
                     t.put_surely(base, text).await;
                     t.op.sleep(SEC).await;
                 }
-                assert!(t.at("core2").unwrap().storage.failed.load(SeqCst), "{trouble:?} is not noticed\n{}", tell(&t));
+                assert!(
+                    t.at("core2").unwrap().storage.failed.load(SeqCst),
+                    "{trouble:?} is not noticed\n{}",
+                    tell(&t)
+                );
                 set(&t, "core2", trouble, false);
                 let us = until_restored(&t, "core2", 10 * SEC).await;
                 let us = us.unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
@@ -304,11 +418,12 @@
     assert!(worst < SEC, "{worst}");
 }
 
-/// A store's log after a disk that failed: what was answered is there, what was not is believed neither way, and the store
-/// answers again.
+/// A store's log after a disk that failed: what was answered is there, what was not is believed
+/// neither way, and the store answers again.
 #[test]
 fn a_store_disk_that_works_again_answers_again() {
-    for (seed, trouble) in (0..6).flat_map(|seed| [(seed, Trouble::Full), (seed, Trouble::Errors)]) {
+    for (seed, trouble) in (0..6).flat_map(|seed| [(seed, Trouble::Full), (seed, Trouble::Errors)])
+    {
         let tier = Tier::new(5000 + seed, [4, 4, 1], 1);
         play(&tier, move |t| {
             Box::pin(async move {
@@ -323,9 +438,14 @@
                 assert!(!keep(2).await);
                 assert!(store.storage.failed.load(SeqCst));
                 t.op.sleep(4 * SEC).await;
-                assert!(store.storage.failed.load(SeqCst), "{trouble:?}: took part while its disk did not work");
+                assert!(
+                    store.storage.failed.load(SeqCst),
+                    "{trouble:?}: took part while its disk did not work"
+                );
                 set(&t, "store1", trouble, false);
-                until_restored(&t, "store1", SEC).await.unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
+                until_restored(&t, "store1", SEC)
+                    .await
+                    .unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
                 let programs = |c: &yewcross_control::Control| {
                     let shelf = c.chain.st.lock().unwrap();
                     let mut names: Vec<String> = shelf.ledgers.keys().cloned().collect();
@@ -333,12 +453,19 @@
                     names
                 };
                 assert_eq!(programs(&store), ["p1"], "{trouble:?}");
-                assert!(!store.chain.doubt.load(SeqCst), "{trouble:?}: nothing was lost");
+                assert!(
+                    !store.chain.doubt.load(SeqCst),
+                    "{trouble:?}: nothing was lost"
+                );
                 assert!(keep(3).await, "{trouble:?}: keeps nothing any more");
                 t.kill("store1", true);
                 t.boot("store1", false);
                 t.op.sleep(2 * SEC).await;
-                assert_eq!(programs(&t.at("store1").unwrap()), ["p1", "p3"], "{trouble:?}");
+                assert_eq!(
+                    programs(&t.at("store1").unwrap()),
+                    ["p1", "p3"],
+                    "{trouble:?}"
+                );
             })
         });
     }
@@ -357,12 +484,18 @@
             t.op.sleep(SEC).await;
             assert!(t.at("core2").unwrap().storage.failed.load(SeqCst));
             t.sim.wipe(t.sim.find("core2"));
-            assert_eq!(until_restored(&t, "core2", 5 * SEC).await, None, "{}", tell(&t));
+            assert_eq!(
+                until_restored(&t, "core2", 5 * SEC).await,
+                None,
+                "{}",
+                tell(&t)
+            );
         })
     });
 }
 
-/// A disk that stalls or is 30 times as slow is never believed for what it did not sync, and needs no restoring.
+/// A disk that stalls or is 30 times as slow is never believed for what it did not sync, and needs
+/// no restoring.
 #[test]
 fn a_stalled_or_slow_core_disk_only_loses_its_vote_meanwhile() {
     for (seed, stalled) in (0..4).flat_map(|seed| [(seed, true), (seed, false)]) {
@@ -372,18 +505,29 @@
                 up(&t).await;
                 t.put_surely(0, "1 a").await;
                 let machine = t.sim.find("core2");
-                t.sim.disk(machine, |d| if stalled { d.stalled = true } else { d.slowness = 30 });
+                t.sim.disk(machine, |d| {
+                    if stalled {
+                        d.stalled = true
+                    } else {
+                        d.slowness = 30
+                    }
+                });
                 let mut worst = 0;
                 for n in 1..4 {
                     worst = worst.max(t.put_surely(n, &format!("{} x", n + 1)).await);
                     t.op.sleep(SEC).await;
                 }
-                t.sim.disk(machine, |d| (d.stalled, d.slowness) = (false, 1));
+                t.sim
+                    .disk(machine, |d| (d.stalled, d.slowness) = (false, 1));
                 t.op.sleep(SEC).await;
                 assert!(!t.at("core2").unwrap().storage.failed.load(SeqCst));
                 t.kill("core3", true);
                 let after = t.put_surely(4, "5 e").await;
-                println!("stalled {stalled}: puts took {} ms at most meanwhile, {} ms after", worst / MS, after / MS);
+                println!(
+                    "stalled {stalled}: puts took {} ms at most meanwhile, {} ms after",
+                    worst / MS,
+                    after / MS
+                );
                 assert!(worst < 4 * SEC && after < 4 * SEC, "{worst} {after}");
             })
         });
@@ -400,8 +544,9 @@
     None
 }
 
-/// Ends all machines with disks at a moment of an order that is under way, four times, and starts them a second later: what
-/// was acknowledged is there, the order can be sent again, and in the end every machine has its seat.
+/// Ends all machines with disks at a moment of an order that is under way, four times, and starts
+/// them a second later: what was acknowledged is there, the order can be sent again, and in the end
+/// every machine has its seat.
 async fn orders_outlast_herds(t: &Arc<Tier>, power: bool) {
     let (cores, stores) = (t.names(Role::Core), t.names(Role::Store));
     let all: Vec<String> = cores.iter().chain(&stores).cloned().collect();
@@ -412,16 +557,25 @@
             machines.iter().for_each(|n| tier.kill(n, power));
         });
         let text = format!("{} r", base + 1);
-        let answer = t.put(&cores[base as usize % cores.len()], base, &text).await;
+        let answer = t
+            .put(&cores[base as usize % cores.len()], base, &text)
+            .await;
         t.op.sleep(SEC).await;
         all.iter().for_each(|n| t.boot(n, false));
         t.op.sleep(3 * SEC).await;
         if matches!(answer, Some(PutAnswer::InForce(_))) {
-            assert_eq!(newest(t).await, Some(text.clone()), "acknowledged and gone\n{}", tell(t));
+            assert_eq!(
+                newest(t).await,
+                Some(text.clone()),
+                "acknowledged and gone\n{}",
+                tell(t)
+            );
         }
         t.put_surely(base, &text).await;
     }
-    t.seated(&cores, &stores, 10 * SEC).await.unwrap_or_else(|| panic!("not whole\n{}", tell(t)));
+    t.seated(&cores, &stores, 10 * SEC)
+        .await
+        .unwrap_or_else(|| panic!("not whole\n{}", tell(t)));
 }
 
 const SIZES: [([usize; 3], usize); 3] = [([4, 4, 2], 1), ([5, 5, 2], 2), ([8, 8, 2], 2)];
@@ -440,7 +594,8 @@
     }
 }
 
-/// Invariant D4, for a kill of all, while the clocks of a third of the machines jump back and ahead.
+/// Invariant D4, for a kill of all, while the clocks of a third of the machines jump back and
+/// ahead.
 #[test]
 fn acknowledged_configurations_outlast_herd_kills_and_clock_steps() {
     for (seed, (counts, lost)) in (0..8).flat_map(|seed| SIZES.map(|size| (seed, size))) {
@@ -450,9 +605,13 @@
                 up(&t).await;
                 let steps = t.clone();
                 t.op.spawn(async move {
-                    let machines: Vec<String> = steps.specs.lock().unwrap().keys().cloned().collect();
+                    let machines: Vec<String> =
+                        steps.specs.lock().unwrap().keys().cloned().collect();
                     loop {
-                        for name in machines.iter().filter(|_| steps.op.random().is_multiple_of(3)) {
+                        for name in machines
+                            .iter()
+                            .filter(|_| steps.op.random().is_multiple_of(3))
+                        {
                             let ms = (steps.op.random() % 4_000) as i64 - 2_000;
                             steps.sim.skew(steps.sim.find(name), ms);
                         }
@@ -465,7 +624,8 @@
     }
 }
 
-/// A start at a deployment of 78 machines is one line of counts a node; a loss afterwards is a line as ever.
+/// A start at a deployment of 78 machines is one line of counts a node; a loss afterwards is a line
+/// as ever.
 #[test]
 fn a_start_is_logged_in_one_line() {
     let tier = Tier::new(9000, [8, 9, 61], 2);
@@ -473,8 +633,19 @@
         Box::pin(async move {
             up(&t).await;
             t.op.sleep(4 * SEC).await;
-            let lines = |what: &str| t.sim.log().iter().filter(|l| l.1 == "core2" && l.2.starts_with(what)).count();
-            assert_eq!(lines("members known: 8 core, 9 store, 61 front"), 1, "{}", tell(&t));
+            let lines = |what: &str| {
+                t.sim
+                    .log()
+                    .iter()
+                    .filter(|l| l.1 == "core2" && l.2.starts_with(what))
+                    .count()
+            };
+            assert_eq!(
+                lines("members known: 8 core, 9 store, 61 front"),
+                1,
+                "{}",
+                tell(&t)
+            );
             assert_eq!(lines("member "), 0, "{}", tell(&t));
             t.kill("front7", true);
             t.op.sleep(10 * SEC).await;
--- a/yewcross-testkit/tests/documents.rs
+++ b/yewcross-testkit/tests/documents.rs
@@ -15,7 +15,12 @@
 }
 
 fn list(rev: u64) -> Vec<u8> {
-    serde_json::to_vec(&ServerList { revision: rev, term: 0, servers: vec![] }).unwrap()
+    serde_json::to_vec(&ServerList {
+        revision: rev,
+        term: 0,
+        servers: vec![],
+    })
+    .unwrap()
 }
 
 #[test]
@@ -23,25 +28,49 @@
     let book = book();
     let epoch = Ballot::default();
     assert_eq!(book.try_apply("list", 5, epoch, list(5)), Ok(()));
-    assert_eq!(book.try_apply("list", 4, Ballot { n: 9, by: 1 }, list(4)), Err(DocumentRejected::NotNewer { current: 5 }));
+    assert_eq!(
+        book.try_apply("list", 4, Ballot { n: 9, by: 1 }, list(4)),
+        Err(DocumentRejected::NotNewer { current: 5 })
+    );
     // The same document under a later epoch is the same document.
-    assert_eq!(book.try_apply("list", 5, Ballot { n: 9, by: 1 }, list(5)), Err(DocumentRejected::NotNewer { current: 5 }));
-    assert_eq!((book.document("list").version, book.conflicts.load(SeqCst)), (5, 0));
+    assert_eq!(
+        book.try_apply("list", 5, Ballot { n: 9, by: 1 }, list(5)),
+        Err(DocumentRejected::NotNewer { current: 5 })
+    );
+    assert_eq!(
+        (book.document("list").version, book.conflicts.load(SeqCst)),
+        (5, 0)
+    );
 }
 
 #[test]
 fn two_contents_under_one_number_are_told() {
     let book = book();
     book.apply("list", 5, Ballot::default(), list(5));
-    assert_eq!(book.try_apply("list", 5, Ballot::default(), list(6)), Err(DocumentRejected::Conflicting { seq: 5 }));
-    assert_eq!((*book.document("list").content == list(5), book.conflicts.load(SeqCst)), (true, 1));
+    assert_eq!(
+        book.try_apply("list", 5, Ballot::default(), list(6)),
+        Err(DocumentRejected::Conflicting { seq: 5 })
+    );
+    assert_eq!(
+        (
+            *book.document("list").content == list(5),
+            book.conflicts.load(SeqCst)
+        ),
+        (true, 1)
+    );
 }
 
 #[test]
 fn what_cannot_be_read_is_not_taken() {
     let book = book();
-    assert_eq!(book.try_apply("list", 5, Ballot::default(), b"{".to_vec()), Err(DocumentRejected::Unreadable));
-    assert_eq!(book.try_apply("other", 5, Ballot::default(), list(5)), Err(DocumentRejected::UnknownName));
+    assert_eq!(
+        book.try_apply("list", 5, Ballot::default(), b"{".to_vec()),
+        Err(DocumentRejected::Unreadable)
+    );
+    assert_eq!(
+        book.try_apply("other", 5, Ballot::default(), list(5)),
+        Err(DocumentRejected::UnknownName)
+    );
     assert_eq!(book.document("list").version, 0);
 }
 
@@ -52,14 +81,29 @@
     book.apply("list", 5, epoch, list(5));
     let changes = yewcross_common::documents::delta::encode(&list(5), &list(6));
     let digest = |raw: Vec<u8>| yewcross_common::hash::content_digest(&raw);
-    assert_eq!(book.apply_delta("list", 4, &digest(list(5)), 6, epoch, &changes), Err(DocumentRejected::OtherBase { current: 5 }));
+    assert_eq!(
+        book.apply_delta("list", 4, &digest(list(5)), 6, epoch, &changes),
+        Err(DocumentRejected::OtherBase { current: 5 })
+    );
     // The number of the base, and another content.
-    assert_eq!(book.apply_delta("list", 5, &digest(list(7)), 6, epoch, &changes), Err(DocumentRejected::OtherBase { current: 5 }));
+    assert_eq!(
+        book.apply_delta("list", 5, &digest(list(7)), 6, epoch, &changes),
+        Err(DocumentRejected::OtherBase { current: 5 })
+    );
     let mut spoilt = changes.clone();
     spoilt.pop();
-    assert_eq!(book.apply_delta("list", 5, &digest(list(5)), 6, epoch, &spoilt), Err(DocumentRejected::BadDelta));
-    assert_eq!(book.apply_delta("list", 5, &digest(list(5)), 6, epoch, &changes), Ok(()));
-    assert_eq!(book.apply_delta("list", 5, &digest(list(5)), 6, epoch, &changes), Err(DocumentRejected::NotNewer { current: 6 }));
+    assert_eq!(
+        book.apply_delta("list", 5, &digest(list(5)), 6, epoch, &spoilt),
+        Err(DocumentRejected::BadDelta)
+    );
+    assert_eq!(
+        book.apply_delta("list", 5, &digest(list(5)), 6, epoch, &changes),
+        Ok(())
+    );
+    assert_eq!(
+        book.apply_delta("list", 5, &digest(list(5)), 6, epoch, &changes),
+        Err(DocumentRejected::NotNewer { current: 6 })
+    );
     assert_eq!(*book.document("list").content, list(6));
 }
 
@@ -71,16 +115,26 @@
         site: "z1".into(),
         leaving: false,
     };
-    serde_json::to_vec(&ServerList { revision: rev, term: 0, servers: names.iter().map(listed).collect() }).unwrap()
+    serde_json::to_vec(&ServerList {
+        revision: rev,
+        term: 0,
+        servers: names.iter().map(listed).collect(),
+    })
+    .unwrap()
 }
 
 fn leaving(book: &DocumentCache) -> Vec<String> {
     let list = book.list.load();
-    list.1.servers.iter().filter(|server| server.leaving).map(|server| server.server.clone()).collect()
+    list.1
+        .servers
+        .iter()
+        .filter(|server| server.leaving)
+        .map(|server| server.server.clone())
+        .collect()
 }
 
-/// That a server leaves is final: it counts in the list on hand, in one that comes later, and in one that was decided by an
-/// older reading.
+/// That a server leaves is final: it counts in the list on hand, in one that comes later, and in
+/// one that was decided by an older reading.
 #[test]
 fn a_server_told_to_leave_leaves_every_list() {
     let book = book();
@@ -100,7 +154,13 @@
     book.mark_leaving(&["b".into()]);
     let told = book.leaving_servers_unless(0);
     assert_eq!(told, ["b"]);
-    assert!(book.leaving_servers_unless(departures::digest(&told)).is_empty());
+    assert!(
+        book.leaving_servers_unless(departures::digest(&told))
+            .is_empty()
+    );
     book.mark_leaving(&["a".into()]);
-    assert_eq!(book.leaving_servers_unless(departures::digest(&told)), ["a", "b"]);
+    assert_eq!(
+        book.leaving_servers_unless(departures::digest(&told)),
+        ["a", "b"]
+    );
 }
--- a/yewcross-testkit/tests/doors.rs
+++ b/yewcross-testkit/tests/doors.rs
@@ -1,4 +1,5 @@
-//! Bad input at every door: answered at once with its own code or closed, nothing touched, never a panic or a hang.
+//! Bad input at every door: answered at once with its own code or closed, nothing touched, never a
+//! panic or a hang.
 
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering::SeqCst;
@@ -10,9 +11,22 @@
 use yewcross_testkit::script::{on_fleet, raw, request};
 
 const TURN: &str = r#"{"program":"chargeback","session":"s","job":"j1","budget":"chargeback","horizon_ms":2000,"messages":[{"role":"user","text":"hello"}],"max_output":16,"stream":true}"#;
-const LOOKUP: &str = r#"{"service":"settlement","method":"confirm","key":"k1","horizon_ms":1000,"job":"o1"}"#;
-const ODD: [&str; 12] =
-    ["-1", "18446744073709551615", "1e400", "null", "[]", "{}", "\"\"", "\"\\u0000\"", "true", "0.5", "\"/\"", "[[[[[[[[[[[[[[[[[["];
+const LOOKUP: &str =
+    r#"{"service":"settlement","method":"confirm","key":"k1","horizon_ms":1000,"job":"o1"}"#;
+const ODD: [&str; 12] = [
+    "-1",
+    "18446744073709551615",
+    "1e400",
+    "null",
+    "[]",
+    "{}",
+    "\"\"",
+    "\"\\u0000\"",
+    "true",
+    "0.5",
+    "\"/\"",
+    "[[[[[[[[[[[[[[[[[[",
+];
 
 /// The text with one thing wrong: a value made odd, a piece cut, doubled, or some bytes turned.
 fn spoil(r: &mut fastrand::Rng, text: &str) -> Vec<u8> {
@@ -28,12 +42,15 @@
             let piece = b[i..(i + n).min(b.len())].to_vec();
             b.splice(i..i, piece);
         }
-        3 => b.splice(0..0, "[".repeat(r.usize(1..2000)).into_bytes()).for_each(drop),
+        3 => b
+            .splice(0..0, "[".repeat(r.usize(1..2000)).into_bytes())
+            .for_each(drop),
         _ => {
             let at: Vec<usize> = text.match_indices(':').map(|x| x.0 + 1).collect();
             let i = at[r.usize(0..at.len())];
             let end = text[i..].find([',', '}']).map_or(text.len(), |n| i + n);
-            b.splice(i..end, ODD[r.usize(0..ODD.len())].bytes()).for_each(drop);
+            b.splice(i..end, ODD[r.usize(0..ODD.len())].bytes())
+                .for_each(drop);
         }
     }
     b
@@ -59,13 +76,22 @@
         |lab| {
             Box::pin(async move {
                 let mut r = fastrand::Rng::with_seed(51);
-                let (f, c) = (lab.sh.of(Role::Front)[0].clone(), lab.sh.of(Role::Core)[0].clone());
+                let (f, c) = (
+                    lab.sh.of(Role::Front)[0].clone(),
+                    lab.sh.of(Role::Core)[0].clone(),
+                );
                 let conf = lab.text.lock().unwrap().to_string();
-                let found = json!({"cores": ["core1", "core2", "core3"], "stores": ["store1"]}).to_string();
+                let found =
+                    json!({"cores": ["core1", "core2", "core3"], "stores": ["store1"]}).to_string();
                 let doors = [
                     (f.http, "POST", "/v1/turn", TURN),
                     (f.http, "POST", "/v1/lookup", LOOKUP),
-                    (f.http, "POST", "/v1/session/end", r#"{"program":"chargeback","session":"s"}"#),
+                    (
+                        f.http,
+                        "POST",
+                        "/v1/session/end",
+                        r#"{"program":"chargeback","session":"s"}"#,
+                    ),
                     (c.http, "PUT", "/v1/config?dry=1", conf.as_str()),
                     (c.http, "POST", "/v1/found", found.as_str()),
                     (c.http, "POST", "/v1/disks/:x/replace/:y", "{:}"),
@@ -101,7 +127,15 @@
                     let to = lab.sh.nodes[i % lab.sh.nodes.len()].peer;
                     let body = spoil(&mut r, &asks[i % asks.len()].to_string());
                     let blob: Vec<u8> = (0..r.usize(0..64)).map(|_| r.u8(..)).collect();
-                    let mut b = yewcross_common::transport::pack(WIRE_VERSION, i as u64, false, "nobody", "z1", &body, &blob);
+                    let mut b = yewcross_common::transport::pack(
+                        WIRE_VERSION,
+                        i as u64,
+                        false,
+                        "nobody",
+                        "z1",
+                        &body,
+                        &blob,
+                    );
                     if i % 5 == 0 {
                         let k = r.usize(0..b.len());
                         b[k] ^= 1 << r.u8(0..8);
@@ -120,23 +154,42 @@
                     stream: false,
                 };
                 let last = caller::turn(&lab.op, f.http, &a).await;
-                let odd = lab.control("store1").unwrap().peers.rejected_frames.load(SeqCst);
+                let odd = lab
+                    .control("store1")
+                    .unwrap()
+                    .peers
+                    .rejected_frames
+                    .load(SeqCst);
                 (answers, bad, (last.heard, lab.version().await), odd)
             })
         },
     );
-    println!("seed 51: {answers} of 420 spoiled requests were answered, the rest closed; {odd} odd frames at store1");
+    println!(
+        "seed 51: {answers} of 420 spoiled requests were answered, the rest closed; {odd} odd frames at store1"
+    );
     assert!(bad.is_empty(), "{bad:?}");
     assert!(answers > 300);
     assert_eq!(last, (Heard::Done, 2));
 }
 
-/// Settings at the ends of their ranges overflowed: a session to be kept for ever was forgotten at once.
+/// Settings at the ends of their ranges overflowed: a session to be kept for ever was forgotten at
+/// once.
 #[test]
 fn settings_at_the_ends_of_their_ranges_hold() {
-    let conf = |k: &str, v: Value| json!({"families": {"a": {"set": {k: v}}}, "services": {"llm": {"allow": ["m1"]}}}).to_string();
+    let conf = |k: &str, v: Value| {
+        json!({"families": {"a": {"set": {k: v}}}, "services": {"llm": {"allow": ["m1"]}}})
+            .to_string()
+    };
     assert!(Configuration::read(conf("keep_ms", json!(u64::MAX)).as_bytes()).is_err());
-    [Rule::All, Rule::Turns(usize::MAX), Rule::Turns(1), Rule::Tokens(u64::MAX), Rule::Tokens(1)].into_iter().for_each(|r| {
+    [
+        Rule::All,
+        Rule::Turns(usize::MAX),
+        Rule::Turns(1),
+        Rule::Tokens(u64::MAX),
+        Rule::Tokens(1),
+    ]
+    .into_iter()
+    .for_each(|r| {
         let mut h = b"one\ntwo\n".to_vec();
         r.trim(&mut h);
         assert!(h.ends_with(b"two\n"));
@@ -144,17 +197,38 @@
     // Whatever is read as a configuration can be used as one.
     arbtest::arbtest(|u| {
         let odd: String = format!("{}", u.int_in_range(0..=u64::MAX)?);
-        let key = u.choose(&["history", "max_output", "horizon_ms", "keep_ms", "kv_session_bytes", "judge_load"])?;
-        let v = if *key == "history" { json!({"turns": odd.parse::<u64>().unwrap()}) } else { json!(odd.parse::<u64>().unwrap()) };
+        let key = u.choose(&[
+            "history",
+            "max_output",
+            "horizon_ms",
+            "keep_ms",
+            "kv_session_bytes",
+            "judge_load",
+        ])?;
+        let v = if *key == "history" {
+            json!({"turns": odd.parse::<u64>().unwrap()})
+        } else {
+            json!(odd.parse::<u64>().unwrap())
+        };
         if let Ok(t) = Configuration::read(conf(key, v).as_bytes()) {
             let mut h = b"one\ntwo\nthree\n".to_vec();
             t.families["a"].eff.history.trim(&mut h);
             assert!(h.ends_with(b"three\n"));
         }
         let any: Vec<u8> = u.arbitrary()?;
-        let _ = (Configuration::read(&any), yewcross_state::records::Record::read(&any), yewcross_state::records::Purse::read(&any));
-        let _ = (yewcross_common::storage::decode_frame(&any), yewcross_common::documents::delta::apply(b"some\nold\n", &any));
-        let _ = (serde_json::from_slice::<PeerRequest>(&any), serde_json::from_slice::<PeerResponse>(&any));
+        let _ = (
+            Configuration::read(&any),
+            yewcross_state::records::Record::read(&any),
+            yewcross_state::records::Purse::read(&any),
+        );
+        let _ = (
+            yewcross_common::storage::decode_frame(&any),
+            yewcross_common::documents::delta::apply(b"some\nold\n", &any),
+        );
+        let _ = (
+            serde_json::from_slice::<PeerRequest>(&any),
+            serde_json::from_slice::<PeerResponse>(&any),
+        );
         Ok(())
     });
 }
@@ -169,10 +243,24 @@
             Box::pin(async move {
                 let m = lab.sim.find("m1");
                 lab.sim.kill(m, false);
-                let b = lab.sh.backs.iter().find(|b| b.server == "m1").cloned().unwrap();
-                let absurd = yewcross_testkit::standin::Spec { slots: u32::MAX, per_k: u64::MAX, per_out: u64::MAX, cache: u64::MAX, ..b };
+                let b = lab
+                    .sh
+                    .backs
+                    .iter()
+                    .find(|b| b.server == "m1")
+                    .cloned()
+                    .unwrap();
+                let absurd = yewcross_testkit::standin::Spec {
+                    slots: u32::MAX,
+                    per_k: u64::MAX,
+                    per_out: u64::MAX,
+                    cache: u64::MAX,
+                    ..b
+                };
                 let w = lab.sim.boot(m);
-                yewcross_testkit::standin::Standin::start(&w, absurd, lab.ledger.clone()).await.unwrap();
+                yewcross_testkit::standin::Standin::start(&w, absurd, lab.ledger.clone())
+                    .await
+                    .unwrap();
                 lab.op.sleep(2 * SEC).await;
                 let mut done = 0;
                 for i in 0..12 {
@@ -186,7 +274,10 @@
                         max_output: 16,
                         stream: true,
                     };
-                    done += (caller::turn(&lab.op, lab.sh.of(Role::Front)[i % 2].http, &a).await.heard == Heard::Done) as usize;
+                    done += (caller::turn(&lab.op, lab.sh.of(Role::Front)[i % 2].http, &a)
+                        .await
+                        .heard
+                        == Heard::Done) as usize;
                 }
                 done
             })
--- a/yewcross-testkit/tests/duty.rs
+++ b/yewcross-testkit/tests/duty.rs
@@ -1,4 +1,5 @@
-//! The duty lease: one holder at most, taken over in a bounded time, fenced in what it writes (docs/control-safety.md, 1a).
+//! The duty lease: one holder at most, taken over in a bounded time, fenced in what it writes
+//! (docs/control-safety.md, 1a).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,11 +19,18 @@
 
 fn server(n: usize, leaving: bool) -> ListedServer {
     let addr = std::net::SocketAddr::new([10, 7, 0, n as u8].into(), 80);
-    ListedServer { server: format!("s{n}"), service: "llm".into(), addr, site: "z1".into(), leaving }
+    ListedServer {
+        server: format!("s{n}"),
+        service: "llm".into(),
+        addr,
+        site: "z1".into(),
+        leaving,
+    }
 }
 
-/// Looks at all cores every millisecond: at most one is on duty, and the term that a document was written under never falls
-/// from one version to the next. Remembers the longest time without anybody on duty since `begin` was last called.
+/// Looks at all cores every millisecond: at most one is on duty, and the term that a document was
+/// written under never falls from one version to the next. Remembers the longest time without
+/// anybody on duty since `begin` was last called.
 struct Watch {
     on: AtomicBool,
     longest_gap: std::sync::Mutex<u64>,
@@ -31,7 +39,11 @@
 
 impl Watch {
     fn start(t: &Arc<Tier>) -> Arc<Watch> {
-        let watch = Arc::new(Watch { on: AtomicBool::new(true), longest_gap: Default::default(), since: Default::default() });
+        let watch = Arc::new(Watch {
+            on: AtomicBool::new(true),
+            longest_gap: Default::default(),
+            since: Default::default(),
+        });
         let (me, t) = (watch.clone(), t.clone());
         t.op.clone().spawn(async move {
             let mut terms: [BTreeMap<u64, u64>; 2] = Default::default();
@@ -54,9 +66,20 @@
         *longest = gap.max(*longest);
         for c in t.control.lock().unwrap().values() {
             let (layout, list) = (c.documents.layout.load(), c.documents.list.load());
-            for (written, (version, term)) in terms.iter_mut().zip([(layout.0, layout.1.term), (list.0, list.1.term)]) {
-                assert_eq!(*written.entry(version).or_insert(term), term, "two documents under one version\n{}", tell(t));
-                let falls = written.range(..version).next_back().is_some_and(|(_, earlier)| *earlier > term);
+            for (written, (version, term)) in terms
+                .iter_mut()
+                .zip([(layout.0, layout.1.term), (list.0, list.1.term)])
+            {
+                assert_eq!(
+                    *written.entry(version).or_insert(term),
+                    term,
+                    "two documents under one version\n{}",
+                    tell(t)
+                );
+                let falls = written
+                    .range(..version)
+                    .next_back()
+                    .is_some_and(|(_, earlier)| *earlier > term);
                 assert!(!falls, "a term fell\n{}", tell(t));
             }
         }
@@ -77,7 +100,15 @@
 async fn list_known(t: &Tier, server: &str, us: u64) -> Option<u64> {
     let t0 = t.op.now();
     while t.op.now() < t0 + us {
-        let knows = |b: &Arc<Bare>| b.book.list.load().1.servers.iter().any(|s| s.server == server && s.leaving);
+        let knows = |b: &Arc<Bare>| {
+            b.book
+                .list
+                .load()
+                .1
+                .servers
+                .iter()
+                .any(|s| s.server == server && s.leaving)
+        };
         if t.fronts.lock().unwrap().values().all(knows) {
             return Some(t.op.now() - t0);
         }
@@ -86,16 +117,23 @@
     None
 }
 
-/// The holder is cut off from the other cores for 20 s while fronts reach all; a server leaves every second.
+/// The holder is cut off from the other cores for 20 s while fronts reach all; a server leaves
+/// every second.
 fn holder_cut_off(seed: u64, counts: [usize; 3], lost: usize, how: Cut) -> (u64, u64) {
     let t = Tier::new(seed, counts, lost);
     play(&t, |t| {
         Box::pin(async move {
-            let platform = t.list_servers((0..20).map(|n| server(n, false)).collect()).await;
+            let platform = t
+                .list_servers((0..20).map(|n| server(n, false)).collect())
+                .await;
             up(&t).await;
             t.op.sleep(3 * SEC + t.op.random() % SEC).await;
             let watch = Watch::start(&t);
-            let holder = t.on_duty().first().cloned().unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
+            let holder = t
+                .on_duty()
+                .first()
+                .cloned()
+                .unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
             watch.begin(t.op.now());
             cut(&t, &holder, how);
             let mut slowest = 0;
@@ -103,7 +141,9 @@
                 let t0 = t.op.now();
                 platform.edit(|v| v[n].leaving = true);
                 let us = list_known(&t, &format!("s{n}"), 20 * SEC).await;
-                slowest = slowest.max(us.unwrap_or_else(|| panic!("{holder} {how:?}: the list is not read\n{}", tell(&t))));
+                slowest = slowest.max(us.unwrap_or_else(|| {
+                    panic!("{holder} {how:?}: the list is not read\n{}", tell(&t))
+                }));
                 t.op.sleep(SEC.saturating_sub(t.op.now() - t0)).await;
             }
             t.sim.heal();
@@ -143,7 +183,17 @@
     for (size, (counts, lost)) in SIZES.into_iter().enumerate() {
         for power in [false, true] {
             let t = Tier::new(5300 + 10 * size as u64 + power as u64, counts, lost);
-            t.names(Role::Core).iter().for_each(|n| t.sim.charge(t.sim.find(n), Costs { share: 11, wake: 20, byte: 3, sync: 500 }));
+            t.names(Role::Core).iter().for_each(|n| {
+                t.sim.charge(
+                    t.sim.find(n),
+                    Costs {
+                        share: 11,
+                        wake: 20,
+                        byte: 3,
+                        sync: 500,
+                    },
+                )
+            });
             let (us, terms) = play(&t, |t| {
                 Box::pin(async move {
                     t.list_servers(vec![server(1, false)]).await;
@@ -167,7 +217,11 @@
                     (us, (was, is))
                 })
             });
-            println!("{} cores, power {power}: on duty {} ms after their start, terms {terms:?}", counts[0], us / MS);
+            println!(
+                "{} cores, power {power}: on duty {} ms after their start, terms {terms:?}",
+                counts[0],
+                us / MS
+            );
             assert!(terms.1 > terms.0, "{terms:?}");
             worst = worst.max(us);
         }
@@ -175,7 +229,8 @@
     assert!(worst < 2500 * MS, "{worst}");
 }
 
-/// The holder freezes at any moment, often while it has read the list and not yet written it, and thaws later.
+/// The holder freezes at any moment, often while it has read the list and not yet written it, and
+/// thaws later.
 #[test]
 fn a_holder_that_thaws_writes_nothing() {
     let mut worst = 0;
@@ -184,12 +239,18 @@
         let t = Tier::new(5400 + seed, counts, lost);
         let gap = play(&t, |t| {
             Box::pin(async move {
-                let platform = t.list_servers((0..20).map(|n| server(n, false)).collect()).await;
+                let platform = t
+                    .list_servers((0..20).map(|n| server(n, false)).collect())
+                    .await;
                 up(&t).await;
                 t.op.sleep(3 * SEC).await;
                 let watch = Watch::start(&t);
                 for n in 0..4 {
-                    let holder = t.on_duty().first().cloned().unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
+                    let holder = t
+                        .on_duty()
+                        .first()
+                        .cloned()
+                        .unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
                     let term = t.at(&holder).unwrap().duty_term().unwrap();
                     watch.begin(t.op.now());
                     platform.edit(|v| v[2 * n].leaving = true);
@@ -198,7 +259,11 @@
                     t.op.sleep(t.op.random() % (3 * SEC)).await;
                     platform.edit(|v| v[2 * n + 1].leaving = true);
                     t.op.sleep(2 * SEC).await;
-                    let now = t.on_duty().first().cloned().unwrap_or_else(|| panic!("nobody took over\n{}", tell(&t)));
+                    let now = t
+                        .on_duty()
+                        .first()
+                        .cloned()
+                        .unwrap_or_else(|| panic!("nobody took over\n{}", tell(&t)));
                     assert_ne!(now, holder);
                     t.sim.thaw(t.sim.find(&holder));
                     t.op.sleep(2 * SEC).await;
@@ -217,7 +282,8 @@
     assert!(worst < TAKEOVER, "{worst}");
 }
 
-/// Cuts, freezes and kills of any cores in a row, with frames lost, doubled and late: never two holders.
+/// Cuts, freezes and kills of any cores in a row, with frames lost, doubled and late: never two
+/// holders.
 #[test]
 fn two_never_hold_the_lease_at_once() {
     for seed in 0..30u64 {
@@ -228,11 +294,21 @@
                 t.list_servers(vec![server(1, false)]).await;
                 up(&t).await;
                 let watch = Watch::start(&t);
-                t.sim.weather(Weather { lose: 10, twice: 20, late: 20, jitter: 2000 });
+                t.sim.weather(Weather {
+                    lose: 10,
+                    twice: 20,
+                    late: 20,
+                    jitter: 2000,
+                });
                 for _ in 0..10 {
                     let cores = t.names(Role::Core);
                     let any = |t: &Tier| cores[t.op.random() as usize % cores.len()].clone();
-                    let victim = t.on_duty().first().cloned().filter(|_| !t.op.random().is_multiple_of(3)).unwrap_or_else(|| any(&t));
+                    let victim = t
+                        .on_duty()
+                        .first()
+                        .cloned()
+                        .filter(|_| !t.op.random().is_multiple_of(3))
+                        .unwrap_or_else(|| any(&t));
                     match t.op.random() % 5 {
                         0 => t.sim.freeze(t.sim.find(&victim)),
                         1 => t.kill(&victim, t.op.random().is_multiple_of(2)),
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Operators' calls under every kind of trouble are linearizable: orders as compare-and-set, reads, and retiring.
+//! Operators' calls under every kind of trouble are linearizable: orders as compare-and-set, reads,
+//! and retiring.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering::SeqCst;
@@ -70,16 +71,31 @@
 
     fn record(&self, begin: u64, call: ConfigCall, answer: Option<ConfigAnswer>) {
         let at = self.tier.op.now();
-        self.calls.lock().unwrap().push(Operation { begin, call, ended: answer.map(|answer| Ended { at, answer }) });
+        self.calls.lock().unwrap().push(Operation {
+            begin,
+            call,
+            ended: answer.map(|answer| Ended { at, answer }),
+        });
     }
 
     async fn read(&self) -> Option<u64> {
         let begin = self.tier.op.now();
         let core = self.random_core();
-        let got = if self.broken == Some(Broken::ReadOnHand) { self.read_on_hand(&core) } else { self.tier.read(&core).await };
+        let got = if self.broken == Some(Broken::ReadOnHand) {
+            self.read_on_hand(&core)
+        } else {
+            self.tier.read(&core).await
+        };
         match got {
             Some(ReadAnswer::Text(number, text)) => {
-                self.record(begin, ConfigCall::Read, Some(ConfigAnswer::Text { number, text: text.to_string() }));
+                self.record(
+                    begin,
+                    ConfigCall::Read,
+                    Some(ConfigAnswer::Text {
+                        number,
+                        text: text.to_string(),
+                    }),
+                );
                 Some(number)
             }
             Some(ReadAnswer::None) => {
@@ -92,7 +108,8 @@
     }
 
     fn read_on_hand(&self, core: &str) -> Option<ReadAnswer> {
-        let document = ConfigDoc::decode(&self.tier.at(core)?.documents.document("config").content).ok()?;
+        let document =
+            ConfigDoc::decode(&self.tier.at(core)?.documents.document("config").content).ok()?;
         Some(ReadAnswer::Text(document.number, document.text.into()))
     }
 
@@ -108,11 +125,18 @@
             PutAnswer::InForce(number) => Some(ConfigAnswer::Taken { number }),
             PutAnswer::Conflict(current) => Some(ConfigAnswer::Conflict { current }),
             PutAnswer::Bad(_) => Some(ConfigAnswer::Invalid),
-            PutAnswer::NotFounded | PutAnswer::NoMajority | PutAnswer::Busy | PutAnswer::Forgotten => Some(ConfigAnswer::NotDone),
+            PutAnswer::NotFounded
+            | PutAnswer::NoMajority
+            | PutAnswer::Busy
+            | PutAnswer::Forgotten => Some(ConfigAnswer::NotDone),
             PutAnswer::Undecided => None,
         });
         let answer = answer.filter(|_| !answer_is_lost);
-        let call = ConfigCall::Put { base: order.base, number: order.number, text: order.text.clone() };
+        let call = ConfigCall::Put {
+            base: order.base,
+            number: order.number,
+            text: order.text.clone(),
+        };
         self.record(begin, call, answer.clone());
         answer
     }
@@ -127,12 +151,20 @@
                         .registers
                         .change("config", SEC, |_, value| {
                             let document = ConfigDoc::decode(value).unwrap();
-                            let base_fits = document.number == order.base || broken == Some(Broken::AnyBase);
+                            let base_fits =
+                                document.number == order.base || broken == Some(Broken::AnyBase);
                             if document.text == order.text {
                                 Step::Keep(PutAnswer::InForce(order.number))
                             } else if base_fits && order.number > document.number {
-                                let next = ConfigDoc { text: order.text.clone(), number: order.number, ..Default::default() };
-                                Step::Write(next.encode().unwrap(), PutAnswer::InForce(order.number))
+                                let next = ConfigDoc {
+                                    text: order.text.clone(),
+                                    number: order.number,
+                                    ..Default::default()
+                                };
+                                Step::Write(
+                                    next.encode().unwrap(),
+                                    PutAnswer::InForce(order.number),
+                                )
                             } else if base_fits {
                                 Step::Keep(PutAnswer::Bad(vec![]))
                             } else {
@@ -159,7 +191,11 @@
             op.sleep(op.random() % (30 * MS)).await;
             nth += 1;
             let number = base + 1 + op.random() % 3;
-            let order = Sent { base, number, text: format!("{number} by {who} {nth}") };
+            let order = Sent {
+                base,
+                number,
+                text: format!("{number} by {who} {nth}"),
+            };
             if self.send_until_clear(&order).await == Some(true) {
                 taken.push(order);
             }
@@ -171,21 +207,28 @@
         }
     }
 
-    /// Sends an order as it is to one core after another until there is a clear answer; whether it was taken.
+    /// Sends an order as it is to one core after another until there is a clear answer; whether it
+    /// was taken.
     async fn send_until_clear(&self, order: &Sent) -> Option<bool> {
         for _ in 0..12 {
             let answer_is_lost = self.tier.op.random().is_multiple_of(6);
             match self.send(order, answer_is_lost).await {
                 Some(ConfigAnswer::Taken { .. }) => return Some(true),
                 Some(ConfigAnswer::Conflict { .. } | ConfigAnswer::Invalid) => return Some(false),
-                _ => self.tier.op.sleep(60 * MS + self.tier.op.random() % (60 * MS)).await,
+                _ => {
+                    self.tier
+                        .op
+                        .sleep(60 * MS + self.tier.op.random() % (60 * MS))
+                        .await
+                }
             }
         }
         None
     }
 }
 
-/// ChangeError with as many machines as may be lost at once, one kind after another, each over before the next.
+/// ChangeError with as many machines as may be lost at once, one kind after another, each over
+/// before the next.
 async fn trouble(tier: Arc<Tier>, plan: Plan) {
     let until = tier.op.now() + plan.length;
     let mut spare = 60;
@@ -196,13 +239,26 @@
         for _ in 0..plan.tolerance {
             let name = machines.swap_remove(tier.op.random() as usize % machines.len());
             let machine = tier.sim.find(&name);
-            let others: Vec<usize> = tier.names(Role::Core).iter().filter(|n| **n != name).map(|n| tier.sim.find(n)).collect();
+            let others: Vec<usize> = tier
+                .names(Role::Core)
+                .iter()
+                .filter(|n| **n != name)
+                .map(|n| tier.sim.find(n))
+                .collect();
             match tier.op.random() % 8 {
                 0 => tier.sim.split(&[machine], &others),
                 1 => others.iter().for_each(|o| tier.sim.cut(machine, *o)),
                 2 => others.iter().for_each(|o| tier.sim.cut(*o, machine)),
                 3 => tier.sim.freeze(machine),
-                4 => tier.sim.charge(machine, Costs { share: 2, wake: 200, byte: 50, sync: 60_000 }),
+                4 => tier.sim.charge(
+                    machine,
+                    Costs {
+                        share: 2,
+                        wake: 200,
+                        byte: 50,
+                        sync: 60_000,
+                    },
+                ),
                 5 => {
                     tier.kill(&name, tier.op.random().is_multiple_of(2));
                     back.push(name);
@@ -224,7 +280,9 @@
                 }
             }
         }
-        tier.op.sleep(300 * MS + tier.op.random() % (2_500 * MS)).await;
+        tier.op
+            .sleep(300 * MS + tier.op.random() % (2_500 * MS))
+            .await;
         tier.sim.heal();
         for name in tier.names(Role::Core) {
             tier.sim.thaw(tier.sim.find(&name));
@@ -235,10 +293,16 @@
     }
 }
 
-/// Nobody goes back within one life, adopts what was refused, or holds two contents under one number.
+/// Nobody goes back within one life, adopts what was refused, or holds two contents under one
+/// number.
 fn check_fronts(tier: &Tier, calls: &[Operation<ConfigRegister>]) {
     let refused = |c: &&Operation<ConfigRegister>| {
-        c.ended.as_ref().is_some_and(|e| matches!(e.answer, ConfigAnswer::Conflict { .. } | ConfigAnswer::Invalid))
+        c.ended.as_ref().is_some_and(|e| {
+            matches!(
+                e.answer,
+                ConfigAnswer::Conflict { .. } | ConfigAnswer::Invalid
+            )
+        })
     };
     let text = |c: &Operation<ConfigRegister>| match &c.call {
         ConfigCall::Put { text, .. } => Some(text.clone()),
@@ -248,7 +312,10 @@
     for (name, front) in tier.fronts.lock().unwrap().iter() {
         let seen = front.seen.lock().unwrap();
         assert!(seen.windows(2).all(|w| w[0].1 < w[1].1), "{name} went back");
-        assert!(seen.iter().all(|s| !refused.contains(&s.2)), "{name} adopted what was refused");
+        assert!(
+            seen.iter().all(|s| !refused.contains(&s.2)),
+            "{name} adopted what was refused"
+        );
         assert_eq!(front.book.conflicts.load(SeqCst), 0, "{name}");
     }
     for (name, control) in tier.control.lock().unwrap().iter() {
@@ -264,10 +331,23 @@
     play(&tier, move |tier| {
         Box::pin(async move {
             up(&tier).await;
-            let caller = |tier: &Arc<Tier>| Caller { tier: tier.clone(), calls: recorded.clone(), broken: plan.broken };
-            let first = Sent { base: 0, number: 1, text: "1 first".into() };
+            let caller = |tier: &Arc<Tier>| Caller {
+                tier: tier.clone(),
+                calls: recorded.clone(),
+                broken: plan.broken,
+            };
+            let first = Sent {
+                base: 0,
+                number: 1,
+                text: "1 first".into(),
+            };
             while caller(&tier).send_until_clear(&first).await != Some(true) {}
-            tier.sim.weather(Weather { lose: 5, twice: 20, late: 20, jitter: 500 });
+            tier.sim.weather(Weather {
+                lose: 5,
+                twice: 20,
+                late: 20,
+                jitter: 500,
+            });
             let until = tier.op.now() + plan.length;
             let (done_tx, done) = async_channel::unbounded();
             for who in 0..plan.operators {
@@ -285,21 +365,43 @@
             tier.op.sleep(4 * SEC).await;
             for core in tier.names(Role::Core) {
                 let begin = tier.op.now();
-                let Some(ReadAnswer::Text(number, text)) = tier.read(&core).await else { panic!("{core} cannot read\n{}", tell(&tier)) };
-                caller(&tier).record(begin, ConfigCall::Read, Some(ConfigAnswer::Text { number, text: text.to_string() }));
+                let Some(ReadAnswer::Text(number, text)) = tier.read(&core).await else {
+                    panic!("{core} cannot read\n{}", tell(&tier))
+                };
+                caller(&tier).record(
+                    begin,
+                    ConfigCall::Read,
+                    Some(ConfigAnswer::Text {
+                        number,
+                        text: text.to_string(),
+                    }),
+                );
             }
         })
     });
     let calls = calls.lock().unwrap().clone();
-    let mut outcome = Outcome { calls: calls.len(), ..Default::default() };
-    for call in calls.iter().filter(|c| matches!(c.call, ConfigCall::Put { .. })) {
+    let mut outcome = Outcome {
+        calls: calls.len(),
+        ..Default::default()
+    };
+    for call in calls
+        .iter()
+        .filter(|c| matches!(c.call, ConfigCall::Put { .. }))
+    {
         match &call.ended {
-            Some(Ended { answer: ConfigAnswer::Taken { .. }, .. }) => outcome.taken += 1,
+            Some(Ended {
+                answer: ConfigAnswer::Taken { .. },
+                ..
+            }) => outcome.taken += 1,
             Some(_) => outcome.refused += 1,
             None => outcome.open += 1,
         }
     }
-    outcome.slowest = calls.iter().filter_map(|c| c.ended.as_ref().map(|e| e.at - c.begin)).max().unwrap_or(0);
+    outcome.slowest = calls
+        .iter()
+        .filter_map(|c| c.ended.as_ref().map(|e| e.at - c.begin))
+        .max()
+        .unwrap_or(0);
     (calls, outcome, tier)
 }
 
@@ -320,26 +422,60 @@
     assert!(outcome.slowest < 4 * SEC, "{outcome:?}");
 }
 
-const PLAN: Plan = Plan { seed: 0, counts: [4, 4, 3], tolerance: 1, operators: 2, length: 20 * SEC, broken: None };
+const PLAN: Plan = Plan {
+    seed: 0,
+    counts: [4, 4, 3],
+    tolerance: 1,
+    operators: 2,
+    length: 20 * SEC,
+    broken: None,
+};
 
 #[test]
 fn two_operators_on_four_cores() {
-    (0..8).for_each(|i| holds(Plan { seed: 7200 + i, ..PLAN }));
+    (0..8).for_each(|i| {
+        holds(Plan {
+            seed: 7200 + i,
+            ..PLAN
+        })
+    });
 }
 
 #[test]
 fn eight_operators_on_four_cores() {
-    (0..4).for_each(|i| holds(Plan { seed: 7220 + i, operators: 8, ..PLAN }));
+    (0..4).for_each(|i| {
+        holds(Plan {
+            seed: 7220 + i,
+            operators: 8,
+            ..PLAN
+        })
+    });
 }
 
 #[test]
 fn operators_on_five_cores_that_bear_two_losses() {
-    (0..4).for_each(|i| holds(Plan { seed: 7240 + i, counts: [5, 5, 3], tolerance: 2, operators: 3, ..PLAN }));
+    (0..4).for_each(|i| {
+        holds(Plan {
+            seed: 7240 + i,
+            counts: [5, 5, 3],
+            tolerance: 2,
+            operators: 3,
+            ..PLAN
+        })
+    });
 }
 
 #[test]
 fn operators_on_eight_cores_that_bear_two_losses() {
-    (0..4).for_each(|i| holds(Plan { seed: 7260 + i, counts: [8, 5, 3], tolerance: 2, operators: 4, ..PLAN }));
+    (0..4).for_each(|i| {
+        holds(Plan {
+            seed: 7260 + i,
+            counts: [8, 5, 3],
+            tolerance: 2,
+            operators: 4,
+            ..PLAN
+        })
+    });
 }
 
 /// What an operator was told of one store machine's retirement.
@@ -347,7 +483,11 @@
     let node = node.to_string();
     match call {
         RetireCall::Begin => {
-            let got = tier.on(core, move |c| Box::pin(async move { c.retire_begin(&node).await })).await?;
+            let got = tier
+                .on(core, move |c| {
+                    Box::pin(async move { c.retire_begin(&node).await })
+                })
+                .await?;
             match got {
                 RetireBegin::Begun => Some(RetireAnswer::Begun),
                 RetireBegin::TooFew => Some(RetireAnswer::TooFew),
@@ -356,7 +496,11 @@
             }
         }
         RetireCall::Read => {
-            let got = tier.on(core, move |c| Box::pin(async move { c.retire_state(&node).await })).await?;
+            let got = tier
+                .on(core, move |c| {
+                    Box::pin(async move { c.retire_state(&node).await })
+                })
+                .await?;
             match got {
                 RetireState::Running => Some(RetireAnswer::Running),
                 RetireState::Finished => Some(RetireAnswer::Finished),
@@ -367,16 +511,27 @@
     }
 }
 
-/// Three operators ask for a store machine's retirement and its state at any core, while cores are in trouble.
+/// Three operators ask for a store machine's retirement and its state at any core, while cores are
+/// in trouble.
 fn retire_history(seed: u64) -> Vec<Operation<RetireRegister>> {
-    let plan = Plan { seed, counts: [4, 5, 2], length: 12 * SEC, ..PLAN };
+    let plan = Plan {
+        seed,
+        counts: [4, 5, 2],
+        length: 12 * SEC,
+        ..PLAN
+    };
     let tier = Tier::new(seed, plan.counts, plan.tolerance);
     let calls: Arc<Mutex<Vec<Operation<RetireRegister>>>> = Default::default();
     let recorded = calls.clone();
     play(&tier, move |tier| {
         Box::pin(async move {
             up(&tier).await;
-            tier.sim.weather(Weather { lose: 5, twice: 20, late: 20, jitter: 500 });
+            tier.sim.weather(Weather {
+                lose: 5,
+                twice: 20,
+                late: 20,
+                jitter: 500,
+            });
             let until = tier.op.now() + plan.length;
             let (done_tx, done) = async_channel::unbounded();
             for _ in 0..3 {
@@ -385,13 +540,23 @@
                     while tier.op.now() < until {
                         let cores = tier.names(Role::Core);
                         let core = &cores[tier.op.random() as usize % cores.len()];
-                        let call = if tier.op.random().is_multiple_of(12) { RetireCall::Begin } else { RetireCall::Read };
+                        let call = if tier.op.random().is_multiple_of(12) {
+                            RetireCall::Begin
+                        } else {
+                            RetireCall::Read
+                        };
                         let begin = tier.op.now();
                         let answer = ask_retire(&tier, core, "store2", call).await;
-                        let ended = answer.map(|answer| Ended { at: tier.op.now(), answer });
+                        let ended = answer.map(|answer| Ended {
+                            at: tier.op.now(),
+                            answer,
+                        });
                         // A read without an answer has no effect.
                         if ended.is_some() || matches!(call, RetireCall::Begin) {
-                            recorded.lock().unwrap().push(Operation { begin, call, ended });
+                            recorded
+                                .lock()
+                                .unwrap()
+                                .push(Operation { begin, call, ended });
                         }
                         tier.op.sleep(tier.op.random() % (150 * MS)).await;
                     }
@@ -411,46 +576,91 @@
 fn retiring_a_machine_and_reading_its_state() {
     for seed in 7300..7306 {
         let calls = retire_history(seed);
-        let told = |answer| calls.iter().filter(|c| c.ended.as_ref().is_some_and(|e| e.answer == answer)).count();
-        let counts = [RetireAnswer::Unknown, RetireAnswer::Begun, RetireAnswer::Running, RetireAnswer::Finished].map(told);
+        let told = |answer| {
+            calls
+                .iter()
+                .filter(|c| c.ended.as_ref().is_some_and(|e| e.answer == answer))
+                .count()
+        };
+        let counts = [
+            RetireAnswer::Unknown,
+            RetireAnswer::Begun,
+            RetireAnswer::Running,
+            RetireAnswer::Finished,
+        ]
+        .map(told);
         let verdict = check(RetireRegister::default(), &calls);
-        println!("seed {seed}: {} calls; unknown, begun, running, finished {counts:?}; {verdict:?}", calls.len());
+        println!(
+            "seed {seed}: {} calls; unknown, begun, running, finished {counts:?}; {verdict:?}",
+            calls.len()
+        );
         assert!(verdict.holds(), "{verdict:#?}");
         assert!(counts[1] > 0 && counts[3] > 0, "{counts:?}");
     }
 }
 
 /// A history of the given calls: begin, end, call, answer.
-fn config_history(calls: &[(u64, u64, ConfigCall, ConfigAnswer)]) -> Vec<Operation<ConfigRegister>> {
+fn config_history(
+    calls: &[(u64, u64, ConfigCall, ConfigAnswer)],
+) -> Vec<Operation<ConfigRegister>> {
     let operation = |c: &(u64, u64, ConfigCall, ConfigAnswer)| Operation {
         begin: c.0,
         call: c.2.clone(),
-        ended: Some(Ended { at: c.1, answer: c.3.clone() }),
+        ended: Some(Ended {
+            at: c.1,
+            answer: c.3.clone(),
+        }),
     };
     calls.iter().map(operation).collect()
 }
 
 fn put(base: u64, number: u64, text: &str) -> ConfigCall {
-    ConfigCall::Put { base, number, text: text.into() }
+    ConfigCall::Put {
+        base,
+        number,
+        text: text.into(),
+    }
 }
 
 fn text(number: u64, text: &str) -> ConfigAnswer {
-    ConfigAnswer::Text { number, text: text.into() }
+    ConfigAnswer::Text {
+        number,
+        text: text.into(),
+    }
 }
 
 /// Histories that no register gives, one for each rule, and the sound ones beside them.
 #[test]
 fn planted_histories_are_told_apart() {
     let taken = |number| ConfigAnswer::Taken { number };
-    let verdict = |calls: &[(u64, u64, ConfigCall, ConfigAnswer)]| check(first_register(), &config_history(calls)).holds();
+    let verdict = |calls: &[(u64, u64, ConfigCall, ConfigAnswer)]| {
+        check(first_register(), &config_history(calls)).holds()
+    };
     let first = (0, 1, put(0, 1, "a"), taken(1));
     // Two on one base.
-    assert!(!verdict(&[first.clone(), (2, 5, put(1, 2, "b"), taken(2)), (3, 6, put(1, 2, "c"), taken(2))]));
-    assert!(verdict(&[first.clone(), (2, 5, put(1, 2, "b"), taken(2)), (3, 6, put(1, 2, "c"), ConfigAnswer::Conflict { current: 2 })]));
+    assert!(!verdict(&[
+        first.clone(),
+        (2, 5, put(1, 2, "b"), taken(2)),
+        (3, 6, put(1, 2, "c"), taken(2))
+    ]));
+    assert!(verdict(&[
+        first.clone(),
+        (2, 5, put(1, 2, "b"), taken(2)),
+        (3, 6, put(1, 2, "c"), ConfigAnswer::Conflict { current: 2 })
+    ]));
     // A repeat is refused.
-    let others = [first.clone(), (2, 3, put(1, 2, "b"), taken(2)), (4, 5, put(2, 3, "c"), taken(3))];
+    let others = [
+        first.clone(),
+        (2, 3, put(1, 2, "b"), taken(2)),
+        (4, 5, put(2, 3, "c"), taken(3)),
+    ];
     let with = |last| [others.to_vec(), vec![last]].concat();
-    assert!(!verdict(&with((6, 7, put(1, 2, "b"), ConfigAnswer::Conflict { current: 3 }))));
+    assert!(!verdict(&with((
+        6,
+        7,
+        put(1, 2, "b"),
+        ConfigAnswer::Conflict { current: 3 }
+    ))));
     assert!(verdict(&with((6, 7, put(1, 2, "b"), taken(2)))));
     // A read of what was, after the change was acknowledged; beside it, either may be read.
     assert!(!verdict(&with((6, 7, ConfigCall::Read, text(2, "b")))));
@@ -459,28 +669,56 @@
     assert!(!verdict(&with((6, 7, ConfigCall::Read, text(4, "d")))));
     // Two reads, the later one older.
     let reads = |end| {
-        [first.clone(), (2, 9, put(1, 2, "b"), taken(2)), (3, end, ConfigCall::Read, text(2, "b")), (6, 7, ConfigCall::Read, text(1, "a"))]
+        [
+            first.clone(),
+            (2, 9, put(1, 2, "b"), taken(2)),
+            (3, end, ConfigCall::Read, text(2, "b")),
+            (6, 7, ConfigCall::Read, text(1, "a")),
+        ]
     };
     assert!(!verdict(&reads(4)));
     assert!(verdict(&reads(8)));
     // A change without an answer may be read or not, but once it was, it stays.
     let mut open = config_history(&[first.clone(), (6, 7, ConfigCall::Read, text(2, "b"))]);
-    open.push(Operation { begin: 2, call: put(1, 2, "b"), ended: None });
+    open.push(Operation {
+        begin: 2,
+        call: put(1, 2, "b"),
+        ended: None,
+    });
     assert!(check(first_register(), &open).holds());
     open.extend(config_history(&[(8, 9, ConfigCall::Read, text(1, "a"))]));
     assert!(!check(first_register(), &open).holds());
     // A machine that was told finished is not running again.
     let retire = |answers: &[RetireAnswer]| {
-        let call = |a: &RetireAnswer| if matches!(a, RetireAnswer::Begun) { RetireCall::Begin } else { RetireCall::Read };
+        let call = |a: &RetireAnswer| {
+            if matches!(a, RetireAnswer::Begun) {
+                RetireCall::Begin
+            } else {
+                RetireCall::Read
+            }
+        };
         let operation = |(i, a): (usize, &RetireAnswer)| Operation {
             begin: 2 * i as u64,
             call: call(a),
-            ended: Some(Ended { at: 2 * i as u64 + 1, answer: *a }),
+            ended: Some(Ended {
+                at: 2 * i as u64 + 1,
+                answer: *a,
+            }),
         };
-        check(RetireRegister::default(), &answers.iter().enumerate().map(operation).collect::<Vec<_>>()).holds()
+        check(
+            RetireRegister::default(),
+            &answers
+                .iter()
+                .enumerate()
+                .map(operation)
+                .collect::<Vec<_>>(),
+        )
+        .holds()
     };
     use RetireAnswer::*;
-    assert!(retire(&[Unknown, Begun, Running, Begun, Finished, Finished, Begun]));
+    assert!(retire(&[
+        Unknown, Begun, Running, Begun, Finished, Finished, Begun
+    ]));
     assert!(!retire(&[Begun, Finished, Running]));
     assert!(!retire(&[Begun, Unknown]));
 }
@@ -488,7 +726,12 @@
 /// Whether some of a few runs shows the fault.
 fn is_found(broken: Broken) -> bool {
     (0..6).any(|i| {
-        let (calls, ..) = run(Plan { seed: 7280 + i, broken: Some(broken), operators: 4, ..PLAN });
+        let (calls, ..) = run(Plan {
+            seed: 7280 + i,
+            broken: Some(broken),
+            operators: 4,
+            ..PLAN
+        });
         let verdict = check(first_register(), &calls);
         println!("{broken:?} seed {}: {verdict:?}", 7280 + i);
         matches!(verdict, Verdict::Broken { .. })
--- a/yewcross-testkit/tests/kv_share.rs
+++ b/yewcross-testkit/tests/kv_share.rs
@@ -19,7 +19,11 @@
         session: "s".into(),
         job: format!("s-{turn}"),
         horizon_ms: 6000,
-        text: if turn == 0 { "word ".repeat(first / 5) } else { "more".into() },
+        text: if turn == 0 {
+            "word ".repeat(first / 5)
+        } else {
+            "more".into()
+        },
         max_output: 16,
         stream: true,
     };
@@ -27,16 +31,28 @@
 }
 
 fn models(lab: &Lab) -> Vec<String> {
-    lab.sh.backs.iter().filter(|b| b.model).map(|b| b.server.clone()).collect()
+    lab.sh
+        .backs
+        .iter()
+        .filter(|b| b.model)
+        .map(|b| b.server.clone())
+        .collect()
 }
 
 /// Servers at which a replica of the session stands.
 fn replicas(lab: &Lab) -> Vec<String> {
-    models(lab).into_iter().filter(|n| lab.back(n).is_some_and(|b| b.holds(KEY).0.is_some())).collect()
+    models(lab)
+        .into_iter()
+        .filter(|n| lab.back(n).is_some_and(|b| b.holds(KEY).0.is_some()))
+        .collect()
 }
 
 fn count(lab: &Lab, of: impl Fn(&yewcross_proxy::Counts) -> u64) -> u64 {
-    ["front1", "front2"].iter().filter_map(|n| lab.front(n)).map(|f| of(&f.counts)).sum()
+    ["front1", "front2"]
+        .iter()
+        .filter_map(|n| lab.front(n))
+        .map(|f| of(&f.counts))
+        .sum()
 }
 
 #[test]
@@ -47,7 +63,12 @@
         |_| (),
         |lab| {
             Box::pin(async move {
-                models(&lab).iter().for_each(|n| lab.back(n).unwrap().fault(Faults { slow_import: 1000, ..Default::default() }));
+                models(&lab).iter().for_each(|n| {
+                    lab.back(n).unwrap().fault(Faults {
+                        slow_import: 1000,
+                        ..Default::default()
+                    })
+                });
                 let home = say(&lab, 0, 0, 40_000).await.server;
                 lab.op.sleep(6 * SEC).await;
                 assert_eq!(replicas(&lab).len(), 1);
@@ -61,12 +82,22 @@
     // 10,000 tokens read anew take 1.2 s; the import under way meanwhile would take minutes.
     println!("cold at {} after {} ms", s.server, s.took / 1000);
     assert_eq!((s.heard, s.reused, unready), (Heard::Done, 0, 1));
-    assert!(s.server != home && s.took < 1_500 * MS, "{} ms at {}", s.took / 1000, s.server);
+    assert!(
+        s.server != home && s.took < 1_500 * MS,
+        "{} ms at {}",
+        s.took / 1000,
+        s.server
+    );
 }
 
 #[test]
 fn a_lost_homes_session_finds_its_replica_imported_whichever_front_it_asks() {
-    for (seed, gone, front) in [(72, "leaving", 0), (73, "leaving", 1), (74, "killed", 0), (75, "killed", 1)] {
+    for (seed, gone, front) in [
+        (72, "leaving", 0),
+        (73, "leaving", 1),
+        (74, "killed", 0),
+        (75, "killed", 1),
+    ] {
         let (home, spare, s) = on_fleet_of(
             "small",
             seed,
@@ -87,13 +118,24 @@
                 })
             },
         );
-        println!("seed {seed}, home {gone}: {} -> {} in {} ms, {} of {} reused", home, s.server, s.took / 1000, s.reused, s.prompt);
+        println!(
+            "seed {seed}, home {gone}: {} -> {} in {} ms, {} of {} reused",
+            home,
+            s.server,
+            s.took / 1000,
+            s.reused,
+            s.prompt
+        );
         assert_eq!((spare, &s.heard), (vec![s.server.clone()], &Heard::Done));
-        assert!(100 * s.reused >= KV_WARM * s.prompt && s.took < 300 * MS, "{s:?}");
+        assert!(
+            100 * s.reused >= KV_WARM * s.prompt && s.took < 300 * MS,
+            "{s:?}"
+        );
     }
 }
 
-/// The paper's own defect: an import that was remembered although the server had forgotten the conversation.
+/// The paper's own defect: an import that was remembered although the server had forgotten the
+/// conversation.
 #[test]
 fn an_import_is_left_out_while_its_prefix_is_held_and_made_again_when_it_is_not() {
     let (steady, skipped, again) = on_fleet_of(
@@ -107,7 +149,10 @@
                     assert_eq!(say(&lab, 0, t, 40_000).await.heard, Heard::Done);
                     lab.op.sleep(5 * SEC).await;
                 }
-                let (steady, skipped) = (imports(&lab), count(&lab, |c| c.imports_skipped.load(SeqCst)));
+                let (steady, skipped) = (
+                    imports(&lab),
+                    count(&lab, |c| c.imports_skipped.load(SeqCst)),
+                );
                 let spare = replicas(&lab).remove(0);
                 lab.sim.kill(lab.sim.find(&spare), true);
                 lab.boot(&spare);
@@ -119,7 +164,9 @@
             })
         },
     );
-    println!("{steady} imports in six turns, {skipped} left out, {again} after the server's next life");
+    println!(
+        "{steady} imports in six turns, {skipped} left out, {again} after the server's next life"
+    );
     assert!((steady, again) == (1, 2) && skipped >= 4);
 }
 
@@ -138,11 +185,18 @@
                         tokens = s.prompt + s.output;
                         lab.op.sleep(4 * SEC).await;
                     }
-                    (tokens, replicas(&lab).len(), count(&lab, |c| c.pushes.load(SeqCst)))
+                    (
+                        tokens,
+                        replicas(&lab).len(),
+                        count(&lab, |c| c.pushes.load(SeqCst)),
+                    )
                 })
             },
         );
         println!("{tokens} tokens: {pushes} pushes, a replica at {stand} servers");
-        assert_eq!((stand, pushes > 0, tokens >= KV_MIN_TOKENS), (want, want == 1, want == 1));
+        assert_eq!(
+            (stand, pushes > 0, tokens >= KV_MIN_TOKENS),
+            (want, want == 1, want == 1)
+        );
     }
 }
--- a/yewcross-testkit/tests/links.rs
+++ b/yewcross-testkit/tests/links.rs
@@ -1,4 +1,5 @@
-//! Links between nodes: an answer counts only for the question it was given to, on the connection that carried it.
+//! Links between nodes: an answer counts only for the question it was given to, on the connection
+//! that carried it.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::net::SocketAddr;
@@ -18,16 +19,35 @@
 
 async fn ask(peers: &Arc<PeerClient>, question: &str, us: u64) -> Said {
     let to: SocketAddr = ASKED.parse().unwrap();
-    let got = peers.request(to, &PeerRequest::ExchangeMembership { nodes: vec![] }, question.as_bytes(), us).await;
+    let got = peers
+        .request(
+            to,
+            &PeerRequest::ExchangeMembership { nodes: vec![] },
+            question.as_bytes(),
+            us,
+        )
+        .await;
     got.map(|(_, blob)| String::from_utf8(blob).unwrap())
 }
 
 fn answer(id: u64, text: &str) -> Vec<u8> {
-    pack(WIRE_OLDEST, id, true, "asked", "z", &serde_json::to_vec(&PeerResponse::Ok).unwrap(), text.as_bytes())
+    pack(
+        WIRE_OLDEST,
+        id,
+        true,
+        "asked",
+        "z",
+        &serde_json::to_vec(&PeerResponse::Ok).unwrap(),
+        text.as_bytes(),
+    )
 }
 
 /// Runs `f` on a machine to its end.
-fn play<T: Send + 'static>(sim: &Sim, runtime: &Runtime, f: impl Future<Output = T> + Send + 'static) -> T {
+fn play<T: Send + 'static>(
+    sim: &Sim,
+    runtime: &Runtime,
+    f: impl Future<Output = T> + Send + 'static,
+) -> T {
     let out: Arc<Mutex<Option<T>>> = Default::default();
     let o = out.clone();
     runtime.spawn(async move {
@@ -38,9 +58,13 @@
     out.lock().unwrap().take().expect("it came to its end")
 }
 
-/// A node that answers the `n`th question it reads, over all connections, with the frames of `script(n)`; where there are
-/// none, it closes the connection. Questions of these tests come one at a time, so one read holds one.
-async fn scripted(runtime: Runtime, script: impl Fn(usize) -> Vec<Vec<u8>> + Send + Sync + 'static) {
+/// A node that answers the `n`th question it reads, over all connections, with the frames of
+/// `script(n)`; where there are none, it closes the connection. Questions of these tests come one
+/// at a time, so one read holds one.
+async fn scripted(
+    runtime: Runtime,
+    script: impl Fn(usize) -> Vec<Vec<u8>> + Send + Sync + 'static,
+) {
     let door = runtime.bind(ASKED.parse().unwrap()).await.unwrap();
     let (script, asked) = (Arc::new(script), Arc::new(AtomicUsize::new(0)));
     while let Ok(mut c) = door.accept().await {
@@ -48,7 +72,11 @@
         runtime.spawn(async move {
             let mut buf = [0; 4096];
             while let Ok(n) = c.read(&mut buf).await {
-                let frames = if n > 0 { script(asked.fetch_add(1, SeqCst) + 1) } else { vec![] };
+                let frames = if n > 0 {
+                    script(asked.fetch_add(1, SeqCst) + 1)
+                } else {
+                    vec![]
+                };
                 if frames.is_empty() {
                     let _ = c.close().await;
                     return;
@@ -64,13 +92,21 @@
 #[test]
 fn answers_to_other_questions_are_dropped() {
     let sim = Sim::new(1, 1_000);
-    let (a, b) = (sim.machine("asker", "z", ASKER.parse().unwrap()), sim.machine("asked", "z", "10.0.0.2".parse().unwrap()));
+    let (a, b) = (
+        sim.machine("asker", "z", ASKER.parse().unwrap()),
+        sim.machine("asked", "z", "10.0.0.2".parse().unwrap()),
+    );
     let (w, wb) = (sim.boot(a), sim.boot(b));
     wb.spawn(scripted(wb.clone(), |n| match n {
         // The same answer twice, and one to a question that is yet to come.
         1 => vec![answer(1, "one"), answer(1, "one again"), answer(3, "early")],
         // An answer to the question before, and one to none.
-        2 => vec![answer(1, "late"), answer(0, "none"), answer(99, "none"), answer(2, "two")],
+        2 => vec![
+            answer(1, "late"),
+            answer(0, "none"),
+            answer(99, "none"),
+            answer(2, "two"),
+        ],
         3 => vec![answer(3, "three")],
         // Nothing in time; it comes with the next.
         4 => vec![answer(2, "two again")],
@@ -92,7 +128,15 @@
     let ok = |s: &str| Ok(s.to_string());
     assert_eq!(
         said,
-        [ok("one"), ok("two"), ok("three"), Err(SendError::OutcomeUnknown), ok("five"), Err(SendError::OutcomeUnknown), ok("seven")]
+        [
+            ok("one"),
+            ok("two"),
+            ok("three"),
+            Err(SendError::OutcomeUnknown),
+            ok("five"),
+            Err(SendError::OutcomeUnknown),
+            ok("seven")
+        ]
     );
 }
 
@@ -109,23 +153,36 @@
             let first = self.asked.fetch_add(1, SeqCst) == 0;
             self.w.sleep(if first { 400 * MS } else { 600 * MS }).await;
             let text = format!("{} to {}", self.name, String::from_utf8_lossy(&p.payload));
-            (serde_json::to_vec(&PeerResponse::Ok).unwrap(), text.into_bytes())
+            (
+                serde_json::to_vec(&PeerResponse::Ok).unwrap(),
+                text.into_bytes(),
+            )
         })
     }
 }
 
 async fn listen(runtime: Runtime, name: &'static str) {
     let door = runtime.bind(ASKED.parse().unwrap()).await.unwrap();
-    let slow = Arc::new(Slow { w: runtime.clone(), name, asked: AtomicUsize::new(0) });
-    PeerClient::new(&runtime, name, "z", WIRE_OLDEST).serve(door, slow).await;
+    let slow = Arc::new(Slow {
+        w: runtime.clone(),
+        name,
+        asked: AtomicUsize::new(0),
+    });
+    PeerClient::new(&runtime, name, "z", WIRE_OLDEST)
+        .serve(door, slow)
+        .await;
 }
 
-/// Each process counts its questions from one, so the numbers alone would not tell two lives of an asker apart.
+/// Each process counts its questions from one, so the numbers alone would not tell two lives of an
+/// asker apart.
 #[test]
 fn an_answer_to_an_earlier_process_does_not_reach_the_next() {
     for power in [false, true] {
         let sim = Sim::new(2, 1_000);
-        let (a, b) = (sim.machine("asker", "z", ASKER.parse().unwrap()), sim.machine("asked", "z", "10.0.0.2".parse().unwrap()));
+        let (a, b) = (
+            sim.machine("asker", "z", ASKER.parse().unwrap()),
+            sim.machine("asked", "z", "10.0.0.2".parse().unwrap()),
+        );
         let (w, wb) = (sim.boot(a), sim.boot(b));
         wb.spawn(listen(wb.clone(), "asked"));
         sim.run(10 * MS, || false);
@@ -143,7 +200,11 @@
             let p = PeerClient::new(&w2, "asker", "z", WIRE_OLDEST);
             ask(&p, "the new question", 2 * SEC).await
         });
-        assert_eq!(said, Ok("asked to the new question".into()), "power {power}");
+        assert_eq!(
+            said,
+            Ok("asked to the new question".into()),
+            "power {power}"
+        );
     }
 }
 
@@ -152,7 +213,10 @@
 fn a_successor_at_the_address_answers_only_what_it_was_asked() {
     for power in [false, true] {
         let sim = Sim::new(3, 1_000);
-        let (a, b) = (sim.machine("asker", "z", ASKER.parse().unwrap()), sim.machine("asked", "z", "10.0.0.2".parse().unwrap()));
+        let (a, b) = (
+            sim.machine("asker", "z", ASKER.parse().unwrap()),
+            sim.machine("asked", "z", "10.0.0.2".parse().unwrap()),
+        );
         let (w, wb) = (sim.boot(a), sim.boot(b));
         wb.spawn(listen(wb.clone(), "first"));
         sim.run(10 * MS, || false);
@@ -179,6 +243,10 @@
         });
         sim.run(sim.now() + 6 * SEC, || false);
         assert_eq!(next, "second to a question to the second", "power {power}");
-        assert_eq!(*said.lock().unwrap(), [Err(SendError::OutcomeUnknown)], "power {power}");
+        assert_eq!(
+            *said.lock().unwrap(),
+            [Err(SendError::OutcomeUnknown)],
+            "power {power}"
+        );
     }
 }
--- a/yewcross-testkit/tests/models/explorer.rs
+++ b/yewcross-testkit/tests/models/explorer.rs
@@ -1,7 +1,8 @@
 //! An exhaustive breadth-first explorer of a model's states.
 //!
-//! States are remembered by a 64-bit fingerprint, as explicit-state model checkers do; at two million states the chance that
-//! two of them share one is below one in four million. The first violation found is one with the fewest actions.
+//! States are remembered by a 64-bit fingerprint, as explicit-state model checkers do; at two
+//! million states the chance that two of them share one is below one in four million. The first
+//! violation found is one with the fewest actions.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -44,8 +45,8 @@
     parent: Option<(u64, A)>,
 }
 
-/// Multiplies each word into the fingerprint and folds the product's halves: several times faster than the standard hasher on
-/// states of many small fields.
+/// Multiplies each word into the fingerprint and folds the product's halves: several times faster
+/// than the standard hasher on states of many small fields.
 struct Folding(u64);
 
 const FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -97,8 +98,8 @@
     actions
 }
 
-/// Explores every reachable state, or stops at the first violation. Panics beyond `most` states: a bound that cuts a model
-/// short would claim what was not shown.
+/// Explores every reachable state, or stops at the first violation. Panics beyond `most` states: a
+/// bound that cuts a model short would claim what was not shown.
 pub fn explore<M: Model>(model: &M, most: usize) -> Report<M::Action> {
     let mut origins: HashMap<u64, Origin<M::Action>> = HashMap::new();
     let mut frontier: Vec<(u64, M::State)> = vec![];
@@ -114,13 +115,21 @@
         for (print, state) in &frontier {
             if let Some(property) = model.violated(state) {
                 let actions = path(&origins, *print);
-                return Report { states: origins.len(), depth, violation: Some(Violation { property, actions }) };
+                return Report {
+                    states: origins.len(),
+                    depth,
+                    violation: Some(Violation { property, actions }),
+                };
             }
             for action in model.actions(state) {
-                let Some(next) = model.next(state, &action) else { continue };
+                let Some(next) = model.next(state, &action) else {
+                    continue;
+                };
                 let next_print = fingerprint(&next);
                 if let Entry::Vacant(entry) = origins.entry(next_print) {
-                    entry.insert(Origin { parent: Some((*print, action)) });
+                    entry.insert(Origin {
+                        parent: Some((*print, action)),
+                    });
                     following.push((next_print, next));
                 }
             }
@@ -129,5 +138,9 @@
         frontier = following;
         depth += usize::from(!frontier.is_empty());
     }
-    Report { states: origins.len(), depth, violation: None }
+    Report {
+        states: origins.len(),
+        depth,
+        violation: None,
+    }
 }
--- a/yewcross-testkit/tests/models/lease.rs
+++ b/yewcross-testkit/tests/models/lease.rs
@@ -1,9 +1,12 @@
-//! The duty lease as a model: granters and holders that the tier runs, on one clock that ticks at any moment.
+//! The duty lease as a model: granters and holders that the tier runs, on one clock that ticks at
+//! any moment.
 //!
-//! A request may reach a granter at any later tick, more than once, or never, and its answer may be lost. An answer that comes
-//! late changes nothing that an early one would not: the holder counts from before it asked. A granter that starts again
-//! remembers its term alone; a holder that starts again is another candidate. Clocks that run at different paces are what the
-//! margin is for; here all run alike and the margin is 0, so that nothing but the order of events keeps two holders apart.
+//! A request may reach a granter at any later tick, more than once, or never, and its answer may be
+//! lost. An answer that comes late changes nothing that an early one would not: the holder counts
+//! from before it asked. A granter that starts again remembers its term alone; a holder that starts
+//! again is another candidate. Clocks that run at different paces are what the margin is for; here
+//! all run alike and the margin is 0, so that nothing but the order of events keeps two holders
+//! apart.
 
 use super::explorer::Model;
 use std::collections::BTreeSet;
@@ -14,7 +17,10 @@
 pub const TWO_HOLDERS: &str = "two processes hold the lease at once";
 
 const LENGTH: u64 = 2;
-const TIMES: LeaseTimes = LeaseTimes { length: LENGTH, margin: 0 };
+const TIMES: LeaseTimes = LeaseTimes {
+    length: LENGTH,
+    margin: 0,
+};
 const SEATS: u64 = 1;
 const GRANTERS: [&str; 3] = ["a", "b", "c"];
 
@@ -25,7 +31,8 @@
     GrantsAfterRestart,
     /// A holder counts a tick more than it was granted.
     HoldsTooLong,
-    /// Whatever comes from the holder's disk is taken for a later process there, a late message of an earlier one as well.
+    /// Whatever comes from the holder's disk is taken for a later process there, a late message of
+    /// an earlier one as well.
     FreedByAnyProcess,
 }
 
@@ -61,7 +68,11 @@
     fn call(&self) -> LeaseOperation {
         match self.round {
             0 => LeaseOperation::Request { term: self.term },
-            round => LeaseOperation::Renew { term: self.term, round, confirmed: self.confirmed },
+            round => LeaseOperation::Renew {
+                term: self.term,
+                round,
+                confirmed: self.confirmed,
+            },
         }
     }
 }
@@ -80,27 +91,42 @@
     Tick,
     Request(usize),
     Renew(usize),
-    Deliver { sent: usize, granter: usize, answered: bool },
+    Deliver {
+        sent: usize,
+        granter: usize,
+        answered: bool,
+    },
     RestartGranter(usize),
     RestartProcess(usize),
 }
 
 fn seats() -> ReplicaGroup {
-    ReplicaGroup { current: GRANTERS.iter().map(|disk| disk.to_string()).collect(), ..ReplicaGroup::default() }
+    ReplicaGroup {
+        current: GRANTERS.iter().map(|disk| disk.to_string()).collect(),
+        ..ReplicaGroup::default()
+    }
 }
 
 impl Lease {
     fn restarted(&self, state: &State, granter: usize) -> Granter {
         let kept = state.granters[granter].to_keep();
         let term = kept.term;
-        let now = if self.fault == Fault::GrantsAfterRestart { 0 } else { state.now };
+        let now = if self.fault == Fault::GrantsAfterRestart {
+            0
+        } else {
+            state.now
+        };
         let mut granter = Granter::new(TIMES, now, kept, false);
         granter.see_seats(now, SEATS, term, false);
         granter
     }
 
     fn held(&self, state: &State, process: &Process) -> bool {
-        let now = if self.fault == Fault::HoldsTooLong { state.now.saturating_sub(1) } else { state.now };
+        let now = if self.fault == Fault::HoldsTooLong {
+            state.now.saturating_sub(1)
+        } else {
+            state.now
+        };
         process.holder.held(now).is_some()
     }
 }
@@ -117,7 +143,11 @@
         };
         let process = |number: u64| Process {
             holder: Holder::new(TIMES),
-            candidate: Candidate { disk: GRANTERS[number as usize].into(), process: number, life: 1 },
+            candidate: Candidate {
+                disk: GRANTERS[number as usize].into(),
+                process: number,
+                life: 1,
+            },
             requests: self.requests[number as usize],
             renewals: self.renewals,
         };
@@ -148,7 +178,11 @@
         }
         for sent in 0..state.network.len() {
             for granter in 0..GRANTERS.len() {
-                actions.extend([true, false].map(|answered| Action::Deliver { sent, granter, answered }));
+                actions.extend([true, false].map(|answered| Action::Deliver {
+                    sent,
+                    granter,
+                    answered,
+                }));
             }
         }
         if state.restarts > 0 {
@@ -168,28 +202,62 @@
                 process.requests -= 1;
                 process.holder.request(now, term, &seats());
                 let candidate = process.candidate.clone();
-                next.network.insert(Sent { process: index, candidate, term, round: 0, confirmed: 0 });
+                next.network.insert(Sent {
+                    process: index,
+                    candidate,
+                    term,
+                    round: 0,
+                    confirmed: 0,
+                });
             }
             Action::Renew(index) => {
                 let process = &mut next.processes[index];
                 process.renewals -= 1;
-                let LeaseOperation::Renew { term, round, confirmed } = process.holder.renew(now, &seats())? else { return None };
+                let LeaseOperation::Renew {
+                    term,
+                    round,
+                    confirmed,
+                } = process.holder.renew(now, &seats())?
+                else {
+                    return None;
+                };
                 let candidate = process.candidate.clone();
-                next.network.insert(Sent { process: index, candidate, term, round, confirmed });
+                next.network.insert(Sent {
+                    process: index,
+                    candidate,
+                    term,
+                    round,
+                    confirmed,
+                });
             }
-            Action::Deliver { sent, granter, answered } => {
+            Action::Deliver {
+                sent,
+                granter,
+                answered,
+            } => {
                 let sent = state.network.iter().nth(sent)?;
-                let is_any = self.fault == Fault::FreedByAnyProcess && state.granters[granter].holder(now) != Some(&sent.candidate);
-                let life = if is_any { u64::MAX } else { sent.candidate.life };
-                next.granters[granter].meet(&Candidate { life, ..sent.candidate.clone() });
-                let verdict = next.granters[granter].answer(now, &sent.candidate, SEATS, sent.call());
+                let is_any = self.fault == Fault::FreedByAnyProcess
+                    && state.granters[granter].holder(now) != Some(&sent.candidate);
+                let life = if is_any {
+                    u64::MAX
+                } else {
+                    sent.candidate.life
+                };
+                next.granters[granter].meet(&Candidate {
+                    life,
+                    ..sent.candidate.clone()
+                });
+                let verdict =
+                    next.granters[granter].answer(now, &sent.candidate, SEATS, sent.call());
                 let process = &mut next.processes[sent.process];
                 let is_asker = process.candidate == sent.candidate;
                 if verdict == LeaseVerdict::Granted && answered && is_asker {
-                    process.holder.granted(sent.term, sent.round, GRANTERS[granter]);
+                    process
+                        .holder
+                        .granted(sent.term, sent.round, GRANTERS[granter]);
                 }
-                let is_same =
-                    next.granters == state.granters && next.processes[sent.process].holder == state.processes[sent.process].holder;
+                let is_same = next.granters == state.granters
+                    && next.processes[sent.process].holder == state.processes[sent.process].holder;
                 if is_same {
                     return None;
                 }
@@ -209,7 +277,11 @@
     }
 
     fn violated(&self, state: &State) -> Option<&'static str> {
-        let holders = state.processes.iter().filter(|process| self.held(state, process)).count();
+        let holders = state
+            .processes
+            .iter()
+            .filter(|process| self.held(state, process))
+            .count();
         (holders > 1).then_some(TWO_HOLDERS)
     }
 }
--- a/yewcross-testkit/tests/models/register.rs
+++ b/yewcross-testkit/tests/models/register.rs
@@ -1,12 +1,16 @@
-//! The register as a model: the acceptor and the proposer that the tier runs, with every order of messages.
+//! The register as a model: the acceptor and the proposer that the tier runs, with every order of
+//! messages.
 //!
-//! A request that was sent may be delivered at any later time, any number of times, or never, and its answer may be lost: so
-//! messages are lost, doubled and late. The answers of a link come in the order of its requests, and the first to a request
-//! counts: where a request is doubled, the second answer does not. A process that stops and starts again loses what it knows as a proposer; what it
-//! promised and accepted is on disk. A wiped machine is back at its address with a new, empty disk.
+//! A request that was sent may be delivered at any later time, any number of times, or never, and
+//! its answer may be lost: so messages are lost, doubled and late. The answers of a link come in
+//! the order of its requests, and the first to a request counts: where a request is doubled, the
+//! second answer does not. A process that stops and starts again loses what it knows as a proposer;
+//! what it promised and accepted is on disk. A wiped machine is back at its address with a new,
+//! empty disk.
 //!
-//! A value is the list of the changes that led to it. Each change appends its own number, so that a value tells which changes
-//! stand. The version of the layout is decided in one step here: that register is one of those modelled.
+//! A value is the list of the changes that led to it. Each change appends its own number, so that a
+//! value tells which changes stand. The version of the layout is decided in one step here: that
+//! register is one of those modelled.
 
 use super::explorer::Model;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +18,9 @@
 use std::sync::Arc;
 use yewcross_common::register::acceptor::{self, Effect, Record};
 use yewcross_common::register::proposer::{ChangeError, Proposer, Round, Survey, Vote};
-use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest, ReplicaSet, Seat, majority};
+use yewcross_common::register::{
+    Ballot, RegisterReply, RegisterRequest, ReplicaSet, Seat, majority,
+};
 
 pub const TWO_VALUES: &str = "two values are decided under one version";
 pub const TWO_WINNERS: &str = "two changes are acknowledged under one version";
@@ -50,7 +56,8 @@
     BallotsBeginAnew,
 }
 
-/// What may happen, and how often. All bounds are exact: the explorer visits everything within them.
+/// What may happen, and how often. All bounds are exact: the explorer visits everything within
+/// them.
 #[derive(Clone, Debug)]
 pub struct Register {
     pub fault: Fault,
@@ -211,12 +218,21 @@
 /// A ballot of an earlier life, and what it left behind.
 const EARLIER: Ballot = Ballot { n: 3, by: 7 };
 pub fn leftover() -> Record {
-    Record { promised: EARLIER, accepted: EARLIER, seq: 2, value: Arc::new(vec![200, 201]), damaged: false }
+    Record {
+        promised: EARLIER,
+        accepted: EARLIER,
+        seq: 2,
+        value: Arc::new(vec![200, 201]),
+        damaged: false,
+    }
 }
 
 /// The seat of a disk whose machine is at the address.
 pub fn seat(disk: &str, address: usize) -> Seat {
-    Seat { disk: disk.into(), addr: Some(SocketAddr::from(([10, 0, 0, address as u8], 1))) }
+    Seat {
+        disk: disk.into(),
+        addr: Some(SocketAddr::from(([10, 0, 0, address as u8], 1))),
+    }
 }
 
 fn address_of(seat: &Seat) -> usize {
@@ -230,7 +246,9 @@
     let mut replicas = replicas.clone();
     match model.fault {
         Fault::NewSetAlone => replicas.previous.clear(),
-        Fault::OldSetAlone if !replicas.previous.is_empty() => replicas.current = std::mem::take(&mut replicas.previous),
+        Fault::OldSetAlone if !replicas.previous.is_empty() => {
+            replicas.current = std::mem::take(&mut replicas.previous)
+        }
         _ => {}
     }
     replicas
@@ -238,9 +256,19 @@
 
 impl Checked {
     pub fn new(model: &Register) -> Checked {
-        let seats = |replicas: &ReplicaSet| replicas.all().into_iter().map(|seat| (address_of(&seat), seat)).collect();
+        let seats = |replicas: &ReplicaSet| {
+            replicas
+                .all()
+                .into_iter()
+                .map(|seat| (address_of(&seat), seat))
+                .collect()
+        };
         Checked {
-            counted: model.layouts.iter().map(|replicas| counted(model, replicas)).collect(),
+            counted: model
+                .layouts
+                .iter()
+                .map(|replicas| counted(model, replicas))
+                .collect(),
             seats: model.layouts.iter().map(seats).collect(),
             model: model.clone(),
         }
@@ -262,7 +290,8 @@
         !self.replicas(layout).previous.is_empty()
     }
 
-    /// So many of the old replicas refuse older layouts that no majority of them is left for a proposer of before.
+    /// So many of the old replicas refuse older layouts that no majority of them is left for a
+    /// proposer of before.
     fn is_fenced(&self, state: &State) -> bool {
         let old = &self.replicas(state.layout).previous;
         let kept = |seat: &&Seat| {
@@ -270,25 +299,76 @@
             machine.disk == seat.disk && machine.layout >= state.layout
         };
         let kept = old.iter().filter(kept).count();
-        self.model.fault == Fault::FinishesUnfenced || (kept >= majority(old.len()) && old.len() - kept < majority(old.len()))
+        self.model.fault == Fault::FinishesUnfenced
+            || (kept >= majority(old.len()) && old.len() - kept < majority(old.len()))
     }
 
     fn start(&self, state: &mut State, index: usize, intent: Intent, ballot: Ballot) {
         let layout = state.processes[index].layout;
-        let floor = state.acknowledged.iter().map(|(_, change)| *change).collect();
+        let floor = state
+            .acknowledged
+            .iter()
+            .map(|(_, change)| *change)
+            .collect();
         let fenced = layout == state.layout && self.is_joint(layout) && self.is_fenced(state);
         let process = Arc::make_mut(&mut state.processes[index]);
         process.sent += 1;
         let id = process.sent;
         let (key, lay, seq) = (String::new(), layout, process.proposer.seq());
         let (request, blob) = match &intent {
-            Intent::Prepare => (RegisterRequest::Promise { key, epoch: ballot, lay }, Arc::default()),
-            Intent::Recover => (RegisterRequest::Accept { key, epoch: ballot, seq, lay, delta: false }, process.proposer.value().clone()),
-            Intent::Write { value, .. } => (RegisterRequest::Accept { key, epoch: ballot, seq: seq + 1, lay, delta: false }, value.clone()),
-            Intent::Confirm => (RegisterRequest::Confirm { key, epoch: ballot, lay }, Arc::default()),
-            Intent::Look => (RegisterRequest::Look { key, lay, have: (Ballot { n: u64::MAX, by: 0 }, 0) }, Arc::default()),
+            Intent::Prepare => (
+                RegisterRequest::Promise {
+                    key,
+                    epoch: ballot,
+                    lay,
+                },
+                Arc::default(),
+            ),
+            Intent::Recover => (
+                RegisterRequest::Accept {
+                    key,
+                    epoch: ballot,
+                    seq,
+                    lay,
+                    delta: false,
+                },
+                process.proposer.value().clone(),
+            ),
+            Intent::Write { value, .. } => (
+                RegisterRequest::Accept {
+                    key,
+                    epoch: ballot,
+                    seq: seq + 1,
+                    lay,
+                    delta: false,
+                },
+                value.clone(),
+            ),
+            Intent::Confirm => (
+                RegisterRequest::Confirm {
+                    key,
+                    epoch: ballot,
+                    lay,
+                },
+                Arc::default(),
+            ),
+            Intent::Look => (
+                RegisterRequest::Look {
+                    key,
+                    lay,
+                    have: (Ballot { n: u64::MAX, by: 0 }, 0),
+                },
+                Arc::default(),
+            ),
         };
-        state.network.insert(Arc::new(Sent { process: index, id, layout, request, blob, reached: 0 }));
+        state.network.insert(Arc::new(Sent {
+            process: index,
+            id,
+            layout,
+            request,
+            blob,
+            reached: 0,
+        }));
         process.pending = Some(Pending {
             id,
             intent,
@@ -309,7 +389,11 @@
         process.prepares -= 1;
         process.ballots += 1;
         let mark = (index as u64 + 1) * 16 + u64::from(process.ballots);
-        let clock = if self.model.fault == Fault::BallotsBeginAnew { 0 } else { CLOCK };
+        let clock = if self.model.fault == Fault::BallotsBeginAnew {
+            0
+        } else {
+            CLOCK
+        };
         let ballot = process.proposer.prepare(mark, clock);
         self.start(state, index, Intent::Prepare, ballot);
     }
@@ -320,15 +404,31 @@
         process.changes -= 1;
         let mut value = process.proposer.value().to_vec();
         value.push(change);
-        let Some(ballot) = process.proposer.resign() else { return };
-        self.start(state, index, Intent::Write { change, value: Arc::new(value) }, ballot);
+        let Some(ballot) = process.proposer.resign() else {
+            return;
+        };
+        self.start(
+            state,
+            index,
+            Intent::Write {
+                change,
+                value: Arc::new(value),
+            },
+            ballot,
+        );
     }
 
     fn read(&self, state: &mut State, index: usize) {
         Arc::make_mut(&mut state.processes[index]).reads -= 1;
-        let Some(ballot) = state.processes[index].proposer.ballot() else { return };
+        let Some(ballot) = state.processes[index].proposer.ballot() else {
+            return;
+        };
         if self.model.fault == Fault::ReadsWithoutConfirm {
-            let floor: Vec<u8> = state.acknowledged.iter().map(|(_, change)| *change).collect();
+            let floor: Vec<u8> = state
+                .acknowledged
+                .iter()
+                .map(|(_, change)| *change)
+                .collect();
             self.check_value(state, index, &floor);
             return;
         }
@@ -337,17 +437,29 @@
 
     /// What the machine at the address does with the request, as the disk that is there now.
     fn deliver(&self, state: &mut State, sent: &Sent, address: usize, answered: bool) {
-        let Some((_, seat)) = self.seats(sent.layout).iter().find(|(at, _)| *at == address) else { return };
+        let Some((_, seat)) = self
+            .seats(sent.layout)
+            .iter()
+            .find(|(at, _)| *at == address)
+        else {
+            return;
+        };
         let machine = &mut state.machines[address];
         let has_kept = machine.layout > 1;
         let is_other = machine.disk != seat.disk;
         let (reply, value) = if is_other && self.model.fault != Fault::VotesByAddress {
             (RegisterReply::OtherDisk, None)
         } else {
-            if let (Fault::AcceptAnyBallot, RegisterRequest::Accept { epoch, .. }) = (self.model.fault, &sent.request) {
+            if let (Fault::AcceptAnyBallot, RegisterRequest::Accept { epoch, .. }) =
+                (self.model.fault, &sent.request)
+            {
                 machine.record.promised = *epoch;
             }
-            let kept = if self.model.fault == Fault::FinishesUnfenced { 0 } else { machine.layout };
+            let kept = if self.model.fault == Fault::FinishesUnfenced {
+                0
+            } else {
+                machine.layout
+            };
             let step = acceptor::handle(&machine.record, kept, &sent.request, sent.blob.to_vec());
             match step.effect {
                 Effect::None => {}
@@ -357,16 +469,24 @@
             (step.reply, step.value)
         };
         let process = Arc::make_mut(&mut state.processes[sent.process]);
-        let pending = process.pending.as_mut().filter(|pending| pending.id == sent.id);
+        let pending = process
+            .pending
+            .as_mut()
+            .filter(|pending| pending.id == sent.id);
         let Some(pending) = pending else { return };
         let is_first = pending.reached.insert(address);
         if !is_first || !answered {
             return;
         }
         pending.answered.insert(address);
-        let vote = Vote { disk: seat.disk.clone(), reply, value: value.map(|value| value.to_vec()).unwrap_or_default() };
+        let vote = Vote {
+            disk: seat.disk.clone(),
+            reply,
+            value: value.map(|value| value.to_vec()).unwrap_or_default(),
+        };
         if pending.intent == Intent::Look {
-            // To end a change, an old replica counts only once it refuses proposers that do not know of the change.
+            // To end a change, an old replica counts only once it refuses proposers that do not
+            // know of the change.
             let is_old = self.replicas(sent.layout).previous.contains(seat);
             if !is_old || has_kept || self.model.fault == Fault::CountsOldUnfenced {
                 pending.survey.record(vote);
@@ -380,11 +500,16 @@
 
     /// Whether an answer from the address would count. None does once there is a quorum.
     fn awaits(&self, state: &State, sent: &Sent, address: usize) -> bool {
-        let pending = state.processes[sent.process].pending.as_ref().filter(|pending| pending.id == sent.id);
-        pending.is_some_and(|pending| !pending.reached.contains(&address) && !self.is_decided(pending))
+        let pending = state.processes[sent.process]
+            .pending
+            .as_ref()
+            .filter(|pending| pending.id == sent.id);
+        pending
+            .is_some_and(|pending| !pending.reached.contains(&address) && !self.is_decided(pending))
     }
 
-    /// A process that gives up and can do nothing more is like one that waits for ever, unless it reports a refusal.
+    /// A process that gives up and can do nothing more is like one that waits for ever, unless it
+    /// reports a refusal.
     fn is_worth_giving_up(&self, process: &Process, pending: &Pending) -> bool {
         let all_answered = pending.answered.len() == self.seats(pending.layout).len();
         let reports = matches!(pending.intent, Intent::Write { .. }) && all_answered;
@@ -394,14 +519,18 @@
     fn is_decided(&self, pending: &Pending) -> bool {
         let replicas = self.counted(pending.layout);
         match pending.intent {
-            Intent::Look if self.model.fault == Fault::LooksAtOneCopy => !pending.answered.is_empty(),
+            Intent::Look if self.model.fault == Fault::LooksAtOneCopy => {
+                !pending.answered.is_empty()
+            }
             Intent::Look => pending.survey.decided(replicas).is_some(),
             _ => pending.round.has_quorum(replicas),
         }
     }
 
     fn conclude(&self, state: &mut State, index: usize) {
-        let Some(pending) = Arc::make_mut(&mut state.processes[index]).pending.take() else { return };
+        let Some(pending) = Arc::make_mut(&mut state.processes[index]).pending.take() else {
+            return;
+        };
         if pending.forgetful {
             self.report(state, FORGETFUL_VOTE);
         }
@@ -410,7 +539,11 @@
         match pending.intent {
             Intent::Prepare => {
                 let forgets = self.model.fault == Fault::ForgetsAcceptedValue;
-                let round = if forgets { &Round::default() } else { &pending.round };
+                let round = if forgets {
+                    &Round::default()
+                } else {
+                    &pending.round
+                };
                 if process.proposer.promised(replicas, round) {
                     self.start(state, index, Intent::Recover, pending.ballot);
                     if let Some(next) = &mut Arc::make_mut(&mut state.processes[index]).pending {
@@ -425,7 +558,11 @@
                 process.proposer.decided(pending.ballot, value);
                 let seq = process.proposer.seq();
                 self.decide(state, index);
-                if state.acknowledged.iter().any(|(version, _)| *version == seq) {
+                if state
+                    .acknowledged
+                    .iter()
+                    .any(|(version, _)| *version == seq)
+                {
                     self.report(state, TWO_WINNERS);
                 }
                 state.acknowledged.insert((seq, change));
@@ -491,10 +628,16 @@
     }
 
     fn give_up(&self, state: &mut State, index: usize) {
-        let Some(mut pending) = Arc::make_mut(&mut state.processes[index]).pending.take() else { return };
+        let Some(mut pending) = Arc::make_mut(&mut state.processes[index]).pending.take() else {
+            return;
+        };
         for (address, seat) in self.seats(pending.layout) {
             if !pending.answered.contains(address) {
-                pending.round.record(Vote { disk: seat.disk.clone(), reply: RegisterReply::Away, value: vec![] });
+                pending.round.record(Vote {
+                    disk: seat.disk.clone(),
+                    reply: RegisterReply::Away,
+                    value: vec![],
+                });
             }
         }
         let process = Arc::make_mut(&mut state.processes[index]);
@@ -513,7 +656,8 @@
     /// Whether the request can still change what the machine holds.
     fn may_still_act(&self, machine: &Machine, seat: &Seat, sent: &Sent) -> bool {
         let is_meant = machine.disk == seat.disk || self.model.fault == Fault::VotesByAddress;
-        let is_current = sent.layout >= machine.layout || self.model.fault == Fault::FinishesUnfenced;
+        let is_current =
+            sent.layout >= machine.layout || self.model.fault == Fault::FinishesUnfenced;
         if !is_meant || !is_current {
             return false;
         }
@@ -522,25 +666,33 @@
             RegisterRequest::Promise { epoch, .. } => *epoch > record.promised,
             RegisterRequest::Accept { epoch, seq, .. } => {
                 let is_done = *epoch == record.accepted && *seq <= record.seq;
-                let may_be_promised = *epoch >= record.promised || self.model.fault == Fault::AcceptAnyBallot;
+                let may_be_promised =
+                    *epoch >= record.promised || self.model.fault == Fault::AcceptAnyBallot;
                 may_be_promised && !is_done
             }
             _ => false,
         }
     }
 
-    /// A request that can have no effect on any replica any more, and that nobody waits for, is forgotten: states that
-    /// differ in nothing else are the same.
+    /// A request that can have no effect on any replica any more, and that nobody waits for, is
+    /// forgotten: states that differ in nothing else are the same.
     fn tidy(&self, state: &mut State) {
-        let State { machines, processes, network, .. } = state;
+        let State {
+            machines,
+            processes,
+            network,
+            ..
+        } = state;
         network.retain(|sent| {
-            let awaited = processes[sent.process].pending.as_ref().is_some_and(|pending| pending.id == sent.id);
+            let awaited = processes[sent.process]
+                .pending
+                .as_ref()
+                .is_some_and(|pending| pending.id == sent.id);
             let reached = |address: usize| sent.reached >> address & 1 == 1;
             awaited
-                || self
-                    .seats(sent.layout)
-                    .iter()
-                    .any(|(address, seat)| !reached(*address) && self.may_still_act(&machines[*address], seat, sent))
+                || self.seats(sent.layout).iter().any(|(address, seat)| {
+                    !reached(*address) && self.may_still_act(&machines[*address], seat, sent)
+                })
         });
     }
 }
@@ -550,8 +702,16 @@
     type Action = Action;
 
     fn initial(&self) -> Vec<State> {
-        let mut machines: Vec<Machine> =
-            self.model.machines.iter().map(|disk| Machine { disk, layout: 0, record: Record::default() }).collect();
+        let mut machines: Vec<Machine> = self
+            .model
+            .machines
+            .iter()
+            .map(|disk| Machine {
+                disk,
+                layout: 0,
+                record: Record::default(),
+            })
+            .collect();
         for (address, record) in &self.model.leftovers {
             machines[*address].record = record.clone();
         }
@@ -571,7 +731,9 @@
         let mut processes: Vec<Arc<Process>> = processes.map(Arc::new).collect();
         if let Some(index) = self.model.sleeper {
             let process = Arc::make_mut(&mut processes[index]);
-            process.proposer.promised(self.replicas(1), &Round::default());
+            process
+                .proposer
+                .promised(self.replicas(1), &Round::default());
             process.proposer.lead(EARLIER);
         }
         vec![State {
@@ -597,7 +759,11 @@
                 actions.push(Action::Learn(index));
             }
             let may_finish = process.may_finish || self.model.fault == Fault::FinishesUnseen;
-            if may_finish && process.layout == state.layout && self.is_joint(state.layout) && self.is_fenced(state) {
+            if may_finish
+                && process.layout == state.layout
+                && self.is_joint(state.layout)
+                && self.is_fenced(state)
+            {
                 actions.push(Action::Finish);
             }
             if let Some(pending) = &process.pending {
@@ -608,7 +774,10 @@
                 }
                 continue;
             }
-            let leads = process.proposer.leads(self.replicas(process.layout)).is_some();
+            let leads = process
+                .proposer
+                .leads(self.replicas(process.layout))
+                .is_some();
             if !leads && process.prepares > 0 {
                 actions.push(Action::Prepare(index));
             }
@@ -618,9 +787,12 @@
             if leads && process.reads > 0 {
                 actions.push(Action::Read(index));
             }
-            // What stands once all changes of the layout are over is of interest, and what lets one end.
+            // What stands once all changes of the layout are over is of interest, and what lets one
+            // end.
             let is_last = process.layout as usize == self.model.layouts.len();
-            let may_end = process.layout == state.layout && self.is_joint(state.layout) && self.is_fenced(state);
+            let may_end = process.layout == state.layout
+                && self.is_joint(state.layout)
+                && self.is_fenced(state);
             if process.looks > 0 && (is_last || may_end) {
                 actions.push(Action::Look(index));
             }
@@ -633,21 +805,41 @@
                 }
                 let acts = self.may_still_act(&state.machines[address], seat, sent);
                 if self.awaits(state, sent, address) {
-                    actions.push(Action::Deliver { process, request, address, answered: true });
+                    actions.push(Action::Deliver {
+                        process,
+                        request,
+                        address,
+                        answered: true,
+                    });
                 }
                 if acts {
-                    actions.push(Action::Deliver { process, request, address, answered: false });
+                    actions.push(Action::Deliver {
+                        process,
+                        request,
+                        address,
+                        answered: false,
+                    });
                 }
             }
         }
         if !state.wiped {
-            actions.extend(self.model.wipes.iter().map(|address| Action::Wipe(*address)));
+            actions.extend(
+                self.model
+                    .wipes
+                    .iter()
+                    .map(|address| Action::Wipe(*address)),
+            );
         }
         if state.layout == 1 && self.model.layouts.len() > 1 {
             actions.push(Action::BeginChange);
         }
         for (address, machine) in state.machines.iter().enumerate() {
-            let leaves = self.model.layouts.get(1).is_some_and(|joint| joint.previous.iter().any(|seat| address_of(seat) == address));
+            let leaves = self.model.layouts.get(1).is_some_and(|joint| {
+                joint
+                    .previous
+                    .iter()
+                    .any(|seat| address_of(seat) == address)
+            });
             if leaves && state.layout > 1 && machine.layout < 2 {
                 actions.push(Action::Keep(address));
             }
@@ -665,11 +857,22 @@
                 Arc::make_mut(&mut next.processes[index]).looks -= 1;
                 self.start(&mut next, index, Intent::Look, Ballot::default());
             }
-            Action::Deliver { process, request, address, answered } => {
-                let sent = state.network.iter().find(|sent| sent.process == process && sent.id == request)?;
+            Action::Deliver {
+                process,
+                request,
+                address,
+                answered,
+            } => {
+                let sent = state
+                    .network
+                    .iter()
+                    .find(|sent| sent.process == process && sent.id == request)?;
                 if !self.model.doubled {
                     next.network.remove(sent);
-                    next.network.insert(Arc::new(Sent { reached: sent.reached | 1 << address, ..(**sent).clone() }));
+                    next.network.insert(Arc::new(Sent {
+                        reached: sent.reached | 1 << address,
+                        ..(**sent).clone()
+                    }));
                 }
                 self.deliver(&mut next, sent, address, answered);
             }
@@ -684,7 +887,11 @@
             }
             Action::Wipe(address) => {
                 next.wiped = true;
-                next.machines[address] = Machine { disk: NEW_DISK, layout: 0, record: Record::default() };
+                next.machines[address] = Machine {
+                    disk: NEW_DISK,
+                    layout: 0,
+                    record: Record::default(),
+                };
             }
             Action::BeginChange => next.layout = 2,
             Action::Keep(address) => next.machines[address].layout = 2,
