--- a/yewcross-testkit/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -1,5 +1,6 @@
-//! Documents have one proposer at a time: on slow processors, with many orders, after every core has restarted, a first
-//! change is decided and a holder is on duty in a bounded time, and few ballots are prepared (docs/control-safety.md, 1c).
+//! Documents have one proposer at a time: on slow processors, with many orders, after every core
+//! has restarted, a first change is decided and a holder is on duty in a bounded time, and few
+//! ballots are prepared (docs/control-safety.md, 1c).
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
@@ -12,22 +13,33 @@
 mod operators;
 use operators::{Orders, TEXT, begin, operators_at, small_machines};
 
-/// us. Longest time from the return of the cores to a holder on duty: grants of an earlier life run out in 1 s, candidates
-/// step forward one after the other, and the holder takes three documents.
+/// us. Longest time from the return of the cores to a holder on duty: grants of an earlier life run
+/// out in 1 s, candidates step forward one after the other, and the holder takes three documents.
 const DUTY_WITHIN: u64 = 2_500 * MS;
 /// us. Longest time from their return to the first order decided.
 const ORDER_WITHIN: u64 = 3 * SEC;
 /// us. Longest time in which no order is decided while nothing is wrong.
 const CALM_WITHIN: u64 = 1_500 * MS;
-/// count. Ballots prepared for a document in one term: the holder's first, and others after rounds that were lost.
+/// count. Ballots prepared for a document in one term: the holder's first, and others after rounds
+/// that were lost.
 const BALLOTS_A_TERM: u64 = 12;
 
 fn ballots(tier: &Tier) -> u64 {
-    tier.control.lock().unwrap().values().map(|control| control.registers.takes.load(SeqCst)).sum()
+    tier.control
+        .lock()
+        .unwrap()
+        .values()
+        .map(|control| control.registers.takes.load(SeqCst))
+        .sum()
 }
 
 fn terms(tier: &Tier) -> u64 {
-    tier.control.lock().unwrap().values().map(|control| control.duties.taken.load(SeqCst)).sum()
+    tier.control
+        .lock()
+        .unwrap()
+        .values()
+        .map(|control| control.duties.taken.load(SeqCst))
+        .sum()
 }
 
 /// us from now until a core is on duty, and until an order is acknowledged.
@@ -75,14 +87,25 @@
         });
         println!(
             "seed {seed}, power {power}: ms to a holder and to an order {:?}",
-            times.iter().map(|t| (t.0 / MS, t.1 / MS)).collect::<Vec<_>>()
+            times
+                .iter()
+                .map(|t| (t.0 / MS, t.1 / MS))
+                .collect::<Vec<_>>()
         );
         let mut worst = worst.lock().unwrap();
-        times.iter().for_each(|(duty, order)| *worst = (worst.0.max(*duty), worst.1.max(*order)));
-        times.iter().all(|(duty, order)| *duty < DUTY_WITHIN && *order < ORDER_WITHIN)
+        times
+            .iter()
+            .for_each(|(duty, order)| *worst = (worst.0.max(*duty), worst.1.max(*order)));
+        times
+            .iter()
+            .all(|(duty, order)| *duty < DUTY_WITHIN && *order < ORDER_WITHIN)
     });
     let worst = worst.lock().unwrap();
-    println!("worst: a holder after {} ms, an order after {} ms", worst.0 / MS, worst.1 / MS);
+    println!(
+        "worst: a holder after {} ms, an order after {} ms",
+        worst.0 / MS,
+        worst.1 / MS
+    );
     assert_eq!(late, 0, "restarts after which the core was late");
 }
 
@@ -99,7 +122,11 @@
                 let cores = tier.names(Role::Core);
                 let writer = tier.on_duty().first().cloned().unwrap();
                 let witness = cores.iter().find(|name| **name != writer).unwrap().clone();
-                let others: Vec<String> = cores.iter().filter(|name| **name != witness).cloned().collect();
+                let others: Vec<String> = cores
+                    .iter()
+                    .filter(|name| **name != witness)
+                    .cloned()
+                    .collect();
                 tier.cut_from(&writer, &others);
                 let text = format!("2 undecided {}", "x".repeat(TEXT));
                 tier.put(&writer, 1, &text).await;
@@ -113,13 +140,21 @@
                 times
             })
         });
-        println!("seed {seed}: a holder after {} ms, an order after {} ms", duty / MS, order / MS);
-        assert!(duty < DUTY_WITHIN && order < ORDER_WITHIN, "{duty} {order}\n{}", tell(&tier));
+        println!(
+            "seed {seed}: a holder after {} ms, an order after {} ms",
+            duty / MS,
+            order / MS
+        );
+        assert!(
+            duty < DUTY_WITHIN && order < ORDER_WITHIN,
+            "{duty} {order}\n{}",
+            tell(&tier)
+        );
     }
 }
 
-/// Eight orders at a time on a core of a tenth of a processor a machine: the lease stays where it is, orders are decided all
-/// the time, and ballots are prepared by the holder alone.
+/// Eight orders at a time on a core of a tenth of a processor a machine: the lease stays where it
+/// is, orders are decided all the time, and ballots are prepared by the holder alone.
 #[test]
 fn many_orders_neither_move_the_lease_nor_prepare_ballots() {
     for seed in 0..3u64 {
@@ -134,23 +169,41 @@
                 tier.op.sleep(20 * SEC).await;
                 orders.ended.store(true, SeqCst);
                 let decided = orders.decided.load(SeqCst);
-                (decided, orders.longest_pause.load(SeqCst), ballots(&tier) - before.0, terms(&tier) - before.1)
+                (
+                    decided,
+                    orders.longest_pause.load(SeqCst),
+                    ballots(&tier) - before.0,
+                    terms(&tier) - before.1,
+                )
             })
         });
-        println!("seed {seed}: {decided} orders decided in 20 s, longest pause {} ms, {ballots} ballots, {terms} new terms", pause / MS);
+        println!(
+            "seed {seed}: {decided} orders decided in 20 s, longest pause {} ms, {ballots} ballots, {terms} new terms",
+            pause / MS
+        );
         assert!(decided > 40 && pause < CALM_WITHIN, "{decided} {pause}");
-        assert!(ballots <= BALLOTS_A_TERM * (terms + 1), "{ballots} ballots in {} terms", terms + 1);
+        assert!(
+            ballots <= BALLOTS_A_TERM * (terms + 1),
+            "{ballots} ballots in {} terms",
+            terms + 1
+        );
         assert!(terms <= 1, "the lease changed hands {terms} times");
     }
 }
 
 fn server(number: u8, leaving: bool) -> ListedServer {
     let addr = std::net::SocketAddr::new([10, 7, 0, number].into(), 80);
-    ListedServer { server: format!("s{number}"), service: "llm".into(), addr, site: "z1".into(), leaving }
+    ListedServer {
+        server: format!("s{number}"),
+        service: "llm".into(),
+        addr,
+        site: "z1".into(),
+        leaving,
+    }
 }
 
-/// A server leaves while every core starts again, with orders on their way: all fronts know of it before a machine counts as
-/// in touch again.
+/// A server leaves while every core starts again, with orders on their way: all fronts know of it
+/// before a machine counts as in touch again.
 #[test]
 fn a_server_that_leaves_while_the_core_restarts_is_known_in_time() {
     let mut worst = 0;
@@ -158,7 +211,9 @@
         let tier = small_machines(9100 + seed, [8, 9, 55], 2);
         let us = play(&tier, |tier| {
             Box::pin(async move {
-                let platform = tier.list_servers(vec![server(1, false), server(2, false)]).await;
+                let platform = tier
+                    .list_servers(vec![server(1, false), server(2, false)])
+                    .await;
                 let orders = begin(&tier).await;
                 tier.op.sleep(3 * SEC).await;
                 let cores = tier.names(Role::Core);
@@ -167,7 +222,16 @@
                 tier.op.sleep(700 * MS).await;
                 cores.iter().for_each(|name| tier.boot(name, false));
                 let begin = tier.op.now();
-                let knows = |front: &Arc<Bare>| front.book.list.load().1.servers.iter().all(|s| s.server != "s1" || s.leaving);
+                let knows = |front: &Arc<Bare>| {
+                    front
+                        .book
+                        .list
+                        .load()
+                        .1
+                        .servers
+                        .iter()
+                        .all(|s| s.server != "s1" || s.leaving)
+                };
                 while !tier.fronts.lock().unwrap().values().all(knows) {
                     tier.op.sleep(5 * MS).await;
                     assert!(tier.op.now() < begin + 30 * SEC, "{}", tell(&tier));
@@ -182,8 +246,9 @@
     assert!(worst < 3 * SEC, "{worst}");
 }
 
-/// Most core disks refuse whatever the holder asks of them, as they do one that goes by an older layout: it gives the lease up in
-/// time, others try, and once the disks answer a holder is on duty.
+/// Most core disks refuse whatever the holder asks of them, as they do one that goes by an older
+/// layout: it gives the lease up in time, others try, and once the disks answer a holder is on
+/// duty.
 #[test]
 fn a_holder_that_cannot_take_the_documents_gives_the_lease_up() {
     let tier = Tier::new(9400, [8, 5, 4], 2);
@@ -192,22 +257,47 @@
             up(&tier).await;
             tier.op.sleep(2 * SEC).await;
             let holder = tier.on_duty().first().cloned().unwrap();
-            let others: Vec<String> = tier.names(Role::Core).into_iter().filter(|name| *name != holder).collect();
-            let kept: Vec<u64> = others.iter().map(|name| tier.at(name).unwrap().replica.layout_version.swap(u64::MAX, SeqCst)).collect();
+            let others: Vec<String> = tier
+                .names(Role::Core)
+                .into_iter()
+                .filter(|name| *name != holder)
+                .collect();
+            let kept: Vec<u64> = others
+                .iter()
+                .map(|name| {
+                    tier.at(name)
+                        .unwrap()
+                        .replica
+                        .layout_version
+                        .swap(u64::MAX, SeqCst)
+                })
+                .collect();
             tier.kill(&holder, true);
             let (mut longest, mut since, mut last) = (0, tier.op.now(), None);
             let end = tier.op.now() + 12 * SEC;
             while tier.op.now() < end {
                 tier.op.sleep(5 * MS).await;
-                let now_held = others.iter().find_map(|name| tier.at(name).unwrap().lease_term());
+                let now_held = others
+                    .iter()
+                    .find_map(|name| tier.at(name).unwrap().lease_term());
                 if now_held != last {
                     (since, last) = (tier.op.now(), now_held);
                 }
-                longest = longest.max(if now_held.is_some() { tier.op.now() - since } else { 0 });
+                longest = longest.max(if now_held.is_some() {
+                    tier.op.now() - since
+                } else {
+                    0
+                });
                 assert!(tier.on_duty().is_empty(), "{}", tell(&tier));
             }
             let terms = terms(&tier);
-            others.iter().zip(kept).for_each(|(name, layout)| tier.at(name).unwrap().replica.layout_version.store(layout, SeqCst));
+            others.iter().zip(kept).for_each(|(name, layout)| {
+                tier.at(name)
+                    .unwrap()
+                    .replica
+                    .layout_version
+                    .store(layout, SeqCst)
+            });
             let begin = tier.op.now();
             while tier.on_duty().is_empty() {
                 tier.op.sleep(5 * MS).await;
@@ -216,6 +306,10 @@
             (longest, terms, tier.op.now() - begin)
         })
     });
-    println!("held {} ms at most in {terms} terms, a holder on duty {} ms after the disks answer", longest / MS, back / MS);
+    println!(
+        "held {} ms at most in {terms} terms, a holder on duty {} ms after the disks answer",
+        longest / MS,
+        back / MS
+    );
     assert!(longest < FENCE_WITHIN + SEC && terms >= 3 && back < DUTY_WITHIN + UNFIT_FOR);
 }
--- a/yewcross-testkit/tests/orders.rs
+++ b/yewcross-testkit/tests/orders.rs
@@ -7,15 +7,18 @@
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_testkit::tier::*;
 
-/// Puts `count` orders one after another, on top of `base`, at one core after another; the last number.
+/// Puts `count` orders one after another, on top of `base`, at one core after another; the last
+/// number.
 async fn put_many(tier: &Arc<Tier>, base: u64, count: u64) -> u64 {
     for number in base + 1..=base + count {
-        tier.put_surely(number - 1, &format!("{number} one of many")).await;
+        tier.put_surely(number - 1, &format!("{number} one of many"))
+            .await;
     }
     base + count
 }
 
-/// The answer to an order is lost, a hundred others follow within the time for an answer, and the order is sent again.
+/// The answer to an order is lost, a hundred others follow within the time for an answer, and the
+/// order is sent again.
 #[test]
 fn an_order_whose_answer_was_lost_is_known_after_many_others() {
     let tier = Tier::new(7101, [4, 4, 2], 1);
@@ -30,14 +33,23 @@
             println!("100 orders took {} ms", took / MS);
             assert!(took < 4 * SEC, "the orders took {took} us");
             for core in ["core1", "core2", "core3", "core4"] {
-                assert_eq!(tier.put(core, 1, "2 the answer is lost").await, Some(PutAnswer::InForce(2)), "{core}");
-                assert_eq!(tier.put(core, 1, "2 another text").await, Some(PutAnswer::Conflict(newest)), "{core}");
+                assert_eq!(
+                    tier.put(core, 1, "2 the answer is lost").await,
+                    Some(PutAnswer::InForce(2)),
+                    "{core}"
+                );
+                assert_eq!(
+                    tier.put(core, 1, "2 another text").await,
+                    Some(PutAnswer::Conflict(newest)),
+                    "{core}"
+                );
             }
         })
     });
 }
 
-/// Readers at every core do not take the key from the owner that writes it, so that orders stay as quick.
+/// Readers at every core do not take the key from the owner that writes it, so that orders stay as
+/// quick.
 #[test]
 fn many_readers_do_not_slow_orders_down() {
     let tier = Tier::new(7111, [4, 4, 2], 1);
@@ -52,31 +64,49 @@
                 let (tier, reads) = (tier.clone(), reads.clone());
                 tier.op.clone().spawn(async move {
                     while tier.op.now() < end {
-                        if tier.read(&core).await.is_some_and(|r| r != ReadAnswer::Away) {
+                        if tier
+                            .read(&core)
+                            .await
+                            .is_some_and(|r| r != ReadAnswer::Away)
+                        {
                             reads.fetch_add(1, SeqCst);
                         }
                         tier.op.sleep(tier.op.random() % (10 * MS)).await;
                     }
                 });
             }
-            let takes = |tier: &Tier| tier.control.lock().unwrap().values().map(|c| c.registers.takes.load(SeqCst)).sum::<u64>();
+            let takes = |tier: &Tier| {
+                tier.control
+                    .lock()
+                    .unwrap()
+                    .values()
+                    .map(|c| c.registers.takes.load(SeqCst))
+                    .sum::<u64>()
+            };
             let before = takes(&tier);
             let (mut base, mut slowest) = (2, 0);
             while tier.op.now() < end {
-                slowest = slowest.max(tier.put_at("core2", base, &format!("{} next", base + 1)).await);
+                slowest = slowest.max(
+                    tier.put_at("core2", base, &format!("{} next", base + 1))
+                        .await,
+                );
                 base += 1;
                 tier.op.sleep(20 * MS).await;
             }
             (slowest, takes(&tier) - before, reads.load(SeqCst))
         })
     });
-    println!("{reads} reads in 10 s; slowest order {} ms; the key was taken {takes} times", slowest / MS);
+    println!(
+        "{reads} reads in 10 s; slowest order {} ms; the key was taken {takes} times",
+        slowest / MS
+    );
     assert!(reads > 1_000, "{reads}");
     assert!(slowest < 100 * MS, "{slowest}");
     assert!(takes < 20, "{takes}");
 }
 
-/// A document that skips versions replaces the file of the version kept before: none is left behind.
+/// A document that skips versions replaces the file of the version kept before: none is left
+/// behind.
 #[test]
 fn documents_that_skip_versions_leave_no_files_behind() {
     let tier = Tier::new(7121, [4, 4, 2], 1);
@@ -89,7 +119,12 @@
             let before = files(&tier);
             let layout = store.documents.document("layout");
             for nth in 1..=30 {
-                assert!(store.documents.apply("layout", layout.version + 10 * nth, layout.epoch, layout.content.to_vec()));
+                assert!(store.documents.apply(
+                    "layout",
+                    layout.version + 10 * nth,
+                    layout.epoch,
+                    layout.content.to_vec()
+                ));
                 tier.op.sleep(50 * MS).await;
             }
             (before, files(&tier))
--- a/yewcross-testkit/tests/placement.rs
+++ b/yewcross-testkit/tests/placement.rs
@@ -1,4 +1,5 @@
-//! What the choice of a server learns from answers and from other fronts; each test fails with its mechanism off.
+//! What the choice of a server learns from answers and from other fronts; each test fails with its
+//! mechanism off.
 
 #[path = "support/placement.rs"]
 mod support;
@@ -14,18 +15,44 @@
 use yewcross_testkit::sim::Sim;
 
 fn model(parts: &[(u64, u64)]) -> Need {
-    let engine = Some(Engine { slots: 12, cache_tokens: 1_000_000, token_bytes: 1, tokens_per_event: 2 });
+    let engine = Some(Engine {
+        slots: 12,
+        cache_tokens: 1_000_000,
+        token_bytes: 1,
+        tokens_per_event: 2,
+    });
     let prompt = parts.iter().map(|p| p.1).sum();
-    let plain = Need { service: "x".into(), site: "z0".into(), target_us: 250 * MS, conns: 100, ..Need::default() };
-    Need { engine, parts: parts.to_vec(), prompt, output: 100, ..plain }
+    let plain = Need {
+        service: "x".into(),
+        site: "z0".into(),
+        target_us: 250 * MS,
+        conns: 100,
+        ..Need::default()
+    };
+    Need {
+        engine,
+        parts: parts.to_vec(),
+        prompt,
+        output: 100,
+        ..plain
+    }
 }
 
 fn pick(b: &Balance, w: &Runtime, n: &Need, v: &[ListedServer]) -> Claim {
     b.pick(w, n, v, &[], |_| true).expect("a place is free")
 }
 
-/// Runs a request alone at the first server: it reads its prompt at this pace, and streams its events at that one.
-fn run(sim: &Sim, w: &Runtime, b: &Balance, v: &[ListedServer], tokens: u64, token_us: f64, gap_us: u64) {
+/// Runs a request alone at the first server: it reads its prompt at this pace, and streams its
+/// events at that one.
+fn run(
+    sim: &Sim,
+    w: &Runtime,
+    b: &Balance,
+    v: &[ListedServer],
+    tokens: u64,
+    token_us: f64,
+    gap_us: u64,
+) {
     let mut c = pick(b, w, &model(&[(sim.rand(), tokens)]), &v[..1]);
     rest(sim, w, 10 * MS + (tokens as f64 * token_us) as u64);
     c.headed();
@@ -34,16 +61,35 @@
 }
 
 fn others(b: &Balance, w: &Runtime, at: &str, in_flight: u32, ejected_by: u32) {
-    b.learn_load(w.now(), |server| Some(if server == at { Load { in_flight, ejected_by } } else { Load::default() }));
+    b.learn_load(w.now(), |server| {
+        Some(if server == at {
+            Load {
+                in_flight,
+                ejected_by,
+            }
+        } else {
+            Load::default()
+        })
+    });
 }
 
 #[test]
 fn a_slope_is_found_whatever_is_added_to_all_and_follows_what_changes() {
     let mut slope = Slope::new(33.0, 1_000.0);
     assert_eq!(slope.value(), 33.0, "nothing was seen yet");
-    (0..60u64).for_each(|i| slope.add((i * 997 % 15_000) as f64, 20_000.0 + (i * 997 % 15_000) as f64 * 7.0));
+    (0..60u64).for_each(|i| {
+        slope.add(
+            (i * 997 % 15_000) as f64,
+            20_000.0 + (i * 997 % 15_000) as f64 * 7.0,
+        )
+    });
     assert!((6.5..8.0).contains(&slope.value()), "{}", slope.value());
-    (0..900u64).for_each(|i| slope.add((i * 997 % 15_000) as f64, 90_000.0 + (i * 997 % 15_000) as f64 * 30.0));
+    (0..900u64).for_each(|i| {
+        slope.add(
+            (i * 997 % 15_000) as f64,
+            90_000.0 + (i * 997 % 15_000) as f64 * 30.0,
+        )
+    });
     assert!((28.0..32.0).contains(&slope.value()), "{}", slope.value());
     let mut falling = Slope::new(500.0, 2.0);
     (0..2_000u64).for_each(|i| falling.add((i % 9) as f64, 900.0 - (i % 9) as f64 * 50.0));
@@ -53,7 +99,10 @@
 /// Where prompts are read fast, a place beside few is worth more than a prefix beside many.
 #[test]
 fn the_price_of_a_token_is_learned_from_first_events() {
-    for (policies, cold_is_taken) in [(Policies::all(), true), (Policies::all().without(Mechanism::LearnedReading), false)] {
+    for (policies, cold_is_taken) in [
+        (Policies::all(), true),
+        (Policies::all().without(Mechanism::LearnedReading), false),
+    ] {
         let ((sim, w), b, v) = (world(), Balance::with(policies), servers(2, 1));
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
         let prompt = [(7, 4_000)];
@@ -61,14 +110,22 @@
         let _ = pick(&b, &w, &model(&[]), &v[1..]);
         others(&b, &w, "s0", 11, 0);
         let taken = pick(&b, &w, &model(&prompt), &v).to.server.clone();
-        assert_eq!(taken == "s1", cold_is_taken, "reads {} us a token", b.observed("x").reading.value());
+        assert_eq!(
+            taken == "s1",
+            cold_is_taken,
+            "reads {} us a token",
+            b.observed("x").reading.value()
+        );
     }
 }
 
 /// Where neighbours slow a stream down much, a prefix is left for a place with fewer of them.
 #[test]
 fn the_price_of_a_neighbour_is_learned_from_the_pace_of_streams() {
-    for (policies, idle_is_taken) in [(Policies::all(), true), (Policies::all().without(Mechanism::LearnedCrowding), false)] {
+    for (policies, idle_is_taken) in [
+        (Policies::all(), true),
+        (Policies::all().without(Mechanism::LearnedCrowding), false),
+    ] {
         let ((sim, w), b, v) = (world(), Balance::with(policies), servers(2, 1));
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
         for i in 0..300u32 {
@@ -83,16 +140,29 @@
         let _ = pick(&b, &w, &model(&[]), &v[1..]);
         others(&b, &w, "s0", 4, 0);
         let taken = pick(&b, &w, &model(&prompt), &v).to.server.clone();
-        assert_eq!(taken == "s1", idle_is_taken, "a neighbour costs {} us", b.observed("x").neighbour_us());
+        assert_eq!(
+            taken == "s1",
+            idle_is_taken,
+            "a neighbour costs {} us",
+            b.observed("x").neighbour_us()
+        );
     }
 }
 
 #[test]
 fn what_other_fronts_have_under_way_keeps_requests_off_a_hot_server() {
     let ((sim, w), b, v) = (world(), Balance::default(), servers(3, 1));
-    v.iter().for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
-    let hits = |b: &Balance| (0..60).filter(|_| pick(b, &w, &model(&[]), &v).to.server == "s1").count();
-    assert!(hits(&b) > 5, "nothing is heard: each front chooses for itself");
+    v.iter()
+        .for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
+    let hits = |b: &Balance| {
+        (0..60)
+            .filter(|_| pick(b, &w, &model(&[]), &v).to.server == "s1")
+            .count()
+    };
+    assert!(
+        hits(&b) > 5,
+        "nothing is heard: each front chooses for itself"
+    );
     others(&b, &w, "s1", 9, 0);
     assert_eq!(hits(&b), 0);
     (0..9).for_each(|_| {
@@ -104,54 +174,117 @@
 
 #[test]
 fn a_server_that_several_fronts_leave_alone_is_left_alone_unless_they_are_many() {
-    for (policies, left_alone) in [(Policies::all(), true), (Policies::all().without(Mechanism::SharedEjection), false)] {
+    for (policies, left_alone) in [
+        (Policies::all(), true),
+        (Policies::all().without(Mechanism::SharedEjection), false),
+    ] {
         let ((sim, w), b, v) = (world(), Balance::with(policies), servers(4, 1));
-        v.iter().for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
-        let hits = || (0..80).filter(|_| pick(&b, &w, &model(&[]), &v).to.server == "s2").count();
+        v.iter()
+            .for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
+        let hits = || {
+            (0..80)
+                .filter(|_| pick(&b, &w, &model(&[]), &v).to.server == "s2")
+                .count()
+        };
         others(&b, &w, "s2", 0, EJECTION_QUORUM - 1);
         assert!(hits() > 5, "one front alone may be cut off from it");
         others(&b, &w, "s2", 0, EJECTION_QUORUM);
         assert_eq!(hits() == 0, left_alone);
         rest(&sim, &w, EJECTION_TIME);
         assert!(hits() > 5, "what was heard is old");
-        b.learn_load(w.now(), |server| Some(Load { in_flight: 0, ejected_by: if server == "s0" { 0 } else { 9 } }));
-        assert!(hits() > 5, "most are left alone: that is no word about a server");
+        b.learn_load(w.now(), |server| {
+            Some(Load {
+                in_flight: 0,
+                ejected_by: if server == "s0" { 0 } else { 9 },
+            })
+        });
+        assert!(
+            hits() > 5,
+            "most are left alone: that is no word about a server"
+        );
     }
 }
 
 #[test]
 fn what_concerns_the_same_thing_goes_to_one_server_until_that_costs_too_much() {
     let ((_sim, w), v) = (world(), servers(6, 1));
-    let plain = |key: &str| Need { engine: None, affinity: key.into(), ..model(&[]) };
-    let slots = |b: &Balance| v.iter().for_each(|s| pick(b, &w, &plain(""), std::slice::from_ref(s)).told((1, 0, 4)));
+    let plain = |key: &str| Need {
+        engine: None,
+        affinity: key.into(),
+        ..model(&[])
+    };
+    let slots = |b: &Balance| {
+        v.iter()
+            .for_each(|s| pick(b, &w, &plain(""), std::slice::from_ref(s)).told((1, 0, 4)))
+    };
     let places = |b: &Balance, key: &str| {
-        let all: std::collections::BTreeSet<String> = (0..40).map(|_| pick(b, &w, &plain(key), &v).to.server.clone()).collect();
+        let all: std::collections::BTreeSet<String> = (0..40)
+            .map(|_| pick(b, &w, &plain(key), &v).to.server.clone())
+            .collect();
         all.into_iter().collect::<Vec<_>>()
     };
-    let (on, off) = (Balance::default(), Balance::with(Policies::all().without(Mechanism::Affinity)));
+    let (on, off) = (
+        Balance::default(),
+        Balance::with(Policies::all().without(Mechanism::Affinity)),
+    );
     slots(&on);
     slots(&off);
     let home = places(&on, "17");
-    assert_eq!((home.len(), places(&Balance::default(), "17")), (1, home.clone()), "the same at every front");
+    assert_eq!(
+        (home.len(), places(&Balance::default(), "17")),
+        (1, home.clone()),
+        "the same at every front"
+    );
     assert!(places(&off, "17").len() > 1);
-    assert!((0..30).map(|i| places(&on, &i.to_string())).collect::<std::collections::BTreeSet<_>>().len() > 3, "keys are spread");
+    assert!(
+        (0..30)
+            .map(|i| places(&on, &i.to_string()))
+            .collect::<std::collections::BTreeSet<_>>()
+            .len()
+            > 3,
+        "keys are spread"
+    );
     let held: Vec<Claim> = (0..3).map(|_| pick(&on, &w, &plain("17"), &v)).collect();
-    assert!(held.iter().any(|c| c.to.server != home[0]), "it is not flooded for it");
+    assert!(
+        held.iter().any(|c| c.to.server != home[0]),
+        "it is not flooded for it"
+    );
 }
 
 #[test]
 fn a_collector_sums_what_still_counts() {
     let v = servers(2, 1);
-    let load =
-        |server: &str, in_flight: u32, ejected_by: u32| ServerLoad { server: ServerKey::of(server), load: Load { in_flight, ejected_by } };
+    let load = |server: &str, in_flight: u32, ejected_by: u32| ServerLoad {
+        server: ServerKey::of(server),
+        load: Load {
+            in_flight,
+            ejected_by,
+        },
+    };
     let mut c = Collected::default();
     c.report("f1", false, &[load("s0", 3, 0), load("s1", 1, 1)], 1_000);
     c.report("f2", false, &[load("s0", 2, 1)], 1_000);
     c.report("z9", true, &[load("s1", 4, 1)], 500_000);
-    let total = |now: u64| c.total(v.iter(), now).into_iter().map(|l| (l.load.in_flight, l.load.ejected_by)).collect::<Vec<_>>();
+    let total = |now: u64| {
+        c.total(v.iter(), now)
+            .into_iter()
+            .map(|l| (l.load.in_flight, l.load.ejected_by))
+            .collect::<Vec<_>>()
+    };
     assert_eq!(total(2_000), [(5, 1), (5, 2)]);
-    assert_eq!(total(1_000 + LOAD_KEPT), [(0, 0), (4, 1)], "fronts that fell silent count for nothing");
+    assert_eq!(
+        total(1_000 + LOAD_KEPT),
+        [(0, 0), (4, 1)],
+        "fronts that fell silent count for nothing"
+    );
     c.report("f1", false, &[], 2_000);
     let again = c.total(v.iter(), 2_000);
-    assert_eq!(again[0].load, Load { in_flight: 2, ejected_by: 1 }, "a new report replaces the old one");
+    assert_eq!(
+        again[0].load,
+        Load {
+            in_flight: 2,
+            ejected_by: 1
+        },
+        "a new report replaces the old one"
+    );
 }
--- a/yewcross-testkit/tests/real.rs
+++ b/yewcross-testkit/tests/real.rs
@@ -1,4 +1,5 @@
-//! What a simulator cannot show: signals, frozen processes, real sockets and ports. Waits are for conditions.
+//! What a simulator cannot show: signals, frozen processes, real sockets and ports. Waits are for
+//! conditions.
 
 use serde_json::json;
 use std::io::Write;
@@ -50,7 +51,11 @@
         let mut f = Fleet::plan(&w, "small", &d, 0).unwrap();
         f.start_all().unwrap();
         f.found().await.unwrap();
-        let fronts: Vec<_> = f.sh.of(Role::Front).iter().map(|n| (n.name.clone(), n.http)).collect();
+        let fronts: Vec<_> =
+            f.sh.of(Role::Front)
+                .iter()
+                .map(|n| (n.name.clone(), n.http))
+                .collect();
         let (f1, f2) = (fronts[0].1, fronts[1].1);
         until(&w, 10, "the platform's list", async || {
             matches!(caller::turn(&w, f1, &ask("warm")).await.heard, Heard::Done)
@@ -59,7 +64,15 @@
         .await;
 
         let diary = Arc::new(Diary::default());
-        (0..6).for_each(|i| w.spawn(caller::session(w.clone(), f.sh.clone(), diary.clone(), i, 1000)));
+        (0..6).for_each(|i| {
+            w.spawn(caller::session(
+                w.clone(),
+                f.sh.clone(),
+                diary.clone(),
+                i,
+                1000,
+            ))
+        });
 
         // A store and a core are killed outright; a peer talks half a frame and goes quiet.
         let mut half = std::net::TcpStream::connect(f.sh.of(Role::Store)[1].peer).unwrap();
@@ -68,10 +81,19 @@
         f.kill("core2");
         let n0 = diary.seen.lock().unwrap().len();
         until(&w, 12, "turns after the kills", async || {
-            diary.seen.lock().unwrap()[n0..].iter().filter(|s| s.kind == "turn" && s.heard == Heard::Done).count() >= 5
+            diary.seen.lock().unwrap()[n0..]
+                .iter()
+                .filter(|s| s.kind == "turn" && s.heard == Heard::Done)
+                .count()
+                >= 5
         })
         .await;
-        let st: Vec<_> = f.sh.nodes.iter().filter(|n| ["store1", "core2"].contains(&n.name.as_str())).cloned().collect();
+        let st: Vec<_> =
+            f.sh.nodes
+                .iter()
+                .filter(|n| ["store1", "core2"].contains(&n.name.as_str()))
+                .cloned()
+                .collect();
         st.iter().for_each(|n| f.start_node(n).unwrap());
 
         // A front frozen past its lease refuses as "not run" when it wakes, then serves again.
@@ -79,20 +101,36 @@
         let t0 = w.now();
         until(&w, 4, "the lease to pass", async || w.now() > t0 + 2 * SEC).await;
         f.signal("front1", "-CONT");
-        until(&w, 5, "front1 to serve again", async || f.get(f1, "/health").await.is_some_and(|v| v["serving"] == json!(true))).await;
+        until(&w, 5, "front1 to serve again", async || {
+            f.get(f1, "/health")
+                .await
+                .is_some_and(|v| v["serving"] == json!(true))
+        })
+        .await;
 
         // Another server at a known server's address is never given a job.
         let b = f.sh.backs.iter().find(|b| b.model).cloned().unwrap();
         f.kill(&b.server);
-        let other = Spec { server: "x9".into(), ..b.clone() };
+        let other = Spec {
+            server: "x9".into(),
+            ..b.clone()
+        };
         f.start_back(&other).unwrap();
         let n1 = diary.seen.lock().unwrap().len();
         until(&w, 12, "turns beside the stranger", async || {
-            diary.seen.lock().unwrap()[n1..].iter().filter(|s| s.kind == "turn" && s.heard == Heard::Done).count() >= 5
+            diary.seen.lock().unwrap()[n1..]
+                .iter()
+                .filter(|s| s.kind == "turn" && s.heard == Heard::Done)
+                .count()
+                >= 5
         })
         .await;
         let ran = f.get(other.addr, "/lab/runs").await.unwrap();
-        assert_eq!(ran.as_array().map(|a| a.len()), Some(0), "the stranger ran {ran}");
+        assert_eq!(
+            ran.as_array().map(|a| a.len()),
+            Some(0),
+            "the stranger ran {ran}"
+        );
 
         // A reload changes nothing for callers, and a faulty file leaves the old in force.
         let good = std::fs::read_to_string(d.join("front1.toml")).unwrap();
@@ -102,13 +140,21 @@
         f.signal("core1", "-HUP");
         let log = |n: &str| std::fs::read_to_string(d.join(format!("{n}.log"))).unwrap_or_default();
         until(&w, 5, "the reloads", async || {
-            log("front1").contains("reload refused") && log("store2").contains("reloaded") && log("core1").contains("reloaded")
+            log("front1").contains("reload refused")
+                && log("store2").contains("reloaded")
+                && log("core1").contains("reloaded")
         })
         .await;
         std::fs::write(d.join("front1.toml"), good).unwrap();
         f.signal("front1", "-HUP");
-        until(&w, 5, "the reload", async || log("front1").contains("reloaded")).await;
-        assert!(matches!(caller::turn(&w, f1, &ask("reloaded")).await.heard, Heard::Done));
+        until(&w, 5, "the reload", async || {
+            log("front1").contains("reloaded")
+        })
+        .await;
+        assert!(matches!(
+            caller::turn(&w, f1, &ask("reloaded")).await.heard,
+            Heard::Done
+        ));
 
         // A planned stop answers what it has read.
         diary.stop.store(true, SeqCst);
@@ -120,13 +166,21 @@
                 let _ = tx.send(s).await;
             })
         });
-        until(&w, 5, "the turns to be read", async || f.get(f2, "/metrics").await.is_some_and(|v| v["busy"].as_u64() > Some(6))).await;
+        until(&w, 5, "the turns to be read", async || {
+            f.get(f2, "/metrics")
+                .await
+                .is_some_and(|v| v["busy"].as_u64() > Some(6))
+        })
+        .await;
         f.signal("front2", "-TERM");
         let mut done = 0;
         for _ in 0..12 {
             let s = rx.recv().await.unwrap();
             assert!(!matches!(s.heard, Heard::Cut), "{s:?}");
-            assert!(s.heard != Heard::Nothing || s.took < 100 * MS, "read and dropped: {s:?}");
+            assert!(
+                s.heard != Heard::Nothing || s.took < 100 * MS,
+                "read and dropped: {s:?}"
+            );
             done += (s.heard == Heard::Done) as usize;
         }
         assert!(done >= 6, "{done} of 12 were done");
@@ -141,9 +195,19 @@
 }
 
 fn run(prog: &str, args: &[&str]) -> (Option<i32>, String) {
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_yewcross-lab")).parent().unwrap().join(prog);
+    let bin = PathBuf::from(env!("CARGO_BIN_EXE_yewcross-lab"))
+        .parent()
+        .unwrap()
+        .join(prog);
     let o = Command::new(bin).args(args).output().unwrap();
-    (o.status.code(), format!("{}{}", String::from_utf8_lossy(&o.stdout), String::from_utf8_lossy(&o.stderr)))
+    (
+        o.status.code(),
+        format!(
+            "{}{}",
+            String::from_utf8_lossy(&o.stdout),
+            String::from_utf8_lossy(&o.stderr)
+        ),
+    )
 }
 
 #[test]
@@ -156,18 +220,44 @@
     };
     let hold = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let http = hold.local_addr().unwrap();
-    let peer = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let good = at("good", &format!("name='a'\nrole='front'\nsite='z'\npeer='{peer}'\nhttp='{http}'\nseeds=['127.0.0.1:1']\n"));
-    let bad = at("bad", "name='a b'\nrole='core'\nsite=''\npeer='0.0.0.0:1'\nhttp='0.0.0.0:1'\nseeds=[]\n");
+    let peer = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let good = at(
+        "good",
+        &format!(
+            "name='a'\nrole='front'\nsite='z'\npeer='{peer}'\nhttp='{http}'\nseeds=['127.0.0.1:1']\n"
+        ),
+    );
+    let bad = at(
+        "bad",
+        "name='a b'\nrole='core'\nsite=''\npeer='0.0.0.0:1'\nhttp='0.0.0.0:1'\nseeds=[]\n",
+    );
     let odd = at("odd", "name='a'\ncolour=3\n");
-    assert_eq!(run("yewcross-front", &["--startup", &good, "--check"]).0, Some(exit::OK));
+    assert_eq!(
+        run("yewcross-front", &["--startup", &good, "--check"]).0,
+        Some(exit::OK)
+    );
     let (c, t) = run("yewcross-front", &["--startup", &bad]);
     assert_eq!((c, t.lines().count()), (Some(exit::BAD_STARTUP), 6), "{t}");
-    assert_eq!(run("yewcross-front", &["--startup", &odd]).0, Some(exit::BAD_STARTUP));
-    assert_eq!(run("yewcross-control", &["--startup", &good, "--check"]).0, Some(exit::BAD_STARTUP));
-    assert_eq!(run("yewcross-control", &["--startup", "/nowhere"]).0, Some(exit::BAD_STARTUP));
+    assert_eq!(
+        run("yewcross-front", &["--startup", &odd]).0,
+        Some(exit::BAD_STARTUP)
+    );
+    assert_eq!(
+        run("yewcross-control", &["--startup", &good, "--check"]).0,
+        Some(exit::BAD_STARTUP)
+    );
+    assert_eq!(
+        run("yewcross-control", &["--startup", "/nowhere"]).0,
+        Some(exit::BAD_STARTUP)
+    );
     assert_eq!(run("yewcross-front", &["--nope"]).0, Some(exit::USAGE));
-    assert_eq!(run("yewcross-front", &["--startup", &good]).0, Some(exit::CANNOT_BIND));
+    assert_eq!(
+        run("yewcross-front", &["--startup", &good]).0,
+        Some(exit::CANNOT_BIND)
+    );
     drop(hold);
     assert_eq!(run("yewcross-front", &["--help"]).0, Some(exit::OK));
     let _ = std::fs::remove_dir_all(&d);
@@ -181,22 +271,80 @@
     std::fs::write(&junk, "{").unwrap();
     let junk = junk.display().to_string();
     let cases: [(&str, &[&str], i32, &str); 12] = [
-        ("yewcross-lab", &["sim", "--shape", "nope"], exit::USAGE, "no shape nope"),
-        ("yewcross-lab", &["sim", "--acts", "calm+nope"], exit::USAGE, "unknown act"),
-        ("yewcross-lab", &["sim", "--from", "18446744073709551615", "--count", "2"], exit::USAGE, "last seed"),
-        ("yewcross-lab", &["sim", "--count", "-1"], exit::USAGE, "count"),
-        ("yewcross-lab", &["grind", "--from", "18446744073709551615", "--count", "9"], exit::USAGE, "last seed"),
-        ("yewcross-lab", &["up", "--base", "65000"], exit::USAGE, "--base"),
-        ("yewcross-lab", &["up", "--shape", "nope"], 1, "no shape nope"),
-        ("yewcross-lab", &["standin", "--spec", &junk], exit::BAD_STARTUP, "junk"),
-        ("yewcross-lab", &["platform", "--at", "nowhere", "--list", &junk], exit::USAGE, "--at"),
+        (
+            "yewcross-lab",
+            &["sim", "--shape", "nope"],
+            exit::USAGE,
+            "no shape nope",
+        ),
+        (
+            "yewcross-lab",
+            &["sim", "--acts", "calm+nope"],
+            exit::USAGE,
+            "unknown act",
+        ),
+        (
+            "yewcross-lab",
+            &["sim", "--from", "18446744073709551615", "--count", "2"],
+            exit::USAGE,
+            "last seed",
+        ),
+        (
+            "yewcross-lab",
+            &["sim", "--count", "-1"],
+            exit::USAGE,
+            "count",
+        ),
+        (
+            "yewcross-lab",
+            &["grind", "--from", "18446744073709551615", "--count", "9"],
+            exit::USAGE,
+            "last seed",
+        ),
+        (
+            "yewcross-lab",
+            &["up", "--base", "65000"],
+            exit::USAGE,
+            "--base",
+        ),
+        (
+            "yewcross-lab",
+            &["up", "--shape", "nope"],
+            1,
+            "no shape nope",
+        ),
+        (
+            "yewcross-lab",
+            &["standin", "--spec", &junk],
+            exit::BAD_STARTUP,
+            "junk",
+        ),
+        (
+            "yewcross-lab",
+            &["platform", "--at", "nowhere", "--list", &junk],
+            exit::USAGE,
+            "--at",
+        ),
         ("yewcross-plan", &["--nope"], exit::USAGE, "nope"),
-        ("yewcross-plan", &["--checkpoint", &junk, "--without", "m1"], exit::BAD_STARTUP, "junk"),
-        ("yewcross-control", &["--startup", &junk, "--check"], exit::BAD_STARTUP, "junk"),
+        (
+            "yewcross-plan",
+            &["--checkpoint", &junk, "--without", "m1"],
+            exit::BAD_STARTUP,
+            "junk",
+        ),
+        (
+            "yewcross-control",
+            &["--startup", &junk, "--check"],
+            exit::BAD_STARTUP,
+            "junk",
+        ),
     ];
     for (prog, args, code, why) in cases {
         let (c, t) = run(prog, args);
-        assert!(c == Some(code) && t.contains(why) && !t.contains("panicked"), "{prog} {args:?}: {c:?} {t}");
+        assert!(
+            c == Some(code) && t.contains(why) && !t.contains("panicked"),
+            "{prog} {args:?}: {c:?} {t}"
+        );
     }
     let _ = std::fs::remove_dir_all(&d);
 }
--- a/yewcross-testkit/tests/relay/attempts.rs
+++ b/yewcross-testkit/tests/relay/attempts.rs
@@ -10,9 +10,18 @@
 
 #[test]
 fn what_may_have_run_is_never_sent_again() {
-    for (i, act) in [Act::Lose, Act::Half, Act::Garble, Act::OtherTry, Act::NoStamp, Act::Fails(503), Act::Fails(429), Act::Endless]
-        .into_iter()
-        .enumerate()
+    for (i, act) in [
+        Act::Lose,
+        Act::Half,
+        Act::Garble,
+        Act::OtherTry,
+        Act::NoStamp,
+        Act::Fails(503),
+        Act::Fails(429),
+        Act::Endless,
+    ]
+    .into_iter()
+    .enumerate()
     {
         let rig = Rig::new(10 + i as u64, 3);
         rig.all(act);
@@ -29,19 +38,35 @@
         let rig = Rig::new(21, 4);
         (0..4).for_each(|i| rig.act(&format!("a{i}"), &[Act::NotRun(code)]));
         let h = rig.ask("t", "/once/x", &[], "b");
-        assert_eq!((h.status, rig.runs("t").len(), rig.floor.seen.load(SeqCst)), (503, 0, 3));
+        assert_eq!(
+            (h.status, rig.runs("t").len(), rig.floor.seen.load(SeqCst)),
+            (503, 0, 3)
+        );
         assert!(h.heads["back-ms"].parse::<u64>().unwrap() > 0);
         let rig = Rig::new(22, 4);
         (0..3).for_each(|i| rig.act(&format!("a{i}"), &[Act::NotRun(code)]));
         rig.act("a3", &[Act::Good]);
         let h = rig.ask("t", "/pure/x", &[], "b");
-        assert!(matches!((h.status, rig.runs("t").len()), (200, 1) | (503, 0)), "{h:?}");
+        assert!(
+            matches!((h.status, rig.runs("t").len()), (200, 1) | (503, 0)),
+            "{h:?}"
+        );
     }
 }
 
 #[test]
 fn a_pure_request_is_sent_to_another_server_after_a_loss() {
-    for (i, act) in [Act::Lose, Act::Half, Act::Garble, Act::OtherTry, Act::NoStamp, Act::Fails(500), Act::Endless].into_iter().enumerate()
+    for (i, act) in [
+        Act::Lose,
+        Act::Half,
+        Act::Garble,
+        Act::OtherTry,
+        Act::NoStamp,
+        Act::Fails(500),
+        Act::Endless,
+    ]
+    .into_iter()
+    .enumerate()
     {
         let rig = Rig::new(30 + i as u64, 3);
         rig.act("a0", &[act]);
@@ -58,7 +83,11 @@
     rig.act("a0", &[Act::Silent]);
     rig.act("a1", &[Act::Silent]);
     let h = rig.ask("p", "/pure/x", &[("patience", "1000")], "b");
-    assert_eq!((h.status, rig.runs("p").len()), (504, 2), "both are silent: {h:?}");
+    assert_eq!(
+        (h.status, rig.runs("p").len()),
+        (504, 2),
+        "both are silent: {h:?}"
+    );
     let rig = Rig::new(41, 2);
     rig.act("a0", &[Act::Silent]);
     // At first a0 is the only one.
@@ -66,19 +95,32 @@
     let h = rig.with(|r, w| {
         Box::pin(async move {
             let (r2, w2) = (r.clone(), w.clone());
-            let one =
-                w.spawn_all(vec![Box::pin(async move { call(&w2, r2.door, "p", "/pure/x", &[], "").await }) as BoxFuture<'static, Heard>]);
+            let one = w.spawn_all(vec![Box::pin(async move {
+                call(&w2, r2.door, "p", "/pure/x", &[], "").await
+            }) as BoxFuture<'static, Heard>]);
             w.sleep(50 * MS).await;
             r.list(3, &[r.listed(0, "a"), r.listed(1, "a")]);
             one.recv().await.unwrap()
         })
     });
     let by: Vec<String> = rig.runs("p").iter().map(|r| r.server.clone()).collect();
-    assert_eq!((h.status, by), (200, vec!["a0".to_string(), "a1".to_string()]));
+    assert_eq!(
+        (h.status, by),
+        (200, vec!["a0".to_string(), "a1".to_string()])
+    );
     assert!(h.took < 200 * MS, "{}", h.took);
     // The silent one is left alone.
     (0..6).for_each(|i| assert_eq!(rig.ask(&format!("q{i}"), "/pure/x", &[], "b").status, 200));
-    assert!(rig.floor.runs.lock().unwrap().iter().filter(|r| r.server == "a0").count() <= 2);
+    assert!(
+        rig.floor
+            .runs
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|r| r.server == "a0")
+            .count()
+            <= 2
+    );
     let rig = Rig::new(42, 2);
     rig.all(Act::Silent);
     let h = rig.ask("e", "/once/x", &[("patience", "700")], "b");
@@ -114,12 +156,25 @@
     assert_eq!(rig.ask("t", "/pure/x", &[], "b").status, 200);
     // The list still names a0 and a1, but other lives stand at their places.
     rig.sim.kill(rig.machines[0], false);
-    rig.stand(0, &ListedServer { server: "b9".into(), ..rig.listed(0, "a") });
+    rig.stand(
+        0,
+        &ListedServer {
+            server: "b9".into(),
+            ..rig.listed(0, "a")
+        },
+    );
     (0..4).for_each(|i| {
         let h = rig.ask(&format!("t{i}"), "/once/x", &[], "b");
         assert_eq!(h.status, 200);
     });
-    assert!(rig.floor.runs.lock().unwrap().iter().all(|r| r.server != "b9"));
+    assert!(
+        rig.floor
+            .runs
+            .lock()
+            .unwrap()
+            .iter()
+            .all(|r| r.server != "b9")
+    );
 }
 
 /// What was begun as repeatable is not sent again under a configuration in which it is not.
@@ -133,9 +188,9 @@
         Box::pin(async move {
             let (r2, w2) = (r.clone(), w.clone());
             let heads = vec![("patience".to_string(), "900".to_string())];
-            let one = w.spawn_all(vec![
-                Box::pin(async move { call(&w2, r2.door, "t", "/pure/x", &heads, "").await }) as BoxFuture<'static, Heard>
-            ]);
+            let one = w.spawn_all(vec![Box::pin(async move {
+                call(&w2, r2.door, "t", "/pure/x", &heads, "").await
+            }) as BoxFuture<'static, Heard>]);
             w.sleep(60 * MS).await;
             r.configure(2, json!([route("pure", "effectful", "a", 3)]));
             r.list(3, &[r.listed(0, "a"), r.listed(1, "a")]);
@@ -157,8 +212,9 @@
     let h = rig.with(|r, w| {
         Box::pin(async move {
             let (r2, w2) = (r.clone(), w.clone());
-            let one =
-                w.spawn_all(vec![Box::pin(async move { call(&w2, r2.door, "t", "/pure/x", &[], "").await }) as BoxFuture<'static, Heard>]);
+            let one = w.spawn_all(vec![Box::pin(async move {
+                call(&w2, r2.door, "t", "/pure/x", &[], "").await
+            }) as BoxFuture<'static, Heard>]);
             w.sleep(50 * MS).await;
             r.list(3, &[r.listed(0, "a"), r.listed(1, "a")]);
             w.sleep(200 * MS).await;
--- a/yewcross-testkit/tests/relay/main.rs
+++ b/yewcross-testkit/tests/relay/main.rs
@@ -1,4 +1,5 @@
-//! Routed requests through one front, against servers that misbehave: what each rule asks, counted by runs per try.
+//! Routed requests through one front, against servers that misbehave: what each rule asks, counted
+//! by runs per try.
 
 mod answers;
 mod attempts;
--- a/yewcross-testkit/tests/relay/requests.rs
+++ b/yewcross-testkit/tests/relay/requests.rs
@@ -49,7 +49,11 @@
         };
         match rig.runs(&id).as_slice() {
             [] => assert!(said.starts_with("HTTP/1.1 400"), "{t}: {said}"),
-            [r] => assert!(r.target == *t && said.starts_with("HTTP/1.1 200"), "{t}: {} {said}", r.target),
+            [r] => assert!(
+                r.target == *t && said.starts_with("HTTP/1.1 200"),
+                "{t}: {} {said}",
+                r.target
+            ),
             v => panic!("{t}: ran {} times", v.len()),
         }
     }
@@ -64,7 +68,14 @@
     gone.leaving = true;
     rig.list(2, &[gone, rig.listed(1, "a")]);
     (0..6).for_each(|i| assert_eq!(rig.ask(&format!("t{i}"), "/pure/x", &[], "b").status, 200));
-    assert!(rig.floor.runs.lock().unwrap().iter().all(|r| r.server == "a1"));
+    assert!(
+        rig.floor
+            .runs
+            .lock()
+            .unwrap()
+            .iter()
+            .all(|r| r.server == "a1")
+    );
     rig.list(3, &[]);
     let h = rig.ask("none", "/once/x", &[], "b");
     assert_eq!((h.status, rig.runs("none").len()), (503, 0));
@@ -76,10 +87,20 @@
     assert_eq!(rig.ask("t", "/never/x", &[], "b").status, 404);
     assert_eq!(rig.ask("t0", "/pure/x", &[], "b").status, 200);
     rig.configure(2, json!([route("never", "pure", "a", 1)]));
-    assert_eq!((rig.ask("t1", "/never/x", &[], "b").status, rig.ask("t2", "/pure/x", &[], "b").status), (200, 404));
+    assert_eq!(
+        (
+            rig.ask("t1", "/never/x", &[], "b").status,
+            rig.ask("t2", "/pure/x", &[], "b").status
+        ),
+        (200, 404)
+    );
     // Held in line while the route moves: it goes where the new version says, or nowhere.
     let rig = Rig::new(65, 1);
-    assert_eq!(rig.ask("b", "/other/x", &[], "b").status, 503, "service b has no server");
+    assert_eq!(
+        rig.ask("b", "/other/x", &[], "b").status,
+        503,
+        "service b has no server"
+    );
 }
 
 #[test]
@@ -108,11 +129,20 @@
             let me = r.sim.machine("young", "z", own.ip());
             let wd = r.sim.boot(me);
             let d = wd.bind(own).await.unwrap();
-            let h: yewcross_common::streaming_http::Handler = Arc::new(move |q, _| Box::pin(fresh.clone().serve(q)));
-            w2.spawn(yewcross_common::streaming_http::serve(w2.clone(), d, h, Arc::new(Limits::default), Default::default()));
+            let h: yewcross_common::streaming_http::Handler =
+                Arc::new(move |q, _| Box::pin(fresh.clone().serve(q)));
+            w2.spawn(yewcross_common::streaming_http::serve(
+                w2.clone(),
+                d,
+                h,
+                Arc::new(Limits::default),
+                Default::default(),
+            ));
             let ask = |id: &'static str| {
                 let w = w.clone();
-                w.clone().spawn_all(vec![Box::pin(async move { call(&w, own, id, "/once/x", &[], "").await }) as BoxFuture<'static, Heard>])
+                w.clone().spawn_all(vec![Box::pin(async move {
+                    call(&w, own, id, "/once/x", &[], "").await
+                }) as BoxFuture<'static, Heard>])
             };
             let one = ask("early");
             w.sleep(100 * MS).await;
@@ -135,7 +165,10 @@
     assert_eq!(rig.ask("", "/pure/x", &[], "").status, 400);
     let h = "y".repeat(9_000);
     assert_eq!(rig.ask("u", "/pure/x", &[("long", &h)], "").status, 431);
-    assert_eq!((rig.runs("").len(), rig.runs("u").len(), rig.runs("t").len()), (0, 0, 1));
+    assert_eq!(
+        (rig.runs("").len(), rig.runs("u").len(), rig.runs("t").len()),
+        (0, 0, 1)
+    );
 }
 
 #[test]
@@ -154,7 +187,10 @@
         })
     };
     let (slow, idle) = (until(b"GET / HTTP/1.1\r\nhost:"), until(b""));
-    assert!((1_000..1_100).contains(&slow) && (5_000..5_100).contains(&idle), "{slow} {idle}");
+    assert!(
+        (1_000..1_100).contains(&slow) && (5_000..5_100).contains(&idle),
+        "{slow} {idle}"
+    );
 }
 
 #[test]
@@ -166,7 +202,9 @@
         let left = rig.with(move |r, w| {
             Box::pin(async move {
                 let mut c = w.connect(r.door).await.unwrap();
-                let q = format!("POST {p} HTTP/1.1\r\nhost: h.example\r\ntry: t\r\ncontent-length: 0\r\n\r\n");
+                let q = format!(
+                    "POST {p} HTTP/1.1\r\nhost: h.example\r\ntry: t\r\ncontent-length: 0\r\n\r\n"
+                );
                 c.write_all(q.as_bytes()).await.unwrap();
                 w.sleep(300 * MS).await;
                 drop(c);
@@ -175,7 +213,10 @@
         });
         rig.rest(200 * MS);
         let gone = rig.floor.gone.lock().unwrap().clone();
-        assert!(gone.len() == 1 && gone[0] < left + 100 * MS, "{path}: {gone:?} {left}");
+        assert!(
+            gone.len() == 1 && gone[0] < left + 100 * MS,
+            "{path}: {gone:?} {left}"
+        );
         if path.starts_with("/kept") {
             let s = rig.memory.settled.lock().unwrap().clone();
             assert!(s.len() == 1 && s[0].0 == "t" && s[0].1 >= 20, "{s:?}");
@@ -194,8 +235,9 @@
             let fs: Vec<BoxFuture<'static, Heard>> = (0..6)
                 .map(|i| {
                     let (r, w) = (r.clone(), w.clone());
-                    let f: BoxFuture<'static, Heard> =
-                        Box::pin(async move { call(&w, r.door, &format!("t{i}"), "/full/x", &[], "").await });
+                    let f: BoxFuture<'static, Heard> = Box::pin(async move {
+                        call(&w, r.door, &format!("t{i}"), "/full/x", &[], "").await
+                    });
                     f
                 })
                 .collect();
@@ -208,6 +250,14 @@
         })
     });
     let refused: Vec<&Heard> = hs.iter().filter(|h| h.status == 503).collect();
-    assert_eq!((refused.len(), hs.iter().filter(|h| h.status == 200).count()), (2, 4));
-    assert!(refused.iter().all(|h| h.took < 50 * MS && h.heads["back-ms"].parse::<u64>().unwrap() <= 200), "{refused:?}");
+    assert_eq!(
+        (refused.len(), hs.iter().filter(|h| h.status == 200).count()),
+        (2, 4)
+    );
+    assert!(
+        refused
+            .iter()
+            .all(|h| h.took < 50 * MS && h.heads["back-ms"].parse::<u64>().unwrap() <= 200),
+        "{refused:?}"
+    );
 }
--- a/yewcross-testkit/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -52,12 +52,21 @@
             Ok(OpenedTurn { chain })
         })
     }
-    fn finish(&self, _: OpenTurn, t: Turn, used: u64, _: u64) -> BoxFuture<'_, Result<(), OpenTurnError>> {
+    fn finish(
+        &self,
+        _: OpenTurn,
+        t: Turn,
+        used: u64,
+        _: u64,
+    ) -> BoxFuture<'_, Result<(), OpenTurnError>> {
         Box::pin(async move {
             if *self.finish_fails.lock().unwrap() {
                 return Err(OpenTurnError::Unavailable);
             }
-            self.settled.lock().unwrap().push((format!("kept {}", t.id), used));
+            self.settled
+                .lock()
+                .unwrap()
+                .push((format!("kept {}", t.id), used));
             self.turns.lock().unwrap().insert(t.id.clone(), Arc::new(t));
             Ok(())
         })
@@ -162,23 +171,44 @@
         let (w2, b) = (w.clone(), relay.documents.clone());
         w.spawn(async move {
             let d = w2.bind(door).await.unwrap();
-            let h: yewcross_common::streaming_http::Handler = Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
-            let limits: Arc<dyn Fn() -> Limits + Send + Sync> = Arc::new(move || b.config.load().1.routing.limits.clone());
+            let h: yewcross_common::streaming_http::Handler =
+                Arc::new(move |q, _| Box::pin(relay.clone().serve(q)));
+            let limits: Arc<dyn Fn() -> Limits + Send + Sync> =
+                Arc::new(move || b.config.load().1.routing.limits.clone());
             yewcross_common::streaming_http::serve(w2, d, h, limits, gate).await;
         });
         rig.configure(1, routes());
         (0..servers).for_each(|i| rig.server(i));
-        rig.list(1, &(0..servers).map(|i| rig.listed(i, "a")).chain((0..servers).map(|i| rig.listed(i, "model"))).collect::<Vec<_>>());
+        rig.list(
+            1,
+            &(0..servers)
+                .map(|i| rig.listed(i, "a"))
+                .chain((0..servers).map(|i| rig.listed(i, "model")))
+                .collect::<Vec<_>>(),
+        );
         rig
     }
 
     pub fn configure(&self, seq: u64, routes: Value) {
-        assert!(self.relay.documents.apply("config", seq, Ballot::default(), config(routes)));
+        assert!(
+            self.relay
+                .documents
+                .apply("config", seq, Ballot::default(), config(routes))
+        );
     }
 
     pub fn list(&self, seq: u64, v: &[ListedServer]) {
-        let l = ServerList { revision: seq, term: 0, servers: v.to_vec() };
-        assert!(self.relay.documents.apply("list", seq, Ballot::default(), serde_json::to_vec(&l).unwrap()));
+        let l = ServerList {
+            revision: seq,
+            term: 0,
+            servers: v.to_vec(),
+        };
+        assert!(self.relay.documents.apply(
+            "list",
+            seq,
+            Ballot::default(),
+            serde_json::to_vec(&l).unwrap()
+        ));
     }
 
     /// One machine carries a server of service `a` at port 1 and one of `model` at port 2.
@@ -194,10 +224,14 @@
     }
 
     pub fn server(&mut self, i: usize) {
-        let m = self.sim.machine(&format!("s{i}"), "z", [10, 0, 1, i as u8].into());
+        let m = self
+            .sim
+            .machine(&format!("s{i}"), "z", [10, 0, 1, i as u8].into());
         self.machines.push(m);
         self.worlds.lock().unwrap().push(self.sim.boot(m));
-        ["a", "model"].iter().for_each(|s| self.stand(i, &self.listed(i, s)));
+        ["a", "model"]
+            .iter()
+            .for_each(|s| self.stand(i, &self.listed(i, s)));
     }
 
     pub fn stand(&self, i: usize, l: &ListedServer) {
@@ -215,7 +249,13 @@
     }
 
     pub fn act(&self, server: &str, acts: &[Act]) {
-        self.floor.acts.lock().unwrap().entry(server.into()).or_default().extend(acts);
+        self.floor
+            .acts
+            .lock()
+            .unwrap()
+            .entry(server.into())
+            .or_default()
+            .extend(acts);
     }
 
     pub fn all(&self, a: Act) {
@@ -223,13 +263,27 @@
     }
 
     pub fn runs(&self, attempt: &str) -> Vec<Run> {
-        self.floor.runs.lock().unwrap().iter().filter(|r| r.attempt == attempt).cloned().collect()
+        self.floor
+            .runs
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|r| r.attempt == attempt)
+            .cloned()
+            .collect()
     }
 
     /// Runs a caller on a machine of its own to its end.
-    pub fn with<T: Send + 'static>(&self, f: impl FnOnce(Rig, Runtime) -> BoxFuture<'static, T>) -> T {
+    pub fn with<T: Send + 'static>(
+        &self,
+        f: impl FnOnce(Rig, Runtime) -> BoxFuture<'static, T>,
+    ) -> T {
         let n = self.sim.rand() as u16;
-        let m = self.sim.machine(&format!("caller{n}"), "z", [10, 1, (n >> 8) as u8, n as u8].into());
+        let m = self.sim.machine(
+            &format!("caller{n}"),
+            "z",
+            [10, 1, (n >> 8) as u8, n as u8].into(),
+        );
         let w = self.sim.boot(m);
         let out: Arc<Mutex<Option<T>>> = Default::default();
         let (o, fut) = (out.clone(), f(self.clone(), w.clone()));
@@ -237,13 +291,20 @@
             let x = fut.await;
             *o.lock().unwrap() = Some(x);
         });
-        self.sim.run(self.sim.now() + 60 * SEC, || out.lock().unwrap().is_some());
-        out.lock().unwrap().take().expect("the caller came to its end")
+        self.sim
+            .run(self.sim.now() + 60 * SEC, || out.lock().unwrap().is_some());
+        out.lock()
+            .unwrap()
+            .take()
+            .expect("the caller came to its end")
     }
 
     pub fn ask(&self, attempt: &str, path: &str, heads: &[(&str, &str)], body: &str) -> Heard {
         let (a, p, b) = (attempt.to_string(), path.to_string(), body.to_string());
-        let hs: Vec<(String, String)> = heads.iter().map(|h| (h.0.to_string(), h.1.to_string())).collect();
+        let hs: Vec<(String, String)> = heads
+            .iter()
+            .map(|h| (h.0.to_string(), h.1.to_string()))
+            .collect();
         self.with(move |r, w| Box::pin(async move { call(&w, r.door, &a, &p, &hs, &b).await }))
     }
 
@@ -252,20 +313,47 @@
     }
 }
 
-pub async fn call(runtime: &Runtime, to: SocketAddr, attempt: &str, path: &str, heads: &[(String, String)], body: &str) -> Heard {
+pub async fn call(
+    runtime: &Runtime,
+    to: SocketAddr,
+    attempt: &str,
+    path: &str,
+    heads: &[(String, String)],
+    body: &str,
+) -> Heard {
     let c = runtime.connect(to).await.unwrap();
-    let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c)).await.unwrap();
+    let (mut s, conn) = hyper::client::conn::http1::handshake(smol_hyper::rt::FuturesIo::new(c))
+        .await
+        .unwrap();
     runtime.spawn(async move {
         let _ = conn.await;
     });
-    let mut q = Request::builder().method("POST").uri(path).header("host", "h.example").header("try", attempt);
+    let mut q = Request::builder()
+        .method("POST")
+        .uri(path)
+        .header("host", "h.example")
+        .header("try", attempt);
     for (k, v) in heads {
         q = q.header(k, v);
     }
     let t0 = runtime.now();
-    let Ok(r) = s.send_request(q.body(Full::new(Bytes::from(body.to_string()))).unwrap()).await else { return Heard::default() };
-    let heads = r.headers().iter().map(|(k, v)| (k.to_string(), v.to_str().unwrap().to_string())).collect();
-    let mut h = Heard { status: r.status().as_u16(), heads, whole: true, ..Heard::default() };
+    let Ok(r) = s
+        .send_request(q.body(Full::new(Bytes::from(body.to_string()))).unwrap())
+        .await
+    else {
+        return Heard::default();
+    };
+    let heads = r
+        .headers()
+        .iter()
+        .map(|(k, v)| (k.to_string(), v.to_str().unwrap().to_string()))
+        .collect();
+    let mut h = Heard {
+        status: r.status().as_u16(),
+        heads,
+        whole: true,
+        ..Heard::default()
+    };
     let mut b = r.into_body();
     while let Some(f) = b.frame().await {
         match f {
--- a/yewcross-testkit/tests/relay/server.rs
+++ b/yewcross-testkit/tests/relay/server.rs
@@ -87,14 +87,22 @@
     pub other: Mutex<Option<Act>>,
 }
 
-pub async fn head(c: &mut Connection, buf: &mut Vec<u8>) -> Option<(String, BTreeMap<String, String>)> {
+pub async fn head(
+    c: &mut Connection,
+    buf: &mut Vec<u8>,
+) -> Option<(String, BTreeMap<String, String>)> {
     loop {
         if let Some(i) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
             let t = String::from_utf8(buf[..i].to_vec()).unwrap();
             buf.drain(..i + 4);
             let mut ls = t.split("\r\n");
             let first = ls.next().unwrap().to_string();
-            return Some((first, ls.map(|l| l.split_once(": ").unwrap()).map(|(a, b)| (a.to_string(), b.to_string())).collect()));
+            return Some((
+                first,
+                ls.map(|l| l.split_once(": ").unwrap())
+                    .map(|(a, b)| (a.to_string(), b.to_string()))
+                    .collect(),
+            ));
         }
         let mut b = [0; 4096];
         let n = c.read(&mut b).await.ok().filter(|n| *n > 0)?;
@@ -106,7 +114,9 @@
     f.conns.fetch_add(1, SeqCst);
     let mut buf = vec![];
     while let Some((first, heads)) = head(&mut c, &mut buf).await {
-        let len: usize = heads.get("content-length").map_or(0, |v| v.parse().unwrap());
+        let len: usize = heads
+            .get("content-length")
+            .map_or(0, |v| v.parse().unwrap());
         while buf.len() < len {
             let mut b = [0; 4096];
             match c.read(&mut b).await {
@@ -117,24 +127,46 @@
         let body: Vec<u8> = buf.drain(..len).collect();
         f.seen.fetch_add(1, SeqCst);
         let a = heads.get("try").cloned().unwrap_or_default();
-        let from = heads.get("resume-after").map_or(0, |id| id.parse::<usize>().unwrap() + 1);
-        let told = f.acts.lock().unwrap().get_mut(&id).and_then(|v| v.pop_front());
+        let from = heads
+            .get("resume-after")
+            .map_or(0, |id| id.parse::<usize>().unwrap() + 1);
+        let told = f
+            .acts
+            .lock()
+            .unwrap()
+            .get_mut(&id)
+            .and_then(|v| v.pop_front());
         let act = told.or(*f.other.lock().unwrap()).unwrap_or(Act::Good);
-        let act = if heads.get("for").is_some_and(|x| *x != id) { Act::NotRun(421) } else { act };
+        let act = if heads.get("for").is_some_and(|x| *x != id) {
+            Act::NotRun(421)
+        } else {
+            act
+        };
         if !matches!(act, Act::NotRun(_) | Act::SlowNotRun(_)) {
             let mut w2 = first.split(' ');
             let target = w2.nth(1).unwrap().to_string();
-            f.runs.lock().unwrap().push(Run { server: id.clone(), attempt: a.clone(), target, body: body.clone(), heads });
+            f.runs.lock().unwrap().push(Run {
+                server: id.clone(),
+                attempt: a.clone(),
+                target,
+                body: body.clone(),
+                heads,
+            });
         }
         let say = |status: u16, a: &str, more: &str, body: &str| {
-            format!("HTTP/1.1 {status} X\r\ntry: {a}\r\n{more}content-length: {}\r\n\r\n{body}", body.len()).into_bytes()
+            format!(
+                "HTTP/1.1 {status} X\r\ntry: {a}\r\n{more}content-length: {}\r\n\r\n{body}",
+                body.len()
+            )
+            .into_bytes()
         };
         let event = |i: usize| {
             let e = format!("id: {i}\ndata: {a}-{i}\n\n");
             format!("{:x}\r\n{e}\r\n", e.len()).into_bytes()
         };
-        let top =
-            format!("HTTP/1.1 200 X\r\ntry: {a}\r\nstamp: 1\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n");
+        let top = format!(
+            "HTTP/1.1 200 X\r\ntry: {a}\r\nstamp: 1\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
+        );
         let good = say(200, &a, "stamp: 1\r\n", "good");
         let (out, close) = match act {
             Act::Good if first.contains("/stream/") => {
--- a/yewcross-testkit/tests/relay/stopping.rs
+++ b/yewcross-testkit/tests/relay/stopping.rs
@@ -10,14 +10,25 @@
 use yewcross_common::protocol::ListedServer;
 use yewcross_common::runtime::*;
 
-/// A front that stood still between the choice of a server and the first byte to it, whatever changed meanwhile.
+/// A front that stood still between the choice of a server and the first byte to it, whatever
+/// changed meanwhile.
 #[test]
 fn a_front_that_wakes_sends_nothing_that_it_chose_before() {
     type Change = fn(&Rig);
     let changes: [(&str, Change); 4] = [
         ("its deadline is over", |_| {}),
-        ("its route goes elsewhere", |r| r.configure(2, json!([route("once", "effectful", "b", 3)]))),
-        ("its server is leaving", |r| r.list(2, &[ListedServer { leaving: true, ..r.listed(0, "a") }])),
+        ("its route goes elsewhere", |r| {
+            r.configure(2, json!([route("once", "effectful", "b", 3)]))
+        }),
+        ("its server is leaving", |r| {
+            r.list(
+                2,
+                &[ListedServer {
+                    leaving: true,
+                    ..r.listed(0, "a")
+                }],
+            )
+        }),
         ("its server is gone", |r| r.list(2, &[])),
     ];
     let (mut caught, mut served, mut wrong) = (0, 0, vec![]);
@@ -28,20 +39,28 @@
             if step % 2 == 0 {
                 assert_eq!(rig.ask("first", "/once/x", &[], "b").status, 200);
             }
-            let (patience, still) = if what.starts_with("its deadline") { ("900", 2 * SEC) } else { ("2900", SEC) };
+            let (patience, still) = if what.starts_with("its deadline") {
+                ("900", 2 * SEC)
+            } else {
+                ("2900", SEC)
+            };
             let (taken, seen) = (rig.relay.counts.all()["taken"], rig.floor.seen.load(SeqCst));
             let h = rig.with(move |r, w| {
                 Box::pin(async move {
                     let (r2, w2) = (r.clone(), w.clone());
                     let heads = vec![("patience".to_string(), patience.to_string())];
-                    let one = w.spawn_all(vec![
-                        Box::pin(async move { call(&w2, r2.door, "t", "/once/x", &heads, "b").await }) as BoxFuture<'static, Heard>
-                    ]);
+                    let one = w.spawn_all(vec![Box::pin(async move {
+                        call(&w2, r2.door, "t", "/once/x", &heads, "b").await
+                    })
+                        as BoxFuture<'static, Heard>]);
                     w.sleep(step * 10).await;
                     let front = r.sim.find("front");
                     r.sim.freeze(front);
                     w.sleep(20 * MS).await;
-                    let (had, ran) = (r.relay.counts.all()["taken"] > taken, r.floor.seen.load(SeqCst) > seen);
+                    let (had, ran) = (
+                        r.relay.counts.all()["taken"] > taken,
+                        r.floor.seen.load(SeqCst) > seen,
+                    );
                     w.sleep(still).await;
                     change(&r);
                     r.sim.thaw(front);
@@ -55,16 +74,24 @@
                 (true, false) => {
                     caught += 1;
                     if (h.status, runs) != (503, 0) {
-                        wrong.push(format!("{what}, frozen {} us after the call: {} and {runs} runs", step * 10, h.status));
+                        wrong.push(format!(
+                            "{what}, frozen {} us after the call: {} and {runs} runs",
+                            step * 10,
+                            h.status
+                        ));
                     }
                 }
                 (true, true) => {
                     served += 1;
                     if runs != 1 || h.status == 503 {
-                        wrong.push(format!("{what}, sent before the freeze: {} and {runs} runs", h.status));
+                        wrong.push(format!(
+                            "{what}, sent before the freeze: {} and {runs} runs",
+                            h.status
+                        ));
                     }
                 }
-                // The request itself had not been read: it is dealt with as one that comes after the freeze.
+                // The request itself had not been read: it is dealt with as one that comes after
+                // the freeze.
                 (false, _) => assert!(runs <= 1 && (h.status != 503 || runs == 0), "{what}: {h:?}"),
             }
         }
@@ -82,7 +109,9 @@
         Box::pin(async move {
             let one = {
                 let (r, w2) = (r.clone(), w.clone());
-                w.spawn_all(vec![Box::pin(async move { call(&w2, r.door, "slow", "/once/x", &[], "").await }) as BoxFuture<'static, Heard>])
+                w.spawn_all(vec![Box::pin(async move {
+                    call(&w2, r.door, "slow", "/once/x", &[], "").await
+                }) as BoxFuture<'static, Heard>])
             };
             w.sleep(100 * MS).await;
             r.gate.last();
@@ -95,8 +124,14 @@
             (during, last, slow, w.connect(r.door).await.is_err())
         })
     });
-    assert_eq!((hs.0.status, hs.0.heads["connection"].as_str()), (200, "close"));
-    assert_eq!((hs.1.status, hs.2.status, hs.2.body.as_str(), hs.3), (200, 200, "good", true));
+    assert_eq!(
+        (hs.0.status, hs.0.heads["connection"].as_str()),
+        (200, "close")
+    );
+    assert_eq!(
+        (hs.1.status, hs.2.status, hs.2.body.as_str(), hs.3),
+        (200, 200, "good", true)
+    );
 }
 
 #[test]
@@ -105,7 +140,9 @@
     let t = rig.with(|r, w| {
         Box::pin(async move {
             let mut c = w.connect(r.door).await.unwrap();
-            c.write_all(b"GET /pure/x HTTP/1.1\r\nhost: h.example\r\ntry: t\r\n\r\n").await.unwrap();
+            c.write_all(b"GET /pure/x HTTP/1.1\r\nhost: h.example\r\ntry: t\r\n\r\n")
+                .await
+                .unwrap();
             let mut b = [0; 4096];
             let n = c.read(&mut b).await.unwrap();
             assert!(n > 0);
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -1,5 +1,5 @@
-//! Seats under losses that come close together: the groups' changes run beside each other, a further loss is taken into the
-//! change under way, and nothing rests on a disk that leaves.
+//! Seats under losses that come close together: the groups' changes run beside each other, a
+//! further loss is taken into the change under way, and nothing rests on a disk that leaves.
 
 use bytes::Bytes;
 use std::collections::BTreeSet;
@@ -9,7 +9,9 @@
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, ReplicaGroup};
 use yewcross_common::turn_log::Turn;
-use yewcross_common::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse};
+use yewcross_common::turn_log::store_client::{
+    LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse,
+};
 use yewcross_control::api::{ReadAnswer, RetireBegin, RetireState};
 use yewcross_control::layout::planning::{self, Known, SeatReport};
 use yewcross_testkit::routed::tier::Plan;
@@ -26,8 +28,14 @@
 fn is_whole(t: &Tier, name: &str) -> bool {
     let Some(c) = t.at(name) else { return false };
     // As the newest layout that any core process holds has it.
-    let layouts = t.names(Role::Core).into_iter().filter_map(|n| t.at(&n)).map(|x| x.documents.layout.load_full());
-    let Some(l) = layouts.max_by_key(|l| l.0) else { return false };
+    let layouts = t
+        .names(Role::Core)
+        .into_iter()
+        .filter_map(|n| t.at(&n))
+        .map(|x| x.documents.layout.load_full());
+    let Some(l) = layouts.max_by_key(|l| l.0) else {
+        return false;
+    };
     let seats = planning::group(&l.1, c.settings.role);
     seats.current.contains(&c.storage.disk_id) && !seats.is_changing()
 }
@@ -37,7 +45,12 @@
     let t0 = t.op.now();
     while !is_whole(t, name) {
         t.op.sleep(5 * MS).await;
-        assert!(t.op.now() < t0 + us, "{name} is not whole after {} ms\n{}", us / MS, tell(t));
+        assert!(
+            t.op.now() < t0 + us,
+            "{name} is not whole after {} ms\n{}",
+            us / MS,
+            tell(t)
+        );
     }
     t.op.now() - t0
 }
@@ -47,7 +60,8 @@
     t.sim.wipe(t.sim.find(name));
 }
 
-/// Turns of some bytes, each on as many stores as a front writes it to, with an entry in its program's ledger.
+/// Turns of some bytes, each on as many stores as a front writes it to, with an entry in its
+/// program's ledger.
 async fn load(t: &Arc<Tier>, turns: usize, bytes: usize, lost: usize) -> Vec<String> {
     let stores = t.names(Role::Store);
     let mut ids = vec![];
@@ -64,7 +78,11 @@
             retain_ms: 600_000,
             ..Default::default()
         };
-        let row = StoredTurn { turn: Arc::new(turn), program: format!("program-{}", i % 50), ended_at_ms: end };
+        let row = StoredTurn {
+            turn: Arc::new(turn),
+            program: format!("program-{}", i % 50),
+            ended_at_ms: end,
+        };
         let first = t.op.random() as usize;
         (0..=lost).for_each(|k| rows[(first + k) % stores.len()].push(row.clone()));
         ids.push(id);
@@ -79,7 +97,15 @@
                 ..Default::default()
             };
             let ledgers: Vec<LedgerRecord> = part.iter().map(entry).collect();
-            let told = t.on(name, |c| Box::pin(async move { c.chain.take_in(c.documents.layout.load().0, part, ledgers).await })).await;
+            let told = t
+                .on(name, |c| {
+                    Box::pin(async move {
+                        c.chain
+                            .take_in(c.documents.layout.load().0, part, ledgers)
+                            .await
+                    })
+                })
+                .await;
             assert_eq!(told, Some(TurnLogResponse::Ok), "{name}");
         }
     }
@@ -88,29 +114,63 @@
 
 /// Every turn, and its entry in the ledger, is on more present disks than may be lost.
 fn assert_kept(t: &Tier, ids: &[String], copies: usize) {
-    let stores: Vec<_> = t.names(Role::Store).into_iter().filter(|n| is_whole(t, n)).filter_map(|n| t.at(&n)).collect();
+    let stores: Vec<_> = t
+        .names(Role::Store)
+        .into_iter()
+        .filter(|n| is_whole(t, n))
+        .filter_map(|n| t.at(&n))
+        .collect();
     for (i, id) in ids.iter().enumerate() {
-        let holders = stores.iter().filter(|c| c.chain.st.lock().unwrap().get(id).is_some()).count();
+        let holders = stores
+            .iter()
+            .filter(|c| c.chain.st.lock().unwrap().get(id).is_some())
+            .count();
         assert!(holders >= copies, "{id} is on {holders} disks\n{}", tell(t));
         let program = format!("program-{}", i % 50);
-        let knows =
-            |c: &yewcross_control::Control| c.chain.st.lock().unwrap().ledgers.get(&program).is_some_and(|l| l.entries.contains_key(id));
+        let knows = |c: &yewcross_control::Control| {
+            c.chain
+                .st
+                .lock()
+                .unwrap()
+                .ledgers
+                .get(&program)
+                .is_some_and(|l| l.entries.contains_key(id))
+        };
         let ledgers = stores.iter().filter(|c| knows(c)).count();
-        assert!(ledgers >= copies, "the entry of {id} is on {ledgers} disks\n{}", tell(t));
+        assert!(
+            ledgers >= copies,
+            "the entry of {id} is on {ledgers} disks\n{}",
+            tell(t)
+        );
     }
 }
 
 /// The bench's small machines: a third of a core, syncs of 2 ms.
 fn burden(t: &Tier) {
     for (role, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
-        t.names(role).iter().for_each(|n| t.sim.charge(t.sim.find(n), Costs { share, wake: 20, byte: 3, sync: 2_000 }));
+        t.names(role).iter().for_each(|n| {
+            t.sim.charge(
+                t.sim.find(n),
+                Costs {
+                    share,
+                    wake: 20,
+                    byte: 3,
+                    sync: 2_000,
+                },
+            )
+        });
     }
 }
 
-/// A change of stores cannot end, since one store more than may be lost is frozen: a lost core seat does not wait for it.
+/// A change of stores cannot end, since one store more than may be lost is frozen: a lost core seat
+/// does not wait for it.
 #[test]
 fn a_core_seat_does_not_wait_for_the_stores() {
-    for (seed, counts, lost) in [(1u64, [4, 4, 3], 1usize), (2, [5, 9, 3], 2), (3, [8, 9, 3], 2)] {
+    for (seed, counts, lost) in [
+        (1u64, [4, 4, 3], 1usize),
+        (2, [5, 9, 3], 2),
+        (3, [8, 9, 3], 2),
+    ] {
         for core in ["core1", "core3", "core4"] {
             let t = Tier::new(900 + seed, counts, lost);
             let us = play(&t, |t| {
@@ -137,9 +197,16 @@
     }
 }
 
-/// Rounds of losses: as many stores as may be lost, and a core right after their change has begun, with much on the stores and
-/// little processor everywhere. Returns the longest times to whole of a core's and of a store's seat.
-fn rounds(seed: u64, counts: [usize; 3], lost: usize, with_duty: bool, bounds: (u64, u64)) -> (u64, u64) {
+/// Rounds of losses: as many stores as may be lost, and a core right after their change has begun,
+/// with much on the stores and little processor everywhere. Returns the longest times to whole of a
+/// core's and of a store's seat.
+fn rounds(
+    seed: u64,
+    counts: [usize; 3],
+    lost: usize,
+    with_duty: bool,
+    bounds: (u64, u64),
+) -> (u64, u64) {
     let t = Tier::new(seed, counts, lost);
     play(&t, |t| {
         Box::pin(async move {
@@ -149,11 +216,16 @@
             let ids = load(&t, 3_000, 2_000, lost).await;
             let (mut core, mut store) = (0, 0);
             for round in 0..4 {
-                let stores: Vec<String> = (0..lost).map(|i| format!("store{}", 1 + (round * lost + i) % counts[1])).collect();
+                let stores: Vec<String> = (0..lost)
+                    .map(|i| format!("store{}", 1 + (round * lost + i) % counts[1]))
+                    .collect();
                 let has_duty = |n: &String| t.at(n).is_some_and(|c| c.on_duty());
                 let mut cores = t.names(Role::Core);
                 cores.rotate_left(round % counts[0]);
-                let lost_core = cores.into_iter().find(|n| has_duty(n) == with_duty).unwrap();
+                let lost_core = cores
+                    .into_iter()
+                    .find(|n| has_duty(n) == with_duty)
+                    .unwrap();
                 stores.iter().for_each(|n| lose(&t, n));
                 t.op.sleep(1_200 * MS).await;
                 stores.iter().for_each(|n| t.boot(n, false));
@@ -173,13 +245,28 @@
     })
 }
 
-const SIZES: [([usize; 3], usize); 4] = [([4, 4, 3], 1), ([5, 9, 3], 2), ([8, 9, 3], 2), ([5, 5, 3], 2)];
+const SIZES: [([usize; 3], usize); 4] = [
+    ([4, 4, 3], 1),
+    ([5, 9, 3], 2),
+    ([8, 9, 3], 2),
+    ([5, 5, 3], 2),
+];
 
 #[test]
 fn seats_are_whole_in_time_under_load() {
     for (i, (counts, lost)) in SIZES.into_iter().enumerate() {
-        let (core, store) = rounds(930 + i as u64, counts, lost, false, (CORE_WHOLE, STORE_WHOLE));
-        println!("{counts:?}: core whole after {} ms at most, store after {} ms", core / MS, store / MS);
+        let (core, store) = rounds(
+            930 + i as u64,
+            counts,
+            lost,
+            false,
+            (CORE_WHOLE, STORE_WHOLE),
+        );
+        println!(
+            "{counts:?}: core whole after {} ms at most, store after {} ms",
+            core / MS,
+            store / MS
+        );
     }
 }
 
@@ -187,8 +274,18 @@
 #[test]
 fn the_loss_of_the_duty_costs_its_takeover_once() {
     for (i, (counts, lost)) in SIZES.into_iter().enumerate() {
-        let (core, store) = rounds(950 + i as u64, counts, lost, true, (CORE_WHOLE, STORE_WHOLE + TAKEOVER));
-        println!("{counts:?}: core whole after {} ms at most, store after {} ms", core / MS, store / MS);
+        let (core, store) = rounds(
+            950 + i as u64,
+            counts,
+            lost,
+            true,
+            (CORE_WHOLE, STORE_WHOLE + TAKEOVER),
+        );
+        println!(
+            "{counts:?}: core whole after {} ms at most, store after {} ms",
+            core / MS,
+            store / MS
+        );
     }
 }
 
@@ -224,7 +321,10 @@
                 for round in 0..4 {
                     let mut cores = t.names(Role::Core);
                     cores.rotate_left(round % counts[0]);
-                    let core = cores.into_iter().find(|n| t.at(n).is_some_and(|c| !c.on_duty())).unwrap();
+                    let core = cores
+                        .into_iter()
+                        .find(|n| t.at(n).is_some_and(|c| !c.on_duty()))
+                        .unwrap();
                     lose(&t, &core);
                     t.op.sleep(1_200 * MS).await;
                     t.boot(&core, false);
@@ -271,20 +371,35 @@
     println!("whole again after {} ms at most", worst / MS);
 }
 
-/// As soon as a machine is told to be retired it loses its disk, and as many others as may be lost do so with it.
+/// As soon as a machine is told to be retired it loses its disk, and as many others as may be lost
+/// do so with it.
 #[test]
 fn nothing_rests_on_a_retired_disk() {
     for seed in 0..8u64 {
-        let (counts, lost) = if seed % 2 == 0 { ([4, 4, 3], 1usize) } else { ([5, 9, 3], 2) };
+        let (counts, lost) = if seed % 2 == 0 {
+            ([4, 4, 3], 1usize)
+        } else {
+            ([5, 9, 3], 2)
+        };
         let t = Tier::new(1100 + seed, counts, lost);
         play(&t, |t| {
             Box::pin(async move {
                 up(&t).await;
                 let ids = load(&t, 400, 500, lost).await;
-                let begun = t.on("core1", |c| Box::pin(async move { c.retire_begin("store2").await })).await;
+                let begun = t
+                    .on("core1", |c| {
+                        Box::pin(async move { c.retire_begin("store2").await })
+                    })
+                    .await;
                 assert_eq!(begun, Some(RetireBegin::Begun));
                 let t0 = t.op.now();
-                while t.on("core2", |c| Box::pin(async move { c.retire_state("store2").await })).await != Some(RetireState::Finished) {
+                while t
+                    .on("core2", |c| {
+                        Box::pin(async move { c.retire_state("store2").await })
+                    })
+                    .await
+                    != Some(RetireState::Finished)
+                {
                     t.op.sleep(2 * MS).await;
                     assert!(t.op.now() < t0 + 3 * SEC, "{}", tell(&t));
                 }
@@ -307,18 +422,30 @@
     }
 }
 
-/// Registers on stores have three copies whatever may be lost: routed calls, with chains, programs' budgets, and operators' orders
-/// keep nothing in them.
+/// Registers on stores have three copies whatever may be lost: routed calls, with chains, programs'
+/// budgets, and operators' orders keep nothing in them.
 #[test]
 fn routed_calls_keep_nothing_in_registers_of_stores() {
-    let (t, evidence) = yewcross_testkit::routed::tier::run(&Plan { seed: 7, shape: "metered".into(), acts: vec![] });
+    let (t, evidence) = yewcross_testkit::routed::tier::run(&Plan {
+        seed: 7,
+        shape: "metered".into(),
+        acts: vec![],
+    });
     assert!(evidence.tries.len() > 200);
     let (mut stores, mut turns) = (0, 0);
-    for c in t.control_nodes().iter().filter(|c| c.settings.role == Role::Store) {
+    for c in t
+        .control_nodes()
+        .iter()
+        .filter(|c| c.settings.role == Role::Store)
+    {
         stores += 1;
         turns += c.chain.figures()["turns"];
         let (keys, damaged) = futures_lite::future::block_on(c.replica.keys());
-        assert!(keys.is_empty() && damaged == 0, "{} holds {keys:?}", c.settings.name);
+        assert!(
+            keys.is_empty() && damaged == 0,
+            "{} holds {keys:?}",
+            c.settings.name
+        );
     }
     assert!(stores >= 4 && turns > 0, "{stores} stores, {turns} turns");
 }
@@ -342,9 +469,15 @@
 
 /// Machines `core1..` and `store1..` with the disks `c1..` and `s1..`.
 fn seated(cores: usize, stores: usize) -> (Layout, Vec<Node>) {
-    let mut l = Layout { change_started: 1, ..Default::default() };
+    let mut l = Layout {
+        change_started: 1,
+        ..Default::default()
+    };
     let mut live = vec![];
-    for (role, tag, disk, n) in [(Role::Core, "core", "c", cores), (Role::Store, "store", "s", stores)] {
+    for (role, tag, disk, n) in [
+        (Role::Core, "core", "c", cores),
+        (Role::Store, "store", "s", stores),
+    ] {
         for i in 1..=n {
             let (name, disk) = (format!("{tag}{i}"), format!("{disk}{i}"));
             live.push(node(&name, role, &disk));
@@ -356,12 +489,19 @@
 }
 
 fn known<'a>(live: &'a [Node], missing: &'a dyn Fn(&str) -> u64) -> Known<'a> {
-    Known { live, heard: live, missing, lost: 1 }
+    Known {
+        live,
+        heard: live,
+        missing,
+        lost: 1,
+    }
 }
 
 /// The machine comes back with another disk.
 fn reborn(live: &mut [Node], name: &str, disk: &str) {
-    live.iter_mut().filter(|n| n.name == name).for_each(|n| n.disk = disk.into());
+    live.iter_mut()
+        .filter(|n| n.name == name)
+        .for_each(|n| n.disk = disk.into());
 }
 
 fn set(v: &[String]) -> BTreeSet<&str> {
@@ -374,13 +514,18 @@
     let none = |_: &str| 0;
     reborn(&mut live, "store1", "s1b");
     let l = planning::next_step(&l, 5, &known(&live, &none), Role::Store).unwrap();
-    assert_eq!((set(&l.store.current), l.store.since), (BTreeSet::from(["s1b", "s2", "s3", "s4"]), 6));
+    assert_eq!(
+        (set(&l.store.current), l.store.since),
+        (BTreeSet::from(["s1b", "s2", "s3", "s4"]), 6)
+    );
     // The core begins, and ends, while the stores' change goes on with the same number.
     reborn(&mut live, "core2", "c2b");
     let mut l = planning::next_step(&l, 6, &known(&live, &none), Role::Core).unwrap();
     assert!(l.core.is_changing() && l.store.is_changing());
     planning::end(&mut l, 7, Role::Core);
-    assert!(!l.core.is_changing() && l.store.is_changing() && l.store.since == 6 && l.core.since == 8);
+    assert!(
+        !l.core.is_changing() && l.store.is_changing() && l.store.since == 6 && l.core.since == 8
+    );
     // The leaving store's name is still known.
     assert_eq!(l.names["s1"], "store1");
     assert!(!l.names.contains_key("c2"));
@@ -392,32 +537,71 @@
     let none = |_: &str| 0;
     reborn(&mut live, "store1", "s1b");
     let l = planning::next_step(&l, 5, &known(&live, &none), Role::Store).unwrap();
-    assert_eq!(planning::next_step(&l, 6, &known(&live, &none), Role::Store), None);
+    assert_eq!(
+        planning::next_step(&l, 6, &known(&live, &none), Role::Store),
+        None
+    );
     // A seat that was to stay.
     reborn(&mut live, "store3", "s3b");
     let l = planning::next_step(&l, 6, &known(&live, &none), Role::Store).unwrap();
-    assert_eq!(set(&l.store.current), BTreeSet::from(["s1b", "s2", "s3b", "s4", "s5"]));
-    assert_eq!((set(&l.store.previous), l.store.since), (BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]), 7));
+    assert_eq!(
+        set(&l.store.current),
+        BTreeSet::from(["s1b", "s2", "s3b", "s4", "s5"])
+    );
+    assert_eq!(
+        (set(&l.store.previous), l.store.since),
+        (BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]), 7)
+    );
     // The newcomer itself.
     reborn(&mut live, "store1", "s1c");
     let l = planning::next_step(&l, 7, &known(&live, &none), Role::Store).unwrap();
-    assert_eq!(set(&l.store.current), BTreeSet::from(["s1c", "s2", "s3b", "s4", "s5"]));
-    assert_eq!(set(&l.store.previous), BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]));
-    assert_eq!(planning::next_step(&l, 8, &known(&live, &none), Role::Store), None);
+    assert_eq!(
+        set(&l.store.current),
+        BTreeSet::from(["s1c", "s2", "s3b", "s4", "s5"])
+    );
+    assert_eq!(
+        set(&l.store.previous),
+        BTreeSet::from(["s1", "s2", "s3", "s4", "s5"])
+    );
+    assert_eq!(
+        planning::next_step(&l, 8, &known(&live, &none), Role::Store),
+        None
+    );
 }
 
-/// Of three disks two hold each turn: one that has swept cannot speak for the other two, whatever may be lost elsewhere.
+/// Of three disks two hold each turn: one that has swept cannot speak for the other two, whatever
+/// may be lost elsewhere.
 #[test]
 fn a_change_ends_only_when_enough_have_swept() {
     let disks = |v: &[&str]| v.iter().map(|s| s.to_string()).collect::<Vec<_>>();
-    let group = ReplicaGroup { current: disks(&["a", "b", "d"]), previous: disks(&["a", "b", "c"]), since: 7 };
-    let report = |disk: &str, kept: u64, swept: bool| SeatReport { disk: disk.into(), kept, swept };
-    let one = [report("a", 7, true), report("b", 7, false), report("d", 7, false)];
+    let group = ReplicaGroup {
+        current: disks(&["a", "b", "d"]),
+        previous: disks(&["a", "b", "c"]),
+        since: 7,
+    };
+    let report = |disk: &str, kept: u64, swept: bool| SeatReport {
+        disk: disk.into(),
+        kept,
+        swept,
+    };
+    let one = [
+        report("a", 7, true),
+        report("b", 7, false),
+        report("d", 7, false),
+    ];
     assert!(!planning::store_may_end(&group, 7, 2, &one));
-    let two = [report("a", 7, true), report("b", 7, true), report("d", 6, false)];
+    let two = [
+        report("a", 7, true),
+        report("b", 7, true),
+        report("d", 6, false),
+    ];
     assert!(planning::store_may_end(&group, 7, 2, &two));
     // One that has not kept the layout still answers by the outgoing set alone.
-    let unkept = [report("a", 7, true), report("b", 6, true), report("d", 6, false)];
+    let unkept = [
+        report("a", 7, true),
+        report("b", 6, true),
+        report("d", 6, false),
+    ];
     assert!(!planning::store_may_end(&group, 7, 2, &unkept));
     assert!(!planning::core_is_joint(&group, 7, &unkept));
     assert!(planning::core_is_joint(&group, 7, &two));
--- a/yewcross-testkit/tests/second_loss.rs
+++ b/yewcross-testkit/tests/second_loss.rs
@@ -20,7 +20,14 @@
         max_output_tokens: 10,
         budget: Some(1_000),
     };
-    let turn = Turn { id, input: "question".into(), output: "answer\n".into(), tokens: 20, retain_ms: 60_000, ..Turn::default() };
+    let turn = Turn {
+        id,
+        input: "question".into(),
+        output: "answer\n".into(),
+        tokens: 20,
+        retain_ms: 60_000,
+        ..Turn::default()
+    };
     (open, turn)
 }
 
@@ -32,41 +39,64 @@
     for program in 0..PROGRAMS {
         let (open, turn) = first_turn(program);
         let until = tier.op.now() + 2 * SEC;
-        client.open(open.clone(), until).await.expect("the turn is opened");
-        client.finish(open, turn, 10, until).await.expect("the turn is kept");
+        client
+            .open(open.clone(), until)
+            .await
+            .expect("the turn is opened");
+        client
+            .finish(open, turn, 10, until)
+            .await
+            .expect("the turn is kept");
     }
 }
 
-/// Begins to retire one store, and at some moment of that change another store, which stays, loses its disk and comes back
-/// empty. Returns the time from its return until no change is under way and it holds a seat again, us.
+/// Begins to retire one store, and at some moment of that change another store, which stays, loses
+/// its disk and comes back empty. Returns the time from its return until no change is under way and
+/// it holds a seat again, us.
 async fn wiped_while_another_retires(tier: &Arc<Tier>, wipe_after: u64) -> u64 {
     up(tier).await;
     tier.put_surely(0, "5 a").await;
     keep_turns(tier).await;
-    let begun = tier.on("core2", |c| Box::pin(async move { c.retire_begin("store2").await })).await;
+    let begun = tier
+        .on("core2", |c| {
+            Box::pin(async move { c.retire_begin("store2").await })
+        })
+        .await;
     assert_eq!(begun, Some(RetireBegin::Begun));
     tier.op.sleep(wipe_after).await;
     tier.kill("store3", true);
     tier.sim.wipe(tier.sim.find("store3"));
     tier.op.sleep(900 * MS).await;
     tier.boot("store3", false);
-    let (core, stay) = (tier.names(Role::Core), ["store1", "store3", "store4"].map(String::from));
-    tier.seated(&core, &stay, 10 * SEC).await.unwrap_or_else(|| panic!("wiped {} ms later\n{}", wipe_after / MS, tell(tier)))
+    let (core, stay) = (
+        tier.names(Role::Core),
+        ["store1", "store3", "store4"].map(String::from),
+    );
+    tier.seated(&core, &stay, 10 * SEC)
+        .await
+        .unwrap_or_else(|| panic!("wiped {} ms later\n{}", wipe_after / MS, tell(tier)))
 }
 
-/// A store that keeps its seat loses its disk while another one retires, at each moment of that change.
+/// A store that keeps its seat loses its disk while another one retires, at each moment of that
+/// change.
 #[test]
 fn a_disk_lost_while_a_store_retires_holds_nothing_up() {
     for step in 0..25 {
         let tier = Tier::new(360 + step, [4, 4, 3], 1);
-        let us = play(&tier, |tier| Box::pin(async move { wiped_while_another_retires(&tier, step * 10 * MS).await }));
-        println!("wiped {} ms after the order to retire: whole after {} ms", step * 10, us / MS);
+        let us = play(&tier, |tier| {
+            Box::pin(async move { wiped_while_another_retires(&tier, step * 10 * MS).await })
+        });
+        println!(
+            "wiped {} ms after the order to retire: whole after {} ms",
+            step * 10,
+            us / MS
+        );
         assert!(us < 1_400 * MS, "{us}\n{}", tell(&tier));
     }
 }
 
-/// A machine is gone for good, and at once two new ones come: one takes the lost seat, the other gets a
-/// seat more. Returns the time until both have theirs, us.
+/// A machine is gone for good, and at once two new ones come: one takes the lost seat, the other
+/// gets a seat more. Returns the time until both have theirs, us.
 async fn two_come_after_one_is_lost(tier: &Arc<Tier>, role: Role, lost: &str) -> u64 {
     up(tier).await;
     tier.put_surely(0, "5 a").await;
@@ -79,16 +109,24 @@
         tier.boot(name, false);
     }
     let (core, store) = (tier.names(Role::Core), tier.names(Role::Store));
-    tier.seated(&core, &store, 12 * SEC).await.unwrap_or_else(|| panic!("{lost} keeps its seat\n{}", tell(tier)))
+    tier.seated(&core, &store, 12 * SEC)
+        .await
+        .unwrap_or_else(|| panic!("{lost} keeps its seat\n{}", tell(tier)))
 }
 
-/// A seat more is given only while the others answer; the lost seat whose successor has come is none of these.
+/// A seat more is given only while the others answer; the lost seat whose successor has come is
+/// none of these.
 #[test]
 fn a_lost_seat_is_filled_though_two_machines_come() {
     for (seed, role, lost) in [(400, Role::Store, "store2"), (401, Role::Core, "core3")] {
         let tier = Tier::new(seed, [4, 5, 3], 1);
-        let us = play(&tier, |tier| Box::pin(async move { two_come_after_one_is_lost(&tier, role, lost).await }));
-        println!("{lost} gone: both newcomers have seats after {} ms", us / MS);
+        let us = play(&tier, |tier| {
+            Box::pin(async move { two_come_after_one_is_lost(&tier, role, lost).await })
+        });
+        println!(
+            "{lost} gone: both newcomers have seats after {} ms",
+            us / MS
+        );
         assert!(us < 3 * SEC, "{us}\n{}", tell(&tier));
     }
 }
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -1,8 +1,10 @@
-//! Data folders written by an earlier state of the code are read by this one, and what is stored keeps its bytes.
+//! Data folders written by an earlier state of the code are read by this one, and what is stored
+//! keeps its bytes.
 //!
-//! A rename in the code must not reach the disks: names of stored fields, order of stored variants, names of files. The
-//! fixtures below `fixtures/disk/` are the folders of a small tier, what that tier had acknowledged, and one sample of each
-//! stored struct. They are written only where `YEWCROSS_WRITE_FIXTURES=1` is set, and the test that writes them then fails.
+//! A rename in the code must not reach the disks: names of stored fields, order of stored variants,
+//! names of files. The fixtures below `fixtures/disk/` are the folders of a small tier, what that
+//! tier had acknowledged, and one sample of each stored struct. They are written only where
+//! `YEWCROSS_WRITE_FIXTURES=1` is set, and the test that writes them then fails.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -26,7 +28,9 @@
 use yewcross_common::runtime::{BoxFuture, Runtime};
 use yewcross_common::storage::{DurableStorage, encode_frame};
 use yewcross_common::turn_log::Turn;
-use yewcross_common::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, decode, encode};
+use yewcross_common::turn_log::store_client::{
+    LedgerEntry, LedgerRecord, StoredTurn, decode, encode,
+};
 use yewcross_control::Control;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_control::lease::KeptGrant;
@@ -50,7 +54,9 @@
 // ---- Fixture files: a line is a name, a tab, and the content in hex.
 
 fn fixture_path(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/disk").join(name)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures/disk")
+        .join(name)
 }
 
 fn to_hex(bytes: &[u8]) -> String {
@@ -58,11 +64,17 @@
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn write_fixture(name: &str, files: &Files) {
-    let lines: String = files.iter().map(|(path, bytes)| format!("{path}\t{}\n", to_hex(bytes))).collect();
+    let lines: String = files
+        .iter()
+        .map(|(path, bytes)| format!("{path}\t{}\n", to_hex(bytes)))
+        .collect();
     std::fs::write(fixture_path(name), lines).unwrap();
 }
 
@@ -70,8 +82,15 @@
 fn read_fixture(name: &str) -> Files {
     let written = written_anew();
     let text = std::fs::read_to_string(fixture_path(name)).unwrap();
-    let files = text.lines().map(|line| line.split_once('\t').unwrap()).map(|(path, hex)| (path.into(), from_hex(hex))).collect();
-    assert!(!written, "fixtures were written anew: look at what changed, and run the test without YEWCROSS_WRITE_FIXTURES");
+    let files = text
+        .lines()
+        .map(|line| line.split_once('\t').unwrap())
+        .map(|(path, hex)| (path.into(), from_hex(hex)))
+        .collect();
+    assert!(
+        !written,
+        "fixtures were written anew: look at what changed, and run the test without YEWCROSS_WRITE_FIXTURES"
+    );
     files
 }
 
@@ -90,14 +109,20 @@
 
 /// Text of a fixture's value.
 fn text_of(files: &Files, name: &str) -> String {
-    let bytes = files.get(name).unwrap_or_else(|| panic!("{name} is not in the fixture"));
+    let bytes = files
+        .get(name)
+        .unwrap_or_else(|| panic!("{name} is not in the fixture"));
     String::from_utf8(bytes.clone()).unwrap()
 }
 
 // ---- Machines and their files.
 
 /// Runs a task as a process of its own on the machine, and ends that process.
-fn run_on<T: Send + 'static>(sim: &Sim, machine: usize, task: impl FnOnce(Runtime) -> BoxFuture<'static, T>) -> T {
+fn run_on<T: Send + 'static>(
+    sim: &Sim,
+    machine: usize,
+    task: impl FnOnce(Runtime) -> BoxFuture<'static, T>,
+) -> T {
     let world = sim.boot(machine);
     let done: Arc<Mutex<Option<T>>> = Default::default();
     let (result, task) = (done.clone(), task(world.clone()));
@@ -114,7 +139,11 @@
 /// Folders of a data disk as they have always been named.
 fn stored_folders() -> Vec<String> {
     let shards = (0..64).map(|shard| format!("keys/{shard:02x}"));
-    ["local", "chain", "keys"].into_iter().map(String::from).chain(shards).collect()
+    ["local", "chain", "keys"]
+        .into_iter()
+        .map(String::from)
+        .chain(shards)
+        .collect()
 }
 
 fn files_of(sim: &Sim, machine: usize) -> Files {
@@ -151,11 +180,17 @@
 /// The files of one machine of a fixture.
 fn folder_of(fixture: &Files, machine: &str) -> Files {
     let prefix = format!("{machine}/");
-    fixture.iter().filter_map(|(path, bytes)| Some((path.strip_prefix(&prefix)?.to_string(), bytes.clone()))).collect()
+    fixture
+        .iter()
+        .filter_map(|(path, bytes)| Some((path.strip_prefix(&prefix)?.to_string(), bytes.clone())))
+        .collect()
 }
 
 fn machines_with_disks() -> Vec<String> {
-    ["core", "store"].into_iter().flat_map(|tag| (1..=4).map(move |n| format!("{tag}{n}"))).collect()
+    ["core", "store"]
+        .into_iter()
+        .flat_map(|tag| (1..=4).map(move |n| format!("{tag}{n}")))
+        .collect()
 }
 
 fn stored_folder(machine: &str) -> Files {
@@ -183,54 +218,128 @@
 // ---- What is told in words of this test alone, so that no rename in the code changes them.
 
 fn tell_group(group: &ReplicaGroup) -> String {
-    format!("now {} old {} since {}", group.current.join(" "), group.previous.join(" "), group.since)
+    format!(
+        "now {} old {} since {}",
+        group.current.join(" "),
+        group.previous.join(" "),
+        group.since
+    )
 }
 
 fn tell_layout(layout: &Layout) -> String {
     let (core, store) = (tell_group(&layout.core), tell_group(&layout.store));
-    let rest = format!("names {:?} sites {:?} retired {:?}", layout.names, layout.sites, layout.retired);
-    format!("core {core}; store {store}; {rest} turn {} term {}", layout.change_started, layout.term)
+    let rest = format!(
+        "names {:?} sites {:?} retired {:?}",
+        layout.names, layout.sites, layout.retired
+    );
+    format!(
+        "core {core}; store {store}; {rest} turn {} term {}",
+        layout.change_started, layout.term
+    )
 }
 
 fn tell_config(document: &ConfigDoc) -> String {
-    let orders: Vec<String> = document.orders.iter().map(|o| format!("{} {} {}", o.number, o.digest, o.taken_ms)).collect();
-    let head = format!("number {} text {} put {} note {}", document.number, document.text, document.put_id, document.note);
-    format!("{head} past {:?} forgotten {} orders {orders:?}", document.past, document.forgotten)
+    let orders: Vec<String> = document
+        .orders
+        .iter()
+        .map(|o| format!("{} {} {}", o.number, o.digest, o.taken_ms))
+        .collect();
+    let head = format!(
+        "number {} text {} put {} note {}",
+        document.number, document.text, document.put_id, document.note
+    );
+    format!(
+        "{head} past {:?} forgotten {} orders {orders:?}",
+        document.past, document.forgotten
+    )
 }
 
 fn tell_list(list: &ServerList) -> String {
-    let line = |s: &ListedServer| format!("{} {} {} {} {}", s.server, s.service, s.addr, s.site, s.leaving);
+    let line = |s: &ListedServer| {
+        format!(
+            "{} {} {} {} {}",
+            s.server, s.service, s.addr, s.site, s.leaving
+        )
+    };
     let servers: Vec<String> = list.servers.iter().map(line).collect();
-    format!("rev {} term {} servers {servers:?}", list.revision, list.term)
+    format!(
+        "rev {} term {} servers {servers:?}",
+        list.revision, list.term
+    )
 }
 
 fn tell_place(place: &Option<CachedPrefix>) -> String {
-    let words = |p: &CachedPrefix| format!("{} {} {} {} {} {}", p.server, p.instance, p.weights, p.tokens, p.digest, p.placed_tokens);
+    let words = |p: &CachedPrefix| {
+        format!(
+            "{} {} {} {} {} {}",
+            p.server, p.instance, p.weights, p.tokens, p.digest, p.placed_tokens
+        )
+    };
     place.as_ref().map(words).unwrap_or_default()
 }
 
 fn tell_record(record: &Record) -> String {
     let head = &record.head;
-    let mark = |m: &Mark| format!("{} {} {} {} {}", m.job, m.digest, m.nonce, m.code.number(), m.used);
+    let mark = |m: &Mark| {
+        format!(
+            "{} {} {} {} {}",
+            m.job,
+            m.digest,
+            m.nonce,
+            m.code.number(),
+            m.used
+        )
+    };
     let marks: Vec<String> = head.marks.iter().map(mark).collect();
-    let run = |r: &Run| format!("{} {} {} {} {} {} {:?}", r.job, r.digest, r.nonce, r.front, r.until, r.max_out, r.budget);
+    let run = |r: &Run| {
+        format!(
+            "{} {} {} {} {} {} {:?}",
+            r.job, r.digest, r.nonce, r.front, r.until, r.max_out, r.budget
+        )
+    };
     let running = head.running.as_ref().map(run).unwrap_or_default();
-    let kv = format!("{} / {} / {}", tell_place(&head.kv.home), tell_place(&head.kv.replica), head.kv.program);
-    let texts = format!("history {} old {}", String::from_utf8_lossy(&record.hist), String::from_utf8_lossy(&record.old));
-    let rest = format!("touched {} keep {} barred {:?}", head.touched, head.keep, head.barred);
-    format!("{texts} epoch {} running {running} marks {marks:?} kept {:?} kv {kv} {rest}", head.epoch, head.kept)
+    let kv = format!(
+        "{} / {} / {}",
+        tell_place(&head.kv.home),
+        tell_place(&head.kv.replica),
+        head.kv.program
+    );
+    let texts = format!(
+        "history {} old {}",
+        String::from_utf8_lossy(&record.hist),
+        String::from_utf8_lossy(&record.old)
+    );
+    let rest = format!(
+        "touched {} keep {} barred {:?}",
+        head.touched, head.keep, head.barred
+    );
+    format!(
+        "{texts} epoch {} running {running} marks {marks:?} kept {:?} kv {kv} {rest}",
+        head.epoch, head.kept
+    )
 }
 
 fn tell_purse(purse: &Purse) -> String {
-    let open = |(entry, o): (&String, &Open)| format!("{entry}: {} {} {} {} {} {}", o.amount, o.key, o.job, o.nonce, o.at, o.keep);
+    let open = |(entry, o): (&String, &Open)| {
+        format!(
+            "{entry}: {} {} {} {} {} {}",
+            o.amount, o.key, o.job, o.nonce, o.at, o.keep
+        )
+    };
     let open: Vec<String> = purse.open.iter().map(open).collect();
-    format!("spent {} open {open:?} settled {:?}", purse.spent, purse.recent)
+    format!(
+        "spent {} open {open:?} settled {:?}",
+        purse.spent, purse.recent
+    )
 }
 
 fn tell_row(row: &StoredTurn) -> String {
     let turn = &row.turn;
     let texts = format!("{:?} {:?} {}", turn.input, turn.output, turn.server);
-    format!("{} after {:?}: {texts} {} {} {} {}", turn.id, turn.prev, turn.tokens, turn.retain_ms, row.program, row.ended_at_ms)
+    format!(
+        "{} after {:?}: {texts} {} {} {} {}",
+        turn.id, turn.prev, turn.tokens, turn.retain_ms, row.program, row.ended_at_ms
+    )
 }
 
 fn tell_entry(entry: &LedgerEntry) -> String {
@@ -241,12 +350,23 @@
 }
 
 fn tell_shelf(shelf: &Shelf) -> String {
-    let mut lines: Vec<String> = shelf.turns.values().map(|kept| format!("turn {}", tell_row(&kept.row))).collect();
+    let mut lines: Vec<String> = shelf
+        .turns
+        .values()
+        .map(|kept| format!("turn {}", tell_row(&kept.row)))
+        .collect();
     for (program, ledger) in &shelf.ledgers {
         let row = ledger.row(program);
-        let mut entries: Vec<String> = row.entries.iter().map(|(turn, entry)| format!("{turn} {}", tell_entry(entry))).collect();
+        let mut entries: Vec<String> = row
+            .entries
+            .iter()
+            .map(|(turn, entry)| format!("{turn} {}", tell_entry(entry)))
+            .collect();
         entries.sort();
-        lines.push(format!("ledger {program} {} {} keep {} spent {} {entries:?}", row.epoch.n, row.epoch.by, row.retain_ms, ledger.spent));
+        lines.push(format!(
+            "ledger {program} {} {} keep {} spent {} {entries:?}",
+            row.epoch.n, row.epoch.by, row.retain_ms, ledger.spent
+        ));
     }
     lines.sort();
     lines.join("\n")
@@ -264,7 +384,13 @@
 
 /// Registers with a value in the fixtures, and the role that holds them.
 fn stored_keys() -> [(&'static str, String); 5] {
-    [("core", "config".into()), ("core", "layout".into()), ("core", "list".into()), ("store", SESSION.into()), ("store", purse_key(BUDGET))]
+    [
+        ("core", "config".into()),
+        ("core", "layout".into()),
+        ("core", "list".into()),
+        ("store", SESSION.into()),
+        ("store", purse_key(BUDGET)),
+    ]
 }
 
 // ---- Writing the folders.
@@ -296,14 +422,22 @@
 }
 
 fn transfer_state() -> SessionCacheState {
-    SessionCacheState { home: Some(place("s1", 10)), replica: Some(place("s2", 20)), program: "program".into() }
+    SessionCacheState {
+        home: Some(place("s1", 10)),
+        replica: Some(place("s2", 20)),
+        program: "program".into(),
+    }
 }
 
 /// The store that owns a key.
 fn owner_of(tier: &Tier, key: &str) -> Arc<Control> {
     let any = tier.at("store1").unwrap();
     let at = replicas_by_preference(&any.documents, &any.members, key)[0];
-    tier.names(Role::Store).iter().filter_map(|name| tier.at(name)).find(|c| c.settings.peer == at).unwrap()
+    tier.names(Role::Store)
+        .iter()
+        .filter_map(|name| tier.at(name))
+        .find(|c| c.settings.peer == at)
+        .unwrap()
 }
 
 async fn ask(tier: &Tier, key: &str, ask: PeerRequest, blob: &[u8]) -> (PeerResponse, Vec<u8>) {
@@ -312,7 +446,9 @@
 
 /// One turn of the session is finished, and the next runs.
 async fn run_session(tier: &Tier) {
-    let (PeerResponse::TurnBegun(begun), _) = ask(tier, SESSION, PeerRequest::BeginTurn(begin("job1", 1)), &[]).await else {
+    let (PeerResponse::TurnBegun(begun), _) =
+        ask(tier, SESSION, PeerRequest::BeginTurn(begin("job1", 1)), &[]).await
+    else {
         panic!("not begun")
     };
     let commit = CommitTurn {
@@ -326,9 +462,19 @@
         cache: transfer_state(),
         history_bytes: 8,
     };
-    let (told, _) = ask(tier, SESSION, PeerRequest::CommitTurn(commit), b"\"first\"\n\"outcome\"").await;
+    let (told, _) = ask(
+        tier,
+        SESSION,
+        PeerRequest::CommitTurn(commit),
+        b"\"first\"\n\"outcome\"",
+    )
+    .await;
     assert!(matches!(told, PeerResponse::Committed), "{told:?}");
-    let settle = PeerRequest::SettleBudget { budget: BUDGET.into(), entry: format!("{SESSION}|job1|1"), used: Some(30) };
+    let settle = PeerRequest::SettleBudget {
+        budget: BUDGET.into(),
+        entry: format!("{SESSION}|job1|1"),
+        used: Some(30),
+    };
     let (told, _) = ask(tier, &purse_key(BUDGET), settle, &[]).await;
     assert!(matches!(told, PeerResponse::Ok), "{told:?}");
     let (told, _) = ask(tier, SESSION, PeerRequest::BeginTurn(begin("job2", 2)), &[]).await;
@@ -345,12 +491,21 @@
         tokens: 70,
         retain_ms: 900_000_000_000,
     };
-    StoredTurn { turn: Arc::new(turn), program: "p1".into(), ended_at_ms: 1_790_000_000_000 }
+    StoredTurn {
+        turn: Arc::new(turn),
+        program: "p1".into(),
+        ended_at_ms: 1_790_000_000_000,
+    }
 }
 
 fn ledger(program: &str, entry: (&str, LedgerEntry)) -> Item {
     let epoch = Ballot { n: 4, by: 6 };
-    let row = LedgerRecord { program: program.into(), epoch, entries: vec![(entry.0.into(), entry.1)], retain_ms: 900_000_000_000 };
+    let row = LedgerRecord {
+        program: program.into(),
+        epoch,
+        entries: vec![(entry.0.into(), entry.1)],
+        retain_ms: 900_000_000_000,
+    };
     Item::Ledger(row, 1_790_000_000_000)
 }
 
@@ -362,11 +517,19 @@
 /// The last batch that the machine wrote is cut short.
 async fn tear_log(tier: &Tier, machine: &str) {
     let world = tier.sim.boot(tier.sim.find(machine));
-    let newest = world.list("chain").await.unwrap().into_iter().max().unwrap();
+    let newest = world
+        .list("chain")
+        .await
+        .unwrap()
+        .into_iter()
+        .max()
+        .unwrap();
     let batch = encode_frame(&encode(&vec![ledger("torn", ("t9", LedgerEntry::Open(9)))]));
     let (sent, done) = async_channel::bounded(1);
     world.clone().spawn(async move {
-        let appended = world.append(&format!("chain/{newest}"), batch[..TORN_BYTES].to_vec()).await;
+        let appended = world
+            .append(&format!("chain/{newest}"), batch[..TORN_BYTES].to_vec())
+            .await;
         let _ = sent.try_send(appended.is_ok());
     });
     assert_eq!(done.recv().await, Ok(true));
@@ -375,34 +538,63 @@
 
 /// Turns in two segments of the log: the end of the first was torn, and is marked so in the second.
 async fn write_log(tier: &Arc<Tier>) {
-    let first = vec![Item::Turn(row("t1", "")), Item::Turn(row("t2", "t1")), ledger("p1", ("t1", LedgerEntry::Done(40)))];
+    let first = vec![
+        Item::Turn(row("t1", "")),
+        Item::Turn(row("t2", "t1")),
+        ledger("p1", ("t1", LedgerEntry::Done(40))),
+    ];
     keep_turns(tier, first).await;
     tier.kill("store1", false);
     tear_log(tier, "store1").await;
     tier.boot("store1", false);
     tier.op.sleep(5 * SEC).await;
-    keep_turns(tier, vec![ledger("p1", ("t2", LedgerEntry::Open(50))), ledger("p2", ("t3", LedgerEntry::Open(60)))]).await;
+    keep_turns(
+        tier,
+        vec![
+            ledger("p1", ("t2", LedgerEntry::Open(50))),
+            ledger("p2", ("t3", LedgerEntry::Open(60))),
+        ],
+    )
+    .await;
 }
 
 /// What the tier has acknowledged, and what its disks vouch for.
 async fn acknowledged(tier: &Tier) -> Files {
     let mut told: BTreeMap<String, String> = BTreeMap::new();
     for name in machines_with_disks() {
-        told.insert(format!("identity {name}"), tier.at(&name).unwrap().storage.disk_id.clone());
+        told.insert(
+            format!("identity {name}"),
+            tier.at(&name).unwrap().storage.disk_id.clone(),
+        );
     }
     for (role, key) in stored_keys() {
-        let control = if role == "core" { tier.at("core1").unwrap() } else { owner_of(tier, &key) };
+        let control = if role == "core" {
+            tier.at("core1").unwrap()
+        } else {
+            owner_of(tier, &key)
+        };
         let (seq, _, value) = control.registers.newest(&key, SEC).await.unwrap();
         told.insert(format!("number {key}"), seq.to_string());
         told.insert(format!("value {key}"), tell_value(&key, &value));
     }
-    let peers: Vec<String> = machines_with_disks().iter().map(|n| tier.at(n).unwrap().settings.peer.to_string()).collect();
+    let peers: Vec<String> = machines_with_disks()
+        .iter()
+        .map(|n| tier.at(n).unwrap().settings.peer.to_string())
+        .collect();
     told.insert("peers".into(), peers.join(" "));
-    told.insert("log".into(), tell_shelf(&tier.at("store1").unwrap().chain.st.lock().unwrap()));
+    told.insert(
+        "log".into(),
+        tell_shelf(&tier.at("store1").unwrap().chain.st.lock().unwrap()),
+    );
     let holder = tier.at(&tier.on_duty()[0]).unwrap();
-    told.insert("lease term".into(), holder.lease_term().unwrap().to_string());
+    told.insert(
+        "lease term".into(),
+        holder.lease_term().unwrap().to_string(),
+    );
     told.insert("lease holder".into(), holder.storage.disk_id.clone());
-    told.into_iter().map(|(name, text)| (name, text.into_bytes())).collect()
+    told.into_iter()
+        .map(|(name, text)| (name, text.into_bytes()))
+        .collect()
 }
 
 fn listed() -> Vec<ListedServer> {
@@ -430,31 +622,47 @@
             run_session(&t).await;
             t.op.sleep(2 * SEC).await;
             let told = acknowledged(&t).await;
-            machines_with_disks().iter().for_each(|name| t.kill(name, false));
+            machines_with_disks()
+                .iter()
+                .for_each(|name| t.kill(name, false));
             tear_log(&t, "store1").await;
             told
         })
     });
     write_fixture("acknowledged.txt", &told);
     for role in ["core", "store"] {
-        let names = machines_with_disks().into_iter().filter(|name| name.starts_with(role));
+        let names = machines_with_disks()
+            .into_iter()
+            .filter(|name| name.starts_with(role));
         let folders = names.flat_map(|name| {
             let files = files_of(&tier.sim, tier.sim.find(&name));
-            files.into_iter().map(move |(path, bytes)| (format!("{name}/{path}"), bytes))
+            files
+                .into_iter()
+                .map(move |(path, bytes)| (format!("{name}/{path}"), bytes))
         });
         write_fixture(&format!("{role}.txt"), &folders.collect());
     }
 }
 
-/// What a core of a tier that an operator keeps holds of the documents, and the newest version proved in force.
+/// What a core of a tier that an operator keeps holds of the documents, and the newest version
+/// proved in force.
 fn tell_operated(core: &Control) -> Files {
-    let page = |name: &str| (core.documents.document(name).version, tell_value(name, &core.documents.document(name).content));
-    let mut told: Files = ["config", "layout", "list"].into_iter().map(|n| (n.to_string(), format!("{:?}", page(n)).into())).collect();
+    let page = |name: &str| {
+        (
+            core.documents.document(name).version,
+            tell_value(name, &core.documents.document(name).content),
+        )
+    };
+    let mut told: Files = ["config", "layout", "list"]
+        .into_iter()
+        .map(|n| (n.to_string(), format!("{:?}", page(n)).into()))
+        .collect();
     told.insert("proved".into(), core.proved.load(SeqCst).to_string().into());
     told
 }
 
-/// A core whose tier numbers the versions keeps all documents, those in force before, and what was proved.
+/// A core whose tier numbers the versions keeps all documents, those in force before, and what was
+/// proved.
 fn write_operated_folder() {
     let (lab, told) = on_fleet(
         81,
@@ -462,7 +670,10 @@
         |lab| {
             Box::pin(async move {
                 let version = lab.version().await;
-                assert_eq!(lab.put("core1", version, "second").await.code, Code::Done.number());
+                assert_eq!(
+                    lab.put("core1", version, "second").await.code,
+                    Code::Done.number()
+                );
                 lab.op.sleep(5 * SEC).await;
                 let core = lab.control("core1").unwrap();
                 let told = tell_operated(&core);
@@ -482,7 +693,9 @@
     let told = read_fixture("acknowledged.txt");
     for name in machines_with_disks() {
         let (sim, machine) = machine_with(stored_folder(&name));
-        let id = run_on(&sim, machine, |w| Box::pin(async move { DurableStorage::open(&w).await.unwrap().disk_id.clone() }));
+        let id = run_on(&sim, machine, |w| {
+            Box::pin(async move { DurableStorage::open(&w).await.unwrap().disk_id.clone() })
+        });
         assert_eq!(id, text_of(&told, &format!("identity {name}")), "{name}");
     }
 }
@@ -493,9 +706,14 @@
     let key = key.to_string();
     run_on(&sim, machine, move |w| {
         Box::pin(async move {
-            let replica = Replica::open(&DurableStorage::open(&w).await.unwrap()).await.unwrap();
+            let replica = Replica::open(&DurableStorage::open(&w).await.unwrap())
+                .await
+                .unwrap();
             assert_eq!(replica.keys().await.1, 0, "damaged records");
-            replica.peek(&key).await.map(|record| (record.seq, record.value.to_vec()))
+            replica
+                .peek(&key)
+                .await
+                .map(|record| (record.seq, record.value.to_vec()))
         })
     })
 }
@@ -504,13 +722,30 @@
 fn registers_written_before_give_back_their_decided_values() {
     let told = read_fixture("acknowledged.txt");
     for (role, key) in stored_keys() {
-        let names = machines_with_disks().into_iter().filter(|name| name.starts_with(role));
-        let held: Vec<(u64, Vec<u8>)> = names.filter_map(|name| stored_record(&name, &key)).collect();
+        let names = machines_with_disks()
+            .into_iter()
+            .filter(|name| name.starts_with(role));
+        let held: Vec<(u64, Vec<u8>)> = names
+            .filter_map(|name| stored_record(&name, &key))
+            .collect();
         let number: u64 = text_of(&told, &format!("number {key}")).parse().unwrap();
-        assert!(held.iter().all(|record| record.0 <= number), "{key}: newer than what was decided");
-        let newest: Vec<&Vec<u8>> = held.iter().filter(|record| record.0 == number).map(|record| &record.1).collect();
+        assert!(
+            held.iter().all(|record| record.0 <= number),
+            "{key}: newer than what was decided"
+        );
+        let newest: Vec<&Vec<u8>> = held
+            .iter()
+            .filter(|record| record.0 == number)
+            .map(|record| &record.1)
+            .collect();
         assert!(newest.len() >= 2, "{key}: held by {} only", newest.len());
-        newest.iter().for_each(|value| assert_eq!(tell_value(&key, value), text_of(&told, &format!("value {key}")), "{key}"));
+        newest.iter().for_each(|value| {
+            assert_eq!(
+                tell_value(&key, value),
+                text_of(&told, &format!("value {key}")),
+                "{key}"
+            )
+        });
     }
 }
 
@@ -525,9 +760,21 @@
         })
     });
     assert_eq!(words, text_of(&told, "log"));
-    assert!(words.contains("turn t2 after \"t1\"") && words.contains("ledger p1") && words.contains("ledger p2"), "{words}");
-    assert!(hurt.is_empty(), "the mark of the first torn end is not read: {hurt:?}");
-    assert_eq!(torn.len(), 1, "the end torn last is dropped, and the one marked before is no news");
+    assert!(
+        words.contains("turn t2 after \"t1\"")
+            && words.contains("ledger p1")
+            && words.contains("ledger p2"),
+        "{words}"
+    );
+    assert!(
+        hurt.is_empty(),
+        "the mark of the first torn end is not read: {hurt:?}"
+    );
+    assert_eq!(
+        torn.len(),
+        1,
+        "the end torn last is dropped, and the one marked before is no news"
+    );
 }
 
 #[test]
@@ -535,19 +782,36 @@
     let told = read_fixture("acknowledged.txt");
     let (term, holder) = (text_of(&told, "lease term"), text_of(&told, "lease holder"));
     let mut granters = 0;
-    for name in machines_with_disks().into_iter().filter(|name| name.starts_with("core")) {
+    for name in machines_with_disks()
+        .into_iter()
+        .filter(|name| name.starts_with("core"))
+    {
         let (sim, machine) = machine_with(stored_folder(&name));
         let body = run_on(&sim, machine, |w| {
-            Box::pin(async move { DurableStorage::open(&w).await.unwrap().load("local", "lease").await.unwrap() })
+            Box::pin(async move {
+                DurableStorage::open(&w)
+                    .await
+                    .unwrap()
+                    .load("local", "lease")
+                    .await
+                    .unwrap()
+            })
         });
-        let grant = body.map(|(_, body)| serde_json::from_slice::<KeptGrant>(&body).unwrap()).unwrap_or_default();
+        let grant = body
+            .map(|(_, body)| serde_json::from_slice::<KeptGrant>(&body).unwrap())
+            .unwrap_or_default();
         let is_granted = grant.term.to_string() == term && grant.seats > 0;
-        granters += (is_granted && grant.holder.is_some_and(|c| c.disk == holder && c.life > 0 && c.process > 0)) as usize;
+        granters += (is_granted
+            && grant
+                .holder
+                .is_some_and(|c| c.disk == holder && c.life > 0 && c.process > 0))
+            as usize;
     }
     assert!(granters >= 3, "{granters} of 4 remember the grant");
 }
 
-/// A node that starts on the folder refuses the term that was granted before, and starts its next life.
+/// A node that starts on the folder refuses the term that was granted before, and starts its next
+/// life.
 #[test]
 fn a_core_started_on_a_folder_written_before_grants_no_term_twice() {
     let told = read_fixture("acknowledged.txt");
@@ -558,22 +822,49 @@
             t.boot("core1", false);
             t.op.sleep(2 * SEC).await;
             let core = t.at("core1").unwrap_or_else(|| panic!("{}", tell(&t)));
-            let candidate = Candidate { disk: "other".into(), process: 1, life: 1 };
+            let candidate = Candidate {
+                disk: "other".into(),
+                process: 1,
+                life: 1,
+            };
             let seats = yewcross_control::lease::seats_digest(&core.documents.layout.load().1);
             let call = LeaseOperation::Request { term };
-            let ask = LeaseRequest { granter: core.storage.disk_id.clone(), candidate, seats, call, wants_holder: false };
-            let (PeerResponse::Lease(lease), _) = core.handle(PeerRequest::Lease(ask), vec![], "core2").await else { panic!("no answer") };
-            assert_eq!(core.storage.load("local", "life").await.unwrap().map(|kept| kept.0), Some(2));
+            let ask = LeaseRequest {
+                granter: core.storage.disk_id.clone(),
+                candidate,
+                seats,
+                call,
+                wants_holder: false,
+            };
+            let (PeerResponse::Lease(lease), _) =
+                core.handle(PeerRequest::Lease(ask), vec![], "core2").await
+            else {
+                panic!("no answer")
+            };
+            assert_eq!(
+                core.storage
+                    .load("local", "life")
+                    .await
+                    .unwrap()
+                    .map(|kept| kept.0),
+                Some(2)
+            );
             lease
         })
     });
-    assert_eq!((lease.term, lease.verdict), (term, LeaseVerdict::Refused(LeaseDenial::OldTerm)));
+    assert_eq!(
+        (lease.term, lease.verdict),
+        (term, LeaseVerdict::Refused(LeaseDenial::OldTerm))
+    );
 }
 
 #[test]
 fn a_node_started_on_a_folder_written_before_knows_its_peers_and_layout() {
     let told = read_fixture("acknowledged.txt");
-    let expected: Vec<String> = text_of(&told, "peers").split(' ').map(String::from).collect();
+    let expected: Vec<String> = text_of(&told, "peers")
+        .split(' ')
+        .map(String::from)
+        .collect();
     for name in machines_with_disks() {
         let tier = stored_tier(79);
         let machine = name.clone();
@@ -582,13 +873,24 @@
                 t.boot(&machine, false);
                 t.op.sleep(SEC).await;
                 let node = t.at(&machine).unwrap();
-                let known: Vec<String> = node.members.persisted_peers.lock().unwrap().iter().map(|a| a.to_string()).collect();
+                let known: Vec<String> = node
+                    .members
+                    .persisted_peers
+                    .lock()
+                    .unwrap()
+                    .iter()
+                    .map(|a| a.to_string())
+                    .collect();
                 let layout = node.documents.layout.load();
                 (known, layout.0, tell_layout(&layout.1))
             })
         });
         assert_eq!(peers, expected, "{name}");
-        assert_eq!(number.to_string(), text_of(&told, "number layout"), "{name}");
+        assert_eq!(
+            number.to_string(),
+            text_of(&told, "number layout"),
+            "{name}"
+        );
         assert_eq!(layout, text_of(&told, "value layout"), "{name}");
     }
 }
@@ -596,14 +898,24 @@
 #[test]
 fn a_core_folder_of_an_operated_tier_gives_back_its_documents_and_what_was_proved() {
     let told = read_fixture("operated-acknowledged.txt");
-    assert!(text_of(&told, "config").contains("mark-second") && text_of(&told, "config").contains("mark-first"), "no past");
+    assert!(
+        text_of(&told, "config").contains("mark-second")
+            && text_of(&told, "config").contains("mark-first"),
+        "no past"
+    );
     assert_ne!(text_of(&told, "proved"), "0");
     let lab = Lab::new(82, "small");
-    fill(&lab.sim, lab.sim.find("core1"), read_fixture("operated.txt"));
+    fill(
+        &lab.sim,
+        lab.sim.find("core1"),
+        read_fixture("operated.txt"),
+    );
     lab.boot("core1");
-    lab.sim.run(lab.sim.now() + SEC, || lab.control("core1").is_some());
+    lab.sim
+        .run(lab.sim.now() + SEC, || lab.control("core1").is_some());
     let now = tell_operated(&lab.control("core1").unwrap());
-    told.keys().for_each(|name| assert_eq!(text_of(&now, name), text_of(&told, name), "{name}"));
+    told.keys()
+        .for_each(|name| assert_eq!(text_of(&now, name), text_of(&told, name), "{name}"));
 }
 
 /// Why there is no folder of a front among the fixtures.
@@ -612,37 +924,69 @@
     let files = on_fleet(
         83,
         |_| (),
-        |lab| Box::pin(async move { lab.names(Role::Front).iter().map(|f| lab.sim.disk(lab.sim.find(f), |d| d.files())).sum::<usize>() }),
+        |lab| {
+            Box::pin(async move {
+                lab.names(Role::Front)
+                    .iter()
+                    .map(|f| lab.sim.disk(lab.sim.find(f), |d| d.files()))
+                    .sum::<usize>()
+            })
+        },
     );
     assert_eq!(files, 0);
 }
 
 /// The newest value of the budget's register.
 async fn purse_value(tier: &Tier) -> Vec<u8> {
-    owner_of(tier, &purse_key(BUDGET)).registers.newest(&purse_key(BUDGET), SEC).await.unwrap().2.to_vec()
+    owner_of(tier, &purse_key(BUDGET))
+        .registers
+        .newest(&purse_key(BUDGET), SEC)
+        .await
+        .unwrap()
+        .2
+        .to_vec()
 }
 
 #[test]
 fn a_tier_started_on_folders_written_before_goes_on_from_what_it_acknowledged() {
     // A tier whose records are all damaged would never come up: that is told here, at once.
-    machines_with_disks().iter().for_each(|name| _ = stored_record(name, SESSION));
+    machines_with_disks()
+        .iter()
+        .for_each(|name| _ = stored_record(name, SESSION));
     let tier = stored_tier(80);
     play(&tier, |t| {
         Box::pin(async move {
-            machines_with_disks().iter().for_each(|name| t.boot(name, false));
+            machines_with_disks()
+                .iter()
+                .for_each(|name| t.boot(name, false));
             let (cores, stores) = (t.names(Role::Core), t.names(Role::Store));
-            t.seated(&cores, &stores, 20 * SEC).await.unwrap_or_else(|| panic!("{}", tell(&t)));
+            t.seated(&cores, &stores, 20 * SEC)
+                .await
+                .unwrap_or_else(|| panic!("{}", tell(&t)));
             t.op.sleep(3 * SEC).await;
-            assert_eq!(t.read("core2").await, Some(ReadAnswer::Text(12, "12 third".into())));
+            assert_eq!(
+                t.read("core2").await,
+                Some(ReadAnswer::Text(12, "12 third".into()))
+            );
             t.put_surely(5, "9 second").await;
-            assert_eq!(t.put("core1", 5, "10 other").await, Some(PutAnswer::Conflict(12)));
+            assert_eq!(
+                t.put("core1", 5, "10 other").await,
+                Some(PutAnswer::Conflict(12))
+            );
 
             let before = purse_value(&t).await;
-            let (told, kept) = ask(&t, SESSION, PeerRequest::BeginTurn(begin("job1", 3)), &[]).await;
-            assert!(matches!(told, PeerResponse::StoredOutcome { code: Code::Done }), "{told:?}");
+            let (told, kept) =
+                ask(&t, SESSION, PeerRequest::BeginTurn(begin("job1", 3)), &[]).await;
+            assert!(
+                matches!(told, PeerResponse::StoredOutcome { code: Code::Done }),
+                "{told:?}"
+            );
             assert_eq!(kept, b"\"outcome\"");
             let (told, _) = ask(&t, SESSION, PeerRequest::BeginTurn(begin("job2", 4)), &[]).await;
-            assert!(matches!(told, PeerResponse::Rejected(Code::StillRunning)), "{told:?}");
+            assert!(
+                matches!(told, PeerResponse::Rejected(Code::StillRunning)),
+                "{told:?}"
+            );
             t.op.sleep(SEC).await;
 
             let reserve = |entry: &str, limit| PeerRequest::ReserveBudget {
@@ -656,13 +1000,22 @@
                 retain_ms: 1,
             };
             let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z1", 130), &[]).await;
-            assert!(matches!(told, PeerResponse::Rejected(Code::BudgetSpent)), "{told:?}: 30 are spent and 100 reserved");
+            assert!(
+                matches!(told, PeerResponse::Rejected(Code::BudgetSpent)),
+                "{told:?}: 30 are spent and 100 reserved"
+            );
             let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z2", 131), &[]).await;
             assert!(matches!(told, PeerResponse::Ok), "{told:?}");
             let after = purse_value(&t).await;
             let lines: Vec<&[u8]> = after.split(|b| *b == b'\n').collect();
-            let missing = before.split(|b| *b == b'\n').find(|line| !lines.contains(line));
-            assert_eq!(missing.map(String::from_utf8_lossy), None, "a line is written otherwise than before");
+            let missing = before
+                .split(|b| *b == b'\n')
+                .find(|line| !lines.contains(line));
+            assert_eq!(
+                missing.map(String::from_utf8_lossy),
+                None,
+                "a line is written otherwise than before"
+            );
 
             t.put_surely(12, "13 fourth").await;
         })
@@ -672,7 +1025,11 @@
 // ---- Samples: each stored struct with all its fields distinct.
 
 fn group(tag: &str, since: u64) -> ReplicaGroup {
-    ReplicaGroup { current: vec![format!("{tag}1"), format!("{tag}2")], previous: vec![format!("{tag}3")], since }
+    ReplicaGroup {
+        current: vec![format!("{tag}1"), format!("{tag}2")],
+        previous: vec![format!("{tag}3")],
+        since,
+    }
 }
 
 fn layout() -> Layout {
@@ -688,7 +1045,11 @@
 }
 
 fn taken_order() -> TakenOrder {
-    TakenOrder { number: 21, digest: "mark".into(), taken_ms: 22 }
+    TakenOrder {
+        number: 21,
+        digest: "mark".into(),
+        taken_ms: 22,
+    }
 }
 
 fn config() -> ConfigDoc {
@@ -699,20 +1060,38 @@
         past: vec![(32, "earlier".into(), "30 text".into())],
         number: 31,
         forgotten: 33,
-        orders: vec![taken_order(), TakenOrder { number: 20, ..taken_order() }],
+        orders: vec![
+            taken_order(),
+            TakenOrder {
+                number: 20,
+                ..taken_order()
+            },
+        ],
     }
 }
 
 fn list() -> ServerList {
-    ServerList { revision: 41, term: 42, servers: listed() }
+    ServerList {
+        revision: 41,
+        term: 42,
+        servers: listed(),
+    }
 }
 
 fn candidate() -> Candidate {
-    Candidate { disk: "d1".into(), process: 51, life: 52 }
+    Candidate {
+        disk: "d1".into(),
+        process: 51,
+        life: 52,
+    }
 }
 
 fn grant() -> KeptGrant {
-    KeptGrant { term: 53, holder: Some(candidate()), seats: 54 }
+    KeptGrant {
+        term: 53,
+        holder: Some(candidate()),
+        seats: 54,
+    }
 }
 
 fn running() -> Run {
@@ -728,7 +1107,13 @@
 }
 
 fn mark() -> Mark {
-    Mark { job: "job0".into(), digest: "digest0".into(), nonce: 64, code: Code::Cancelled, used: 65 }
+    Mark {
+        job: "job0".into(),
+        digest: "digest0".into(),
+        nonce: 64,
+        code: Code::Cancelled,
+        used: 65,
+    }
 }
 
 fn session_head() -> Head {
@@ -746,17 +1131,40 @@
     let mut head = session_head();
     head.marks = [mark()].into();
     head.kept = [("job0".into(), "outcome".into())].into();
-    Record { hist: b"\"said\"\n".to_vec(), old: b"0123456789abcdef\n".to_vec(), head }
+    Record {
+        hist: b"\"said\"\n".to_vec(),
+        old: b"0123456789abcdef\n".to_vec(),
+        head,
+    }
 }
 
 fn reservation() -> Open {
-    Open { amount: 71, key: "key".into(), job: "job".into(), nonce: 72, at: 73, keep: 74 }
+    Open {
+        amount: 71,
+        key: "key".into(),
+        job: "job".into(),
+        nonce: 72,
+        at: 73,
+        keep: 74,
+    }
 }
 
 fn items() -> Vec<Item> {
-    let entries = vec![("t1".into(), LedgerEntry::Open(81)), ("t2".into(), LedgerEntry::Done(82))];
-    let ledger = LedgerRecord { program: "p".into(), epoch: Ballot { n: 83, by: 84 }, entries, retain_ms: 85 };
-    vec![Item::Turn(row("t2", "t1")), Item::Ledger(ledger, 86), Item::Torn(87, 88)]
+    let entries = vec![
+        ("t1".into(), LedgerEntry::Open(81)),
+        ("t2".into(), LedgerEntry::Done(82)),
+    ];
+    let ledger = LedgerRecord {
+        program: "p".into(),
+        epoch: Ballot { n: 83, by: 84 },
+        entries,
+        retain_ms: 85,
+    };
+    vec![
+        Item::Turn(row("t2", "t1")),
+        Item::Ledger(ledger, 86),
+        Item::Torn(87, 88),
+    ]
 }
 
 /// Number, epoch and text of a document on a node's own disk.
@@ -773,22 +1181,64 @@
     let (sim, machine) = machine_with(Files::new());
     run_on(&sim, machine, |w| {
         Box::pin(async move {
-            let replica = Replica::open(&DurableStorage::open(&w).await.unwrap()).await.unwrap();
+            let replica = Replica::open(&DurableStorage::open(&w).await.unwrap())
+                .await
+                .unwrap();
             let (key, lay) = ("session/a".to_string(), 0);
             let (first, second) = (Ballot { n: 3, by: 4 }, Ballot { n: 5, by: 6 });
-            replica.handle(RegisterRequest::Promise { key: key.clone(), epoch: first, lay }, vec![]).await;
-            let accept = RegisterRequest::Accept { key: key.clone(), epoch: first, seq: 7, lay, delta: false };
-            assert_eq!(replica.handle(accept, b"value".to_vec()).await.0, RegisterReply::Accepted);
-            replica.handle(RegisterRequest::Promise { key, epoch: second, lay }, vec![]).await;
+            replica
+                .handle(
+                    RegisterRequest::Promise {
+                        key: key.clone(),
+                        epoch: first,
+                        lay,
+                    },
+                    vec![],
+                )
+                .await;
+            let accept = RegisterRequest::Accept {
+                key: key.clone(),
+                epoch: first,
+                seq: 7,
+                lay,
+                delta: false,
+            };
+            assert_eq!(
+                replica.handle(accept, b"value".to_vec()).await.0,
+                RegisterReply::Accepted
+            );
+            replica
+                .handle(
+                    RegisterRequest::Promise {
+                        key,
+                        epoch: second,
+                        lay,
+                    },
+                    vec![],
+                )
+                .await;
         })
     });
-    files_of(&sim, machine).into_iter().find(|(path, _)| path.starts_with("keys/")).unwrap()
+    files_of(&sim, machine)
+        .into_iter()
+        .find(|(path, _)| path.starts_with("keys/"))
+        .unwrap()
 }
 
 /// Keys of an operator's configuration text, which is stored as it was put.
 fn setting_keys() -> String {
-    let keys = [("family", ProgramClass::DEFS), ("service", Service::DEFS), ("budget", Budget::DEFS)];
-    keys.iter().flat_map(|(name, settings)| settings.iter().map(move |s| format!("{name} {} {}\n", s.key, s.kind))).collect()
+    let keys = [
+        ("family", ProgramClass::DEFS),
+        ("service", Service::DEFS),
+        ("budget", Budget::DEFS),
+    ];
+    keys.iter()
+        .flat_map(|(name, settings)| {
+            settings
+                .iter()
+                .map(move |s| format!("{name} {} {}\n", s.key, s.kind))
+        })
+        .collect()
 }
 
 fn samples() -> Files {
@@ -816,7 +1266,14 @@
         ("register path", register_path.into_bytes()),
         ("register file", register),
         ("setting keys", setting_keys().into_bytes()),
-        ("setting defaults", json_of(&(ProgramClass::default(), Service::default(), Budget::default()))),
+        (
+            "setting defaults",
+            json_of(&(
+                ProgramClass::default(),
+                Service::default(),
+                Budget::default(),
+            )),
+        ),
     ]
     .map(|(name, bytes)| (name.to_string(), bytes))
     .into()
@@ -825,9 +1282,16 @@
 #[test]
 fn stored_structs_are_written_with_the_bytes_of_before() {
     let (stored, now) = (read_fixture("samples.txt"), samples());
-    assert_eq!(stored.keys().collect::<Vec<_>>(), now.keys().collect::<Vec<_>>());
+    assert_eq!(
+        stored.keys().collect::<Vec<_>>(),
+        now.keys().collect::<Vec<_>>()
+    );
     for (name, bytes) in &stored {
-        assert_eq!(String::from_utf8_lossy(&now[name]), String::from_utf8_lossy(bytes), "{name}");
+        assert_eq!(
+            String::from_utf8_lossy(&now[name]),
+            String::from_utf8_lossy(bytes),
+            "{name}"
+        );
         assert_eq!(&now[name], bytes, "{name}");
     }
 }
@@ -852,16 +1316,22 @@
     assert_reads(&stored, "reservation", &reservation());
     assert_reads(&stored, "page", &page());
     assert_reads(&stored, "codes", &Code::iter().collect::<Vec<_>>());
-    assert_eq!(tell_record(&Record::read(&stored["session record"])), tell_record(&session_record()));
+    assert_eq!(
+        tell_record(&Record::read(&stored["session record"])),
+        tell_record(&session_record())
+    );
     let read: Vec<Item> = decode(&stored["log items"]).unwrap();
     assert_eq!(format!("{read:?}"), format!("{:?}", items()));
 }
 
 // ---- Fields that are missing, and fields that nobody knows.
 
-/// Takes each field away in turn: one of `defaults` gets its default, and without any other the value is refused. A field
-/// that is not known is passed over.
-fn check_fields<T: DeserializeOwned + Serialize>(sample: &impl Serialize, defaults: &[(&str, Value)]) {
+/// Takes each field away in turn: one of `defaults` gets its default, and without any other the
+/// value is refused. A field that is not known is passed over.
+fn check_fields<T: DeserializeOwned + Serialize>(
+    sample: &impl Serialize,
+    defaults: &[(&str, Value)],
+) {
     let whole = serde_json::to_value(sample).unwrap();
     let name = std::any::type_name::<T>();
     for field in whole.as_object().unwrap().keys() {
@@ -872,23 +1342,51 @@
             Some((_, default)) => {
                 cut[field] = default.clone();
                 let read = read.unwrap_or_else(|e| panic!("{name} without {field}: {e}"));
-                assert_eq!(serde_json::to_value(read).unwrap(), cut, "{name} without {field}");
+                assert_eq!(
+                    serde_json::to_value(read).unwrap(),
+                    cut,
+                    "{name} without {field}"
+                );
             }
             None => assert!(read.is_err(), "{name} without {field} is read"),
         }
     }
-    assert!(defaults.iter().all(|default| whole.get(default.0).is_some()), "{name} lost a field");
+    assert!(
+        defaults
+            .iter()
+            .all(|default| whole.get(default.0).is_some()),
+        "{name} lost a field"
+    );
     let mut more = whole.clone();
     more["unknown"] = json!(1);
-    let read: T = serde_json::from_value(more).unwrap_or_else(|e| panic!("{name} with a field more: {e}"));
-    assert_eq!(serde_json::to_value(read).unwrap(), whole, "{name} with a field more");
+    let read: T =
+        serde_json::from_value(more).unwrap_or_else(|e| panic!("{name} with a field more: {e}"));
+    assert_eq!(
+        serde_json::to_value(read).unwrap(),
+        whole,
+        "{name} with a field more"
+    );
 }
 
 #[test]
 fn a_missing_field_of_a_document_is_an_error_or_gets_its_default() {
-    check_fields::<Layout>(&layout(), &[("sites", json!({})), ("retired", json!([])), ("term", json!(0))]);
+    check_fields::<Layout>(
+        &layout(),
+        &[
+            ("sites", json!({})),
+            ("retired", json!([])),
+            ("term", json!(0)),
+        ],
+    );
     check_fields::<ReplicaGroup>(&group("c", 11), &[("since", json!(0))]);
-    check_fields::<ConfigDoc>(&config(), &[("number", json!(0)), ("forgotten", json!(0)), ("orders", json!([]))]);
+    check_fields::<ConfigDoc>(
+        &config(),
+        &[
+            ("number", json!(0)),
+            ("forgotten", json!(0)),
+            ("orders", json!([])),
+        ],
+    );
     check_fields::<TakenOrder>(&taken_order(), &[]);
     check_fields::<ServerList>(&list(), &[("term", json!(0))]);
     check_fields::<ListedServer>(&listed()[1], &[("leaving", json!(false))]);
@@ -902,17 +1400,26 @@
 
 #[test]
 fn a_missing_field_of_a_session_or_budget_is_an_error_or_gets_its_default() {
-    let head = [("running", Value::Null), ("keep", json!(0)), ("barred", json!([])), ("olds", json!(0))];
+    let head = [
+        ("running", Value::Null),
+        ("keep", json!(0)),
+        ("barred", json!([])),
+        ("olds", json!(0)),
+    ];
     check_fields::<Head>(&session_head(), &head);
     check_fields::<Run>(&running(), &[("budget", Value::Null)]);
     check_fields::<Mark>(&mark(), &[]);
-    check_fields::<SessionCacheState>(&transfer_state(), &[("home", Value::Null), ("replica", Value::Null)]);
+    check_fields::<SessionCacheState>(
+        &transfer_state(),
+        &[("home", Value::Null), ("replica", Value::Null)],
+    );
     check_fields::<CachedPrefix>(&place("s1", 10), &[]);
     check_fields::<Open>(&reservation(), &[("keep", json!(0))]);
     check_fields::<Ballot>(&Ballot { n: 1, by: 2 }, &[]);
 }
 
-/// The head of a register's file has no defaults: without one of its fields the record counts as damaged.
+/// The head of a register's file has no defaults: without one of its fields the record counts as
+/// damaged.
 #[test]
 fn a_register_file_that_lacks_a_field_is_damaged() {
     let stored = read_fixture("samples.txt");
@@ -924,14 +1431,26 @@
     assert_eq!(fields, ["accepted", "key", "promised", "seq"]);
     for lacking in fields.iter().map(Some).chain([None]) {
         let mut cut = head.clone();
-        lacking.into_iter().for_each(|field| _ = cut.as_object_mut().unwrap().remove(field));
+        lacking
+            .into_iter()
+            .for_each(|field| _ = cut.as_object_mut().unwrap().remove(field));
         let cut = json_of(&cut);
         let bytes = [&(cut.len() as u32).to_le_bytes()[..], &cut, b"value"].concat();
         let (sim, machine) = machine_with([(path.clone(), encode_frame(&bytes))].into());
         let (keys, damaged) = run_on(&sim, machine, |w| {
-            Box::pin(async move { Replica::open(&DurableStorage::open(&w).await.unwrap()).await.unwrap().keys().await })
+            Box::pin(async move {
+                Replica::open(&DurableStorage::open(&w).await.unwrap())
+                    .await
+                    .unwrap()
+                    .keys()
+                    .await
+            })
         });
-        assert_eq!((keys.len(), damaged), if lacking.is_some() { (0, 1) } else { (1, 0) }, "without {lacking:?}");
+        assert_eq!(
+            (keys.len(), damaged),
+            if lacking.is_some() { (0, 1) } else { (1, 0) },
+            "without {lacking:?}"
+        );
     }
 }
 
@@ -946,9 +1465,22 @@
         "routing": {},
     });
     let tree = Configuration::read(text.to_string().as_bytes()).unwrap();
-    let family = tree.families.values().find(|family| family.path.ends_with('b')).unwrap();
-    assert_eq!((family.eff.max_output, family.eff.history), (7, Rule::Turns(3)));
-    assert_eq!((tree.services["llm"].allow[0].as_str(), tree.budgets["purse"].tokens), ("s*", 9));
+    let family = tree
+        .families
+        .values()
+        .find(|family| family.path.ends_with('b'))
+        .unwrap();
+    assert_eq!(
+        (family.eff.max_output, family.eff.history),
+        (7, Rule::Turns(3))
+    );
+    assert_eq!(
+        (
+            tree.services["llm"].allow[0].as_str(),
+            tree.budgets["purse"].tokens
+        ),
+        ("s*", 9)
+    );
     assert_eq!(tree.fronts, ["front1"]);
     assert!(Configuration::read(b"{}").is_ok());
     assert!(Configuration::read(b"{\"unknown\":1}").is_err());
--- a/yewcross-testkit/tests/support/operators.rs
+++ b/yewcross-testkit/tests/support/operators.rs
@@ -47,7 +47,9 @@
             }
             _ => {}
         }
-        tier.op.sleep(100 * MS + tier.op.random() % (800 * MS)).await;
+        tier.op
+            .sleep(100 * MS + tier.op.random() % (800 * MS))
+            .await;
     }
 }
 
@@ -55,8 +57,15 @@
 pub fn small_machines(seed: u64, counts: [usize; 3], lost: usize) -> Arc<Tier> {
     let tier = Tier::new(seed, counts, lost);
     for (role, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
-        let costs = Costs { share, wake: 40, byte: 10, sync: 500 };
-        tier.names(role).iter().for_each(|name| tier.sim.charge(tier.sim.find(name), costs));
+        let costs = Costs {
+            share,
+            wake: 40,
+            byte: 10,
+            sync: 500,
+        };
+        tier.names(role)
+            .iter()
+            .for_each(|name| tier.sim.charge(tier.sim.find(name), costs));
     }
     tier
 }
--- a/yewcross-testkit/tests/support/placement.rs
+++ b/yewcross-testkit/tests/support/placement.rs
@@ -21,7 +21,12 @@
 /// Servers of service `x`, in so many zones by turns.
 pub fn servers(count: usize, zones: usize) -> Vec<ListedServer> {
     let addr: SocketAddr = "10.0.1.1:1".parse().unwrap();
-    let server =
-        |i: usize| ListedServer { server: format!("s{i}"), service: "x".into(), addr, site: format!("z{}", i % zones), leaving: false };
+    let server = |i: usize| ListedServer {
+        server: format!("s{i}"),
+        service: "x".into(),
+        addr,
+        site: format!("z{}", i % zones),
+        leaving: false,
+    };
     (0..count).map(server).collect()
 }
--- a/yewcross-testkit/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -1,4 +1,5 @@
-//! A vote belongs to a disk, not to an address: a machine that comes back empty where another disk was votes for nobody.
+//! A vote belongs to a disk, not to an address: a machine that comes back empty where another disk
+//! was votes for nobody.
 
 use std::sync::Arc;
 use yewcross_common::constants::*;
@@ -11,7 +12,11 @@
 /// Appends the text unless the value already ends with it.
 fn append(text: &'static str) -> impl FnMut(u64, &[u8]) -> Step<()> {
     move |_, value| {
-        if value.ends_with(text.as_bytes()) { Step::Keep(()) } else { Step::Write([value, text.as_bytes()].concat(), ()) }
+        if value.ends_with(text.as_bytes()) {
+            Step::Keep(())
+        } else {
+            Step::Write([value, text.as_bytes()].concat(), ())
+        }
     }
 }
 
@@ -27,10 +32,11 @@
     end: String,
 }
 
-/// `store3` is frozen while `first second` is decided by `store1` and `store2`. Then `store1` loses power, `store2` loses its
-/// disk and is back at its address at once, and `store3` wakes: it remembers only `first`, and the two that decided are a
-/// machine that is down and a copy that forgot. With `unnamed`,
-/// `store3` takes the machine at that address for one of an older program, which knows no names of disks.
+/// `store3` is frozen while `first second` is decided by `store1` and `store2`. Then `store1` loses
+/// power, `store2` loses its disk and is back at its address at once, and `store3` wakes: it
+/// remembers only `first`, and the two that decided are a machine that is down and a copy that
+/// forgot. With `unnamed`, `store3` takes the machine at that address for one of an older program,
+/// which knows no names of disks.
 fn wiped_behind_its_address(seed: u64, unnamed: bool) -> Outcome {
     on_fleet_of(
         "small",
@@ -39,17 +45,29 @@
         move |lab| {
             Box::pin(async move {
                 let machine = |name: &str| lab.sim.find(name);
-                owner(&lab, "store1").change(KEY, 2 * SEC, append("first")).await.unwrap();
+                owner(&lab, "store1")
+                    .change(KEY, 2 * SEC, append("first"))
+                    .await
+                    .unwrap();
                 assert!(owner(&lab, "store1").tend(KEY).await);
                 lab.sim.freeze(machine("store3"));
-                while owner(&lab, "store1").change(KEY, 2 * SEC, append("second")).await.is_err() {}
+                while owner(&lab, "store1")
+                    .change(KEY, 2 * SEC, append("second"))
+                    .await
+                    .is_err()
+                {}
                 lab.sim.kill(machine("store1"), true);
                 lab.sim.kill(machine("store2"), true);
                 lab.sim.wipe(machine("store2"));
                 lab.sim.power_on(machine("store2"));
                 // Nobody tells `store3` yet which disk answers there now.
-                let others: Vec<usize> =
-                    lab.sh.nodes.iter().filter(|n| !["store2", "store3"].contains(&n.name.as_str())).map(|n| machine(&n.name)).collect();
+                let others: Vec<usize> = lab
+                    .sh
+                    .nodes
+                    .iter()
+                    .filter(|n| !["store2", "store3"].contains(&n.name.as_str()))
+                    .map(|n| machine(&n.name))
+                    .collect();
                 lab.sim.split(&[machine("store2")], &others);
                 lab.boot("store2");
                 lab.sim.thaw(machine("store3"));
@@ -59,7 +77,11 @@
                 while lab.sim.now() < end {
                     if unnamed {
                         let node = lab.sh.nodes.iter().find(|n| n.name == "store2").unwrap();
-                        lab.control("store3").unwrap().peers.record_peer(node.peer, &node.site, WIRE_OLDEST);
+                        lab.control("store3").unwrap().peers.record_peer(
+                            node.peer,
+                            &node.site,
+                            WIRE_OLDEST,
+                        );
                     }
                     if let Ok((_, _, value)) = stale.read(KEY, 20 * MS).await
                         && !value.ends_with(b"second")
@@ -79,7 +101,11 @@
                     value = owner(&lab, "store1").read(KEY, 2 * SEC).await;
                 }
                 let end = String::from_utf8_lossy(&value.unwrap().2).into_owned();
-                Outcome { stale_reads, overwritten, end }
+                Outcome {
+                    stale_reads,
+                    overwritten,
+                    end,
+                }
             })
         },
     )
@@ -88,7 +114,10 @@
 fn the_decided_value_leads(unnamed: bool) {
     for seed in 900..908 {
         let outcome = wiped_behind_its_address(seed, unnamed);
-        assert!(outcome.stale_reads.is_empty() && !outcome.overwritten, "seed {seed}: {outcome:?}");
+        assert!(
+            outcome.stale_reads.is_empty() && !outcome.overwritten,
+            "seed {seed}: {outcome:?}"
+        );
         assert_eq!(outcome.end, "firstsecond", "seed {seed}: {outcome:?}");
     }
 }
@@ -98,7 +127,8 @@
     the_decided_value_leads(false);
 }
 
-/// In the middle of an upgrade: an asker of the older program names nobody, so the machine that comes back empty must refuse.
+/// In the middle of an upgrade: an asker of the older program names nobody, so the machine that
+/// comes back empty must refuse.
 #[test]
 fn a_wiped_machine_does_not_vote_for_an_asker_that_names_no_disk() {
     the_decided_value_leads(true);
@@ -107,8 +137,14 @@
 /// Stores that all hold a key of an earlier life, under ballots that rose with each fight over it.
 async fn an_earlier_life(lab: &Lab) {
     for text in ["a", "b", "c", "d"] {
-        owner(lab, "store1").change(KEY, 2 * SEC, append(text)).await.unwrap();
-        owner(lab, "store2").change(KEY, 2 * SEC, append(text)).await.unwrap();
+        owner(lab, "store1")
+            .change(KEY, 2 * SEC, append(text))
+            .await
+            .unwrap();
+        owner(lab, "store2")
+            .change(KEY, 2 * SEC, append(text))
+            .await
+            .unwrap();
     }
     assert!(owner(lab, "store2").tend(KEY).await);
 }
@@ -123,7 +159,8 @@
     values
 }
 
-/// Power goes right after a key was erased: the disk must not hold a record of the earlier life when it is back.
+/// Power goes right after a key was erased: the disk must not hold a record of the earlier life
+/// when it is back.
 #[test]
 fn a_record_erased_right_before_power_goes_does_not_come_back() {
     for seed in 910..926 {
@@ -137,14 +174,26 @@
                     an_earlier_life(&lab).await;
                     while !owner(&lab, "store2").erase(KEY, |_| true).await {}
                     // The erase returns at a majority.
-                    while lab.control("store3").unwrap().replica.peek(KEY).await.is_some() {
+                    while lab
+                        .control("store3")
+                        .unwrap()
+                        .replica
+                        .peek(KEY)
+                        .await
+                        .is_some()
+                    {
                         lab.op.sleep(MS).await;
                     }
                     lab.op.sleep(5 * MS).await;
                     lab.sim.kill(third, true);
                     lab.boot("store3");
                     lab.op.sleep(200 * MS).await;
-                    lab.control("store3").unwrap().replica.peek(KEY).await.map(|record| (record.seq, record.value.len()))
+                    lab.control("store3")
+                        .unwrap()
+                        .replica
+                        .peek(KEY)
+                        .await
+                        .map(|record| (record.seq, record.value.len()))
                 })
             },
         );
@@ -152,7 +201,8 @@
     }
 }
 
-/// One copy of a key was never told that it is erased, or is back by itself: what began anew without it must lead.
+/// One copy of a key was never told that it is erased, or is back by itself: what began anew
+/// without it must lead.
 #[test]
 fn a_leftover_of_an_earlier_life_does_not_lead() {
     for seed in 920..924 {
@@ -173,7 +223,10 @@
                         lab.boot(node);
                     }
                     lab.op.sleep(4 * SEC).await;
-                    owner(&lab, "store1").change(KEY, 5 * SEC, append("new")).await.unwrap();
+                    owner(&lab, "store1")
+                        .change(KEY, 5 * SEC, append("new"))
+                        .await
+                        .unwrap();
                     lab.boot("store3");
                     lab.op.sleep(4 * SEC).await;
                     read_by_all(&lab).await
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -1,6 +1,6 @@
-//! One value for each variant of each message. No field holds its default, and within a message no two fields hold the
-//! same, so that a field which is lost or swapped shows. Every struct is written out without `..`: a new field has to be
-//! given a value here before this compiles.
+//! One value for each variant of each message. No field holds its default, and within a message no
+//! two fields hold the same, so that a field which is lost or swapped shows. Every struct is
+//! written out without `..`: a new field has to be given a value here before this compiles.
 
 use bytes::Bytes;
 use std::sync::Arc;
@@ -13,7 +13,9 @@
 use yewcross_common::protocol::*;
 use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest};
 use yewcross_common::turn_log::Turn;
-use yewcross_common::turn_log::store_client::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse};
+use yewcross_common::turn_log::store_client::{
+    LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse,
+};
 use yewcross_control::lease::KeptGrant;
 use yewcross_proxy::back::Stamp;
 use yewcross_proxy::balance::Load;
@@ -61,7 +63,11 @@
 }
 
 fn kv() -> SessionCacheState {
-    SessionCacheState { home: Some(place("home", 710)), replica: Some(place("replica", 720)), program: text("kv program") }
+    SessionCacheState {
+        home: Some(place("home", 710)),
+        replica: Some(place("replica", 720)),
+        program: text("kv program"),
+    }
 }
 
 pub fn report() -> LoadReport {
@@ -87,20 +93,54 @@
     let key = || text("register key");
     let epoch = ballot();
     vec![
-        RegisterRequest::Promise { key: key(), epoch, lay: 11 },
-        RegisterRequest::Accept { key: key(), epoch, seq: 12, lay: 11, delta: true },
-        RegisterRequest::Fill { key: key(), epoch, seq: 12, lay: 11 },
-        RegisterRequest::Confirm { key: key(), epoch, lay: 11 },
-        RegisterRequest::Look { key: key(), lay: 11, have: (epoch, 13) },
-        RegisterRequest::Drop { key: key(), epoch, seq: 12, lay: 11 },
+        RegisterRequest::Promise {
+            key: key(),
+            epoch,
+            lay: 11,
+        },
+        RegisterRequest::Accept {
+            key: key(),
+            epoch,
+            seq: 12,
+            lay: 11,
+            delta: true,
+        },
+        RegisterRequest::Fill {
+            key: key(),
+            epoch,
+            seq: 12,
+            lay: 11,
+        },
+        RegisterRequest::Confirm {
+            key: key(),
+            epoch,
+            lay: 11,
+        },
+        RegisterRequest::Look {
+            key: key(),
+            lay: 11,
+            have: (epoch, 13),
+        },
+        RegisterRequest::Drop {
+            key: key(),
+            epoch,
+            seq: 12,
+            lay: 11,
+        },
     ]
 }
 
 pub fn register_replies() -> Vec<RegisterReply> {
     vec![
-        RegisterReply::Promised { accepted: ballot(), seq: 14 },
+        RegisterReply::Promised {
+            accepted: ballot(),
+            seq: 14,
+        },
         RegisterReply::Accepted,
-        RegisterReply::Looked { accepted: ballot(), seq: 14 },
+        RegisterReply::Looked {
+            accepted: ballot(),
+            seq: 14,
+        },
         RegisterReply::Refused { promised: ballot() },
         RegisterReply::OldLayout,
         RegisterReply::Damaged,
@@ -114,7 +154,11 @@
     vec![
         LeaseOperation::Look,
         LeaseOperation::Request { term: 21 },
-        LeaseOperation::Renew { term: 21, round: 22, confirmed: 23 },
+        LeaseOperation::Renew {
+            term: 21,
+            round: 22,
+            confirmed: 23,
+        },
         LeaseOperation::Release { term: 21 },
     ]
 }
@@ -131,27 +175,52 @@
 }
 
 pub fn verdicts() -> Vec<LeaseVerdict> {
-    vec![LeaseVerdict::Free, LeaseVerdict::Held, LeaseVerdict::Granted, LeaseVerdict::Released, LeaseVerdict::Refused(LeaseDenial::OldTerm)]
+    vec![
+        LeaseVerdict::Free,
+        LeaseVerdict::Held,
+        LeaseVerdict::Granted,
+        LeaseVerdict::Released,
+        LeaseVerdict::Refused(LeaseDenial::OldTerm),
+    ]
 }
 
 fn candidate() -> Candidate {
-    Candidate { disk: text("candidate disk"), process: 31, life: 32 }
+    Candidate {
+        disk: text("candidate disk"),
+        process: 31,
+        life: 32,
+    }
 }
 
 fn lease_ask(call: LeaseOperation) -> LeaseRequest {
-    LeaseRequest { granter: text("granter disk"), candidate: candidate(), seats: 33, call, wants_holder: true }
+    LeaseRequest {
+        granter: text("granter disk"),
+        candidate: candidate(),
+        seats: 33,
+        call,
+        wants_holder: true,
+    }
 }
 
 fn lease_tell(verdict: LeaseVerdict) -> LeaseResponse {
     let versions = vec![(text("version of"), 34)];
-    LeaseResponse { granter: text("granter disk"), term: 35, verdict, versions, holder: Some(candidate()) }
+    LeaseResponse {
+        granter: text("granter disk"),
+        term: 35,
+        verdict,
+        versions,
+        holder: Some(candidate()),
+    }
 }
 
 pub fn put_answers() -> Vec<PutAnswer> {
     vec![
         PutAnswer::InForce(41),
         PutAnswer::Conflict(42),
-        PutAnswer::Bad(vec![InvalidSetting { path: text("bad path"), why: text("bad why") }]),
+        PutAnswer::Bad(vec![InvalidSetting {
+            path: text("bad path"),
+            why: text("bad why"),
+        }]),
         PutAnswer::NotFounded,
         PutAnswer::NoMajority,
         PutAnswer::Busy,
@@ -161,7 +230,12 @@
 }
 
 pub fn retire_answers() -> Vec<RetireBegin> {
-    vec![RetireBegin::Begun, RetireBegin::Unknown, RetireBegin::TooFew, RetireBegin::Away]
+    vec![
+        RetireBegin::Begun,
+        RetireBegin::Unknown,
+        RetireBegin::TooFew,
+        RetireBegin::Away,
+    ]
 }
 
 pub fn rules() -> Vec<Rule> {
@@ -169,7 +243,11 @@
 }
 
 pub fn states() -> Vec<MemberState> {
-    vec![MemberState::Alive, MemberState::Suspect, MemberState::Removed]
+    vec![
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Removed,
+    ]
 }
 
 pub fn roles() -> Vec<Role> {
@@ -209,14 +287,34 @@
     let epoch = ballot();
     let (key, job, budget) = (|| text("a key"), || text("a job"), || text("a budget"));
     let mut asks = vec![
-        PeerRequest::Probe { digest: 101, nodes: nodes() },
+        PeerRequest::Probe {
+            digest: 101,
+            nodes: nodes(),
+        },
         PeerRequest::MembershipUpdate { nodes: nodes() },
-        PeerRequest::ProbeOnBehalf { target: "10.0.0.3:102".parse().unwrap() },
+        PeerRequest::ProbeOnBehalf {
+            target: "10.0.0.3:102".parse().unwrap(),
+        },
         PeerRequest::ExchangeMembership { nodes: nodes() },
-        PeerRequest::PollDocuments { known: vec![(text("held"), 103)], front: true, leaving_digest: 104 },
-        PeerRequest::ReadDecidedDocument { name: text("document"), hops: 105 },
-        PeerRequest::FetchDocument { name: text("document"), newer_than: 106 },
-        PeerRequest::PublishDocument { name: text("document"), version: 107, epoch, relays: texts("relay") },
+        PeerRequest::PollDocuments {
+            known: vec![(text("held"), 103)],
+            front: true,
+            leaving_digest: 104,
+        },
+        PeerRequest::ReadDecidedDocument {
+            name: text("document"),
+            hops: 105,
+        },
+        PeerRequest::FetchDocument {
+            name: text("document"),
+            newer_than: 106,
+        },
+        PeerRequest::PublishDocument {
+            name: text("document"),
+            version: 107,
+            epoch,
+            relays: texts("relay"),
+        },
         PeerRequest::PublishDelta {
             name: text("document"),
             version: 107,
@@ -225,16 +323,33 @@
             base_digest: text("base digest"),
             relays: texts("relay"),
         },
-        PeerRequest::ServersLeaving { servers: texts("server"), relays: texts("relay") },
+        PeerRequest::ServersLeaving {
+            servers: texts("server"),
+            relays: texts("relay"),
+        },
         PeerRequest::ForwardPut { base: 109 },
-        PeerRequest::ForwardRetire { node: text("retired node") },
-        PeerRequest::CollectServingLeases { name: text("document"), version: 110 },
+        PeerRequest::ForwardRetire {
+            node: text("retired node"),
+        },
+        PeerRequest::CollectServingLeases {
+            name: text("document"),
+            version: 110,
+        },
         PeerRequest::AnnounceInForce { version: 111 },
         PeerRequest::Bootstrap,
         PeerRequest::BeginTurn(begin()),
         PeerRequest::CommitTurn(commit()),
-        PeerRequest::AbortTurn { key: key(), request_id: job(), nonce: 112, budget: Some(budget()) },
-        PeerRequest::RecordCacheState { key: key(), epoch: 113, cache: kv() },
+        PeerRequest::AbortTurn {
+            key: key(),
+            request_id: job(),
+            nonce: 112,
+            budget: Some(budget()),
+        },
+        PeerRequest::RecordCacheState {
+            key: key(),
+            epoch: 113,
+            cache: kv(),
+        },
         PeerRequest::InspectSession { key: key() },
         PeerRequest::EndSession { key: key() },
         PeerRequest::ExpireSession { key: key() },
@@ -248,17 +363,44 @@
             nonce: 116,
             retain_ms: 117,
         },
-        PeerRequest::SettleBudget { budget: budget(), entry: text("entry"), used: Some(118) },
+        PeerRequest::SettleBudget {
+            budget: budget(),
+            entry: text("entry"),
+            used: Some(118),
+        },
         PeerRequest::RepairKey { key: key() },
-        PeerRequest::LoadReports { service: text("service"), reports: vec![report()], same: texts("same"), relay: true },
-        PeerRequest::SweepProgress { layout: 119, disk: text("swept disk") },
+        PeerRequest::LoadReports {
+            service: text("service"),
+            reports: vec![report()],
+            same: texts("same"),
+            relay: true,
+        },
+        PeerRequest::SweepProgress {
+            layout: 119,
+            disk: text("swept disk"),
+        },
         PeerRequest::StartSweep,
         PeerRequest::TurnLog,
         PeerRequest::ExchangeLoads { by_site: true },
     ];
-    asks.extend(register_requests().into_iter().map(PeerRequest::UnnamedRegister));
-    asks.extend(register_requests().into_iter().map(|request| PeerRequest::Register { disk: text("register disk"), request }));
-    asks.extend(lease_calls().into_iter().map(|call| PeerRequest::Lease(lease_ask(call))));
+    asks.extend(
+        register_requests()
+            .into_iter()
+            .map(PeerRequest::UnnamedRegister),
+    );
+    asks.extend(
+        register_requests()
+            .into_iter()
+            .map(|request| PeerRequest::Register {
+                disk: text("register disk"),
+                request,
+            }),
+    );
+    asks.extend(
+        lease_calls()
+            .into_iter()
+            .map(|call| PeerRequest::Lease(lease_ask(call))),
+    );
     asks
 }
 
@@ -267,37 +409,84 @@
         PeerResponse::Rejected(Code::StoreAway),
         PeerResponse::Ok,
         PeerResponse::Loads,
-        PeerResponse::Probe { digest: 201, nodes: nodes(), wall_clock_ms: 202 },
+        PeerResponse::Probe {
+            digest: 201,
+            nodes: nodes(),
+            wall_clock_ms: 202,
+        },
         PeerResponse::ProbeOnBehalf { reachable: true },
         PeerResponse::Membership { nodes: nodes() },
-        PeerResponse::OtherDisk { disk: text("other disk") },
+        PeerResponse::OtherDisk {
+            disk: text("other disk"),
+        },
         PeerResponse::DocumentVersions {
             newest: vec![(text("newest"), 203)],
             authoritative: true,
             behind: true,
             leaving: texts("departed"),
         },
-        PeerResponse::Document { version: 204, epoch: ballot() },
+        PeerResponse::Document {
+            version: 204,
+            epoch: ballot(),
+        },
         PeerResponse::DocumentApplied { version: 205 },
-        PeerResponse::ServingLeases { version: 206, fronts: vec![(text("front"), 207)], in_force: 208 },
-        PeerResponse::TurnBegun(TurnBegun { epoch: 209, cache: kv(), history_bytes: 210, history_complete: true }),
-        PeerResponse::StoredOutcome { code: Code::Forgotten },
+        PeerResponse::ServingLeases {
+            version: 206,
+            fronts: vec![(text("front"), 207)],
+            in_force: 208,
+        },
+        PeerResponse::TurnBegun(TurnBegun {
+            epoch: 209,
+            cache: kv(),
+            history_bytes: 210,
+            history_complete: true,
+        }),
+        PeerResponse::StoredOutcome {
+            code: Code::Forgotten,
+        },
         PeerResponse::Committed,
         PeerResponse::SessionEnded { cache: kv() },
-        PeerResponse::SessionReservations { open: vec![(text("open"), 211)], done: vec![(text("done"), 212, 213)] },
-        PeerResponse::SweepProgress { done: true, left: 214, kept: 215, disk: text("swept disk") },
+        PeerResponse::SessionReservations {
+            open: vec![(text("open"), 211)],
+            done: vec![(text("done"), 212, 213)],
+        },
+        PeerResponse::SweepProgress {
+            done: true,
+            left: 214,
+            kept: 215,
+            disk: text("swept disk"),
+        },
         PeerResponse::TurnLog,
     ];
-    tells.extend(register_replies().into_iter().map(PeerResponse::UnnamedRegister));
-    tells.extend(register_replies().into_iter().map(|reply| PeerResponse::Register { disk: text("register disk"), reply }));
+    tells.extend(
+        register_replies()
+            .into_iter()
+            .map(PeerResponse::UnnamedRegister),
+    );
+    tells.extend(
+        register_replies()
+            .into_iter()
+            .map(|reply| PeerResponse::Register {
+                disk: text("register disk"),
+                reply,
+            }),
+    );
     tells.extend(put_answers().into_iter().map(PeerResponse::PutAnswer));
     tells.extend(retire_answers().into_iter().map(PeerResponse::RetireAnswer));
-    tells.extend(verdicts().into_iter().map(|verdict| PeerResponse::Lease(lease_tell(verdict))));
+    tells.extend(
+        verdicts()
+            .into_iter()
+            .map(|verdict| PeerResponse::Lease(lease_tell(verdict))),
+    );
     tells
 }
 
 fn group(name: &str, since: u64) -> ReplicaGroup {
-    ReplicaGroup { current: texts(&format!("{name} now")), previous: texts(&format!("{name} old")), since }
+    ReplicaGroup {
+        current: texts(&format!("{name} now")),
+        previous: texts(&format!("{name} old")),
+        since,
+    }
 }
 
 pub fn layout() -> Layout {
@@ -320,11 +509,19 @@
         site: text("listed site"),
         leaving: true,
     };
-    ServerList { revision: 312, term: 313, servers: vec![listed] }
+    ServerList {
+        revision: 312,
+        term: 313,
+        servers: vec![listed],
+    }
 }
 
 pub fn configuration() -> ConfigDoc {
-    let order = |number: u64| TakenOrder { number, digest: format!("digest {number}"), taken_ms: number + 100 };
+    let order = |number: u64| TakenOrder {
+        number,
+        digest: format!("digest {number}"),
+        taken_ms: number + 100,
+    };
     ConfigDoc {
         text: text("configuration text"),
         put_id: text("put id"),
@@ -337,15 +534,31 @@
 }
 
 pub fn held_key() -> CheckpointKey {
-    CheckpointKey { key: text("held key"), seq: 331, bytes: 332, kv: Some(kv()) }
+    CheckpointKey {
+        key: text("held key"),
+        seq: 331,
+        bytes: 332,
+        kv: Some(kv()),
+    }
 }
 
 pub fn kept_grant() -> KeptGrant {
-    KeptGrant { term: 341, holder: Some(candidate()), seats: 342 }
+    KeptGrant {
+        term: 341,
+        holder: Some(candidate()),
+        seats: 342,
+    }
 }
 
 pub fn open_entry() -> Open {
-    Open { amount: 351, key: text("open key"), job: text("open job"), nonce: 352, at: 353, keep: 354 }
+    Open {
+        amount: 351,
+        key: text("open key"),
+        job: text("open job"),
+        nonce: 352,
+        at: 353,
+        keep: 354,
+    }
 }
 
 pub fn kept_outcome() -> Kept {
@@ -356,7 +569,14 @@
         weights: text("stamp weights"),
         job: text("stamp job"),
     };
-    Kept { text: text("kept text"), digest: text("kept digest"), prompt: 362, reused: 363, output: 364, stamp }
+    Kept {
+        text: text("kept text"),
+        digest: text("kept digest"),
+        prompt: 362,
+        reused: 363,
+        output: 364,
+        stamp,
+    }
 }
 
 /// A session's record with a line of each kind. `olds` is private and counted by `Record::write`.
@@ -370,7 +590,13 @@
         max_out: 373,
         budget: Some(text("running budget")),
     };
-    let mark = Mark { job: text("mark job"), digest: text("mark digest"), nonce: 374, code: Code::Expired, used: 375 };
+    let mark = Mark {
+        job: text("mark job"),
+        digest: text("mark digest"),
+        nonce: 374,
+        code: Code::Expired,
+        used: 375,
+    };
     let mut head = Head::default();
     head.epoch = 376;
     head.running = Some(running);
@@ -380,7 +606,11 @@
     head.touched = 377;
     head.keep = 378;
     head.barred = [379].into();
-    Record { hist: b"history 1\nhistory 2\n".to_vec(), old: b"0123456789abcdef\n".to_vec(), head }
+    Record {
+        hist: b"history 1\nhistory 2\n".to_vec(),
+        old: b"0123456789abcdef\n".to_vec(),
+        head,
+    }
 }
 
 fn rows() -> Vec<StoredTurn> {
@@ -393,15 +623,27 @@
         tokens: 401,
         retain_ms: 402,
     };
-    vec![StoredTurn { turn: Arc::new(turn), program: text("row program"), ended_at_ms: 403 }]
+    vec![StoredTurn {
+        turn: Arc::new(turn),
+        program: text("row program"),
+        ended_at_ms: 403,
+    }]
 }
 
 fn entries() -> Vec<(String, LedgerEntry)> {
-    vec![(text("open entry"), LedgerEntry::Open(411)), (text("done entry"), LedgerEntry::Done(412))]
+    vec![
+        (text("open entry"), LedgerEntry::Open(411)),
+        (text("done entry"), LedgerEntry::Done(412)),
+    ]
 }
 
 fn ledger() -> LedgerRecord {
-    LedgerRecord { program: text("ledger program"), epoch: ballot(), entries: entries(), retain_ms: 413 }
+    LedgerRecord {
+        program: text("ledger program"),
+        epoch: ballot(),
+        entries: entries(),
+        retain_ms: 413,
+    }
 }
 
 fn whats() -> Vec<TurnLogOperation> {
@@ -417,9 +659,17 @@
         TurnLogOperation::FindHistory { id: text("id") },
         TurnLogOperation::AcquireLedger { ledger: ledger() },
         TurnLogOperation::AppendEntries { ledger: ledger() },
-        TurnLogOperation::StoreTurns { rows: rows(), ledger: Some(ledger()) },
-        TurnLogOperation::ContainsTurns { ids: vec![0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10, 424] },
-        TurnLogOperation::TransferRecords { rows: rows(), ledgers: vec![ledger()] },
+        TurnLogOperation::StoreTurns {
+            rows: rows(),
+            ledger: Some(ledger()),
+        },
+        TurnLogOperation::ContainsTurns {
+            ids: vec![0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10, 424],
+        },
+        TurnLogOperation::TransferRecords {
+            rows: rows(),
+            ledgers: vec![ledger()],
+        },
         TurnLogOperation::Repair,
     ]
 }
@@ -427,11 +677,17 @@
 pub fn chain_asks() -> Vec<TurnLogRequest> {
     whats()
         .into_iter()
-        .map(|what| TurnLogRequest { layout_version: 431, disk: text("chain disk"), timeout_us: 432, operation: what })
+        .map(|what| TurnLogRequest {
+            layout_version: 431,
+            disk: text("chain disk"),
+            timeout_us: 432,
+            operation: what,
+        })
         .collect()
 }
 
-/// The names under which the fixtures list the questions; a new one doesn't compile without a name here.
+/// The names under which the fixtures list the questions; a new one doesn't compile without a name
+/// here.
 pub fn chain_ask_name(ask: &TurnLogRequest) -> &'static str {
     match &ask.operation {
         TurnLogOperation::OpenTurn { .. } => "Open",
@@ -493,7 +749,11 @@
 }
 
 pub fn log_items() -> Vec<Item> {
-    vec![Item::Turn(rows().remove(0)), Item::Ledger(ledger(), 451), Item::Torn(452, 453)]
+    vec![
+        Item::Turn(rows().remove(0)),
+        Item::Ledger(ledger(), 451),
+        Item::Torn(452, 453),
+    ]
 }
 
 pub fn item_name(item: &Item) -> &'static str {
@@ -505,5 +765,11 @@
 }
 
 pub fn loads() -> Vec<ServerLoad> {
-    vec![ServerLoad { server: ServerKey::of("loaded server"), load: Load { in_flight: 461, ejected_by: 462 } }]
+    vec![ServerLoad {
+        server: ServerKey::of("loaded server"),
+        load: Load {
+            in_flight: 461,
+            ejected_by: 462,
+        },
+    }]
 }
