--- a/yewcross-common/src/register/mod.rs
+++ b/yewcross-common/src/register/mod.rs
@@ -1,27 +1,56 @@
-//! Replicated registers: a key's value is decided by a majority of the disks that hold it, one version after the other.
+//! Replicated registers: each key has a value that a majority of its replicas agrees on, one
+//! version after the other.
 //!
-//! The protocol is single-decree Paxos by key, with a stable proposer. A proposer prepares a ballot at a majority, takes over
-//! the value accepted under the highest ballot, and then has its own values accepted without preparing again until another
-//! proposer prepares a higher ballot. While the set of replicas changes, both the old and the new set must agree.
+//! # What is agreed on
 //!
-//! The steps are pure, and are what the model checker explores:
+//! Every key is a register of its own: version `seq` of the key has one value. The three documents
+//! (configuration, layout, server list) are replicated on all core disks, any other key on three
+//! store disks ([`placement`]). Different keys are not ordered against each other.
+//!
+//! # Protocol and invariant
+//!
+//! The protocol is single-decree Paxos by key, with a stable proposer. A proposer *prepares* a
+//! ballot at a majority, takes over the value accepted under the highest ballot that the promises
+//! report, and has it *accepted* under its own ballot. From then on it has its own versions
+//! accepted without another prepare round, until a second proposer prepares a higher ballot.
+//!
+//! The invariant: once a majority has accepted version `seq` under a ballot, every proposer that
+//! prepares a higher ballot finds this value or a newer one. It holds because any two majorities
+//! share a replica, because a replica accepts under the ballot promised last only, and because a
+//! replica answers only after its record is synced to disk. While the set of replicas changes, a
+//! quorum is a majority of the old set and of the new one ([`quorum`]).
+//!
+//! # Where stale writers are fenced
+//!
+//! The acceptor is the fence ([`acceptor::handle`]). It rejects a ballot other than the one
+//! promised last, a proposer that goes by an older layout than the replica, and takes no vote on a
+//! damaged record. A vote counts only if it comes from the disk that was asked: a disk that lost
+//! its data has a new identity. The permit that [`RegisterClient::restrict`] sets spares proposers
+//! from preempting each other; no safety rests on it.
+//!
+//! # Modules
+//!
+//! Pure steps, which the model checker explores:
 //! - [`message`]: ballots, requests and replies;
 //! - [`acceptor`]: what a replica does with a request;
 //! - [`quorum`]: the replicas of a key, and what a majority of them is;
 //! - [`proposer`]: what a proposer concludes from replies.
 //!
-//! The rest does the input and output: [`replica`] keeps an acceptor's records on disk (`restore` puts them right after a
-//! failed write), [`client`] sends the requests (`poll`), and
-//! [`placement`] says which disks hold a key.
+//! Input and output:
+//! - [`client`]: reads, changes, repairs and erases keys (`replica_call` sends one request to one
+//!   replica);
+//! - [`replica`]: keeps the acceptor's records on disk (`restore` rewrites them after a failed
+//!   write);
+//! - [`placement`]: which disks replicate a key.
 
 pub mod acceptor;
 pub mod client;
 pub mod message;
 pub mod placement;
-mod poll;
 pub mod proposer;
 pub mod quorum;
 pub mod replica;
+mod replica_call;
 mod restore;
 
 pub use client::{RegisterClient, Step};
--- a/yewcross-common/src/register/placement.rs
+++ b/yewcross-common/src/register/placement.rs
@@ -1,4 +1,4 @@
-//! Which disks hold a key.
+//! Placement: which disks replicate a key.
 
 use super::quorum::{ReplicaSet, Seat};
 use crate::constants::STORE_COPIES;
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 impl Layout {
-    /// Whether the disk is in a set that is in force, the old ones of a change under way among
-    /// them.
+    /// Whether the disk is in a set that is in force, which includes the previous sets of a change
+    /// under way.
     pub fn has_seat(&self, disk: &str) -> bool {
         let sets = [
             &self.core.current,
@@ -20,8 +20,8 @@
         sets.iter().any(|set| set.iter().any(|seat| seat == disk))
     }
 
-    /// The disks that a key lives on: all core disks for the documents, three store disks for the
-    /// rest.
+    /// The group whose disks replicate a key: the core disks for the documents, the store disks for
+    /// all other keys.
     pub fn group(&self, key: &str) -> &ReplicaGroup {
         if DOCS.contains(&key) {
             &self.core
@@ -30,28 +30,34 @@
         }
     }
 
-    /// First choice first; no site holds two copies while another holds none. A disk of no known
-    /// site counts as one of its own.
+    /// The disks out of `disks` that replicate a key, most preferred first: all of them for a
+    /// document, [`STORE_COPIES`] for any other key. No site has two replicas while another has
+    /// none; a disk of no known site counts as a site of its own.
     pub fn replicas_for<'a>(&self, key: &str, disks: &'a [String]) -> Vec<&'a str> {
         let ranked = crate::hash::ranked(key, disks.iter().map(|disk| disk.as_str()));
         if DOCS.contains(&key) {
             return ranked;
         }
-        let site = |disk: &str| self.sites.get(disk).cloned().unwrap_or(disk.into());
-        let mut seen = BTreeSet::new();
-        let (first, rest): (Vec<&str>, Vec<&str>) =
-            ranked.into_iter().partition(|disk| seen.insert(site(disk)));
-        first.into_iter().chain(rest).take(STORE_COPIES).collect()
+        let site_of = |disk: &str| self.sites.get(disk).cloned().unwrap_or(disk.into());
+        let mut sites_seen = BTreeSet::new();
+        let (first_of_site, others): (Vec<&str>, Vec<&str>) = ranked
+            .into_iter()
+            .partition(|disk| sites_seen.insert(site_of(disk)));
+        first_of_site
+            .into_iter()
+            .chain(others)
+            .take(STORE_COPIES)
+            .collect()
     }
 }
 
 impl ReplicaSet {
-    /// The replicas of a key among the group's disks.
+    /// The replicas of a key under a layout. `address_of` finds the machine of a disk.
     pub fn of(
         key: &str,
         layout: &Layout,
-        number: u64,
-        address: impl Fn(&str) -> Option<SocketAddr>,
+        layout_version: u64,
+        address_of: impl Fn(&str) -> Option<SocketAddr>,
     ) -> ReplicaSet {
         let group = layout.group(key);
         let seats = |disks: &[String]| -> Vec<Seat> {
@@ -60,12 +66,12 @@
                 .into_iter()
                 .map(|disk| Seat {
                     disk: disk.into(),
-                    addr: address(disk),
+                    addr: address_of(disk),
                 })
                 .collect()
         };
         ReplicaSet {
-            layout_version: number,
+            layout_version,
             current: seats(&group.current),
             previous: seats(&group.previous),
         }
--- a/yewcross-control/src/layout/sweep.rs
+++ b/yewcross-control/src/layout/sweep.rs
@@ -98,11 +98,11 @@
 
 /// Documents are brought to all their copies by the process that proposes, and by nobody else.
 async fn tend_document(control: &Arc<Control>, name: &str) -> bool {
-    if control.lease_term().is_none() || control.registers.uniform(name).await {
+    if control.lease_term().is_none() || control.registers.is_uniform(name).await {
         return true;
     }
     control.counts.tended.fetch_add(1, SeqCst);
-    control.registers.tend(name).await
+    control.registers.repair(name).await
 }
 
 /// Layout number that wrote the sets that this disk may have a seat in: changes of other seats do
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -612,7 +612,7 @@
     loop {
         control.runtime.sleep(10 * SEC).await;
         control.registers.prune();
-        for b in control.registers.holding("budget/") {
+        for b in control.registers.cached_keys("budget/") {
             control.store.audit(b.trim_start_matches("budget/")).await;
         }
     }
--- a/yewcross-state/src/records/mod.rs
+++ b/yewcross-state/src/records/mod.rs
@@ -87,7 +87,7 @@
                 used,
             } => (self.settle(&budget, &entry, used).await, vec![]),
             PeerRequest::RepairKey { key } => (
-                if self.owner.tend(&key).await {
+                if self.owner.repair(&key).await {
                     PeerResponse::Ok
                 } else {
                     PeerResponse::Rejected(Code::Undecided)
--- a/yewcross-testkit/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -87,7 +87,7 @@
                     let other = cores.iter().find(|n| **n != victim).unwrap().clone();
                     cut(&t, &victim, how);
                     t.op.sleep(NOTICED).await;
-                    let takes = t.at(&victim).unwrap().registers.takes.load(SeqCst);
+                    let takes = t.at(&victim).unwrap().registers.prepared_ballots.load(SeqCst);
                     for base in 5..12u64 {
                         let next = format!("{} b", base + 1);
                         assert_eq!(
@@ -119,7 +119,7 @@
                     let c = t.at(&victim).unwrap();
                     assert!(!c.has_quorum_contact());
                     assert_eq!(
-                        c.registers.takes.load(SeqCst),
+                        c.registers.prepared_ballots.load(SeqCst),
                         takes,
                         "it takes keys from their owners\n{}",
                         tell(&t)
--- a/yewcross-testkit/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -29,7 +29,7 @@
         .lock()
         .unwrap()
         .values()
-        .map(|control| control.registers.takes.load(SeqCst))
+        .map(|control| control.registers.prepared_ballots.load(SeqCst))
         .sum()
 }
 
--- a/yewcross-testkit/tests/orders.rs
+++ b/yewcross-testkit/tests/orders.rs
@@ -80,7 +80,7 @@
                     .lock()
                     .unwrap()
                     .values()
-                    .map(|c| c.registers.takes.load(SeqCst))
+                    .map(|c| c.registers.prepared_ballots.load(SeqCst))
                     .sum::<u64>()
             };
             let before = takes(&tier);
--- a/yewcross-testkit/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -49,7 +49,7 @@
                     .change(KEY, 2 * SEC, append("first"))
                     .await
                     .unwrap();
-                assert!(owner(&lab, "store1").tend(KEY).await);
+                assert!(owner(&lab, "store1").repair(KEY).await);
                 lab.sim.freeze(machine("store3"));
                 while owner(&lab, "store1")
                     .change(KEY, 2 * SEC, append("second"))
@@ -146,7 +146,7 @@
             .await
             .unwrap();
     }
-    assert!(owner(lab, "store2").tend(KEY).await);
+    assert!(owner(lab, "store2").repair(KEY).await);
 }
 
 /// What each store reads once all of them are there.
