--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -371,7 +371,7 @@
         Err(why) => {
             return p.refused.push(InvalidSetting {
                 path: "layout".into(),
-                why,
+                why: why.to_string(),
             });
         }
         Ok(None) => return,
--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -99,7 +99,7 @@
         if !quorum_contact::reach_quorum(self).await {
             return RetireState::Away;
         }
-        layout::retired(self, node).await
+        layout::retirement_state(self, node).await
     }
 
     /// The tier is founded, this disk works, and no younger process carries this name.
--- a/yewcross-control/src/duty.rs
+++ b/yewcross-control/src/duty.rs
@@ -181,7 +181,7 @@
                 .log(if now { "on duty" } else { "off duty" });
         }
         let rest = if now {
-            layout::tend_seats(&control).await
+            layout::maintain_replicas(&control).await
         } else {
             SEC
         };
@@ -209,7 +209,7 @@
 async fn tend_layout(control: Arc<Control>) {
     loop {
         if control.on_duty() {
-            layout::tend_layout(&control).await;
+            layout::maintain_manual_layout(&control).await;
         }
         control.runtime.sleep(500 * MS).await;
     }
@@ -225,7 +225,9 @@
         control
             .runtime
             .spawn(config::find_late_documents(control.clone()));
-        control.runtime.spawn(layout::found_self(control.clone()));
+        control
+            .runtime
+            .spawn(layout::bootstrap_automatically(control.clone()));
         control.runtime.spawn(keep_seats(control.clone()));
     } else {
         control.founded.store(true, SeqCst);
--- /dev/null
+++ b/yewcross-control/src/layout/error.rs
@@ -0,0 +1,76 @@
+//! Why a change of the replica assignment was rejected.
+
+use snafu::Snafu;
+use yewcross_common::error_code::Code;
+use yewcross_common::process_settings::Role;
+
+/// Why an operator's bootstrap or change of disks was not carried out.
+#[derive(Debug, PartialEq, Eq, Snafu)]
+#[snafu(visibility(pub(super)))]
+pub enum LayoutError {
+    /// The bootstrap names a machine that is not known in that role, or has no disk.
+    #[snafu(display("{machine} is not a known {role:?} machine with a disk"))]
+    UnknownMachine { machine: String, role: Role },
+    /// The bootstrap names too few machines.
+    #[snafu(display("at least three core and three store machines are needed"))]
+    TooFewMachines,
+    /// A core machine did not accept the first layout.
+    #[snafu(display("{machine} is founded otherwise or cannot be reached"))]
+    BootstrapRejected { machine: String },
+    /// The first documents may or may not have been decided.
+    #[snafu(display("founding is not yet decided; send it again"))]
+    BootstrapUndecided,
+    /// The change does not fit the layout.
+    #[snafu(display("{source}"), context(false))]
+    Invalid { source: DiskChangeError },
+    /// There is no layout to change.
+    #[snafu(display(""))]
+    NotBootstrapped,
+    /// The change may or may not have been decided.
+    #[snafu(display(""))]
+    ChangeUndecided,
+    /// No majority of the core disks answered; nothing was changed.
+    #[snafu(display(""))]
+    NoMajority,
+}
+
+impl LayoutError {
+    /// The code that an operator is answered with.
+    pub fn code(&self) -> Code {
+        match self {
+            LayoutError::UnknownMachine { .. }
+            | LayoutError::TooFewMachines
+            | LayoutError::Invalid { .. } => Code::BadLayout,
+            LayoutError::BootstrapRejected { .. } => Code::Conflict,
+            LayoutError::BootstrapUndecided | LayoutError::ChangeUndecided => Code::Undecided,
+            LayoutError::NotBootstrapped => Code::NotFounded,
+            LayoutError::NoMajority => Code::NoMajority,
+        }
+    }
+
+    /// Code and text of the operator's answer.
+    pub fn into_code_and_text(self) -> (Code, String) {
+        (self.code(), self.to_string())
+    }
+}
+
+/// Why a change of disks does not fit a layout.
+#[derive(Debug, PartialEq, Eq, Snafu)]
+#[snafu(visibility(pub(super)))]
+pub enum DiskChangeError {
+    /// The disk or machine to be removed is no replica.
+    #[snafu(display("{disk} has no seat"))]
+    NotAReplica { disk: String },
+    /// The disk or machine to be added is not known, or has no disk.
+    #[snafu(display("{disk} is not a live machine with a disk"))]
+    NotLive { disk: String },
+    /// Manual changes are made one at a time.
+    #[snafu(display("another change of disks is under way"))]
+    AnotherUnderWay,
+    /// The machine to be added has the role of the other group.
+    #[snafu(display("a core seat needs a core machine, a store seat a store machine"))]
+    OtherRole,
+    /// The group would be smaller than it may be.
+    #[snafu(display("too few disks would be left"))]
+    TooFewLeft,
+}
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -1,207 +1,268 @@
-//! Changes of disks that an operator orders, for a tier that is kept by hand.
+//! Changes of disks that an operator orders, for a tier that is maintained manually.
 
-use super::{planning, report, spread};
+use super::error::{DiskChangeError, LayoutError};
+use super::planning::{self, GROUPS_BY_URGENCY};
+use super::{LAYOUT, VersionedLayout, publish_newest, report};
 use crate::Control;
+use serde::Serialize;
 use std::sync::Arc;
-use yewcross_common::constants::*;
-use yewcross_common::error_code::Code;
+use yewcross_common::constants::{PUT_WAIT, SEAT_REPORT_WAIT, STORE_COPIES};
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
-use yewcross_common::protocol::*;
-use yewcross_common::register::*;
+use yewcross_common::protocol::Layout;
+use yewcross_common::register::{ChangeError, Step};
 
+/// A change of disks. Disks are named by their identity or by the name of their machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Move {
+    /// Removes a replica; what it stores is transferred to others first.
     Empty(String),
+    /// Adds a replica.
     Admit(String),
+    /// Replaces the first disk by the second.
     Replace(String, String),
 }
 
-/// The layout that a change would begin with, `None` if it already stands; the planner asks the
+/// How far an outgoing replica of a change under way is. Operators read it as a JSON array of three.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+#[serde(into = "(String, bool, u64)")]
+pub struct ReplicaProgress {
+    /// Identity of the disk.
+    pub disk: String,
+    /// Whether all that it stores has reached the incoming set.
+    pub is_swept: bool,
+    /// How many keys it has yet to transfer.
+    pub keys_left: u64,
+}
+
+impl From<ReplicaProgress> for (String, bool, u64) {
+    fn from(progress: ReplicaProgress) -> Self {
+        (progress.disk, progress.is_swept, progress.keys_left)
+    }
+}
+
+/// The layout that a change of disks begins with; `None` if the disks are assigned like that
+/// already. `node_of` finds a live machine by its name or its disk. The capacity planner asks the
 /// same.
 pub fn propose(
-    l: &Layout,
-    seq: u64,
-    m: &Move,
-    of: impl Fn(&str) -> Option<Node>,
-) -> Result<Option<Layout>, String> {
-    let mut l = l.clone();
-    let seated = |d: &String| l.store.current.contains(d) || l.core.current.contains(d);
-    let seat = |d: &str| {
-        let by_name = l
-            .names
-            .iter()
-            .find(|x| x.1 == d && seated(x.0))
-            .map(|x| x.0.clone());
-        if l.names.contains_key(d) {
-            Some(d.to_string())
-        } else {
-            by_name
-        }
-    };
-    let (out, put) = match m {
-        Move::Empty(d) => (Some(d), None),
-        Move::Admit(d) => (None, Some(d)),
-        Move::Replace(a, b) => (Some(a), Some(b)),
+    layout: &Layout,
+    version: u64,
+    change: &Move,
+    node_of: impl Fn(&str) -> Option<Node>,
+) -> Result<Option<Layout>, DiskChangeError> {
+    let (removed, added) = match change {
+        Move::Empty(removed) => (Some(removed), None),
+        Move::Admit(added) => (None, Some(added)),
+        Move::Replace(removed, added) => (Some(removed), Some(added)),
     };
-    let out = out
-        .map(|d| seat(d).ok_or(format!("{d} has no seat")))
+    let removed = removed
+        .map(|wanted| {
+            replica_disk(layout, wanted).ok_or_else(|| DiskChangeError::NotAReplica {
+                disk: wanted.clone(),
+            })
+        })
         .transpose()?;
-    let put = put
-        .map(|d| {
-            of(d)
-                .filter(|n| !n.disk.is_empty())
-                .ok_or(format!("{d} is not a live machine with a disk"))
+    let added = added
+        .map(|wanted| {
+            node_of(wanted)
+                .filter(|node| !node.disk.is_empty())
+                .ok_or_else(|| DiskChangeError::NotLive {
+                    disk: wanted.clone(),
+                })
         })
         .transpose()?;
-    let of_core = |d: &String| l.core.current.contains(d) || l.core.previous.contains(d);
-    let core = out
-        .as_ref()
-        .map(of_core)
-        .unwrap_or(put.as_ref().is_some_and(|n| n.role == Role::Core));
-    let mut was = if core {
-        l.core.current.clone()
-    } else {
-        l.store.current.clone()
-    };
-    was.sort();
-    let mut now = was.clone();
-    now.retain(|d| Some(d) != out.as_ref());
-    now.extend(
-        put.iter()
-            .map(|n| n.disk.clone())
-            .filter(|d| !was.contains(d)),
-    );
-    now.sort();
-    if now == was {
+    let role = changed_role(layout, removed.as_ref(), added.as_ref());
+
+    let mut before = planning::group(layout, role).current.clone();
+    before.sort();
+    let mut after = before.clone();
+    after.retain(|disk| Some(disk) != removed.as_ref());
+    if let Some(node) = added.as_ref().filter(|node| !before.contains(&node.disk)) {
+        after.push(node.disk.clone());
+    }
+    after.sort();
+    if after == before {
         return Ok(None);
     }
-    if !l.core.previous.is_empty() || !l.store.previous.is_empty() {
-        return Err("another change of disks is under way".into());
+    if layout.core.is_changing() || layout.store.is_changing() {
+        return Err(DiskChangeError::AnotherUnderWay);
+    }
+    let is_core = role == Role::Core;
+    if added
+        .as_ref()
+        .is_some_and(|node| (node.role == Role::Core) != is_core)
+    {
+        return Err(DiskChangeError::OtherRole);
+    }
+    if after.len() < STORE_COPIES {
+        return Err(DiskChangeError::TooFewLeft);
     }
-    if put.as_ref().is_some_and(|n| (n.role == Role::Core) != core) {
-        return Err("a core seat needs a core machine, a store seat a store machine".into());
+    let mut next = layout.clone();
+    if let Some(node) = added {
+        next.names.insert(node.disk.clone(), node.name);
+        next.sites.insert(node.disk, node.site);
     }
-    if now.len() < STORE_COPIES {
-        return Err("too few disks would be left".into());
+    planning::start_change(&mut next, version, role, after);
+    Ok(Some(next))
+}
+
+/// The disk that an operator means by its identity, or by the name of a replica's machine.
+fn replica_disk(layout: &Layout, wanted: &str) -> Option<String> {
+    if layout.names.contains_key(wanted) {
+        return Some(wanted.to_string());
     }
-    l.names
-        .extend(put.iter().map(|n| (n.disk.clone(), n.name.clone())));
-    l.sites
-        .extend(put.iter().map(|n| (n.disk.clone(), n.site.clone())));
-    let g = if core { &mut l.core } else { &mut l.store };
-    g.previous = std::mem::replace(&mut g.current, now);
-    g.since = seq + 1;
-    l.change_started = seq + 1;
-    Ok(Some(l))
+    let is_replica =
+        |disk: &String| layout.store.current.contains(disk) || layout.core.current.contains(disk);
+    layout
+        .names
+        .iter()
+        .find(|(disk, machine)| *machine == wanted && is_replica(disk))
+        .map(|(disk, _)| disk.clone())
 }
 
-/// Begins a change of disks. The same change asked again is no new one.
-pub async fn begin(control: &Arc<Control>, m: Move) -> Result<u64, (Code, String)> {
+/// The role whose group changes: that of the removed disk, or else that of the added machine.
+fn changed_role(layout: &Layout, removed: Option<&String>, added: Option<&Node>) -> Role {
+    let is_core = match removed {
+        Some(disk) => layout.core.current.contains(disk) || layout.core.previous.contains(disk),
+        None => added.is_some_and(|node| node.role == Role::Core),
+    };
+    if is_core { Role::Core } else { Role::Store }
+}
+
+/// Begins a change of disks, and returns the version of the layout that has it. A change that is
+/// ordered again after it began is not begun anew.
+pub async fn begin(control: &Arc<Control>, change: Move) -> Result<u64, LayoutError> {
     let view = control.members.view.load_full();
-    let of = |d: &str| view.values().find(|n| n.disk == d || n.name == d).cloned();
-    let got = control
+    let node_of = |wanted: &str| {
+        view.values()
+            .find(|node| node.disk == wanted || node.name == wanted)
+            .cloned()
+    };
+    let outcome = control
         .registers
-        .change("layout", PUT_WAIT, |seq, v| {
-            let Ok(l) = serde_json::from_slice::<Layout>(v) else {
-                return Step::Keep(Err((Code::NotFounded, String::new())));
+        .change(LAYOUT, PUT_WAIT, |version, content| {
+            let Ok(layout) = serde_json::from_slice::<Layout>(content) else {
+                return Step::Keep(Err(LayoutError::NotBootstrapped));
             };
-            match propose(&l, seq, &m, of) {
-                Err(why) => Step::Keep(Err((Code::BadLayout, why))),
-                Ok(None) => Step::Keep(Ok(seq)),
-                Ok(Some(n)) => Step::Write(serde_json::to_vec(&n).unwrap_or_default(), Ok(seq + 1)),
+            match propose(&layout, version, &change, node_of) {
+                Err(source) => Step::Keep(Err(source.into())),
+                Ok(None) => Step::Keep(Ok(version)),
+                Ok(Some(next)) => Step::Write(
+                    serde_json::to_vec(&next).unwrap_or_default(),
+                    Ok(version + 1),
+                ),
             }
         })
         .await;
-    let r = got.unwrap_or_else(|t| {
-        Err((
-            if t == ChangeError::Undecided {
-                Code::Undecided
-            } else {
-                Code::NoMajority
-            },
-            String::new(),
-        ))
-    });
-    spread(control).await;
-    r
+    publish_newest(control).await;
+    match outcome {
+        Ok(begun) => begun,
+        Err(ChangeError::Undecided) => Err(LayoutError::ChangeUndecided),
+        Err(ChangeError::NotDone | ChangeError::NotProposer) => Err(LayoutError::NoMajority),
+    }
 }
 
-/// Of each outgoing seat of the changes under way: whether it has kept this layout and found all
-/// its keys whole under it, and how many it has yet to bring.
-pub async fn progress(control: &Arc<Control>) -> (u64, Vec<(String, bool, u64)>) {
-    let l = control.documents.layout.load_full();
-    let mut filled = vec![];
-    for role in planning::IN_ORDER_OF_DANGER {
-        let seats = planning::group(&l.1, role);
-        for disk in &seats.previous {
-            let told = report::ask(control, disk, l.1.since(seats, l.0), SEAT_REPORT_WAIT).await;
-            filled.push(told.map_or((disk.clone(), false, 0), |(r, left)| {
-                (r.disk, r.swept, left)
-            }));
+/// The version of the layout, and how far each outgoing replica of the changes under way is. One
+/// that does not answer counts as not swept.
+pub async fn progress(control: &Arc<Control>) -> (u64, Vec<ReplicaProgress>) {
+    let adopted = control.documents.layout.load_full();
+    let (version, layout) = &*adopted;
+    let adopted = VersionedLayout {
+        version: *version,
+        layout,
+    };
+    let mut replicas = vec![];
+    for role in GROUPS_BY_URGENCY {
+        for disk in &adopted.group(role).previous {
+            let report = report::ask(control, disk, adopted.since(role), SEAT_REPORT_WAIT).await;
+            let (is_swept, keys_left) = report.map_or((false, 0), |report| {
+                (report.replica.swept, report.keys_left)
+            });
+            replicas.push(ReplicaProgress {
+                disk: disk.clone(),
+                is_swept,
+                keys_left,
+            });
         }
     }
-    (l.0, filled)
+    (*version, replicas)
 }
 
-/// The layout duty: finishes changes, and replaces the disk of a machine that came back empty.
-pub async fn tend_layout(control: &Arc<Control>) {
-    let l = control.documents.layout.load_full();
-    if l.0 == 0 {
+/// Looks at the layout once: ends changes that may end and, where none is under way, replaces the
+/// disk of a machine that came back empty.
+pub async fn maintain_manual_layout(control: &Arc<Control>) {
+    let adopted = control.documents.layout.load_full();
+    let (version, layout) = &*adopted;
+    if *version == 0 {
         return;
     }
-    if l.1.core.previous.is_empty() && l.1.store.previous.is_empty() {
-        let back = control.members.view.load().values().find_map(|n| {
-            let seats = if n.role == Role::Core {
-                &l.1.core.current
-            } else {
-                &l.1.store.current
-            };
-            let lost =
-                l.1.names
-                    .iter()
-                    .find(|x| *x.1 == n.name && seats.contains(x.0) && *x.0 != n.disk)?
-                    .0
-                    .clone();
-            (n.role != Role::Front && !n.disk.is_empty() && !l.1.names.contains_key(&n.disk))
-                .then(|| (lost, n.disk.clone()))
-        });
-        if let Some((a, b)) = back.filter(|_| control.duty_term().is_some()) {
-            control
-                .runtime
-                .log(&format!("disk {a} came back empty as {b}"));
-            let _ = begin(control, Move::Replace(a, b)).await;
-        }
-        return;
+    if layout.core.is_changing() || layout.store.is_changing() {
+        return finish_if_swept(control, *version).await;
     }
-    let (at, v) = progress(control).await;
-    let done = v.iter().filter(|x| x.1).count();
-    if at != l.0 || done + control.settings.bounds.lost < v.len() {
+    if let Some(replaced) = replaced_disk(control, layout).filter(|_| control.duty_term().is_some())
+    {
+        let ReplacedDisk { lost, empty } = replaced;
+        control
+            .runtime
+            .log(&format!("disk {lost} came back empty as {empty}"));
+        // Another look at the layout tries again whatever could not be done.
+        let _ = begin(control, Move::Replace(lost, empty)).await;
+    }
+}
+
+/// A machine that came back with another disk.
+struct ReplacedDisk {
+    lost: String,
+    empty: String,
+}
+
+/// The first machine found that has a replica's name and an unknown disk.
+fn replaced_disk(control: &Control, layout: &Layout) -> Option<ReplacedDisk> {
+    control.members.view.load().values().find_map(|node| {
+        let replicas = &planning::group(layout, node.role).current;
+        let (lost, _) = layout.names.iter().find(|(disk, machine)| {
+            **machine == node.name && replicas.contains(disk) && **disk != node.disk
+        })?;
+        let is_new_disk = node.role != Role::Front
+            && !node.disk.is_empty()
+            && !layout.names.contains_key(&node.disk);
+        is_new_disk.then(|| ReplacedDisk {
+            lost: lost.clone(),
+            empty: node.disk.clone(),
+        })
+    })
+}
+
+/// Ends all changes under way in layout `planned_on` if enough outgoing replicas have swept.
+async fn finish_if_swept(control: &Arc<Control>, planned_on: u64) {
+    let (version, replicas) = progress(control).await;
+    let swept = replicas.iter().filter(|replica| replica.is_swept).count();
+    if version != planned_on || swept + control.settings.bounds.lost < replicas.len() {
         return;
     }
     let Some(term) = control.duty_term() else {
         return;
     };
-    let got = control
+    let ended = control
         .registers
-        .change("layout", PUT_WAIT, |seq, v| {
-            let Ok(mut l) = serde_json::from_slice::<Layout>(v) else {
+        .change(LAYOUT, PUT_WAIT, |version, content| {
+            let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
                 return Step::Keep(());
             };
-            if seq != at || !control.may_write(term, l.term) {
+            if version != planned_on || !control.may_write(term, layout.term) {
                 return Step::Keep(());
             }
-            l.term = term;
-            for role in planning::IN_ORDER_OF_DANGER {
-                if planning::group(&l, role).is_changing() {
-                    planning::end(&mut l, seq, role);
+            layout.term = term;
+            for role in GROUPS_BY_URGENCY {
+                if planning::group(&layout, role).is_changing() {
+                    planning::end(&mut layout, version, role);
                 }
             }
-            Step::Write(serde_json::to_vec(&l).unwrap_or_default(), ())
+            Step::Write(serde_json::to_vec(&layout).unwrap_or_default(), ())
         })
         .await;
-    if got.is_ok() {
+    if ended.is_ok() {
         control.runtime.log("change of disks done");
     }
-    spread(control).await;
+    publish_newest(control).await;
 }
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -1,10 +1,11 @@
-//! Decisions about seats as pure functions: which change begins, how one under way is amended, and
-//! when it may end.
+//! Decisions about the replica assignment as pure functions: which change begins, how a change under
+//! way is amended, and when it may end.
 //!
-//! The seats of the core and of the stores form two groups. Each goes through joint sets by itself:
-//! while a change is under way, whatever is decided needs enough of the incoming set (`now`) and
-//! enough of the outgoing one (`old`). The outgoing set stays in force until the change ends, so
-//! the incoming one may be amended at any time.
+//! The core replicas (voters) and the store replicas form two groups. Each changes through joint
+//! groups by itself: while a change is under way, every decision needs a quorum of the incoming set
+//! (`ReplicaGroup::current`) and a quorum of the outgoing one (`ReplicaGroup::previous`). The
+//! outgoing set stays in force until the change ends, so the incoming one may be amended at any
+//! time.
 
 use yewcross_common::constants::{SEAT_LOST, SEAT_MISSING};
 use yewcross_common::membership::{MemberState, Node};
@@ -12,95 +13,105 @@
 use yewcross_common::protocol::{Layout, ReplicaGroup};
 use yewcross_common::register::majority;
 
-/// The core first: nothing can be decided without its majority.
-pub const IN_ORDER_OF_DANGER: [Role; 2] = [Role::Core, Role::Store];
+/// The groups in the order in which they are looked at: the core first, since nothing can be decided
+/// without its majority.
+pub const GROUPS_BY_URGENCY: [Role; 2] = [Role::Core, Role::Store];
 
-/// What is known of the machines when seats are planned.
-pub struct Known<'a> {
+/// What is known of the machines when a change is planned.
+pub struct ClusterView<'a> {
     /// Machines that answer.
     pub live: &'a [Node],
-    /// All that were heard of lately, the gone among them.
+    /// All machines heard of lately, also those that are gone.
     pub heard: &'a [Node],
-    /// us that the machine of a seat has been missing.
+    /// How long the machine of a disk has been missing, in us; 0 if it is not.
     pub missing: &'a dyn Fn(&str) -> u64,
-    /// Disk machines that may be lost at once.
+    /// How many machines with disks may be lost at once.
     pub lost: usize,
 }
 
-/// What a disk says of a change: the newest layout that it keeps, and whether all that it held is
-/// where the incoming set needs it.
+/// A disk's report of a change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeatReport {
+pub struct ReplicaReport {
+    /// The disk that reports.
     pub disk: String,
+    /// Version of the newest layout that it has persisted. It rejects requests by older layouts.
     pub kept: u64,
+    /// Whether all that it stores has reached the replicas that the incoming set requires.
     pub swept: bool,
 }
 
 /// The layout that the group's next step leads to: the beginning of a change, or an amendment of
-/// the one under way. `None` where nothing is to be done, or nothing yet. It takes effect only if
-/// layout number `seq` is still the newest.
-pub fn next_step(layout: &Layout, seq: u64, known: &Known, role: Role) -> Option<Layout> {
-    match group(layout, role).previous.is_empty() {
-        true => begin(layout, seq, known, role),
-        false => amend(layout, seq, known, role),
+/// the one under way. `None` if there is nothing to do, or nothing yet. The step is valid only while
+/// layout `version` is still the newest.
+pub fn next_step(layout: &Layout, version: u64, view: &ClusterView, role: Role) -> Option<Layout> {
+    if group(layout, role).is_changing() {
+        amend(layout, version, view, role)
+    } else {
+        begin(layout, version, view, role)
     }
 }
 
-/// Disks of so many seats that may be lost: fewer where there are too few for two quorums to meet.
-pub fn tolerated(seats: usize, lost: usize) -> usize {
-    lost.min(seats.saturating_sub(1) / 2)
+/// How many of `replicas` disks may be lost: at most `lost`, and fewer where the group is so small
+/// that two quorums would no longer intersect.
+pub fn tolerated(replicas: usize, lost: usize) -> usize {
+    lost.min(replicas.saturating_sub(1) / 2)
 }
 
-/// Whether so many outgoing core seats refuse older layouts that no majority of them is left for
-/// anyone who knows only the outgoing set.
-pub fn core_is_joint(group: &ReplicaGroup, since: u64, reports: &[SeatReport]) -> bool {
+/// Whether so many outgoing voters reject older layouts that nobody who knows only the outgoing set
+/// can find a majority of it any more.
+pub fn core_is_joint(group: &ReplicaGroup, since: u64, reports: &[ReplicaReport]) -> bool {
     let kept = reports
         .iter()
-        .filter(|r| group.previous.contains(&r.disk) && r.kept >= since)
+        .filter(|report| group.previous.contains(&report.disk) && report.kept >= since)
         .count();
-    kept >= majority(group.previous.len())
-        && group.previous.len() - kept < majority(group.previous.len())
+    let needed = majority(group.previous.len());
+    kept >= needed && group.previous.len() - kept < needed
 }
 
-/// Whether the stores' outgoing set is no longer needed: whatever was written under it is on one of
-/// these at least, and they brought what they held to the incoming set; and enough of that set
-/// refuse older layouts.
+/// Whether the outgoing set of the stores is no longer needed. Two conditions: everything written
+/// under it is on at least one disk that has swept to the incoming set, and enough of the incoming
+/// set reject older layouts.
 pub fn store_may_end(
     group: &ReplicaGroup,
     since: u64,
     lost: usize,
-    reports: &[SeatReport],
+    reports: &[ReplicaReport],
 ) -> bool {
-    let count = |set: &[String], ok: &dyn Fn(&SeatReport) -> bool| {
+    let count = |set: &[String], counts: &dyn Fn(&ReplicaReport) -> bool| {
         reports
             .iter()
-            .filter(|r| set.contains(&r.disk) && ok(r))
+            .filter(|report| set.contains(&report.disk) && counts(report))
             .count()
     };
-    let swept = count(&group.previous, &|r| r.swept);
-    let kept = count(&group.current, &|r| r.kept >= since);
+    let swept = count(&group.previous, &|report| report.swept);
+    let kept = count(&group.current, &|report| report.kept >= since);
     swept + tolerated(group.previous.len(), lost) >= group.previous.len()
         && kept + tolerated(group.current.len(), lost) >= group.current.len()
 }
 
 /// Ends the group's change: only the incoming set stays in force.
-pub fn end(layout: &mut Layout, seq: u64, role: Role) {
+pub fn end(layout: &mut Layout, version: u64, role: Role) {
     let ended = group_mut(layout, role);
     ended.previous.clear();
-    ended.since = seq + 1;
-    forget_unseated(layout);
+    ended.since = version + 1;
+    forget_unassigned(layout);
+}
+
+/// Drops names and sites of disks that are in neither group any more.
+fn forget_unassigned(layout: &mut Layout) {
+    let assigned: Vec<String> = all_disks(layout).cloned().collect();
+    layout.names.retain(|disk, _| assigned.contains(disk));
+    layout.sites.retain(|disk, _| assigned.contains(disk));
 }
 
-fn forget_unseated(layout: &mut Layout) {
-    let seated: Vec<String> = [&layout.core, &layout.store]
+/// Every disk that is a replica of either group, incoming or outgoing.
+pub fn all_disks(layout: &Layout) -> impl Iterator<Item = &String> {
+    [&layout.core, &layout.store]
         .into_iter()
-        .flat_map(|g| g.current.iter().chain(&g.previous))
-        .cloned()
-        .collect();
-    layout.names.retain(|disk, _| seated.contains(disk));
-    layout.sites.retain(|disk, _| seated.contains(disk));
+        .flat_map(|group| group.current.iter().chain(&group.previous))
 }
 
+/// The replica group of a role; any role but the core has the stores' group.
 pub fn group(layout: &Layout, role: Role) -> &ReplicaGroup {
     if role == Role::Core {
         &layout.core
@@ -109,6 +120,7 @@
     }
 }
 
+/// As [`group`], to be changed.
 pub fn group_mut(layout: &mut Layout, role: Role) -> &mut ReplicaGroup {
     if role == Role::Core {
         &mut layout.core
@@ -117,20 +129,21 @@
     }
 }
 
-fn begin(layout: &Layout, seq: u64, known: &Known, role: Role) -> Option<Layout> {
-    plan(layout, seq, known, role, true).or_else(|| plan(layout, seq, known, role, false))
+/// Retires machines if that is possible at all, and else plans without.
+fn begin(layout: &Layout, version: u64, view: &ClusterView, role: Role) -> Option<Layout> {
+    plan(layout, version, view, role, true).or_else(|| plan(layout, version, view, role, false))
 }
 
-/// A change under way whose seats were lost. Where a newcomer is gone it is planned anew from the
-/// outgoing set; where a seat that was to stay is lost, its successor is taken into the change.
-fn amend(layout: &Layout, seq: u64, known: &Known, role: Role) -> Option<Layout> {
+/// Amends a change under way that lost replicas. If an incoming disk is lost, the change is planned
+/// anew from the outgoing set; if a disk that was to stay is lost, its successor joins the change.
+fn amend(layout: &Layout, version: u64, view: &ClusterView, role: Role) -> Option<Layout> {
     let under_way = group(layout, role);
     let is_lost = |disk: &String| {
-        let came_back = known
+        let came_back_empty = view
             .live
             .iter()
-            .any(|n| n.disk != *disk && layout.names.get(disk) == Some(&n.name));
-        came_back || (known.missing)(disk) >= SEAT_MISSING
+            .any(|node| node.disk != *disk && layout.names.get(disk) == Some(&node.name));
+        came_back_empty || (view.missing)(disk) >= SEAT_MISSING
     };
     if !under_way.current.iter().any(is_lost) {
         return None;
@@ -138,117 +151,219 @@
     let newcomer_is_lost = under_way
         .current
         .iter()
-        .any(|d| !under_way.previous.contains(d) && is_lost(d));
+        .any(|disk| !under_way.previous.contains(disk) && is_lost(disk));
     let base = if newcomer_is_lost {
         &under_way.previous
     } else {
         &under_way.current
     };
-    let mut from = layout.clone();
-    *group_mut(&mut from, role) = ReplicaGroup {
+    let mut settled = layout.clone();
+    *group_mut(&mut settled, role) = ReplicaGroup {
         current: base.clone(),
         previous: vec![],
         since: under_way.since,
     };
     let planned = if newcomer_is_lost {
-        begin(&from, seq, known, role)
+        begin(&settled, version, view, role)
     } else {
-        plan(&from, seq, known, role, false)
+        plan(&settled, version, view, role, false)
     };
     match planned {
         Some(mut next) => {
             group_mut(&mut next, role).previous = under_way.previous.clone();
             (group(&next, role).current != under_way.current).then_some(next)
         }
+        // The outgoing set alone needs no change any more.
         None if newcomer_is_lost => {
-            end(&mut from, seq, role);
-            Some(from)
+            end(&mut settled, version, role);
+            Some(settled)
         }
         None => None,
     }
 }
 
-/// A change from a settled group: retired and lost seats first, then seats for disks that have
-/// none.
-fn plan(layout: &Layout, seq: u64, known: &Known, role: Role, retire: bool) -> Option<Layout> {
-    let seats = &group(layout, role).current;
-    let free: Vec<&Node> = known
-        .live
-        .iter()
-        .filter(|n| n.role == role && n.state == MemberState::Alive && !n.disk.is_empty())
-        .filter(|n| !seats.contains(&n.disk) && !layout.retired.contains(&n.name))
-        .collect();
-    let name = |disk: &String| layout.names.get(disk).cloned().unwrap_or_default();
-    let mut leaving: Vec<&String> = seats
-        .iter()
-        .filter(|d| retire && role == Role::Store && layout.retired.contains(&name(d)))
-        .collect();
-    let retires = !leaving.is_empty();
-    let mut joining: Vec<&Node> = vec![];
-    // A machine that came back empty, under its name or at its address.
-    for node in &free {
-        let was_here = |d: &&String| {
-            name(d) == node.name
-                || known
-                    .heard
-                    .iter()
-                    .any(|h| h.disk == **d && h.peer == node.peer)
+/// A change from a settled group. Retired and lost replicas are replaced first; then disks that are
+/// no replicas yet join.
+fn plan(
+    layout: &Layout,
+    version: u64,
+    view: &ClusterView,
+    role: Role,
+    may_retire: bool,
+) -> Option<Layout> {
+    let mut change = GroupChange::new(layout, view, role);
+    if may_retire && role == Role::Store {
+        change.remove_retired();
+    }
+    let retires = !change.leaving.is_empty();
+    change.replace_returned();
+    let unreplaced = change.replace_missing();
+    change.remove_lost(&unreplaced);
+
+    let current = change.resulting_set();
+    let is_short = role == Role::Store && current.len() < change.fewest();
+    let was_empty = change.replicas.is_empty();
+    if current == *change.replicas || current.is_empty() || (is_short && (retires || was_empty)) {
+        return None;
+    }
+    Some(change.into_layout(version, current))
+}
+
+/// A replica whose machine does not answer. The order is by time, then by disk.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct MissingReplica<'a> {
+    missing_us: u64,
+    disk: &'a String,
+}
+
+/// A change of one settled group while it is put together.
+struct GroupChange<'a> {
+    layout: &'a Layout,
+    view: &'a ClusterView<'a>,
+    role: Role,
+    /// The group as it is.
+    replicas: &'a [String],
+    /// Live machines whose disks are no replicas and may become ones.
+    free: Vec<&'a Node>,
+    leaving: Vec<&'a String>,
+    joining: Vec<&'a Node>,
+}
+
+impl<'a> GroupChange<'a> {
+    fn new(layout: &'a Layout, view: &'a ClusterView<'a>, role: Role) -> Self {
+        let replicas = &group(layout, role).current;
+        let is_free = |node: &&Node| {
+            node.role == role
+                && node.state == MemberState::Alive
+                && !node.disk.is_empty()
+                && !replicas.contains(&node.disk)
+                && !layout.retired.contains(&node.name)
         };
-        if let Some(disk) = seats.iter().find(|d| !leaving.contains(d) && was_here(d)) {
-            leaving.push(disk);
-            joining.push(node);
+        GroupChange {
+            layout,
+            view,
+            role,
+            replicas,
+            free: view.live.iter().filter(is_free).collect(),
+            leaving: vec![],
+            joining: vec![],
         }
     }
-    let mut missing: Vec<(u64, &String)> = seats
-        .iter()
-        .filter(|d| !leaving.contains(d))
-        .map(|d| ((known.missing)(d), d))
-        .filter(|x| x.0 > 0)
-        .collect();
-    missing.sort();
-    for node in free
-        .iter()
-        .filter(|n| !joining.iter().any(|j| j.disk == n.disk))
-        .collect::<Vec<_>>()
-    {
-        match missing.pop() {
-            Some((us, disk)) if us >= SEAT_MISSING => {
-                leaving.push(disk);
-                joining.push(node);
+
+    /// Fewest replicas with which as many losses as are tolerated leave a majority.
+    fn fewest(&self) -> usize {
+        2 * self.view.lost + 1
+    }
+
+    /// Name of the machine behind a disk; empty if unknown.
+    fn machine_name(&self, disk: &str) -> &str {
+        self.layout.names.get(disk).map_or("", String::as_str)
+    }
+
+    fn staying(&self) -> impl Iterator<Item = &'a String> {
+        self.replicas
+            .iter()
+            .filter(|disk| !self.leaving.contains(disk))
+    }
+
+    fn remove_retired(&mut self) {
+        self.leaving = self
+            .replicas
+            .iter()
+            .filter(|disk| self.layout.retired.contains(self.machine_name(disk)))
+            .collect();
+    }
+
+    /// Replaces the disk of each machine that came back empty, under its name or at its address.
+    fn replace_returned(&mut self) {
+        for node in self.free.clone() {
+            let returned = self
+                .staying()
+                .find(|disk| self.belonged_to(disk.as_str(), node));
+            if let Some(disk) = returned {
+                self.leaving.push(disk);
+                self.joining.push(node);
             }
-            // It may be back in a moment.
-            Some(_) => {}
-            None => joining.push(node),
         }
     }
-    // With a seat that nobody takes, a further loss would be one too many: fewer seats bear it.
-    let fewest = 2 * known.lost + 1;
-    let mut left = seats.len() + joining.len() - leaving.len();
-    for (_, disk) in missing.iter().rev().filter(|x| x.0 >= SEAT_LOST) {
-        if left > fewest {
-            leaving.push(disk);
-            left -= 1;
+
+    fn belonged_to(&self, disk: &str, node: &Node) -> bool {
+        let is_at_its_address = |other: &Node| other.disk == disk && other.peer == node.peer;
+        self.machine_name(disk) == node.name || self.view.heard.iter().any(is_at_its_address)
+    }
+
+    /// Replaces the replicas missing longest by free disks, and lets the other free disks join.
+    /// Returns the missing replicas that no disk was left for, in ascending order of time.
+    fn replace_missing(&mut self) -> Vec<MissingReplica<'a>> {
+        let mut missing: Vec<MissingReplica> = self
+            .staying()
+            .map(|disk| MissingReplica {
+                missing_us: (self.view.missing)(disk),
+                disk,
+            })
+            .filter(|replica| replica.missing_us > 0)
+            .collect();
+        missing.sort();
+        let is_joining = |node: &&Node| self.joining.iter().any(|other| other.disk == node.disk);
+        let free: Vec<&Node> = self
+            .free
+            .iter()
+            .copied()
+            .filter(|node| !is_joining(node))
+            .collect();
+        for node in free {
+            match missing.pop() {
+                Some(replica) if replica.missing_us >= SEAT_MISSING => {
+                    self.leaving.push(replica.disk);
+                    self.joining.push(node);
+                }
+                // Its machine may be back in a moment: the free disk waits for that.
+                Some(_) => {}
+                None => self.joining.push(node),
+            }
         }
+        missing
     }
-    let mut now: Vec<String> = seats
-        .iter()
-        .filter(|d| !leaving.contains(d))
-        .cloned()
-        .collect();
-    now.extend(joining.iter().map(|n| n.disk.clone()));
-    now.sort();
-    let short = role == Role::Store && now.len() < fewest;
-    if now == *seats || now.is_empty() || (short && (retires || seats.is_empty())) {
-        return None;
+
+    /// Removes lost replicas that no disk replaces, while enough remain. Kept in the group, a lost
+    /// replica would make the next loss one too many; a smaller group bears that loss.
+    fn remove_lost(&mut self, unreplaced: &[MissingReplica<'a>]) {
+        let mut remaining = self.replicas.len() + self.joining.len() - self.leaving.len();
+        let lost = unreplaced
+            .iter()
+            .rev()
+            .filter(|replica| replica.missing_us >= SEAT_LOST);
+        for replica in lost {
+            if remaining > self.fewest() {
+                self.leaving.push(replica.disk);
+                remaining -= 1;
+            }
+        }
+    }
+
+    fn resulting_set(&self) -> Vec<String> {
+        let joining = self.joining.iter().map(|node| &node.disk);
+        let mut current: Vec<String> = self.staying().chain(joining).cloned().collect();
+        current.sort();
+        current
     }
-    let mut next = layout.clone();
-    next.names
-        .extend(joining.iter().map(|n| (n.disk.clone(), n.name.clone())));
-    next.sites
-        .extend(joining.iter().map(|n| (n.disk.clone(), n.site.clone())));
-    let changed = group_mut(&mut next, role);
-    changed.previous = std::mem::replace(&mut changed.current, now);
-    changed.since = seq + 1;
-    next.change_started = seq + 1;
-    Some(next)
+
+    /// The layout in which this change is under way.
+    fn into_layout(self, version: u64, current: Vec<String>) -> Layout {
+        let mut next = self.layout.clone();
+        for node in self.joining {
+            next.names.insert(node.disk.clone(), node.name.clone());
+            next.sites.insert(node.disk.clone(), node.site.clone());
+        }
+        start_change(&mut next, version, self.role, current);
+        next
+    }
+}
+
+/// Puts a change to the set `current` under way, on top of layout `version`.
+pub(super) fn start_change(layout: &mut Layout, version: u64, role: Role, current: Vec<String>) {
+    let changed = group_mut(layout, role);
+    changed.previous = std::mem::replace(&mut changed.current, current);
+    changed.since = version + 1;
+    layout.change_started = version + 1;
 }
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -1,8 +1,9 @@
-//! What disks report of a change of seats. The question names the disk that is meant and the answer
-//! the disk that gives it: a machine that came back empty at its address does not answer for the
-//! disk it lost.
+//! Reports of disks on a change of the replica assignment.
+//!
+//! The request names the disk that is meant and the response the disk that answers: a machine that
+//! came back empty at its address does not answer for the disk that it lost.
 
-use super::planning::SeatReport;
+use super::planning::ReplicaReport;
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -10,84 +11,94 @@
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::runtime::BoxFuture;
 
-/// This disk's own report of the change that layout number `since` began.
+/// A report, and how many keys the disk has yet to transfer.
+pub(super) struct DetailedReport {
+    pub(super) replica: ReplicaReport,
+    pub(super) keys_left: u64,
+}
+
+/// This disk's own report of the change that layout `since` began.
 pub fn report(control: &Control, since: u64) -> PeerResponse {
-    let (chains_swept, chains_left) = control.chain.swept(since);
+    let (turns_swept, turns_left) = control.chain.swept(since);
     let kept = control.layout_kept();
-    let done = control.swept.load(SeqCst) >= since && kept >= since && chains_swept;
+    let keys_swept = control.swept.load(SeqCst) >= since;
     PeerResponse::SweepProgress {
-        done,
-        left: control.sweep_left.load(SeqCst) + chains_left,
+        done: keys_swept && kept >= since && turns_swept,
+        left: control.sweep_left.load(SeqCst) + turns_left,
         kept,
         disk: control.storage.disk_id.clone(),
     }
 }
 
-/// Asks one disk; also how many keys it has yet to bring.
-pub async fn ask(
+/// Asks one disk for its report; `None` if it does not answer within `timeout_us`.
+pub(super) async fn ask(
     control: &Arc<Control>,
     disk: &str,
     since: u64,
-    us: u64,
-) -> Option<(SeatReport, u64)> {
+    timeout_us: u64,
+) -> Option<DetailedReport> {
     let mut may_be_unnamed = false;
-    let answer = if disk == control.storage.disk_id {
+    let response = if disk == control.storage.disk_id {
         report(control, since)
     } else {
         let node = control.members.by_disk(disk)?;
-        let question = PeerRequest::SweepProgress {
+        let request = PeerRequest::SweepProgress {
             layout: since,
             disk: disk.into(),
         };
-        let answer = control
+        let (response, _) = control
             .peers
-            .request(node.peer, &question, &[], us)
+            .request(node.peer, &request, &[], timeout_us)
             .await
-            .ok()?
-            .0;
+            .ok()?;
         may_be_unnamed = control.peers.version(node.peer) < WIRE_NAMED_DISKS;
-        answer
+        response
+    };
+    let PeerResponse::SweepProgress {
+        done,
+        left,
+        kept,
+        disk: answering,
+    } = response
+    else {
+        return None;
     };
-    match answer {
-        PeerResponse::SweepProgress {
-            done,
-            left,
+    let speaks_for_disk = answering == disk || (answering.is_empty() && may_be_unnamed);
+    speaks_for_disk.then(|| DetailedReport {
+        replica: ReplicaReport {
+            disk: disk.into(),
             kept,
-            disk: by,
-        } if by == disk || (by.is_empty() && may_be_unnamed) => Some((
-            SeatReport {
-                disk: disk.into(),
-                kept,
-                swept: done,
-            },
-            left,
-        )),
-        _ => None,
-    }
+            swept: done,
+        },
+        keys_left: left,
+    })
 }
 
-/// Asks all of the disks at once; ends when what was reported is `enough`, all have answered, or
-/// the wait is over.
-pub async fn survey(
+/// Asks all of the disks at once. Returns when the reports are `enough`, when all have answered, or
+/// after `timeout_us`.
+pub(super) async fn survey(
     control: &Arc<Control>,
     disks: &[String],
     since: u64,
-    us: u64,
-    enough: impl Fn(&[SeatReport]) -> bool,
-) -> Vec<SeatReport> {
-    let questions: Vec<BoxFuture<'static, Option<SeatReport>>> = disks
+    timeout_us: u64,
+    enough: impl Fn(&[ReplicaReport]) -> bool,
+) -> Vec<ReplicaReport> {
+    let requests: Vec<BoxFuture<'static, Option<ReplicaReport>>> = disks
         .iter()
         .map(|disk| {
-            let (me, disk) = (control.clone(), disk.clone());
-            let question: BoxFuture<'static, _> =
-                Box::pin(async move { ask(&me, &disk, since, us).await.map(|x| x.0) });
-            question
+            let (control, disk) = (control.clone(), disk.clone());
+            let request: BoxFuture<'static, _> = Box::pin(async move {
+                let report = ask(&control, &disk, since, timeout_us).await?;
+                Some(report.replica)
+            });
+            request
         })
         .collect();
-    let (asked, answers) = (questions.len(), control.runtime.spawn_all(questions));
+    let pending = requests.len();
+    let responses = control.runtime.spawn_all(requests);
     let mut reports = vec![];
-    for _ in 0..asked {
-        reports.extend(answers.recv().await.ok().flatten());
+    for _ in 0..pending {
+        reports.extend(responses.recv().await.ok().flatten());
         if enough(&reports) {
             break;
         }
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -1,31 +1,29 @@
-//! Retiring a store machine: what it holds goes to others before it is told to be finished.
+//! Retires a store machine: its data goes to other machines before it is reported as finished.
+//!
+//! An order only marks the machine as retired in the layout. `maintain_replicas` then removes its
+//! disk from the store group by an ordinary change.
 
-use crate::api::*;
+use super::{DecidedLayout, LAYOUT};
+use crate::api::{RetireBegin, RetireState};
 use crate::proposer::{self, NotAnswered};
 use crate::{Control, config};
 use std::sync::Arc;
-use yewcross_common::constants::*;
+use yewcross_common::constants::{PEER_WAIT, SEC};
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Role;
-use yewcross_common::protocol::*;
-use yewcross_common::register::*;
+use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse};
+use yewcross_common::register::Step;
 
-/// Has it written down that a store machine is to be emptied, here or by the process that proposes.
+/// Has a store machine marked as retired, here or by the process that proposes.
 pub async fn retire(control: &Arc<Control>, node: &str) -> RetireBegin {
-    let until = control.runtime.now() + PEER_WAIT;
-    while control.runtime.now() < until {
+    let deadline = control.runtime.now() + PEER_WAIT;
+    while control.runtime.now() < deadline {
         if control.duty_term().is_some() {
-            return retire_here(control, node).await;
+            return mark_retired(control, node).await;
         }
-        let question = PeerRequest::ForwardRetire { node: node.into() };
-        match proposer::forward(
-            control,
-            &question,
-            &[],
-            until.saturating_sub(control.runtime.now()),
-        )
-        .await
-        {
+        let request = PeerRequest::ForwardRetire { node: node.into() };
+        let remaining = deadline.saturating_sub(control.runtime.now());
+        match proposer::forward(control, &request, &[], remaining).await {
             Ok((PeerResponse::RetireAnswer(answer), _)) => return answer,
             Err(NotAnswered::NoProposer) => proposer::wait_for_one(control).await,
             _ => return RetireBegin::Away,
@@ -34,90 +32,116 @@
     RetireBegin::Away
 }
 
-/// The same for an order that another core passed on.
+/// Handles an order that another core forwarded.
 pub async fn retire_forwarded(control: &Arc<Control>, node: &str) -> PeerResponse {
     match control.duty_term() {
-        Some(_) => PeerResponse::RetireAnswer(retire_here(control, node).await),
+        Some(_) => PeerResponse::RetireAnswer(mark_retired(control, node).await),
         None => PeerResponse::Rejected(Code::NotOnDuty),
     }
 }
 
-/// Writes down that a store machine is to be emptied; the layout duty does it.
-async fn retire_here(control: &Arc<Control>, node: &str) -> RetireBegin {
+/// What became of an order when the register decided it.
+enum Marking {
+    /// Nothing was written.
+    Unchanged(RetireBegin),
+    /// The machine is marked now.
+    Marked(DecidedLayout),
+}
+
+async fn mark_retired(control: &Arc<Control>, node: &str) -> RetireBegin {
     if control.documents.layout.load().0 == 0 {
         return RetireBegin::Away;
     }
-    let fewest = 2 * control.settings.bounds.lost + 1;
-    let known = control
+    let fewest_stores = 2 * control.settings.bounds.lost + 1;
+    let is_known_store = control
         .members
         .all()
         .iter()
-        .any(|n| n.name == node && n.role == Role::Store);
-    let got = control
+        .any(|member| member.name == node && member.role == Role::Store);
+    let marking = control
         .registers
-        .change("layout", SEC, |seq, v| {
-            let Ok(mut l) = serde_json::from_slice::<Layout>(v) else {
-                return Step::Keep((RetireBegin::Away, 0, vec![]));
+        .change(LAYOUT, SEC, |version, content| {
+            let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
+                return Step::Keep(Marking::Unchanged(RetireBegin::Away));
             };
-            if l.retired.contains(node) {
-                return Step::Keep((RetireBegin::Begun, 0, vec![]));
-            }
-            let named = |d: &&String| l.names.get(*d).is_some_and(|n| n == node);
-            let seated = l
-                .store
-                .current
-                .iter()
-                .chain(&l.store.previous)
-                .any(|d| named(&d));
-            if !seated && !known {
-                return Step::Keep((RetireBegin::Unknown, 0, vec![]));
-            }
-            let left = l
-                .store
-                .current
-                .iter()
-                .filter(|d| !named(d) && !l.names.get(*d).is_some_and(|n| l.retired.contains(n)))
-                .count();
-            if left < fewest {
-                return Step::Keep((RetireBegin::TooFew, 0, vec![]));
+            if let Some(answer) = answer_unchanged(&layout, node, is_known_store, fewest_stores) {
+                return Step::Keep(Marking::Unchanged(answer));
             }
-            l.retired.insert(node.into());
-            let raw = serde_json::to_vec(&l).unwrap_or_default();
-            Step::Write(raw.clone(), (RetireBegin::Begun, seq + 1, raw))
+            layout.retired.insert(node.into());
+            let content = serde_json::to_vec(&layout).unwrap_or_default();
+            let decided = DecidedLayout {
+                version: version + 1,
+                content: content.clone(),
+            };
+            Step::Write(content, Marking::Marked(decided))
         })
         .await;
-    match got {
-        Ok((r, seq, raw)) => {
-            if seq > 0 {
-                control.runtime.log(&format!("{node} is to retire"));
-                config::push(control, "layout", seq, raw);
-            }
-            r
+    match marking {
+        Ok(Marking::Marked(decided)) => {
+            control.runtime.log(&format!("{node} is to retire"));
+            config::push(control, LAYOUT, decided.version, decided.content);
+            RetireBegin::Begun
         }
+        Ok(Marking::Unchanged(answer)) => answer,
         Err(_) => RetireBegin::Away,
     }
 }
 
-pub async fn retired(control: &Arc<Control>, node: &str) -> RetireState {
+/// The answer to an order that changes nothing; `None` if the machine is to be marked.
+fn answer_unchanged(
+    layout: &Layout,
+    node: &str,
+    is_known_store: bool,
+    fewest_stores: usize,
+) -> Option<RetireBegin> {
+    if layout.retired.contains(node) {
+        return Some(RetireBegin::Begun);
+    }
+    if !is_known_store && !is_store_replica(layout, node) {
+        return Some(RetireBegin::Unknown);
+    }
+    let machine_stays = |disk: &&String| match layout.names.get(*disk) {
+        Some(machine) => machine != node && !layout.retired.contains(machine),
+        None => true,
+    };
+    let staying = layout.store.current.iter().filter(machine_stays).count();
+    (staying < fewest_stores).then_some(RetireBegin::TooFew)
+}
+
+/// Whether the machine's disk is a store replica, incoming or outgoing.
+fn is_store_replica(layout: &Layout, node: &str) -> bool {
+    layout
+        .store
+        .current
+        .iter()
+        .chain(&layout.store.previous)
+        .any(|disk| {
+            layout
+                .names
+                .get(disk)
+                .is_some_and(|machine| machine == node)
+        })
+}
+
+/// How far the retirement of a store machine is, by the newest decided layout.
+pub async fn retirement_state(control: &Arc<Control>, node: &str) -> RetireState {
     if control.documents.layout.load().0 == 0 {
         return RetireState::Away;
     }
-    let Ok((seq, epoch, raw)) = proposer::newest(control, "layout", PEER_WAIT).await else {
+    let Ok((version, epoch, content)) = proposer::newest(control, LAYOUT, PEER_WAIT).await else {
         return RetireState::Away;
     };
-    let Ok(l) = serde_json::from_slice::<Layout>(&raw) else {
+    let Ok(layout) = serde_json::from_slice::<Layout>(&content) else {
         return RetireState::Away;
     };
-    control.documents.apply("layout", seq, epoch, raw.to_vec());
-    let there = |g: &ReplicaGroup| {
-        g.current
-            .iter()
-            .chain(&g.previous)
-            .any(|d| l.names.get(d).is_some_and(|n| n == node))
-    };
-    match (l.retired.contains(node), there(&l.store)) {
-        (false, _) => RetireState::Unknown,
-        (true, true) => RetireState::Running,
-        (true, false) => RetireState::Finished,
+    control
+        .documents
+        .apply(LAYOUT, version, epoch, content.to_vec());
+    if !layout.retired.contains(node) {
+        RetireState::Unknown
+    } else if is_store_replica(&layout, node) {
+        RetireState::Running
+    } else {
+        RetireState::Finished
     }
 }
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -231,7 +231,7 @@
 
 /// All at once: each waits for its own disks only.
 async fn take_documents(c: &Arc<Control>) -> bool {
-    if c.options.tends && !layout::first_documents(c).await {
+    if c.options.tends && !layout::decide_first_documents(c).await {
         return false;
     }
     let documents: &[&'static str] = if c.options.tends { &DOCS } else { &FENCED };
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -263,7 +263,7 @@
         if c.options.tends {
             runtime.spawn(keep_peers(c.clone(), kept_peers));
         }
-        runtime.spawn(layout::sweep(c.clone()));
+        runtime.spawn(layout::anti_entropy(c.clone()));
         runtime.spawn(tidy(c.clone()));
         runtime.spawn(disk_recovery::run(c.clone()));
         if c.settings.role == Role::Core {
@@ -406,7 +406,7 @@
             PeerRequest::AnnounceInForce { version: seq } => {
                 (config::proved(self, seq).await, vec![])
             }
-            PeerRequest::Bootstrap => (layout::found_here(self, blob).await, vec![]),
+            PeerRequest::Bootstrap => (layout::accept_first_layout(self, blob).await, vec![]),
             PeerRequest::Lease(ask) => (
                 PeerResponse::Lease(lease_granter::answer(self, &ask).await),
                 vec![],
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' HTTP: one function a request.
 
 use crate::config::{self, Put};
-use crate::layout::{self, Move};
+use crate::layout::{self, LayoutError, Move};
 use crate::{Control, duty};
 use http_types::{Method, Response};
 use serde_json::{Value, json};
@@ -76,7 +76,10 @@
         serde_json::from_value(v.as_ref()?.get(k)?.clone()).ok()
     };
     match (names("cores"), names("stores")) {
-        (Some(a), Some(b)) => match layout::found(control, &a, &b).await {
+        (Some(a), Some(b)) => match layout::bootstrap(control, &a, &b)
+            .await
+            .map_err(LayoutError::into_code_and_text)
+        {
             Ok(()) => reply(200, &json!({"founded": true})),
             Err((k, w)) => no(k, &w),
         },
@@ -176,7 +179,10 @@
 }
 
 async fn begin(control: &Arc<Control>, m: Move) -> Response {
-    match layout::begin(control, m).await {
+    match layout::begin(control, m)
+        .await
+        .map_err(LayoutError::into_code_and_text)
+    {
         Ok(v) => reply(200, &json!({"layout": v})),
         Err((k, w)) => no(k, &w),
     }
@@ -203,7 +209,7 @@
             .chain(&l.1.store.previous)
             .any(|x| x == id);
     let (_, p) = layout::progress(control).await;
-    let left: u64 = p.iter().map(|x| x.2).sum();
+    let left: u64 = p.iter().map(|x| x.keys_left).sum();
     reply(
         200,
         &json!({"disk": id, "seated": inn, "emptying": was && !inn, "safe_to_remove": !inn && !was, "keys_left": left}),
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -13,7 +13,7 @@
     LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse,
 };
 use yewcross_control::api::{ReadAnswer, RetireBegin, RetireState};
-use yewcross_control::layout::planning::{self, Known, SeatReport};
+use yewcross_control::layout::planning::{self, ClusterView, ReplicaReport};
 use yewcross_testkit::routed::tier::Plan;
 use yewcross_testkit::sim::Costs;
 use yewcross_testkit::tier::*;
@@ -488,8 +488,8 @@
     (l, live)
 }
 
-fn known<'a>(live: &'a [Node], missing: &'a dyn Fn(&str) -> u64) -> Known<'a> {
-    Known {
+fn known<'a>(live: &'a [Node], missing: &'a dyn Fn(&str) -> u64) -> ClusterView<'a> {
+    ClusterView {
         live,
         heard: live,
         missing,
@@ -579,7 +579,7 @@
         previous: disks(&["a", "b", "c"]),
         since: 7,
     };
-    let report = |disk: &str, kept: u64, swept: bool| SeatReport {
+    let report = |disk: &str, kept: u64, swept: bool| ReplicaReport {
         disk: disk.into(),
         kept,
         swept,
