--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -533,9 +533,10 @@
                     .map(|t| t.fronts.clone())
                     .filter(|l| !l.is_empty())
                     .collect();
-                p.refused.extend(yewcross_control::config::gone(&ls, |f| {
-                    c.nodes.iter().any(|n| n.name == f)
-                }));
+                p.refused
+                    .extend(yewcross_control::config::find_unavailable_group(&ls, |f| {
+                        c.nodes.iter().any(|n| n.name == f)
+                    }));
                 changed(&mut p, &now, &next);
                 turns(c, &mut p, (&now, &c.servers), (&next, &c.servers));
             }
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -1,12 +1,12 @@
 //! Sending a decided document to every node.
 //!
-//! Only decided documents are sent: what a majority of the core disks accepted under one epoch, as
-//! `RegisterClient::change`, `read` and `newest` return it. A sequence number is decided once, so a
-//! document that comes late, or from a process that has been superseded, is older than what its
-//! receiver holds, or the same.
+//! Only decided documents are sent: what a majority of the core disks accepted under one ballot, as
+//! `RegisterClient::change`, `read` and `newest` return it. A version is decided once, so a document
+//! that arrives late, or from a process that has been superseded, is older than what its receiver
+//! holds, or the same.
 //!
-//! The sender tells the other cores, and each core tells its share of the other nodes: no process
-//! sends to all. Versions that follow each other closely travel as one.
+//! The publisher sends to the other cores, and each core relays to its share of the other nodes: no
+//! process sends to all. Versions that follow each other closely travel as one.
 
 use crate::Control;
 use std::collections::BTreeMap;
@@ -19,47 +19,48 @@
 use yewcross_common::register::Ballot;
 use yewcross_common::transport::SendError;
 
-/// count. Times that the whole document is sent to a node whose answer is lost; it asks for news
-/// itself soon.
-const SENT_WHOLE: usize = 2;
+/// count. Attempts to send the complete document to a node whose answers are lost; after these the
+/// node finds it by its own polls.
+const FULL_SEND_ATTEMPTS: usize = 2;
 
-/// Documents on their way from this process.
+/// The documents that this process is publishing.
 #[derive(Default)]
-pub struct Outbox {
-    /// The version sent last, by document; a document stands here while it is being sent.
-    sending: Mutex<BTreeMap<&'static str, Arc<DocumentVersion>>>,
+pub struct PendingPublications {
+    /// The version sent last, by document; an entry lasts while its document is being sent.
+    last_sent: Mutex<BTreeMap<&'static str, Arc<DocumentVersion>>>,
 }
 
-/// What is told to every node.
+/// What is sent to every node.
 #[derive(Clone)]
-pub enum Notice {
+pub(super) enum Announcement {
     /// A decided version of a document.
     Document {
         name: String,
-        seq: u64,
-        change: Option<Arc<Change>>,
+        version: u64,
+        /// How it differs from the version sent before; none where it is sent in full.
+        change: Option<Arc<DocumentChange>>,
     },
     /// Servers that the platform shows as leaving.
-    Departed(Arc<Vec<String>>),
+    ServersLeaving(Arc<Vec<String>>),
 }
 
 /// What turns one version of a document into the next one sent.
-pub struct Change {
-    pub base: u64,
-    pub base_digest: String,
-    pub delta: Vec<u8>,
+pub(crate) struct DocumentChange {
+    pub(crate) base: u64,
+    pub(crate) base_digest: String,
+    pub(crate) delta: Vec<u8>,
 }
 
-impl Change {
-    /// None where the whole document is hardly longer.
-    fn between(before: &DocumentVersion, now: &DocumentVersion) -> Option<Arc<Change>> {
+impl DocumentChange {
+    /// None where the full document is hardly longer.
+    fn between(before: &DocumentVersion, after: &DocumentVersion) -> Option<Arc<DocumentChange>> {
         if before.version == 0 {
             return None;
         }
-        let delta = yewcross_common::documents::delta::encode(&before.content, &now.content);
-        let worth_it = 2 * delta.len() < now.content.len();
-        worth_it.then(|| {
-            Arc::new(Change {
+        let delta = yewcross_common::documents::delta::encode(&before.content, &after.content);
+        let is_worth_it = 2 * delta.len() < after.content.len();
+        is_worth_it.then(|| {
+            Arc::new(DocumentChange {
                 base: before.version,
                 base_digest: yewcross_common::hash::content_digest(&before.content),
                 delta,
@@ -68,180 +69,197 @@
     }
 }
 
-/// Takes a decided document on hand and tells every node of it; whoever misses it asks for it soon.
-pub fn push(c: &Arc<Control>, name: &'static str, seq: u64, document: Vec<u8>) {
-    let before = c.documents.document(name);
-    c.documents.apply(name, seq, Ballot::default(), document);
-    if c.outbox.sending.lock().unwrap().contains_key(name) {
+/// Applies a decided document here and sends it to every node; a node that misses it finds it by
+/// its own polls.
+pub fn publish(control: &Arc<Control>, name: &'static str, version: u64, content: Vec<u8>) {
+    let before = control.documents.document(name);
+    control
+        .documents
+        .apply(name, version, Ballot::default(), content);
+    let last_sent = &control.publications.last_sent;
+    if last_sent.lock().unwrap().contains_key(name) {
         return;
     }
-    c.outbox.sending.lock().unwrap().insert(name, before);
-    let control = c.clone();
-    c.runtime.spawn(async move {
-        while let Some(notice) = next_notice(&control, name) {
-            tell_all(&control, notice);
-            control.runtime.sleep(PUSH_EVERY).await;
+    last_sent.lock().unwrap().insert(name, before);
+    let publisher = control.clone();
+    control.runtime.spawn(async move {
+        while let Some(announcement) = next_announcement(&publisher, name) {
+            send_to_all(&publisher, announcement);
+            publisher.runtime.sleep(PUSH_EVERY).await;
         }
     });
 }
 
-/// What has come since the version sent last; none ends the sending.
-fn next_notice(control: &Control, name: &'static str) -> Option<Notice> {
-    let mut sending = control.outbox.sending.lock().unwrap();
-    let (now, sent) = (control.documents.document(name), sending.get(name)?.clone());
-    if now.version <= sent.version {
-        sending.remove(name);
+/// What was applied since the version sent last; none ends the sending.
+fn next_announcement(control: &Control, name: &'static str) -> Option<Announcement> {
+    let mut last_sent = control.publications.last_sent.lock().unwrap();
+    let newest = control.documents.document(name);
+    let sent = last_sent.get(name)?.clone();
+    if newest.version <= sent.version {
+        last_sent.remove(name);
         return None;
     }
-    sending.insert(name, now.clone());
-    Some(Notice::Document {
+    last_sent.insert(name, newest.clone());
+    Some(Announcement::Document {
         name: name.into(),
-        seq: now.version,
-        change: Change::between(&sent, &now),
+        version: newest.version,
+        change: DocumentChange::between(&sent, &newest),
     })
 }
 
-/// Tells every node of the version on hand, whole.
-pub fn tell_all_of(control: &Arc<Control>, name: &str) {
-    tell_all(
-        control,
-        Notice::Document {
-            name: name.into(),
-            seq: control.documents.document(name).version,
-            change: None,
-        },
-    );
+/// Sends the applied version of a document to every node, in full.
+pub fn publish_current(control: &Arc<Control>, name: &str) {
+    let announcement = Announcement::Document {
+        name: name.into(),
+        version: control.documents.document(name).version,
+        change: None,
+    };
+    send_to_all(control, announcement);
 }
 
-/// Tells all nodes at once that the platform shows servers as leaving.
-pub fn push_departures(c: &Arc<Control>, servers: Vec<String>) {
-    if c.documents.mark_leaving(&servers) {
-        tell_all(c, Notice::Departed(Arc::new(servers)));
+/// Marks servers as leaving and tells every node at once, where any of them was not marked yet.
+pub fn publish_departures(control: &Arc<Control>, servers: Vec<String>) {
+    if control.documents.mark_leaving(&servers) {
+        send_to_all(control, Announcement::ServersLeaving(Arc::new(servers)));
     }
 }
 
-/// Tells the other cores, which tell it on, and this process's own share of the nodes.
-fn tell_all(c: &Arc<Control>, notice: Notice) {
-    let view = c.members.view.load();
-    let cores: Vec<Node> = view
+/// Sends to the other cores, which relay it, and to this process's own share of the nodes. The
+/// share of a core that is not reached is served from here.
+fn send_to_all(control: &Arc<Control>, announcement: Announcement) {
+    let view = control.members.view.load();
+    let other_cores: Vec<Node> = view
         .values()
-        .filter(|node| node.role == Role::Core && node.name != c.settings.name)
+        .filter(|node| node.role == Role::Core && node.name != control.settings.name)
         .cloned()
         .collect();
-    let mut relays: Vec<String> = cores.iter().map(|core| core.name.clone()).collect();
-    relays.push(c.settings.name.clone());
+    let mut relays: Vec<String> = other_cores.iter().map(|core| core.name.clone()).collect();
+    relays.push(control.settings.name.clone());
     let relays = Arc::new(relays);
-    for core in cores {
-        let (control, notice, relays) = (c.clone(), notice.clone(), relays.clone());
-        c.runtime.spawn(async move {
-            if !notice.tell(&control, &core, &relays).await {
-                tell_share(&control, &notice, &relays, &core.name);
+    for core in other_cores {
+        let sender = control.clone();
+        let announcement = announcement.clone();
+        let relays = relays.clone();
+        control.runtime.spawn(async move {
+            if !announcement.send(&sender, &core, &relays).await {
+                send_to_share(&sender, &announcement, &relays, &core.name);
             }
         });
     }
-    tell_share(c, &notice, &relays, &c.settings.name);
+    send_to_share(control, &announcement, &relays, &control.settings.name);
 }
 
-/// Tells on what another process sent to all.
-pub fn relay(c: &Arc<Control>, notice: Notice, relays: &[String]) {
-    if relays.contains(&c.settings.name) {
-        tell_share(c, &notice, relays, &c.settings.name);
+/// Sends what another process announced to this process's share of the nodes, where it is among
+/// the relays.
+pub(super) fn relay(control: &Arc<Control>, announcement: Announcement, relays: &[String]) {
+    if relays.contains(&control.settings.name) {
+        send_to_share(control, &announcement, relays, &control.settings.name);
     }
 }
 
-/// Tells the nodes that fall to one of the relays.
-fn tell_share(c: &Arc<Control>, notice: &Notice, relays: &[String], relay: &str) {
+/// Sends to the nodes that fall to one of the relays.
+fn send_to_share(
+    control: &Arc<Control>,
+    announcement: &Announcement,
+    relays: &[String],
+    relay: &str,
+) {
     let falls_to_relay = |node: &Node| {
-        yewcross_common::hash::ranked(&node.name, relays.iter().map(|r| r.as_str())).first()
-            == Some(&relay)
+        let names = relays.iter().map(|name| name.as_str());
+        yewcross_common::hash::ranked(&node.name, names).first() == Some(&relay)
     };
-    let view = c.members.view.load();
+    let view = control.members.view.load();
     for node in view
         .values()
         .filter(|node| node.role != Role::Core && falls_to_relay(node))
     {
-        let (control, node, notice) = (c.clone(), node.clone(), notice.clone());
-        c.runtime.spawn(async move {
-            notice.tell(&control, &node, &[]).await;
+        let (sender, node, announcement) = (control.clone(), node.clone(), announcement.clone());
+        control.runtime.spawn(async move {
+            announcement.send(&sender, &node, &[]).await;
         });
     }
 }
 
-impl Notice {
+impl Announcement {
     /// Whether the node was reached.
-    async fn tell(&self, control: &Arc<Control>, node: &Node, relays: &[String]) -> bool {
+    async fn send(&self, control: &Arc<Control>, node: &Node, relays: &[String]) -> bool {
         match self {
-            Notice::Departed(servers) => {
-                let question = PeerRequest::ServersLeaving {
+            Announcement::ServersLeaving(servers) => {
+                let request = PeerRequest::ServersLeaving {
                     servers: servers.to_vec(),
                     relays: relays.to_vec(),
                 };
                 control
                     .peers
-                    .request(node.peer, &question, &[], PEER_WAIT)
+                    .request(node.peer, &request, &[], PEER_WAIT)
                     .await
                     .is_ok()
             }
-            Notice::Document { name, seq, change } => {
-                tell_document(control, node, name, *seq, change.as_deref(), relays).await
-            }
+            Announcement::Document {
+                name,
+                version,
+                change: None,
+            } => send_in_full(control, node, name, *version, relays.to_vec()).await,
+            Announcement::Document {
+                name,
+                version,
+                change: Some(change),
+            } => send_change(control, node, name, *version, change, relays).await,
         }
     }
 }
 
-async fn tell_document(
+/// Sends the change, and the full document to a node that could not apply it. That node has relayed
+/// the change already, so the full document names no relays.
+async fn send_change(
     control: &Arc<Control>,
     node: &Node,
     name: &str,
-    seq: u64,
-    change: Option<&Change>,
+    version: u64,
+    change: &DocumentChange,
     relays: &[String],
 ) -> bool {
-    let mut relays = relays.to_vec();
-    if let Some(change) = change {
-        let patch = PeerRequest::PublishDelta {
-            name: name.into(),
-            version: seq,
-            epoch: Ballot::default(),
-            base: change.base,
-            base_digest: change.base_digest.clone(),
-            relays: std::mem::take(&mut relays),
-        };
-        match control
-            .peers
-            .request(node.peer, &patch, &change.delta, PEER_WAIT)
-            .await
-        {
-            Ok((PeerResponse::DocumentApplied { version: held }, _)) if held >= seq => return true,
-            Ok(_) => {}
-            Err(SendError::NotSent | SendError::OutcomeUnknown) => return false,
-        }
+    let request = PeerRequest::PublishDelta {
+        name: name.into(),
+        version,
+        epoch: Ballot::default(),
+        base: change.base,
+        base_digest: change.base_digest.clone(),
+        relays: relays.to_vec(),
+    };
+    match control
+        .peers
+        .request(node.peer, &request, &change.delta, PEER_WAIT)
+        .await
+    {
+        Ok((PeerResponse::DocumentApplied { version: applied }, _)) if applied >= version => true,
+        Ok(_) => send_in_full(control, node, name, version, vec![]).await,
+        Err(SendError::NotSent | SendError::OutcomeUnknown) => false,
     }
-    tell_whole(control, node, name, seq, relays).await
 }
 
-/// Sends the version on hand, where that is the one meant or a newer one.
-async fn tell_whole(
+/// Sends the applied version, where that is the announced one or a newer one.
+async fn send_in_full(
     control: &Arc<Control>,
     node: &Node,
     name: &str,
-    seq: u64,
+    version: u64,
     relays: Vec<String>,
 ) -> bool {
-    let page = control.documents.document(name);
-    if page.version < seq {
+    let document = control.documents.document(name);
+    if document.version < version {
         return true;
     }
-    let whole = PeerRequest::PublishDocument {
+    let request = PeerRequest::PublishDocument {
         name: name.into(),
-        version: page.version,
+        version: document.version,
         epoch: Ballot::default(),
         relays,
     };
-    for _ in 0..SENT_WHOLE {
+    for _ in 0..FULL_SEND_ATTEMPTS {
         match control
             .peers
-            .request(node.peer, &whole, &page.content, PEER_WAIT)
+            .request(node.peer, &request, &document.content, PEER_WAIT)
             .await
         {
             Ok(_) => return true,
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -1,26 +1,31 @@
-//! Operators' numbered orders: checked, decided by a majority of the core disks, then sent to every
-//! node.
+//! Operators' numbered orders: checked, decided by a majority of the core disks, then published to
+//! every node.
 //!
-//! An order is a whole configuration with a number of the operator's choice, on top of the version
-//! that it names. Of the orders on one version, one is taken. An order whose answer was lost is
-//! sent again as it was, to any node and at any time after: whatever was taken is known by its
-//! digest for a time, and is acknowledged again. Once the digest is gone, such an order is left
-//! without a clear answer; it is never refused.
+//! An order is a complete configuration with a number of the operator's choice, on top of the
+//! version that it names. Of the orders on one version, one is taken. An order whose answer was lost
+//! is sent again unchanged, to any node and at any later time: a taken order is known by its digest
+//! for a time, and is acknowledged again. Once the digest is gone, the outcome of such an order is
+//! left open; it is never rejected.
 
-use super::proved::{Put, put};
-use super::push;
+use super::publish;
+use super::put::{PutError, put};
 use crate::Control;
 use crate::api::{PutAnswer, Rollout};
 use crate::proposer::{self, NotAnswered};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::configuration::InvalidSetting;
-use yewcross_common::constants::*;
+use yewcross_common::constants::{
+    MS, ORDERS_KEPT, ORDERS_KEPT_ACKS, ORDERS_KEPT_MOST, ORDERS_KEPT_MS, ORDERS_WAITING,
+};
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Bounds;
 use yewcross_common::protocol::{ConfigDoc, PeerRequest, PeerResponse, TakenOrder};
 use yewcross_common::register::{ChangeError, Step};
 
+/// us. Bound of `answer_timeout`, however long `Bounds::ack` is.
+const ANSWER_TIMEOUT_MOST: u64 = 1_500 * MS;
+
 /// An operator's order, as it is decided.
 pub struct Order<'a> {
     /// The version that it builds on, by the operator's numbers where there are any.
@@ -28,10 +33,11 @@
     /// The operator's number; `None` where the tier numbers the versions.
     pub number: Option<u64>,
     pub text: &'a str,
-    /// Of this attempt, not of the order: a repeat has another.
+    /// Names this attempt, not the order: a repeat has another.
     pub attempt: &'a str,
-    /// ms since 1970 by the middle of the known clocks. Where few are known it may be wrong:
-    /// digests may then go early, down to `ORDERS_KEPT`, or stay, up to `ORDERS_KEPT_MOST`.
+    /// ms since 1970 by the median of the known clocks. Where few are known it may be wrong:
+    /// digests may then be dropped early, down to `ORDERS_KEPT`, or stay, up to
+    /// `ORDERS_KEPT_MOST`.
     pub now_ms: u64,
     /// ms that digests of taken orders are kept at least, as far as `ORDERS_KEPT_MOST` allows.
     pub kept_ms: u64,
@@ -48,7 +54,7 @@
     Invalid(Vec<InvalidSetting>),
     /// It may have been taken so long ago that its digest is gone.
     Forgotten,
-    /// The document in the register cannot be read; nothing is put in its place.
+    /// The document in the register cannot be read; it is not replaced.
     Unreadable,
 }
 
@@ -63,7 +69,7 @@
 }
 
 /// What an order makes of the register's value. Run again on a value that has its change, it comes
-/// to the same.
+/// to the same. An empty value is the document before the first order.
 pub fn decide(seq: u64, value: &[u8], order: &Order) -> Step<Decision> {
     let Ok(document) = ConfigDoc::decode(value) else {
         return Step::Keep(Decision::Unreadable);
@@ -73,27 +79,17 @@
     } else {
         seq
     };
-    let taken = |number| {
-        Step::Keep(Decision::Taken(TakenDocument {
-            number,
-            seq,
-            document: value.to_vec(),
-        }))
-    };
-    if document.text == order.text && !order.text.is_empty() {
-        return taken(current);
-    }
-    let earlier = remembered(&document);
-    if let Some(number) = order.number {
-        let digest = digest(order.text);
-        if earlier.iter().any(|o| o.digest == digest) {
-            return taken(number);
-        }
-        // What was taken had a number above its base, and whatever is forgotten is not above
-        // `forgotten`.
-        if order.base < number && number <= document.forgotten {
-            return Step::Keep(Decision::Forgotten);
+    let earlier = remembered_orders(&document);
+    match find_taken(&document, current, &earlier, order) {
+        Earlier::Taken { number } => {
+            return Step::Keep(Decision::Taken(TakenDocument {
+                number,
+                seq,
+                document: value.to_vec(),
+            }));
         }
+        Earlier::Forgotten => return Step::Keep(Decision::Forgotten),
+        Earlier::NotTaken => {}
     }
     if order.base != current {
         return Step::Keep(Decision::Conflict { current });
@@ -105,38 +101,67 @@
             why: format!("must be above {current}"),
         }]));
     }
-    let next = successor(&document, earlier, order);
-    match next.encode() {
-        Ok(raw) => Step::Write(
-            raw.clone(),
-            Decision::Taken(TakenDocument {
-                number,
-                seq: seq + 1,
-                document: raw,
-            }),
-        ),
-        Err(_) => Step::Keep(Decision::Unreadable),
+    let Ok(raw) = successor(&document, earlier, order).encode() else {
+        return Step::Keep(Decision::Unreadable);
+    };
+    let taken = TakenDocument {
+        number,
+        seq: seq + 1,
+        document: raw.clone(),
+    };
+    Step::Write(raw, Decision::Taken(taken))
+}
+
+/// What a document knows of an order from before.
+enum Earlier {
+    Taken {
+        number: u64,
+    },
+    /// It may have been taken; its digest is gone.
+    Forgotten,
+    NotTaken,
+}
+
+fn find_taken(
+    document: &ConfigDoc,
+    current: u64,
+    earlier: &[TakenOrder],
+    order: &Order,
+) -> Earlier {
+    if document.text == order.text && !order.text.is_empty() {
+        return Earlier::Taken { number: current };
+    }
+    let Some(number) = order.number else {
+        return Earlier::NotTaken;
+    };
+    let digest = text_digest(order.text);
+    if earlier.iter().any(|taken| taken.digest == digest) {
+        return Earlier::Taken { number };
+    }
+    // A taken order had a number above its base, and no forgotten one is above `forgotten`.
+    if order.base < number && number <= document.forgotten {
+        return Earlier::Forgotten;
     }
+    Earlier::NotTaken
 }
 
 /// The document after an order on top of another.
 fn successor(document: &ConfigDoc, mut earlier: Vec<TakenOrder>, order: &Order) -> ConfigDoc {
     let mut forgotten = document.forgotten;
-    let newest_ms = earlier.first().map_or(0, |o| o.taken_ms);
+    let newest_ms = earlier.first().map_or(0, |taken| taken.taken_ms);
+    // Ages never fall, whatever the clocks do.
     let now_ms = order.now_ms.max(newest_ms);
     if !document.text.is_empty() && order.number.is_some() {
-        earlier.insert(
-            0,
-            TakenOrder {
-                number: document.number,
-                digest: digest(&document.text),
-                taken_ms: now_ms,
-            },
-        );
-        let kept = kept(&earlier, now_ms, order.kept_ms);
+        let superseded = TakenOrder {
+            number: document.number,
+            digest: text_digest(&document.text),
+            taken_ms: now_ms,
+        };
+        earlier.insert(0, superseded);
+        let kept = count_kept(&earlier, now_ms, order.kept_ms);
         forgotten = earlier
             .get(kept)
-            .map_or(forgotten, |o| o.number.max(forgotten));
+            .map_or(forgotten, |dropped| dropped.number.max(forgotten));
         earlier.truncate(kept);
     }
     ConfigDoc {
@@ -150,31 +175,32 @@
 }
 
 /// How many of the digests, newest first, are kept.
-fn kept(orders: &[TakenOrder], now_ms: u64, kept_ms: u64) -> usize {
+fn count_kept(orders: &[TakenOrder], now_ms: u64, kept_ms: u64) -> usize {
     let young = orders
         .iter()
-        .take_while(|o| o.taken_ms + kept_ms >= now_ms)
+        .take_while(|taken| taken.taken_ms + kept_ms >= now_ms)
         .count();
     young.clamp(ORDERS_KEPT, ORDERS_KEPT_MOST).min(orders.len())
 }
 
-/// The digests of taken orders, newest first, wherever the document has them.
-fn remembered(document: &ConfigDoc) -> Vec<TakenOrder> {
+/// The digests of taken orders, newest first. Documents written before `orders` was added hold them
+/// in `past`.
+fn remembered_orders(document: &ConfigDoc) -> Vec<TakenOrder> {
     if !document.orders.is_empty() || document.number == 0 {
         return document.orders.clone();
     }
     document
         .past
         .iter()
-        .map(|p| TakenOrder {
-            number: p.0,
-            digest: p.1.clone(),
+        .map(|(number, digest, _)| TakenOrder {
+            number: *number,
+            digest: digest.clone(),
             taken_ms: 0,
         })
         .collect()
 }
 
-fn digest(text: &str) -> String {
+fn text_digest(text: &str) -> String {
     yewcross_common::hash::content_digest(text.as_bytes())
 }
 
@@ -184,92 +210,95 @@
     ORDERS_KEPT_MS.max(bounds.ack.saturating_mul(ORDERS_KEPT_ACKS))
 }
 
-/// us. An order that finds no majority is told so within this, so that the operator moves on.
-fn answer_within(c: &Control) -> u64 {
-    (c.settings.bounds.ack * MS / 4).min(1_500 * MS)
+/// us. An order that finds no majority is answered within this, so that the operator tries another
+/// node.
+fn answer_timeout(control: &Control) -> u64 {
+    (control.settings.bounds.ack * MS / 4).min(ANSWER_TIMEOUT_MOST)
+}
+
+/// us. The part of `answer_timeout` in which the order is to be decided; the rest is for the answer.
+fn decision_timeout(control: &Control) -> u64 {
+    answer_timeout(control) * 9 / 10
 }
 
 /// Checks an operator's text on top of version `base`, has it decided by a majority of core disks,
-/// and sends it out. Answers within a quarter of `Bounds::ack`.
-pub async fn order(c: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
+/// and publishes it. Answers within a quarter of `Bounds::ack`.
+pub async fn order(control: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
     let Ok(text) = String::from_utf8(text) else {
         return PutAnswer::Bad(vec![InvalidSetting {
             path: String::new(),
             why: "not UTF-8".into(),
         }]);
     };
-    if c.options.rollout == Rollout::Proved {
-        return order_under_leases(c, base, text).await;
+    if control.options.rollout == Rollout::Proved {
+        return order_under_leases(control, base, text).await;
     }
-    if let Err(faults) = c.options.dialect.read(text.as_bytes()) {
+    if let Err(faults) = control.options.dialect.read(text.as_bytes()) {
         return PutAnswer::Bad(faults);
     }
-    if c.documents.layout.load().0 == 0 {
+    if control.documents.layout.load().0 == 0 {
         return PutAnswer::NotFounded;
     }
-    c.counts.puts.fetch_add(1, SeqCst);
-    if let Some(answer) = answer_by_what_is_held(c, base, &text) {
+    control.counts.puts.fetch_add(1, SeqCst);
+    if let Some(answer) = answer_from_applied(control, base, &text) {
         return answer;
     }
-    let (answer_tx, answer) = async_channel::bounded(1);
-    let control = c.clone();
-    // It runs on its own: whoever asked may go, and half a change is never dropped.
-    c.runtime.spawn(async move {
-        let _ = answer_tx.try_send(order_by_proposer(&control, base, text).await);
+    let (answer_sender, answer) = async_channel::bounded(1);
+    let orderer = control.clone();
+    // A task of its own: whoever asked may go, and half a change is never dropped.
+    control.runtime.spawn(async move {
+        // Fails only where whoever asked has gone.
+        let _ = answer_sender.try_send(order_through_proposer(&orderer, base, text).await);
     });
-    let answer = c.runtime.timeout(answer_within(c), answer.recv()).await;
-    answer.and_then(|a| a.ok()).unwrap_or(PutAnswer::Undecided)
+    let answer = control
+        .runtime
+        .timeout(answer_timeout(control), answer.recv())
+        .await;
+    match answer {
+        Some(Ok(answer)) => answer,
+        _ => PutAnswer::Undecided,
+    }
 }
 
-/// What a decided document tells of an order for good: what it knows as taken stays taken. That an
-/// order is in conflict is told with the newest version, which only the proposer knows.
-fn answer_by_what_is_held(c: &Control, base: u64, text: &str) -> Option<PutAnswer> {
-    let page = c.documents.document("config");
+/// The answer that the applied document gives for good: what it knows as taken stays taken. A
+/// conflict is answered with the newest version, which only the proposer knows.
+fn answer_from_applied(control: &Control, base: u64, text: &str) -> Option<PutAnswer> {
+    let applied = control.documents.document("config");
     let order = Order {
         base,
-        number: c.options.dialect.number(text.as_bytes()),
+        number: control.options.dialect.number(text.as_bytes()),
         text,
         attempt: "",
         now_ms: 0,
         kept_ms: 0,
     };
-    match decide(page.version, &page.content, &order) {
+    match decide(applied.version, &applied.content, &order) {
         Step::Keep(Decision::Taken(taken)) => Some(PutAnswer::InForce(taken.number)),
         _ => None,
     }
 }
 
-/// Has an order decided by the process that proposes, this one or another.
-async fn order_by_proposer(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
-    let until = control.runtime.now() + answer_within(control) * 9 / 10;
+/// Has an order decided by the proposer, this process or another.
+async fn order_through_proposer(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
+    let deadline = control.runtime.now() + decision_timeout(control);
     let mut may_be_taken = false;
-    while control.runtime.now() < until {
-        let left = until.saturating_sub(control.runtime.now());
-        let answer = match control.duty_term() {
-            Some(_) => order_here(control, base, &text, left).await,
-            None => match proposer::forward(
-                control,
-                &PeerRequest::ForwardPut { base },
-                text.as_bytes(),
-                left,
-            )
-            .await
-            {
-                Ok((PeerResponse::PutAnswer(answer), _)) => Some(answer),
-                Err(NotAnswered::Unknown) => {
-                    may_be_taken = true;
-                    None
-                }
-                _ => None,
-            },
+    while control.runtime.now() < deadline {
+        let left = deadline.saturating_sub(control.runtime.now());
+        let outcome = match control.duty_term() {
+            Some(_) => order_as_proposer(control, base, &text, left)
+                .await
+                .ok_or(NotAnswered::NoProposer),
+            None => forward_order(control, base, &text, left).await,
         };
-        match answer {
-            Some(PutAnswer::NoMajority | PutAnswer::Busy) if may_be_taken => {
+        match outcome {
+            Ok(PutAnswer::NoMajority | PutAnswer::Busy) if may_be_taken => {
                 return PutAnswer::Undecided;
             }
-            Some(answer) => return answer,
-            None => proposer::wait_for_one(control).await,
+            Ok(answer) => return answer,
+            Err(NotAnswered::Unknown) => may_be_taken = true,
+            Err(NotAnswered::NoProposer) => {}
         }
+        proposer::wait_for_one(control).await;
     }
     if may_be_taken {
         PutAnswer::Undecided
@@ -278,19 +307,34 @@
     }
 }
 
-/// An order that another core passed on, which has checked its text.
-pub async fn take_forwarded(c: &Arc<Control>, base: u64, text: Vec<u8>) -> PeerResponse {
+async fn forward_order(
+    control: &Arc<Control>,
+    base: u64,
+    text: &str,
+    timeout: u64,
+) -> Result<PutAnswer, NotAnswered> {
+    let request = PeerRequest::ForwardPut { base };
+    match proposer::forward(control, &request, text.as_bytes(), timeout).await? {
+        (PeerResponse::PutAnswer(answer), _) => Ok(answer),
+        _ => Err(NotAnswered::NoProposer),
+    }
+}
+
+/// Decides an order that another core forwarded, which has checked its text.
+pub async fn take_forwarded(control: &Arc<Control>, base: u64, text: Vec<u8>) -> PeerResponse {
     let Ok(text) = String::from_utf8(text) else {
         return PeerResponse::Rejected(Code::BadConfig);
     };
-    if c.duty_term().is_none() {
+    if control.duty_term().is_none() {
         return PeerResponse::Rejected(Code::NotOnDuty);
     }
-    let (answer_tx, answer) = async_channel::bounded(1);
-    let control = c.clone();
-    c.runtime.spawn(async move {
-        let limit = answer_within(&control) * 9 / 10;
-        let _ = answer_tx.try_send(order_here(&control, base, &text, limit).await);
+    let (answer_sender, answer) = async_channel::bounded(1);
+    let orderer = control.clone();
+    // A task of its own, as in `order`.
+    control.runtime.spawn(async move {
+        let timeout = decision_timeout(&orderer);
+        // Fails only where whoever asked has gone.
+        let _ = answer_sender.try_send(order_as_proposer(&orderer, base, &text, timeout).await);
     });
     match answer.recv().await {
         Ok(Some(answer)) => PeerResponse::PutAnswer(answer),
@@ -298,13 +342,18 @@
     }
 }
 
-/// None where this process does not propose any more.
-async fn order_here(control: &Arc<Control>, base: u64, text: &str, us: u64) -> Option<PutAnswer> {
+/// None where this process is not the proposer any more.
+async fn order_as_proposer(
+    control: &Arc<Control>,
+    base: u64,
+    text: &str,
+    timeout: u64,
+) -> Option<PutAnswer> {
     if control.counts.orders_waiting.fetch_add(1, SeqCst) >= ORDERS_WAITING as u64 {
         control.counts.orders_waiting.fetch_sub(1, SeqCst);
         return Some(PutAnswer::Busy);
     }
-    let answer = order_by_majority(control, base, text, us).await;
+    let answer = order_by_majority(control, base, text, timeout).await;
     control.counts.orders_waiting.fetch_sub(1, SeqCst);
     answer
 }
@@ -313,7 +362,7 @@
     control: &Arc<Control>,
     base: u64,
     text: &str,
-    us: u64,
+    timeout: u64,
 ) -> Option<PutAnswer> {
     let attempt = format!(
         "{}-{:016x}",
@@ -329,13 +378,13 @@
         now_ms,
         kept_ms: kept_ms(&control.settings.bounds),
     };
-    let answer = match control
+    let decision = control
         .registers
-        .change("config", us, |seq, value| decide(seq, value, &order))
-        .await
-    {
+        .change("config", timeout, |seq, value| decide(seq, value, &order))
+        .await;
+    let answer = match decision {
         Ok(Decision::Taken(taken)) => {
-            push(control, "config", taken.seq, taken.document);
+            publish(control, "config", taken.seq, taken.document);
             PutAnswer::InForce(taken.number)
         }
         Ok(Decision::Conflict { current }) => PutAnswer::Conflict(current),
@@ -354,14 +403,14 @@
     Some(answer)
 }
 
-/// The same where fronts serve under leases.
+/// Puts a configuration in force where fronts hold serving leases.
 async fn order_under_leases(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
     match put(control, base, text, String::new(), false).await {
-        Put::InForce(version) => PutAnswer::InForce(version),
-        Put::No(Code::BadConfig, _, faults) => PutAnswer::Bad(faults),
-        Put::No(Code::Conflict, _, _) => PutAnswer::Conflict(control.documents.config.load().0),
-        Put::No(Code::NotFounded, ..) => PutAnswer::NotFounded,
-        Put::No(Code::NoMajority, ..) => PutAnswer::NoMajority,
-        Put::No(..) => PutAnswer::Undecided,
+        Ok(version) => PutAnswer::InForce(version),
+        Err(PutError::InvalidConfiguration { faults }) => PutAnswer::Bad(faults),
+        Err(PutError::Conflict { .. }) => PutAnswer::Conflict(control.documents.config.load().0),
+        Err(PutError::NotBootstrapped) => PutAnswer::NotFounded,
+        Err(PutError::FrontsUnavailable { .. } | PutError::NoMajority) => PutAnswer::NoMajority,
+        Err(PutError::MaybeStored | PutError::NotYetInForce { .. }) => PutAnswer::Undecided,
     }
 }
--- /dev/null
+++ b/yewcross-control/src/config/put.rs
@@ -0,0 +1,220 @@
+//! Putting a configuration in force where the tier numbers the versions and fronts hold serving
+//! leases.
+//!
+//! A put is decided by a majority of the core disks and answered once no front can serve by an
+//! older version.
+
+use super::front_groups::{find_unavailable_group, front_groups};
+use super::rollout::roll_out;
+use crate::Control;
+use snafu::Snafu;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+use yewcross_common::configuration::{Configuration, InvalidSetting};
+use yewcross_common::constants::{PAST_KEPT, PEER_WAIT, PUT_WAIT};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::ConfigDoc;
+use yewcross_common::register::{ChangeError, Step};
+
+/// Why a configuration is not known to be in force.
+#[derive(Clone, Debug, PartialEq, Snafu)]
+pub enum PutError {
+    #[snafu(display("the configuration has {} faults", faults.len()))]
+    InvalidConfiguration { faults: Vec<InvalidSetting> },
+    #[snafu(display("the tier has no layout yet"))]
+    NotBootstrapped,
+    #[snafu(display("newest is {newest}"))]
+    Conflict { newest: u64 },
+    #[snafu(display("{}", fault.why))]
+    FrontsUnavailable { fault: InvalidSetting },
+    #[snafu(display("no majority of the core disks was reached; nothing is stored"))]
+    NoMajority,
+    #[snafu(display("some disk may hold it"))]
+    MaybeStored,
+    #[snafu(display("version {version} is stored, not yet proved in force"))]
+    NotYetInForce { version: u64 },
+}
+
+impl PutError {
+    /// The code of the answer to an operator.
+    pub fn code(&self) -> Code {
+        match self {
+            PutError::InvalidConfiguration { .. } => Code::BadConfig,
+            PutError::NotBootstrapped => Code::NotFounded,
+            PutError::Conflict { .. } => Code::Conflict,
+            PutError::FrontsUnavailable { .. } | PutError::NoMajority => Code::NoMajority,
+            PutError::MaybeStored | PutError::NotYetInForce { .. } => Code::Undecided,
+        }
+    }
+
+    /// What the answer says beyond the text of its code; empty where that says all.
+    pub fn detail(&self) -> String {
+        match self {
+            PutError::InvalidConfiguration { .. }
+            | PutError::NotBootstrapped
+            | PutError::NoMajority => String::new(),
+            _ => self.to_string(),
+        }
+    }
+}
+
+/// One put, as it is decided.
+pub struct PutAttempt<'a> {
+    /// The version that it replaces.
+    pub base: u64,
+    /// Names this attempt in the document, so that it knows its own change again.
+    pub id: &'a str,
+    pub text: &'a str,
+    pub note: &'a str,
+}
+
+/// What a put came to in the register.
+#[derive(Clone, Debug, PartialEq)]
+pub enum PutDecision {
+    /// It is this version, now or since an earlier try of the same attempt.
+    Stored { version: u64 },
+    /// It names another version than the newest.
+    Conflict { newest: u64 },
+    /// No rollout could complete now.
+    FrontsUnavailable(InvalidSetting),
+}
+
+/// Checks a configuration, has it decided on top of version `base`, and rolls it out. Returns its
+/// version once no front can serve by an older one. A dry run checks only.
+pub async fn put(
+    control: &Arc<Control>,
+    base: u64,
+    text: String,
+    note: String,
+    is_dry_run: bool,
+) -> Result<u64, PutError> {
+    if let Err(faults) = Configuration::read(text.as_bytes()) {
+        return Err(PutError::InvalidConfiguration { faults });
+    }
+    if control.documents.layout.load().0 == 0 {
+        return Err(PutError::NotBootstrapped);
+    }
+    if is_dry_run {
+        let newest = control.documents.config.load().0;
+        return if newest == base {
+            Ok(base)
+        } else {
+            Err(PutError::Conflict { newest })
+        };
+    }
+    control.counts.puts.fetch_add(1, SeqCst);
+    let version = store(control, base, &text, &note).await?;
+    roll_out_newest(control, version).await
+}
+
+/// Has the put decided by a majority of the core disks.
+async fn store(control: &Arc<Control>, base: u64, text: &str, note: &str) -> Result<u64, PutError> {
+    let id = format!(
+        "{}-{:016x}",
+        control.settings.name,
+        control.runtime.random()
+    );
+    let attempt = PutAttempt {
+        base,
+        id: &id,
+        text,
+        note,
+    };
+    let nodes = control.members.view.load_full();
+    let decision = control
+        .registers
+        .change("config", PUT_WAIT, |version, value| {
+            let in_force_version = control.proved.load(SeqCst);
+            decide_put(version, value, &attempt, in_force_version, |front| {
+                nodes.contains_key(front)
+            })
+        })
+        .await;
+    match decision {
+        Ok(PutDecision::Stored { version }) => Ok(version),
+        Ok(PutDecision::Conflict { newest }) => Err(PutError::Conflict { newest }),
+        Ok(PutDecision::FrontsUnavailable(fault)) => Err(PutError::FrontsUnavailable { fault }),
+        Err(ChangeError::NotDone | ChangeError::NotProposer) => Err(PutError::NoMajority),
+        Err(ChangeError::Undecided) => Err(PutError::MaybeStored),
+    }
+}
+
+/// Rolls the newest version out: the stored one, or one that followed and has it among its past.
+async fn roll_out_newest(control: &Arc<Control>, version: u64) -> Result<u64, PutError> {
+    let Ok((newest, epoch, content)) = control.registers.read("config", PEER_WAIT).await else {
+        return Err(PutError::NotYetInForce { version });
+    };
+    if roll_out(control, "config", newest, epoch, &content).await {
+        Ok(version)
+    } else {
+        Err(PutError::NotYetInForce { version })
+    }
+}
+
+/// What a put makes of the register's value. Run again on a value that has its change, it comes to
+/// the same. An empty value is the document before the first put.
+pub fn decide_put(
+    version: u64,
+    value: &[u8],
+    attempt: &PutAttempt,
+    in_force_version: u64,
+    is_up: impl Fn(&str) -> bool,
+) -> Step<PutDecision> {
+    let document: ConfigDoc = serde_json::from_slice(value).unwrap_or_default();
+    if let Some(version) = version_of(&document, version, attempt.id) {
+        return Step::Keep(PutDecision::Stored { version });
+    }
+    if version != attempt.base {
+        return Step::Keep(PutDecision::Conflict { newest: version });
+    }
+    let next = successor(&document, version, attempt);
+    let fault = find_lost_version(&next, in_force_version)
+        .or_else(|| find_unavailable_group(&front_groups(&next, in_force_version), is_up));
+    if let Some(fault) = fault {
+        return Step::Keep(PutDecision::FrontsUnavailable(fault));
+    }
+    let raw = serde_json::to_vec(&next).unwrap_or_default();
+    Step::Write(
+        raw,
+        PutDecision::Stored {
+            version: version + 1,
+        },
+    )
+}
+
+/// The version that an attempt is stored as, where the document still knows it.
+fn version_of(document: &ConfigDoc, version: u64, id: &str) -> Option<u64> {
+    if document.put_id == id {
+        return Some(version);
+    }
+    let mut past = document.past.iter();
+    past.find(|(_, past_id, _)| past_id == id)
+        .map(|(past_version, _, _)| *past_version)
+}
+
+/// The document after a put on top of another.
+fn successor(document: &ConfigDoc, version: u64, attempt: &PutAttempt) -> ConfigDoc {
+    let mut past = document.past.clone();
+    if version > 0 {
+        past.insert(0, (version, document.put_id.clone(), document.text.clone()));
+        past.truncate(PAST_KEPT);
+    }
+    ConfigDoc {
+        text: attempt.text.into(),
+        put_id: attempt.id.into(),
+        note: attempt.note.into(),
+        past,
+        ..Default::default()
+    }
+}
+
+/// The fault of a document whose past no longer reaches back to the version in force: the fronts of
+/// a version that it has dropped could not be asked any more.
+fn find_lost_version(document: &ConfigDoc, in_force_version: u64) -> Option<InvalidSetting> {
+    let (oldest, _, _) = document.past.last()?;
+    let is_lost = document.past.len() == PAST_KEPT && *oldest > in_force_version;
+    is_lost.then(|| InvalidSetting {
+        path: "fronts".into(),
+        why: format!("none of the last {PAST_KEPT} versions is proved in force"),
+    })
+}
--- a/yewcross-control/src/config/read.rs
+++ b/yewcross-control/src/config/read.rs
@@ -6,27 +6,32 @@
 use yewcross_common::constants::READ_BACK_WITHIN;
 use yewcross_common::protocol::ConfigDoc;
 
-/// The newest decided configuration: linearizable with the orders, for a majority of the core disks
-/// is asked each time.
+/// The newest decided configuration. Linearizable with the orders: a majority of the core disks is
+/// asked each time.
 pub async fn newest(control: &Arc<Control>) -> ReadAnswer {
     if control.documents.layout.load().0 == 0 {
         return ReadAnswer::Away;
     }
-    let Ok((seq, epoch, raw)) = proposer::newest(control, "config", READ_BACK_WITHIN).await else {
+    let Ok((version, epoch, content)) = proposer::newest(control, "config", READ_BACK_WITHIN).await
+    else {
         return ReadAnswer::Away;
     };
-    control.documents.apply("config", seq, epoch, raw.to_vec());
-    let Ok(document) = ConfigDoc::decode(&raw) else {
+    control
+        .documents
+        .apply("config", version, epoch, content.to_vec());
+    // What cannot be read may hold an order: that no configuration was ever put is not known.
+    let Ok(document) = ConfigDoc::decode(&content) else {
         return ReadAnswer::Away;
     };
     if document.text.is_empty() {
         return ReadAnswer::None;
     }
-    let numbered = control
-        .options
-        .dialect
-        .number(document.text.as_bytes())
-        .is_some();
-    let version = if numbered { document.number } else { seq };
-    ReadAnswer::Text(version, document.text.into())
+    let text = document.text.as_bytes();
+    let is_numbered_by_operator = control.options.dialect.number(text).is_some();
+    let number = if is_numbered_by_operator {
+        document.number
+    } else {
+        version
+    };
+    ReadAnswer::Text(number, document.text.into())
 }
--- /dev/null
+++ b/yewcross-control/src/config/rollout.rs
@@ -0,0 +1,272 @@
+//! Rolling a decided document out: it is sent to every node, and a configuration is in force once
+//! no front can serve by an older one.
+
+use super::front_groups::front_groups;
+use super::rollout_progress::RolloutProgress;
+use super::serving_leases::collect_serving_leases;
+use crate::Control;
+use async_channel::{Receiver, Sender};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+use yewcross_common::constants::{MS, PEER_WAIT, PUT_WAIT};
+use yewcross_common::membership::Node;
+use yewcross_common::process_settings::Role;
+use yewcross_common::protocol::{ConfigDoc, Layout, PeerRequest, PeerResponse};
+use yewcross_common::register::Ballot;
+
+/// us. Between attempts to send the document to a node that has not acknowledged it.
+const PUBLISH_RETRY: u64 = 50 * MS;
+
+/// us. Between questions for leases to a core that does not hold the version yet.
+const COLLECT_RETRY: u64 = 30 * MS;
+
+/// us. Between looks at what has arrived.
+const PROGRESS_LOOK: u64 = 5 * MS;
+
+/// A decided document on its way to all nodes.
+struct Rollout {
+    control: Arc<Control>,
+    name: String,
+    version: u64,
+    epoch: Ballot,
+    content: Arc<Vec<u8>>,
+    /// When the attempts end.
+    deadline: u64,
+}
+
+/// A node holds the version or a newer one.
+struct Acknowledgement {
+    node: String,
+    is_front: bool,
+}
+
+/// The leases that a core has granted, read on a disk that holds the version.
+struct LeaseReport {
+    /// Time left of each front's lease, us.
+    leases: Vec<(String, u64)>,
+    received_at: u64,
+}
+
+/// Sends a decided document to every node. Of a configuration: `true` once no front can serve by
+/// an older one, `false` where that was not seen within `PUT_WAIT`. Of the other documents: `true`
+/// at once.
+pub async fn roll_out(
+    control: &Arc<Control>,
+    name: &str,
+    version: u64,
+    epoch: Ballot,
+    content: &Arc<Vec<u8>>,
+) -> bool {
+    control
+        .documents
+        .apply(name, version, epoch, content.to_vec());
+    let rollout = Arc::new(Rollout {
+        control: control.clone(),
+        name: name.to_string(),
+        version,
+        epoch,
+        content: content.clone(),
+        deadline: control.runtime.now() + PUT_WAIT,
+    });
+    let acknowledgements = rollout.publish_to_all();
+    if name != "config" {
+        return true;
+    }
+    let layout = control.documents.layout.load_full();
+    let lease_reports = rollout.collect_leases(&layout.1);
+    if !rollout
+        .wait_until_in_force(&layout.1, acknowledgements, lease_reports)
+        .await
+    {
+        return false;
+    }
+    rollout.announce_in_force(&layout.1);
+    record_in_force(control, version).await;
+    true
+}
+
+/// Remembers that a version is in force, also on disk, so that fronts of versions long superseded
+/// are not asked for after a restart.
+pub(crate) async fn record_in_force(control: &Arc<Control>, version: u64) -> PeerResponse {
+    if control.proved.fetch_max(version, SeqCst) < version {
+        // Without the file a restart only waits for more fronts than it must.
+        let _ = control
+            .storage
+            .persist("local", "proved", version, &version.to_le_bytes())
+            .await;
+    }
+    PeerResponse::Ok
+}
+
+impl Rollout {
+    /// Starts to send the document to each other node, until it acknowledges or the time is over.
+    fn publish_to_all(self: &Arc<Self>) -> Receiver<Acknowledgement> {
+        let (sender, acknowledgements) = async_channel::unbounded();
+        let others = self
+            .control
+            .members
+            .all()
+            .into_iter()
+            .filter(|node| node.name != self.control.settings.name);
+        for node in others {
+            let task = self.clone().publish_to(node, sender.clone());
+            self.control.runtime.spawn(task);
+        }
+        acknowledgements
+    }
+
+    async fn publish_to(self: Arc<Self>, node: Node, acknowledgements: Sender<Acknowledgement>) {
+        let request = PeerRequest::PublishDocument {
+            name: self.name.clone(),
+            version: self.version,
+            epoch: self.epoch,
+            relays: vec![],
+        };
+        while self.is_running() {
+            let answer = self
+                .control
+                .peers
+                .request(node.peer, &request, &self.content, PEER_WAIT)
+                .await;
+            match answer {
+                Ok((PeerResponse::DocumentApplied { version }, _)) if version >= self.version => {
+                    // Fails only where nobody waits any more.
+                    let _ = acknowledgements.try_send(Acknowledgement {
+                        node: node.name,
+                        is_front: node.role == Role::Front,
+                    });
+                    return;
+                }
+                _ => self.control.runtime.sleep(PUBLISH_RETRY).await,
+            }
+        }
+    }
+
+    /// Starts to ask each core for the serving leases that it has granted, until it holds the
+    /// version or the time is over.
+    fn collect_leases(self: &Arc<Self>, layout: &Layout) -> Receiver<LeaseReport> {
+        let (sender, lease_reports) = async_channel::unbounded();
+        let cores: Vec<SocketAddr> = current_cores(&self.control, layout)
+            .map(|core| core.peer)
+            .collect();
+        for core in cores {
+            let task = self.clone().collect_leases_of(core, sender.clone());
+            self.control.runtime.spawn(task);
+        }
+        lease_reports
+    }
+
+    async fn collect_leases_of(self: Arc<Self>, core: SocketAddr, reports: Sender<LeaseReport>) {
+        while self.is_running() {
+            match self.request_leases(core).await {
+                Some(PeerResponse::ServingLeases {
+                    version,
+                    fronts,
+                    in_force,
+                }) if version >= self.version => {
+                    self.control.proved.fetch_max(in_force, SeqCst);
+                    // Fails only where nobody waits any more.
+                    let _ = reports.try_send(LeaseReport {
+                        leases: fronts,
+                        received_at: self.control.runtime.now(),
+                    });
+                    return;
+                }
+                _ => self.control.runtime.sleep(COLLECT_RETRY).await,
+            }
+        }
+    }
+
+    async fn request_leases(&self, core: SocketAddr) -> Option<PeerResponse> {
+        if core == self.control.settings.peer {
+            return Some(collect_serving_leases(&self.control, "config", self.version).await);
+        }
+        let request = PeerRequest::CollectServingLeases {
+            name: "config".into(),
+            version: self.version,
+        };
+        let answer = self
+            .control
+            .peers
+            .request(core, &request, &[], PEER_WAIT)
+            .await;
+        answer.ok().map(|(response, _)| response)
+    }
+
+    async fn wait_until_in_force(
+        &self,
+        layout: &Layout,
+        acknowledgements: Receiver<Acknowledgement>,
+        lease_reports: Receiver<LeaseReport>,
+    ) -> bool {
+        let document: ConfigDoc = serde_json::from_slice(&self.content).unwrap_or_default();
+        let mut in_force_version = self.control.proved.load(SeqCst);
+        let groups = front_groups(&document, in_force_version);
+        let mut progress = RolloutProgress::new(layout.core.current.len(), groups);
+        while self.is_running() {
+            record_arrived(&mut progress, &acknowledgements, &lease_reports);
+            let now = self.control.runtime.now();
+            // A core reports with its leases which version is in force; until then the fronts of
+            // every older version count.
+            let known = self.control.proved.load(SeqCst);
+            if known != in_force_version {
+                in_force_version = known;
+                progress.set_front_groups(front_groups(&document, known));
+            }
+            if progress.is_in_force(now) {
+                return true;
+            }
+            self.control.runtime.sleep(PROGRESS_LOOK).await;
+        }
+        false
+    }
+
+    /// Tells the other cores, without waiting: a core that misses it asks for more fronts than it
+    /// must in its next rollout.
+    fn announce_in_force(&self, layout: &Layout) {
+        let request = PeerRequest::AnnounceInForce {
+            version: self.version,
+        };
+        let others = current_cores(&self.control, layout)
+            .filter(|core| core.name != self.control.settings.name);
+        for core in others {
+            let (peers, request) = (self.control.peers.clone(), request.clone());
+            self.control.runtime.spawn(async move {
+                let _ = peers.request(core.peer, &request, &[], PEER_WAIT).await;
+            });
+        }
+    }
+
+    fn is_running(&self) -> bool {
+        self.control.runtime.now() < self.deadline
+    }
+}
+
+/// Records the reports and acknowledgements that have arrived. An acknowledgement of a core or a
+/// store ends the turn; those behind it are taken at the next look.
+fn record_arrived(
+    progress: &mut RolloutProgress,
+    acknowledgements: &Receiver<Acknowledgement>,
+    lease_reports: &Receiver<LeaseReport>,
+) {
+    while let Ok(report) = lease_reports.try_recv() {
+        progress.record_leases(report.received_at, report.leases);
+    }
+    while let Ok(Acknowledgement {
+        node,
+        is_front: true,
+    }) = acknowledgements.try_recv()
+    {
+        progress.record_acknowledgement(node);
+    }
+}
+
+/// The known machines of the current core seats.
+fn current_cores<'a>(control: &'a Control, layout: &'a Layout) -> impl Iterator<Item = Node> + 'a {
+    layout
+        .core
+        .current
+        .iter()
+        .filter_map(|disk| control.members.by_disk(disk))
+}
--- /dev/null
+++ b/yewcross-control/src/config/serving_leases.rs
@@ -0,0 +1,53 @@
+//! Serving leases: a front may serve by its configuration while a core has granted it one.
+//!
+//! A core grants a lease with each poll of a front and keeps it in memory. Whoever rolls a version
+//! out collects the leases of a majority of the cores: a front that holds none of these, or has
+//! acknowledged the version, cannot serve by an older one.
+
+use crate::Control;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+use yewcross_common::constants::{MS, SERVE_LEASE};
+use yewcross_common::protocol::PeerResponse;
+
+/// us. A granter counts a lease as running for this much longer than its holder does, for the time
+/// that the answer travels and for clocks that run at different rates.
+pub(super) const SERVING_LEASE_MARGIN: u64 = 100 * MS;
+
+/// Grants or renews the lease of a front.
+pub(super) fn grant(control: &Control, front: &str) {
+    let expires_at = control.runtime.now() + SERVE_LEASE + SERVING_LEASE_MARGIN;
+    control
+        .serving_leases
+        .lock()
+        .unwrap()
+        .insert(front.into(), expires_at);
+}
+
+/// The running leases granted here, each with the time left in us. Version 0 in the answer says
+/// that this core's disk does not hold `version` yet, so that it may still grant leases on an older
+/// one.
+pub(crate) async fn collect_serving_leases(
+    control: &Arc<Control>,
+    name: &str,
+    version: u64,
+) -> PeerResponse {
+    // The disk is read before the leases: one granted after that read is granted by a core that
+    // holds the version.
+    let on_disk = control
+        .replica
+        .peek(name)
+        .await
+        .map_or(0, |record| record.seq);
+    let now = control.runtime.now();
+    let mut leases = control.serving_leases.lock().unwrap();
+    leases.retain(|_, expires_at| *expires_at > now);
+    PeerResponse::ServingLeases {
+        version: if on_disk >= version { on_disk } else { 0 },
+        fronts: leases
+            .iter()
+            .map(|(front, expires_at)| (front.clone(), expires_at - now))
+            .collect(),
+        in_force: control.proved.load(SeqCst),
+    }
+}
--- a/yewcross-control/src/duty.rs
+++ b/yewcross-control/src/duty.rs
@@ -224,7 +224,7 @@
     if control.options.tends {
         control
             .runtime
-            .spawn(config::find_late_documents(control.clone()));
+            .spawn(config::fetch_late_documents(control.clone()));
         control
             .runtime
             .spawn(layout::bootstrap_automatically(control.clone()));
--- a/yewcross-control/src/layout/bootstrap.rs
+++ b/yewcross-control/src/layout/bootstrap.rs
@@ -94,7 +94,7 @@
         if let Ok((version, epoch, content)) = control.registers.read(document, PEER_WAIT).await {
             let control_handle = control.clone();
             control.runtime.spawn(async move {
-                config::carry(&control_handle, document, version, epoch, &content).await;
+                config::roll_out(&control_handle, document, version, epoch, &content).await;
             });
         }
     }
@@ -327,8 +327,8 @@
         control
             .documents
             .apply(CONFIG, FIRST_VERSION, Ballot::default(), empty);
-        config::tell_all_of(control, LAYOUT);
-        config::tell_all_of(control, CONFIG);
+        config::publish_current(control, LAYOUT);
+        config::publish_current(control, CONFIG);
     }
     written_now.is_ok()
 }
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -204,7 +204,7 @@
             machine_names(&next, &next.core),
             machine_names(&next, &next.store)
         ));
-        config::push(control, LAYOUT, version + 1, content);
+        config::publish(control, LAYOUT, version + 1, content);
     } else {
         // Another process's version is newer, or ours was decided and the answers were lost.
         refresh(control).await;
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -170,7 +170,7 @@
     control
         .runtime
         .log(&format!("change of {} disks done", group_name(role)));
-    config::push(control, LAYOUT, decided.version, decided.content);
+    config::publish(control, LAYOUT, decided.version, decided.content);
     true
 }
 
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -104,11 +104,11 @@
     }
     if let Ok((version, epoch, content)) = control.registers.read(LAYOUT, PEER_WAIT).await {
         if control.options.tends {
-            return config::push(control, LAYOUT, version, content.to_vec());
+            return config::publish(control, LAYOUT, version, content.to_vec());
         }
         let control_handle = control.clone();
         control.runtime.spawn(async move {
-            config::carry(&control_handle, LAYOUT, version, epoch, &content).await;
+            config::roll_out(&control_handle, LAYOUT, version, epoch, &content).await;
         });
     }
 }
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -79,7 +79,7 @@
     match marking {
         Ok(Marking::Marked(decided)) => {
             control.runtime.log(&format!("{node} is to retire"));
-            config::push(control, LAYOUT, decided.version, decided.content);
+            config::publish(control, LAYOUT, decided.version, decided.content);
             RetireBegin::Begun
         }
         Ok(Marking::Unchanged(answer)) => answer,
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -268,7 +268,7 @@
                     .documents
                     .apply(name, seq, Ballot::default(), document);
             }
-            _ => config::push(control, name, seq, document),
+            _ => config::publish(control, name, seq, document),
         }
     }
     true
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod proposer;
 pub mod quorum_contact;
 
-use config::{Change, Notice};
+use config::{DocumentChange, DocumentPoll, Publication};
 use event_listener::Event;
 use snafu::Snafu;
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
     pub started: u64,
     /// Where the platform's list is asked; a reload may change it.
     pub platform: Mutex<Option<std::net::SocketAddr>>,
-    pub outbox: config::Outbox,
+    publications: config::PendingPublications,
     pub counts: Counts,
     pub options: api::Options,
 }
@@ -216,7 +216,7 @@
             founded: AtomicBool::new(false),
             started: runtime.now(),
             platform: Mutex::new(settings.platform),
-            outbox: Default::default(),
+            publications: Default::default(),
             counts: Default::default(),
             options,
             settings,
@@ -307,92 +307,64 @@
                 )
             }
             PeerRequest::PollDocuments {
-                known: have,
+                known,
                 front,
-                leaving_digest: departed,
-            } => (
-                config::newer(self, have, front, departed, from).await,
-                vec![],
-            ),
-            PeerRequest::FetchDocument {
-                name,
-                newer_than: more_than,
+                leaving_digest,
             } => {
-                let p = self.documents.document(&name);
-                if p.version > more_than && (!self.options.tends || self.has_quorum_contact()) {
-                    return (
-                        PeerResponse::Document {
-                            version: p.version,
-                            epoch: p.epoch,
-                        },
-                        p.content.to_vec(),
-                    );
-                }
-                match self.options.tends {
-                    true => (PeerResponse::Rejected(Code::NoMajority), vec![]),
-                    false => config::doc(self, &name).await,
-                }
+                let poll = DocumentPoll {
+                    known,
+                    is_front: front,
+                    leaving_digest,
+                    from,
+                };
+                (config::poll_documents(self, poll).await, vec![])
+            }
+            PeerRequest::FetchDocument { name, newer_than } => {
+                config::fetch_document(self, &name, newer_than).await
+            }
+            PeerRequest::ReadDecidedDocument { name, .. } => {
+                config::read_decided_document(self, &name).await
             }
-            PeerRequest::ReadDecidedDocument { name, .. } => config::doc(self, &name).await,
             PeerRequest::PublishDocument {
                 name,
-                version: seq,
+                version,
                 epoch,
                 relays,
             } => {
-                self.documents.apply(&name, seq, epoch, blob);
-                config::relay(
-                    self,
-                    Notice::Document {
-                        name: name.clone(),
-                        seq,
-                        change: None,
-                    },
-                    &relays,
-                );
-                (
-                    PeerResponse::DocumentApplied {
-                        version: self.documents.document(&name).version,
-                    },
-                    vec![],
-                )
+                let publication = Publication {
+                    name,
+                    version,
+                    epoch,
+                    relays,
+                };
+                (config::apply_document(self, publication, blob), vec![])
             }
             PeerRequest::PublishDelta {
                 name,
-                version: seq,
+                version,
                 epoch,
                 base,
                 base_digest,
                 relays,
             } => {
-                let _ = self
-                    .documents
-                    .apply_delta(&name, base, &base_digest, seq, epoch, &blob);
-                let change = Some(Arc::new(Change {
+                let publication = Publication {
+                    name,
+                    version,
+                    epoch,
+                    relays,
+                };
+                let change = DocumentChange {
                     base,
                     base_digest,
                     delta: blob,
-                }));
-                config::relay(
-                    self,
-                    Notice::Document {
-                        name: name.clone(),
-                        seq,
-                        change,
-                    },
-                    &relays,
-                );
+                };
                 (
-                    PeerResponse::DocumentApplied {
-                        version: self.documents.document(&name).version,
-                    },
+                    config::apply_document_change(self, publication, change),
                     vec![],
                 )
             }
             PeerRequest::ServersLeaving { servers, relays } => {
-                self.documents.mark_leaving(&servers);
-                config::relay(self, Notice::Departed(Arc::new(servers)), &relays);
-                (PeerResponse::Ok, vec![])
+                (config::mark_servers_leaving(self, servers, &relays), vec![])
             }
             PeerRequest::ForwardPut { base } => {
                 (config::take_forwarded(self, base, blob).await, vec![])
@@ -400,11 +372,12 @@
             PeerRequest::ForwardRetire { node } => {
                 (layout::retire_forwarded(self, &node).await, vec![])
             }
-            PeerRequest::CollectServingLeases { name, version: seq } => {
-                (config::grants(self, &name, seq).await, vec![])
-            }
+            PeerRequest::CollectServingLeases { name, version: seq } => (
+                config::collect_serving_leases(self, &name, seq).await,
+                vec![],
+            ),
             PeerRequest::AnnounceInForce { version: seq } => {
-                (config::proved(self, seq).await, vec![])
+                (config::record_in_force(self, seq).await, vec![])
             }
             PeerRequest::Bootstrap => (layout::accept_first_layout(self, blob).await, vec![]),
             PeerRequest::Lease(ask) => (
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operators' HTTP: one function a request.
 
-use crate::config::{self, Put};
+use crate::config::{self, PutError};
 use crate::layout::{self, LayoutError, Move};
 use crate::{Control, duty};
 use http_types::{Method, Response};
@@ -150,14 +150,20 @@
     )
 }
 
-fn told(p: Put, dry: bool) -> Response {
-    match p {
-        Put::InForce(v) => reply(200, &json!({"code": 1000, "version": v, "in_force": !dry})),
-        Put::No(k, why, bad) if bad.is_empty() => no(k, &why),
-        Put::No(k, _, bad) => reply(
-            k.http(),
-            &json!({"code": k.number(), "ran": "not_run", "text": k.text(), "faults": bad}),
+fn told(outcome: Result<u64, PutError>, dry: bool) -> Response {
+    match outcome {
+        Ok(version) => reply(
+            200,
+            &json!({"code": 1000, "version": version, "in_force": !dry}),
         ),
+        Err(PutError::InvalidConfiguration { faults }) if !faults.is_empty() => {
+            let code = Code::BadConfig;
+            reply(
+                code.http(),
+                &json!({"code": code.number(), "ran": "not_run", "text": code.text(), "faults": faults}),
+            )
+        }
+        Err(error) => no(error.code(), &error.detail()),
     }
 }
 
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -67,7 +67,7 @@
         && let Ok((seq, epoch, raw)) = control.registers.read("list", PEER_WAIT).await
     {
         if seq > control.documents.document("list").version {
-            config::carry(control, "list", seq, epoch, &raw).await;
+            config::roll_out(control, "list", seq, epoch, &raw).await;
         }
         *control.duties.etag.lock().unwrap() = r
             .header("etag")
@@ -117,7 +117,7 @@
         .filter(|server| server.leaving)
         .map(|server| server.server.clone())
         .collect();
-    config::push_departures(control, leaving);
+    config::publish_departures(control, leaving);
     servers.sort_by(|a, b| a.server.cmp(&b.server));
     servers.dedup_by(|a, b| a.server == b.server);
     if page.is_some() || (at > 0 && decided_servers(control) == servers) {
@@ -144,7 +144,7 @@
     if let Ok((seq, raw)) = got
         && seq > control.documents.document("list").version
     {
-        config::push(control, "list", seq, raw);
+        config::publish(control, "list", seq, raw);
     }
     PAGES_EVERY
 }
--- /dev/null
+++ b/yewcross-control/tests/put.rs
@@ -0,0 +1,173 @@
+//! What a put makes of the configuration's register, and which fronts a rollout must reach.
+
+use yewcross_common::constants::PAST_KEPT;
+use yewcross_common::protocol::ConfigDoc;
+use yewcross_common::register::Step;
+use yewcross_control::config::front_groups;
+use yewcross_control::config::put::{PutAttempt, PutDecision, decide_put};
+
+/// A register that only one process changes.
+#[derive(Default)]
+struct Register {
+    version: u64,
+    value: Vec<u8>,
+    in_force_version: u64,
+}
+
+impl Register {
+    fn put_as(&mut self, id: &str, base: u64, text: &str) -> PutDecision {
+        let attempt = PutAttempt {
+            base,
+            id,
+            text,
+            note: "a note",
+        };
+        let is_up = |front: &str| !front.starts_with("down");
+        match decide_put(
+            self.version,
+            &self.value,
+            &attempt,
+            self.in_force_version,
+            is_up,
+        ) {
+            Step::Keep(decision) => decision,
+            Step::Write(value, decision) => {
+                self.version += 1;
+                self.value = value;
+                decision
+            }
+        }
+    }
+
+    fn document(&self) -> ConfigDoc {
+        ConfigDoc::decode(&self.value).unwrap()
+    }
+}
+
+fn with_fronts(fronts: &[&str]) -> String {
+    serde_json::json!({ "fronts": fronts }).to_string()
+}
+
+#[test]
+fn an_empty_value_is_the_document_before_the_first_put() {
+    let mut register = Register::default();
+    let text = with_fronts(&["f1"]);
+    let decision = register.put_as("a", 0, &text);
+    assert_eq!(decision, PutDecision::Stored { version: 1 });
+    let expected = ConfigDoc {
+        text,
+        put_id: "a".into(),
+        note: "a note".into(),
+        ..Default::default()
+    };
+    assert_eq!(register.document(), expected);
+}
+
+#[test]
+fn an_attempt_knows_its_own_change_again() {
+    let mut register = Register::default();
+    register.put_as("a", 0, "{}");
+    let again = register.put_as("a", 0, "{}");
+    assert_eq!(again, PutDecision::Stored { version: 1 });
+    register.put_as("b", 1, "{}");
+    let again = register.put_as("a", 0, "{}");
+    assert_eq!(again, PutDecision::Stored { version: 1 });
+    assert_eq!(register.version, 2);
+}
+
+#[test]
+fn another_base_than_the_newest_is_in_conflict() {
+    let mut register = Register::default();
+    register.put_as("a", 0, "{}");
+    for base in [0, 2] {
+        let decision = register.put_as("b", base, "{}");
+        assert_eq!(decision, PutDecision::Conflict { newest: 1 });
+    }
+}
+
+#[test]
+fn replaced_versions_are_kept_newest_first_up_to_a_count() {
+    let mut register = Register::default();
+    let puts = PAST_KEPT as u64 + 5;
+    for base in 0..puts {
+        register.in_force_version = base;
+        register.put_as(
+            &format!("put {base}"),
+            base,
+            &format!("{{ }}{}", " ".repeat(base as usize)),
+        );
+    }
+    assert_eq!(register.version, puts);
+    let past = register.document().past;
+    let versions: Vec<u64> = past.iter().map(|(version, _, _)| *version).collect();
+    let expected: Vec<u64> = (puts - PAST_KEPT as u64..puts).rev().collect();
+    assert_eq!(versions, expected);
+    assert_eq!(past[0].1, format!("put {}", puts - 2));
+}
+
+#[test]
+fn the_last_version_in_force_is_never_dropped_from_the_past() {
+    let mut register = Register::default();
+    // The first version has no past; the versions 2 to PAST_KEPT have one that reaches to it.
+    for base in 0..PAST_KEPT as u64 {
+        let decision = register.put_as(&base.to_string(), base, "{}");
+        assert_eq!(decision, PutDecision::Stored { version: base + 1 });
+    }
+    let base = PAST_KEPT as u64;
+    let decision = register.put_as("too far", base, "{}");
+    assert!(
+        matches!(decision, PutDecision::FrontsUnavailable(_)),
+        "{decision:?}"
+    );
+    register.in_force_version = 1;
+    let decision = register.put_as("in force", base, "{}");
+    assert_eq!(decision, PutDecision::Stored { version: base + 1 });
+}
+
+#[test]
+fn a_group_without_a_majority_up_is_not_written() {
+    let mut register = Register::default();
+    let decision = register.put_as("a", 0, &with_fronts(&["f1", "down1"]));
+    let PutDecision::FrontsUnavailable(fault) = decision else {
+        panic!("{decision:?}")
+    };
+    assert_eq!(fault.path, "fronts");
+    assert!(fault.why.contains("f1, down1"), "{}", fault.why);
+    assert!(register.value.is_empty());
+    let decision = register.put_as("a", 0, &with_fronts(&["f1", "f2", "down1"]));
+    assert_eq!(decision, PutDecision::Stored { version: 1 });
+}
+
+/// The groups reach back to the last version in force, that one included.
+#[test]
+fn front_groups_reach_back_to_the_version_in_force() {
+    let past = |version: u64, fronts: &[&str]| (version, String::new(), with_fronts(fronts));
+    let document = ConfigDoc {
+        text: with_fronts(&["f4"]),
+        past: vec![past(3, &["f3"]), past(2, &["f2"]), past(1, &["f1"])],
+        ..Default::default()
+    };
+    let groups = |in_force: u64| -> Vec<String> {
+        let groups = front_groups(&document, in_force);
+        groups.iter().map(|group| group.join(" ")).collect()
+    };
+    assert_eq!(groups(0), ["f1", "f2", "f3", "f4"]);
+    assert_eq!(groups(1), ["f1", "f2", "f3", "f4"]);
+    assert_eq!(groups(2), ["f2", "f3", "f4"]);
+    assert_eq!(groups(3), ["f3", "f4"]);
+    assert_eq!(groups(4), ["f3", "f4"]);
+}
+
+/// As it is today: a value that is no document is replaced as if it were empty.
+#[test]
+fn an_unreadable_document_is_taken_for_an_empty_one() {
+    let mut register = Register {
+        version: 3,
+        value: b"{\"text\":".to_vec(),
+        in_force_version: 3,
+    };
+    let decision = register.put_as("a", 3, "{}");
+    assert_eq!(decision, PutDecision::Stored { version: 4 });
+    let past = register.document().past;
+    assert_eq!(past, [(3, String::new(), String::new())]);
+}
--- a/yewcross-testkit/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -87,7 +87,12 @@
                     let other = cores.iter().find(|n| **n != victim).unwrap().clone();
                     cut(&t, &victim, how);
                     t.op.sleep(NOTICED).await;
-                    let takes = t.at(&victim).unwrap().registers.prepared_ballots.load(SeqCst);
+                    let takes = t
+                        .at(&victim)
+                        .unwrap()
+                        .registers
+                        .prepared_ballots
+                        .load(SeqCst);
                     for base in 5..12u64 {
                         let next = format!("{} b", base + 1);
                         assert_eq!(
