--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -284,7 +284,7 @@
     let mut may_be_taken = false;
     while control.runtime.now() < deadline {
         let left = deadline.saturating_sub(control.runtime.now());
-        let outcome = match control.duty_term() {
+        let outcome = match control.acting_term() {
             Some(_) => order_as_proposer(control, base, &text, left)
                 .await
                 .ok_or(NotAnswered::NoProposer),
@@ -325,7 +325,7 @@
     let Ok(text) = String::from_utf8(text) else {
         return PeerResponse::Rejected(Code::BadConfig);
     };
-    if control.duty_term().is_none() {
+    if control.acting_term().is_none() {
         return PeerResponse::Rejected(Code::NotOnDuty);
     }
     let (answer_sender, answer) = async_channel::bounded(1);
--- a/yewcross-control/src/contact.rs
+++ b/yewcross-control/src/contact.rs
@@ -1,45 +1,55 @@
-//! Contact with a majority of the core seats, and the newest versions that such a majority holds.
+//! Records which core replicas have answered this process lately, and the newest document versions
+//! that they reported.
 
 use crate::lease::quorum;
 use std::collections::BTreeMap;
 use yewcross_common::protocol::ReplicaGroup;
 
-/// When each core seat last answered, and what its disk held. A pure record: no clock, no network.
+/// When each voter last answered, and what its disk held. A pure record: it reads no clock and no
+/// network.
 #[derive(Clone, Debug, Default)]
 pub struct Contact {
-    /// When the question was sent that the seat answered last.
+    /// By disk, when the newest request was sent that it has answered.
     answered: BTreeMap<String, u64>,
+    /// By document, the newest version that any voter has reported.
     versions: BTreeMap<String, u64>,
 }
 
 impl Contact {
-    /// The seat answered a question sent at `sent`, holding these versions.
-    pub fn heard(&mut self, disk: &str, sent: u64, versions: &[(String, u64)]) {
-        let at = self.answered.entry(disk.into()).or_default();
-        *at = (*at).max(sent);
+    /// Records that a disk answered a request sent at `sent`, and reported these versions.
+    pub fn record_answer(&mut self, disk: &str, sent: u64, versions: &[(String, u64)]) {
+        let last = self.answered.entry(disk.into()).or_default();
+        *last = (*last).max(sent);
         for (document, version) in versions {
             let newest = self.versions.entry(document.clone()).or_default();
             *newest = (*newest).max(*version);
         }
     }
 
-    /// Every change decided before this moment is among `versions`: a majority of the seats
-    /// answered later questions.
-    pub fn since(&self, seats: &ReplicaGroup) -> u64 {
-        let mut times: Vec<u64> = self.answered.values().copied().collect();
-        times.sort_unstable_by(|a, b| b.cmp(a));
-        let met = |at: u64| quorum(seats, |d| self.answered.get(d).is_some_and(|t| *t >= at));
-        times.into_iter().find(|at| met(*at)).unwrap_or(0)
+    /// The latest moment such that a quorum of the group has answered requests sent at it or later;
+    /// 0 if there is none. Every change decided before that moment is among the versions reported.
+    pub fn quorum_since(&self, group: &ReplicaGroup) -> u64 {
+        let mut moments: Vec<u64> = self.answered.values().copied().collect();
+        moments.sort_unstable_by(|earlier, later| later.cmp(earlier));
+        let has_quorum_at = |moment: u64| {
+            quorum(group, |disk| {
+                self.answered.get(disk).is_some_and(|sent| *sent >= moment)
+            })
+        };
+        moments
+            .into_iter()
+            .find(|moment| has_quorum_at(*moment))
+            .unwrap_or(0)
     }
 
-    /// The newest version of a document that any seat was heard to hold.
-    pub fn version(&self, document: &str) -> u64 {
+    /// The newest version of a document that any voter has reported; 0 if none has.
+    pub fn newest_version(&self, document: &str) -> u64 {
         self.versions.get(document).copied().unwrap_or(0)
     }
 
-    /// Seats that are no longer in the layout are forgotten.
-    pub fn retain(&mut self, seats: &ReplicaGroup) {
+    /// Forgets disks that are not in the group any more.
+    pub fn retain(&mut self, group: &ReplicaGroup) {
         self.answered
-            .retain(|d, _| seats.current.contains(d) || seats.previous.contains(d));
+            .retain(|disk, _| group.current.contains(disk) || group.previous.contains(disk));
     }
 }
--- a/yewcross-control/src/layout/bootstrap.rs
+++ b/yewcross-control/src/layout/bootstrap.rs
@@ -193,7 +193,10 @@
         if control.documents.layout.load_full().0 == 0 {
             plan.propose_if_possible(&control).await;
         } else if is_bootstrapped(&control) {
-            control.duties.since.store(control.runtime.now(), SeqCst);
+            control
+                .duties
+                .bootstrapped_at
+                .store(control.runtime.now(), SeqCst);
             control.founded.store(true, SeqCst);
             control.documents.changed.notify(usize::MAX);
             return;
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -149,7 +149,7 @@
         .count();
     role == Role::Store
         && stores > 0
-        && control.runtime.now() < control.duties.since.load(SeqCst) + FOUND_WAIT
+        && control.runtime.now() < control.duties.bootstrapped_at.load(SeqCst) + FOUND_WAIT
 }
 
 /// Asks the disks for a report, and has those that do not answer counted as missing and probed.
@@ -181,7 +181,7 @@
 /// Decides `next` as the successor of layout `version`, and publishes it. Returns whether it was
 /// decided.
 async fn decide(control: &Arc<Control>, version: u64, next: &Layout) -> bool {
-    let Some(term) = control.duty_term() else {
+    let Some(term) = control.acting_term() else {
         return false;
     };
     let planned_on_term = next.term;
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -51,7 +51,7 @@
         if is_settled_in_both(control, document, group, since, &reports).await {
             continue;
         }
-        if control.duty_term().is_none() {
+        if control.acting_term().is_none() {
             return false;
         }
         let read = control
@@ -137,7 +137,7 @@
 
 /// Ends the change that layout `since` began, whatever the other group did meanwhile.
 async fn end_change(control: &Arc<Control>, role: Role, since: u64) -> bool {
-    let Some(term) = control.duty_term() else {
+    let Some(term) = control.acting_term() else {
         return false;
     };
     let ended = control
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -199,7 +199,8 @@
     if layout.core.is_changing() || layout.store.is_changing() {
         return finish_if_swept(control, *version).await;
     }
-    if let Some(replaced) = replaced_disk(control, layout).filter(|_| control.duty_term().is_some())
+    if let Some(replaced) =
+        replaced_disk(control, layout).filter(|_| control.acting_term().is_some())
     {
         let ReplacedDisk { lost, empty } = replaced;
         control
@@ -240,7 +241,7 @@
     if version != planned_on || swept + control.settings.bounds.lost < replicas.len() {
         return;
     }
-    let Some(term) = control.duty_term() else {
+    let Some(term) = control.acting_term() else {
         return;
     };
     let ended = control
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -18,7 +18,7 @@
 pub async fn retire(control: &Arc<Control>, node: &str) -> RetireBegin {
     let deadline = control.runtime.now() + PEER_WAIT;
     while control.runtime.now() < deadline {
-        if control.duty_term().is_some() {
+        if control.acting_term().is_some() {
             return mark_retired(control, node).await;
         }
         let request = PeerRequest::ForwardRetire { node: node.into() };
@@ -34,7 +34,7 @@
 
 /// Handles an order that another core forwarded.
 pub async fn retire_forwarded(control: &Arc<Control>, node: &str) -> PeerResponse {
-    match control.duty_term() {
+    match control.acting_term() {
         Some(_) => PeerResponse::RetireAnswer(mark_retired(control, node).await),
         None => PeerResponse::Rejected(Code::NotOnDuty),
     }
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -1,31 +1,32 @@
-//! The duty lease as pure state machines: the granter of each core seat, and the process that holds
-//! or wants the lease.
+//! The lease as pure state machines: the granter of each core replica (voter), and the process that
+//! holds or wants the lease.
 //!
-//! At most one process holds the lease at any time. A granter promises one candidate at a time, for
-//! one lease length on its own clock from the moment of its answer; the holder counts from before
-//! it asked, and a margin less. Two majorities of one set of seats share a granter. Nothing here
-//! reads a clock, a disk or the network, so that a model checker can run it.
+//! At most one process holds the lease at any time. A granter grants it to one candidate at a time,
+//! for one lease length on its own clock from the moment of its answer; the holder counts from
+//! before it asked, and a margin less. Two majorities of one set of voters share a granter. Nothing
+//! here reads a clock, a disk or the network, so that a model checker can run it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use yewcross_common::protocol::lease::*;
+use yewcross_common::protocol::lease::{Candidate, LeaseDenial, LeaseOperation, LeaseVerdict};
 use yewcross_common::protocol::{Layout, ReplicaGroup};
 use yewcross_common::register::majority;
 
-/// Rounds that a holder may ask for beyond the last one it saw confirmed.
+/// Rounds of renewal that a holder may begin beyond the last one it saw confirmed.
 pub const UNCONFIRMED_ROUNDS: u64 = 2;
 
-/// Lengths in us, on any clock that runs at the usual pace.
+/// Lengths in us, on any clock that runs at the usual rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
     /// How long a grant binds its granter.
     pub length: u64,
-    /// How much earlier the holder counts itself out, for clocks that run at different paces.
+    /// How much earlier the lease expires at the holder, for clocks that run at different rates.
     pub margin: u64,
 }
 
-/// Digest of the core seats, new and old. Grants count only among nodes that know the same.
-pub fn seats_digest(layout: &Layout) -> u64 {
+/// Digest of the voters, incoming and outgoing; 0 if there are none. Grants count only among
+/// processes that know the same voters.
+pub fn voters_digest(layout: &Layout) -> u64 {
     if layout.core.current.is_empty() {
         return 0;
     }
@@ -35,23 +36,25 @@
     )
 }
 
-/// Whether the disks are a majority of the seats, and of the old ones while a change is under way.
-pub fn quorum(seats: &ReplicaGroup, has: impl Fn(&str) -> bool) -> bool {
-    let most = |disks: &[String]| disks.iter().filter(|d| has(d)).count() >= majority(disks.len());
-    !seats.current.is_empty()
-        && most(&seats.current)
-        && (seats.previous.is_empty() || most(&seats.previous))
+/// Whether the disks that `has` selects are a majority of the group, and of its outgoing set while a
+/// change is under way.
+pub fn quorum(group: &ReplicaGroup, has: impl Fn(&str) -> bool) -> bool {
+    let is_majority =
+        |disks: &[String]| disks.iter().filter(|disk| has(disk)).count() >= majority(disks.len());
+    !group.current.is_empty()
+        && is_majority(&group.current)
+        && (group.previous.is_empty() || is_majority(&group.previous))
 }
 
 /// What a granter remembers across its own restarts: it is on disk before a grant under a new term
-/// is told.
+/// is answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeptGrant {
     /// The highest term granted.
     pub term: u64,
     /// Whom it was granted to.
     pub holder: Option<Candidate>,
-    /// Digest of the core seats that the grant counted in.
+    /// Digest of the voters that the grant counted among.
     pub seats: u64,
 }
 
@@ -64,25 +67,26 @@
     until: u64,
 }
 
-/// What one core seat has promised.
+/// What one voter has granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Granter {
     times: LeaseTimes,
     term: u64,
     grant: Option<Grant>,
-    /// Nothing is granted to a candidate that holds no grant here before this: an earlier life of
-    /// this process, or the seats before the last change, may have granted what is not known here.
+    /// Nothing is granted to a candidate that holds no grant here before this: an earlier
+    /// incarnation, or the voters before the last change, may have granted what is not known here.
     quiet_until: u64,
-    /// The last grant of an earlier life, while it alone is what the granter keeps quiet for.
+    /// The last grant of an earlier incarnation, while it alone is what the granter waits for.
     remembered: Option<KeptGrant>,
-    seats: u64,
-    /// No life of this disk can have granted anything.
-    fresh: bool,
+    /// Digest of the voters as last observed.
+    voters: u64,
+    /// No incarnation of this disk can have granted anything.
+    is_fresh: bool,
 }
 
 impl Granter {
-    /// `kept` is what the disk remembers. `fresh` says that the disk has known no layout yet.
-    pub fn new(times: LeaseTimes, now: u64, kept: KeptGrant, fresh: bool) -> Granter {
+    /// `kept` is what the disk remembers. `is_fresh` says that the disk has known no layout yet.
+    pub fn new(times: LeaseTimes, now: u64, kept: KeptGrant, is_fresh: bool) -> Granter {
         let term = kept.term;
         let remembered = Some(kept).filter(|kept| kept.holder.is_some());
         Granter {
@@ -91,40 +95,44 @@
             grant: None,
             quiet_until: now + times.length,
             remembered,
-            seats: 0,
-            fresh: fresh && term == 0,
+            voters: 0,
+            is_fresh: is_fresh && term == 0,
         }
     }
 
-    /// Tells the core seats as known now, the term that the layout was written under, and whether
-    /// that is the very first layout. Before the first one nobody can have held the lease.
-    pub fn see_seats(&mut self, now: u64, seats: u64, term: u64, first_layout: bool) {
+    /// Observes the digest of the voters as known now, the term that the layout was written under,
+    /// and whether that is the very first layout. Before the first one nobody can have held the
+    /// lease.
+    pub fn observe_voters(&mut self, now: u64, voters: u64, term: u64, is_first_layout: bool) {
         self.term = self.term.max(term);
-        if seats == self.seats {
+        if voters == self.voters {
             return;
         }
-        let founding = self.fresh && first_layout && self.seats == 0;
-        let as_before = self.seats == 0
+        let is_first_observed = self.voters == 0;
+        let is_bootstrap = self.is_fresh && is_first_layout && is_first_observed;
+        let is_as_remembered = is_first_observed
             && self
                 .remembered
                 .as_ref()
-                .is_some_and(|kept| kept.seats == seats);
-        if founding {
+                .is_some_and(|kept| kept.seats == voters);
+        if is_bootstrap {
             self.quiet_until = 0;
-        } else if !as_before {
+        } else if !is_as_remembered {
             self.quiet_until = self.quiet_until.max(now + self.times.length);
             self.remembered = None;
         }
-        self.seats = seats;
-        self.fresh = false;
+        self.voters = voters;
+        self.is_fresh = false;
     }
 
+    /// The highest term granted here or seen in a layout.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// A process asks. Whatever was granted to an earlier one on the same disk is held by nobody
-    /// any more, so that nobody has to wait for it. Whether that frees the lease here.
+    /// Notes that a process asks. Whatever was granted to an earlier process on the same disk is
+    /// held by nobody any more, so that nobody has to wait for it. Returns whether that frees the
+    /// lease here.
     pub fn meet(&mut self, asker: &Candidate) -> bool {
         let is_over = |holder: &Candidate| asker.succeeds(holder);
         let remembered_is_over = self
@@ -146,41 +154,42 @@
         remembered_is_over || grant_is_over
     }
 
-    /// What has to be on disk before a grant is told.
+    /// What has to be on disk before a grant is answered.
     pub fn to_keep(&self) -> KeptGrant {
         KeptGrant {
             term: self.term,
             holder: self.grant.as_ref().map(|grant| grant.holder.clone()),
-            seats: self.seats,
+            seats: self.voters,
         }
     }
 
     /// When the lease will be free here, if nobody renews it.
     pub fn free_at(&self) -> u64 {
         self.quiet_until
-            .max(self.grant.as_ref().map_or(0, |g| g.until))
+            .max(self.grant.as_ref().map_or(0, |grant| grant.until))
     }
 
-    /// Who holds the lease as far as this seat knows.
+    /// Who holds the lease as far as this granter knows.
     pub fn holder(&self, now: u64) -> Option<&Candidate> {
         self.grant
             .as_ref()
-            .filter(|g| now < g.until)
-            .map(|g| &g.holder)
+            .filter(|grant| now < grant.until)
+            .map(|grant| &grant.holder)
     }
 
-    /// A grant under a new term must be on disk before the answer leaves.
+    /// Answers a request of a process that knows the voters with this digest. A grant under a new
+    /// term must be on disk before the answer is sent.
     pub fn answer(
         &mut self,
         now: u64,
         asker: &Candidate,
-        seats: u64,
-        call: LeaseOperation,
+        voters: u64,
+        operation: LeaseOperation,
     ) -> LeaseVerdict {
-        if seats != self.seats || seats == 0 {
+        if voters != self.voters || voters == 0 {
             return LeaseVerdict::Refused(LeaseDenial::OtherSeats);
         }
-        match call {
+        match operation {
             LeaseOperation::Look if now < self.free_at() => LeaseVerdict::Held,
             LeaseOperation::Look => LeaseVerdict::Free,
             LeaseOperation::Request { term } => self.request(now, asker, term),
@@ -196,7 +205,7 @@
     fn is_granted_to(&self, asker: &Candidate, term: u64) -> bool {
         self.grant
             .as_ref()
-            .is_some_and(|g| g.holder == *asker && g.term == term)
+            .is_some_and(|grant| grant.holder == *asker && grant.term == term)
     }
 
     fn request(&mut self, now: u64, asker: &Candidate, term: u64) -> LeaseVerdict {
@@ -223,8 +232,8 @@
         LeaseVerdict::Granted
     }
 
-    /// A holder whose answers are lost on their way must not keep the lease from the others: it is
-    /// extended only for one that lately saw a majority's answers.
+    /// A holder that the answers do not reach must not keep the lease from the others: the lease is
+    /// extended only for one that lately saw a quorum's answers.
     fn renew(
         &mut self,
         now: u64,
@@ -240,9 +249,9 @@
             return self.grant_anew(now, asker, term, round);
         }
         let until = now + self.times.length;
-        if let Some(g) = self.grant.as_mut().filter(|g| round > g.round) {
-            g.round = round;
-            g.until = until;
+        if let Some(grant) = self.grant.as_mut().filter(|grant| round > grant.round) {
+            grant.round = round;
+            grant.until = until;
         }
         LeaseVerdict::Granted
     }
@@ -251,26 +260,41 @@
         if self.is_granted_to(asker, term) {
             self.grant = None;
         }
-        // A request that is still on its way comes too late.
+        // A request that is still in flight is rejected when it arrives.
         self.term = self.term.max(term);
         LeaseVerdict::Released
     }
 }
 
+/// A request or renewal sent to all voters.
 #[derive(Clone, Debug, PartialEq, Hash)]
 struct Round {
     sent: u64,
-    seats: ReplicaGroup,
+    voters: ReplicaGroup,
     granted: BTreeSet<String>,
 }
 
+impl Round {
+    fn begin(now: u64, voters: &ReplicaGroup) -> Round {
+        Round {
+            sent: now,
+            voters: voters.clone(),
+            granted: BTreeSet::new(),
+        }
+    }
+}
+
+/// A lease that is held or requested.
 #[derive(Clone, Debug, PartialEq, Hash)]
 struct Tenure {
     term: u64,
     /// The last round begun; 0 is the request itself.
     round: u64,
+    /// The last round that a quorum granted.
     confirmed: Option<u64>,
+    /// When the lease expires; 0 while it is only requested.
     until: u64,
+    /// Rounds that may still be confirmed, by number.
     rounds: BTreeMap<u64, Round>,
 }
 
@@ -282,6 +306,7 @@
 }
 
 impl Holder {
+    /// A process that neither holds nor requests the lease.
     pub fn new(times: LeaseTimes) -> Holder {
         Holder {
             times,
@@ -290,62 +315,55 @@
     }
 
     /// Begins a request for a term, at the moment before it is sent.
-    pub fn request(&mut self, now: u64, term: u64, seats: &ReplicaGroup) -> LeaseOperation {
-        let first = Round {
-            sent: now,
-            seats: seats.clone(),
-            granted: BTreeSet::new(),
-        };
+    pub fn request(&mut self, now: u64, term: u64, voters: &ReplicaGroup) -> LeaseOperation {
         self.tenure = Some(Tenure {
             term,
             round: 0,
             confirmed: None,
             until: 0,
-            rounds: [(0, first)].into(),
+            rounds: [(0, Round::begin(now, voters))].into(),
         });
         LeaseOperation::Request { term }
     }
 
     /// Begins the next round, at the moment before it is sent. `None` if the lease is not held any
     /// more.
-    pub fn renew(&mut self, now: u64, seats: &ReplicaGroup) -> Option<LeaseOperation> {
-        let t = self.tenure.as_mut().filter(|t| now < t.until)?;
-        let confirmed = t.confirmed?;
-        t.round += 1;
-        t.rounds.retain(|r, _| *r > confirmed);
-        t.rounds.insert(
-            t.round,
-            Round {
-                sent: now,
-                seats: seats.clone(),
-                granted: BTreeSet::new(),
-            },
-        );
+    pub fn renew(&mut self, now: u64, voters: &ReplicaGroup) -> Option<LeaseOperation> {
+        let tenure = self.tenure.as_mut().filter(|tenure| now < tenure.until)?;
+        let confirmed = tenure.confirmed?;
+        tenure.round += 1;
+        tenure.rounds.retain(|number, _| *number > confirmed);
+        tenure
+            .rounds
+            .insert(tenure.round, Round::begin(now, voters));
         Some(LeaseOperation::Renew {
-            term: t.term,
-            round: t.round,
+            term: tenure.term,
+            round: tenure.round,
             confirmed,
         })
     }
 
-    /// A granter granted what was asked under this term in this round. True if that made the
-    /// majority of the round.
+    /// Records that a granter granted what was asked under this term in this round. Returns true if
+    /// that made the quorum of the round.
     pub fn granted(&mut self, term: u64, round: u64, granter: &str) -> bool {
         let times = self.times;
-        let Some(t) = self.tenure.as_mut().filter(|t| t.term == term) else {
+        let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.term == term) else {
             return false;
         };
-        let Some(r) = t.rounds.get_mut(&round) else {
+        let Some(asked) = tenure.rounds.get_mut(&round) else {
             return false;
         };
-        r.granted.insert(granter.into());
-        if !quorum(&r.seats, |d| r.granted.contains(d)) || t.confirmed.is_some_and(|c| c >= round) {
+        asked.granted.insert(granter.into());
+        let has_quorum = quorum(&asked.voters, |disk| asked.granted.contains(disk));
+        let was_confirmed = tenure.confirmed.is_some_and(|confirmed| confirmed >= round);
+        if !has_quorum || was_confirmed {
             return false;
         }
-        t.until = t
-            .until
-            .max((r.sent + times.length).saturating_sub(times.margin));
-        t.confirmed = Some(round);
+        // Counted from before the round was sent, and by the margin less: the lease expires here
+        // before it expires at any granter of the quorum.
+        let expiry = (asked.sent + times.length).saturating_sub(times.margin);
+        tenure.until = tenure.until.max(expiry);
+        tenure.confirmed = Some(round);
         true
     }
 
@@ -353,12 +371,12 @@
     pub fn held(&self, now: u64) -> Option<u64> {
         self.tenure
             .as_ref()
-            .filter(|t| now < t.until)
-            .map(|t| t.term)
+            .filter(|tenure| now < tenure.until)
+            .map(|tenure| tenure.term)
     }
 
-    /// Gives up what is held or asked for; the term of it, for the granters to be told.
+    /// Gives up what is held or requested. Returns its term, for the granters to be notified.
     pub fn give_up(&mut self) -> Option<u64> {
-        self.tenure.take().map(|t| t.term)
+        self.tenure.take().map(|tenure| tenure.term)
     }
 }
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -1,97 +1,106 @@
-//! The granter of the duty lease that runs on each core seat: it answers candidates and holders,
-//! and keeps its grants on disk.
+//! The granter of the lease that runs on each core replica: it answers candidates and holders, and
+//! persists its grants. The rules are in [`crate::lease`].
 
 use crate::Control;
-use crate::lease::*;
+use crate::lease::{Granter, KeptGrant, voters_digest};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::SYNC_WAIT;
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::protocol::Layout;
-use yewcross_common::protocol::lease::*;
+use yewcross_common::protocol::lease::{LeaseDenial, LeaseRequest, LeaseResponse, LeaseVerdict};
 use yewcross_common::runtime::Runtime;
 use yewcross_common::storage::DurableStorage;
 
-/// Name of the file that keeps the highest term granted.
-const TERM_FILE: &str = "lease";
+/// Name of the file that keeps the last grant.
+const GRANT_FILE: &str = "lease";
 
-/// Name of the file that counts the processes that have started on the disk.
-const LIFE_FILE: &str = "life";
+/// Name of the file whose version counts the processes that have started on the disk.
+const INCARNATION_FILE: &str = "life";
 
-/// The last grant on this disk, and the version of the file that says so.
-pub struct GrantFile {
+/// The last grant of this disk, and the version of the file that keeps it.
+pub(crate) struct GrantFile {
     version: u64,
-    pub grant: KeptGrant,
+    pub(crate) grant: KeptGrant,
 }
 
-/// Counts this process among those that have started on the disk; 0 where the disk cannot say or
-/// keep it.
-pub async fn begin_life(runtime: &Runtime, storage: &Arc<DurableStorage>) -> io::Result<u64> {
-    let before = storage
-        .load("local", LIFE_FILE)
+/// Counts this process among those that have started on the disk. Returns its incarnation; 0 if the
+/// disk did not persist it in time.
+pub(crate) async fn begin_incarnation(
+    runtime: &Runtime,
+    storage: &Arc<DurableStorage>,
+) -> io::Result<u64> {
+    let previous = storage
+        .load("local", INCARNATION_FILE)
         .await?
-        .map_or(0, |kept| kept.0);
-    let life = before + 1;
-    let (done_tx, done) = async_channel::bounded(1);
-    let kept_vault = storage.clone();
-    // On its own: a write under way is never abandoned halfway, and a slow disk holds no start up.
+        .map_or(0, |(version, _)| version);
+    let incarnation = previous + 1;
+    let (persisted_sender, persisted) = async_channel::bounded(1);
+    let writer = storage.clone();
+    // In a task of its own: a write in flight is never abandoned halfway, and a slow disk does not
+    // delay the start.
     runtime.spawn(async move {
-        let _ = done_tx.try_send(
-            kept_vault
-                .persist("local", LIFE_FILE, life, &life.to_le_bytes())
-                .await,
-        );
+        let result = writer
+            .persist(
+                "local",
+                INCARNATION_FILE,
+                incarnation,
+                &incarnation.to_le_bytes(),
+            )
+            .await;
+        // Fails only if the start has timed out and does not wait for it any more.
+        let _ = persisted_sender.try_send(result);
     });
-    let kept = runtime.timeout(SYNC_WAIT, done.recv()).await;
-    Ok(if matches!(kept, Some(Ok(Ok(())))) {
-        life
-    } else {
-        0
-    })
+    let outcome = runtime.timeout(SYNC_WAIT, persisted.recv()).await;
+    let is_persisted = matches!(outcome, Some(Ok(Ok(()))));
+    Ok(if is_persisted { incarnation } else { 0 })
 }
 
 impl GrantFile {
     /// Reads the last grant that this disk has given.
-    pub async fn read(storage: &DurableStorage) -> io::Result<GrantFile> {
-        let kept = storage.load("local", TERM_FILE).await?;
-        let grant = kept
-            .as_ref()
-            .map(|(_, body)| read_grant(body))
-            .unwrap_or_default();
-        Ok(GrantFile {
-            version: kept.map_or(0, |file| file.0),
-            grant,
+    pub(crate) async fn read(storage: &DurableStorage) -> io::Result<GrantFile> {
+        let file = storage.load("local", GRANT_FILE).await?;
+        Ok(match file {
+            Some((version, body)) => GrantFile {
+                version,
+                grant: decode_grant(&body),
+            },
+            None => GrantFile {
+                version: 0,
+                grant: KeptGrant::default(),
+            },
         })
     }
 }
 
-/// Programs before the holder was kept wrote the term alone.
-fn read_grant(body: &[u8]) -> KeptGrant {
-    let term_alone = || {
-        <[u8; 8]>::try_from(body)
-            .map(u64::from_le_bytes)
-            .unwrap_or(0)
-    };
+/// Decodes a grant file. Releases before the holder was persisted wrote the term alone, as eight
+/// bytes.
+fn decode_grant(body: &[u8]) -> KeptGrant {
     serde_json::from_slice(body).unwrap_or_else(|_| KeptGrant {
-        term: term_alone(),
+        term: <[u8; 8]>::try_from(body).map_or(0, u64::from_le_bytes),
         ..KeptGrant::default()
     })
 }
 
-/// Runs `f` on this seat's granter, which first hears of the core seats as they are known now.
-pub fn with_granter<T>(control: &Control, f: impl FnOnce(&mut Granter, u64) -> T) -> T {
-    let l = control.documents.layout.load();
+/// Runs `operation` on this disk's granter, at the present time and with the voters as they are
+/// known now.
+pub(crate) fn with_granter<T>(
+    control: &Control,
+    operation: impl FnOnce(&mut Granter, u64) -> T,
+) -> T {
+    let adopted = control.documents.layout.load();
+    let (version, layout) = &**adopted;
     let mut granter = control.duties.granter.lock().unwrap();
     let now = control.runtime.now();
-    granter.see_seats(now, seats_digest(&l.1), l.1.term, l.0 == 1);
-    f(&mut granter, now)
+    granter.observe_voters(now, voters_digest(layout), layout.term, *version == 1);
+    operation(&mut granter, now)
 }
 
-/// Answers for this disk, which alone gives its grants.
-pub async fn answer(control: &Control, ask: &LeaseRequest) -> LeaseResponse {
-    let verdict = if ask.granter == control.storage.disk_id {
-        decide(control, ask).await
+/// Answers a request for this disk's grant. No other disk may answer for it.
+pub(crate) async fn answer(control: &Control, request: &LeaseRequest) -> LeaseResponse {
+    let verdict = if request.granter == control.storage.disk_id {
+        decide(control, request).await
     } else {
         LeaseVerdict::Refused(LeaseDenial::OtherDisk)
     };
@@ -101,82 +110,80 @@
     let (term, holder) = with_granter(control, |granter, now| {
         (granter.term(), granter.holder(now).cloned())
     });
-    let holder = holder.filter(|_| ask.wants_holder);
     LeaseResponse {
         granter: control.storage.disk_id.clone(),
         term,
         verdict,
-        versions: versions(control).await,
-        holder,
+        versions: document_versions(control).await,
+        holder: holder.filter(|_| request.wants_holder),
     }
 }
 
-async fn decide(control: &Control, ask: &LeaseRequest) -> LeaseVerdict {
+async fn decide(control: &Control, request: &LeaseRequest) -> LeaseVerdict {
     if control.storage.failed.load(SeqCst) {
         return LeaseVerdict::Refused(LeaseDenial::DiskFailed);
     }
-    if !has_seat(&control.documents.layout.load().1, &control.storage.disk_id) {
+    if !is_voter(&control.documents.layout.load().1, &control.storage.disk_id) {
         return LeaseVerdict::Refused(LeaseDenial::OtherSeats);
     }
     let (is_freed, verdict, to_keep) = with_granter(control, |granter, now| {
-        let is_freed = granter.meet(&ask.candidate);
-        let verdict = granter.answer(now, &ask.candidate, ask.seats, ask.call);
+        let is_freed = granter.meet(&request.candidate);
+        let verdict = granter.answer(now, &request.candidate, request.seats, request.call);
         (is_freed, verdict, granter.to_keep())
     });
     if is_freed {
         control.duties.changed.notify(usize::MAX);
     }
-    if verdict == LeaseVerdict::Granted && !keep_grant(control, &to_keep).await {
+    if verdict == LeaseVerdict::Granted && !persist_grant(control, &to_keep).await {
         return LeaseVerdict::Refused(LeaseDenial::DiskFailed);
     }
     verdict
 }
 
-/// Returns once the grant is on disk. Its extensions change nothing there, until they count in
-/// other seats.
-async fn keep_grant(control: &Control, grant: &KeptGrant) -> bool {
-    let mut kept = control.duties.kept.lock().await;
-    if kept.grant == *grant || kept.grant.term > grant.term {
+/// Returns once the grant is on disk; false if the disk failed. A renewal writes nothing, unless it
+/// counts among other voters than the grant that is on disk.
+async fn persist_grant(control: &Control, grant: &KeptGrant) -> bool {
+    let mut file = control.duties.grant_file.lock().await;
+    if file.grant == *grant || file.grant.term > grant.term {
         return true;
     }
-    let version = kept.version + 1;
+    let version = file.version + 1;
     let body = serde_json::to_vec(grant).unwrap_or_default();
-    if control
+    let persisted = control
         .storage
-        .persist("local", TERM_FILE, version, &body)
-        .await
-        .is_err()
-    {
+        .persist("local", GRANT_FILE, version, &body)
+        .await;
+    if persisted.is_err() {
         return false;
     }
-    *kept = GrantFile {
+    *file = GrantFile {
         version,
         grant: grant.clone(),
     };
     true
 }
 
-pub fn has_seat(layout: &Layout, disk: &str) -> bool {
+/// Whether the disk is a core replica, incoming or outgoing.
+pub(crate) fn is_voter(layout: &Layout, disk: &str) -> bool {
     layout
         .core
         .current
         .iter()
         .chain(&layout.core.previous)
-        .any(|d| d == disk)
+        .any(|voter| voter == disk)
 }
 
-async fn versions(control: &Control) -> Vec<(String, u64)> {
-    let mut v = vec![];
+/// The newest version of each document that this disk holds, decided or not.
+async fn document_versions(control: &Control) -> Vec<(String, u64)> {
+    let mut versions = vec![];
     for document in DOCS {
         let on_disk = control
             .replica
             .peek(document)
             .await
             .map_or(0, |slot| slot.seq);
-        v.push((
-            document.to_string(),
-            on_disk.max(control.documents.document(document).version),
-        ));
+        let adopted = control.documents.document(document).version;
+        versions.push((document.to_string(), on_disk.max(adopted)));
     }
-    v
+    versions
 }
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -1,248 +1,286 @@
-//! Taking, renewing and giving up the duty lease.
+//! Acquires, renews and releases the lease for this process. The rules are in [`crate::lease`].
+//!
+//! # When the lease expires
+//!
+//! - *At a granter*: `LEASE_LENGTH` after it answered the last request or renewal that it granted,
+//!   on its own clock. Until then it grants the lease to nobody else.
+//! - *At the holder*: `LEASE_LENGTH - LEASE_MARGIN` after it **sent** the last round that a quorum
+//!   granted, on its own clock. The moment of sending is before that of every answer, so delays on
+//!   the network only shorten the holder's time. The margin covers clocks that run at different
+//!   rates: the holder stops first even if its clock is slower than a granter's by the ratio of
+//!   margin to length.
+//!
+//! Nothing fires when the lease expires. `Control::acting_term` compares the clock with the expiry
+//! each time it is called, so it is called right before every act: a process that was frozen finds
+//! out before it acts on a lease that expired meanwhile.
+//!
+//! A new holder acts only after it has taken the documents under new ballots ([`fence`]): by then
+//! nothing that an earlier holder has in flight can be accepted any more.
 
-use crate::lease::*;
+use crate::lease::quorum;
 use crate::lease_granter::with_granter;
-use crate::quorum_contact::{all_seats, ask_seat, ask_seats};
+use crate::quorum_contact::{all_voters, ask_voter, ask_voters};
 use crate::{Control, config, layout};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::*;
+use yewcross_common::constants::{
+    FENCE_WITHIN, LEASE_RENEW, LEASE_RETRY, LEASE_STAGGER, LEASE_WAIT, MS, SEC, UNFIT_FOR,
+};
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::membership::MemberState;
-use yewcross_common::protocol::lease::*;
-use yewcross_common::protocol::*;
+use yewcross_common::protocol::ReplicaGroup;
+use yewcross_common::protocol::lease::{LeaseOperation, LeaseResponse, LeaseVerdict};
 use yewcross_common::register::{Ballot, Step};
 use yewcross_common::runtime::BoxFuture;
 
-/// Documents that only the holder of the lease writes where operators' orders are decided by any
-/// core.
+/// Documents that only the lease holder writes in a tier where any core decides operators' orders.
 const FENCED: [&str; 2] = ["layout", "list"];
 
-/// Wants the lease for as long as this process has a core seat.
-pub async fn run(c: Arc<Control>) {
-    while !c.members.replaced.is_set() {
-        if !may_hold(&c) {
-            let (adopted, lease) = (c.documents.changed.listen(), c.duties.changed.listen());
-            c.runtime
-                .timeout(
-                    SEC.min(UNFIT_FOR / 4),
-                    futures_lite::future::or(adopted, lease),
-                )
-                .await;
+/// us. How often a holder tries again to take the documents.
+const FENCE_RETRY: u64 = 20 * MS;
+
+/// us. How often a process that must not hold the lease looks whether it may.
+const ELIGIBILITY_CHECK: u64 = if SEC < UNFIT_FOR / 4 {
+    SEC
+} else {
+    UNFIT_FOR / 4
+};
+
+/// us. Longest wait for the granters of a lease that is released at a planned stop.
+const RELEASE_WAIT: u64 = LEASE_WAIT / 2;
+
+/// Round number of the request for the lease; renewals count from 1.
+const REQUEST_ROUND: u64 = 0;
+
+/// Competes for the lease and holds it, for as long as this process is the disk's own.
+pub(crate) async fn run(control: Arc<Control>) {
+    while !control.members.replaced.is_set() {
+        if !is_eligible(&control) {
+            let documents_changed = control.documents.changed.listen();
+            let lease_changed = control.duties.changed.listen();
+            let any_change = futures_lite::future::or(documents_changed, lease_changed);
+            control.runtime.timeout(ELIGIBILITY_CHECK, any_change).await;
             continue;
         }
-        wait_until_free(&c).await;
-        if !may_hold(&c) || !is_free_here(&c) {
+        wait_until_free(&control).await;
+        if !is_eligible(&control) || !is_free_here(&control) {
             continue;
         }
-        match campaign(&c).await {
-            Some(term) => hold(&c, term).await,
-            None => {
-                c.runtime
-                    .sleep(LEASE_RETRY + c.runtime.random() % LEASE_RETRY)
-                    .await
-            }
+        if let Some(term) = campaign(&control).await {
+            hold(&control, term).await;
+        } else {
+            let backoff = LEASE_RETRY + control.runtime.random() % LEASE_RETRY;
+            control.runtime.sleep(backoff).await;
         }
     }
 }
 
-fn may_hold(c: &Control) -> bool {
-    let seated = c
+/// Whether this process may hold the lease: an incoming voter, fit, not replaced and not stopping.
+fn is_eligible(control: &Control) -> bool {
+    let is_voter = control
         .documents
         .layout
         .load()
         .1
         .core
         .current
-        .contains(&c.storage.disk_id);
-    let is_fit = c.runtime.now() >= c.duties.unfit_until.load(SeqCst);
-    seated
+        .contains(&control.storage.disk_id);
+    let is_fit = control.runtime.now() >= control.duties.unfit_until.load(SeqCst);
+    is_voter
         && is_fit
-        && !c.storage.failed.load(SeqCst)
-        && !c.members.replaced.is_set()
-        && !c.duties.resigned.load(SeqCst)
+        && !control.storage.failed.load(SeqCst)
+        && !control.members.replaced.is_set()
+        && !control.duties.resigned.load(SeqCst)
 }
 
 fn is_free_here(control: &Control) -> bool {
     with_granter(control, |granter, now| granter.free_at() <= now)
 }
 
-/// Returns some time after the lease ran out here, each candidate after its own, or early when
-/// something changed.
+/// Returns some time after the lease expired at this disk's granter, or after a change. Candidates
+/// wait for different times, so that they seldom compete.
 async fn wait_until_free(control: &Arc<Control>) {
     let changed = control.duties.changed.listen();
-    let left = with_granter(control, |granter, now| {
+    let remaining = with_granter(control, |granter, now| {
         granter.free_at().saturating_sub(now)
     });
-    if left > 0 {
-        control.runtime.timeout(left, changed).await;
+    if remaining > 0 {
+        control.runtime.timeout(remaining, changed).await;
     }
-    control
-        .runtime
-        .sleep(rank(control) * LEASE_STAGGER + control.runtime.random() % (LEASE_STAGGER / 2))
-        .await;
+    let stagger = rank(control) * LEASE_STAGGER + control.runtime.random() % (LEASE_STAGGER / 2);
+    control.runtime.sleep(stagger).await;
 }
 
-/// This process among the core seats that seem alive, in an order that all know.
-fn rank(c: &Control) -> u64 {
-    let layout = c.documents.layout.load();
-    let alive = |d: &str| {
-        c.members
-            .by_disk(d)
-            .is_some_and(|n| n.state == MemberState::Alive)
+/// Rank of this process among the voters that seem alive, in an order that all processes compute
+/// alike.
+fn rank(control: &Control) -> u64 {
+    let adopted = control.documents.layout.load();
+    let (_, layout) = &**adopted;
+    let own_disk = control.storage.disk_id.as_str();
+    let is_alive = |disk: &str| {
+        control
+            .members
+            .by_disk(disk)
+            .is_some_and(|node| node.state == MemberState::Alive)
     };
     let candidates = layout
-        .1
         .core
         .current
         .iter()
-        .map(|d| d.as_str())
-        .filter(|d| *d == c.storage.disk_id || alive(d));
+        .map(String::as_str)
+        .filter(|disk| *disk == own_disk || is_alive(disk));
     let ranked = yewcross_common::hash::ranked("duty", candidates);
     ranked
         .iter()
-        .position(|d| *d == c.storage.disk_id)
+        .position(|disk| *disk == own_disk)
         .unwrap_or(0) as u64
 }
 
-/// First looks whether a majority calls the lease free, and only then asks for it: a process whose
-/// answers are lost on their way never locks the granters. The term, if it was got.
+/// Requests the lease, and returns its term if a quorum granted it. Asks first whether a quorum
+/// calls the lease free: a process that gets no answers through then never blocks the granters.
 async fn campaign(control: &Arc<Control>) -> Option<u64> {
-    let seats = control.documents.layout.load().1.core.clone();
-    let highest = look(control, &seats).await?;
-    let term = highest.max(control.documents.layout.load().1.term) + 1;
-    let call = control
-        .duties
-        .holder
-        .lock()
-        .unwrap()
-        .request(control.runtime.now(), term, &seats);
-    let disks = all_seats(&seats);
-    let (asked, answers) = (disks.len(), ask_seats(control, disks, call));
-    for _ in 0..asked {
-        let Ok(answer) = answers.recv().await else {
+    let voters = control.documents.layout.load().1.core.clone();
+    let highest_term = highest_term_if_free(control, &voters).await?;
+    let term = highest_term.max(control.documents.layout.load().1.term) + 1;
+    let request =
+        control
+            .duties
+            .holder
+            .lock()
+            .unwrap()
+            .request(control.runtime.now(), term, &voters);
+    let disks = all_voters(&voters);
+    let pending = disks.len();
+    let responses = ask_voters(control, disks, request);
+    for _ in 0..pending {
+        let Ok(response) = responses.recv().await else {
             break;
         };
-        if answer.is_some_and(|tell| count(control, term, 0, &tell)) {
+        if response.is_some_and(|response| record_grant(control, term, REQUEST_ROUND, &response)) {
             return Some(term);
         }
     }
-    give_up(control, &seats);
+    release(control, &voters);
     None
 }
 
-/// The highest term known to a majority that calls the lease free.
-async fn look(control: &Arc<Control>, seats: &ReplicaGroup) -> Option<u64> {
-    let disks = all_seats(seats);
-    let (asked, answers) = (disks.len(), ask_seats(control, disks, LeaseOperation::Look));
-    let (mut free, mut highest) = (vec![], 0);
-    for _ in 0..asked {
-        let Some(tell) = answers.recv().await.ok()? else {
+/// The highest term that the answering voters know, if a quorum of them calls the lease free.
+async fn highest_term_if_free(control: &Arc<Control>, voters: &ReplicaGroup) -> Option<u64> {
+    let disks = all_voters(voters);
+    let pending = disks.len();
+    let responses = ask_voters(control, disks, LeaseOperation::Look);
+    let mut free: Vec<String> = vec![];
+    let mut highest_term = 0;
+    for _ in 0..pending {
+        let Some(response) = responses.recv().await.ok()? else {
             continue;
         };
-        highest = highest.max(tell.term);
-        if tell.verdict == LeaseVerdict::Free {
-            free.push(tell.granter);
+        highest_term = highest_term.max(response.term);
+        if response.verdict == LeaseVerdict::Free {
+            free.push(response.granter);
         }
-        if quorum(seats, |d| free.iter().any(|f| f == d)) {
-            return Some(highest);
+        if quorum(voters, |disk| free.iter().any(|granter| granter == disk)) {
+            return Some(highest_term);
         }
     }
     None
 }
 
-/// Counts a grant. True once the lease is held by it.
-fn count(control: &Control, term: u64, round: u64, tell: &LeaseResponse) -> bool {
-    tell.verdict == LeaseVerdict::Granted
+/// Records a grant. Returns true if the lease is held, or held for longer, by it.
+fn record_grant(control: &Control, term: u64, round: u64, response: &LeaseResponse) -> bool {
+    response.verdict == LeaseVerdict::Granted
         && control
             .duties
             .holder
             .lock()
             .unwrap()
-            .granted(term, round, &tell.granter)
+            .granted(term, round, &response.granter)
 }
 
-/// Renews until the lease is lost or given up.
+/// Renews the lease until it expired, or this process must not hold it any more.
 async fn hold(control: &Arc<Control>, term: u64) {
     control.duties.taken.fetch_add(1, SeqCst);
     control.runtime.log(&format!("lease taken, term {term}"));
     control.runtime.spawn(fence(control.clone(), term));
-    while may_hold(control) && renew(control, term) {
+    while is_eligible(control) && renew(control, term) {
         control.runtime.sleep(LEASE_RENEW).await;
     }
     control.duties.lost.fetch_add(1, SeqCst);
     control.runtime.log(&format!("lease lost, term {term}"));
-    give_up(control, &control.documents.layout.load().1.core.clone());
+    let voters = control.documents.layout.load().1.core.clone();
+    release(control, &voters);
     control.duties.changed.notify(usize::MAX);
 }
 
-/// Begins a round. False once the lease is not held any more.
+/// Begins a round of renewal. Returns false if the lease is not held any more.
 fn renew(control: &Arc<Control>, term: u64) -> bool {
-    let seats = control.documents.layout.load().1.core.clone();
-    let Some(call) = control
+    let voters = control.documents.layout.load().1.core.clone();
+    let renewal = control
         .duties
         .holder
         .lock()
         .unwrap()
-        .renew(control.runtime.now(), &seats)
-    else {
-        return false;
-    };
-    let LeaseOperation::Renew { round, .. } = call else {
+        .renew(control.runtime.now(), &voters);
+    let Some(operation @ LeaseOperation::Renew { round, .. }) = renewal else {
         return false;
     };
-    for disk in all_seats(&seats) {
-        let me = control.clone();
+    for disk in all_voters(&voters) {
+        let control_handle = control.clone();
         control.runtime.spawn(async move {
-            if let Some(tell) = ask_seat(&me, &disk, call).await {
-                count(&me, term, round, &tell);
+            if let Some(response) = ask_voter(&control_handle, &disk, operation).await {
+                record_grant(&control_handle, term, round, &response);
             }
         });
     }
     true
 }
 
-/// Takes the documents under new epochs, so that nothing that an earlier holder still has under way
-/// can be accepted any more. Only then does this holder act; one that cannot in time lets another
-/// one try.
-async fn fence(c: Arc<Control>, term: u64) {
-    let until = c.runtime.now() + FENCE_WITHIN;
-    let holds = |c: &Control| c.lease_term() == Some(term);
-    while holds(&c) && c.runtime.now() < until {
-        if take_documents(&c).await {
-            c.duties.fenced.store(term, SeqCst);
-            // Copies that missed the new ballot are brought to it now: readers find all alike.
-            c.sweep_call.notify(usize::MAX);
-            c.duties.changed.notify(usize::MAX);
+/// Takes the documents under new ballots, so that nothing that an earlier holder has in flight can
+/// be accepted any more. The holder acts only after this; one that does not get there in time lets
+/// another process try.
+async fn fence(control: Arc<Control>, term: u64) {
+    let deadline = control.runtime.now() + FENCE_WITHIN;
+    let is_held = || control.lease_term() == Some(term);
+    while is_held() && control.runtime.now() < deadline {
+        if take_documents(&control).await {
+            control.duties.fenced_term.store(term, SeqCst);
+            // Replicas that missed the new ballot are repaired now, so that readers find all alike.
+            control.sweep_call.notify(usize::MAX);
+            control.duties.changed.notify(usize::MAX);
             return;
         }
-        // Disks that keep a newer layout answer nobody who goes by an older one.
-        layout::catch_up(&c).await;
-        c.runtime.sleep(20 * MS).await;
+        // Disks that keep a newer layout reject requests by an older one.
+        layout::catch_up(&control).await;
+        control.runtime.sleep(FENCE_RETRY).await;
     }
-    if holds(&c) {
-        c.runtime
+    if is_held() {
+        control
+            .runtime
             .log(&format!("the documents cannot be taken, term {term}"));
-        c.duties
-            .unfit_until
-            .store(c.runtime.now() + UNFIT_FOR, SeqCst);
+        let unfit_until = control.runtime.now() + UNFIT_FOR;
+        control.duties.unfit_until.store(unfit_until, SeqCst);
     }
 }
 
-/// All at once: each waits for its own disks only.
-async fn take_documents(c: &Arc<Control>) -> bool {
-    if c.options.tends && !layout::decide_first_documents(c).await {
+/// Takes all documents at once, since each waits for its own disks only. Returns whether all were
+/// taken.
+async fn take_documents(control: &Arc<Control>) -> bool {
+    if control.options.tends && !layout::decide_first_documents(control).await {
         return false;
     }
-    let documents: &[&'static str] = if c.options.tends { &DOCS } else { &FENCED };
+    let documents: &[&'static str] = if control.options.tends {
+        &DOCS
+    } else {
+        &FENCED
+    };
     let takes = documents
         .iter()
         .map(|document| -> BoxFuture<'static, bool> {
-            let control = c.clone();
-            let document = *document;
+            let (control, document) = (control.clone(), *document);
             Box::pin(async move { take_document(&control, document).await })
-        });
-    let taken = c.runtime.spawn_all(takes.collect());
+        })
+        .collect();
+    let taken = control.runtime.spawn_all(takes);
     for _ in documents {
         if taken.recv().await != Ok(true) {
             return false;
@@ -251,52 +289,53 @@
     true
 }
 
-/// What an earlier holder had decided and nobody was told of is told now.
+/// Takes one document, and publishes a version that an earlier holder decided without publishing it.
 async fn take_document(control: &Arc<Control>, name: &'static str) -> bool {
-    let held = control.documents.document(name).version;
-    let Ok((seq, document)) = control
-        .registers
-        .change(name, SEC, |seq, value| Step::Keep((seq, value.to_vec())))
-        .await
-    else {
+    let known = control.documents.document(name).version;
+    let read = |version, content: &[u8]| Step::Keep((version, content.to_vec()));
+    let Ok((version, content)) = control.registers.change(name, SEC, read).await else {
         return false;
     };
-    if control.options.tends && seq > held {
-        match held {
-            0 => {
-                control
-                    .documents
-                    .apply(name, seq, Ballot::default(), document);
-            }
-            _ => config::publish(control, name, seq, document),
-        }
+    if !control.options.tends || version <= known {
+        return true;
+    }
+    if known == 0 {
+        control
+            .documents
+            .apply(name, version, Ballot::default(), content);
+    } else {
+        config::publish(control, name, version, content);
     }
     true
 }
 
-/// Stops holding or asking, and tells the granters, so that nobody waits for the lease to run out.
-fn give_up(control: &Arc<Control>, seats: &ReplicaGroup) {
+/// Stops holding or requesting the lease. The granters are notified, so that no candidate has to
+/// wait until it expires.
+fn release(control: &Arc<Control>, voters: &ReplicaGroup) {
     let Some(term) = control.duties.holder.lock().unwrap().give_up() else {
         return;
     };
-    ask_seats(control, all_seats(seats), LeaseOperation::Release { term });
+    ask_voters(
+        control,
+        all_voters(voters),
+        LeaseOperation::Release { term },
+    );
 }
 
-/// A planned stop: the lease is free at once.
-pub async fn resign(control: &Arc<Control>) {
+/// Releases the lease for good at a planned stop, and waits for the granters for a while.
+pub(crate) async fn resign(control: &Arc<Control>) {
     control.duties.resigned.store(true, SeqCst);
     let Some(term) = control.duties.holder.lock().unwrap().give_up() else {
         return;
     };
-    let seats = all_seats(&control.documents.layout.load().1.core);
-    let (asked, answers) = (
-        seats.len(),
-        ask_seats(control, seats, LeaseOperation::Release { term }),
-    );
-    let told = async {
-        for _ in 0..asked {
-            let _ = answers.recv().await;
+    let voters = all_voters(&control.documents.layout.load().1.core);
+    let pending = voters.len();
+    let responses = ask_voters(control, voters, LeaseOperation::Release { term });
+    let released = async {
+        for _ in 0..pending {
+            // Only the number of answers counts: a granter that fails lets the lease expire.
+            let _ = responses.recv().await;
         }
     };
-    control.runtime.timeout(LEASE_WAIT / 2, told).await;
+    control.runtime.timeout(RELEASE_WAIT, released).await;
 }
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -2,7 +2,6 @@
 pub mod config;
 pub mod contact;
 mod disk_recovery;
-pub mod duty;
 pub mod layout;
 pub mod lease;
 mod lease_granter;
@@ -11,6 +10,7 @@
 pub mod platform_list;
 pub mod proposer;
 pub mod quorum_contact;
+pub mod singleton_tasks;
 
 use config::{DocumentChange, DocumentPoll, Publication};
 use event_listener::Event;
@@ -43,7 +43,7 @@
     pub store: Arc<yewcross_state::records::Store>,
     pub chain: Arc<yewcross_state::turn_store::Engine>,
     pub watcher: Arc<DocumentWatcher>,
-    pub duties: duty::Duties,
+    pub duties: singleton_tasks::SingletonTasks,
     pub connections: Arc<ConnectionTracker>,
     pub serving_leases: Mutex<BTreeMap<String, u64>>,
     /// Newest version of the configuration known to be proved in force.
@@ -186,9 +186,15 @@
                 settings.bounds.apply * MS,
             ),
         };
-        let duties = duty::Duties::open(runtime, &vault, &book, owner.proposer_id, settings.role)
-            .await
-            .map_err(disk)?;
+        let duties = singleton_tasks::SingletonTasks::open(
+            runtime,
+            &vault,
+            &book,
+            owner.proposer_id,
+            settings.role,
+        )
+        .await
+        .map_err(disk)?;
         let chain =
             yewcross_state::turn_store::Engine::start(runtime, &settings, &members, &book, &vault)
                 .await
@@ -267,7 +273,7 @@
         runtime.spawn(tidy(c.clone()));
         runtime.spawn(disk_recovery::run(c.clone()));
         if c.settings.role == Role::Core {
-            runtime.spawn(duty::run(c.clone()));
+            runtime.spawn(singleton_tasks::run(c.clone()));
         }
         Ok(c)
     }
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{self, PutError};
 use crate::layout::{self, LayoutError, Move};
-use crate::{Control, duty};
+use crate::{Control, singleton_tasks};
 use http_types::{Method, Response};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -223,10 +223,10 @@
 }
 
 async fn status(control: &Arc<Control>) -> Response {
-    let holder = duty::holder_name(control);
-    let duties: Vec<Value> = duty::DUTIES
+    let holder = singleton_tasks::holder_name(control);
+    let duties: Vec<Value> = singleton_tasks::SINGLETON_TASKS
         .iter()
-        .map(|d| json!({"duty": d, "held_here": control.on_duty(), "given": holder}))
+        .map(|d| json!({"duty": d, "held_here": control.is_acting_holder(), "given": holder}))
         .collect();
     let versions: serde_json::Map<String, Value> = control
         .documents
@@ -237,7 +237,7 @@
     reply(
         200,
         &json!({"name": control.settings.name, "role": control.settings.role, "disk": control.storage.disk_id, "disk_failed": control.storage.failed.load(SeqCst),
-            "nodes": control.members.all(), "versions": versions, "duties": duties, "lease": duty::status(control),
+            "nodes": control.members.all(), "versions": versions, "duties": duties, "lease": singleton_tasks::status(control),
             "swept": control.swept.load(SeqCst), "sweep_left": control.sweep_left.load(SeqCst)}),
     )
 }
@@ -264,7 +264,7 @@
         200,
         &json!({"disk": control.storage.disk_id, "name": control.settings.name, "damaged": hurt, "held": held, "nodes": control.members.view.load().values().collect::<Vec<_>>(),
             "versions": control.documents.versions(), "config": page("config"), "layout": page("layout"), "list": page("list"),
-            "duties": duty::DUTIES.iter().map(|d| (d.to_string(), duty::holder_name(control))).collect::<Vec<_>>()}),
+            "duties": singleton_tasks::SINGLETON_TASKS.iter().map(|d| (d.to_string(), singleton_tasks::holder_name(control))).collect::<Vec<_>>()}),
     )
 }
 
@@ -275,7 +275,7 @@
         &json!({
             "odd_frames": control.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst), "bytes_across": t.bytes_across.load(SeqCst),
             "kinds": *t.kinds.lock().unwrap(), "syncs": control.storage.syncs.load(SeqCst), "disk_bytes": control.storage.bytes.load(SeqCst), "takes": control.registers.prepared_ballots.load(SeqCst),
-            "tended": control.counts.tended.load(SeqCst), "puts": control.counts.puts.load(SeqCst), "list_polls": control.duties.polls.load(SeqCst), "lease": duty::counters(control),
+            "tended": control.counts.tended.load(SeqCst), "puts": control.counts.puts.load(SeqCst), "list_polls": control.duties.polls.load(SeqCst), "lease": singleton_tasks::counters(control),
             "chains": control.chain.figures(),
         }),
     )
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -49,7 +49,7 @@
     let Ok(mut list) = serde_json::from_slice::<ServerList>(&b) else {
         return LIST_EVERY;
     };
-    let Some(term) = control.duty_term() else {
+    let Some(term) = control.acting_term() else {
         return LIST_EVERY;
     };
     list.term = term;
@@ -123,7 +123,7 @@
     if page.is_some() || (at > 0 && decided_servers(control) == servers) {
         return PAGES_EVERY;
     }
-    let Some(term) = control.duty_term() else {
+    let Some(term) = control.acting_term() else {
         return DECIDE_AGAIN;
     };
     let got = control
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -5,7 +5,7 @@
 //! the holder prepares ballots for the configuration, the layout and the platform's list; every
 //! other core passes orders on to it, and reads without preparing anything.
 
-use crate::{Control, duty};
+use crate::{Control, singleton_tasks};
 use std::sync::Arc;
 use yewcross_common::constants::{LOOKS_WITHIN, MS, PROPOSER_AGAIN};
 use yewcross_common::error_code::Code;
@@ -29,7 +29,7 @@
     blob: &[u8],
     us: u64,
 ) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
-    let to = duty::holder_address(control).ok_or(NotAnswered::NoProposer)?;
+    let to = singleton_tasks::holder_address(control).ok_or(NotAnswered::NoProposer)?;
     match control.peers.request(to, question, blob, us).await {
         Ok((PeerResponse::Rejected(Code::NotOnDuty | Code::BadBody), _))
         | Err(SendError::NotSent) => Err(NotAnswered::NoProposer),
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -1,50 +1,60 @@
-//! Contact with a majority of the core seats: asking them, and what follows from their answers.
+//! Contact with a quorum of the core replicas (voters): asking them, and what follows from their
+//! answers.
+//!
+//! A core that has no such contact may have missed decisions, so it publishes no updates and takes
+//! no orders. The lease holder's renewals serve as its heartbeat; every other core polls as many
+//! voters as make a majority, in turns.
 
 use crate::Control;
-use crate::lease::seats_digest;
-use crate::lease_granter::{answer, has_seat, with_granter};
+use crate::lease::voters_digest;
+use crate::lease_granter::{answer, is_voter, with_granter};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::*;
-use yewcross_common::protocol::lease::*;
-use yewcross_common::protocol::*;
+use yewcross_common::constants::{CONTACT_AGAIN, LEASE_WAIT, MS, QUORUM_WAIT};
+use yewcross_common::protocol::lease::{
+    LeaseDenial, LeaseOperation, LeaseRequest, LeaseResponse, LeaseVerdict,
+};
+use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse, ReplicaGroup};
+use yewcross_common::register::majority;
 use yewcross_common::runtime::BoxFuture;
 
-/// Puts one question to one seat. Its answer counts as contact.
-pub async fn ask_seat(
+/// us. Contact counts for at least this long, however short the time to apply is.
+const SHORTEST_CONTACT: u64 = 200 * MS;
+
+/// How often a core polls voters within the time for which contact counts.
+const POLLS_WITHIN_CONTACT: u64 = 3;
+
+/// Processes begin with different voters: one of so many first turns is drawn.
+const FIRST_TURNS: usize = 64;
+
+/// Sends one request to one voter, or answers it here. An answer counts as contact. `None` if the
+/// disk did not answer within `LEASE_WAIT`, or is unable to.
+pub(crate) async fn ask_voter(
     control: &Arc<Control>,
     disk: &str,
-    call: LeaseOperation,
+    operation: LeaseOperation,
 ) -> Option<LeaseResponse> {
-    let seats = seats_digest(&control.documents.layout.load().1);
+    let seats = voters_digest(&control.documents.layout.load().1);
     let wants_holder = with_granter(control, |granter, now| granter.holder(now).is_none());
-    let ask = LeaseRequest {
+    let request = LeaseRequest {
         granter: disk.into(),
         candidate: control.duties.candidate.clone(),
         seats,
-        call,
+        call: operation,
         wants_holder,
     };
     let sent = control.runtime.now();
-    let tell = if disk == control.storage.disk_id {
-        answer(control, &ask).await
+    let response = if disk == control.storage.disk_id {
+        answer(control, &request).await
     } else {
         let peer = control.members.by_disk(disk)?.peer;
-        match control
-            .peers
-            .request(peer, &PeerRequest::Lease(ask), &[], LEASE_WAIT)
-            .await
-        {
-            Ok((PeerResponse::Lease(tell), _)) => tell,
+        let request = PeerRequest::Lease(request);
+        match control.peers.request(peer, &request, &[], LEASE_WAIT).await {
+            Ok((PeerResponse::Lease(response), _)) => response,
             _ => return None,
         }
     };
-    let speaks_for_disk = tell.granter == disk
-        && !matches!(
-            tell.verdict,
-            LeaseVerdict::Refused(LeaseDenial::OtherDisk | LeaseDenial::DiskFailed)
-        );
-    if !speaks_for_disk {
+    if !speaks_for(&response, disk) {
         return None;
     }
     control
@@ -52,173 +62,180 @@
         .contact
         .lock()
         .unwrap()
-        .heard(disk, sent, &tell.versions);
-    if let Some(holder) = &tell.holder {
-        *control.duties.told_holder.lock().unwrap() = Some((holder.clone(), sent));
+        .record_answer(disk, sent, &response.versions);
+    if let Some(holder) = &response.holder {
+        *control.duties.reported_holder.lock().unwrap() = Some((holder.clone(), sent));
     }
-    Some(tell)
+    Some(response)
+}
+
+/// Whether the response is that disk's, and the disk works.
+fn speaks_for(response: &LeaseResponse, disk: &str) -> bool {
+    let is_unable = matches!(
+        response.verdict,
+        LeaseVerdict::Refused(LeaseDenial::OtherDisk | LeaseDenial::DiskFailed)
+    );
+    response.granter == disk && !is_unable
 }
 
-/// Puts one question to several seats at once.
-pub fn ask_seats(
+/// Sends one request to several voters at once. Each of them puts one message into the channel.
+pub(crate) fn ask_voters(
     control: &Arc<Control>,
     disks: Vec<String>,
-    call: LeaseOperation,
+    operation: LeaseOperation,
 ) -> async_channel::Receiver<Option<LeaseResponse>> {
-    let questions = disks
+    let requests = disks
         .into_iter()
         .map(|disk| {
-            let me = control.clone();
-            let question: BoxFuture<'static, _> =
-                Box::pin(async move { ask_seat(&me, &disk, call).await });
-            question
+            let control = control.clone();
+            let request: BoxFuture<'static, _> =
+                Box::pin(async move { ask_voter(&control, &disk, operation).await });
+            request
         })
         .collect();
-    control.runtime.spawn_all(questions)
+    control.runtime.spawn_all(requests)
 }
 
-/// All core seats, new and old.
-pub fn all_seats(g: &ReplicaGroup) -> Vec<String> {
-    let mut v = g.current.clone();
-    v.extend(
-        g.previous
-            .iter()
-            .filter(|d| !g.current.contains(d))
-            .cloned(),
-    );
-    v
+/// All disks of a group: the incoming ones, then the outgoing ones that do not stay.
+pub(crate) fn all_voters(group: &ReplicaGroup) -> Vec<String> {
+    let leaving = group
+        .previous
+        .iter()
+        .filter(|disk| !group.current.contains(disk));
+    group.current.iter().chain(leaving).cloned().collect()
 }
 
-/// us. A core that has not heard a majority of core seats for this long gives no news and takes no
-/// orders: half of the time in which a configuration is to be in force everywhere, so that whoever
-/// follows still has the other half.
-pub fn contact_bound(apply_ms: u64) -> u64 {
-    (apply_ms * MS / 2).max(200 * MS)
+/// How long an answer of a quorum counts as contact, in us: half of the time in which a
+/// configuration is to be in force everywhere, so that a successor still has the other half.
+fn contact_lifetime(apply_ms: u64) -> u64 {
+    (apply_ms * MS / 2).max(SHORTEST_CONTACT)
 }
 
 impl Control {
-    /// Whether a majority of the core seats answered this process lately; of both sets while core
-    /// seats change. Whatever was decided before the bound is then known here at least by number.
+    /// Whether a quorum of the voters answered this process lately; of both sets while the core
+    /// group changes. Whatever was decided before the lifetime of a contact is then known here at
+    /// least by its version.
     pub fn has_quorum_contact(&self) -> bool {
-        let since = self
-            .duties
-            .contact
-            .lock()
-            .unwrap()
-            .since(&self.documents.layout.load().1.core);
-        since > 0 && self.runtime.now() < since + contact_bound(self.settings.bounds.apply)
+        let since = quorum_since(self, &self.documents.layout.load().1.core);
+        since > 0 && self.runtime.now() < since + contact_lifetime(self.settings.bounds.apply)
     }
 
-    /// The newest version of a document that any core seat was heard to hold.
+    /// The newest version of a document that any voter has reported.
     pub fn version_heard(&self, document: &str) -> u64 {
-        self.duties.contact.lock().unwrap().version(document)
+        self.duties.contact.lock().unwrap().newest_version(document)
     }
 }
 
-/// Whether a majority of the core seats answers this process; asked anew where it didn't lately.
-/// Takes `QUORUM_WAIT` at most.
+fn quorum_since(control: &Control, group: &ReplicaGroup) -> u64 {
+    control.duties.contact.lock().unwrap().quorum_since(group)
+}
+
+/// Whether a quorum of the voters answers this process; they are asked again if they have not
+/// lately. Takes at most `QUORUM_WAIT`.
 pub async fn reach_quorum(control: &Arc<Control>) -> bool {
     if control.has_quorum_contact() {
         return true;
     }
-    let seats = all_seats(&control.documents.layout.load().1.core);
-    let (asked, answers) = (seats.len(), ask_seats(control, seats, LeaseOperation::Look));
-    let met = async {
-        for _ in 0..asked {
-            if answers.recv().await.is_err() || control.has_quorum_contact() {
+    let voters = all_voters(&control.documents.layout.load().1.core);
+    let pending = voters.len();
+    let responses = ask_voters(control, voters, LeaseOperation::Look);
+    let reached = async {
+        for _ in 0..pending {
+            if responses.recv().await.is_err() || control.has_quorum_contact() {
                 return;
             }
         }
     };
-    control.runtime.timeout(QUORUM_WAIT, met).await;
+    control.runtime.timeout(QUORUM_WAIT, reached).await;
     control.has_quorum_contact()
 }
 
-/// Asks a majority of the core seats, in turns, three times in the bound; all seats once a round
-/// left it short, since with as many missing as are tolerated the turns alone would leave it short
-/// again and again.
-pub async fn keep_contact(control: Arc<Control>) {
-    let every = contact_bound(control.settings.bounds.apply) / 3;
-    let mut turn = control.runtime.random() as usize % 64;
-    let mut soon = CONTACT_AGAIN.min(every / 2);
+/// Polls the voters for as long as the process runs: a majority of them, in turns, several times
+/// within the lifetime of a contact. After a round that left contact short all are asked, since with
+/// as many voters missing as are tolerated the turns alone would leave it short again and again.
+pub(crate) async fn keep_contact(control: Arc<Control>) {
+    let interval = contact_lifetime(control.settings.bounds.apply) / POLLS_WITHIN_CONTACT;
+    let first_backoff = CONTACT_AGAIN.min(interval / 2);
+    let mut turn = control.runtime.random() as usize % FIRST_TURNS;
+    let mut backoff = first_backoff;
     loop {
-        let layout = control.documents.layout.load_full();
-        let others: Vec<String> = all_seats(&layout.1.core)
-            .into_iter()
-            .filter(|d| *d != control.storage.disk_id)
-            .collect();
-        control
-            .duties
-            .contact
-            .lock()
-            .unwrap()
-            .retain(&layout.1.core);
-        let heard_at = control.duties.contact.lock().unwrap().since(&layout.1.core);
-        let last_round_was_enough = control.runtime.now() < heard_at + every * 3 / 2;
-        let asked = seats_in_turn(
-            &layout.1.core,
-            others,
-            &control.storage.disk_id,
-            turn,
-            last_round_was_enough,
-        );
+        let adopted = control.documents.layout.load_full();
+        let (version, layout) = &*adopted;
+        poll_voters(&control, layout, turn, interval).await;
         turn += 1;
-        if has_seat(&layout.1, &control.storage.disk_id) {
-            ask_seat(&control, &control.storage.disk_id, LeaseOperation::Look).await;
-        }
-        // The holder's renewals are its heartbeat.
-        if control.lease_term().is_none() {
-            ask_seats(&control, asked, LeaseOperation::Look);
-        }
-        // Seats that start together, or meet again after a cut, are a moment away: they are asked
-        // again soon at first.
-        let has_contact = control.has_quorum_contact();
-        let rest = if has_contact { every } else { soon };
-        soon = if has_contact {
-            CONTACT_AGAIN.min(every / 2)
+        // Voters that start together, or meet again after a partition, answer within a moment: the
+        // first repetitions follow quickly.
+        let rest = if control.has_quorum_contact() {
+            backoff = first_backoff;
+            interval
         } else {
-            (2 * soon).min(every / 2)
+            let rest = backoff;
+            backoff = (2 * backoff).min(interval / 2);
+            rest
         };
-        let moved = control.documents.changed.listen();
-        match layout.0 {
-            0 => futures_lite::future::or(moved, control.runtime.sleep(every)).await,
-            _ => control.runtime.sleep(rest).await,
+        let changed = control.documents.changed.listen();
+        if *version == 0 {
+            futures_lite::future::or(changed, control.runtime.sleep(interval)).await;
+        } else {
+            control.runtime.sleep(rest).await;
         }
         note_contact(&control);
     }
 }
 
-/// As many as a majority needs, in turns; all where the last round was not enough, or while core
-/// seats change.
-fn seats_in_turn(
-    g: &ReplicaGroup,
+/// One round: asks this process's own disk if it is a voter, and others as needed.
+async fn poll_voters(control: &Arc<Control>, layout: &Layout, turn: usize, interval: u64) {
+    let (group, own_disk) = (&layout.core, &control.storage.disk_id);
+    let others: Vec<String> = all_voters(group)
+        .into_iter()
+        .filter(|disk| disk != own_disk)
+        .collect();
+    control.duties.contact.lock().unwrap().retain(group);
+    let last_round_sufficed =
+        control.runtime.now() < quorum_since(control, group) + interval * 3 / 2;
+    let polled = voters_in_turn(group, others, own_disk, turn, last_round_sufficed);
+    if is_voter(layout, own_disk) {
+        ask_voter(control, own_disk, LeaseOperation::Look).await;
+    }
+    // The holder's renewals are its heartbeat.
+    if control.lease_term().is_none() {
+        ask_voters(control, polled, LeaseOperation::Look);
+    }
+}
+
+/// As many as a majority needs, in turns; all if the last round did not suffice, or while the core
+/// group changes.
+fn voters_in_turn(
+    group: &ReplicaGroup,
     mut others: Vec<String>,
-    own: &str,
+    own_disk: &str,
     turn: usize,
-    last_round_was_enough: bool,
+    last_round_sufficed: bool,
 ) -> Vec<String> {
-    if others.is_empty() || !last_round_was_enough || !g.previous.is_empty() {
+    if others.is_empty() || !last_round_sufficed || group.is_changing() {
         return others;
     }
-    let needed = yewcross_common::register::majority(g.current.len())
-        - g.current.iter().any(|d| d == own) as usize;
-    let n = others.len();
-    others.rotate_left(turn % n);
+    let own_votes = usize::from(group.current.iter().any(|disk| disk == own_disk));
+    let needed = majority(group.current.len()) - own_votes;
+    let first = turn % others.len();
+    others.rotate_left(first);
     others.truncate(needed);
     others
 }
 
+/// Counts and logs that contact was lost or found.
 fn note_contact(control: &Control) {
-    let now = control.has_quorum_contact();
-    if control.duties.had_contact.swap(now, SeqCst) == now {
+    let has_contact = control.has_quorum_contact();
+    let had_contact = control.duties.had_contact.swap(has_contact, SeqCst);
+    if has_contact == had_contact {
         return;
     }
-    if !now {
+    if has_contact {
+        control.runtime.log("contact with a majority of core seats");
+    } else {
         control.duties.contact_lost.fetch_add(1, SeqCst);
+        control
+            .runtime
+            .log("no contact with a majority of core seats");
     }
-    control.runtime.log(if now {
-        "contact with a majority of core seats"
-    } else {
-        "no contact with a majority of core seats"
-    });
 }
--- a/yewcross-testkit/src/proof/faults/processes.rs
+++ b/yewcross-testkit/src/proof/faults/processes.rs
@@ -74,7 +74,7 @@
         let holder = self
             .names(Role::Core)
             .into_iter()
-            .find(|n| self.control(n).is_some_and(|c| c.on_duty()));
+            .find(|n| self.control(n).is_some_and(|c| c.is_acting_holder()));
         let n = holder.unwrap_or("core1".into());
         let server = self.any_back(true);
         let p = self.platform.lock().unwrap().clone();
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -205,7 +205,7 @@
             .lock()
             .unwrap()
             .iter()
-            .filter(|c| c.1.on_duty())
+            .filter(|c| c.1.is_acting_holder())
             .map(|c| c.0.clone())
             .collect()
     }
--- a/yewcross-testkit/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -568,7 +568,7 @@
                         .lock()
                         .unwrap()
                         .iter()
-                        .filter(|c| c.1.on_duty())
+                        .filter(|c| c.1.is_acting_holder())
                         .map(|c| c.0.clone())
                         .collect::<Vec<_>>()
                 };
--- a/yewcross-testkit/tests/duty.rs
+++ b/yewcross-testkit/tests/duty.rs
@@ -201,7 +201,7 @@
                     t.op.sleep(3 * SEC).await;
                     let cores = t.names(Role::Core);
                     let watch = Watch::start(&t);
-                    let was = t.at(&t.on_duty()[0]).unwrap().duty_term().unwrap();
+                    let was = t.at(&t.on_duty()[0]).unwrap().acting_term().unwrap();
                     cores.iter().for_each(|n| t.kill(n, power));
                     t.op.sleep(500 * MS).await;
                     cores.iter().for_each(|n| t.boot(n, false));
@@ -211,7 +211,7 @@
                         assert!(t.op.now() < t0 + 10 * SEC, "nobody on duty\n{}", tell(&t));
                     }
                     let us = t.op.now() - t0;
-                    let is = t.at(&t.on_duty()[0]).unwrap().duty_term().unwrap();
+                    let is = t.at(&t.on_duty()[0]).unwrap().acting_term().unwrap();
                     t.op.sleep(3 * SEC).await;
                     watch.end();
                     (us, (was, is))
@@ -251,7 +251,7 @@
                         .first()
                         .cloned()
                         .unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
-                    let term = t.at(&holder).unwrap().duty_term().unwrap();
+                    let term = t.at(&holder).unwrap().acting_term().unwrap();
                     watch.begin(t.op.now());
                     platform.edit(|v| v[2 * n].leaving = true);
                     t.op.sleep(t.op.random() % (700 * MS)).await;
@@ -267,7 +267,7 @@
                     assert_ne!(now, holder);
                     t.sim.thaw(t.sim.find(&holder));
                     t.op.sleep(2 * SEC).await;
-                    assert_ne!(t.at(&holder).unwrap().duty_term(), Some(term));
+                    assert_ne!(t.at(&holder).unwrap().acting_term(), Some(term));
                     for name in t.names(Role::Front) {
                         let held = t.front(&name).unwrap().book.list.load().1.servers.clone();
                         assert_eq!(held, platform.list(), "{name}\n{}", tell(&t));
--- a/yewcross-testkit/tests/models/lease.rs
+++ b/yewcross-testkit/tests/models/lease.rs
@@ -117,7 +117,7 @@
             state.now
         };
         let mut granter = Granter::new(TIMES, now, kept, false);
-        granter.see_seats(now, SEATS, term, false);
+        granter.observe_voters(now, SEATS, term, false);
         granter
     }
 
@@ -138,7 +138,7 @@
     fn initial(&self) -> Vec<State> {
         let granter = |_| {
             let mut granter = Granter::new(TIMES, 0, KeptGrant::default(), true);
-            granter.see_seats(0, SEATS, 0, true);
+            granter.observe_voters(0, SEATS, 0, true);
             granter
         };
         let process = |number: u64| Process {
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -219,7 +219,7 @@
                 let stores: Vec<String> = (0..lost)
                     .map(|i| format!("store{}", 1 + (round * lost + i) % counts[1]))
                     .collect();
-                let has_duty = |n: &String| t.at(n).is_some_and(|c| c.on_duty());
+                let has_duty = |n: &String| t.at(n).is_some_and(|c| c.is_acting_holder());
                 let mut cores = t.names(Role::Core);
                 cores.rotate_left(round % counts[0]);
                 let lost_core = cores
@@ -323,7 +323,7 @@
                     cores.rotate_left(round % counts[0]);
                     let core = cores
                         .into_iter()
-                        .find(|n| t.at(n).is_some_and(|c| !c.on_duty()))
+                        .find(|n| t.at(n).is_some_and(|c| !c.is_acting_holder()))
                         .unwrap();
                     lose(&t, &core);
                     t.op.sleep(1_200 * MS).await;
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -827,7 +827,7 @@
                 process: 1,
                 life: 1,
             };
-            let seats = yewcross_control::lease::seats_digest(&core.documents.layout.load().1);
+            let seats = yewcross_control::lease::voters_digest(&core.documents.layout.load().1);
             let call = LeaseOperation::Request { term };
             let ask = LeaseRequest {
                 granter: core.storage.disk_id.clone(),
