--- a/yewcross-common/src/register/replica.rs
+++ b/yewcross-common/src/register/replica.rs
@@ -1,12 +1,15 @@
 //! A replica: the acceptor's records of many keys, each in a file of its own that is synced before
-//! the reply leaves.
+//! the reply is sent.
+//!
+//! Requests to keys of one shard are handled one after the other: a record is read, changed and
+//! written under the lock of its shard.
 
 use super::acceptor::{self, Effect, Record, Transition};
 use super::message::{Ballot, RegisterReply, RegisterRequest};
 use super::{SHARDS, locate};
 use crate::constants::SYNC_WAIT;
-use crate::runtime::*;
-use crate::storage::{DurableStorage, shard_folder as folder};
+use crate::runtime::Runtime;
+use crate::storage::{DurableStorage, shard_folder};
 use futures_util::lock::Mutex;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -14,9 +17,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 
-/// What stands before the value in a record's file.
+/// bytes. The length of the header, a little-endian u32, precedes it.
+const HEADER_LENGTH_BYTES: usize = 4;
+
+/// What precedes the value in a record's file.
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct RecordHeader {
     key: String,
     promised: Ballot,
     accepted: Ballot,
@@ -25,70 +31,82 @@
 
 /// A record and the version of its file.
 #[derive(Clone, Default)]
-pub(super) struct Entry {
+pub(super) struct StoredRecord {
     key: String,
     pub(super) record: Record,
-    pub(super) file: u64,
+    pub(super) file_version: u64,
 }
 
-/// Records by the hash of their key.
-pub(super) type Shard = BTreeMap<u128, Entry>;
+/// The records of one shard, by the hash of their key.
+pub(super) type Shard = BTreeMap<u128, StoredRecord>;
 
+/// The replica of this process.
 pub struct Replica {
-    pub(super) world: Runtime,
+    pub(super) runtime: Runtime,
+    /// The disk that the records are on.
     pub storage: Arc<DurableStorage>,
     pub(super) shards: Vec<Mutex<Shard>>,
-    /// Layouts older than this are refused.
+    /// Proposers that go by an older layout are rejected.
     pub layout_version: AtomicU64,
 }
 
+/// The name of the file of a key, by the hash of the key.
 pub(super) fn file_name(hash: u128) -> String {
     format!("{hash:032x}")
 }
 
-impl Entry {
+/// The hash that a file is named by; `None` for a file of any other name.
+pub(super) fn hash_of_file(name: &str) -> Option<u128> {
+    u128::from_str_radix(name, 16).ok()
+}
+
+impl StoredRecord {
+    /// The body of the record's file.
     pub(super) fn encode(&self) -> Vec<u8> {
         let record = &self.record;
-        let head = Head {
+        let header = RecordHeader {
             key: self.key.clone(),
             promised: record.promised,
             accepted: record.accepted,
             seq: record.seq,
         };
-        let head = serde_json::to_vec(&head).unwrap_or_default();
-        let mut bytes = (head.len() as u32).to_le_bytes().to_vec();
-        bytes.extend(head);
+        let header =
+            serde_json::to_vec(&header).expect("a header of strings and numbers is always JSON");
+        let mut bytes = (header.len() as u32).to_le_bytes().to_vec();
+        bytes.extend(header);
         bytes.extend(record.value.iter());
         bytes
     }
 
-    fn decode(bytes: &[u8], file: u64) -> Option<Entry> {
-        let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-        let head: Head = serde_json::from_slice(bytes.get(4..4 + length)?).ok()?;
-        let value = Arc::new(bytes[4 + length..].to_vec());
+    fn decode(bytes: &[u8], file_version: u64) -> Option<StoredRecord> {
+        let (length, rest) = bytes.split_at_checked(HEADER_LENGTH_BYTES)?;
+        let length = u32::from_le_bytes(length.try_into().ok()?) as usize;
+        let (header, value) = rest.split_at_checked(length)?;
+        let header: RecordHeader = serde_json::from_slice(header).ok()?;
+        let value = Arc::new(value.to_vec());
         let record = Record {
-            promised: head.promised,
-            accepted: head.accepted,
-            seq: head.seq,
+            promised: header.promised,
+            accepted: header.accepted,
+            seq: header.seq,
             value,
             damaged: false,
         };
-        Some(Entry {
-            key: head.key,
+        Some(StoredRecord {
+            key: header.key,
             record,
-            file,
+            file_version,
         })
     }
 
     /// A file that cannot be read. Its key is not known until another replica fills it.
-    fn damaged(file: u64) -> Entry {
-        Entry {
+    fn damaged(file_version: u64) -> StoredRecord {
+        StoredRecord {
             key: String::new(),
             record: Record {
                 damaged: true,
                 ..Record::default()
             },
-            file,
+            file_version,
         }
     }
 }
@@ -96,21 +114,23 @@
 impl Replica {
     /// Reads the records that the disk holds.
     pub async fn open(storage: &Arc<DurableStorage>) -> io::Result<Arc<Replica>> {
-        let world = storage.runtime.clone();
         let mut shards = vec![];
         for number in 0..SHARDS {
             let mut shard = Shard::new();
-            for (name, file, body) in storage.scan(&folder(number)).await? {
-                let Ok(hash) = u128::from_str_radix(&name, 16) else {
+            for file in storage.scan(&shard_folder(number)).await? {
+                let Some(hash) = hash_of_file(&file.name) else {
                     continue;
                 };
-                let entry = body.and_then(|bytes| Entry::decode(&bytes, file));
-                shard.insert(hash, entry.unwrap_or_else(|| Entry::damaged(file)));
+                let record = file
+                    .body
+                    .and_then(|bytes| StoredRecord::decode(&bytes, file.version))
+                    .unwrap_or_else(|| StoredRecord::damaged(file.version));
+                shard.insert(hash, record);
             }
             shards.push(Mutex::new(shard));
         }
         Ok(Arc::new(Replica {
-            world,
+            runtime: storage.runtime.clone(),
             storage: storage.clone(),
             shards,
             layout_version: AtomicU64::new(0),
@@ -123,19 +143,19 @@
         let shard = self.shards[shard].lock().await;
         shard
             .get(&hash)
-            .map(|entry| entry.record.clone())
+            .map(|stored| stored.record.clone())
             .filter(|record| !record.damaged)
     }
 
-    /// Keys that this disk holds, and how many records are damaged.
+    /// Keys that this disk has a readable record of, and the number of damaged records.
     pub async fn keys(&self) -> (Vec<String>, u64) {
         let (mut keys, mut damaged) = (vec![], 0);
         for shard in &self.shards {
-            for entry in shard.lock().await.values() {
-                if entry.record.damaged {
-                    damaged += 1
+            for stored in shard.lock().await.values() {
+                if stored.record.damaged {
+                    damaged += 1;
                 } else {
-                    keys.push(entry.key.clone())
+                    keys.push(stored.key.clone());
                 }
             }
         }
@@ -143,29 +163,34 @@
         (keys, damaged)
     }
 
-    /// Drops a key that this disk has no seat for any more.
+    /// Drops the record of a key that this disk is no replica of any more.
     pub async fn forget(&self, key: &str) {
         let (hash, number) = locate(key);
         let mut shard = self.shards[number].lock().await;
         self.remove(&mut shard, hash, number).await;
     }
 
-    /// Whether the key's files are gone for good: an older version that came back would outrank the
-    /// key's next life.
+    /// Removes a record; whether its files are gone for good. A file that came back would bring an
+    /// erased value back.
     async fn remove(&self, shard: &mut Shard, hash: u128, number: usize) -> bool {
         if !shard.contains_key(&hash) {
             return true;
         }
-        let erased = self.storage.erase(&folder(number), &file_name(hash)).await;
-        let erased = erased.inspect_err(|e| self.storage.mark_failed(e)).is_ok();
+        let erased = self
+            .storage
+            .erase(&shard_folder(number), &file_name(hash))
+            .await;
+        let erased = erased
+            .inspect_err(|error| self.storage.mark_failed(error))
+            .is_ok();
         if erased {
             shard.remove(&hash);
         }
         erased
     }
 
-    /// A write under way is never abandoned halfway: it runs on its own, and a slow disk only loses
-    /// its vote.
+    /// Handles one request. A write under way is never abandoned halfway: it runs as a task of its
+    /// own, and a slow disk only loses its vote.
     pub async fn handle(
         self: &Arc<Self>,
         request: RegisterRequest,
@@ -176,10 +201,11 @@
         }
         let (sender, receiver) = async_channel::bounded(1);
         let replica = self.clone();
-        self.world.spawn(async move {
+        self.runtime.spawn(async move {
+            // Nobody receives the answer if it came too late.
             let _ = sender.try_send(replica.handle_exclusively(request, blob).await);
         });
-        match self.world.timeout(SYNC_WAIT, receiver.recv()).await {
+        match self.runtime.timeout(SYNC_WAIT, receiver.recv()).await {
             Some(Ok(answer)) => answer,
             _ => (RegisterReply::Away, vec![]),
         }
@@ -192,13 +218,13 @@
     ) -> (RegisterReply, Vec<u8>) {
         let (hash, number) = locate(request.key());
         let mut shard = self.shards[number].lock().await;
-        let entry = shard.get(&hash).cloned().unwrap_or_default();
+        let stored = shard.get(&hash).cloned().unwrap_or_default();
         let Transition {
             effect,
             reply,
             value,
         } = acceptor::handle(
-            &entry.record,
+            &stored.record,
             self.layout_version.load(SeqCst),
             &request,
             blob,
@@ -211,17 +237,12 @@
                 }
             }
             Effect::Write(record) => {
-                let next = Entry {
+                let next = StoredRecord {
                     key: request.key().into(),
                     record,
-                    file: entry.file + 1,
+                    file_version: stored.file_version + 1,
                 };
-                if self
-                    .storage
-                    .persist(&folder(number), &file_name(hash), next.file, &next.encode())
-                    .await
-                    .is_err()
-                {
+                if self.persist(number, hash, &next).await.is_err() {
                     return (RegisterReply::Away, vec![]);
                 }
                 shard.insert(hash, next);
@@ -229,4 +250,16 @@
         }
         (reply, value.map(|value| value.to_vec()).unwrap_or_default())
     }
+
+    async fn persist(&self, shard: usize, hash: u128, record: &StoredRecord) -> io::Result<()> {
+        let body = record.encode();
+        self.storage
+            .persist(
+                &shard_folder(shard),
+                &file_name(hash),
+                record.file_version,
+                &body,
+            )
+            .await
+    }
 }
--- a/yewcross-common/src/register/restore.rs
+++ b/yewcross-common/src/register/restore.rs
@@ -1,19 +1,18 @@
-//! Brings a disk back to what this process has answered for, after a write of unknown outcome.
+//! Brings the files of a replica back to what it has answered, after a write of unknown outcome.
 
 use super::SHARDS;
-use super::replica::{Replica, Shard, file_name};
-use crate::storage::shard_folder as folder;
+use super::replica::{Replica, Shard, StoredRecord, file_name, hash_of_file};
+use crate::storage::{StoredFile, shard_folder, version_path};
 use std::collections::BTreeMap;
 use std::io;
 
-/// What the disk holds of a shard: newest version of each key's hash, and its body where it is
-/// sound.
-type Found = BTreeMap<u128, (u64, Option<Vec<u8>>)>;
+/// The newest file of each key of a shard, by the hash of the key.
+type FilesOnDisk = BTreeMap<u128, StoredFile>;
 
 impl Replica {
-    /// Reads all copies from the disk again. Memory holds what was answered for: a file that
-    /// differs is written anew above every version on the disk, and a file of which nothing was
-    /// answered is erased. Returns how many were wrong.
+    /// Reads all records from the disk again. Memory has what was answered: a file that differs is
+    /// written anew above every version on the disk, and a file of which nothing was answered is
+    /// erased. Returns how many files were wrong.
     pub async fn restore(&self) -> io::Result<usize> {
         let mut wrong = 0;
         for shard in 0..SHARDS {
@@ -22,63 +21,79 @@
         Ok(wrong)
     }
 
-    /// Waits for a write under way, which holds the shard.
+    /// Waits for a write under way, which has the shard locked.
     async fn restore_shard(&self, shard: usize) -> io::Result<usize> {
-        let mut entries = self.shards[shard].lock().await;
-        let found = self.read_shard(shard).await?;
-        let rewritten = self.rewrite_changed(shard, &mut entries, &found).await?;
-        let unanswered: Vec<u128> = found
+        let mut records = self.shards[shard].lock().await;
+        let files = self.files_of_shard(shard).await?;
+        let rewritten = self.rewrite_changed(shard, &mut records, &files).await?;
+        let unanswered: Vec<u128> = files
             .into_keys()
-            .filter(|hash| !entries.contains_key(hash))
+            .filter(|hash| !records.contains_key(hash))
             .collect();
         for hash in &unanswered {
             self.storage
-                .erase(&folder(shard), &file_name(*hash))
+                .erase(&shard_folder(shard), &file_name(*hash))
                 .await?;
         }
         Ok(rewritten + unanswered.len())
     }
 
-    async fn read_shard(&self, shard: usize) -> io::Result<Found> {
-        let files = self.storage.scan(&folder(shard)).await?;
-        let hashed = files.into_iter().filter_map(|(name, version, body)| {
-            Some((u128::from_str_radix(&name, 16).ok()?, (version, body)))
-        });
-        Ok(hashed.collect())
+    async fn files_of_shard(&self, shard: usize) -> io::Result<FilesOnDisk> {
+        let files = self.storage.scan(&shard_folder(shard)).await?;
+        let by_hash = files
+            .into_iter()
+            .filter_map(|file| Some((hash_of_file(&file.name)?, file)));
+        Ok(by_hash.collect())
     }
 
     async fn rewrite_changed(
         &self,
         shard: usize,
-        entries: &mut Shard,
-        found: &Found,
+        records: &mut Shard,
+        files: &FilesOnDisk,
     ) -> io::Result<usize> {
         let mut rewritten = 0;
-        for (hash, entry) in entries
-            .iter_mut()
-            .filter(|(_, entry)| !entry.record.damaged)
-        {
-            let body = entry.encode();
-            let on_disk = found.get(hash);
-            if on_disk.is_some_and(|(version, bytes)| {
-                *version == entry.file && bytes.as_ref() == Some(&body)
-            }) {
+        for (hash, record) in records.iter_mut() {
+            if record.record.damaged {
                 continue;
             }
-            let name = file_name(*hash);
-            let answered = entry.file;
-            let version = on_disk.map_or(answered, |x| x.0.max(answered)) + 1;
-            self.storage
-                .write(&folder(shard), &name, version, &body)
-                .await?;
-            entry.file = version;
-            // One that was damaged on the way may be gone already.
-            let _ = self
-                .world
-                .remove(&format!("{}/{name}-{answered:016x}", folder(shard)))
-                .await;
-            rewritten += 1;
+            if self
+                .rewrite_if_changed(shard, *hash, record, files.get(hash))
+                .await?
+            {
+                rewritten += 1;
+            }
         }
         Ok(rewritten)
     }
+
+    /// Whether the file differed from the record, and was written anew.
+    async fn rewrite_if_changed(
+        &self,
+        shard: usize,
+        hash: u128,
+        record: &mut StoredRecord,
+        file: Option<&StoredFile>,
+    ) -> io::Result<bool> {
+        let folder = shard_folder(shard);
+        let name = file_name(hash);
+        let body = record.encode();
+        let answered_version = record.file_version;
+        if file.is_some_and(|file| {
+            file.version == answered_version && file.body.as_ref() == Some(&body)
+        }) {
+            return Ok(false);
+        }
+        let newest_version =
+            file.map_or(answered_version, |file| file.version.max(answered_version));
+        let version = newest_version + 1;
+        self.storage.write(&folder, &name, version, &body).await?;
+        record.file_version = version;
+        // It may be gone already: a file found damaged on the way was taken for lost.
+        let _ = self
+            .runtime
+            .remove(&version_path(&folder, &name, answered_version))
+            .await;
+        Ok(true)
+    }
 }
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -28,7 +28,7 @@
 use yewcross_common::protocol::*;
 use yewcross_common::register::*;
 use yewcross_common::runtime::*;
-use yewcross_common::storage::DurableStorage;
+use yewcross_common::storage::{DurableStorage, StoredFile};
 use yewcross_common::transport::*;
 
 pub struct Control {
@@ -446,9 +446,6 @@
     seq: u64,
 }
 
-/// A file of a folder: its name, its version, and its body unless that is damaged.
-type StoredFile = (String, u64, Option<Vec<u8>>);
-
 /// Takes the documents of a folder into the book; which files they stand in. A damaged file counts
 /// with its version, so that the next one is newer.
 fn load_pages(
@@ -456,7 +453,12 @@
     folder: &[StoredFile],
 ) -> BTreeMap<&'static str, KeptPage> {
     let mut kept = BTreeMap::new();
-    for (name, file_version, body) in folder {
+    for StoredFile {
+        name,
+        version: file_version,
+        body,
+    } in folder
+    {
         let Some(document) = DOCS.into_iter().find(|d| d == name) else {
             continue;
         };
@@ -537,7 +539,12 @@
 }
 
 fn load_peers(folder: &[StoredFile]) -> KeptPeers {
-    let Some((_, file_version, body)) = folder.iter().find(|f| f.0 == "peers") else {
+    let Some(StoredFile {
+        version: file_version,
+        body,
+        ..
+    }) = folder.iter().find(|file| file.name == "peers")
+    else {
         return KeptPeers::default();
     };
     let addresses = body
