--- a/yewcross-common/src/documents/cache.rs
+++ b/yewcross-common/src/documents/cache.rs
@@ -1,74 +1,99 @@
-//! The documents every node keeps on hand: configuration, layout, platform list.
+//! The newest decided version of each document that this node has.
 
+use super::delta;
+use super::departures::Departures;
+use super::name::DocumentName;
 use crate::adapter::{ConfigurationFormat, NativeFormat};
 use crate::configuration::Configuration;
-use crate::documents::departures::Departures;
+use crate::hash::content_digest;
 use crate::membership::Membership;
-use crate::protocol::*;
+use crate::protocol::{ConfigDoc, Layout, ServerList};
 use crate::register::Ballot;
 use crate::runtime::Runtime;
 use arc_swap::ArcSwap;
 use event_listener::Event;
 use snafu::Snafu;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 
-pub const DOCS: [&str; 3] = ["config", "layout", "list"];
+/// The text forms of all document names.
+pub const DOCS: [&str; 3] = [
+    DocumentName::Configuration.as_str(),
+    DocumentName::Layout.as_str(),
+    DocumentName::ServerList.as_str(),
+];
 
+/// One version of a document. Version 0 is the empty one of a node that has none yet.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentVersion {
+    /// The version of the register that the document was decided in.
     pub version: u64,
+    /// The ballot under which it was decided, as far as the sender knew.
     pub epoch: Ballot,
+    /// The document's bytes.
     pub content: Arc<Vec<u8>>,
 }
 
-/// Why a document that was sent has not become the one on hand.
+/// Why a document that was received has not become the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum DocumentRejected {
+    /// A name that is not in [`DOCS`].
     #[snafu(display("no document of this name is kept"))]
     UnknownName,
+    /// The current version is the same or a newer one.
     #[snafu(display("version {current} is on hand"))]
     NotNewer { current: u64 },
-    /// Two contents under one sequence number: only decided documents are sent, so that one of them
-    /// was never decided.
+    /// Two contents under one version: only decided documents are sent, so one of the two was never
+    /// decided.
     #[snafu(display("version {seq} is on hand with other content"))]
     Conflicting { seq: u64 },
+    /// The content cannot be parsed.
     #[snafu(display("it cannot be read"))]
     Unreadable,
+    /// The delta was made against another version or another content than the current one.
     #[snafu(display("the change builds on another version than {current}"))]
     OtherBase { current: u64 },
+    /// The delta is malformed, or its result fails the checksum.
     #[snafu(display("the change does not give the content that it names"))]
     BadDelta,
 }
 
+/// The current version of each document, and what they say in parsed form.
 pub struct DocumentCache {
     runtime: Runtime,
+    /// Documents are applied one after the other.
     apply_lock: Mutex<()>,
-    dialect: Arc<dyn ConfigurationFormat>,
-    /// A document was adopted.
+    format: Arc<dyn ConfigurationFormat>,
+    /// Notified when a document has been applied or a server marked as leaving.
     pub changed: Event,
-    /// Documents refused because another content is on hand under their number; more than 0 is a
-    /// fault of this program.
+    /// Documents rejected as [`DocumentRejected::Conflicting`]; more than 0 is a fault of this
+    /// program.
     pub conflicts: AtomicU64,
+    /// By [`DocumentName`].
     versions: [ArcSwap<DocumentVersion>; 3],
+    /// The configuration in force and its version; version 0 until an operator has put one.
     pub config: ArcSwap<(u64, Configuration)>,
+    /// The layout in force and its version.
     pub layout: ArcSwap<(u64, Layout)>,
-    /// The list decided last, with every server marked as leaving that was ever told to leave.
+    /// The server list in force and its version. Every server that was ever reported as leaving is
+    /// marked so in it.
     pub list: ArcSwap<(u64, ServerList)>,
     departures: Mutex<Departures>,
 }
 
 impl DocumentCache {
+    /// An empty cache for configurations in the native format.
     pub fn new(runtime: &Runtime) -> Arc<DocumentCache> {
         DocumentCache::of(runtime, Arc::new(NativeFormat))
     }
 
-    /// A book whose configurations are read by the given dialect.
-    pub fn of(runtime: &Runtime, dialect: Arc<dyn ConfigurationFormat>) -> Arc<DocumentCache> {
+    /// An empty cache for configurations in the given format.
+    pub fn of(runtime: &Runtime, format: Arc<dyn ConfigurationFormat>) -> Arc<DocumentCache> {
         Arc::new(DocumentCache {
             runtime: runtime.clone(),
             apply_lock: Mutex::new(()),
-            dialect,
+            format,
             changed: Event::new(),
             conflicts: AtomicU64::new(0),
             versions: std::array::from_fn(|_| ArcSwap::default()),
@@ -79,28 +104,28 @@
         })
     }
 
+    /// Name and current version of every document.
     pub fn versions(&self) -> Vec<(String, u64)> {
-        DOCS.iter()
-            .map(|d| (d.to_string(), self.document(d).version))
+        DocumentName::ALL
+            .into_iter()
+            .map(|name| (name.to_string(), self.current(name).load().version))
             .collect()
     }
 
-    fn text(&self) -> String {
-        serde_json::from_slice::<ConfigDoc>(&self.document("config").content)
-            .map(|d| d.text)
+    /// The current version of a document; the empty one for an unknown name.
+    pub fn document(&self, name: &str) -> Arc<DocumentVersion> {
+        DocumentName::parse(name)
+            .map(|name| self.current(name).load_full())
             .unwrap_or_default()
     }
 
-    pub fn document(&self, name: &str) -> Arc<DocumentVersion> {
-        DOCS.iter()
-            .position(|d| *d == name)
-            .map(|i| self.versions[i].load_full())
-            .unwrap_or_default()
+    fn current(&self, name: DocumentName) -> &ArcSwap<DocumentVersion> {
+        &self.versions[name as usize]
     }
 
-    /// Takes a decided document as a change to the version on hand. `base_digest` is that version's
-    /// `hash::mark`; empty from nodes that don't tell it, whose delta's own checksum alone then
-    /// holds.
+    /// Applies a decided document that was sent as a delta against the current version.
+    /// `base_digest` is the [`content_digest`] of that version; it is empty from nodes that do not
+    /// send it, and then only the delta's own checksum is compared.
     pub fn apply_delta(
         &self,
         name: &str,
@@ -110,134 +135,145 @@
         epoch: Ballot,
         delta: &[u8],
     ) -> Result<(), DocumentRejected> {
-        let page = self.document(name);
-        if seq <= page.version {
+        let current = self.document(name);
+        if seq <= current.version {
             return Err(DocumentRejected::NotNewer {
-                current: page.version,
+                current: current.version,
             });
         }
-        let same_base = page.version == base
-            && (base_digest.is_empty()
-                || base_digest == crate::hash::content_digest(&page.content));
-        if !same_base {
+        let is_same_base = current.version == base
+            && (base_digest.is_empty() || base_digest == content_digest(&current.content));
+        if !is_same_base {
             return Err(DocumentRejected::OtherBase {
-                current: page.version,
+                current: current.version,
             });
         }
-        let raw = crate::documents::delta::apply(&page.content, delta)
-            .ok_or(DocumentRejected::BadDelta)?;
-        self.try_apply(name, seq, epoch, raw)
+        let content = delta::apply(&current.content, delta).ok_or(DocumentRejected::BadDelta)?;
+        self.try_apply(name, seq, epoch, content)
     }
 
-    /// Whether the document was taken; see `try_adopt`.
-    pub fn apply(&self, name: &str, seq: u64, epoch: Ballot, raw: Vec<u8>) -> bool {
-        self.try_apply(name, seq, epoch, raw).is_ok()
+    /// Whether the document has become the current one; see [`DocumentCache::try_apply`].
+    pub fn apply(&self, name: &str, seq: u64, epoch: Ballot, content: Vec<u8>) -> bool {
+        self.try_apply(name, seq, epoch, content).is_ok()
     }
 
-    /// Takes a decided document; never an older one than is on hand. The sequence number alone
-    /// names the content: a number is decided once, though the epoch under which it stands may
-    /// rise. So the epoch is not compared.
+    /// Makes a decided document the current one, unless it is older. The version alone identifies
+    /// the content: a version is decided once, though the ballot under which it stands may rise. So
+    /// the ballots are not compared.
     pub fn try_apply(
         &self,
         name: &str,
         seq: u64,
         epoch: Ballot,
-        raw: Vec<u8>,
+        content: Vec<u8>,
+    ) -> Result<(), DocumentRejected> {
+        let _applying = self.apply_lock.lock().unwrap();
+        let name = DocumentName::parse(name).ok_or(DocumentRejected::UnknownName)?;
+        self.check_newer(name, seq, &content)?;
+        self.put_in_force(name, seq, &content)
+            .ok_or(DocumentRejected::Unreadable)?;
+        self.current(name).store(Arc::new(DocumentVersion {
+            version: seq,
+            epoch,
+            content: Arc::new(content),
+        }));
+        self.log_applied(name, seq);
+        self.changed.notify(usize::MAX);
+        Ok(())
+    }
+
+    fn check_newer(
+        &self,
+        name: DocumentName,
+        seq: u64,
+        content: &[u8],
     ) -> Result<(), DocumentRejected> {
-        let _one_at_a_time = self.apply_lock.lock().unwrap();
-        let index = DOCS
-            .iter()
-            .position(|d| *d == name)
-            .ok_or(DocumentRejected::UnknownName)?;
-        let held = self.versions[index].load();
-        if seq > 0 && seq == held.version && *held.content != raw {
+        let current = self.current(name).load();
+        if seq > 0 && seq == current.version && *current.content != content {
             self.conflicts.fetch_add(1, SeqCst);
             self.runtime.log(&format!(
-                "{name} {seq} is refused: another content is on hand under this number"
+                "{name} {seq} rejected: the current content of this version differs"
             ));
             return Err(DocumentRejected::Conflicting { seq });
         }
-        if seq <= held.version {
+        if seq <= current.version {
             return Err(DocumentRejected::NotNewer {
-                current: held.version,
+                current: current.version,
             });
         }
-        self.parse(name, seq, &raw)
-            .ok_or(DocumentRejected::Unreadable)?;
-        self.versions[index].store(Arc::new(DocumentVersion {
-            version: seq,
-            epoch,
-            content: Arc::new(raw),
-        }));
-        // Only a configuration's text is named: it is what an operator sent.
-        let what = if name == "config" {
-            format!(" {}", crate::hash::content_digest(self.text().as_bytes()))
-        } else {
-            String::new()
-        };
-        self.runtime.log(&format!("adopted {name} {seq}{what}"));
-        self.changed.notify(usize::MAX);
         Ok(())
     }
 
-    /// Reads the document and puts what it says in force; `None` where it cannot be read.
-    fn parse(&self, name: &str, seq: u64, raw: &[u8]) -> Option<()> {
+    /// Parses the document and puts what it says in force; `None` where it cannot be parsed.
+    fn put_in_force(&self, name: DocumentName, seq: u64, content: &[u8]) -> Option<()> {
         match name {
-            "config" => {
-                let document: ConfigDoc = serde_json::from_slice(raw).ok()?;
-                // Founded, and nothing put yet.
-                if document.text.is_empty() {
-                    return Some(());
+            DocumentName::Configuration => {
+                let document: ConfigDoc = serde_json::from_slice(content).ok()?;
+                // The document of the bootstrap has no text: no operator has put one yet.
+                if !document.text.is_empty() {
+                    let configuration = self.format.read(document.text.as_bytes()).ok()?;
+                    self.config.store(Arc::new((seq, configuration)));
                 }
-                let tree = self.dialect.read(document.text.as_bytes()).ok()?;
-                self.config.store(Arc::new((seq, tree)));
             }
-            "layout" => self
-                .layout
-                .store(Arc::new((seq, serde_json::from_slice(raw).ok()?))),
-            _ => self.list.store(Arc::new((
-                seq,
-                self.with_departures(serde_json::from_slice(raw).ok()?),
-            ))),
+            DocumentName::Layout => {
+                let layout = serde_json::from_slice(content).ok()?;
+                self.layout.store(Arc::new((seq, layout)));
+            }
+            DocumentName::ServerList => {
+                let list = serde_json::from_slice(content).ok()?;
+                self.list.store(Arc::new((seq, self.with_departures(list))));
+            }
         }
         Some(())
     }
 
+    /// The digest in the log is that of a configuration's text, as the operator sent it.
+    fn log_applied(&self, name: DocumentName, seq: u64) {
+        let digest = match name {
+            DocumentName::Configuration => {
+                format!(" {}", content_digest(self.configuration_text().as_bytes()))
+            }
+            DocumentName::Layout | DocumentName::ServerList => String::new(),
+        };
+        self.runtime.log(&format!("adopted {name} {seq}{digest}"));
+    }
+
+    fn configuration_text(&self) -> String {
+        let current = self.current(DocumentName::Configuration).load();
+        serde_json::from_slice::<ConfigDoc>(&current.content)
+            .map(|document| document.text)
+            .unwrap_or_default()
+    }
+
     fn with_departures(&self, mut list: ServerList) -> ServerList {
         let departures = self.departures.lock().unwrap();
-        for server in list
-            .servers
-            .iter_mut()
-            .filter(|server| departures.is_marked(&server.server))
-        {
-            server.leaving = true;
+        for server in &mut list.servers {
+            if departures.is_marked(&server.server) {
+                server.leaving = true;
+            }
         }
         list
     }
 
-    /// The platform shows these servers as leaving: none of them is used from now on, whichever
-    /// list names it. Whether any of them is news here.
+    /// Marks servers that the platform shows as leaving: none of them is used from now on,
+    /// whichever list names it. Returns whether any of them was not marked before.
     pub fn mark_leaving(&self, servers: &[String]) -> bool {
-        let _one_at_a_time = self.apply_lock.lock().unwrap();
-        if !self
-            .departures
-            .lock()
-            .unwrap()
-            .mark(servers, self.runtime.now())
-        {
+        let _applying = self.apply_lock.lock().unwrap();
+        let now = self.runtime.now();
+        let has_new = self.departures.lock().unwrap().mark(servers, now);
+        if !has_new {
             return false;
         }
         let list = self.list.load();
         self.list
             .store(Arc::new((list.0, self.with_departures(list.1.clone()))));
         self.runtime
-            .log(&format!("told that {} leave", servers.join(" ")));
+            .log(&format!("servers leaving: {}", servers.join(" ")));
         self.changed.notify(usize::MAX);
         true
     }
 
-    /// The servers known to be leaving; none for whoever was told just these before, by their
-    /// digest.
+    /// The servers known to be leaving; none if `digest` shows that the asker knows just these.
     pub fn leaving_servers_unless(&self, digest: u64) -> Vec<String> {
         let departures = self.departures.lock().unwrap();
         if departures.digest() == digest {
@@ -248,16 +284,17 @@
     }
 }
 
-/// The live machines of a key's copies, first choice of owner first.
+/// Addresses of the live machines that replicate a key, most preferred first.
 pub fn replicas_by_preference(
     documents: &DocumentCache,
     members: &Membership,
     key: &str,
-) -> Vec<std::net::SocketAddr> {
-    let l = documents.layout.load();
-    l.1.replicas_for(key, &l.1.group(key).current)
+) -> Vec<SocketAddr> {
+    let layout = &documents.layout.load().1;
+    layout
+        .replicas_for(key, &layout.group(key).current)
         .into_iter()
-        .filter_map(|d| members.by_disk(d))
-        .map(|n| n.peer)
+        .filter_map(|disk| members.by_disk(disk))
+        .map(|node| node.peer)
         .collect()
 }
--- a/yewcross-common/src/documents/delta.rs
+++ b/yewcross-common/src/documents/delta.rs
@@ -1,130 +1,157 @@
 //! What changed between two values, so that only that travels between sites.
 //!
-//! Values are cut behind each line feed and each closing brace: documents are JSON, which may stand
-//! in one line, and what changes in them is an object or two.
+//! Values are cut into chunks behind each line feed and each closing brace: documents are JSON,
+//! which may stand in one line, and what changes in them is an object or two.
+//!
+//! A delta is a sequence of runs and a CRC-32 of the new value. A run is three little-endian u32,
+//! offset and length of a range of the old value and the length of a literal, and the bytes of the
+//! literal. The new value is the ranges and literals in their order.
 
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// bytes. What a copy costs: a chunk no longer than this is cheaper as it is, unless it goes on
-/// from the copy before.
-const COPY: usize = 12;
+/// bytes. Width of a number in a run's header.
+const NUMBER_LENGTH: usize = 4;
+/// bytes. The header of a run. A chunk no longer than this is cheaper as a literal, unless it
+/// continues the range before it.
+const RUN_HEADER_LENGTH: usize = 3 * NUMBER_LENGTH;
+/// bytes. The checksum at the end.
+const CHECKSUM_LENGTH: usize = 4;
+/// bytes. The common prefix of both values is skipped in blocks of this size.
+const PREFIX_BLOCK_LENGTH: usize = 256;
 
 fn ends_chunk(byte: &u8) -> bool {
     matches!(byte, b'\n' | b'}')
 }
 
-/// ReplicaSet of runs of old chunks and new bytes between them, closed by a checksum of the whole.
-pub fn encode(old: &[u8], new: &[u8]) -> Vec<u8> {
-    let mut at = BTreeMap::new();
-    // Most values grow at their end: what leads both alike is skipped in blocks, then cut at the
-    // end of a chunk.
-    let alike = old
-        .chunks(256)
-        .zip(new.chunks(256))
-        .take_while(|(a, b)| a == b)
-        .count()
-        * 256;
-    let alike = alike.min(old.len()).min(new.len());
-    let head = old[..alike]
+fn chunks(value: &[u8]) -> impl Iterator<Item = &[u8]> {
+    value.split_inclusive(ends_chunk)
+}
+
+/// Bytes that both values begin with, up to the end of a chunk. Most values grow at their end.
+fn common_prefix_length(old: &[u8], new: &[u8]) -> usize {
+    let equal_blocks = old
+        .chunks(PREFIX_BLOCK_LENGTH)
+        .zip(new.chunks(PREFIX_BLOCK_LENGTH))
+        .take_while(|(old_block, new_block)| old_block == new_block)
+        .count();
+    let equal = (equal_blocks * PREFIX_BLOCK_LENGTH)
+        .min(old.len())
+        .min(new.len());
+    old[..equal]
         .iter()
         .rposition(ends_chunk)
-        .map_or(0, |i| i + 1);
-    let mut o = head;
-    old[head..].split_inclusive(ends_chunk).for_each(|l| {
-        at.entry(xxh3_64(l)).or_insert(o);
-        o += l.len();
-    });
-    let mut out = vec![];
-    let (mut from, mut len, mut lit) = (0usize, head, vec![]);
-    let mut put = |from: usize, len: usize, lit: &mut Vec<u8>| {
-        [from, len, lit.len()]
-            .iter()
-            .for_each(|n| out.extend((*n as u32).to_le_bytes()));
-        out.append(lit);
-    };
-    new[head..].split_inclusive(ends_chunk).for_each(|l| {
-        let next = from + len;
-        let hit = Some(next)
-            .filter(|n| lit.is_empty() && old[*n..].starts_with(l))
-            .or_else(|| at.get(&xxh3_64(l)).cloned().filter(|_| l.len() > COPY))
-            .filter(|n| old[*n..].starts_with(l));
-        match hit {
-            Some(n) if n == next && lit.is_empty() => len += l.len(),
-            Some(n) => {
-                put(from, len, &mut lit);
-                (from, len) = (n, l.len());
-            }
-            None => lit.extend(l),
+        .map_or(0, |end| end + 1)
+}
+
+/// The old value's chunks behind the common prefix.
+struct ChunkIndex<'a> {
+    old: &'a [u8],
+    /// Offset of the first chunk of each hash.
+    offsets: BTreeMap<u64, usize>,
+}
+
+impl ChunkIndex<'_> {
+    fn new(old: &[u8], prefix_length: usize) -> ChunkIndex<'_> {
+        let mut offsets = BTreeMap::new();
+        let mut offset = prefix_length;
+        for chunk in chunks(&old[prefix_length..]) {
+            offsets.entry(xxh3_64(chunk)).or_insert(offset);
+            offset += chunk.len();
         }
-    });
-    put(from, len, &mut lit);
-    out.extend(crc32fast::hash(new).to_le_bytes());
-    out
+        ChunkIndex { old, offsets }
+    }
+
+    fn is_at(&self, offset: usize, chunk: &[u8]) -> bool {
+        self.old[offset..].starts_with(chunk)
+    }
+
+    /// Where the old value has a chunk that is worth a run of its own.
+    fn find(&self, chunk: &[u8]) -> Option<usize> {
+        if chunk.len() <= RUN_HEADER_LENGTH {
+            return None;
+        }
+        self.offsets
+            .get(&xxh3_64(chunk))
+            .copied()
+            .filter(|offset| self.is_at(*offset, chunk))
+    }
 }
 
-pub fn apply(old: &[u8], d: &[u8]) -> Option<Vec<u8>> {
-    let (mut d, crc) = d.split_at_checked(d.len().checked_sub(4)?)?;
-    let mut out = vec![];
-    while !d.is_empty() {
-        let n =
-            |i: usize| Some(u32::from_le_bytes(d.get(4 * i..4 * i + 4)?.try_into().ok()?) as usize);
-        let (from, len, lit) = (n(0)?, n(1)?, n(2)?);
-        out.extend(old.get(from..from.checked_add(len)?)?);
-        out.extend(d.get(12..12usize.checked_add(lit)?)?);
-        d = &d[12 + lit..];
+/// A range of the old value, and the bytes that follow it in the new one.
+struct Run {
+    offset: usize,
+    length: usize,
+    literal: Vec<u8>,
+}
+
+impl Run {
+    fn new(offset: usize, length: usize) -> Run {
+        Run {
+            offset,
+            length,
+            literal: vec![],
+        }
+    }
+
+    /// Where the old value goes on after the range.
+    fn end(&self) -> usize {
+        self.offset + self.length
+    }
+
+    /// Whether the chunk continues the range.
+    fn is_continued_by(&self, index: &ChunkIndex, chunk: &[u8]) -> bool {
+        self.literal.is_empty() && index.is_at(self.end(), chunk)
+    }
+
+    fn write_to(&self, delta: &mut Vec<u8>) {
+        for number in [self.offset, self.length, self.literal.len()] {
+            delta.extend((number as u32).to_le_bytes());
+        }
+        delta.extend(&self.literal);
     }
-    (crc == crc32fast::hash(&out).to_le_bytes()).then_some(out)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn any_pair_of_values_round_trips() {
-        arbtest::arbtest(|u| {
-            let mut text = |n: usize| -> arbtest::arbitrary::Result<Vec<u8>> {
-                let mut v = vec![];
-                for _ in 0..u.int_in_range(0..=n)? {
-                    v.extend(format!("line {}\n", u.int_in_range(0..=9u8)?).into_bytes());
-                    if u.ratio(1, 6)? {
-                        v.push(u.arbitrary()?);
-                    }
-                }
-                Ok(v)
-            };
-            let (a, b) = (text(20)?, text(20)?);
-            let d = encode(&a, &b);
-            assert_eq!(apply(&a, &d).as_deref(), Some(&b[..]));
-            let mut bad = d.clone();
-            let i = bad.len() - 1;
-            bad[i] ^= 1;
-            assert_eq!(apply(&a, &bad), None);
-            Ok(())
-        });
-        let old: Vec<u8> = (0..500)
-            .flat_map(|i| format!("history line number {i}\n").into_bytes())
-            .collect();
-        let mut new = old[24..].to_vec();
-        new.extend(b"one more\n");
-        assert!(encode(&old, &new).len() < 60);
+/// The delta that makes `new` of `old`.
+pub fn encode(old: &[u8], new: &[u8]) -> Vec<u8> {
+    let prefix_length = common_prefix_length(old, new);
+    let index = ChunkIndex::new(old, prefix_length);
+    let mut delta = vec![];
+    let mut run = Run::new(0, prefix_length);
+    for chunk in chunks(&new[prefix_length..]) {
+        if run.is_continued_by(&index, chunk) {
+            run.length += chunk.len();
+        } else if let Some(offset) = index.find(chunk) {
+            run.write_to(&mut delta);
+            run = Run::new(offset, chunk.len());
+        } else {
+            run.literal.extend(chunk);
+        }
     }
+    run.write_to(&mut delta);
+    delta.extend(crc32fast::hash(new).to_le_bytes());
+    delta
+}
 
-    #[test]
-    fn one_route_of_a_document_in_one_line_travels_alone() {
-        let document = |weight: u32| -> Vec<u8> {
-            let routes = (0..60).map(|n| {
-                format!(
-                    "{{\\\"label\\\":\\\"r{n}\\\",\\\"weight\\\":{}}}",
-                    if n == 40 { weight } else { n }
-                )
-            });
-            format!("{{\"text\":\"{}\"}}", routes.collect::<Vec<_>>().join(",")).into_bytes()
-        };
-        let (old, new) = (document(7), document(8));
-        let changes = encode(&old, &new);
-        assert!(changes.len() < 120, "{} of {}", changes.len(), new.len());
-        assert_eq!(apply(&old, &changes), Some(new));
+/// The new value; `None` where the delta is malformed or was made from another old value.
+pub fn apply(old: &[u8], delta: &[u8]) -> Option<Vec<u8>> {
+    let runs_length = delta.len().checked_sub(CHECKSUM_LENGTH)?;
+    let (mut runs, checksum) = delta.split_at_checked(runs_length)?;
+    let mut new = vec![];
+    while !runs.is_empty() {
+        let (header, rest) = runs.split_at_checked(RUN_HEADER_LENGTH)?;
+        let offset = header_number(header, 0)?;
+        let length = header_number(header, 1)?;
+        let (literal, rest) = rest.split_at_checked(header_number(header, 2)?)?;
+        new.extend(old.get(offset..offset.checked_add(length)?)?);
+        new.extend(literal);
+        runs = rest;
     }
+    (checksum == crc32fast::hash(&new).to_le_bytes()).then_some(new)
+}
+
+fn header_number(header: &[u8], index: usize) -> Option<usize> {
+    let start = index * NUMBER_LENGTH;
+    let bytes = header.get(start..start + NUMBER_LENGTH)?;
+    Some(u32::from_le_bytes(bytes.try_into().ok()?) as usize)
 }
--- a/yewcross-common/src/documents/departures.rs
+++ b/yewcross-common/src/documents/departures.rs
@@ -1,70 +1,78 @@
 //! Servers that the platform showed as leaving.
 //!
 //! That a server leaves is final for its name, so it needs no agreement and no order: whoever reads
-//! the platform's list tells all nodes at once, and every node tells it on. Only what is added to
-//! the list waits until it is decided.
+//! the platform's list notifies all nodes at once, and every node passes it on. Only what is added
+//! to the list waits until it is decided.
 
+use crate::constants::SEC;
 use std::collections::BTreeMap;
 
-/// us. A mark is kept this long: longer than any list that still shows the server as ready is on
-/// its way.
-const KEPT: u64 = 600 * crate::constants::SEC;
-/// count. Marks kept at most, the newest: a region's servers replaced at once, several times over.
-const MOST: usize = 8_192;
+/// us. A mark is retained this long: longer than any list that still shows the server as ready is
+/// in flight.
+const MARK_RETENTION: u64 = 600 * SEC;
+/// count. Marks retained at most, the newest: a region's servers replaced at once, several times
+/// over.
+const MARKS_MAX: usize = 8_192;
 
-/// The servers marked, and when each was, us.
+/// The servers marked as leaving.
 #[derive(Debug, Default)]
 pub struct Departures {
+    /// us. When each server was marked.
     marked_at: BTreeMap<String, u64>,
     digest: u64,
 }
 
-/// Alike for alike sets of servers; 0 for the empty one.
+/// Equal for equal sets of servers, in whatever order; 0 for the empty set.
 pub fn digest<'a>(servers: impl IntoIterator<Item = &'a String>) -> u64 {
-    servers.into_iter().fold(0, |sum, server| {
-        sum ^ crate::hash::rendezvous_weight(server, "")
+    servers.into_iter().fold(0, |digest, server| {
+        digest ^ crate::hash::rendezvous_weight(server, "")
     })
 }
 
 impl Departures {
-    /// Marks servers; whether any of them was not marked before.
+    /// Marks servers; returns whether any of them was not marked before.
     pub fn mark(&mut self, servers: &[String], now: u64) -> bool {
-        let before = self.marked_at.len();
+        let count_before = self.marked_at.len();
         for server in servers {
             self.marked_at.entry(server.clone()).or_insert(now);
         }
-        let is_news = self.marked_at.len() > before;
-        if is_news {
+        let has_new = self.marked_at.len() > count_before;
+        if has_new {
             self.drop_old(now);
             self.digest = digest(self.marked_at.keys());
         }
-        is_news
+        has_new
     }
 
     fn drop_old(&mut self, now: u64) {
-        self.marked_at.retain(|_, at| now < *at + KEPT);
-        while self.marked_at.len() > MOST {
-            let Some(oldest) = self
-                .marked_at
-                .iter()
-                .min_by_key(|(_, at)| **at)
-                .map(|(server, _)| server.clone())
-            else {
+        self.marked_at
+            .retain(|_, marked_at| now < *marked_at + MARK_RETENTION);
+        while self.marked_at.len() > MARKS_MAX {
+            let Some(oldest) = self.oldest() else {
                 return;
             };
             self.marked_at.remove(&oldest);
         }
     }
 
+    fn oldest(&self) -> Option<String> {
+        self.marked_at
+            .iter()
+            .min_by_key(|(_, marked_at)| **marked_at)
+            .map(|(server, _)| server.clone())
+    }
+
+    /// Whether the server is marked.
     pub fn is_marked(&self, server: &str) -> bool {
         self.marked_at.contains_key(server)
     }
 
+    /// All marked servers, in order of their names.
     pub fn servers(&self) -> Vec<String> {
         self.marked_at.keys().cloned().collect()
     }
 
-    /// The digest of all that are marked.
+    /// The digest of all marked servers.
     pub fn digest(&self) -> u64 {
         self.digest
     }
--- /dev/null
+++ b/yewcross-common/src/documents/watcher/serving_lease.rs
@@ -0,0 +1,250 @@
+//! Serving leases: a front serves while a quorum has confirmed lately that no newer configuration
+//! or layout is in force.
+//!
+//! The quorum of cores is one that any majority of cores shares a member with: no majority puts a
+//! newer configuration in force without a core that the lease rests on. While cores are out of
+//! reach, a majority of the fronts that the configuration names takes their place.
+
+use super::DocumentWatcher;
+use crate::constants::{MS, SERVE_ASK, SERVE_LEASE};
+use crate::documents::DocumentName;
+use crate::membership::Node;
+use crate::process_settings::Role;
+use crate::protocol::{PeerRequest, PeerResponse};
+use crate::register::majority;
+use crate::runtime::BoxFuture;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+
+/// us. The shortest sleep between two rounds.
+const ROUND_SLEEP_MIN: u64 = 10 * MS;
+
+/// A node that confirmed our documents.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Confirmer {
+    /// A core, by its disk: a core that lost its disk is another one.
+    CoreDisk(String),
+    /// Another front, by its name.
+    Front(String),
+}
+
+impl Confirmer {
+    fn of(node: Node) -> Confirmer {
+        if node.role == Role::Core {
+            Confirmer::CoreDisk(node.disk)
+        } else {
+            Confirmer::Front(node.name)
+        }
+    }
+}
+
+/// What a node answered to a poll.
+struct PollAnswer {
+    node: Node,
+    response: Option<PeerResponse>,
+}
+
+/// The newest version that was reported of each document that is newer than ours.
+type NewerVersions = BTreeMap<String, u64>;
+
+/// Since when at least `count` of the nodes have confirmed; `None` if fewer have, or `count` is 0.
+fn confirmed_since(
+    confirmations: &BTreeMap<Confirmer, u64>,
+    nodes: &[Confirmer],
+    count: usize,
+) -> Option<u64> {
+    let mut times: Vec<u64> = nodes
+        .iter()
+        .filter_map(|node| confirmations.get(node).copied())
+        .collect();
+    times.sort_by(|left, right| right.cmp(left));
+    times.get(count.checked_sub(1)?).copied()
+}
+
+/// The fewest of `count` nodes that any majority of them shares a member with.
+fn majority_blocking(count: usize) -> usize {
+    count - majority(count).min(count) + 1
+}
+
+impl DocumentWatcher {
+    /// Asks for confirmations in rounds, [`SERVE_ASK`] apart.
+    pub(super) async fn renew_in_rounds(self: &Arc<Self>) {
+        loop {
+            let round_start = self.runtime.now();
+            self.run_round().await;
+            let elapsed = self.runtime.now() - round_start;
+            let sleep = SERVE_ASK.saturating_sub(elapsed).max(ROUND_SLEEP_MIN);
+            self.runtime.sleep(sleep).await;
+        }
+    }
+
+    async fn run_round(self: &Arc<Self>) {
+        let targets = self.round_targets();
+        let sent_at = self.runtime.now();
+        let polls: Vec<_> = targets.into_iter().map(|node| self.poll(node)).collect();
+        let poll_count = polls.len();
+        let answers = self.runtime.spawn_all(polls);
+        let known = self.documents.versions();
+        let mut newer = NewerVersions::new();
+        for _ in 0..poll_count {
+            if let Ok(answer) = answers.recv().await {
+                self.record_answer(answer, &known, sent_at, &mut newer);
+            }
+        }
+        self.fetch_in_background(newer);
+    }
+
+    /// The nodes that are asked in this round. A lease needs the confirmation of some cores only,
+    /// and a node without one needs but to hear of new versions: cores take turns, one more than
+    /// needed at a time. All cores, and the other fronts, are asked while a lease runs out.
+    fn round_targets(&self) -> Vec<Node> {
+        let mut targets = self.members.nodes_of_role(Role::Core);
+        if self.is_front && self.is_running_out() {
+            let fronts = self.members.nodes_of_role(Role::Front);
+            targets.extend(fronts.into_iter().filter(|front| front.name != self.name));
+            return targets;
+        }
+        let core_count = targets.len();
+        if core_count > 0 {
+            let round = self.rounds.fetch_add(1, SeqCst) as usize;
+            targets.rotate_left(round % core_count);
+            targets.truncate(if self.is_front {
+                majority_blocking(core_count) + 1
+            } else {
+                1
+            });
+        }
+        targets
+    }
+
+    /// Whether the lease was not renewed in the last two rounds.
+    fn is_running_out(&self) -> bool {
+        self.serving_until.load(SeqCst) < self.runtime.now() + SERVE_LEASE - 2 * SERVE_ASK
+    }
+
+    fn poll(&self, node: Node) -> BoxFuture<'static, PollAnswer> {
+        let peers = self.members.peers.clone();
+        let request = PeerRequest::PollDocuments {
+            known: self.documents.versions(),
+            front: self.is_front,
+            leaving_digest: 0,
+        };
+        Box::pin(async move {
+            let answer = peers.request(node.peer, &request, &[], SERVE_ASK).await;
+            PollAnswer {
+                node,
+                response: answer.ok().map(|(response, _)| response),
+            }
+        })
+    }
+
+    /// Records newer versions. A node that has no newer configuration or layout, and is sure of it,
+    /// confirms ours.
+    fn record_answer(
+        &self,
+        answer: PollAnswer,
+        known: &[(String, u64)],
+        sent_at: u64,
+        newer: &mut NewerVersions,
+    ) {
+        let Some(PeerResponse::DocumentVersions {
+            newest,
+            authoritative,
+            ..
+        }) = answer.response
+        else {
+            return;
+        };
+        let mut is_ours_in_force = true;
+        for (name, version) in newest {
+            let is_newer = known
+                .iter()
+                .any(|(known_name, known_version)| *known_name == name && version > *known_version);
+            if !is_newer {
+                continue;
+            }
+            if matches!(
+                DocumentName::parse(&name),
+                Some(DocumentName::Configuration | DocumentName::Layout)
+            ) {
+                is_ours_in_force = false;
+            }
+            let wanted = newer.entry(name).or_default();
+            *wanted = (*wanted).max(version);
+        }
+        if authoritative && is_ours_in_force && self.is_front {
+            self.confirmations
+                .lock()
+                .unwrap()
+                .insert(Confirmer::of(answer.node), sent_at);
+            self.renew();
+        }
+    }
+
+    fn fetch_in_background(self: &Arc<Self>, newer: NewerVersions) {
+        for (name, version) in newer {
+            let watcher = self.clone();
+            self.runtime.spawn(async move {
+                if watcher.documents.document(&name).version < version {
+                    watcher.fetch(&name, version - 1).await;
+                }
+            });
+        }
+    }
+
+    /// Extends the lease as far as the confirmations go. It runs from the moment when the poll was
+    /// sent that completed the quorum: what a node decides after its answer is unknown here.
+    fn renew(&self) {
+        if self.documents.config.load().0 == 0 {
+            return;
+        }
+        let confirmations = self.confirmations.lock().unwrap();
+        let by_cores = self.confirmed_by_cores(&confirmations);
+        if by_cores.is_some_and(|since| self.runtime.now() < since + SERVE_LEASE) {
+            self.is_confirmed.store(true, SeqCst);
+        }
+        let by_fronts = self.confirmed_by_fronts(&confirmations);
+        let lease_end = by_cores
+            .max(by_fronts)
+            .map_or(0, |since| since + SERVE_LEASE);
+        self.serving_until.fetch_max(lease_end, SeqCst);
+        self.log_serving();
+    }
+
+    /// Since when so many cores have confirmed that any majority of cores has one of them.
+    fn confirmed_by_cores(&self, confirmations: &BTreeMap<Confirmer, u64>) -> Option<u64> {
+        let layout = self.documents.layout.load();
+        let disks = &layout.1.core.current;
+        if disks.is_empty() {
+            return None;
+        }
+        let cores: Vec<Confirmer> = disks.iter().cloned().map(Confirmer::CoreDisk).collect();
+        confirmed_since(confirmations, &cores, majority_blocking(cores.len()))
+    }
+
+    /// Since when a majority of the fronts that the configuration names, this one among them, has
+    /// confirmed. Only a front whose own configuration was once confirmed by cores counts itself.
+    fn confirmed_by_fronts(&self, confirmations: &BTreeMap<Confirmer, u64>) -> Option<u64> {
+        let configuration = self.documents.config.load();
+        let named = &configuration.1.fronts;
+        if !named.contains(&self.name) || !self.is_confirmed.load(SeqCst) {
+            return None;
+        }
+        let others: Vec<Confirmer> = named
+            .iter()
+            .filter(|front| **front != self.name)
+            .cloned()
+            .map(Confirmer::Front)
+            .collect();
+        confirmed_since(confirmations, &others, majority(named.len()) - 1)
+    }
+
+    fn log_serving(&self) {
+        let may_serve = self.may_serve();
+        if self.was_serving.swap(may_serve, SeqCst) != may_serve {
+            self.runtime
+                .log(if may_serve { "serving" } else { "not serving" });
+        }
+    }
+}
