--- a/yewcross-common/src/hash.rs
+++ b/yewcross-common/src/hash.rs
@@ -1,33 +1,47 @@
-//! Rendezvous hashing and digests.
+//! Hashes and digests.
+//!
+//! Nodes of different builds must compute the same values: they decide which node a key belongs to,
+//! and are compared over the network.
 
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::{xxh3_64_with_seed, xxh3_128};
 
+/// bytes. A SHA-256 digest is cut to this length.
+const DIGEST_LENGTH: usize = 16;
+
+/// The weight of a node for a key in rendezvous hashing: the node with the highest weight is the
+/// key's first choice.
 pub fn rendezvous_weight(key: &str, node: &str) -> u64 {
-    xxh3_64_with_seed(node.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
+    let seed = xxh3_64_with_seed(key.as_bytes(), 0);
+    xxh3_64_with_seed(node.as_bytes(), seed)
 }
 
-/// Names in falling order of weight for the key.
+/// Names in falling order of their weight for the key; names of equal weight in falling order of
+/// the names.
 pub fn ranked<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
-    let mut v: Vec<(u64, &str)> = names.map(|n| (rendezvous_weight(key, n), n)).collect();
-    v.sort_by(|a, b| b.cmp(a));
-    v.into_iter().map(|x| x.1).collect()
+    let mut weighted: Vec<(u64, &str)> = names
+        .map(|name| (rendezvous_weight(key, name), name))
+        .collect();
+    weighted.sort_by(|left, right| right.cmp(left));
+    weighted.into_iter().map(|(_, name)| name).collect()
 }
 
-pub fn key_128(b: &[u8]) -> u128 {
-    xxh3_128(b)
+/// The hash that a key is stored under.
+pub fn key_128(key: &[u8]) -> u128 {
+    xxh3_128(key)
 }
 
-/// A mark for comparing within the tier, where nobody means harm: a tenth of a digest's cost.
-pub fn content_digest(b: &[u8]) -> String {
-    format!("{:032x}", xxh3_128(b))
+/// A digest for comparing contents within the tier, in 32 hexadecimal digits. It is not
+/// cryptographic, and costs a tenth of [`digest`].
+pub fn content_digest(content: &[u8]) -> String {
+    format!("{:032x}", xxh3_128(content))
 }
 
-/// The digest that callers and back ends see.
-pub fn digest(b: &[u8]) -> String {
-    Sha256::digest(b)
+/// The cryptographic digest that callers and backends see, in 32 hexadecimal digits.
+pub fn digest(content: &[u8]) -> String {
+    Sha256::digest(content)
         .iter()
-        .take(16)
-        .map(|x| format!("{x:02x}"))
+        .take(DIGEST_LENGTH)
+        .map(|byte| format!("{byte:02x}"))
         .collect()
 }
