--- a/yewcross-common/src/register/acceptor.rs
+++ b/yewcross-common/src/register/acceptor.rs
@@ -3,7 +3,7 @@
 use super::message::{Ballot, RegisterReply, RegisterRequest};
 use std::sync::Arc;
 
-/// What a replica remembers of one key. A key that it knows nothing of has the default record.
+/// What a replica has recorded of one key. A key without a record has the default one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Record {
     /// The ballot promised last. A value is accepted under this one only.
@@ -12,25 +12,31 @@
     pub accepted: Ballot,
     /// Version of the value; 0 where there never was one.
     pub seq: u64,
+    /// The value; empty where the key was erased or never written.
     pub value: Arc<Vec<u8>>,
     /// The record cannot be read: the replica may not vote on this key.
     pub damaged: bool,
 }
 
-/// What has to be on disk before the reply may leave.
+/// What has to be on disk before the reply may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// Nothing.
     None,
+    /// The new record of the key.
     Write(Record),
+    /// The removal of the key's record.
     Erase,
 }
 
 /// The outcome of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
+    /// Done first.
     pub effect: Effect,
+    /// Sent once the effect is on disk.
     pub reply: RegisterReply,
-    /// The value that goes along with the reply, where one does.
+    /// The value that is sent with the reply.
     pub value: Option<Arc<Vec<u8>>>,
 }
 
@@ -59,7 +65,7 @@
 }
 
 /// Handles one request against the record of its key. `layout` is the newest layout that the
-/// replica keeps.
+/// replica knows.
 pub fn handle(
     record: &Record,
     layout: u64,
@@ -103,8 +109,8 @@
     }
 }
 
-/// Accepts under the promised ballot only: a replica that forgot the key, or has begun its next
-/// life, knows nothing of a proposer from before, however high that one's ballot.
+/// Accepts under the promised ballot only: a replica that dropped the key, or began it anew since,
+/// has promised nothing to a proposer from before, however high that one's ballot.
 fn accept(record: &Record, ballot: Ballot, seq: u64, delta: bool, blob: Vec<u8>) -> Transition {
     if record.damaged {
         return Transition::reply(RegisterReply::Damaged);
@@ -133,8 +139,8 @@
 }
 
 fn patched(record: &Record, ballot: Ballot, seq: u64, delta: &[u8]) -> Option<Vec<u8>> {
-    let holds_the_version_before = (record.accepted, record.seq + 1) == (ballot, seq);
-    if holds_the_version_before {
+    let is_at_previous_version = (record.accepted, record.seq + 1) == (ballot, seq);
+    if is_at_previous_version {
         crate::documents::delta::apply(&record.value, delta)
     } else {
         None
--- a/yewcross-common/src/register/message.rs
+++ b/yewcross-common/src/register/message.rs
@@ -1,4 +1,4 @@
-//! What proposers and replicas say to each other.
+//! The messages between proposers and replicas. Field names are those on the wire.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,10 +13,11 @@
     pub by: u64,
 }
 
-/// A request to one replica of a key. `lay` is the number of the layout that the proposer goes by.
+/// A request to one replica of a key. `epoch` is the proposer's ballot, `lay` the version of the
+/// layout that it goes by.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RegisterRequest {
-    /// Prepare: accept nothing under a lower ballot from now on, and tell what was accepted.
+    /// Prepare: accept nothing under a lower ballot from now on, and report what was accepted.
     Promise {
         key: String,
         epoch: Ballot,
@@ -32,7 +33,7 @@
         #[serde(default)]
         delta: bool,
     },
-    /// A value that a majority already holds, for a replica whose record is damaged and which
+    /// A value that a majority has accepted already, for a replica whose record is damaged and which
     /// therefore may not vote.
     Fill {
         key: String,
@@ -47,14 +48,14 @@
         epoch: Ballot,
         lay: u64,
     },
-    /// What the replica holds; the value follows unless it is the version named. Nothing is
-    /// written.
+    /// Report the record; the value is sent with the reply unless it is the version that the asker
+    /// has. Nothing is written.
     Look {
         key: String,
         lay: u64,
         have: (Ballot, u64),
     },
-    /// Forget an emptied key that all replicas hold as emptied.
+    /// Drop the record of a key whose empty value all replicas have accepted.
     Drop {
         key: String,
         epoch: Ballot,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The number of the layout that the proposer goes by.
+    /// The version of the layout that the proposer goes by.
     pub fn layout(&self) -> u64 {
         match self {
             RegisterRequest::Promise { lay, .. }
@@ -101,23 +102,23 @@
 /// A replica's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RegisterReply {
-    /// The ballot is promised. The value accepted last follows as the blob.
+    /// The ballot is promised. The value accepted last is sent as the blob.
     Promised { accepted: Ballot, seq: u64 },
-    /// The value is on disk, or what was asked for stands already.
+    /// The value is on disk, or what was asked for is so already.
     Accepted,
-    /// What the replica holds, without a promise.
+    /// What the replica has accepted, without a promise.
     Looked { accepted: Ballot, seq: u64 },
     /// Another ballot is promised; nothing was done.
     Refused { promised: Ballot },
-    /// The replica keeps a newer layout than the proposer goes by; nothing was done.
+    /// The replica knows a newer layout than the proposer goes by; nothing was done.
     OldLayout,
     /// The record is damaged: the replica cannot vote on this key until it is filled.
     Damaged,
-    /// Nothing is known of what the replica did with the request.
+    /// No answer, or no disk to answer from: it is unknown what the replica did with the request.
     Away,
     /// Another disk is at the address of the one that was asked; nothing was done.
     OtherDisk,
-    /// The version that the delta builds on is not here.
+    /// The replica has not the version that the delta was made against.
     NeedWhole,
 }
 
--- a/yewcross-common/src/register/proposer.rs
+++ b/yewcross-common/src/register/proposer.rs
@@ -1,5 +1,4 @@
-//! The proposer: what follows from the replies of the replicas. Pure: it sends nothing and waits
-//! for nothing.
+//! The proposer: what follows from the replies of the replicas. Pure: no input, output or waiting.
 
 use super::message::{Ballot, RegisterReply};
 use super::quorum::ReplicaSet;
@@ -10,26 +9,29 @@
 pub enum ChangeError {
     /// Nothing of the change can be on any disk.
     NotDone,
-    /// Some disk may hold it.
+    /// Some disk may have it: it may be decided later, or never.
     Undecided,
     /// Another process proposes for this key; nothing was done here.
     NotProposer,
 }
 
-/// A reply of one disk.
+/// The reply of one disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Vote {
+    /// Identity of the disk.
     pub disk: String,
+    /// Its reply.
     pub reply: RegisterReply,
+    /// The value that came with the reply.
     pub value: Vec<u8>,
 }
 
-/// The replies to one request that is put to all replicas of a key.
+/// The replies to one request that is sent to all replicas of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Round {
     /// Replies that grant the request, one a disk.
     pub granted: Vec<Vote>,
-    /// Highest ballot number that a refusal told of.
+    /// Highest ballot number that a rejection reported.
     pub highest_promised: u64,
     /// Disks of which it is not known what they did.
     pub unknown: usize,
@@ -40,6 +42,7 @@
 }
 
 impl Round {
+    /// Counts one reply.
     pub fn record(&mut self, vote: Vote) {
         if !vote.reply.is_grant() {
             self.denied.push(vote.disk.clone());
@@ -63,6 +66,7 @@
         }
     }
 
+    /// Whether the disk granted the request.
     pub fn has_granted(&self, disk: &str) -> bool {
         self.granted.iter().any(|vote| vote.disk == disk)
     }
@@ -87,7 +91,7 @@
         }
     }
 
-    /// The newest value that the promises tell of; the default where no replica ever accepted one.
+    /// The newest value that the promises report; the default where no replica ever accepted one.
     fn newest(&self) -> Accepted {
         let promises = self.granted.iter().filter_map(|vote| match vote.reply {
             RegisterReply::Promised { accepted, seq } => Some((accepted, seq, &vote.value)),
@@ -112,14 +116,14 @@
     value: Vec<u8>,
 }
 
-/// What the replicas tell of their copies, without having promised anything.
+/// What the replicas report of their records, without having promised anything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Survey {
-    copies: Vec<Copy>,
+    reports: Vec<Report>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Copy {
+struct Report {
     disk: String,
     accepted: Ballot,
     seq: u64,
@@ -127,9 +131,10 @@
 }
 
 impl Survey {
+    /// Takes in one reply; anything but a report is ignored.
     pub fn record(&mut self, vote: Vote) {
         if let RegisterReply::Looked { accepted, seq } = vote.reply {
-            self.copies.push(Copy {
+            self.reports.push(Report {
                 disk: vote.disk,
                 accepted,
                 seq,
@@ -138,33 +143,33 @@
         }
     }
 
-    /// The newest copy told of so far, once a quorum holds just that one: it was decided, under a
-    /// ballot that the quorum accepted, and nothing newer was decided before the replicas were
-    /// asked.
+    /// The newest version reported so far, once a quorum reports just that one: it was decided,
+    /// under a ballot that the quorum accepted, and nothing newer was decided before the replicas
+    /// were asked.
     pub fn decided(&self, replicas: &ReplicaSet) -> Option<(Ballot, u64, &Vec<u8>)> {
         let newest = self
-            .copies
+            .reports
             .iter()
-            .max_by_key(|copy| (copy.accepted, copy.seq))?;
-        let alike = |copy: &&Copy| (copy.accepted, copy.seq) == (newest.accepted, newest.seq);
-        let quorum = replicas.quorum(|disk| {
-            self.copies
+            .max_by_key(|report| (report.accepted, report.seq))?;
+        let is_newest =
+            |report: &&Report| (report.accepted, report.seq) == (newest.accepted, newest.seq);
+        let has_quorum = replicas.quorum(|disk| {
+            self.reports
                 .iter()
-                .filter(alike)
-                .any(|copy| copy.disk == disk)
+                .filter(is_newest)
+                .any(|report| report.disk == disk)
         });
-        // A replica that already has the version sends no bytes; its own copy is then at hand for
-        // whoever asked.
+        // A replica sends no value if the asker has the same version: the asker then uses its own.
         let fullest = self
-            .copies
+            .reports
             .iter()
-            .filter(alike)
-            .max_by_key(|copy| copy.value.len())?;
-        quorum.then_some((newest.accepted, newest.seq, &fullest.value))
+            .filter(is_newest)
+            .max_by_key(|report| report.value.len())?;
+        has_quorum.then_some((newest.accepted, newest.seq, &fullest.value))
     }
 }
 
-/// What a proposer knows of one key.
+/// The state of a proposer for one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Proposer {
     /// The ballot that it leads with; none while it does not lead, or while a write under it is
@@ -180,26 +185,29 @@
 }
 
 impl Proposer {
-    /// The ballot to go on with, where it was prepared at these replicas.
+    /// The ballot to continue with, where it was prepared at these replicas.
     pub fn leads(&self, replicas: &ReplicaSet) -> Option<Ballot> {
         self.ballot.filter(|_| self.replicas.same_disks(replicas))
     }
 
+    /// The ballot that it leads with.
     pub fn ballot(&self) -> Option<Ballot> {
         self.ballot
     }
 
+    /// The version decided last, as far as it is known.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
+    /// The value of that version.
     pub fn value(&self) -> &Arc<Vec<u8>> {
         &self.value
     }
 
     /// Begins to prepare a ballot above all that were seen. `proposer` is never used twice. `clock`
-    /// is the calendar, ms: a key that was erased begins anew with nothing promised, and whatever
-    /// is left of its earlier life must rank below.
+    /// is the wall clock, ms: a key that was erased begins anew with nothing promised, and whatever
+    /// is left of its earlier incarnation must rank below.
     pub fn prepare(&mut self, proposer: u64, clock: u64) -> Ballot {
         self.highest = clock.max(self.highest + 1);
         self.ballot = None;
@@ -209,7 +217,7 @@
         }
     }
 
-    /// A quorum promised: the newest value that it tells of has to be accepted anew under the
+    /// A quorum promised: the newest value that it reports has to be accepted anew under the
     /// ballot before anything else happens. Returns whether there is one.
     pub fn promised(&mut self, replicas: &ReplicaSet, round: &Round) -> bool {
         let newest = round.newest();
@@ -219,14 +227,14 @@
         newest.ballot != Ballot::default()
     }
 
-    /// The ballot is prepared, and the newest value stands under it.
+    /// The ballot is prepared, and the newest value is accepted under it.
     pub fn lead(&mut self, ballot: Ballot) {
         self.ballot = Some(ballot);
     }
 
-    /// Gives the ballot up: the next change prepares a new one. So it does before a write, until
-    /// that is decided: whoever stops waiting leaves no ballot behind under which half a write may
-    /// stand.
+    /// Gives the ballot up: the next change prepares a new one. This is done before each write and
+    /// undone when the write is decided: a caller that stops waiting leaves no ballot behind under
+    /// which some replicas may have accepted the write.
     pub fn resign(&mut self) -> Option<Ballot> {
         self.ballot.take()
     }
