--- a/yewcross-common/src/documents/cache.rs
+++ b/yewcross-common/src/documents/cache.rs
@@ -131,12 +131,12 @@
         name: &str,
         base: u64,
         base_digest: &str,
-        seq: u64,
-        epoch: Ballot,
+        version: u64,
+        ballot: Ballot,
         delta: &[u8],
     ) -> Result<(), DocumentRejected> {
         let current = self.document(name);
-        if seq <= current.version {
+        if version <= current.version {
             return Err(DocumentRejected::NotNewer {
                 current: current.version,
             });
@@ -149,12 +149,12 @@
             });
         }
         let content = delta::apply(&current.content, delta).ok_or(DocumentRejected::BadDelta)?;
-        self.try_apply(name, seq, epoch, content)
+        self.try_apply(name, version, ballot, content)
     }
 
     /// Whether the document has become the current one; see [`DocumentCache::try_apply`].
-    pub fn apply(&self, name: &str, seq: u64, epoch: Ballot, content: Vec<u8>) -> bool {
-        self.try_apply(name, seq, epoch, content).is_ok()
+    pub fn apply(&self, name: &str, version: u64, ballot: Ballot, content: Vec<u8>) -> bool {
+        self.try_apply(name, version, ballot, content).is_ok()
     }
 
     /// Makes a decided document the current one, unless it is older. The version alone identifies
@@ -163,21 +163,21 @@
     pub fn try_apply(
         &self,
         name: &str,
-        seq: u64,
-        epoch: Ballot,
+        version: u64,
+        ballot: Ballot,
         content: Vec<u8>,
     ) -> Result<(), DocumentRejected> {
         let _applying = self.apply_lock.lock().unwrap();
         let name = DocumentName::parse(name).ok_or(DocumentRejected::UnknownName)?;
-        self.check_newer(name, seq, &content)?;
-        self.put_in_force(name, seq, &content)
+        self.check_newer(name, version, &content)?;
+        self.put_in_force(name, version, &content)
             .ok_or(DocumentRejected::Unreadable)?;
         self.current(name).store(Arc::new(DocumentVersion {
-            version: seq,
-            epoch,
+            version,
+            epoch: ballot,
             content: Arc::new(content),
         }));
-        self.log_applied(name, seq);
+        self.log_applied(name, version);
         self.changed.notify(usize::MAX);
         Ok(())
     }
@@ -185,18 +185,18 @@
     fn check_newer(
         &self,
         name: DocumentName,
-        seq: u64,
+        version: u64,
         content: &[u8],
     ) -> Result<(), DocumentRejected> {
         let current = self.current(name).load();
-        if seq > 0 && seq == current.version && *current.content != content {
+        if version > 0 && version == current.version && *current.content != content {
             self.conflicts.fetch_add(1, SeqCst);
             self.runtime.log(&format!(
-                "{name} {seq} rejected: the current content of this version differs"
+                "{name} {version} rejected: the current content of this version differs"
             ));
-            return Err(DocumentRejected::Conflicting { seq });
+            return Err(DocumentRejected::Conflicting { seq: version });
         }
-        if seq <= current.version {
+        if version <= current.version {
             return Err(DocumentRejected::NotNewer {
                 current: current.version,
             });
@@ -205,37 +205,39 @@
     }
 
     /// Parses the document and puts what it says in force; `None` where it cannot be parsed.
-    fn put_in_force(&self, name: DocumentName, seq: u64, content: &[u8]) -> Option<()> {
+    fn put_in_force(&self, name: DocumentName, version: u64, content: &[u8]) -> Option<()> {
         match name {
             DocumentName::Configuration => {
                 let document: ConfigDoc = serde_json::from_slice(content).ok()?;
                 // The document of the bootstrap has no text: no operator has put one yet.
                 if !document.text.is_empty() {
                     let configuration = self.format.read(document.text.as_bytes()).ok()?;
-                    self.config.store(Arc::new((seq, configuration)));
+                    self.config.store(Arc::new((version, configuration)));
                 }
             }
             DocumentName::Layout => {
                 let layout = serde_json::from_slice(content).ok()?;
-                self.layout.store(Arc::new((seq, layout)));
+                self.layout.store(Arc::new((version, layout)));
             }
             DocumentName::ServerList => {
                 let list = serde_json::from_slice(content).ok()?;
-                self.list.store(Arc::new((seq, self.with_departures(list))));
+                self.list
+                    .store(Arc::new((version, self.with_departures(list))));
             }
         }
         Some(())
     }
 
     /// The digest in the log is that of a configuration's text, as the operator sent it.
-    fn log_applied(&self, name: DocumentName, seq: u64) {
+    fn log_applied(&self, name: DocumentName, version: u64) {
         let digest = match name {
             DocumentName::Configuration => {
                 format!(" {}", content_digest(self.configuration_text().as_bytes()))
             }
             DocumentName::Layout | DocumentName::ServerList => String::new(),
         };
-        self.runtime.log(&format!("adopted {name} {seq}{digest}"));
+        self.runtime
+            .log(&format!("adopted {name} {version}{digest}"));
     }
 
     fn configuration_text(&self) -> String {
--- a/yewcross-common/src/register/placement.rs
+++ b/yewcross-common/src/register/placement.rs
@@ -2,11 +2,15 @@
 
 use super::quorum::{ReplicaSet, Seat};
 use crate::constants::STORE_COPIES;
-use crate::documents::cache::DOCS;
+use crate::documents::DocumentName;
 use crate::protocol::{Layout, ReplicaGroup};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
+fn is_document(key: &str) -> bool {
+    DocumentName::parse(key).is_some()
+}
+
 impl Layout {
     /// Whether the disk is in a set that is in force, which includes the previous sets of a change
     /// under way.
@@ -23,7 +27,7 @@
     /// The group whose disks replicate a key: the core disks for the documents, the store disks for
     /// all other keys.
     pub fn group(&self, key: &str) -> &ReplicaGroup {
-        if DOCS.contains(&key) {
+        if is_document(key) {
             &self.core
         } else {
             &self.store
@@ -35,7 +39,7 @@
     /// none; a disk of no known site counts as a site of its own.
     pub fn replicas_for<'a>(&self, key: &str, disks: &'a [String]) -> Vec<&'a str> {
         let ranked = crate::hash::ranked(key, disks.iter().map(|disk| disk.as_str()));
-        if DOCS.contains(&key) {
+        if is_document(key) {
             return ranked;
         }
         let site_of = |disk: &str| self.sites.get(disk).cloned().unwrap_or(disk.into());
