--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -649,7 +649,7 @@
             assert_eq!(lines("member "), 0, "{}", tell(&t));
             t.kill("front7", true);
             t.op.sleep(10 * SEC).await;
-            assert!(lines("member front7 Gone") == 1, "{}", tell(&t));
+            assert!(lines("member front7 Removed") == 1, "{}", tell(&t));
         })
     });
 }
