--- a/yewcross-capacity/src/capacity/measure.rs
+++ b/yewcross-capacity/src/capacity/measure.rs
@@ -8,7 +8,7 @@
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::runtime::os::OsRuntime;
 use yewcross_common::runtime::{BoxFuture, Runtime};
-use yewcross_common::transport::{Envelope, PeerClient, RequestHandler};
+use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler};
 
 /// us of processor this process has used.
 fn used() -> f64 {
@@ -38,14 +38,14 @@
 struct Echo;
 
 impl RequestHandler for Echo {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let _ = p.decode::<PeerRequest>();
-            (
-                serde_json::to_vec(&PeerResponse::ProbeOnBehalf { reachable: true })
+            Reply {
+                message: serde_json::to_vec(&PeerResponse::ProbeOnBehalf { reachable: true })
                     .unwrap_or_default(),
-                vec![],
-            )
+                payload: vec![],
+            }
         })
     }
 }
--- /dev/null
+++ b/yewcross-common/src/transport/connection.rs
@@ -0,0 +1,107 @@
+//! One connection to a peer, shared by the requests in flight on it.
+
+use super::frame::{Envelope, read_frame, unpack};
+use crate::constants::LINK_READ;
+use crate::runtime::{Connection, Runtime};
+use async_channel::{Receiver, Sender};
+use futures_lite::AsyncWriteExt;
+use futures_lite::io::BufReader;
+use std::collections::BTreeMap;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+/// Frames that may wait to be written to a connection; more make their senders wait.
+pub(super) const WRITE_QUEUE: usize = 1024;
+
+/// The client's end of a connection. Responses find their requests by number, in any order.
+pub(super) struct PeerConnection {
+    /// Frames to be written.
+    pub(super) outgoing: Sender<Vec<u8>>,
+    /// Requests in flight, by number.
+    in_flight: Mutex<BTreeMap<u64, Sender<Envelope>>>,
+    /// µs (monotonic): when anything was last received on it.
+    last_received: AtomicU64,
+}
+
+impl PeerConnection {
+    pub(super) fn new(outgoing: Sender<Vec<u8>>, now: u64) -> PeerConnection {
+        PeerConnection {
+            outgoing,
+            in_flight: Default::default(),
+            last_received: AtomicU64::new(now),
+        }
+    }
+
+    /// Where the response to a request will arrive. It is closed without one when the connection
+    /// ends.
+    pub(super) fn register(&self, id: u64) -> Receiver<Envelope> {
+        let (response, receiver) = async_channel::bounded(1);
+        self.in_flight.lock().unwrap().insert(id, response);
+        receiver
+    }
+
+    /// Nobody waits for the response of this request any longer.
+    pub(super) fn deregister(&self, id: u64) {
+        self.in_flight.lock().unwrap().remove(&id);
+    }
+
+    /// Whether nothing has been received since `time` (µs, monotonic).
+    pub(super) fn is_silent_since(&self, time: u64) -> bool {
+        self.last_received.load(Relaxed) < time
+    }
+
+    /// Transfers frames in both directions until either ends.
+    pub(super) async fn transfer(
+        &self,
+        runtime: &Runtime,
+        stream: &Connection,
+        outgoing: &Receiver<Vec<u8>>,
+        newest_version: u16,
+    ) {
+        let mut writer = stream.clone();
+        let mut reader = BufReader::with_capacity(LINK_READ, stream.clone());
+        let read = self.read_responses(runtime, &mut reader, newest_version);
+        let write = write_frames(outgoing, &mut writer);
+        futures_lite::future::or(read, write).await;
+    }
+
+    async fn read_responses(
+        &self,
+        runtime: &Runtime,
+        reader: &mut BufReader<Connection>,
+        newest_version: u16,
+    ) {
+        while let Some(frame) = read_frame(reader).await {
+            self.last_received.store(runtime.now(), Relaxed);
+            let Some(frame) = unpack(&frame, newest_version) else {
+                continue;
+            };
+            if frame.is_reply {
+                self.complete(frame.id, frame.envelope);
+            }
+        }
+    }
+
+    fn complete(&self, id: u64, response: Envelope) {
+        if let Some(request) = self.in_flight.lock().unwrap().remove(&id) {
+            // The requester may have given up just now.
+            let _ = request.try_send(response);
+        }
+    }
+
+    /// Ends the connection's use: no further frame is taken, and each request in flight ends with
+    /// an unknown outcome.
+    pub(super) fn close(&self) {
+        self.outgoing.close();
+        self.in_flight.lock().unwrap().clear();
+    }
+}
+
+/// Writes queued frames until the queue is closed and empty, or the connection fails.
+pub(super) async fn write_frames(frames: &Receiver<Vec<u8>>, writer: &mut Connection) {
+    while let Ok(frame) = frames.recv().await {
+        if writer.write_all(&frame).await.is_err() {
+            return;
+        }
+    }
+}
--- /dev/null
+++ b/yewcross-common/src/transport/frame.rs
@@ -0,0 +1,107 @@
+//! The bytes of one message between processes: a Cap'n Proto `Frame`.
+
+use super::frame_capnp::frame;
+use crate::constants::{FRAME_MAX, WIRE_OLDEST};
+use capnp::message::ReaderOptions;
+use futures_lite::io::AsyncRead;
+use serde::Deserialize;
+
+/// Bytes of a Cap'n Proto word.
+const WORD_BYTES: usize = 8;
+
+/// Words reserved for the frame's own fields and pointers.
+const FRAME_OVERHEAD_WORDS: usize = 24;
+
+type FrameReader = capnp::message::Reader<capnp::serialize::OwnedSegments>;
+
+/// A message as it was received, and who sent it.
+#[derive(Clone, Debug)]
+pub struct Envelope {
+    /// Name of the node that sent it.
+    pub from: String,
+    /// Site of that node.
+    pub site: String,
+    /// The request or response, as JSON.
+    pub message: Vec<u8>,
+    /// Bytes that go with it; empty where the message needs none.
+    pub payload: Vec<u8>,
+    /// Frame version that the sender used.
+    pub version: u16,
+}
+
+impl Envelope {
+    /// The message as a value of `T`; none where it is not one.
+    pub fn decode<T: for<'a> Deserialize<'a>>(&self) -> Option<T> {
+        serde_json::from_slice(&self.message).ok()
+    }
+}
+
+/// A frame whose version this process speaks.
+pub(super) struct DecodedFrame {
+    /// Number of the request, unique among those of the connection's client.
+    pub(super) id: u64,
+    /// Whether it answers a request.
+    pub(super) is_reply: bool,
+    pub(super) envelope: Envelope,
+}
+
+/// Encodes a frame. `id` numbers the request, and its response carries the same; `me` and `site`
+/// name the sending node and its site.
+pub fn pack(
+    version: u16,
+    id: u64,
+    reply: bool,
+    me: &str,
+    site: &str,
+    message: &[u8],
+    payload: &[u8],
+) -> Vec<u8> {
+    let content_bytes = message.len() + payload.len() + me.len() + site.len();
+    let words = content_bytes / WORD_BYTES + FRAME_OVERHEAD_WORDS;
+    let allocator = capnp::message::HeapAllocator::new().first_segment_words(words as u32);
+    let mut builder = capnp::message::Builder::new(allocator);
+    let mut frame = builder.init_root::<frame::Builder>();
+    frame.set_version(version);
+    frame.set_id(id);
+    frame.set_reply(reply);
+    frame.set_from(me);
+    frame.set_site(site);
+    frame.set_body(message);
+    frame.set_blob(payload);
+    capnp::serialize::write_message_to_words(&builder)
+}
+
+/// Reads the next frame; none at the end of the connection, or where the bytes are no message of
+/// permitted size.
+pub(super) async fn read_frame<R: AsyncRead + Unpin>(reader: &mut R) -> Option<FrameReader> {
+    capnp_futures::serialize::try_read_message(reader, reader_options())
+        .await
+        .ok()
+        .flatten()
+}
+
+fn reader_options() -> ReaderOptions {
+    let mut options = ReaderOptions::new();
+    options.traversal_limit_in_words(Some(FRAME_MAX / WORD_BYTES));
+    options
+}
+
+/// Decodes a frame; none where it is malformed, or its version is newer than `newest_version` or
+/// older than this program speaks.
+pub(super) fn unpack(reader: &FrameReader, newest_version: u16) -> Option<DecodedFrame> {
+    let frame = reader.get_root::<frame::Reader>().ok()?;
+    let envelope = Envelope {
+        from: frame.get_from().ok()?.to_string().ok()?,
+        site: frame.get_site().ok()?.to_string().ok()?,
+        message: frame.get_body().ok()?.to_vec(),
+        payload: frame.get_blob().ok()?.to_vec(),
+        version: frame.get_version(),
+    };
+    (WIRE_OLDEST..=newest_version)
+        .contains(&frame.get_version())
+        .then_some(DecodedFrame {
+            id: frame.get_id(),
+            is_reply: frame.get_reply(),
+            envelope,
+        })
+}
--- /dev/null
+++ b/yewcross-common/src/transport/metrics.rs
@@ -0,0 +1,39 @@
+//! Counts of the messages and bytes that a process sends.
+
+use std::collections::BTreeMap;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+/// What a process has sent since its start. Requests and responses both count.
+#[derive(Default)]
+pub struct TransportMetrics {
+    /// Messages sent.
+    pub sent: AtomicU64,
+    /// Bytes of the frames sent to nodes of the own site.
+    pub bytes_within: AtomicU64,
+    /// Bytes of the frames sent to other sites.
+    pub bytes_across: AtomicU64,
+    /// By kind of request: how many were sent, bytes of their frames, and bytes of the responses
+    /// without their frames. The operators' figures hold the three as an array.
+    pub kinds: Mutex<BTreeMap<&'static str, (u64, u64, u64)>>,
+}
+
+impl TransportMetrics {
+    pub(super) fn record_frame(&self, is_same_site: bool, bytes: usize) {
+        self.sent.fetch_add(1, Relaxed);
+        let site_bytes = if is_same_site {
+            &self.bytes_within
+        } else {
+            &self.bytes_across
+        };
+        site_bytes.fetch_add(bytes as u64, Relaxed);
+    }
+
+    pub(super) fn record_request(&self, kind: &'static str, sent_bytes: u64, received_bytes: u64) {
+        let mut kinds = self.kinds.lock().unwrap();
+        let (count, sent, received) = kinds.entry(kind).or_default();
+        *count += 1;
+        *sent += sent_bytes;
+        *received += received_bytes;
+    }
+}
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -85,13 +85,16 @@
 struct Ear(Arc<Control>);
 
 impl RequestHandler for Ear {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let (t, b) = match p.decode::<PeerRequest>() {
                 Some(a) => self.0.handle(a, p.payload, &p.from).await,
                 None => (PeerResponse::Rejected(Code::BadBody), vec![]),
             };
-            (serde_json::to_vec(&t).unwrap_or_default(), b)
+            Reply {
+                message: serde_json::to_vec(&t).unwrap_or_default(),
+                payload: b,
+            }
         })
     }
 }
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -200,14 +200,17 @@
 struct Ear(Arc<Front>);
 
 impl RequestHandler for Ear {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let (tell, blob) = match p.decode::<PeerRequest>() {
                 Some(PeerRequest::ExchangeLoads { by_site }) => self.0.hear_load(&p, by_site),
                 Some(ask) => (self.0.hear(ask, p.payload).await, vec![]),
                 None => (PeerResponse::Rejected(Code::BadBody), vec![]),
             };
-            (serde_json::to_vec(&tell).unwrap_or_default(), blob)
+            Reply {
+                message: serde_json::to_vec(&tell).unwrap_or_default(),
+                payload: blob,
+            }
         })
     }
 }
--- a/yewcross-testkit/examples/chain_load.rs
+++ b/yewcross-testkit/examples/chain_load.rs
@@ -23,7 +23,7 @@
 struct Ear(Arc<Membership>, Option<Arc<Engine>>);
 
 impl RequestHandler for Ear {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let (t, b) = match (p.decode::<PeerRequest>(), &self.1) {
                 (Some(PeerRequest::TurnLog), Some(e)) => {
@@ -32,7 +32,10 @@
                 (Some(a), _) => (self.0.handle(a).await, vec![]),
                 _ => (PeerResponse::Ok, vec![]),
             };
-            (serde_json::to_vec(&t).unwrap_or_default(), b)
+            Reply {
+                message: serde_json::to_vec(&t).unwrap_or_default(),
+                payload: b,
+            }
         })
     }
 }
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -51,7 +51,7 @@
 }
 
 impl RequestHandler for Bare {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let t = match p.decode::<PeerRequest>() {
                 Some(
@@ -92,7 +92,10 @@
                 }
                 _ => PeerResponse::Rejected(Code::BadField),
             };
-            (serde_json::to_vec(&t).unwrap(), vec![])
+            Reply {
+                message: serde_json::to_vec(&t).unwrap(),
+                payload: vec![],
+            }
         })
     }
 }
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -27,7 +27,7 @@
 }
 
 impl RequestHandler for Ear {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let (t, b) = match (p.decode::<PeerRequest>(), &self.engine) {
                 (Some(PeerRequest::TurnLog), Some(e)) => {
@@ -39,7 +39,10 @@
                 ),
                 (Some(a), _) => (self.members.handle(a).await, vec![]),
             };
-            (serde_json::to_vec(&t).unwrap_or_default(), b)
+            Reply {
+                message: serde_json::to_vec(&t).unwrap_or_default(),
+                payload: b,
+            }
         })
     }
 }
--- a/yewcross-testkit/tests/links.rs
+++ b/yewcross-testkit/tests/links.rs
@@ -8,7 +8,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::runtime::*;
-use yewcross_common::transport::{Envelope, PeerClient, RequestHandler, SendError, pack};
+use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler, SendError, pack};
 use yewcross_testkit::sim::Sim;
 
 const ASKER: &str = "10.0.0.1";
@@ -148,15 +148,15 @@
 }
 
 impl RequestHandler for Slow {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let first = self.asked.fetch_add(1, SeqCst) == 0;
             self.w.sleep(if first { 400 * MS } else { 600 * MS }).await;
             let text = format!("{} to {}", self.name, String::from_utf8_lossy(&p.payload));
-            (
-                serde_json::to_vec(&PeerResponse::Ok).unwrap(),
-                text.into_bytes(),
-            )
+            Reply {
+                message: serde_json::to_vec(&PeerResponse::Ok).unwrap(),
+                payload: text.into_bytes(),
+            }
         })
     }
 }
--- a/yewcross-testkit/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -423,11 +423,16 @@
     use yewcross_common::constants::{SEC, WIRE_OLDEST, WIRE_VERSION};
     use yewcross_common::protocol::{PeerRequest, PeerResponse};
     use yewcross_common::runtime::BoxFuture;
-    use yewcross_common::transport::{Envelope, PeerClient, RequestHandler};
+    use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler};
     struct Echo;
     impl RequestHandler for Echo {
-        fn handle(self: Arc<Self>, _: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
-            Box::pin(async { (serde_json::to_vec(&PeerResponse::Ok).unwrap(), vec![]) })
+        fn handle(self: Arc<Self>, _: Envelope) -> BoxFuture<'static, Reply> {
+            Box::pin(async {
+                Reply {
+                    message: serde_json::to_vec(&PeerResponse::Ok).unwrap(),
+                    payload: vec![],
+                }
+            })
         }
     }
     let sim = yewcross_testkit::sim::Sim::new(3, 500);
--- a/yewcross-testkit/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -26,7 +26,7 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{ConfigDoc, PeerRequest, PeerResponse};
 use yewcross_common::runtime::*;
-use yewcross_common::transport::{Envelope, PeerClient, RequestHandler, pack};
+use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler, pack};
 use yewcross_common::turn_log::store_client::{TurnLogOperation, decode, encode};
 use yewcross_proxy::load_exchange::ServerLoad;
 use yewcross_state::records::Record;
@@ -566,9 +566,14 @@
 }
 
 impl RequestHandler for Ear {
-    fn handle(self: Arc<Self>, parcel: Envelope) -> BoxFuture<'static, (Vec<u8>, Vec<u8>)> {
+    fn handle(self: Arc<Self>, parcel: Envelope) -> BoxFuture<'static, Reply> {
         self.heard.lock().unwrap().push(parcel);
-        Box::pin(async { (ANSWER_BODY.to_vec(), ANSWER_BLOB.to_vec()) })
+        Box::pin(async {
+            Reply {
+                message: ANSWER_BODY.to_vec(),
+                payload: ANSWER_BLOB.to_vec(),
+            }
+        })
     }
 }
 
