--- a/yewcross-capacity/src/capacity/measure.rs
+++ b/yewcross-capacity/src/capacity/measure.rs
@@ -65,7 +65,7 @@
 
 /// Measures `Costs` on this machine, over loopback and with one thread.
 pub fn measure() -> Costs {
-    let w = OsRuntime::world(".", 1);
+    let w = OsRuntime::start(".", 1);
     smol::block_on(async {
         let to = ends(&w, 200).await;
         let me = PeerClient::new(&w, "probe", "zone", WIRE_VERSION);
--- a/yewcross-capacity/src/main.rs
+++ b/yewcross-capacity/src/main.rs
@@ -48,7 +48,7 @@
 fn state(a: &Moves) -> Result<Checkpoint, Fault> {
     match (&a.checkpoint, a.core) {
         (Some(f), None) => load(f),
-        (None, Some(at)) => smol::block_on(take(&OsRuntime::world(".", 1), at)),
+        (None, Some(at)) => smol::block_on(take(&OsRuntime::start(".", 1), at)),
         _ => fail(exit::USAGE, "name one of --core and --checkpoint"),
     }
 }
--- /dev/null
+++ b/yewcross-common/src/runtime/connection.rs
@@ -0,0 +1,112 @@
+//! Connections and listeners, whatever network they run on.
+
+use super::BoxFuture;
+use futures_lite::{AsyncRead, AsyncWrite};
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::task::{Context, Poll};
+
+/// The read allowance of a connection whose reads are not limited.
+const UNLIMITED: u64 = u64::MAX;
+
+/// A stream of bytes in both directions, which its users share.
+pub trait ByteStream: Send + Sync {
+    /// As `AsyncRead::poll_read`.
+    fn read(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>>;
+    /// As `AsyncWrite::poll_write`.
+    fn write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>>;
+    /// Ends the sending direction.
+    fn close(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
+    /// See [`Connection::set_send_timeout`].
+    fn set_send_timeout(&self, _timeout_us: u64) {}
+}
+
+/// A connection. Its clones share the stream and the read allowance.
+#[derive(Clone)]
+pub struct Connection {
+    stream: Arc<dyn ByteStream>,
+    /// Bytes that may still be read.
+    read_allowance: Arc<AtomicU64>,
+    /// Address of the other end.
+    pub peer: SocketAddr,
+}
+
+impl std::fmt::Debug for Connection {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "Conn({})", self.peer)
+    }
+}
+
+impl Connection {
+    /// A connection over `stream` whose reads are not limited.
+    pub fn new(stream: Arc<dyn ByteStream>, peer: SocketAddr) -> Connection {
+        Connection {
+            stream,
+            read_allowance: Arc::new(AtomicU64::new(UNLIMITED)),
+            peer,
+        }
+    }
+
+    /// Sets how many bytes may still be read; reads beyond them fail.
+    pub fn limit_reads(&self, bytes: u64) {
+        self.read_allowance.store(bytes, Relaxed);
+    }
+
+    /// Sent bytes that stay unacknowledged for `timeout_us` (µs) end the connection (RFC 793's USER
+    /// TIMEOUT).
+    pub fn set_send_timeout(&self, timeout_us: u64) {
+        self.stream.set_send_timeout(timeout_us);
+    }
+
+    /// Whether all bytes allowed by [`Connection::limit_reads`] have been read.
+    pub fn read_limit_reached(&self) -> bool {
+        self.read_allowance.load(Relaxed) == 0
+    }
+}
+
+impl AsyncRead for Connection {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
+        let allowance = self.read_allowance.load(Relaxed);
+        if allowance == 0 {
+            return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "too large")));
+        }
+        let wanted = buf.len().min(allowance.min(usize::MAX as u64) as usize);
+        self.stream.read(cx, &mut buf[..wanted]).map_ok(|read| {
+            if allowance != UNLIMITED {
+                self.read_allowance.store(allowance - read as u64, Relaxed);
+            }
+            read
+        })
+    }
+}
+
+impl AsyncWrite for Connection {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.stream.write(cx, buf)
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_close(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.stream.close(cx)
+    }
+}
+
+/// Accepts connections.
+pub trait Listener: Send + Sync {
+    /// The next connection.
+    fn accept(&self) -> BoxFuture<'_, io::Result<Connection>>;
+}
--- /dev/null
+++ b/yewcross-common/src/runtime/os/mod.rs
@@ -0,0 +1,214 @@
+//! The runtime of the real processes: an executor, sockets and files of the operating system.
+
+mod disk_threads;
+mod tcp;
+
+use super::reactor::Reactor;
+use super::{BoxFuture, Connection, FrameFault, Listener, Runtime, RuntimeBackend};
+use disk_threads::DiskThreads;
+use std::fs::{File, OpenOptions};
+use std::future::pending;
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex};
+use std::time::SystemTime;
+
+/// The file last appended to, which stays open, and its path.
+struct AppendFile {
+    path: PathBuf,
+    file: File,
+}
+
+/// What the processes run on.
+pub struct OsRuntime {
+    executor: Arc<smol::Executor<'static>>,
+    reactor: Arc<Reactor>,
+    disk_threads: DiskThreads,
+    /// The process's data folder.
+    root: PathBuf,
+    append_file: Arc<Mutex<Option<AppendFile>>>,
+}
+
+impl OsRuntime {
+    /// Starts a runtime with files under `root`. Its tasks run on `threads` threads of their own,
+    /// of which the first also waits for sockets and timers.
+    ///
+    /// # Panics
+    /// Where the operating system gives no event queue.
+    pub fn start(root: &str, threads: usize) -> Runtime {
+        let executor = Arc::new(smol::Executor::new());
+        let (reactor, poller) =
+            Reactor::new().unwrap_or_else(|error| panic!("no event queue: {error}"));
+        let (first_reactor, first_executor) = (reactor.clone(), executor.clone());
+        start_thread(0, move || {
+            first_reactor.drive(poller, first_executor.run(pending::<()>()))
+        });
+        for index in 1..threads {
+            let executor = executor.clone();
+            start_thread(index, move || {
+                futures_lite::future::block_on(executor.run(pending::<()>()))
+            });
+        }
+        Runtime(Arc::new(OsRuntime {
+            executor,
+            reactor,
+            disk_threads: DiskThreads::new(),
+            root: PathBuf::from(root),
+            append_file: Default::default(),
+        }))
+    }
+
+    /// Runs an operation on the path below the data folder, on a thread that may wait for the disk.
+    fn blocking<T: Send + 'static>(
+        &self,
+        path: &str,
+        operation: impl FnOnce(PathBuf) -> io::Result<T> + Send + 'static,
+    ) -> BoxFuture<'static, io::Result<T>> {
+        let path = self.root.join(path);
+        let (outcome, receiver) = async_channel::bounded(1);
+        self.disk_threads.run(Box::new(move || {
+            // Whoever asked may have stopped waiting.
+            let _ = outcome.try_send(operation(path));
+        }));
+        Box::pin(async move {
+            receiver
+                .recv()
+                .await
+                .unwrap_or_else(|_| Err(io::Error::other("a disk thread ended")))
+        })
+    }
+}
+
+fn start_thread(index: usize, run: impl FnOnce() + Send + 'static) {
+    // Where the system has no thread left, the runtime has one less.
+    let _ = std::thread::Builder::new()
+        .name(format!("yew-{index}"))
+        .spawn(run);
+}
+
+impl RuntimeBackend for OsRuntime {
+    fn now(&self) -> u64 {
+        self.reactor.now()
+    }
+
+    fn wall_clock_ms(&self) -> u64 {
+        SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .map(|since| since.as_millis() as u64)
+            .unwrap_or(0)
+    }
+
+    fn random(&self) -> u64 {
+        fastrand::u64(..)
+    }
+
+    fn sleep(&self, us: u64) -> BoxFuture<'static, ()> {
+        let until = self.reactor.now().saturating_add(us);
+        Box::pin(self.reactor.sleep_until(until))
+    }
+
+    fn spawn(&self, task: BoxFuture<'static, ()>) {
+        self.executor.spawn(task).detach();
+    }
+
+    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Connection>> {
+        Box::pin(tcp::connect(self.reactor.clone(), to))
+    }
+
+    fn bind(&self, at: SocketAddr) -> BoxFuture<'static, io::Result<Box<dyn Listener>>> {
+        let reactor = self.reactor.clone();
+        Box::pin(async move { tcp::bind(reactor, at) })
+    }
+
+    fn frame_fault(&self, _: SocketAddr) -> FrameFault {
+        FrameFault::Deliver
+    }
+
+    fn write_file(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
+        self.blocking(path, move |path| std::fs::write(path, data))
+    }
+
+    fn sync(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
+        self.blocking(path, |path| sync_path(&path))
+    }
+
+    fn rename(&self, from: &str, to: &str) -> BoxFuture<'static, io::Result<()>> {
+        let to = self.root.join(to);
+        self.blocking(from, move |from| std::fs::rename(from, to))
+    }
+
+    fn write_durably(
+        &self,
+        aside: &str,
+        at: &str,
+        dir: &str,
+        data: Vec<u8>,
+    ) -> BoxFuture<'static, io::Result<()>> {
+        let (at, dir) = (self.root.join(at), self.root.join(dir));
+        self.blocking(aside, move |aside| {
+            let mut file = File::create(&aside)?;
+            file.write_all(&data)?;
+            file.sync_all()?;
+            std::fs::rename(aside, at)?;
+            sync_path(&dir)
+        })
+    }
+
+    fn remove(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
+        self.blocking(path, std::fs::remove_file)
+    }
+
+    fn append(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
+        let append_file = self.append_file.clone();
+        self.blocking(path, move |path| {
+            let mut open = append_file.lock().unwrap();
+            if open.as_ref().is_none_or(|open| open.path != path) {
+                let file = open_for_append(&path)?;
+                *open = Some(AppendFile { path, file });
+            }
+            open.as_mut().map_or(Ok(()), |open| {
+                open.file.write_all(&data)?;
+                open.file.sync_data()
+            })
+        })
+    }
+
+    fn read_file(&self, path: &str) -> BoxFuture<'static, io::Result<Vec<u8>>> {
+        self.blocking(path, std::fs::read)
+    }
+
+    fn list(&self, dir: &str) -> BoxFuture<'static, io::Result<Vec<String>>> {
+        self.blocking(dir, |dir| {
+            let mut names: Vec<String> = std::fs::read_dir(dir)?
+                .filter_map(|entry| entry.ok())
+                .filter(|entry| entry.path().is_file())
+                .filter_map(|entry| entry.file_name().into_string().ok())
+                .collect();
+            names.sort();
+            Ok(names)
+        })
+    }
+
+    fn mkdir(&self, dir: &str) -> BoxFuture<'static, io::Result<()>> {
+        self.blocking(dir, std::fs::create_dir_all)
+    }
+
+    fn log(&self, line: &str) {
+        spdlog::info!("{}", line);
+    }
+}
+
+fn sync_path(path: &Path) -> io::Result<()> {
+    File::open(path)?.sync_all()
+}
+
+/// Opens a file for appending. The name of a new file is durable before anything is written to it.
+fn open_for_append(path: &Path) -> io::Result<File> {
+    let is_new = !path.exists();
+    let file = OpenOptions::new().create(true).append(true).open(path)?;
+    if let Some(dir) = path.parent().filter(|_| is_new) {
+        sync_path(dir)?;
+    }
+    Ok(file)
+}
--- a/yewcross-common/src/runtime/reactor.rs
+++ b/yewcross-common/src/runtime/reactor.rs
@@ -1,10 +1,12 @@
-//! One thread that runs the tasks and waits for sockets and timers: one system call a wake-up.
+//! The event loop: one thread that runs tasks and waits for sockets and timers, with one system
+//! call for each wake-up.
 //!
-//! Sockets are waited for by edges (mio), as epoll(7) has it under "Level-triggered and
-//! edge-triggered": each is registered once, and a read that did not fill its buffer has emptied
+//! Sockets are watched edge-triggered (mio), as epoll(7) describes under "Level-triggered and
+//! edge-triggered": each is registered once, and a read that did not fill its buffer has drained
 //! the socket.
 
-use mio::{Events, Interest, Poll as Poller, Registry, Token, Waker as Bell};
+use mio::event::{Event, Source};
+use mio::{Events, Interest, Poll as Poller, Registry, Token, Waker as PollWaker};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io;
@@ -14,113 +16,167 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-const BELL: Token = Token(0);
+/// Token of the event by which other threads end the reactor's wait.
+const WAKE_TOKEN: Token = Token(0);
 
+/// Events taken from the system at once.
+const EVENT_CAPACITY: usize = 256;
+
+/// A direction of a socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Direction {
+    /// Bytes that come in; for a listener, connections.
+    Read,
+    /// Bytes that go out; also the end of a connect.
+    Write,
+}
+
+/// Waits for sockets and timers, and wakes the tasks that they concern.
 pub struct Reactor {
     registry: Registry,
-    bell: Bell,
-    /// The thread waits, or is about to; whoever has work for it rings.
-    asleep: AtomicBool,
-    due: AtomicBool,
-    timers: Mutex<BTreeMap<(u64, u64), Waker>>,
-    sources: Mutex<BTreeMap<usize, Arc<Ready>>>,
-    next: AtomicUsize,
-    t0: Instant,
+    /// Ends the wait of the reactor's thread.
+    poll_waker: PollWaker,
+    /// The thread waits, or is about to; whoever has work for it must wake it.
+    is_waiting: AtomicBool,
+    /// The future that the thread drives was woken and must be polled before the next wait.
+    is_woken: AtomicBool,
+    timers: Mutex<BTreeMap<TimerKey, Waker>>,
+    sockets: Mutex<BTreeMap<usize, Arc<Readiness>>>,
+    /// The next number for a socket or a timer.
+    next_id: AtomicUsize,
+    started: Instant,
     /// Times the thread came back from waiting.
     pub wakes: AtomicU64,
 }
 
+/// Timers in the order in which they are due.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    /// µs on the reactor's clock.
+    due: u64,
+    id: u64,
+}
+
+/// What is known of one direction of a socket.
 #[derive(Default)]
-struct Side {
-    /// Edges seen; a refusal older than the newest edge does not count.
+struct DirectionState {
+    /// Edges seen. A `WouldBlock` older than the newest edge does not count.
     edges: u64,
-    dry: bool,
-    ended: bool,
+    /// The next operation would block until there is an edge.
+    would_block: bool,
+    /// The direction ended or failed; operations return at once from then on.
+    has_ended: bool,
+    /// The task that waits for the next edge.
     waker: Option<Waker>,
 }
 
 /// What is known of a socket's two directions.
 #[derive(Default)]
-pub struct Ready([Mutex<Side>; 2]);
+struct Readiness {
+    read: Mutex<DirectionState>,
+    write: Mutex<DirectionState>,
+}
 
-pub const READ: usize = 0;
-pub const WRITE: usize = 1;
+impl Readiness {
+    fn direction(&self, direction: Direction) -> &Mutex<DirectionState> {
+        match direction {
+            Direction::Read => &self.read,
+            Direction::Write => &self.write,
+        }
+    }
 
-impl Ready {
-    fn edge(&self, side: usize, ended: bool) {
-        let mut s = self.0[side].lock().unwrap();
-        s.edges += 1;
-        s.dry = false;
-        s.ended |= ended;
-        let w = s.waker.take();
-        drop(s);
-        w.into_iter().for_each(|w| w.wake());
+    /// The system reported that the direction is ready.
+    fn record_edge(&self, direction: Direction, has_ended: bool) {
+        let mut state = self.direction(direction).lock().unwrap();
+        state.edges += 1;
+        state.would_block = false;
+        state.has_ended |= has_ended;
+        let waker = state.waker.take();
+        drop(state);
+        if let Some(waker) = waker {
+            waker.wake();
+        }
     }
 
-    /// Tries `op` unless the socket is known to refuse it; `all` is what it would take to leave the
-    /// socket unsure.
+    /// Tries `operation` unless it is known that it would block. An operation that transfers fewer
+    /// bytes than `full` has drained the socket.
     fn attempt(
         &self,
-        side: usize,
+        direction: Direction,
         cx: &mut Context<'_>,
-        all: usize,
-        mut op: impl FnMut() -> io::Result<usize>,
+        full: usize,
+        mut operation: impl FnMut() -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            let edges = {
-                let mut s = self.0[side].lock().unwrap();
-                if s.dry {
-                    if s.waker.as_ref().is_none_or(|w| !w.will_wake(cx.waker())) {
-                        s.waker = Some(cx.waker().clone());
-                    }
-                    return Poll::Pending;
-                }
-                s.edges
+            let Some(edges) = self.edges_or_wait(direction, cx) else {
+                return Poll::Pending;
             };
-            let r = op();
-            let refused = r
-                .as_ref()
-                .is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
-            if r.as_ref()
-                .is_err_and(|e| e.kind() == io::ErrorKind::Interrupted)
-            {
+            let result = operation();
+            let error_kind = result.as_ref().err().map(io::Error::kind);
+            if error_kind == Some(io::ErrorKind::Interrupted) {
                 continue;
             }
-            let short = r.as_ref().is_ok_and(|n| *n > 0 && *n < all);
-            if refused || short {
-                let mut s = self.0[side].lock().unwrap();
-                s.dry = s.edges == edges && (refused || !s.ended);
+            let is_blocked = error_kind == Some(io::ErrorKind::WouldBlock);
+            let is_short = result
+                .as_ref()
+                .is_ok_and(|bytes| *bytes > 0 && *bytes < full);
+            if is_blocked || is_short {
+                // An edge since then may have come after the operation: it must be tried again. A
+                // direction that has ended sees no further edge, and its end is still to be read.
+                let mut state = self.direction(direction).lock().unwrap();
+                state.would_block = state.edges == edges && (is_blocked || !state.has_ended);
             }
-            if !refused {
-                return Poll::Ready(r);
+            if !is_blocked {
+                return Poll::Ready(result);
             }
         }
     }
+
+    /// The number of edges seen; none where the task has to wait for the next one.
+    fn edges_or_wait(&self, direction: Direction, cx: &Context<'_>) -> Option<u64> {
+        let mut state = self.direction(direction).lock().unwrap();
+        if !state.would_block {
+            return Some(state.edges);
+        }
+        let is_registered = state
+            .waker
+            .as_ref()
+            .is_some_and(|waker| waker.will_wake(cx.waker()));
+        if !is_registered {
+            state.waker = Some(cx.waker().clone());
+        }
+        None
+    }
 }
 
-/// A socket that the reactor watches.
-pub struct Watched<S: mio::event::Source> {
+/// A socket that the reactor watches until it is dropped.
+pub struct WatchedSocket<S: Source> {
+    /// The socket itself.
     pub io: S,
     token: usize,
-    ready: Arc<Ready>,
+    readiness: Arc<Readiness>,
     reactor: Arc<Reactor>,
 }
 
-impl<S: mio::event::Source> Watched<S> {
+impl<S: Source> WatchedSocket<S> {
+    /// Tries `operation` in one direction, or waits until it can go on. An operation that transfers
+    /// fewer bytes than `full` has drained the socket.
     pub fn attempt(
         &self,
-        side: usize,
+        direction: Direction,
         cx: &mut Context<'_>,
-        all: usize,
-        mut op: impl FnMut(&S) -> io::Result<usize>,
+        full: usize,
+        mut operation: impl FnMut(&S) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        self.ready.attempt(side, cx, all, || op(&self.io))
+        self.readiness
+            .attempt(direction, cx, full, || operation(&self.io))
     }
 }
 
-impl<S: mio::event::Source> Drop for Watched<S> {
+impl<S: Source> Drop for WatchedSocket<S> {
     fn drop(&mut self) {
-        self.reactor.sources.lock().unwrap().remove(&self.token);
+        self.reactor.sockets.lock().unwrap().remove(&self.token);
+        // The system forgets the socket anyway when it is closed.
         let _ = self.reactor.registry.deregister(&mut self.io);
     }
 }
@@ -129,152 +185,184 @@
     fn wake(self: Arc<Self>) {
         self.wake_by_ref()
     }
+
     fn wake_by_ref(self: &Arc<Self>) {
-        self.due.store(true, SeqCst);
-        self.ring();
+        self.is_woken.store(true, SeqCst);
+        self.end_wait();
     }
 }
 
 impl Reactor {
+    /// A reactor, and what its thread has to hand to [`Reactor::drive`].
     pub fn new() -> io::Result<(Arc<Reactor>, Poller)> {
-        let p = Poller::new()?;
-        let r = Reactor {
-            registry: p.registry().try_clone()?,
-            bell: Bell::new(p.registry(), BELL)?,
-            asleep: AtomicBool::new(false),
-            due: AtomicBool::new(false),
+        let poller = Poller::new()?;
+        let reactor = Reactor {
+            registry: poller.registry().try_clone()?,
+            poll_waker: PollWaker::new(poller.registry(), WAKE_TOKEN)?,
+            is_waiting: AtomicBool::new(false),
+            is_woken: AtomicBool::new(false),
             timers: Default::default(),
-            sources: Default::default(),
-            next: AtomicUsize::new(1),
-            t0: Instant::now(),
+            sockets: Default::default(),
+            next_id: AtomicUsize::new(WAKE_TOKEN.0 + 1),
+            started: Instant::now(),
             wakes: AtomicU64::new(0),
         };
-        Ok((Arc::new(r), p))
+        Ok((Arc::new(reactor), poller))
     }
 
-    /// Monotonic microseconds since the start.
+    /// Monotonic µs since the start; never 0.
     pub fn now(&self) -> u64 {
-        self.t0.elapsed().as_micros() as u64 + 1
+        self.started.elapsed().as_micros() as u64 + 1
     }
 
-    fn ring(&self) {
-        if self.asleep.swap(false, SeqCst) {
-            let _ = self.bell.wake();
+    fn end_wait(&self) {
+        if self.is_waiting.swap(false, SeqCst) {
+            // Fails where a wake-up is pending already.
+            let _ = self.poll_waker.wake();
         }
     }
 
-    pub fn watch<S: mio::event::Source>(
+    /// Watches a socket for the directions of `interest`.
+    pub fn watch<S: Source>(
         self: &Arc<Self>,
         mut io: S,
         interest: Interest,
-    ) -> io::Result<Watched<S>> {
-        let token = self.next.fetch_add(1, SeqCst);
-        let ready = Arc::new(Ready::default());
-        self.sources.lock().unwrap().insert(token, ready.clone());
-        let r = self.registry.register(&mut io, Token(token), interest);
-        if r.is_err() {
-            self.sources.lock().unwrap().remove(&token);
+    ) -> io::Result<WatchedSocket<S>> {
+        let token = self.next_id.fetch_add(1, SeqCst);
+        let readiness = Arc::new(Readiness::default());
+        // Known before it is registered: its first event may come at once.
+        self.sockets
+            .lock()
+            .unwrap()
+            .insert(token, readiness.clone());
+        if let Err(error) = self.registry.register(&mut io, Token(token), interest) {
+            self.sockets.lock().unwrap().remove(&token);
+            return Err(error);
         }
-        r.map(|_| Watched {
+        Ok(WatchedSocket {
             io,
             token,
-            ready,
+            readiness,
             reactor: self.clone(),
         })
     }
 
-    /// Ready at the given time, rounded up to the millisecond that the system waits by.
-    pub fn sleep_until(self: &Arc<Self>, at: u64) -> Sleep {
+    /// Ready at `due` (µs on the reactor's clock), rounded up to the millisecond that the system
+    /// waits by.
+    pub fn sleep_until(self: &Arc<Self>, due: u64) -> Sleep {
         Sleep {
             reactor: self.clone(),
-            at,
-            key: None,
+            due,
+            timer_id: None,
         }
     }
 
-    /// Runs `f` on this thread, and with it all that wakes this reactor's thread.
-    pub fn drive<T>(self: &Arc<Self>, mut poller: Poller, f: impl Future<Output = T>) -> T {
+    /// Runs `future` on this thread, and waits for sockets and timers whenever it has nothing to
+    /// do.
+    pub fn drive<T>(self: &Arc<Self>, mut poller: Poller, future: impl Future<Output = T>) -> T {
         let waker = Waker::from(self.clone());
-        let mut f = pin!(f);
-        let mut events = Events::with_capacity(256);
+        let mut future = pin!(future);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
-            self.due.store(false, SeqCst);
-            if let Poll::Ready(x) = f.as_mut().poll(&mut Context::from_waker(&waker)) {
-                return x;
-            }
-            self.asleep.store(true, SeqCst);
-            let first = self
-                .timers
-                .lock()
-                .unwrap()
-                .first_key_value()
-                .map(|(k, _)| k.0);
-            let wait = match first {
-                _ if self.due.load(SeqCst) => Some(Duration::ZERO),
-                Some(t) => Some(Duration::from_micros(t.saturating_sub(self.now()))),
-                None => None,
-            };
-            let r = poller.poll(&mut events, wait);
-            self.asleep.store(false, SeqCst);
-            self.wakes.fetch_add(1, SeqCst);
-            if r.is_ok() {
-                events
-                    .iter()
-                    .filter(|e| e.token() != BELL)
-                    .for_each(|e| self.tell(e));
+            self.is_woken.store(false, SeqCst);
+            let mut context = Context::from_waker(&waker);
+            if let Poll::Ready(output) = future.as_mut().poll(&mut context) {
+                return output;
             }
-            self.expire();
+            self.wait(&mut poller, &mut events);
+            self.wake_due_timers();
         }
     }
 
-    fn tell(&self, e: &mio::event::Event) {
-        let Some(s) = self.sources.lock().unwrap().get(&e.token().0).cloned() else {
-            return;
-        };
-        let ended = e.is_error() || e.is_read_closed();
-        if e.is_readable() || ended {
-            s.edge(READ, ended);
+    /// Waits for an event, the next timer or a wake-up, and passes on what came.
+    fn wait(&self, poller: &mut Poller, events: &mut Events) {
+        // Announced before `is_woken` is read: a wake-up in between either is seen there or ends
+        // the wait.
+        self.is_waiting.store(true, SeqCst);
+        let timeout = self.time_to_next_timer();
+        let result = poller.poll(events, timeout);
+        self.is_waiting.store(false, SeqCst);
+        self.wakes.fetch_add(1, SeqCst);
+        if result.is_ok() {
+            events
+                .iter()
+                .filter(|event| event.token() != WAKE_TOKEN)
+                .for_each(|event| self.record_event(event));
+        }
+    }
+
+    /// How long the thread may wait; none where no timer is set.
+    fn time_to_next_timer(&self) -> Option<Duration> {
+        let timers = self.timers.lock().unwrap();
+        let next_due = timers.first_key_value().map(|(key, _)| key.due);
+        drop(timers);
+        if self.is_woken.load(SeqCst) {
+            return Some(Duration::ZERO);
+        }
+        next_due.map(|due| Duration::from_micros(due.saturating_sub(self.now())))
+    }
+
+    fn record_event(&self, event: &Event) {
+        let readiness = self.sockets.lock().unwrap().get(&event.token().0).cloned();
+        // An event may still come of a socket that was dropped just now.
+        let Some(readiness) = readiness else { return };
+        let has_read_ended = event.is_error() || event.is_read_closed();
+        if event.is_readable() || has_read_ended {
+            readiness.record_edge(Direction::Read, has_read_ended);
         }
-        if e.is_writable() || e.is_error() || e.is_write_closed() {
-            s.edge(WRITE, e.is_error() || e.is_write_closed());
+        let has_write_ended = event.is_error() || event.is_write_closed();
+        if event.is_writable() || has_write_ended {
+            readiness.record_edge(Direction::Write, has_write_ended);
         }
     }
 
-    fn expire(&self) {
-        let mut g = self.timers.lock().unwrap();
-        if g.is_empty() {
+    fn wake_due_timers(&self) {
+        let mut timers = self.timers.lock().unwrap();
+        if timers.is_empty() {
             return;
         }
-        let later = g.split_off(&(self.now() + 1, 0));
-        let due = std::mem::replace(&mut *g, later);
-        drop(g);
-        due.into_values().for_each(|w| w.wake());
+        let first_later = TimerKey {
+            due: self.now() + 1,
+            id: 0,
+        };
+        let later = timers.split_off(&first_later);
+        let due = std::mem::replace(&mut *timers, later);
+        drop(timers);
+        due.into_values().for_each(Waker::wake);
     }
 }
 
+/// A timer; see [`Reactor::sleep_until`].
 pub struct Sleep {
     reactor: Arc<Reactor>,
-    at: u64,
-    key: Option<u64>,
+    /// µs on the reactor's clock.
+    due: u64,
+    /// Set once the timer is registered.
+    timer_id: Option<u64>,
 }
 
 impl Future for Sleep {
     type Output = ();
+
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        let r = self.reactor.clone();
-        if r.now() >= self.at {
+        let reactor = self.reactor.clone();
+        if reactor.now() >= self.due {
             return Poll::Ready(());
         }
-        let n = self
-            .key
-            .unwrap_or_else(|| r.next.fetch_add(1, SeqCst) as u64);
-        self.key = Some(n);
-        let mut g = r.timers.lock().unwrap();
-        g.insert((self.at, n), cx.waker().clone());
-        let first = g.first_key_value().is_some_and(|(k, _)| k.1 == n);
-        drop(g);
-        if first {
-            r.ring();
+        let id = self
+            .timer_id
+            .unwrap_or_else(|| reactor.next_id.fetch_add(1, SeqCst) as u64);
+        self.timer_id = Some(id);
+        let key = TimerKey { due: self.due, id };
+        let mut timers = reactor.timers.lock().unwrap();
+        timers.insert(key, cx.waker().clone());
+        let is_next = timers
+            .first_key_value()
+            .is_some_and(|(first, _)| first.id == id);
+        drop(timers);
+        // The thread may wait for a later one.
+        if is_next {
+            reactor.end_wait();
         }
         Poll::Pending
     }
@@ -282,9 +370,9 @@
 
 impl Drop for Sleep {
     fn drop(&mut self) {
-        let at = self.at;
-        self.key.into_iter().for_each(|n| {
-            self.reactor.timers.lock().unwrap().remove(&(at, n));
-        });
+        if let Some(id) = self.timer_id {
+            let key = TimerKey { due: self.due, id };
+            self.reactor.timers.lock().unwrap().remove(&key);
+        }
     }
 }
--- a/yewcross-control/src/main.rs
+++ b/yewcross-control/src/main.rs
@@ -19,7 +19,7 @@
         eprintln!("data {}: {e}", s.data);
         std::process::exit(exit::BAD_DISK);
     }
-    let w = OsRuntime::world(&s.data, s.threads);
+    let w = OsRuntime::start(&s.data, s.threads);
     let code = smol::block_on(async {
         let role = s.role;
         let c = match yewcross_control::Control::start(&w, s).await {
--- a/yewcross-proxy/src/main.rs
+++ b/yewcross-proxy/src/main.rs
@@ -15,7 +15,7 @@
 fn main() {
     let a = YewcrossFront::from_env_or_exit();
     let s = yewcross_common::process_settings::load(&a.startup, true, a.check);
-    let w = OsRuntime::world(".", s.threads);
+    let w = OsRuntime::start(".", s.threads);
     let code = smol::block_on(async {
         let f = match yewcross_proxy::Front::start(&w, s).await {
             Ok(f) => f,
--- a/yewcross-testkit/examples/chain_load.rs
+++ b/yewcross-testkit/examples/chain_load.rs
@@ -85,7 +85,7 @@
     for i in 0..5 {
         let dir = root.join(i.to_string());
         std::fs::create_dir_all(&dir).expect("a folder");
-        let w = OsRuntime::world(dir.to_str().unwrap_or_default(), 1);
+        let w = OsRuntime::start(dir.to_str().unwrap_or_default(), 1);
         worlds.push(w.clone());
         let store = i < 4;
         let st = ProcessSettings {
--- a/yewcross-testkit/examples/relay_load.rs
+++ b/yewcross-testkit/examples/relay_load.rs
@@ -165,9 +165,9 @@
     };
     let (streams, lookups, events, secs) = (arg(1, 20), arg(2, 10), arg(3, 17), arg(4, 5));
     let (front, back, call) = (
-        OsRuntime::world(".", 1),
-        OsRuntime::world(".", 1),
-        OsRuntime::world(".", 1),
+        OsRuntime::start(".", 1),
+        OsRuntime::start(".", 1),
+        OsRuntime::start(".", 1),
     );
     smol::block_on(async {
         let at = |p: u16| SocketAddr::from(([127, 0, 0, 1], p));
--- a/yewcross-testkit/src/main.rs
+++ b/yewcross-testkit/src/main.rs
@@ -88,7 +88,7 @@
     let a = YewcrossLab::from_env_or_exit();
     match a.subcommand {
         YewcrossLabCmd::Up(u) => {
-            let w = OsRuntime::world(".", 2);
+            let w = OsRuntime::start(".", 2);
             let shape = u.shape.unwrap_or("kowhai".into());
             let dir = u
                 .dir
@@ -154,7 +154,7 @@
             std::process::exit(if bad == 0 { exit::OK } else { 1 });
         }
         YewcrossLabCmd::Standin(s) => {
-            let w = OsRuntime::world(".", 1);
+            let w = OsRuntime::start(".", 1);
             let r = smol::block_on(standin::Standin::start(
                 &w,
                 read(&s.spec),
@@ -165,7 +165,7 @@
             smol::block_on(std::future::pending::<()>())
         }
         YewcrossLabCmd::Platform(p) => {
-            let w = OsRuntime::world(".", 1);
+            let w = OsRuntime::start(".", 1);
             let at =
                 p.at.parse()
                     .unwrap_or_else(|_| fail(exit::USAGE, "--at: not an address"));
--- a/yewcross-testkit/tests/real.rs
+++ b/yewcross-testkit/tests/real.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_real_fleet_lives_through_signals() {
-    let w = OsRuntime::world(".", 2);
+    let w = OsRuntime::start(".", 2);
     let d = dir("fleet");
     smol::block_on(async {
         let mut f = Fleet::plan(&w, "small", &d, 0).unwrap();
