--- a/yewcross-common/src/adapter.rs
+++ b/yewcross-common/src/adapter.rs
@@ -1,6 +1,6 @@
-//! The ports through which another platform's clients, servers, operators and lists are spoken to.
-//! The product's own JSON interface is one set; an adapter is another. A port translates; it
-//! decides nothing and keeps nothing.
+//! The interfaces (ports) to a platform's clients, servers, operators and server list. The product's
+//! own JSON interface is one implementation, an adapter to a platform another one. An implementation
+//! translates; it takes no decisions and holds no state.
 
 use crate::configuration::{Configuration, InvalidSetting};
 use crate::error_code::Code;
@@ -8,87 +8,98 @@
 use bytes::Bytes;
 use http::{HeaderMap, Response};
 
-/// What a caller says of a request beside its method, target and body.
+/// What a caller states about a request besides its method, target and body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMeta {
-    /// The caller's own id of this try.
+    /// The caller's own id of this attempt.
     pub attempt: String,
     /// ms that the caller will wait.
     pub deadline_ms: Option<u64>,
+    /// Name of the program that the request belongs to; empty for none.
     pub program: String,
+    /// Id of the session within the program; empty for none.
     pub session: String,
     /// ms until the whole program should be over.
     pub finish_ms: Option<u64>,
-    /// Tokens that the program's turns together may put out.
+    /// Output tokens that the program's turns may use together.
     pub budget: Option<u64>,
+    /// Name of the model that is asked for; empty for none.
     pub model: String,
-    /// Tokens of the prompt, and the most that is put out.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
+    /// Cap on the output in tokens.
     pub max_output_tokens: u64,
-    /// Parts of the prompt in order, with their tokens.
+    /// Segments of the prompt in order: digest, and length in tokens.
     pub parts: Vec<(u64, u64)>,
-    /// The turn it goes on from; empty for none.
+    /// The turn that it continues; empty for none.
     pub prev: String,
-    /// Names the thing that it concerns: a server that saw it lately does the work faster. Empty
-    /// for none.
+    /// Affinity key: a server that lately served a request of the same key is faster. Empty for
+    /// none.
     pub affinity: String,
 }
 
+/// How callers state requests and read rejections.
 pub trait Caller: Send + Sync {
-    /// Reads the head; `Err` names the field that is wrong.
-    fn request(&self, h: &HeaderMap) -> Result<RequestMeta, String>;
-    /// An answer of our own; `retry_after_ms` tells when to come back, 0 for no word of it.
-    fn refuse(&self, c: Code, why: &str, retry_after_ms: u64) -> Response<Bytes>;
+    /// Reads the headers of a request; `Err` names the invalid one.
+    fn request(&self, headers: &HeaderMap) -> Result<RequestMeta, String>;
+    /// A rejection by the tier. `retry_after_ms` says when a retry may help; 0 where it is not said.
+    fn refuse(&self, code: Code, why: &str, retry_after_ms: u64) -> Response<Bytes>;
 }
 
-/// What a back end's answer says of itself.
+/// What the headers of a server's response state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerMeta {
-    /// The id of the try it answers.
+    /// The id of the attempt that it answers; empty where it is not stated.
     pub attempt: String,
-    /// It carries the server's stamp.
+    /// Whether it comes from the server itself, rather than from something in between.
     pub stamped: bool,
-    /// The server says that it did not run the request.
+    /// Whether the server states that it did not execute the request.
     pub not_run: bool,
-    /// Running, waiting, slots.
+    /// Jobs running, jobs waiting, and slots of the server.
     pub load: Option<(u32, u32, u32)>,
-    /// ms that it keeps an idle connection.
+    /// ms for which the server keeps an idle connection.
     pub idle_ms: Option<u64>,
-    /// The server asks for the connection to end.
+    /// Whether the server closes the connection after it.
     pub closes: bool,
+    /// Version of the model weights that it was computed by; empty where it is not stated.
     pub weights: String,
 }
 
+/// How requests are sent to servers and their responses read.
 pub trait UpstreamProtocol: Send + Sync {
-    /// Adds what only the tier knows: whom it is meant for, what is left of its deadline, how
-    /// urgent it is (0 first).
-    fn dress(&self, h: &mut HeaderMap, to: &ListedServer, left_ms: u64, urgency: Option<u8>);
-    /// Asks that a stream go on behind the event of this id.
-    fn resume_after(&self, h: &mut HeaderMap, event_id: &[u8]);
-    fn answer(&self, status: u16, h: &HeaderMap) -> AnswerMeta;
+    /// Adds the headers that only the tier knows: the server that the request is meant for, the ms
+    /// left until its deadline, and its urgency (0 is the highest).
+    fn dress(&self, headers: &mut HeaderMap, to: &ListedServer, left_ms: u64, urgency: Option<u8>);
+    /// Adds the header that resumes a stream after the event of this id.
+    fn resume_after(&self, headers: &mut HeaderMap, event_id: &[u8]);
+    /// Reads the status and headers of a response.
+    fn answer(&self, status: u16, headers: &HeaderMap) -> AnswerMeta;
 }
 
-/// The platform's list of servers, page by page.
+/// The platform's list of servers, which is read page by page.
 pub trait ServerCatalogue: Send + Sync {
+    /// The HTTP target of a page; of the first one for `None`.
     fn target(&self, page: Option<&str>) -> String;
-    /// Servers on this page, and the next page.
+    /// The servers on a page, and the next page if there is one; `Err` says what is malformed.
     fn read(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String>;
 }
 
 /// How an operator's text becomes a configuration.
 pub trait ConfigurationFormat: Send + Sync {
+    /// Reads and validates a configuration; `Err` lists all that is invalid.
     fn read(&self, text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>>;
-    /// The number that the operator gave the version; none where the tier numbers them itself.
+    /// The number that the operator gave the version; none where the tier numbers versions itself.
     fn number(&self, text: &[u8]) -> Option<u64>;
 }
 
-/// The product's own: JSON, numbered by the tier.
+/// The product's own format: JSON, its versions numbered by the tier.
 pub struct NativeFormat;
 
 impl ConfigurationFormat for NativeFormat {
     fn read(&self, text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
         Configuration::read(text)
     }
+
     fn number(&self, _: &[u8]) -> Option<u64> {
         None
     }
--- a/yewcross-common/src/error_code.rs
+++ b/yewcross-common/src/error_code.rs
@@ -1,28 +1,42 @@
-//! Numbered result codes. `docs/codes.md` is made from this table.
+//! The numbered result codes of the tier. `docs/codes.md` is generated from this table.
 
 use serde::{Deserialize, Serialize};
 use strum::{EnumIter, IntoEnumIterator, IntoStaticStr};
 
-/// What a code says of the job it answers.
+/// What a code says of the execution of the request that it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionStatus {
+    /// It was executed; the answer is its outcome.
     Done,
+    /// It was not executed, and this request never will be.
     NotRun,
+    /// It may have been executed, or still be.
     MayHaveRun,
+    /// A change that may yet be decided.
     Undecided,
 }
 
+/// One line for each code: name, number, HTTP status, what it says of the execution, seconds for
+/// `Retry-After` (0: no header), meaning.
 macro_rules! codes {
-    ($($name:ident = $n:literal, $http:literal, $ran:ident, $back:literal, $text:literal;)*) => {
+    ($($name:ident = $number:literal, $http:literal, $status:ident, $retry_after:literal, $text:literal;)*) => {
+        /// A result code. Its number and name are part of the interface.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, EnumIter, IntoStaticStr, Serialize, Deserialize)]
-        pub enum Code { $($name = $n),* }
+        pub enum Code { $(#[doc = $text] $name = $number),* }
+
         impl Code {
+            /// The HTTP status of an answer with this code.
             pub fn http(self) -> u16 { match self { $(Code::$name => $http),* } }
-            pub fn ran(self) -> ExecutionStatus { match self { $(Code::$name => ExecutionStatus::$ran),* } }
-            /// Seconds after which coming back helps; 0 where it does not.
-            pub fn back(self) -> u64 { match self { $(Code::$name => $back),* } }
+
+            /// What the code says of the execution of the request.
+            pub fn ran(self) -> ExecutionStatus { match self { $(Code::$name => ExecutionStatus::$status),* } }
+
+            /// Seconds after which a retry may help; 0 where none does.
+            pub fn back(self) -> u64 { match self { $(Code::$name => $retry_after),* } }
+
+            /// The meaning in words, as callers read it.
             pub fn text(self) -> &'static str { match self { $(Code::$name => $text),* } }
         }
     };
@@ -70,23 +84,27 @@
 }
 
 impl Code {
+    /// The number of the code.
     pub fn number(self) -> u16 {
         self as u16
     }
+
+    /// All codes as a table in Markdown.
     pub fn table() -> String {
-        let mut s = String::from(
+        let mut table = String::from(
             "| code | name | HTTP | says | Retry-After s | meaning |\n|---|---|---|---|---|---|\n",
         );
-        Code::iter().for_each(|c| {
-            let (n, r): (&str, &str) = (c.into(), c.ran().into());
-            s += &format!(
-                "| {} | {n} | {} | {r} | {} | {} |\n",
-                c.number(),
-                c.http(),
-                c.back(),
-                c.text()
+        for code in Code::iter() {
+            let name: &str = code.into();
+            let status: &str = code.ran().into();
+            table += &format!(
+                "| {} | {name} | {} | {status} | {} | {} |\n",
+                code.number(),
+                code.http(),
+                code.back(),
+                code.text()
             );
-        });
-        s
+        }
+        table
     }
 }
--- a/yewcross-common/src/notify.rs
+++ b/yewcross-common/src/notify.rs
@@ -1,29 +1,35 @@
-//! Waiting for a change of state without looking again and again.
+//! Waiting for a change of state without polling.
 
 use event_listener::Event;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 
-/// Set once, never unset; whoever waits is woken.
+/// A flag that is set once and never cleared, and that can be waited for.
 #[derive(Debug, Default)]
 pub struct Latch {
-    on: AtomicBool,
-    ev: Notifier,
+    is_set: AtomicBool,
+    notifier: Notifier,
 }
 
 impl Latch {
+    /// Sets the flag and wakes all who wait for it.
     pub fn set(&self) {
-        self.on.store(true, SeqCst);
-        self.ev.notify();
+        self.is_set.store(true, SeqCst);
+        self.notifier.notify();
     }
+
+    /// Whether the flag is set.
     pub fn is_set(&self) -> bool {
-        self.on.load(SeqCst)
+        self.is_set.load(SeqCst)
     }
+
+    /// Returns once the flag is set.
     pub async fn wait(&self) {
-        self.ev.wait_until(|| self.is_set()).await
+        self.notifier.wait_until(|| self.is_set()).await
     }
 }
 
-/// Told after each change that others may wait for.
+/// Wakes those who wait for a condition; notified after each change that the condition may depend
+/// on.
 #[derive(Debug, Default)]
 pub struct Notifier(Event);
 
@@ -32,14 +38,17 @@
     pub fn notify(&self) {
         self.0.notify(usize::MAX);
     }
-    /// Returns once `f` holds; `f` is looked at now and after each change told.
-    pub async fn wait_until(&self, mut f: impl FnMut() -> bool) {
-        while !f() {
-            let l = self.0.listen();
-            if f() {
+
+    /// Returns once `condition` holds; it is evaluated now and after each notification.
+    pub async fn wait_until(&self, mut condition: impl FnMut() -> bool) {
+        while !condition() {
+            // A change between the first evaluation and this line is seen by the second one; any
+            // later one wakes the listener.
+            let listener = self.0.listen();
+            if condition() {
                 return;
             }
-            l.await;
+            listener.await;
         }
     }
 }
--- a/yewcross-common/src/process_settings.rs
+++ b/yewcross-common/src/process_settings.rs
@@ -1,76 +1,96 @@
-//! A process's startup file: read and checked whole before anything is bound.
+//! A process's settings: the startup file, which is read and validated before anything is bound.
 
+use crate::constants::{WIRE_OLDEST, WIRE_VERSION};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
+/// Bytes of a node's or site's name, at most.
+const NAME_BYTES_MAX: usize = 64;
+
+/// Threads that run tasks.
+const THREADS_ALLOWED: RangeInclusive<usize> = 1..=64;
+
+const THREADS_DEFAULT: usize = 2;
+
+/// What a process does in the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
+    /// Takes requests from callers and sends them to servers.
     Front,
+    /// Holds the tier's documents; one of the cores runs the singleton tasks.
     Core,
+    /// Holds sessions, turns and budgets.
     Store,
 }
 
+/// The startup file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessSettings {
+    /// Name of the node, unique in the tier.
     pub name: String,
+    /// What the process does.
     pub role: Role,
+    /// Site (failure domain) that it runs in.
     pub site: String,
-    /// Where other processes of the tier reach this one.
+    /// Address for requests of other processes of the tier.
     pub peer: SocketAddr,
-    /// Where callers (front) or operators (control) reach it.
+    /// Address for requests of callers (front) or operators (core, store).
     pub http: SocketAddr,
-    /// Peer addresses of other processes, to find the tier by.
+    /// Peer addresses of other processes, by which this one joins the tier.
     pub seeds: Vec<SocketAddr>,
-    /// Folder for state; control only.
+    /// Folder for state; core and store only.
     #[serde(default)]
     pub data: String,
-    /// The platform's server list; core only.
+    /// Address of the platform's server list; core only.
     #[serde(default)]
     pub platform: Option<SocketAddr>,
-    #[serde(default = "threads")]
+    /// Threads that run tasks.
+    #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Newest frame version to speak; set it back while a tier is being upgraded or to go back.
-    #[serde(default = "newest")]
+    /// Newest frame version to speak; set to an older one while a tier is upgraded, or downgraded.
+    #[serde(default = "default_wire_version")]
     pub wire: u16,
-    /// Found the tier without an operator; said only at the very first start, on empty disks.
+    /// Bootstrap the tier without an operator; set only for the very first start, on empty disks.
     #[serde(default)]
     pub found: bool,
+    /// What the tier has to guarantee.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// What the place it runs in asks of the tier. Times in ms.
+/// What the tier has to guarantee where it runs. Times in ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Disk machines that may be lost at the same time.
+    /// Nodes with disks that may be lost at the same time.
     pub lost: usize,
-    /// Zones that may be lost at the same time; each counts as one disk machine of a class.
+    /// Zones that may be lost at the same time; each counts as one node of a role.
     pub lost_zones: usize,
-    /// Regions that may be lost at the same time; each counts as one disk machine of a class.
+    /// Regions that may be lost at the same time; each counts as one node of a role.
     pub lost_regions: usize,
-    /// How often nodes ought to hear of each other.
+    /// Interval between the probes of a node.
     pub beat: u64,
-    /// A node in touch this long is bound by the timed rules.
+    /// A node that has been in contact for this long is bound by the time limits.
     pub contact: u64,
-    /// An acknowledged configuration is in force everywhere.
+    /// Until an acknowledged configuration is in force everywhere.
     pub apply: u64,
-    /// An operator's order is answered.
+    /// Until an operator's order is answered.
     pub ack: u64,
-    /// No request reaches a server known to be leaving.
+    /// Until no request reaches a server known to be draining.
     pub drain: u64,
-    /// From the word to stop until the process is killed.
+    /// From the signal to stop until the process is killed.
     pub grace: u64,
-    /// An empty disk is filled again.
+    /// Until an empty disk holds its replicas again.
     pub catch_up: u64,
-    /// An event is passed on.
+    /// Until an event of a stream is forwarded.
     pub pass: u64,
-    /// Memory the process may use, MB; 0: unbounded.
+    /// Memory that the process may use, in MB; 0: unbounded.
     pub memory_mb: u64,
-    /// Descriptors for sockets and data files; 0: unbounded.
+    /// File descriptors for sockets and data files; 0: unbounded.
     pub files: u64,
 }
 
@@ -94,150 +114,168 @@
     }
 }
 
-fn newest() -> u16 {
-    crate::constants::WIRE_VERSION
+fn default_wire_version() -> u16 {
+    WIRE_VERSION
 }
 
-fn threads() -> usize {
-    2
+fn default_threads() -> usize {
+    THREADS_DEFAULT
 }
 
+/// Why settings cannot be used.
 #[derive(Debug, Snafu)]
-pub enum Fault {
+pub enum SettingsError {
+    /// The file cannot be read.
     #[snafu(display("cannot read {path}: {source}"))]
     Unreadable {
+        /// Path of the file.
         path: String,
+        /// What the operating system says.
         source: std::io::Error,
     },
+    /// The file is not TOML of the settings' form.
     #[snafu(display("{path}: {why}"))]
-    Malformed { path: String, why: String },
+    Malformed {
+        /// Path of the file.
+        path: String,
+        /// What is wrong, and where.
+        why: String,
+    },
+    /// A setting has an invalid value.
     #[snafu(display("{key}: {why}"))]
-    Wrong { key: &'static str, why: String },
+    Invalid {
+        /// Name of the setting.
+        key: &'static str,
+        /// What is allowed.
+        why: &'static str,
+    },
 }
 
 /// Process exit codes.
 pub mod exit {
+    /// The process did what it was started for.
     pub const OK: i32 = 0;
+    /// The command line is wrong.
     pub const USAGE: i32 = 2;
+    /// The startup file, or another input file, cannot be used.
     pub const BAD_STARTUP: i32 = 3;
+    /// An address cannot be bound.
     pub const CANNOT_BIND: i32 = 4;
+    /// The data folder cannot be used.
     pub const BAD_DISK: i32 = 5;
+    /// A younger process of the same name has replaced this one.
     pub const REPLACED: i32 = 6;
 }
 
 impl ProcessSettings {
-    pub fn read(path: &str) -> Result<ProcessSettings, Fault> {
-        let t = std::fs::read_to_string(path).map_err(|source| Fault::Unreadable {
+    /// Reads a startup file. The values are not validated yet, see [`ProcessSettings::check`].
+    pub fn read(path: &str) -> Result<ProcessSettings, SettingsError> {
+        let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.into(),
             source,
         })?;
-        toml::from_str(&t).map_err(|e| Fault::Malformed {
+        toml::from_str(&text).map_err(|error| SettingsError::Malformed {
             path: path.into(),
-            why: e.message().to_string(),
+            why: error.message().to_string(),
         })
     }
 
-    /// What a reload may bring: seeds and the platform's address. The rest needs a restart.
+    /// Reads the startup file again. Only seeds and the platform's address may have changed; `Err`
+    /// says what is wrong.
     pub fn reload(&self, path: &str) -> Result<ProcessSettings, String> {
-        let n = ProcessSettings::read(path).map_err(|e| e.to_string())?;
-        if let Some(e) = n.check(self.role == Role::Front).first() {
-            return Err(e.to_string());
+        let reloaded = ProcessSettings::read(path).map_err(|error| error.to_string())?;
+        if let Some(error) = reloaded.check(self.role == Role::Front).first() {
+            return Err(error.to_string());
         }
-        let fixed = |s: &ProcessSettings| {
-            (
-                s.name.clone(),
-                s.role,
-                s.site.clone(),
-                s.peer,
-                s.http,
-                s.data.clone(),
-                s.threads,
-                s.wire,
-            )
-        };
-        if fixed(&n) == fixed(self) {
-            Ok(n)
-        } else {
-            Err("only seeds and platform can change without a restart".into())
+        if reloaded.needs_restart(self) {
+            return Err("only seeds and platform can change without a restart".into());
         }
+        Ok(reloaded)
+    }
+
+    /// Whether a setting differs that is read at the start only.
+    fn needs_restart(&self, running: &ProcessSettings) -> bool {
+        self.name != running.name
+            || self.role != running.role
+            || self.site != running.site
+            || self.peer != running.peer
+            || self.http != running.http
+            || self.data != running.data
+            || self.threads != running.threads
+            || self.wire != running.wire
     }
 
-    /// Every fault, not only the first.
-    pub fn check(&self, front: bool) -> Vec<Fault> {
-        let mut v = vec![];
-        let mut no = |bad: bool, key: &'static str, why: &str| {
-            if bad {
-                v.push(Fault::Wrong {
-                    key,
-                    why: why.into(),
-                });
-            }
-        };
-        let plain = |s: &str| {
-            !s.is_empty()
-                && s.len() <= 64
-                && s.bytes()
-                    .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
-        };
-        no(
-            !plain(&self.name),
-            "name",
-            "must be 1 to 64 letters, digits, - or _",
-        );
-        no(
-            !plain(&self.site),
-            "site",
-            "must be 1 to 64 letters, digits, - or _",
-        );
-        no(
-            front != (self.role == Role::Front),
-            "role",
-            "this program does not run that role",
-        );
-        no(
-            self.seeds.is_empty(),
-            "seeds",
-            "name at least one other process",
-        );
-        no(self.peer == self.http, "http", "must differ from peer");
-        no(
-            self.peer.ip().is_unspecified(),
-            "peer",
-            "must be an address others can reach",
-        );
-        no(
-            !front && self.data.is_empty(),
-            "data",
-            "a folder is needed for this role",
-        );
-        no(
-            !(crate::constants::WIRE_OLDEST..=crate::constants::WIRE_VERSION).contains(&self.wire),
-            "wire",
-            "not a version this program speaks",
-        );
-        no(
-            !(1..=64).contains(&self.threads),
-            "threads",
-            "must be 1 to 64",
-        );
-        v
+    /// Validates the settings for a front, or for a core or store: all errors, not just the first.
+    pub fn check(&self, front: bool) -> Vec<SettingsError> {
+        const NAME_RULE: &str = "must be 1 to 64 letters, digits, - or _";
+        let speaks_wire_version = (WIRE_OLDEST..=WIRE_VERSION).contains(&self.wire);
+        let checks = [
+            (is_name(&self.name), "name", NAME_RULE),
+            (is_name(&self.site), "site", NAME_RULE),
+            (
+                front == (self.role == Role::Front),
+                "role",
+                "this program does not run that role",
+            ),
+            (
+                !self.seeds.is_empty(),
+                "seeds",
+                "name at least one other process",
+            ),
+            (self.peer != self.http, "http", "must differ from peer"),
+            (
+                !self.peer.ip().is_unspecified(),
+                "peer",
+                "must be an address others can reach",
+            ),
+            (
+                front || !self.data.is_empty(),
+                "data",
+                "a folder is needed for this role",
+            ),
+            (
+                speaks_wire_version,
+                "wire",
+                "not a version this program speaks",
+            ),
+            (
+                THREADS_ALLOWED.contains(&self.threads),
+                "threads",
+                "must be 1 to 64",
+            ),
+        ];
+        checks
+            .into_iter()
+            .filter(|(is_valid, _, _)| !is_valid)
+            .map(|(_, key, why)| SettingsError::Invalid { key, why })
+            .collect()
     }
 }
 
-/// Reads and checks, or prints every fault and ends the process.
+fn is_name(text: &str) -> bool {
+    (1..=NAME_BYTES_MAX).contains(&text.len())
+        && text
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_')
+}
+
+/// Reads and validates a startup file; prints all errors and ends the process where there are any.
+/// With `only_check` the process ends in any case.
 pub fn load(path: &str, front: bool, only_check: bool) -> ProcessSettings {
-    let s = ProcessSettings::read(path).unwrap_or_else(|e| {
-        eprintln!("{e}");
+    let settings = ProcessSettings::read(path).unwrap_or_else(|error| {
+        eprintln!("{error}");
         std::process::exit(exit::BAD_STARTUP)
     });
-    let v = s.check(front);
-    v.iter().for_each(|e| eprintln!("{path}: {e}"));
-    if !v.is_empty() {
+    let errors = settings.check(front);
+    for error in &errors {
+        eprintln!("{path}: {error}");
+    }
+    if !errors.is_empty() {
         std::process::exit(exit::BAD_STARTUP);
     }
     if only_check {
         println!("{path}: sound");
         std::process::exit(exit::OK);
     }
-    s
+    settings
 }
