--- /dev/null
+++ b/yewcross-common/src/buffered_http/mod.rs
@@ -0,0 +1,17 @@
+//! HTTP/1.1 by async-h1 over the runtime's connections. Requests are read completely before they are
+//! handled, and every wait and size is bounded.
+//!
+//! - `tracker`: counts open connections and brings a server to an end.
+//! - `response`: responses as JSON, rejections, and bodies sent chunk by chunk.
+//! - `server`: accepts connections and serves requests.
+//! - `client`: requests to other servers.
+
+mod client;
+mod response;
+mod server;
+mod tracker;
+
+pub use client::{body, exchange, fetch};
+pub use response::{refuse, reply, stream, until};
+pub use server::{BufferedRequest, Handler, serve};
+pub use tracker::ConnectionTracker;
--- /dev/null
+++ b/yewcross-common/src/buffered_http/response.rs
@@ -0,0 +1,97 @@
+//! Responses: JSON documents, rejections, and bodies sent chunk by chunk.
+
+use crate::error_code::Code;
+use async_channel::Receiver;
+use futures_lite::io::BufReader;
+use futures_lite::{AsyncRead, Stream};
+use http_types::{Body, Response, StatusCode};
+use serde::Serialize;
+use serde_json::json;
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+
+/// µs (monotonic) when a response must have been received by its caller; carried along with it.
+pub(super) struct SendDeadline(pub(super) u64);
+
+/// Sets the time (µs, monotonic) when a response must have been received by its caller.
+pub fn until(mut response: Response, deadline: u64) -> Response {
+    response.ext_mut().insert(SendDeadline(deadline));
+    response
+}
+
+/// A JSON document as response.
+pub fn reply(status: u16, document: &impl Serialize) -> Response {
+    let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
+    let mut response = Response::new(status);
+    let json = serde_json::to_vec(document).unwrap_or_default();
+    response.set_body(Body::from_bytes(json));
+    response.insert_header("content-type", "application/json");
+    response
+}
+
+/// A rejection. `why` adds to the meaning of the code; `retry_after` is in seconds, 0 for no
+/// header.
+pub fn refuse(code: Code, why: &str, retry_after: u64) -> Response {
+    let ran: &str = code.ran().into();
+    let name: &str = code.into();
+    let mut response = reply(
+        code.http(),
+        &json!({
+            "code": code.number(),
+            "name": name,
+            "ran": ran,
+            "text": code.text(),
+            "why": why,
+            "retry_after": retry_after,
+        }),
+    );
+    if retry_after > 0 {
+        response.insert_header("retry-after", retry_after.to_string());
+    }
+    response
+}
+
+/// A response whose body is sent chunk by chunk as the channel yields it. The body ends when the
+/// channel is closed.
+pub fn stream(chunks: Receiver<Vec<u8>>) -> Response {
+    let mut response = Response::new(StatusCode::Ok);
+    let reader = BufReader::new(ChunkReader {
+        chunks: Box::pin(chunks),
+        chunk: vec![],
+        read: 0,
+    });
+    response.set_body(Body::from_reader(reader, None));
+    response.insert_header("content-type", "application/x-ndjson");
+    response
+}
+
+/// Reads the chunks of a channel as one stream of bytes.
+struct ChunkReader {
+    chunks: Pin<Box<Receiver<Vec<u8>>>>,
+    /// The chunk that is being read.
+    chunk: Vec<u8>,
+    /// Bytes of it that were read.
+    read: usize,
+}
+
+impl AsyncRead for ChunkReader {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
+        if self.read == self.chunk.len() {
+            let Some(chunk) = ready!(self.chunks.as_mut().poll_next(cx)) else {
+                return Poll::Ready(Ok(0));
+            };
+            self.chunk = chunk;
+            self.read = 0;
+        }
+        let unread = &self.chunk[self.read..];
+        let count = buf.len().min(unread.len());
+        buf[..count].copy_from_slice(&unread[..count]);
+        self.read += count;
+        Poll::Ready(Ok(count))
+    }
+}
--- /dev/null
+++ b/yewcross-common/src/buffered_http/server.rs
@@ -0,0 +1,277 @@
+//! Accepts connections and serves their requests, one after the other.
+
+use super::response::{SendDeadline, refuse};
+use super::tracker::ConnectionTracker;
+use crate::constants::{
+    ANSWER_WAIT, BODY_MAX, BODY_WAIT, CALLERS_MAX, HEAD_MAX, HEAD_WAIT, IDLE_WAIT, MS, SEC,
+};
+use crate::error_code::Code;
+use crate::runtime::{BoxFuture, Connection, Listener, Runtime};
+use futures_lite::future::or;
+use futures_lite::{AsyncRead, AsyncReadExt, AsyncWriteExt};
+use http_types::{Method, Request, Response};
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+
+/// µs for which the backlog is still accepted once the server closes.
+const BACKLOG_GRACE: u64 = 60 * MS;
+
+/// µs for which an idle connection may still bring a request once the server closes.
+const IDLE_GRACE: u64 = 100 * MS;
+
+/// µs in which a rejection must be sent, and what is left of a body be read.
+const FINISH_TIMEOUT: u64 = SEC;
+
+/// µs until the next attempt after a failure to accept, such as a lack of file descriptors.
+const ACCEPT_BACKOFF: u64 = 10 * MS;
+
+/// A request that was read completely.
+#[derive(Debug)]
+pub struct BufferedRequest {
+    /// HTTP method.
+    pub verb: Method,
+    /// Path of the target.
+    pub path: String,
+    /// Query of the target, without the question mark.
+    pub query: Option<String>,
+    /// Value of `If-Match`, without quotes.
+    pub if_match: Option<String>,
+    /// Value of `If-None-Match`, without quotes.
+    pub etag: Option<String>,
+    /// The body.
+    pub body: Vec<u8>,
+}
+
+/// Answers a request.
+pub type Handler = Arc<dyn Fn(BufferedRequest) -> BoxFuture<'static, Response> + Send + Sync>;
+
+/// Why no request is handled.
+enum ReadError {
+    /// The connection ended, or was idle for too long.
+    Ended,
+    /// The request is rejected, and the connection ends.
+    Rejected(Code),
+}
+
+/// What becomes of a connection after a request.
+#[derive(PartialEq)]
+enum AfterRequest {
+    KeepAlive,
+    Close,
+}
+
+/// Serves until the tracker is closing; then accepts what is in the backlog and returns when all
+/// requests are answered.
+pub async fn serve(
+    runtime: Runtime,
+    listener: Box<dyn Listener>,
+    handler: Handler,
+    tracker: Arc<ConnectionTracker>,
+) {
+    loop {
+        let closed = async {
+            tracker.closing.wait().await;
+            runtime.sleep(BACKLOG_GRACE).await;
+            None
+        };
+        let Some(accepted) = or(async { Some(listener.accept().await) }, closed).await else {
+            break;
+        };
+        let Ok(connection) = accepted else {
+            runtime.sleep(ACCEPT_BACKOFF).await;
+            continue;
+        };
+        if tracker.open.fetch_add(1, SeqCst) >= CALLERS_MAX {
+            tracker.connection_closed();
+            let reject_runtime = runtime.clone();
+            runtime.spawn(async move {
+                reject_and_close(&reject_runtime, connection, Code::TooMany).await
+            });
+            continue;
+        }
+        runtime.spawn(serve_connection(
+            runtime.clone(),
+            connection,
+            handler.clone(),
+            tracker.clone(),
+        ));
+    }
+    drop(listener);
+    tracker.emptied().await;
+}
+
+async fn serve_connection(
+    runtime: Runtime,
+    mut connection: Connection,
+    handler: Handler,
+    tracker: Arc<ConnectionTracker>,
+) {
+    let mut is_first = true;
+    while serve_request(&runtime, &mut connection, &handler, &tracker, is_first).await
+        == AfterRequest::KeepAlive
+    {
+        is_first = false;
+    }
+    // Fails where the caller has closed it already.
+    let _ = connection.close().await;
+    tracker.connection_closed();
+}
+
+async fn serve_request(
+    runtime: &Runtime,
+    connection: &mut Connection,
+    handler: &Handler,
+    tracker: &ConnectionTracker,
+    is_first: bool,
+) -> AfterRequest {
+    let (mut request, mut rest) =
+        match read_head(runtime, connection.clone(), tracker, is_first).await {
+            Ok(head) => head,
+            Err(error) => return end_connection(runtime, connection, error).await,
+        };
+    let body = match read_body(runtime, &mut request).await {
+        Ok(body) => body,
+        Err(error) => return end_connection(runtime, connection, error).await,
+    };
+    tracker.busy.fetch_add(1, SeqCst);
+    let method = request.method();
+    let closes = request
+        .header("connection")
+        .is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"));
+    let mut response = handler(buffered_request(&request, body)).await;
+    let is_last = closes || tracker.closing.is_set();
+    if is_last {
+        response.insert_header("connection", "close");
+    }
+    let deadline = response
+        .ext()
+        .get::<SendDeadline>()
+        .map_or(runtime.now() + ANSWER_WAIT, |deadline| deadline.0);
+    let sent = runtime
+        .timeout(
+            deadline.saturating_sub(runtime.now()),
+            send(connection, response, method),
+        )
+        .await
+        .unwrap_or(Err(io::ErrorKind::TimedOut.into()));
+    tracker.request_ended();
+    // What is left of the body would be taken for the next head. Where it cannot be read, the next
+    // head cannot either.
+    let mut discarded = Vec::new();
+    let _ = runtime
+        .timeout(FINISH_TIMEOUT, rest.read_to_end(&mut discarded))
+        .await;
+    if sent.is_ok() && !is_last {
+        AfterRequest::KeepAlive
+    } else {
+        AfterRequest::Close
+    }
+}
+
+async fn end_connection(
+    runtime: &Runtime,
+    connection: &Connection,
+    error: ReadError,
+) -> AfterRequest {
+    if let ReadError::Rejected(code) = error {
+        reject_and_close(runtime, connection.clone(), code).await;
+    }
+    AfterRequest::Close
+}
+
+/// Reads the head of a request. Also returns a reader of what the body's reader leaves.
+async fn read_head(
+    runtime: &Runtime,
+    connection: Connection,
+    tracker: &ConnectionTracker,
+    is_first: bool,
+) -> Result<(Request, impl AsyncRead + Unpin), ReadError> {
+    connection.limit_reads(2 * HEAD_MAX);
+    let timeout = if is_first { HEAD_WAIT } else { IDLE_WAIT };
+    let closed = async {
+        // The caller of a new connection is about to send its first request.
+        if is_first {
+            std::future::pending::<()>().await;
+        }
+        tracker.closing.wait().await;
+        runtime.sleep(IDLE_GRACE).await;
+        Some(Ok(None))
+    };
+    let decode = runtime.timeout(timeout, async_h1::server::decode(connection.clone()));
+    let head = match or(decode, closed).await {
+        Some(Ok(Some(head))) => head,
+        Some(Ok(None)) => return Err(ReadError::Ended),
+        Some(Err(_)) if connection.read_limit_reached() => {
+            return Err(ReadError::Rejected(Code::TooLarge));
+        }
+        // async-h1 has no error type for a head beyond its own limit.
+        Some(Err(error)) if error.to_string().contains("8kb") => {
+            return Err(ReadError::Rejected(Code::TooLarge));
+        }
+        Some(Err(_)) => return Err(ReadError::Rejected(Code::BadHead)),
+        None if is_first => return Err(ReadError::Rejected(Code::TooSlow)),
+        None => return Err(ReadError::Ended),
+    };
+    connection.limit_reads(u64::MAX);
+    Ok(head)
+}
+
+/// Reads the body of a request completely.
+async fn read_body(runtime: &Runtime, request: &mut Request) -> Result<Vec<u8>, ReadError> {
+    let expected = request.len();
+    if expected.is_some_and(|length| length > BODY_MAX) {
+        return Err(ReadError::Rejected(Code::TooLarge));
+    }
+    let mut body = Vec::new();
+    // One byte more than allowed tells a body that is too large.
+    let mut reader = request.take_body().take(BODY_MAX as u64 + 1);
+    let read = runtime
+        .timeout(BODY_WAIT, reader.read_to_end(&mut body))
+        .await;
+    match read {
+        None => Err(ReadError::Rejected(Code::TooSlow)),
+        Some(Err(_)) => Err(ReadError::Rejected(Code::BadBody)),
+        Some(Ok(_)) if body.len() > BODY_MAX => Err(ReadError::Rejected(Code::TooLarge)),
+        Some(Ok(_)) if expected.is_some_and(|length| length != body.len()) => {
+            Err(ReadError::Rejected(Code::BadBody))
+        }
+        Some(Ok(_)) => Ok(body),
+    }
+}
+
+fn buffered_request(request: &Request, body: Vec<u8>) -> BufferedRequest {
+    let unquoted = |name: &str| {
+        request
+            .header(name)
+            .map(|value| value.as_str().trim_matches('"').to_string())
+    };
+    BufferedRequest {
+        verb: request.method(),
+        path: request.url().path().to_string(),
+        query: request.url().query().map(|query| query.to_string()),
+        if_match: unquoted("if-match"),
+        etag: unquoted("if-none-match"),
+        body,
+    }
+}
+
+async fn send(connection: &mut Connection, response: Response, method: Method) -> io::Result<()> {
+    let mut encoder = async_h1::server::Encoder::new(response, method);
+    futures_lite::io::copy(&mut encoder, connection)
+        .await
+        .map(|_| ())
+}
+
+async fn reject_and_close(runtime: &Runtime, mut connection: Connection, code: Code) {
+    let mut response = refuse(code, "", code.back());
+    response.insert_header("connection", "close");
+    runtime
+        .timeout(
+            FINISH_TIMEOUT,
+            send(&mut connection, response, Method::Post),
+        )
+        .await;
+    // Fails where the caller has closed it already.
+    let _ = connection.close().await;
+}
