--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -1,24 +1,26 @@
-//! Brings a node back whose disk failed and works again: full, unreachable or in error for a while.
+//! Recovers a node whose disk failed and works again: full, unreachable or in error for a while.
 //!
-//! The outcome of the write that failed is unknown. The node answers for nothing meanwhile; before
-//! it takes part again, the disk must take writes, bear the same identity, and hold what this
-//! process has answered for.
+//! The outcome of the failed write is unknown, so the node answers no requests for its registers
+//! meanwhile. Before it takes part again, the disk must accept writes, bear the same identity, and
+//! hold what this process has acknowledged.
 
 use crate::Control;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::*;
+use yewcross_common::constants::{DISK_RETRY, MS};
 
+/// What an attempt to restore the disk came to.
 enum Outcome {
     Restored {
+        /// Files of unknown outcome that were written again.
         rewritten: usize,
     },
-    /// The disk bears another identity or none: nothing that this process vouched for may be there.
+    /// The disk bears another identity or none: nothing that this process acknowledged may be there.
     OtherDisk,
 }
 
-/// Waits for failures and tries the disk until it is restored.
+/// Waits for failures and retries the disk until it is restored.
 pub async fn run(control: Arc<Control>) {
     loop {
         let failure = control.storage.failure.listen();
@@ -41,14 +43,14 @@
     }
 }
 
-/// `false` where only a restart helps.
+/// Retries until the disk is restored; `false` where only a restart helps.
 async fn restore_until_done(control: &Arc<Control>) -> bool {
     loop {
         control.runtime.sleep(DISK_RETRY).await;
         let failures = control.storage.failures.load(SeqCst);
         match restore(control).await {
             Ok(Outcome::OtherDisk) => return false,
-            // A write that was under way may have failed meanwhile.
+            // A write in flight may have failed meanwhile: the attempt counts only without one.
             Ok(Outcome::Restored { rewritten })
                 if control.storage.failures.load(SeqCst) == failures =>
             {
@@ -65,6 +67,7 @@
     }
 }
 
+/// Checks the disk and writes again what was acknowledged and may not be on it.
 async fn restore(control: &Arc<Control>) -> io::Result<Outcome> {
     control.storage.probe().await?;
     if !control.storage.bears_identity().await? {
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -1,9 +1,9 @@
 //! The one proposer of the documents: the holder of the duty lease.
 //!
-//! Ballots keep two proposers from deciding against each other, and do no more: proposers that
-//! share a key outbid each other, and on slow processors none of them may ever get through. So only
-//! the holder prepares ballots for the configuration, the layout and the platform's list; every
-//! other core passes orders on to it, and reads without preparing anything.
+//! Ballots keep two proposers from deciding against each other, and no more: proposers that share a
+//! key outbid each other, and on slow processors none of them may ever succeed. So only the holder
+//! prepares ballots for the configuration, the layout and the platform's list; every other core
+//! forwards orders to it, and reads without preparing anything.
 
 use crate::{Control, singleton_tasks};
 use std::sync::Arc;
@@ -14,6 +14,9 @@
 use yewcross_common::register::client::Decided;
 use yewcross_common::transport::SendError;
 
+/// us. Less than this is not enough for a request to the proposer.
+const SHORTEST_FORWARD: u64 = MS;
+
 /// Why the proposer has not answered.
 pub enum NotAnswered {
     /// No process is known to propose, or the one asked does not: nothing was done.
@@ -22,15 +25,19 @@
     Unknown,
 }
 
-/// Puts a question to the process that proposes, once.
+/// Sends a request to the proposer, once. The timeout is in us.
 pub async fn forward(
     control: &Arc<Control>,
-    question: &PeerRequest,
-    blob: &[u8],
-    us: u64,
+    request: &PeerRequest,
+    payload: &[u8],
+    timeout: u64,
 ) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
-    let to = singleton_tasks::holder_address(control).ok_or(NotAnswered::NoProposer)?;
-    match control.peers.request(to, question, blob, us).await {
+    let holder = singleton_tasks::holder_address(control).ok_or(NotAnswered::NoProposer)?;
+    match control
+        .peers
+        .request(holder, request, payload, timeout)
+        .await
+    {
         Ok((PeerResponse::Rejected(Code::NotOnDuty | Code::BadBody), _))
         | Err(SendError::NotSent) => Err(NotAnswered::NoProposer),
         Ok(answer) => Ok(answer),
@@ -38,52 +45,42 @@
     }
 }
 
-/// Returns once the lease has changed hands, or a little later.
+/// Returns once the lease has changed hands, or after a random backoff.
 pub async fn wait_for_one(control: &Arc<Control>) {
     let changed = control.duties.changed.listen();
-    control
-        .runtime
-        .timeout(
-            PROPOSER_AGAIN + control.runtime.random() % PROPOSER_AGAIN,
-            changed,
-        )
-        .await;
+    let backoff = PROPOSER_AGAIN + control.runtime.random() % PROPOSER_AGAIN;
+    control.runtime.timeout(backoff, changed).await;
 }
 
 /// The newest decided version of a document: what a majority of the core disks holds alike, or what
-/// the proposer proves.
-pub async fn newest(control: &Arc<Control>, name: &str, us: u64) -> Result<Decided, ChangeError> {
-    let until = control.runtime.now() + us;
+/// the proposer proves. The timeout is in us.
+pub async fn newest(
+    control: &Arc<Control>,
+    name: &str,
+    timeout: u64,
+) -> Result<Decided, ChangeError> {
+    let deadline = control.runtime.now() + timeout;
+    let time_left = || deadline.saturating_sub(control.runtime.now());
     loop {
-        match control
+        let read = control
             .registers
-            .newest(
-                name,
-                until
-                    .saturating_sub(control.runtime.now())
-                    .min(LOOKS_WITHIN),
-            )
-            .await
-        {
-            Err(ChangeError::NotProposer) => {}
-            found => return found,
+            .newest(name, time_left().min(LOOKS_WITHIN))
+            .await;
+        if !matches!(read, Err(ChangeError::NotProposer)) {
+            return read;
         }
-        let left = until.saturating_sub(control.runtime.now());
-        if left < MS {
+        let left = time_left();
+        if left < SHORTEST_FORWARD {
             return Err(ChangeError::NotDone);
         }
-        let question = PeerRequest::ReadDecidedDocument {
+        let request = PeerRequest::ReadDecidedDocument {
             name: name.into(),
             hops: 1,
         };
-        match forward(control, &question, &[], left.min(LOOKS_WITHIN)).await {
-            Ok((
-                PeerResponse::Document {
-                    version: seq,
-                    epoch,
-                },
-                raw,
-            )) => return Ok((seq, epoch, Arc::new(raw))),
+        match forward(control, &request, &[], left.min(LOOKS_WITHIN)).await {
+            Ok((PeerResponse::Document { version, epoch }, content)) => {
+                return Ok((version, epoch, Arc::new(content)));
+            }
             _ => wait_for_one(control).await,
         }
     }
