--- a/yewcross-control/src/layout/error.rs
+++ b/yewcross-control/src/layout/error.rs
@@ -47,11 +47,6 @@
             LayoutError::NoMajority => Code::NoMajority,
         }
     }
-
-    /// Code and text of the operator's answer.
-    pub fn into_code_and_text(self) -> (Code, String) {
-        (self.code(), self.to_string())
-    }
 }
 
 /// Why a change of disks does not fit a layout.
--- /dev/null
+++ b/yewcross-control/src/operator/status.rs
@@ -0,0 +1,114 @@
+//! Health, status, counters, and the checkpoint that the planner works on.
+
+use crate::{Control, singleton_tasks};
+use http_types::Response;
+use serde_json::{Map, Value, json};
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+use yewcross_common::buffered_http::reply;
+use yewcross_common::protocol::CheckpointKey;
+use yewcross_state::records::Record;
+
+/// Prefix of the registers that hold sessions.
+const SESSION_PREFIX: &str = "session/";
+
+pub(super) fn health(control: &Control) -> Response {
+    let is_healthy = !control.storage.failed.load(SeqCst);
+    let status = if is_healthy { 200 } else { 503 };
+    let has_layout = control.documents.layout.load().0 > 0;
+    reply(status, &json!({"ok": is_healthy, "founded": has_layout}))
+}
+
+pub(super) async fn status(control: &Arc<Control>) -> Response {
+    let holder = singleton_tasks::holder_name(control);
+    let duties: Vec<Value> = singleton_tasks::SINGLETON_TASKS
+        .iter()
+        .map(|task| json!({"duty": task, "held_here": control.is_acting_holder(), "given": holder}))
+        .collect();
+    let versions: Map<String, Value> = control
+        .documents
+        .versions()
+        .into_iter()
+        .map(|(name, version)| (name, version.into()))
+        .collect();
+    let body = json!({
+        "name": control.settings.name,
+        "role": control.settings.role,
+        "disk": control.storage.disk_id,
+        "disk_failed": control.storage.failed.load(SeqCst),
+        "nodes": control.members.all(),
+        "versions": versions,
+        "duties": duties,
+        "lease": singleton_tasks::status(control),
+        "swept": control.swept.load(SeqCst),
+        "sweep_left": control.sweep_left.load(SeqCst),
+    });
+    reply(200, &body)
+}
+
+/// What this disk holds: keys, sizes, sessions' transfer state; no contents.
+pub(super) async fn checkpoint(control: &Arc<Control>) -> Response {
+    let (keys, damaged) = control.replica.keys().await;
+    let mut held = vec![];
+    for key in keys {
+        if let Some(checkpoint) = checkpoint_key(control, key).await {
+            held.push(checkpoint);
+        }
+    }
+    let content =
+        |name| String::from_utf8_lossy(&control.documents.document(name).content).into_owned();
+    let duties: Vec<_> = singleton_tasks::SINGLETON_TASKS
+        .iter()
+        .map(|task| (task.to_string(), singleton_tasks::holder_name(control)))
+        .collect();
+    let body = json!({
+        "disk": control.storage.disk_id,
+        "name": control.settings.name,
+        "damaged": damaged,
+        "held": held,
+        "nodes": control.members.view.load().values().collect::<Vec<_>>(),
+        "versions": control.documents.versions(),
+        "config": content("config"),
+        "layout": content("layout"),
+        "list": content("list"),
+        "duties": duties,
+    });
+    reply(200, &body)
+}
+
+/// None where the disk holds no value of the key.
+async fn checkpoint_key(control: &Control, key: String) -> Option<CheckpointKey> {
+    let record = control.replica.peek(&key).await?;
+    if record.seq == 0 {
+        return None;
+    }
+    let cache_state = key
+        .starts_with(SESSION_PREFIX)
+        .then(|| Record::read(&record.value).head.kv);
+    Some(CheckpointKey {
+        key,
+        seq: record.seq,
+        bytes: record.value.len() as u64,
+        kv: cache_state,
+    })
+}
+
+pub(super) fn metrics(control: &Control) -> Response {
+    let transport = &control.peers.metrics;
+    let body = json!({
+        "odd_frames": control.peers.rejected_frames.load(SeqCst),
+        "messages": transport.sent.load(SeqCst),
+        "bytes_within": transport.bytes_within.load(SeqCst),
+        "bytes_across": transport.bytes_across.load(SeqCst),
+        "kinds": *transport.kinds.lock().unwrap(),
+        "syncs": control.storage.syncs.load(SeqCst),
+        "disk_bytes": control.storage.bytes.load(SeqCst),
+        "takes": control.registers.prepared_ballots.load(SeqCst),
+        "tended": control.counters.repaired_records.load(SeqCst),
+        "puts": control.counters.puts.load(SeqCst),
+        "list_polls": control.duties.polls.load(SeqCst),
+        "lease": singleton_tasks::counters(control),
+        "chains": control.chain.figures(),
+    });
+    reply(200, &body)
+}
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's list of servers, by the process on duty.
+//! Reading the platform's list of servers, by the holder of the duty lease.
 
 use crate::{Control, config};
 use std::net::SocketAddr;
@@ -6,32 +6,62 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::adapter::ServerCatalogue;
 use yewcross_common::buffered_http;
-use yewcross_common::constants::*;
-use yewcross_common::protocol::*;
-use yewcross_common::register::*;
+use yewcross_common::constants::{
+    BACK_WAIT, DECIDE_AGAIN, FRAME_MAX, LIST_EVERY, LIST_PAGES, LIST_PATIENCE, PAGE_WAIT,
+    PAGES_BACK_OFF, PAGES_EVERY, PEER_WAIT, SEC,
+};
+use yewcross_common::protocol::{ListedServer, ServerList};
+use yewcross_common::register::Step;
 use yewcross_common::streaming_http;
 
-/// Asks the platform, in its own time, and decides a list that differs. Returns how long to wait.
+/// us. Between looks whether a platform has been configured.
+const UNCONFIGURED_WAIT: u64 = SEC;
+
+/// count. Times that the wait after a rejected poll is doubled at most.
+const DOUBLINGS_MOST: u64 = 3;
+
+/// us in a second, for times that are read as fractions.
+const US_PER_SECOND: f64 = 1e6;
+
+/// What a complete or shortened read of a catalogue gave.
+struct CatalogueRead {
+    servers: Vec<ListedServer>,
+    /// Whether the last page was reached.
+    is_complete: bool,
+}
+
+/// A version of the list as it stands in its register.
+struct DecidedList {
+    version: u64,
+    content: Vec<u8>,
+}
+
+/// Polls the platform once and decides a list that differs. Returns how long to wait, us.
 pub async fn poll(control: &Arc<Control>) -> u64 {
-    let Some(to) = *control.platform.lock().unwrap() else {
-        return SEC;
+    let Some(platform) = *control.platform.lock().unwrap() else {
+        return UNCONFIGURED_WAIT;
     };
-    if let Some(k) = control.options.catalogue.clone() {
-        return poll_catalogue(control, to, &*k).await;
+    match control.options.catalogue.clone() {
+        Some(catalogue) => poll_catalogue(control, platform, &*catalogue).await,
+        None => poll_list(control, platform).await,
     }
+}
+
+/// Polls for the product's own JSON, whose revisions the platform numbers.
+async fn poll_list(control: &Arc<Control>, platform: SocketAddr) -> u64 {
     control.duties.polls.fetch_add(1, SeqCst);
-    let tag = control.duties.etag.lock().unwrap().clone();
-    let heads: Vec<(&str, String)> = if tag.is_empty() {
+    let etag = control.duties.etag.lock().unwrap().clone();
+    let headers: Vec<(&str, String)> = if etag.is_empty() {
         vec![]
     } else {
-        vec![("if-none-match", tag)]
+        vec![("if-none-match", etag)]
     };
-    let Ok((status, r, b)) = buffered_http::fetch(
+    let Ok((status, response, body)) = buffered_http::fetch(
         &control.runtime,
-        to,
+        platform,
         http_types::Method::Get,
         "/servers",
-        &heads,
+        &headers,
         vec![],
         BACK_WAIT,
     )
@@ -39,135 +69,202 @@
     else {
         return LIST_EVERY;
     };
-    let patience = r
+    let wait = response
         .header("retry-after")
-        .and_then(|v| v.as_str().parse::<u64>().ok())
-        .map(|s| s.saturating_mul(SEC).min(LIST_PATIENCE));
+        .and_then(|value| value.as_str().parse::<u64>().ok())
+        .map_or(LIST_EVERY, |seconds| {
+            seconds.saturating_mul(SEC).min(LIST_PATIENCE)
+        });
     if status != 200 {
-        return patience.unwrap_or(LIST_EVERY);
+        return wait;
     }
-    let Ok(mut list) = serde_json::from_slice::<ServerList>(&b) else {
+    let Ok(list) = serde_json::from_slice::<ServerList>(&body) else {
         return LIST_EVERY;
     };
     let Some(term) = control.acting_term() else {
         return LIST_EVERY;
     };
-    list.term = term;
-    let got = control
+    if decide_list(control, ServerList { term, ..list }).await {
+        *control.duties.etag.lock().unwrap() = response
+            .header("etag")
+            .map(|value| value.as_str().to_string())
+            .unwrap_or_default();
+    }
+    wait
+}
+
+/// Has a newer revision decided and rolled out. Whether the newest list is now known here: only
+/// then does its etag spare the next poll.
+async fn decide_list(control: &Arc<Control>, list: ServerList) -> bool {
+    let changed = control
         .registers
-        .change("list", PEER_WAIT, |seq, v| {
-            let old: ServerList = serde_json::from_slice(v).unwrap_or_default();
-            if (old.revision >= list.revision && seq > 0) || !control.may_write(term, old.term) {
+        .change("list", PEER_WAIT, |version, value| {
+            let current: ServerList = serde_json::from_slice(value).unwrap_or_default();
+            let is_known = version > 0 && current.revision >= list.revision;
+            if is_known || !control.may_write(list.term, current.term) {
                 return Step::Keep(());
             }
             Step::Write(serde_json::to_vec(&list).unwrap_or_default(), ())
         })
         .await;
-    if got.is_ok()
-        && let Ok((seq, epoch, raw)) = control.registers.read("list", PEER_WAIT).await
+    if changed.is_err() {
+        return false;
+    }
+    let Ok((version, epoch, content)) = control.registers.read("list", PEER_WAIT).await else {
+        return false;
+    };
+    if version > control.documents.document("list").version {
+        config::roll_out(control, "list", version, epoch, &content).await;
+    }
+    true
+}
+
+/// Polls a catalogue in its own format, page by page; the tier numbers the lists. A list read while
+/// some version was known replaces that version only: a read that was delayed replaces nothing.
+async fn poll_catalogue(
+    control: &Arc<Control>,
+    platform: SocketAddr,
+    catalogue: &dyn ServerCatalogue,
+) -> u64 {
+    let known_version = control.documents.document("list").version;
+    let read = match read_pages(control, platform, catalogue).await {
+        Ok(read) => read,
+        Err(wait) => return wait,
+    };
+    control.duties.refused.store(0, SeqCst);
+    publish_departures(control, &read.servers);
+    let servers = without_duplicates(read.servers);
+    if !read.is_complete || (known_version > 0 && decided_servers(control) == servers) {
+        return PAGES_EVERY;
+    }
+    let Some(term) = control.acting_term() else {
+        return DECIDE_AGAIN;
+    };
+    let decided = decide_servers(control, known_version, term, servers).await;
+    if let Some(list) = decided
+        && list.version > control.documents.document("list").version
     {
-        if seq > control.documents.document("list").version {
-            config::roll_out(control, "list", seq, epoch, &raw).await;
-        }
-        *control.duties.etag.lock().unwrap() = r
-            .header("etag")
-            .map(|v| v.as_str().to_string())
-            .unwrap_or_default();
+        config::publish(control, "list", list.version, list.content);
     }
-    patience.unwrap_or(LIST_EVERY)
+    PAGES_EVERY
 }
 
-/// The same in a catalogue's own words, page by page; the tier numbers the lists. A list read after
-/// version `at` was known replaces that one only: one that waited somewhere replaces nothing.
-async fn poll_catalogue(control: &Arc<Control>, to: SocketAddr, k: &dyn ServerCatalogue) -> u64 {
-    let at = control.documents.document("list").version;
-    let (mut servers, mut page) = (vec![], None);
+/// Reads up to `LIST_PAGES` pages; the error is how long to wait, us.
+async fn read_pages(
+    control: &Arc<Control>,
+    platform: SocketAddr,
+    catalogue: &dyn ServerCatalogue,
+) -> Result<CatalogueRead, u64> {
+    let mut servers = vec![];
+    let mut next_page: Option<String> = None;
     for _ in 0..LIST_PAGES {
         control.duties.polls.fetch_add(1, SeqCst);
-        let mut q = hyper::Request::new(Default::default());
-        let Ok(uri) = k.target(page.as_deref()).parse() else {
-            return PAGES_EVERY;
-        };
-        *q.uri_mut() = uri;
-        let Ok(r) = streaming_http::fetch(&control.runtime, to, q, FRAME_MAX, PAGE_WAIT).await
-        else {
-            return PAGES_EVERY;
-        };
-        if r.status() != 200 {
-            let told = r
-                .headers()
-                .get("retry-after")
-                .and_then(|v| v.to_str().ok()?.parse::<f64>().ok())
-                .map(|s| (s.max(0.0) * 1e6) as u64);
-            let n = control.duties.refused.fetch_add(1, SeqCst).min(3);
-            return told.unwrap_or(PAGES_EVERY << n).min(PAGES_BACK_OFF);
+        let mut request = hyper::Request::new(Default::default());
+        *request.uri_mut() = catalogue
+            .target(next_page.as_deref())
+            .parse()
+            .map_err(|_| PAGES_EVERY)?;
+        let response =
+            streaming_http::fetch(&control.runtime, platform, request, FRAME_MAX, PAGE_WAIT)
+                .await
+                .map_err(|_| PAGES_EVERY)?;
+        if response.status() != 200 {
+            return Err(backoff(control, response.headers()));
         }
-        let Ok((mut v, next)) = k.read(r.body()) else {
-            return PAGES_EVERY;
-        };
-        servers.append(&mut v);
-        page = next;
-        if page.is_none() {
+        let (mut page, following) = catalogue.read(response.body()).map_err(|_| PAGES_EVERY)?;
+        servers.append(&mut page);
+        next_page = following;
+        if next_page.is_none() {
             break;
         }
     }
-    control.duties.refused.store(0, SeqCst);
+    Ok(CatalogueRead {
+        servers,
+        is_complete: next_page.is_none(),
+    })
+}
+
+/// us. The wait after a rejected poll: what the platform asks for, or doubled each time.
+fn backoff(control: &Control, headers: &hyper::HeaderMap) -> u64 {
+    let retry_after = headers
+        .get("retry-after")
+        .and_then(|value| value.to_str().ok()?.parse::<f64>().ok())
+        .map(|seconds| (seconds.max(0.0) * US_PER_SECOND) as u64);
+    let rejections = control.duties.refused.fetch_add(1, SeqCst);
+    retry_after
+        .unwrap_or(PAGES_EVERY << rejections.min(DOUBLINGS_MOST))
+        .min(PAGES_BACK_OFF)
+}
+
+fn publish_departures(control: &Arc<Control>, servers: &[ListedServer]) {
     let leaving = servers
         .iter()
         .filter(|server| server.leaving)
         .map(|server| server.server.clone())
         .collect();
     config::publish_departures(control, leaving);
+}
+
+/// Sorted by name; of several entries of one name, the first.
+fn without_duplicates(mut servers: Vec<ListedServer>) -> Vec<ListedServer> {
     servers.sort_by(|a, b| a.server.cmp(&b.server));
     servers.dedup_by(|a, b| a.server == b.server);
-    if page.is_some() || (at > 0 && decided_servers(control) == servers) {
-        return PAGES_EVERY;
-    }
-    let Some(term) = control.acting_term() else {
-        return DECIDE_AGAIN;
-    };
-    let got = control
+    servers
+}
+
+/// Has the servers decided as the version after `known_version`. The newest version, whether or not
+/// it holds them; none where no majority has answered.
+async fn decide_servers(
+    control: &Arc<Control>,
+    known_version: u64,
+    term: u64,
+    servers: Vec<ListedServer>,
+) -> Option<DecidedList> {
+    control
         .registers
-        .change("list", PEER_WAIT, |seq, v| {
-            let old: ServerList = serde_json::from_slice(v).unwrap_or_default();
-            if seq > at || old.servers == servers || !control.may_write(term, old.term) {
-                return Step::Keep((seq, v.to_vec()));
+        .change("list", PEER_WAIT, |version, value| {
+            let current: ServerList = serde_json::from_slice(value).unwrap_or_default();
+            let is_outdated = version > known_version || current.servers == servers;
+            if is_outdated || !control.may_write(term, current.term) {
+                return Step::Keep(DecidedList {
+                    version,
+                    content: value.to_vec(),
+                });
             }
-            let raw = lines(&ServerList {
-                revision: old.revision + 1,
+            let content = encode_by_line(&ServerList {
+                revision: current.revision + 1,
                 term,
                 servers: servers.clone(),
             });
-            Step::Write(raw.clone(), (seq + 1, raw))
+            let decided = DecidedList {
+                version: version + 1,
+                content: content.clone(),
+            };
+            Step::Write(content, decided)
         })
-        .await;
-    if let Ok((seq, raw)) = got
-        && seq > control.documents.document("list").version
-    {
-        config::publish(control, "list", seq, raw);
-    }
-    PAGES_EVERY
+        .await
+        .ok()
 }
 
-/// The servers of the list on hand as it was decided, without what was told of them since.
+/// The servers of the applied list as they were decided, without what was announced of them since.
 fn decided_servers(control: &Control) -> Vec<ListedServer> {
     serde_json::from_slice::<ServerList>(&control.documents.document("list").content)
         .map(|list| list.servers)
         .unwrap_or_default()
 }
 
-/// A server a line, so that a change travels as the lines that changed.
-fn lines(l: &ServerList) -> Vec<u8> {
-    let v: Vec<String> = l
+/// JSON with a line for each server, so that a delta carries only the changed ones.
+fn encode_by_line(list: &ServerList) -> Vec<u8> {
+    let servers: Vec<String> = list
         .servers
         .iter()
-        .map(|s| serde_json::to_string(s).unwrap_or_default())
+        .map(|server| serde_json::to_string(server).unwrap_or_default())
         .collect();
     format!(
         "{{\"rev\":{},\"term\":{},\"servers\":[\n{}\n]}}",
-        l.revision,
-        l.term,
-        v.join(",\n")
+        list.revision,
+        list.term,
+        servers.join(",\n")
     )
     .into_bytes()
 }
