--- a/yewcross-control/src/config.rs
+++ b/yewcross-control/src/config.rs
@@ -5,8 +5,10 @@
 //!   serving leases of the fronts, and [`rollout_progress`] is its state.
 //! - `distribution` sends decided documents to every node, `document_requests` answers what other
 //!   nodes ask and send of them, and `late_documents` fetches those that a core has missed.
-//! - `read` reads the newest configuration back.
+//! - `read` reads the newest configuration back, and `decoding` says what an unreadable value is
+//!   taken for.
 
+mod decoding;
 mod distribution;
 mod document_requests;
 mod front_groups;
@@ -18,6 +20,7 @@
 pub mod rollout_progress;
 mod serving_leases;
 
+pub use decoding::{UnreadableDocument, decode_configuration, decode_server_list};
 pub use distribution::{PendingPublications, publish, publish_current, publish_departures};
 pub use front_groups::{find_unavailable_group, front_groups};
 pub use late_documents::fetch_late_documents;
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -411,6 +411,8 @@
         Err(PutError::Conflict { .. }) => PutAnswer::Conflict(control.documents.config.load().0),
         Err(PutError::NotBootstrapped) => PutAnswer::NotFounded,
         Err(PutError::FrontsUnavailable { .. } | PutError::NoMajority) => PutAnswer::NoMajority,
-        Err(PutError::MaybeStored | PutError::NotYetInForce { .. }) => PutAnswer::Undecided,
+        Err(
+            PutError::Unreadable { .. } | PutError::MaybeStored | PutError::NotYetInForce { .. },
+        ) => PutAnswer::Undecided,
     }
 }
--- a/yewcross-control/src/config/put.rs
+++ b/yewcross-control/src/config/put.rs
@@ -4,6 +4,7 @@
 //! A put is decided by a majority of the core disks and answered once no front can serve by an
 //! older version.
 
+use super::decoding::{UnreadableDocument, decode_configuration};
 use super::front_groups::{find_unavailable_group, front_groups};
 use super::rollout::roll_out;
 use crate::Control;
@@ -29,6 +30,9 @@
     FrontsUnavailable { fault: InvalidSetting },
     #[snafu(display("no majority of the core disks was reached; nothing is stored"))]
     NoMajority,
+    /// The newest decided document is left as it is, and nothing is stored.
+    #[snafu(context(false), display("{source}"))]
+    Unreadable { source: UnreadableDocument },
     #[snafu(display("some disk may hold it"))]
     MaybeStored,
     #[snafu(display("version {version} is stored, not yet proved in force"))]
@@ -43,7 +47,9 @@
             PutError::NotBootstrapped => Code::NotFounded,
             PutError::Conflict { .. } => Code::Conflict,
             PutError::FrontsUnavailable { .. } | PutError::NoMajority => Code::NoMajority,
-            PutError::MaybeStored | PutError::NotYetInForce { .. } => Code::Undecided,
+            PutError::Unreadable { .. }
+            | PutError::MaybeStored
+            | PutError::NotYetInForce { .. } => Code::Undecided,
         }
     }
 
@@ -77,6 +83,8 @@
     Conflict { newest: u64 },
     /// No rollout could complete now.
     FrontsUnavailable(InvalidSetting),
+    /// The document in the register is not one; it is not replaced.
+    Unreadable(UnreadableDocument),
 }
 
 /// Checks a configuration, has it decided on top of version `base`, and rolls it out. Returns its
@@ -134,6 +142,10 @@
         Ok(PutDecision::Stored { version }) => Ok(version),
         Ok(PutDecision::Conflict { newest }) => Err(PutError::Conflict { newest }),
         Ok(PutDecision::FrontsUnavailable(fault)) => Err(PutError::FrontsUnavailable { fault }),
+        Ok(PutDecision::Unreadable(source)) => {
+            control.runtime.log(&source.to_string());
+            Err(PutError::Unreadable { source })
+        }
         Err(ChangeError::NotDone | ChangeError::NotProposer) => Err(PutError::NoMajority),
         Err(ChangeError::Undecided) => Err(PutError::MaybeStored),
     }
@@ -152,7 +164,7 @@
 }
 
 /// What a put makes of the register's value. Run again on a value that has its change, it comes to
-/// the same. An empty value is the document before the first put.
+/// the same. An empty value is the document before the first put; one that cannot be read is kept.
 pub fn decide_put(
     version: u64,
     value: &[u8],
@@ -160,7 +172,10 @@
     in_force_version: u64,
     is_up: impl Fn(&str) -> bool,
 ) -> Step<PutDecision> {
-    let document: ConfigDoc = serde_json::from_slice(value).unwrap_or_default();
+    let document = match decode_configuration(value) {
+        Ok(document) => document,
+        Err(error) => return Step::Keep(PutDecision::Unreadable(error)),
+    };
     if let Some(version) = version_of(&document, version, attempt.id) {
         return Step::Keep(PutDecision::Stored { version });
     }
@@ -173,6 +188,7 @@
     if let Some(fault) = fault {
         return Step::Keep(PutDecision::FrontsUnavailable(fault));
     }
+    // Strings and numbers always serialise.
     let raw = serde_json::to_vec(&next).unwrap_or_default();
     Step::Write(
         raw,
--- a/yewcross-control/src/config/rollout.rs
+++ b/yewcross-control/src/config/rollout.rs
@@ -1,6 +1,7 @@
 //! Rolling a decided document out: it is sent to every node, and a configuration is in force once
 //! no front can serve by an older one.
 
+use super::decoding::decode_configuration;
 use super::front_groups::front_groups;
 use super::rollout_progress::RolloutProgress;
 use super::serving_leases::collect_serving_leases;
@@ -12,7 +13,7 @@
 use yewcross_common::constants::{MS, PEER_WAIT, PUT_WAIT};
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
-use yewcross_common::protocol::{ConfigDoc, Layout, PeerRequest, PeerResponse};
+use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse};
 use yewcross_common::register::Ballot;
 
 /// us. Between attempts to send the document to a node that has not acknowledged it.
@@ -200,7 +201,14 @@
         acknowledgements: Receiver<Acknowledgement>,
         lease_reports: Receiver<LeaseReport>,
     ) -> bool {
-        let document: ConfigDoc = serde_json::from_slice(&self.content).unwrap_or_default();
+        // Which fronts an unreadable configuration names is not known, so it is never in force.
+        let document = match decode_configuration(&self.content) {
+            Ok(document) => document,
+            Err(error) => {
+                self.control.runtime.log(&error.to_string());
+                return false;
+            }
+        };
         let mut in_force_version = self.control.in_force_version.load(SeqCst);
         let groups = front_groups(&document, in_force_version);
         let mut progress = RolloutProgress::new(layout.core.current.len(), groups);
--- a/yewcross-control/src/operator/configuration.rs
+++ b/yewcross-control/src/operator/configuration.rs
@@ -60,9 +60,10 @@
 /// The newest version and its document, or the answer to an operator where it cannot be read.
 async fn read_newest(control: &Arc<Control>) -> Result<(u64, ConfigDoc), Response> {
     match control.registers.read("config", PEER_WAIT).await {
-        Ok((version, _, value)) => {
-            Ok((version, serde_json::from_slice(&value).unwrap_or_default()))
-        }
+        Ok((version, _, value)) => match config::decode_configuration(&value) {
+            Ok(document) => Ok((version, document)),
+            Err(error) => Err(rejected(Code::Undecided, &error.to_string())),
+        },
         Err(_) if control.documents.layout.load().0 == 0 => Err(rejected(Code::NotFounded, "")),
         Err(_) => Err(rejected(Code::NoMajority, "")),
     }
@@ -119,6 +120,7 @@
 async fn find_version(control: &Arc<Control>, version: &str) -> Option<KnownVersion> {
     let wanted: u64 = version.parse().ok()?;
     let (newest, _, value) = control.registers.read("config", PEER_WAIT).await.ok()?;
+    // No version is known by a value that cannot be read, nor by the empty one before the first.
     let document: ConfigDoc = serde_json::from_slice(&value).ok()?;
     if wanted == newest {
         return Some(KnownVersion {
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -1,5 +1,6 @@
 //! Reading the platform's list of servers, by the holder of the duty lease.
 
+use crate::config::{UnreadableDocument, decode_server_list};
 use crate::{Control, config};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,9 +32,19 @@
 }
 
 /// A version of the list as it stands in its register.
-struct DecidedList {
-    version: u64,
-    content: Vec<u8>,
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecidedList {
+    pub version: u64,
+    pub content: Vec<u8>,
+}
+
+/// What a catalogue's servers are decided on.
+pub struct ServersProposal<'a> {
+    /// The version that was known when the catalogue was read; no newer one is replaced.
+    pub known_version: u64,
+    /// Term of the duty lease under which they are proposed.
+    pub term: u64,
+    pub servers: &'a [ListedServer],
 }
 
 /// Polls the platform once and decides a list that differs. Returns how long to wait, us.
@@ -99,16 +110,18 @@
     let changed = control
         .registers
         .change("list", PEER_WAIT, |version, value| {
-            let current: ServerList = serde_json::from_slice(value).unwrap_or_default();
-            let is_known = version > 0 && current.revision >= list.revision;
-            if is_known || !control.may_write(list.term, current.term) {
-                return Step::Keep(());
-            }
-            Step::Write(serde_json::to_vec(&list).unwrap_or_default(), ())
+            revise_list(version, value, &list, |written_term| {
+                control.may_write(list.term, written_term)
+            })
         })
         .await;
-    if changed.is_err() {
-        return false;
+    match changed {
+        Ok(Ok(())) => {}
+        Ok(Err(unreadable)) => {
+            control.runtime.log(&unreadable.to_string());
+            return false;
+        }
+        Err(_) => return false,
     }
     let Ok((version, epoch, content)) = control.registers.read("list", PEER_WAIT).await else {
         return false;
@@ -119,6 +132,26 @@
     true
 }
 
+/// What the platform's list makes of the register's value: it replaces an older revision, where the
+/// term of that revision allows. A value that cannot be read is kept.
+pub fn revise_list(
+    version: u64,
+    value: &[u8],
+    list: &ServerList,
+    may_write_over: impl FnOnce(u64) -> bool,
+) -> Step<Result<(), UnreadableDocument>> {
+    let current = match decode_server_list(value) {
+        Ok(current) => current,
+        Err(error) => return Step::Keep(Err(error)),
+    };
+    let is_known = version > 0 && current.revision >= list.revision;
+    if is_known || !may_write_over(current.term) {
+        return Step::Keep(Ok(()));
+    }
+    // Strings and numbers always serialise.
+    Step::Write(serde_json::to_vec(list).unwrap_or_default(), Ok(()))
+}
+
 /// Polls a catalogue in its own format, page by page; the tier numbers the lists. A list read while
 /// some version was known replaces that version only: a read that was delayed replaces nothing.
 async fn poll_catalogue(
@@ -140,7 +173,12 @@
     let Some(term) = control.acting_term() else {
         return DECIDE_AGAIN;
     };
-    let decided = decide_servers(control, known_version, term, servers).await;
+    let proposal = ServersProposal {
+        known_version,
+        term,
+        servers: &servers,
+    };
+    let decided = decide_servers(control, &proposal).await;
     if let Some(list) = decided
         && list.version > control.documents.document("list").version
     {
@@ -212,40 +250,57 @@
     servers
 }
 
-/// Has the servers decided as the version after `known_version`. The newest version, whether or not
-/// it holds them; none where no majority has answered.
+/// Has the servers decided. The newest version, whether or not it holds them; none where no majority
+/// has answered or the newest version cannot be read.
 async fn decide_servers(
     control: &Arc<Control>,
-    known_version: u64,
-    term: u64,
-    servers: Vec<ListedServer>,
+    proposal: &ServersProposal<'_>,
 ) -> Option<DecidedList> {
-    control
+    let decided = control
         .registers
         .change("list", PEER_WAIT, |version, value| {
-            let current: ServerList = serde_json::from_slice(value).unwrap_or_default();
-            let is_outdated = version > known_version || current.servers == servers;
-            if is_outdated || !control.may_write(term, current.term) {
-                return Step::Keep(DecidedList {
-                    version,
-                    content: value.to_vec(),
-                });
-            }
-            let content = encode_by_line(&ServerList {
-                revision: current.revision + 1,
-                term,
-                servers: servers.clone(),
-            });
-            let decided = DecidedList {
-                version: version + 1,
-                content: content.clone(),
-            };
-            Step::Write(content, decided)
+            replace_servers(version, value, proposal, |written_term| {
+                control.may_write(proposal.term, written_term)
+            })
         })
         .await
+        .ok()?;
+    decided
+        .inspect_err(|unreadable| control.runtime.log(&unreadable.to_string()))
         .ok()
 }
 
+/// What a catalogue's servers make of the register's value: the version after the known one, where
+/// they differ from it and its term allows. A value that cannot be read is kept.
+pub fn replace_servers(
+    version: u64,
+    value: &[u8],
+    proposal: &ServersProposal,
+    may_write_over: impl FnOnce(u64) -> bool,
+) -> Step<Result<DecidedList, UnreadableDocument>> {
+    let current = match decode_server_list(value) {
+        Ok(current) => current,
+        Err(error) => return Step::Keep(Err(error)),
+    };
+    let is_outdated = version > proposal.known_version || current.servers == proposal.servers;
+    if is_outdated || !may_write_over(current.term) {
+        return Step::Keep(Ok(DecidedList {
+            version,
+            content: value.to_vec(),
+        }));
+    }
+    let content = encode_by_line(&ServerList {
+        revision: current.revision + 1,
+        term: proposal.term,
+        servers: proposal.servers.to_vec(),
+    });
+    let decided = DecidedList {
+        version: version + 1,
+        content: content.clone(),
+    };
+    Step::Write(content, Ok(decided))
+}
+
 /// The servers of the applied list as they were decided, without what was announced of them since.
 fn decided_servers(control: &Control) -> Vec<ListedServer> {
     serde_json::from_slice::<ServerList>(&control.documents.document("list").content)
--- a/yewcross-control/tests/put.rs
+++ b/yewcross-control/tests/put.rs
@@ -158,16 +158,22 @@
     assert_eq!(groups(4), ["f3", "f4"]);
 }
 
-/// As it is today: a value that is no document is replaced as if it were empty.
+/// Until this rule such a value was replaced as if it were empty, which lost what it held.
 #[test]
-fn an_unreadable_document_is_taken_for_an_empty_one() {
-    let mut register = Register {
-        version: 3,
-        value: b"{\"text\":".to_vec(),
-        in_force_version: 3,
-    };
-    let decision = register.put_as("a", 3, "{}");
-    assert_eq!(decision, PutDecision::Stored { version: 4 });
-    let past = register.document().past;
-    assert_eq!(past, [(3, String::new(), String::new())]);
+fn an_unreadable_document_is_not_replaced() {
+    for value in [&b"{\"text\":"[..], b"{}", b"[]", b"null", b" "] {
+        let mut register = Register {
+            version: 3,
+            value: value.to_vec(),
+            in_force_version: 3,
+        };
+        for base in [0, 3] {
+            let decision = register.put_as("a", base, "{}");
+            let PutDecision::Unreadable(error) = decision else {
+                panic!("{decision:?}")
+            };
+            assert_eq!(error.name, "config");
+        }
+        assert_eq!((register.version, &register.value[..]), (3, value));
+    }
 }
