--- a/yewcross-common/src/protocol/operator_orders.rs
+++ b/yewcross-common/src/protocol/operator_orders.rs
@@ -1,5 +1,5 @@
-//! What operators are told of their orders. The process that proposes tells it to the core that was
-//! asked.
+//! Outcomes of operators' orders. The process that proposes answers them to the core that the
+//! operator had asked.
 
 use crate::configuration::InvalidSetting;
 use serde::{Deserialize, Serialize};
@@ -8,35 +8,34 @@
 /// tier's own otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PutAnswer {
-    /// It is acknowledged: this exact text is, or once was, in force under this number.
+    /// Acknowledged: this exact text is, or once was, in force under this version.
     InForce(u64),
-    /// Another version than the base is current. Nothing was done and never will be.
+    /// Not the base, but this version is current. Nothing was done and never will be.
     Conflict(u64),
-    /// The text is refused. Nothing was done and never will be.
+    /// The text is rejected, for these reasons. Nothing was done and never will be.
     Bad(Vec<InvalidSetting>),
-    /// The tier is not founded yet. Nothing was done.
+    /// The tier is not bootstrapped yet. Nothing was done.
     NotFounded,
     /// No majority of core disks could be asked, or no process proposes now. Nothing was done.
     NoMajority,
-    /// More orders wait than can be decided in time. Nothing was done.
+    /// More orders are queued than can be decided in time. Nothing was done.
     Busy,
-    /// Some disk may hold it; sent again unchanged, it is decided.
+    /// The outcome is unknown: some disk may hold it. A retry of the same order decides it.
     Undecided,
     /// Its number is not above those of orders that are no longer remembered: it may have been
-    /// taken long ago, or not.
+    /// accepted long ago, or not.
     Forgotten,
 }
 
-/// The answer to an order that a store machine be emptied.
+/// The answer to an order to drain a store node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetireBegin {
     /// Begun now or before.
     Begun,
-    /// No store machine of this name is known.
+    /// No store node of this name is known.
     Unknown,
-    /// Fewer than `2 * Bounds::lost + 1` store seats would remain.
+    /// Fewer than `2 * Bounds::lost + 1` store replicas would remain.
     TooFew,
-    /// No majority of core disks could be asked, or some disk may hold the order; it may be sent
-    /// again.
+    /// No majority of core disks could be reached, or the outcome is unknown; it may be retried.
     Away,
 }
