--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -42,7 +42,7 @@
 use yewcross_common::runtime::Runtime;
 use yewcross_common::storage::DurableStorage;
 use yewcross_common::transport::PeerClient;
-use yewcross_state::records::Store;
+use yewcross_state::records::RecordStore;
 use yewcross_state::turn_store::Engine;
 
 /// us. A stopping node stays this long after it has announced that it leaves, so that operators'
@@ -63,7 +63,7 @@
     /// Reads and changes registers by a majority of their replicas.
     pub registers: Arc<RegisterClient>,
     /// Records of sessions and budgets.
-    pub store: Arc<Store>,
+    pub store: Arc<RecordStore>,
     /// The turn log.
     pub chain: Arc<Engine>,
     pub duties: singleton_tasks::SingletonTasks,
--- a/yewcross-control/src/operator/status.rs
+++ b/yewcross-control/src/operator/status.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::buffered_http::reply;
 use yewcross_common::protocol::CheckpointKey;
-use yewcross_state::records::Record;
+use yewcross_state::records::SessionRecord;
 
 /// Prefix of the registers that hold sessions.
 const SESSION_PREFIX: &str = "session/";
@@ -84,7 +84,7 @@
     }
     let cache_state = key
         .starts_with(SESSION_PREFIX)
-        .then(|| Record::read(&record.value).head.kv);
+        .then(|| SessionRecord::read(&record.value).head.kv);
     Some(CheckpointKey {
         key,
         seq: record.seq,
--- a/yewcross-control/src/record_router.rs
+++ b/yewcross-control/src/record_router.rs
@@ -8,7 +8,7 @@
 use yewcross_common::membership::Membership;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::transport::PeerClient;
-use yewcross_state::records::Store;
+use yewcross_state::records::RecordStore;
 
 /// Sends a request to the replicas of a key, in order of preference.
 #[derive(Clone)]
@@ -18,7 +18,7 @@
     pub(crate) peers: Arc<PeerClient>,
     pub(crate) own_address: SocketAddr,
     /// The store of this process, which owns this router.
-    pub(crate) own_store: Weak<Store>,
+    pub(crate) own_store: Weak<RecordStore>,
 }
 
 impl RecordRouter {
--- a/yewcross-control/src/start.rs
+++ b/yewcross-control/src/start.rs
@@ -24,7 +24,7 @@
 use yewcross_common::runtime::{Listener, Runtime};
 use yewcross_common::storage::DurableStorage;
 use yewcross_common::transport::PeerClient;
-use yewcross_state::records::Store;
+use yewcross_state::records::RecordStore;
 use yewcross_state::turn_store::Engine;
 
 /// Why a node does not start.
@@ -108,7 +108,7 @@
     let layout_version = documents.layout.load().0;
     replica.layout_version.store(layout_version, SeqCst);
     let registers = new_registers(runtime, &peers, &replica, &documents, &members);
-    let router = |own_store: &Weak<Store>| RecordRouter {
+    let router = |own_store: &Weak<RecordStore>| RecordRouter {
         documents: documents.clone(),
         members: members.clone(),
         peers: peers.clone(),
@@ -176,14 +176,14 @@
 fn new_store(
     runtime: &Runtime,
     registers: &Arc<RegisterClient>,
-    new_router: impl FnOnce(&Weak<Store>) -> RecordRouter,
-) -> Arc<Store> {
+    new_router: impl FnOnce(&Weak<RecordStore>) -> RecordRouter,
+) -> Arc<RecordStore> {
     Arc::new_cyclic(|own_store| {
         let router = new_router(own_store);
-        Store {
-            owner: registers.clone(),
+        RecordStore {
+            registers: registers.clone(),
             members: router.members.clone(),
-            w: runtime.clone(),
+            runtime: runtime.clone(),
             route: Arc::new(move |key, request| Box::pin(router.clone().request(key, request))),
         }
     })
--- /dev/null
+++ b/yewcross-state/src/records/begin_decision.rs
@@ -0,0 +1,151 @@
+//! What a begin makes of a session's record: the turn runs, its stored outcome is given, or it is
+//! rejected.
+
+use super::record::{Mark, Run, SessionRecord};
+use yewcross_common::constants::{HORIZON_MAX, KEEP_MAX, MS, RUN_GRACE};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{BeginTurn, TurnBegun};
+use yewcross_common::register::Step;
+
+/// A turn that may be dispatched.
+pub(super) struct Begun {
+    pub(super) answer: TurnBegun,
+    pub(super) history: Vec<u8>,
+    /// An earlier turn that was past its deadline, and was closed.
+    pub(super) closed: Option<Run>,
+}
+
+/// The answer to a begin.
+pub(super) enum BeginDecision {
+    Begun(Box<Begun>),
+    /// The request finished before, with this outcome.
+    Stored {
+        code: Code,
+        outcome: String,
+    },
+    Rejected(Code),
+}
+
+/// Decides a begin at a clock of `now_ms`. `is_unreserved` says that the turn's budget has no
+/// reservation for it: it may then be answered from the record, but not begin.
+pub(super) fn decide(
+    begin: &BeginTurn,
+    value: &[u8],
+    now_ms: u64,
+    is_unreserved: bool,
+) -> Step<BeginDecision> {
+    let mut record = SessionRecord::read(value);
+    if let Some(decision) = finished_before(begin, &record) {
+        return Step::Keep(decision);
+    }
+    let mut closed = None;
+    if let Some(run) = &record.head.running {
+        if let Some(code) = conflict(begin, run, now_ms) {
+            return reject(code);
+        }
+        if is_same_attempt(begin, run) {
+            // The answer of this very begin was lost.
+            return Step::Keep(begun(record, None));
+        }
+        let is_same_request = run.job == begin.request_id;
+        let reserved = run.max_out;
+        closed = record.close(Code::MayHaveRun, reserved);
+        if is_same_request {
+            let decision = BeginDecision::Rejected(Code::MayHaveRun);
+            return Step::Write(record.write(), decision);
+        }
+    }
+    if record.is_full() {
+        return reject(Code::SessionFull);
+    }
+    if is_unreserved {
+        return reject(Code::StoreAway);
+    }
+    start(begin, &mut record, now_ms);
+    Step::Write(record.write(), begun(record, closed))
+}
+
+fn reject(code: Code) -> Step<BeginDecision> {
+    Step::Keep(BeginDecision::Rejected(code))
+}
+
+/// The answer to a request that finished before, or to an attempt that was barred.
+fn finished_before(begin: &BeginTurn, record: &SessionRecord) -> Option<BeginDecision> {
+    if let Some(mark) = record.mark(&begin.request_id) {
+        return Some(stored_outcome(begin, record, mark));
+    }
+    if record.head.barred.contains(&begin.nonce) {
+        return Some(BeginDecision::Rejected(Code::StoreAway));
+    }
+    record
+        .ran_before(&begin.request_id)
+        .then_some(BeginDecision::Rejected(Code::Forgotten))
+}
+
+fn stored_outcome(begin: &BeginTurn, record: &SessionRecord, mark: &Mark) -> BeginDecision {
+    if mark.digest != begin.digest {
+        return BeginDecision::Rejected(Code::OtherBody);
+    }
+    if mark.code != Code::Done {
+        return BeginDecision::Rejected(mark.code);
+    }
+    let mut kept = record.head.kept.iter();
+    match kept.find(|outcome| outcome.0 == begin.request_id) {
+        Some((_, outcome)) => BeginDecision::Stored {
+            code: mark.code,
+            outcome: outcome.clone(),
+        },
+        None => BeginDecision::Rejected(Code::Forgotten),
+    }
+}
+
+fn is_same_attempt(begin: &BeginTurn, run: &Run) -> bool {
+    run.nonce == begin.nonce && run.job == begin.request_id
+}
+
+/// Why the turn in flight keeps this one from beginning; None also for a second begin of the same
+/// attempt, and for a turn in flight that is past its deadline.
+fn conflict(begin: &BeginTurn, run: &Run, now_ms: u64) -> Option<Code> {
+    let is_same_request = run.job == begin.request_id;
+    if is_same_request && run.digest != begin.digest {
+        return Some(Code::OtherBody);
+    }
+    if is_same_attempt(begin, run) || now_ms >= run.until {
+        return None;
+    }
+    Some(if is_same_request {
+        Code::StillRunning
+    } else {
+        Code::SessionBusy
+    })
+}
+
+fn start(begin: &BeginTurn, record: &mut SessionRecord, now_ms: u64) {
+    let head = &mut record.head;
+    head.epoch += 1;
+    head.touched = now_ms;
+    head.keep = begin.retain_ms.min(KEEP_MAX);
+    head.running = Some(Run {
+        job: begin.request_id.clone(),
+        digest: begin.digest.clone(),
+        nonce: begin.nonce,
+        front: begin.front.clone(),
+        until: now_ms + begin.remaining_ms.min(HORIZON_MAX) + RUN_GRACE / MS,
+        max_out: begin.max_output_tokens,
+        budget: begin.budget.as_ref().map(|budget| budget.0.clone()),
+    });
+}
+
+fn begun(record: SessionRecord, closed: Option<Run>) -> BeginDecision {
+    let answer = TurnBegun {
+        epoch: record.head.epoch,
+        cache: record.head.kv,
+        history_bytes: record.hist.len() as u64,
+        history_complete: true,
+    };
+    BeginDecision::Begun(Box::new(Begun {
+        answer,
+        history: record.hist,
+        closed,
+    }))
+}
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -1,124 +1,154 @@
-//! Budgets: reservations are made, settled, and audited when their front is silent.
+//! Budgets: reservations are made, settled, and audited when their proxy no longer reports.
 
-use crate::records::Store;
-use crate::records::purse::{Open, Purse, purse_key};
+use super::RecordStore;
+use super::budget_record::{BudgetRecord, Reservation, budget_key};
 use std::sync::Arc;
 use yewcross_common::constants::{AUDIT_AFTER, MS, PEER_WAIT};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::Step;
 
-impl Store {
-    pub async fn reserve(&self, budget: &str, e: &str, o: Open, limit: u64) -> PeerResponse {
-        let got = self
-            .owner
-            .change(&purse_key(budget), PEER_WAIT, |_, v| {
-                let mut p = Purse::read(v);
-                if p.open.contains_key(e) {
+/// Attempts of a settlement in the background; the audit settles what they miss.
+const SETTLE_ATTEMPTS: u32 = 4;
+/// us. Backoff after the first attempt; it doubles with each.
+const SETTLE_BACKOFF: u64 = 100 * MS;
+
+/// What an audit learnt of a reservation.
+enum AuditOutcome {
+    /// Its turn is in flight, or a peer could not say.
+    Pending,
+    /// Its turn is over; `used` is None where nobody knows how many tokens it took.
+    Over { used: Option<u64> },
+}
+
+impl RecordStore {
+    /// Reserves tokens while less than `limit` is spent and reserved, so that a budget is exceeded
+    /// by one turn at most. An entry that is reserved already is confirmed; one that was settled is
+    /// rejected as a conflict.
+    pub async fn reserve(
+        &self,
+        budget: &str,
+        entry: &str,
+        reservation: Reservation,
+        limit: u64,
+    ) -> PeerResponse {
+        let changed = self
+            .registers
+            .change(&budget_key(budget), PEER_WAIT, |_, value| {
+                let mut record = BudgetRecord::read(value);
+                if record.open.contains_key(entry) {
                     return Step::Keep(PeerResponse::Ok);
                 }
-                if p.recent.iter().any(|x| x == e) {
+                if record.recent.iter().any(|settled| settled == entry) {
                     return Step::Keep(PeerResponse::Rejected(Code::Conflict));
                 }
-                let held = p
-                    .open
-                    .values()
-                    .fold(0u64, |n, o| n.saturating_add(o.amount));
-                if p.spent.saturating_add(held) >= limit {
+                if record.committed_tokens() >= limit {
                     return Step::Keep(PeerResponse::Rejected(Code::BudgetSpent));
                 }
-                p.open.insert(e.into(), o.clone());
-                Step::Write(p.write(), PeerResponse::Ok)
+                record.open.insert(entry.into(), reservation.clone());
+                Step::Write(record.write(), PeerResponse::Ok)
             })
             .await;
-        got.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
+        changed.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
     }
 
-    pub async fn settle(&self, budget: &str, e: &str, used: Option<u64>) -> PeerResponse {
-        let got = self
-            .owner
-            .change(&purse_key(budget), PEER_WAIT, |_, v| {
-                let mut p = Purse::read(v);
-                match p.open.remove(e) {
-                    None => Step::Keep(()),
-                    Some(o) => {
-                        p.spent = p
-                            .spent
-                            .saturating_add(used.unwrap_or(o.amount).min(o.amount));
-                        p.recent.push_back(e.into());
-                        while p.recent.len() > 256 {
-                            p.recent.pop_front();
-                        }
-                        Step::Write(p.write(), ())
-                    }
+    /// Settles a reservation at `used` tokens, in full where the usage is unknown. Settling an entry
+    /// that is not reserved changes nothing.
+    pub async fn settle(&self, budget: &str, entry: &str, used: Option<u64>) -> PeerResponse {
+        let changed = self
+            .registers
+            .change(&budget_key(budget), PEER_WAIT, |_, value| {
+                let mut record = BudgetRecord::read(value);
+                if record.settle(entry, used) {
+                    Step::Write(record.write(), ())
+                } else {
+                    Step::Keep(())
                 }
             })
             .await;
-        got.map(|_| PeerResponse::Ok)
-            .unwrap_or(PeerResponse::Rejected(Code::Undecided))
+        match changed {
+            Ok(()) => PeerResponse::Ok,
+            Err(_) => PeerResponse::Rejected(Code::Undecided),
+        }
     }
 
-    /// Until this is through, the reservation counts in full.
-    pub(super) fn settle_soon(self: &Arc<Self>, budget: &str, entry: String, used: Option<u64>) {
-        let (me, b) = (self.clone(), budget.to_string());
-        self.w.spawn(async move {
-            let a = PeerRequest::SettleBudget {
-                budget: b.clone(),
+    /// Settles in the background. Until this is through, the reservation counts in full.
+    pub(super) fn settle_in_background(
+        self: &Arc<Self>,
+        budget: &str,
+        entry: String,
+        used: Option<u64>,
+    ) {
+        let (store, budget) = (self.clone(), budget.to_string());
+        self.runtime.spawn(async move {
+            let request = PeerRequest::SettleBudget {
+                budget: budget.clone(),
                 entry,
                 used,
             };
-            for i in 0..4u64 {
-                if let Some(PeerResponse::Ok) = (me.route)(purse_key(&b), a.clone()).await {
+            for attempt in 0..SETTLE_ATTEMPTS {
+                let answer = (store.route)(budget_key(&budget), request.clone()).await;
+                if let Some(PeerResponse::Ok) = answer {
                     return;
                 }
-                me.w.sleep((100 << i) * MS).await;
+                store.runtime.sleep(SETTLE_BACKOFF << attempt).await;
             }
         });
     }
 
-    /// Settles reservations whose front is silent: at the real figure if it was kept, in full if
-    /// not.
+    /// Settles reservations that are older than `AUDIT_AFTER` and whose turn is over: at the usage
+    /// that the session's record tells, in full if it tells none.
     pub async fn audit(self: &Arc<Self>, budget: &str) {
-        let Some(v) = self.owner.hint(&purse_key(budget)) else {
+        let Some(value) = self.registers.hint(&budget_key(budget)) else {
             return;
         };
-        let wall = self.wall();
-        for (e, o) in Purse::read(&v)
-            .open
-            .into_iter()
-            .filter(|x| wall > x.1.at + AUDIT_AFTER)
-        {
-            let Some(PeerResponse::SessionReservations { open, done }) = (self.route)(
-                o.key.clone(),
-                PeerRequest::InspectSession { key: o.key.clone() },
-            )
-            .await
-            else {
-                continue;
-            };
-            if open.iter().any(|x| x.0 == o.job && x.1 == o.nonce) {
+        let now_ms = self.clock_ms();
+        for (entry, reservation) in BudgetRecord::read(&value).open {
+            if now_ms <= reservation.at + AUDIT_AFTER {
                 continue;
             }
-            let mut used = done
-                .iter()
-                .find(|x| x.0 == o.job && x.1 == o.nonce)
-                .map(|x| x.2);
-            // Never begun, as far as the record tells, and the record cannot have been forgotten
-            // since: once it is barred it never will be.
-            if used.is_none() && wall < o.at.saturating_add(o.keep) {
-                let a = PeerRequest::AbortTurn {
-                    key: o.key.clone(),
-                    request_id: o.job.clone(),
-                    nonce: o.nonce,
-                    budget: None,
-                };
-                match (self.route)(o.key.clone(), a).await {
-                    Some(PeerResponse::Ok) => used = Some(0),
-                    Some(PeerResponse::Rejected(Code::Conflict)) => {}
-                    _ => continue,
-                }
+            if let AuditOutcome::Over { used } = self.audit_reservation(&reservation, now_ms).await
+            {
+                self.settle(budget, &entry, used).await;
             }
-            self.settle(budget, &e, used).await;
+        }
+    }
+
+    async fn audit_reservation(&self, reservation: &Reservation, now_ms: u64) -> AuditOutcome {
+        let key = &reservation.key;
+        let inspect = PeerRequest::InspectSession { key: key.clone() };
+        let answer = (self.route)(key.clone(), inspect).await;
+        let Some(PeerResponse::SessionReservations { open, done }) = answer else {
+            return AuditOutcome::Pending;
+        };
+        let is_audited = |request_id: &str, nonce: u64| {
+            request_id == reservation.job && nonce == reservation.nonce
+        };
+        if open.iter().any(|turn| is_audited(&turn.0, turn.1)) {
+            return AuditOutcome::Pending;
+        }
+        let finished = done.iter().find(|turn| is_audited(&turn.0, turn.1));
+        let used = finished.map(|turn| turn.2);
+        // Never begun, as far as the record tells, and the record cannot have been forgotten
+        // since: once the attempt is barred it never will begin.
+        if used.is_none() && now_ms < reservation.at.saturating_add(reservation.keep) {
+            return self.abort_unbegun(reservation).await;
+        }
+        AuditOutcome::Over { used }
+    }
+
+    /// Bars an attempt of which the session's record knows nothing.
+    async fn abort_unbegun(&self, reservation: &Reservation) -> AuditOutcome {
+        let abort = PeerRequest::AbortTurn {
+            key: reservation.key.clone(),
+            request_id: reservation.job.clone(),
+            nonce: reservation.nonce,
+            budget: None,
+        };
+        match (self.route)(reservation.key.clone(), abort).await {
+            Some(PeerResponse::Ok) => AuditOutcome::Over { used: Some(0) },
+            Some(PeerResponse::Rejected(Code::Conflict)) => AuditOutcome::Over { used: None },
+            _ => AuditOutcome::Pending,
         }
     }
 }
--- a/yewcross-state/src/records/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -1,164 +1,177 @@
-//! The record of a session: history, marks of finished requests, kept outcomes, transfer state.
+//! The record of a session: history, marks of finished requests, kept outcomes, cache state.
 
+use super::lines::{LINE_END, append_line};
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use yewcross_common::constants::{BARS_KEPT, MARKS_KEPT, OLD_KEPT, OLD_LINE};
 use yewcross_common::error_code::Code;
+use yewcross_common::hash::rendezvous_weight;
 use yewcross_common::protocol::SessionCacheState;
 
+/// Bytes of a bare id: 16 hex digits.
+const BARE_ID_BYTES: usize = 16;
+/// Bytes of bare ids at which a session is full: each counts with the end of a line.
+const FULL_BYTES: usize = (BARE_ID_BYTES + 1) * OLD_KEPT;
+
+/// A turn in flight: begun, and neither committed nor aborted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
+    /// The caller's id of the request.
     pub job: String,
+    /// Digest of the request's body.
     pub digest: String,
+    /// Identifies the attempt among those of the same request.
     pub nonce: u64,
+    /// The proxy that began it.
     pub front: String,
+    /// Clock after which it counts as lost, ms.
     pub until: u64,
+    /// Most tokens of output, reserved from the budget.
     pub max_out: u64,
+    /// Name of the budget that pays for it.
     pub budget: Option<String>,
 }
 
+/// What is remembered of a finished request, so that it never runs again.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Mark {
+    /// The caller's id of the request.
     pub job: String,
+    /// Digest of the request's body.
     pub digest: String,
+    /// Identifies the attempt that finished it.
     pub nonce: u64,
+    /// Its outcome.
     pub code: Code,
+    /// Tokens that it used.
     pub used: u64,
 }
 
+/// All of a session's record but the history and the bare ids.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Head {
+    /// Rises with every turn that begins, and when the session ends.
     pub epoch: u64,
+    /// The turn in flight.
     pub running: Option<Run>,
+    /// Finished requests, oldest first.
     #[serde(skip)]
     pub marks: VecDeque<Mark>,
+    /// Request id and outcome of the requests finished last, oldest first.
     #[serde(skip)]
     pub kept: VecDeque<(String, String)>,
+    /// Where the session's prefix is cached.
     pub kv: SessionCacheState,
+    /// Clock of the last begin, ms.
     pub touched: u64,
-    /// ms after `touched` until the record may be forgotten.
+    /// ms after `touched` until the record may be forgotten; 0: never.
     #[serde(default)]
     pub keep: u64,
-    /// Shots that may never begin any more.
+    /// Nonces of attempts that may never begin any more.
     #[serde(default)]
     pub barred: VecDeque<u64>,
-    /// Lines of bare ids.
-    #[serde(default)]
-    olds: usize,
+    /// Lines of bare ids in the stored form.
+    #[serde(default, rename = "olds")]
+    bare_id_lines: usize,
 }
 
-/// One line for each thing that may change by itself, so that a change is a small delta of the
-/// value: history, bare ids of jobs whose marks are gone, kept outcomes, marks, the rest.
+/// What a session's register holds.
+///
+/// Stored as one line for each thing that may change by itself, so that a change is a small delta
+/// of the value: history, bare ids of requests whose marks are gone, kept outcomes, marks, the rest.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
+pub struct SessionRecord {
+    /// The conversation so far.
     pub hist: Vec<u8>,
-    /// Ids of jobs older than the marks, 16 hex digits each.
+    /// Bare ids of requests older than the marks, 16 hex digits each.
     pub old: Vec<u8>,
+    /// The rest.
     pub head: Head,
 }
 
-fn bare(job: &str) -> String {
-    format!("{:016x}", yewcross_common::hash::rendezvous_weight(job, ""))
-}
-
-pub(super) fn line(v: &mut Vec<u8>, x: &impl Serialize) {
-    v.extend(serde_json::to_vec(x).unwrap_or_default());
-    v.push(b'\n');
-}
-
-impl Record {
-    pub fn read(v: &[u8]) -> Record {
-        let mut lines = v.split_inclusive(|b| *b == b'\n').rev();
-        let Some((mut head, marks, kept)) = lines
-            .next()
-            .and_then(|l| serde_json::from_slice::<(Head, usize, usize)>(l).ok())
+impl SessionRecord {
+    /// Reads a stored record. No error is reported: a value whose last line cannot be read is taken
+    /// for an empty record, and a mark or outcome that cannot be read is passed over.
+    pub fn read(value: &[u8]) -> SessionRecord {
+        let mut lines = value.split_inclusive(|byte| *byte == LINE_END).rev();
+        let Some(last) = lines.next() else {
+            return SessionRecord::default();
+        };
+        let Ok((mut head, marks, kept)) = serde_json::from_slice::<(Head, usize, usize)>(last)
         else {
-            return Record::default();
+            return SessionRecord::default();
         };
-        let mut tail = v.len()
-            - v.split_inclusive(|b| *b == b'\n')
-                .next_back()
-                .map_or(0, |l| l.len());
-        (0..marks).for_each(|_| {
-            let Some(l) = lines.next() else { return };
-            tail -= l.len();
-            serde_json::from_slice(l)
-                .into_iter()
-                .for_each(|m| head.marks.push_front(m));
-        });
-        (0..kept).for_each(|_| {
-            let Some(l) = lines.next() else { return };
-            tail -= l.len();
-            serde_json::from_slice(l)
-                .into_iter()
-                .for_each(|m| head.kept.push_front(m));
-        });
-        let ids: usize = lines.by_ref().take(head.olds).map(|l| l.len()).sum();
-        Record {
-            hist: v[..tail - ids].to_vec(),
-            old: v[tail - ids..tail].to_vec(),
+        let mut end = value.len() - last.len();
+        let mut bytes;
+        (head.marks, bytes) = read_backwards(lines.by_ref().take(marks));
+        end -= bytes;
+        (head.kept, bytes) = read_backwards(lines.by_ref().take(kept));
+        end -= bytes;
+        let bare_ids: usize = lines.take(head.bare_id_lines).map(|line| line.len()).sum();
+        SessionRecord {
+            hist: value[..end - bare_ids].to_vec(),
+            old: value[end - bare_ids..end].to_vec(),
             head,
         }
     }
+
+    /// The stored form.
     pub fn write(&self) -> Vec<u8> {
-        let mut v = self.hist.clone();
-        v.extend(&self.old);
-        let olds = self.old.iter().filter(|b| **b == b'\n').count();
-        self.head.kept.iter().for_each(|k| line(&mut v, k));
-        self.head.marks.iter().for_each(|m| line(&mut v, m));
-        line(
-            &mut v,
-            &(
-                &Head {
-                    olds,
-                    ..self.head.clone()
-                },
-                self.head.marks.len(),
-                self.head.kept.len(),
-            ),
-        );
-        v
+        let mut value = self.hist.clone();
+        value.extend(&self.old);
+        for outcome in &self.head.kept {
+            append_line(&mut value, outcome);
+        }
+        for mark in &self.head.marks {
+            append_line(&mut value, mark);
+        }
+        let head = Head {
+            bare_id_lines: self.old.iter().filter(|byte| **byte == LINE_END).count(),
+            ..self.head.clone()
+        };
+        let counts = (self.head.marks.len(), self.head.kept.len());
+        append_line(&mut value, &(&head, counts.0, counts.1));
+        value
     }
+
+    /// Ends the turn in flight with an outcome; gives it back, None if there was none.
     pub fn close(&mut self, code: Code, used: u64) -> Option<Run> {
-        self.head.running.take().inspect(|r| {
-            self.head.marks.push_back(Mark {
-                job: r.job.clone(),
-                digest: r.digest.clone(),
-                nonce: r.nonce,
-                code,
-                used,
-            });
-            while self.head.marks.len() > MARKS_KEPT {
-                let m = self.head.marks.pop_front();
-                m.iter().for_each(|m| grow(&mut self.old, &bare(&m.job)));
+        let run = self.head.running.take()?;
+        self.head.marks.push_back(Mark {
+            job: run.job.clone(),
+            digest: run.digest.clone(),
+            nonce: run.nonce,
+            code,
+            used,
+        });
+        while self.head.marks.len() > MARKS_KEPT {
+            if let Some(mark) = self.head.marks.pop_front() {
+                append_bare_id(&mut self.old, &bare_id(&mark.job));
             }
-        })
+        }
+        Some(run)
     }
-}
 
-/// Ids stand in lines of a fixed length, so that a change stays a small delta.
-fn grow(old: &mut Vec<u8>, id: &str) {
-    let last = old
-        .split_inclusive(|b| *b == b'\n')
-        .next_back()
-        .map_or(0, |l| l.len());
-    if last > 0 && last <= 16 * OLD_LINE {
-        old.pop();
+    /// The mark of a finished request.
+    pub(super) fn mark(&self, request_id: &str) -> Option<&Mark> {
+        self.head.marks.iter().find(|mark| mark.job == request_id)
     }
-    old.extend(id.as_bytes());
-    old.push(b'\n');
-}
 
-impl Record {
-    pub fn ran_before(&self, job: &str) -> bool {
-        let id = bare(job);
+    /// Whether the request finished so long ago that only its bare id is left.
+    pub fn ran_before(&self, request_id: &str) -> bool {
+        let id = bare_id(request_id);
         self.old
-            .split(|b| *b == b'\n')
-            .any(|l| l.chunks(16).any(|x| x == id.as_bytes()))
+            .split(|byte| *byte == LINE_END)
+            .any(|line| line.chunks(BARE_ID_BYTES).any(|old| old == id.as_bytes()))
     }
-    pub fn full(&self) -> bool {
-        self.old.len() >= 17 * OLD_KEPT
+
+    /// Whether the session has used all the ids that it can remember.
+    pub fn is_full(&self) -> bool {
+        self.old.len() >= FULL_BYTES
     }
+
+    /// The attempt may never begin any more.
     pub fn bar(&mut self, nonce: u64) {
         self.head.barred.push_back(nonce);
         while self.head.barred.len() > BARS_KEPT {
@@ -166,3 +179,35 @@
         }
     }
 }
+
+/// Items of lines that come last line first, and the bytes of these lines.
+fn read_backwards<'a, T: DeserializeOwned>(
+    lines: impl Iterator<Item = &'a [u8]>,
+) -> (VecDeque<T>, usize) {
+    let mut items = VecDeque::new();
+    let mut bytes = 0;
+    for line in lines {
+        bytes += line.len();
+        if let Ok(item) = serde_json::from_slice(line) {
+            items.push_front(item);
+        }
+    }
+    (items, bytes)
+}
+
+fn bare_id(request_id: &str) -> String {
+    format!("{:016x}", rendezvous_weight(request_id, ""))
+}
+
+/// Ids stand in lines of a fixed length, so that a change stays a small delta.
+fn append_bare_id(old: &mut Vec<u8>, id: &str) {
+    let last_line = old
+        .split_inclusive(|byte| *byte == LINE_END)
+        .next_back()
+        .map_or(0, |line| line.len());
+    if last_line > 0 && last_line <= BARE_ID_BYTES * OLD_LINE {
+        old.pop();
+    }
+    old.extend(id.as_bytes());
+    old.push(LINE_END);
+}
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -1,267 +1,192 @@
 //! Sessions: a turn begins, is committed or aborted; the session ends or expires.
 
-use crate::records::Store;
-use crate::records::purse::purse_key;
-use crate::records::record::{Record, Run};
+use super::RecordStore;
+use super::begin_decision::{BeginDecision, Begun, decide};
+use super::budget_record::budget_key;
+use super::record::SessionRecord;
 use std::sync::Arc;
-use yewcross_common::constants::{
-    BAR_KEPT, HORIZON_MAX, KEEP_MAX, MS, OUTCOMES_KEPT, PEER_WAIT, RUN_GRACE,
-};
+use yewcross_common::constants::{BAR_KEPT, OUTCOMES_KEPT, PEER_WAIT};
 use yewcross_common::error_code::Code;
+use yewcross_common::hash::content_digest;
 use yewcross_common::protocol::{
-    BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState, TurnBegun,
+    BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState,
 };
 use yewcross_common::register::{ChangeError, Step};
 
-#[allow(clippy::large_enum_variant)]
-enum Pre {
-    Go(TurnBegun, Vec<u8>, Option<Run>),
-    Kept(Code, String),
-    No(Code),
+/// What a commit found.
+enum CommitDecision {
+    /// The turn is in the record. The budget is named where this very change put it there.
+    Committed { budget: Option<String> },
+    /// Another attempt or another outcome is in the record, or the turn is no longer in flight.
+    Conflict,
 }
 
-fn entry(b: &BeginTurn) -> String {
-    format!("{}|{}|{}", b.key, b.request_id, b.nonce)
+/// Name of an attempt's reservation in its budget.
+fn reservation_entry(key: &str, request_id: &str, nonce: u64) -> String {
+    format!("{key}|{request_id}|{nonce}")
 }
 
-impl Store {
-    pub async fn begin(self: &Arc<Self>, b: BeginTurn) -> (PeerResponse, Vec<u8>) {
-        let seen = self.owner.hint(&b.key).is_some_and(|v| {
-            let r = Record::read(&v);
-            r.head.marks.iter().any(|m| m.job == b.request_id)
-                || r.head
-                    .running
-                    .as_ref()
-                    .is_some_and(|x| self.wall() < x.until)
-        });
-        let mut reserve = b.budget.clone().filter(|_| !seen);
-        if let Some((name, limit)) = reserve.clone() {
-            let a = PeerRequest::ReserveBudget {
-                budget: name.clone(),
-                entry: entry(&b),
-                amount: b.max_output_tokens,
-                limit,
-                key: b.key.clone(),
-                request_id: b.request_id.clone(),
-                nonce: b.nonce,
-                retain_ms: b.retain_ms,
-            };
-            match (self.route)(purse_key(&name), a).await {
-                Some(PeerResponse::Ok) => {}
-                // Given back already: this shot may be looked at, and not begun.
-                Some(PeerResponse::Rejected(Code::Conflict)) => reserve = None,
-                Some(PeerResponse::Rejected(c)) => return (PeerResponse::Rejected(c), vec![]),
-                _ => return (PeerResponse::Rejected(Code::StoreAway), vec![]),
-            }
-        }
-        let wall = self.wall();
-        let got = self
-            .owner
-            .change(&b.key, PEER_WAIT, |_, v| {
-                let mut r = Record::read(v);
-                if let Some(m) = r.head.marks.iter().find(|m| m.job == b.request_id) {
-                    if m.digest != b.digest {
-                        return Step::Keep(Pre::No(Code::OtherBody));
-                    }
-                    let kept = r
-                        .head
-                        .kept
-                        .iter()
-                        .find(|k| k.0 == b.request_id)
-                        .map(|k| k.1.clone());
-                    return Step::Keep(match (m.code, kept) {
-                        (Code::Done, Some(k)) => Pre::Kept(m.code, k),
-                        (Code::Done, None) => Pre::No(Code::Forgotten),
-                        (c, _) => Pre::No(c),
-                    });
-                }
-                if r.head.barred.contains(&b.nonce) {
-                    return Step::Keep(Pre::No(Code::StoreAway));
-                }
-                if r.ran_before(&b.request_id) {
-                    return Step::Keep(Pre::No(Code::Forgotten));
-                }
-                let mut closed = None;
-                if let Some(x) = &r.head.running {
-                    if x.job == b.request_id && x.digest != b.digest {
-                        return Step::Keep(Pre::No(Code::OtherBody));
-                    }
-                    if x.nonce == b.nonce && x.job == b.request_id {
-                        let g = TurnBegun {
-                            epoch: r.head.epoch,
-                            cache: r.head.kv.clone(),
-                            history_bytes: r.hist.len() as u64,
-                            history_complete: true,
-                        };
-                        return Step::Keep(Pre::Go(g, r.hist, None));
-                    }
-                    if wall < x.until {
-                        return Step::Keep(Pre::No(if x.job == b.request_id {
-                            Code::StillRunning
-                        } else {
-                            Code::SessionBusy
-                        }));
-                    }
-                    let (same, used) = (x.job == b.request_id, x.max_out);
-                    closed = r.close(Code::MayHaveRun, used);
-                    if same {
-                        return Step::Write(r.write(), Pre::No(Code::MayHaveRun));
-                    }
-                }
-                if r.full() {
-                    return Step::Keep(Pre::No(Code::SessionFull));
-                }
-                if b.budget.is_some() && reserve.is_none() {
-                    return Step::Keep(Pre::No(Code::StoreAway));
-                }
-                r.head.epoch += 1;
-                r.head.touched = wall;
-                r.head.keep = b.retain_ms.min(KEEP_MAX);
-                r.head.running = Some(Run {
-                    job: b.request_id.clone(),
-                    digest: b.digest.clone(),
-                    nonce: b.nonce,
-                    front: b.front.clone(),
-                    until: wall + b.remaining_ms.min(HORIZON_MAX) + RUN_GRACE / MS,
-                    max_out: b.max_output_tokens,
-                    budget: b.budget.as_ref().map(|x| x.0.clone()),
-                });
-                let g = TurnBegun {
-                    epoch: r.head.epoch,
-                    cache: r.head.kv.clone(),
-                    history_bytes: r.hist.len() as u64,
-                    history_complete: true,
-                };
-                Step::Write(r.write(), Pre::Go(g, r.hist, closed))
+/// Name of the reservation that a begin asks for.
+fn begin_entry(begin: &BeginTurn) -> String {
+    reservation_entry(&begin.key, &begin.request_id, begin.nonce)
+}
+
+/// The answer to a request whose change failed: only an undecided one may have taken effect.
+fn rejection(error: ChangeError) -> PeerResponse {
+    PeerResponse::Rejected(match error {
+        ChangeError::NotDone | ChangeError::NotProposer => Code::StoreAway,
+        ChangeError::Undecided => Code::Undecided,
+    })
+}
+
+impl RecordStore {
+    /// Begins a turn, after its budget has reserved the tokens. The blob of the answer is the
+    /// history, or a stored outcome.
+    pub async fn begin(self: &Arc<Self>, begin: BeginTurn) -> (PeerResponse, Vec<u8>) {
+        let reserved = match self.reserve_for(&begin).await {
+            Ok(reserved) => reserved,
+            Err(code) => return (PeerResponse::Rejected(code), vec![]),
+        };
+        let now_ms = self.clock_ms();
+        let is_unreserved = begin.budget.is_some() && reserved.is_none();
+        let decided = self
+            .registers
+            .change(&begin.key, PEER_WAIT, |_, value| {
+                decide(&begin, value, now_ms, is_unreserved)
             })
             .await;
-        let free = |me: &Arc<Self>| {
-            reserve
-                .iter()
-                .for_each(|(n, _)| me.settle_soon(n, entry(&b), Some(0)));
-        };
-        match got {
-            Ok(Pre::Go(mut g, hist, closed)) => {
-                closed.into_iter().for_each(|x| {
-                    let e = format!("{}|{}|{}", b.key, x.job, x.nonce);
-                    x.budget
-                        .iter()
-                        .for_each(|n| self.settle_soon(n, e.clone(), None));
-                });
-                let same = b.known_history.as_ref().is_some_and(|(n, d)| {
-                    *n == hist.len() as u64 && *d == yewcross_common::hash::content_digest(&hist)
-                });
-                g.history_complete = !same;
-                (PeerResponse::TurnBegun(g), if same { vec![] } else { hist })
-            }
-            Ok(Pre::Kept(code, k)) => {
-                free(self);
-                (PeerResponse::StoredOutcome { code }, k.into_bytes())
+        match decided {
+            Ok(BeginDecision::Begun(begun)) => self.answer_begun(&begin, *begun),
+            Ok(BeginDecision::Stored { code, outcome }) => {
+                self.release(reserved, &begin);
+                (PeerResponse::StoredOutcome { code }, outcome.into_bytes())
             }
-            // The front may ask again with this very shot: it keeps its reservation until it is
+            // The proxy may send this very attempt again: it keeps its reservation until it is
             // barred.
-            Ok(Pre::No(Code::StoreAway)) | Err(ChangeError::NotDone | ChangeError::NotProposer) => {
+            Ok(BeginDecision::Rejected(Code::StoreAway)) => {
                 (PeerResponse::Rejected(Code::StoreAway), vec![])
             }
-            Ok(Pre::No(c)) => {
-                free(self);
-                (PeerResponse::Rejected(c), vec![])
+            Ok(BeginDecision::Rejected(code)) => {
+                self.release(reserved, &begin);
+                (PeerResponse::Rejected(code), vec![])
             }
-            Err(ChangeError::Undecided) => (PeerResponse::Rejected(Code::Undecided), vec![]),
+            Err(error) => (rejection(error), vec![]),
         }
     }
 
-    pub async fn commit(self: &Arc<Self>, c: CommitTurn, blob: Vec<u8>) -> PeerResponse {
-        let n = (c.history_bytes as usize).min(blob.len());
-        let (line, kept) = (
-            blob[..n].to_vec(),
-            String::from_utf8_lossy(&blob[n..]).into_owned(),
-        );
-        let got = self
-            .owner
-            .change(&c.key, PEER_WAIT, |_, v| {
-                let mut r = Record::read(v);
-                if let Some(m) = r.head.marks.iter().find(|m| m.job == c.request_id) {
-                    return Step::Keep((m.nonce == c.nonce && m.code == c.code).then_some(None));
-                }
-                if r.head.epoch != c.epoch
-                    || r.head
-                        .running
-                        .as_ref()
-                        .is_none_or(|x| x.nonce != c.nonce || x.job != c.request_id)
-                {
-                    return Step::Keep(None);
-                }
-                let run = r.close(c.code, c.used_tokens);
-                r.hist.extend(&line);
-                c.rule.trim(&mut r.hist);
-                if !kept.is_empty() {
-                    r.head.kept.push_back((c.request_id.clone(), kept.clone()));
-                    while r.head.kept.len() > OUTCOMES_KEPT {
-                        r.head.kept.pop_front();
-                    }
-                }
-                r.head.kv = c.cache.clone();
-                Step::Write(r.write(), Some(run.and_then(|x| x.budget)))
+    /// Reserves a turn's tokens; the name of the budget, None where nothing was reserved.
+    async fn reserve_for(&self, begin: &BeginTurn) -> Result<Option<String>, Code> {
+        let is_known = self.is_probably_known(begin);
+        let Some((budget, limit)) = begin.budget.clone().filter(|_| !is_known) else {
+            return Ok(None);
+        };
+        let request = PeerRequest::ReserveBudget {
+            budget: budget.clone(),
+            entry: begin_entry(begin),
+            amount: begin.max_output_tokens,
+            limit,
+            key: begin.key.clone(),
+            request_id: begin.request_id.clone(),
+            nonce: begin.nonce,
+            retain_ms: begin.retain_ms,
+        };
+        match (self.route)(budget_key(&budget), request).await {
+            Some(PeerResponse::Ok) => Ok(Some(budget)),
+            // Released already: this attempt may be answered from the record, and not begin.
+            Some(PeerResponse::Rejected(Code::Conflict)) => Ok(None),
+            Some(PeerResponse::Rejected(code)) => Err(code),
+            _ => Err(Code::StoreAway),
+        }
+    }
+
+    /// Whether the value last known here says that the turn will not begin, so that a reservation
+    /// would be for nothing.
+    fn is_probably_known(&self, begin: &BeginTurn) -> bool {
+        let Some(value) = self.registers.hint(&begin.key) else {
+            return false;
+        };
+        let record = SessionRecord::read(&value);
+        record.mark(&begin.request_id).is_some()
+            || record
+                .head
+                .running
+                .is_some_and(|run| self.clock_ms() < run.until)
+    }
+
+    fn answer_begun(self: &Arc<Self>, begin: &BeginTurn, begun: Begun) -> (PeerResponse, Vec<u8>) {
+        if let Some(closed) = begun.closed
+            && let Some(budget) = closed.budget
+        {
+            let entry = reservation_entry(&begin.key, &closed.job, closed.nonce);
+            self.settle_in_background(&budget, entry, None);
+        }
+        let is_history_known = begin.known_history.as_ref().is_some_and(|(bytes, digest)| {
+            *bytes == begun.history.len() as u64 && *digest == content_digest(&begun.history)
+        });
+        let mut answer = begun.answer;
+        answer.history_complete = !is_history_known;
+        let blob = if is_history_known {
+            vec![]
+        } else {
+            begun.history
+        };
+        (PeerResponse::TurnBegun(answer), blob)
+    }
+
+    /// Gives back the reservation of a turn that did not begin.
+    fn release(self: &Arc<Self>, reserved: Option<String>, begin: &BeginTurn) {
+        if let Some(budget) = reserved {
+            self.settle_in_background(&budget, begin_entry(begin), Some(0));
+        }
+    }
+
+    /// Commits a turn: its history and outcome go into the record, its usage into the budget.
+    /// Committing it again with the same outcome changes nothing.
+    pub async fn commit(self: &Arc<Self>, commit: CommitTurn, blob: Vec<u8>) -> PeerResponse {
+        let history_bytes = (commit.history_bytes as usize).min(blob.len());
+        let (history, outcome) = blob.split_at(history_bytes);
+        let outcome = String::from_utf8_lossy(outcome);
+        let decided = self
+            .registers
+            .change(&commit.key, PEER_WAIT, |_, value| {
+                decide_commit(&commit, history, &outcome, value)
             })
             .await;
-        match got {
-            Ok(Some(b)) => {
-                b.into_iter().for_each(|n| {
-                    self.settle_soon(
-                        &n,
-                        format!("{}|{}|{}", c.key, c.request_id, c.nonce),
-                        Some(c.used_tokens),
-                    )
-                });
+        match decided {
+            Ok(CommitDecision::Committed { budget }) => {
+                if let Some(budget) = budget {
+                    let entry = reservation_entry(&commit.key, &commit.request_id, commit.nonce);
+                    self.settle_in_background(&budget, entry, Some(commit.used_tokens));
+                }
                 PeerResponse::Committed
             }
-            Ok(None) => PeerResponse::Rejected(Code::MayHaveRun),
-            Err(ChangeError::NotDone | ChangeError::NotProposer) => {
-                PeerResponse::Rejected(Code::StoreAway)
-            }
-            Err(ChangeError::Undecided) => PeerResponse::Rejected(Code::Undecided),
+            Ok(CommitDecision::Conflict) => PeerResponse::Rejected(Code::MayHaveRun),
+            Err(error) => rejection(error),
         }
     }
 
-    /// This shot will never be dispatched: as if it had not begun, and it never can begin any more.
-    /// Only then is its reservation given back.
+    /// Bars an attempt that will never be dispatched: as if it had not begun, and it never can begin
+    /// any more. Only then is its reservation given back.
     pub async fn abort(
         self: &Arc<Self>,
         key: &str,
-        job: &str,
+        request_id: &str,
         nonce: u64,
         budget: Option<String>,
     ) -> PeerResponse {
-        let wall = self.wall();
-        let got = self
-            .owner
-            .change(key, PEER_WAIT, |_, v| {
-                let mut r = Record::read(v);
-                if r.head
-                    .marks
-                    .iter()
-                    .any(|m| m.job == job && m.nonce == nonce)
-                    || r.ran_before(job)
-                {
-                    return Step::Keep(false);
-                }
-                if r.head.barred.contains(&nonce) {
-                    return Step::Keep(true);
-                }
-                r.head.running.take_if(|x| x.job == job && x.nonce == nonce);
-                r.bar(nonce);
-                if r.head.keep == 0 {
-                    (r.head.touched, r.head.keep) = (wall, BAR_KEPT);
-                }
-                Step::Write(r.write(), true)
+        let now_ms = self.clock_ms();
+        let is_barred = self
+            .registers
+            .change(key, PEER_WAIT, |_, value| {
+                decide_abort(request_id, nonce, now_ms, value)
             })
             .await;
-        match got {
+        match is_barred {
             Ok(true) => {
-                budget
-                    .iter()
-                    .for_each(|n| self.settle_soon(n, format!("{key}|{job}|{nonce}"), Some(0)));
+                if let Some(budget) = budget {
+                    let entry = reservation_entry(key, request_id, nonce);
+                    self.settle_in_background(&budget, entry, Some(0));
+                }
                 PeerResponse::Ok
             }
             Ok(false) => PeerResponse::Rejected(Code::Conflict),
@@ -269,99 +194,175 @@
         }
     }
 
-    pub async fn note(&self, key: &str, epoch: u64, kv: SessionCacheState) -> PeerResponse {
-        let got = self
-            .owner
-            .change(key, PEER_WAIT, |_, v| {
-                let mut r = Record::read(v);
-                if r.head.epoch != epoch || r.head.kv == kv {
-                    return Step::Keep(r.head.epoch == epoch);
+    /// Records where the session's prefix is cached, if no turn began since `epoch`.
+    pub async fn record_cache_state(
+        &self,
+        key: &str,
+        epoch: u64,
+        cache: SessionCacheState,
+    ) -> PeerResponse {
+        let is_current = self
+            .registers
+            .change(key, PEER_WAIT, |_, value| {
+                let mut record = SessionRecord::read(value);
+                if record.head.epoch != epoch || record.head.kv == cache {
+                    return Step::Keep(record.head.epoch == epoch);
                 }
-                r.head.kv = kv.clone();
-                Step::Write(r.write(), true)
+                record.head.kv = cache.clone();
+                Step::Write(record.write(), true)
             })
             .await;
-        if got == Ok(true) {
+        if is_current == Ok(true) {
             PeerResponse::Ok
         } else {
             PeerResponse::Rejected(Code::Conflict)
         }
     }
 
-    /// The session is over: history and transfer state go, marks and kept outcomes stay.
+    /// Ends the session: history and cache state go, marks and kept outcomes stay.
     pub async fn end(&self, key: &str) -> PeerResponse {
-        let got = self
-            .owner
-            .change(key, PEER_WAIT, |_, v| {
-                let mut r = Record::read(v);
-                if r.head.running.is_some() {
-                    return Step::Keep(Err(Code::SessionBusy));
-                }
-                let kv = std::mem::take(&mut r.head.kv);
-                if v.is_empty() || (r.hist.is_empty() && kv == SessionCacheState::default()) {
-                    return Step::Keep(Ok(kv));
-                }
-                r.hist.clear();
-                r.head.epoch += 1;
-                Step::Write(r.write(), Ok(kv))
-            })
+        let ended = self
+            .registers
+            .change(key, PEER_WAIT, |_, value| decide_end(value))
             .await;
-        match got {
-            Ok(Ok(kv)) => PeerResponse::SessionEnded { cache: kv },
-            Ok(Err(c)) => PeerResponse::Rejected(c),
-            Err(ChangeError::NotDone | ChangeError::NotProposer) => {
-                PeerResponse::Rejected(Code::StoreAway)
-            }
-            Err(ChangeError::Undecided) => PeerResponse::Rejected(Code::Undecided),
+        match ended {
+            Ok(Ok(cache)) => PeerResponse::SessionEnded { cache },
+            Ok(Err(code)) => PeerResponse::Rejected(code),
+            Err(error) => rejection(error),
         }
     }
 
-    /// Whether a stored session has outlived its keeping time.
-    pub fn outlived(&self, v: &[u8]) -> bool {
-        let h = Record::read(v).head;
-        let (wall, sure) = self.members.clock();
-        h.keep > 0 && h.running.is_none() && sure && wall > h.touched + h.keep
+    /// Whether a stored session has outlived its retention. Never while a turn is in flight, or
+    /// while too few clocks are known to be sure of the time.
+    pub fn outlived(&self, value: &[u8]) -> bool {
+        let head = SessionRecord::read(value).head;
+        let (now_ms, is_sure) = self.members.clock();
+        head.keep > 0 && head.running.is_none() && is_sure && now_ms > head.touched + head.keep
     }
 
+    /// Erases a session that has outlived its retention.
     pub async fn expire(&self, key: &str) -> PeerResponse {
-        if self.owner.erase(key, |v| self.outlived(v)).await {
+        let is_erased = self.registers.erase(key, |value| self.outlived(value));
+        if is_erased.await {
             PeerResponse::Ok
         } else {
             PeerResponse::Rejected(Code::Undecided)
         }
     }
 
-    pub async fn look(&self, key: &str) -> PeerResponse {
-        let wall = self.wall();
-        let got = self
-            .owner
-            .change(key, PEER_WAIT, |_, v| {
-                let mut r = Record::read(v);
-                let late = r.head.running.as_ref().is_some_and(|x| wall > x.until);
-                let used = r.head.running.as_ref().map(|x| x.max_out).unwrap_or(0);
-                if late {
-                    r.close(Code::MayHaveRun, used);
-                }
-                let open = r
-                    .head
-                    .running
-                    .iter()
-                    .map(|x| (x.job.clone(), x.nonce))
-                    .collect();
-                let done = r
-                    .head
-                    .marks
-                    .iter()
-                    .map(|m| (m.job.clone(), m.nonce, m.used))
-                    .collect();
-                let t = PeerResponse::SessionReservations { open, done };
-                if late {
-                    Step::Write(r.write(), t)
-                } else {
-                    Step::Keep(t)
-                }
-            })
+    /// Tells the session's turns in flight and finished; one past its deadline is closed first.
+    pub async fn inspect(&self, key: &str) -> PeerResponse {
+        let now_ms = self.clock_ms();
+        let inspected = self
+            .registers
+            .change(key, PEER_WAIT, |_, value| decide_inspect(now_ms, value))
             .await;
-        got.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
+        inspected.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
+    }
+}
+
+fn decide_commit(
+    commit: &CommitTurn,
+    history: &[u8],
+    outcome: &str,
+    value: &[u8],
+) -> Step<CommitDecision> {
+    let mut record = SessionRecord::read(value);
+    if let Some(mark) = record.mark(&commit.request_id) {
+        let is_same = mark.nonce == commit.nonce && mark.code == commit.code;
+        return Step::Keep(if is_same {
+            CommitDecision::Committed { budget: None }
+        } else {
+            CommitDecision::Conflict
+        });
+    }
+    let is_in_flight = record
+        .head
+        .running
+        .as_ref()
+        .is_some_and(|run| run.nonce == commit.nonce && run.job == commit.request_id);
+    if record.head.epoch != commit.epoch || !is_in_flight {
+        return Step::Keep(CommitDecision::Conflict);
+    }
+    let closed = record.close(commit.code, commit.used_tokens);
+    record.hist.extend(history);
+    commit.rule.trim(&mut record.hist);
+    if !outcome.is_empty() {
+        let kept = &mut record.head.kept;
+        kept.push_back((commit.request_id.clone(), outcome.into()));
+        while kept.len() > OUTCOMES_KEPT {
+            kept.pop_front();
+        }
+    }
+    record.head.kv = commit.cache.clone();
+    let budget = closed.and_then(|run| run.budget);
+    Step::Write(record.write(), CommitDecision::Committed { budget })
+}
+
+/// Whether the attempt is barred; not one that finished, or whose request ran before.
+fn decide_abort(request_id: &str, nonce: u64, now_ms: u64, value: &[u8]) -> Step<bool> {
+    let mut record = SessionRecord::read(value);
+    let is_attempt_finished = record
+        .head
+        .marks
+        .iter()
+        .any(|mark| mark.job == request_id && mark.nonce == nonce);
+    if is_attempt_finished || record.ran_before(request_id) {
+        return Step::Keep(false);
+    }
+    if record.head.barred.contains(&nonce) {
+        return Step::Keep(true);
+    }
+    record
+        .head
+        .running
+        .take_if(|run| run.job == request_id && run.nonce == nonce);
+    record.bar(nonce);
+    if record.head.keep == 0 {
+        record.head.touched = now_ms;
+        record.head.keep = BAR_KEPT;
+    }
+    Step::Write(record.write(), true)
+}
+
+/// The cache state that the session had, unless a turn is in flight.
+fn decide_end(value: &[u8]) -> Step<Result<SessionCacheState, Code>> {
+    let mut record = SessionRecord::read(value);
+    if record.head.running.is_some() {
+        return Step::Keep(Err(Code::SessionBusy));
+    }
+    let cache = std::mem::take(&mut record.head.kv);
+    let has_nothing = record.hist.is_empty() && cache == SessionCacheState::default();
+    if value.is_empty() || has_nothing {
+        return Step::Keep(Ok(cache));
+    }
+    record.hist.clear();
+    record.head.epoch += 1;
+    Step::Write(record.write(), Ok(cache))
+}
+
+fn decide_inspect(now_ms: u64, value: &[u8]) -> Step<PeerResponse> {
+    let mut record = SessionRecord::read(value);
+    let lost = record
+        .head
+        .running
+        .as_ref()
+        .filter(|run| now_ms > run.until);
+    let reserved_by_lost = lost.map(|run| run.max_out);
+    if let Some(reserved) = reserved_by_lost {
+        record.close(Code::MayHaveRun, reserved);
+    }
+    let in_flight = record.head.running.iter();
+    let finished = record.head.marks.iter();
+    let answer = PeerResponse::SessionReservations {
+        open: in_flight.map(|run| (run.job.clone(), run.nonce)).collect(),
+        done: finished
+            .map(|mark| (mark.job.clone(), mark.nonce, mark.used))
+            .collect(),
+    };
+    if reserved_by_lost.is_some() {
+        Step::Write(record.write(), answer)
+    } else {
+        Step::Keep(answer)
     }
 }
--- /dev/null
+++ b/yewcross-state/tests/budget_record.rs
@@ -0,0 +1,23 @@
+//! A budget's record as it is read from its stored lines.
+
+use yewcross_state::records::BudgetRecord;
+
+#[test]
+fn a_line_that_cannot_be_read_is_passed_over() {
+    let stored = br#"{"Settled":"settled"}
+not json
+{"Open":["damaged",{"amount":"seven"}]}
+{"Open":["reserved",{"amount":3,"key":"k","job":"j","nonce":1,"at":2}]}
+{"Spent":9}
+"#;
+    let record = BudgetRecord::read(stored);
+    assert_eq!(record.recent, ["settled"]);
+    assert_eq!(record.open.keys().collect::<Vec<_>>(), ["reserved"]);
+    assert_eq!(record.spent, 9);
+}
+
+#[test]
+fn a_record_without_a_readable_sum_has_spent_nothing() {
+    let record = BudgetRecord::read(b"{\"Settled\":\"settled\"}\n{\"Spent\":\"nine\"}\n");
+    assert_eq!((record.recent.len(), record.spent), (1, 0));
+}
--- a/yewcross-control/tests/record.rs
+++ b/yewcross-state/tests/session_record.rs
@@ -3,7 +3,7 @@
 use yewcross_common::configuration::Rule;
 use yewcross_common::constants::{MARKS_KEPT, OLD_KEPT};
 use yewcross_common::error_code::Code;
-use yewcross_state::records::{Mark, Record, Run};
+use yewcross_state::records::{Mark, Run, SessionRecord};
 
 #[test]
 fn histories_are_trimmed_by_their_rule() {
@@ -30,14 +30,14 @@
         code: Code::Done,
         used: 3,
     };
-    let mut r = Record {
+    let mut r = SessionRecord {
         hist: h.clone(),
         ..Default::default()
     };
     r.head.epoch = 7;
     r.head.marks.extend([m("a"), m("b")]);
     r.head.kept.push_back(("b".into(), "x\ny".into()));
-    let b = Record::read(&r.write());
+    let b = SessionRecord::read(&r.write());
     assert_eq!((b.hist, b.head.epoch, b.head.kept), (h, 7, r.head.kept));
     assert_eq!(
         b.head
@@ -47,12 +47,12 @@
             .collect::<Vec<_>>(),
         ["a", "b"]
     );
-    assert_eq!(Record::read(&[]).head.epoch, 0);
+    assert_eq!(SessionRecord::read(&[]).head.epoch, 0);
 }
 
 #[test]
 fn every_id_of_a_session_is_remembered_and_costs_a_small_delta() {
-    let mut r = Record {
+    let mut r = SessionRecord {
         hist: b"one\ntwo\n".to_vec(),
         ..Default::default()
     };
@@ -70,7 +70,7 @@
         r.close(Code::Done, 1);
     });
     let was = r.write();
-    let mut b = Record::read(&was);
+    let mut b = SessionRecord::read(&was);
     assert_eq!(
         (b.hist.as_slice(), b.head.marks.len(), b.old.len()),
         (&b"one\ntwo\n"[..], MARKS_KEPT, 200 * 16 + 4)
@@ -85,5 +85,39 @@
     let d = yewcross_common::documents::delta::encode(&was, &b.write()).len();
     assert!(d < 2000, "{d}");
     b.old = vec![b'0'; 17 * OLD_KEPT];
-    assert!(b.full());
+    assert!(b.is_full());
+}
+
+fn record_with_marks() -> SessionRecord {
+    let mark = |request_id: &str| Mark {
+        job: request_id.into(),
+        digest: "d".into(),
+        nonce: 1,
+        code: Code::Done,
+        used: 3,
+    };
+    let mut record = SessionRecord::default();
+    record.head.epoch = 7;
+    record.head.marks.extend([mark("a"), mark("b")]);
+    record
+}
+
+#[test]
+fn a_record_whose_last_line_cannot_be_read_is_taken_for_an_empty_one() {
+    let mut stored = record_with_marks().write();
+    let last_bracket = stored.len() - 2;
+    stored[last_bracket] = b'x';
+    let read = SessionRecord::read(&stored);
+    assert_eq!((read.head.epoch, read.head.marks.len()), (0, 0));
+    assert!(read.hist.is_empty() && read.old.is_empty());
+}
+
+#[test]
+fn a_mark_that_cannot_be_read_is_passed_over() {
+    let mut stored = record_with_marks().write();
+    stored[0] = b'x';
+    let read = SessionRecord::read(&stored);
+    let marks: Vec<&str> = read.head.marks.iter().map(|m| m.job.as_str()).collect();
+    assert_eq!((read.head.epoch, marks), (7, vec!["b"]));
+    assert!(read.hist.is_empty() && read.old.is_empty());
 }
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -8,7 +8,7 @@
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::*;
 use yewcross_control::Control;
-use yewcross_state::records::{Purse, purse_key};
+use yewcross_state::records::{BudgetRecord, budget_key};
 use yewcross_testkit::proof::Lab;
 use yewcross_testkit::script::on_fleet_of;
 
@@ -46,10 +46,14 @@
         .collect()
 }
 
-async fn purse(lab: &Lab, budget: &str) -> Purse {
-    let c = lab.control(&ranked(lab, &purse_key(budget))[0]).unwrap();
-    let (_, _, v) = c.registers.read(&purse_key(budget), 2 * SEC).await.unwrap();
-    Purse::read(&v)
+async fn purse(lab: &Lab, budget: &str) -> BudgetRecord {
+    let c = lab.control(&ranked(lab, &budget_key(budget))[0]).unwrap();
+    let (_, _, v) = c
+        .registers
+        .read(&budget_key(budget), 2 * SEC)
+        .await
+        .unwrap();
+    BudgetRecord::read(&v)
 }
 
 /// A begin that could not be written was given its reservation back, and the same shot then began
@@ -68,7 +72,7 @@
                 let out = names.iter().find(|n| !copies.contains(n)).unwrap().clone();
                 let b = (0..)
                     .map(|i| format!("b{i}"))
-                    .find(|b| ranked(&lab, &purse_key(b))[0] == out)
+                    .find(|b| ranked(&lab, &budget_key(b))[0] == out)
                     .unwrap();
                 let id = |n: &String| lab.sim.find(n);
                 lab.sim
@@ -155,7 +159,7 @@
         |_| (),
         |lab| {
             Box::pin(async move {
-                let c = lab.control(&ranked(&lab, &purse_key("b"))[0]).unwrap();
+                let c = lab.control(&ranked(&lab, &budget_key("b"))[0]).unwrap();
                 let a = |i: u64, keep: u64| PeerRequest::ReserveBudget {
                     budget: "b".into(),
                     entry: format!("session/p/s{i}|j|{i}"),
--- a/yewcross-testkit/tests/doors.rs
+++ b/yewcross-testkit/tests/doors.rs
@@ -218,8 +218,8 @@
         let any: Vec<u8> = u.arbitrary()?;
         let _ = (
             Configuration::read(&any),
-            yewcross_state::records::Record::read(&any),
-            yewcross_state::records::Purse::read(&any),
+            yewcross_state::records::SessionRecord::read(&any),
+            yewcross_state::records::BudgetRecord::read(&any),
         );
         let _ = (
             yewcross_common::storage::decode_frame(&any),
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -34,7 +34,9 @@
 use yewcross_control::Control;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_control::lease::KeptGrant;
-use yewcross_state::records::{Head, Mark, Open, Purse, Record, Run, purse_key};
+use yewcross_state::records::{
+    BudgetRecord, Head, Mark, Reservation, Run, SessionRecord, budget_key,
+};
 use yewcross_state::segment_log::{self, Item};
 use yewcross_state::turn_store::Shelf;
 use yewcross_testkit::proof::Lab;
@@ -278,7 +280,7 @@
     place.as_ref().map(words).unwrap_or_default()
 }
 
-fn tell_record(record: &Record) -> String {
+fn tell_record(record: &SessionRecord) -> String {
     let head = &record.head;
     let mark = |m: &Mark| {
         format!(
@@ -319,8 +321,8 @@
     )
 }
 
-fn tell_purse(purse: &Purse) -> String {
-    let open = |(entry, o): (&String, &Open)| {
+fn tell_purse(purse: &BudgetRecord) -> String {
+    let open = |(entry, o): (&String, &Reservation)| {
         format!(
             "{entry}: {} {} {} {} {} {}",
             o.amount, o.key, o.job, o.nonce, o.at, o.keep
@@ -377,8 +379,8 @@
         "config" => tell_config(&ConfigDoc::decode(value).unwrap()),
         "layout" => tell_layout(&serde_json::from_slice(value).unwrap()),
         "list" => tell_list(&serde_json::from_slice(value).unwrap()),
-        SESSION => tell_record(&Record::read(value)),
-        _ => tell_purse(&Purse::read(value)),
+        SESSION => tell_record(&SessionRecord::read(value)),
+        _ => tell_purse(&BudgetRecord::read(value)),
     }
 }
 
@@ -389,7 +391,7 @@
         ("core", "layout".into()),
         ("core", "list".into()),
         ("store", SESSION.into()),
-        ("store", purse_key(BUDGET)),
+        ("store", budget_key(BUDGET)),
     ]
 }
 
@@ -475,7 +477,7 @@
         entry: format!("{SESSION}|job1|1"),
         used: Some(30),
     };
-    let (told, _) = ask(tier, &purse_key(BUDGET), settle, &[]).await;
+    let (told, _) = ask(tier, &budget_key(BUDGET), settle, &[]).await;
     assert!(matches!(told, PeerResponse::Ok), "{told:?}");
     let (told, _) = ask(tier, SESSION, PeerRequest::BeginTurn(begin("job2", 2)), &[]).await;
     assert!(matches!(told, PeerResponse::TurnBegun(_)), "{told:?}");
@@ -941,9 +943,9 @@
 
 /// The newest value of the budget's register.
 async fn purse_value(tier: &Tier) -> Vec<u8> {
-    owner_of(tier, &purse_key(BUDGET))
+    owner_of(tier, &budget_key(BUDGET))
         .registers
-        .newest(&purse_key(BUDGET), SEC)
+        .newest(&budget_key(BUDGET), SEC)
         .await
         .unwrap()
         .2
@@ -1002,12 +1004,12 @@
                 nonce: 9,
                 retain_ms: 1,
             };
-            let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z1", 130), &[]).await;
+            let (told, _) = ask(&t, &budget_key(BUDGET), reserve("z1", 130), &[]).await;
             assert!(
                 matches!(told, PeerResponse::Rejected(Code::BudgetSpent)),
                 "{told:?}: 30 are spent and 100 reserved"
             );
-            let (told, _) = ask(&t, &purse_key(BUDGET), reserve("z2", 131), &[]).await;
+            let (told, _) = ask(&t, &budget_key(BUDGET), reserve("z2", 131), &[]).await;
             assert!(matches!(told, PeerResponse::Ok), "{told:?}");
             let after = purse_value(&t).await;
             let lines: Vec<&[u8]> = after.split(|b| *b == b'\n').collect();
@@ -1130,19 +1132,19 @@
     head
 }
 
-fn session_record() -> Record {
+fn session_record() -> SessionRecord {
     let mut head = session_head();
     head.marks = [mark()].into();
     head.kept = [("job0".into(), "outcome".into())].into();
-    Record {
+    SessionRecord {
         hist: b"\"said\"\n".to_vec(),
         old: b"0123456789abcdef\n".to_vec(),
         head,
     }
 }
 
-fn reservation() -> Open {
-    Open {
+fn reservation() -> Reservation {
+    Reservation {
         amount: 71,
         key: "key".into(),
         job: "job".into(),
@@ -1320,7 +1322,7 @@
     assert_reads(&stored, "page", &page());
     assert_reads(&stored, "codes", &Code::iter().collect::<Vec<_>>());
     assert_eq!(
-        tell_record(&Record::read(&stored["session record"])),
+        tell_record(&SessionRecord::read(&stored["session record"])),
         tell_record(&session_record())
     );
     let read: Vec<Item> = decode(&stored["log items"]).unwrap();
@@ -1417,7 +1419,7 @@
         &[("home", Value::Null), ("replica", Value::Null)],
     );
     check_fields::<CachedPrefix>(&place("s1", 10), &[]);
-    check_fields::<Open>(&reservation(), &[("keep", json!(0))]);
+    check_fields::<Reservation>(&reservation(), &[("keep", json!(0))]);
     check_fields::<Ballot>(&Ballot { n: 1, by: 2 }, &[]);
 }
 
--- a/yewcross-testkit/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -29,7 +29,7 @@
 use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler, pack};
 use yewcross_common::turn_log::store_client::{TurnLogOperation, decode, encode};
 use yewcross_proxy::load_exchange::ServerLoad;
-use yewcross_state::records::Record;
+use yewcross_state::records::SessionRecord;
 use yewcross_state::segment_log::Item;
 use yewcross_testkit::sim::Sim;
 
@@ -356,7 +356,7 @@
 #[test]
 fn a_session_record_keeps_its_lines() {
     keeps_encoding("session_record", "Record", record().write(), |bytes| {
-        Record::read(bytes).write()
+        SessionRecord::read(bytes).write()
     });
 }
 
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -21,7 +21,7 @@
 use yewcross_proxy::balance::Load;
 use yewcross_proxy::load_exchange::{ServerKey, ServerLoad};
 use yewcross_proxy::turn::Kept;
-use yewcross_state::records::{Head, Mark, Open, Record, Run};
+use yewcross_state::records::{Head, Mark, Reservation, Run, SessionRecord};
 use yewcross_state::segment_log::Item;
 
 fn text(value: &str) -> String {
@@ -550,8 +550,8 @@
     }
 }
 
-pub fn open_entry() -> Open {
-    Open {
+pub fn open_entry() -> Reservation {
+    Reservation {
         amount: 351,
         key: text("open key"),
         job: text("open job"),
@@ -579,8 +579,9 @@
     }
 }
 
-/// A session's record with a line of each kind. `olds` is private and counted by `Record::write`.
-pub fn record() -> Record {
+/// A session's record with a line of each kind. `bare_id_lines` is private and counted by
+/// `SessionRecord::write`.
+pub fn record() -> SessionRecord {
     let running = Run {
         job: text("running job"),
         digest: text("running digest"),
@@ -606,7 +607,7 @@
     head.touched = 377;
     head.keep = 378;
     head.barred = [379].into();
-    Record {
+    SessionRecord {
         hist: b"history 1\nhistory 2\n".to_vec(),
         old: b"0123456789abcdef\n".to_vec(),
         head,
