--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -1,338 +1,210 @@
-//! A lookup's way through a front.
+//! A lookup's way through the proxy, a phase after the other: `validate`, `admit`,
+//! `register_once`, then `select_server` and `attempt` until one is answered, and `settle`.
+//! Each phase takes what the one before gives.
 
-use crate::back::{Sent, Stamp};
-use crate::judge::{self, Case, Weights};
-use crate::turn::name_ok;
-use crate::{Front, admission, server_table};
+mod attempt;
+mod once;
+mod selection;
+mod validation;
+
+pub use validation::LookupBody;
+
+use crate::admission::{self, Permit};
+use crate::back::Stamp;
+use crate::{Front, server_table};
+use attempt::{AttemptOutcome, attempt};
 use http_types::Response;
+use once::{RegisteredLookup, Registration, abort, commit, commit_in_background, register_once};
+use selection::{connect, is_still_fit, select_server};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::buffered_http::{BufferedRequest, body, refuse, reply};
-use yewcross_common::configuration::{Class, Kind, ProgramClass, Rule};
-use yewcross_common::constants::*;
+use validation::{ReceivedLookup, ValidLookup, validate};
+use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
+use yewcross_common::configuration::Class;
+use yewcross_common::constants::{BACK_SOON, HORIZON_LATE, HORIZON_MAX, HORIZON_SPARE, MS};
 use yewcross_common::error_code::Code;
-use yewcross_common::hash::content_digest;
-use yewcross_common::protocol::*;
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct LookupBody {
-    pub service: String,
-    pub method: String,
-    pub key: String,
-    pub horizon_ms: u64,
-    #[serde(default)]
-    pub job: String,
+/// Why a lookup is not answered, as its caller is told.
+struct Rejection {
+    code: Code,
+    reason: String,
+    /// s until a repetition makes sense; 0: it makes none.
+    retry_after: u64,
+}
+
+impl Rejection {
+    fn new(code: Code, retry_after: u64) -> Rejection {
+        Rejection {
+            code,
+            reason: String::new(),
+            retry_after,
+        }
+    }
+
+    fn with_reason(code: Code, reason: &str) -> Rejection {
+        Rejection {
+            code,
+            reason: reason.into(),
+            retry_after: 0,
+        }
+    }
 }
 
+/// What a server answered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Found {
+struct ServerAnswer {
     value: Value,
     stamp: Stamp,
 }
 
-pub async fn answer(f: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
-    let t0 = f.runtime.now();
-    f.counts.lookups.fetch_add(1, SeqCst);
-    let b: LookupBody = match serde_json::from_slice(&j.body) {
-        Ok(b) => b,
-        Err(e) => return refuse(Code::BadBody, &e.to_string(), 0),
+/// Answers a lookup, at its deadline at the latest.
+pub async fn answer(front: Arc<Front>, request: BufferedRequest, nonce: u64) -> Response {
+    let received_at = front.runtime.now();
+    front.counts.lookups.fetch_add(1, SeqCst);
+    let body: LookupBody = match serde_json::from_slice(&request.body) {
+        Ok(body) => body,
+        Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
     };
-    let cap = f
-        .documents
-        .config
-        .load()
-        .1
-        .services
-        .get(&b.service)
-        .map_or(HORIZON_MAX, |s| s.horizon_ms);
-    let left = b.horizon_ms.min(cap) * MS + HORIZON_LATE;
-    let (tx, rx) = async_channel::bounded(1);
-    let me = f.clone();
+    let most_ms = most_horizon_ms(&front, &body.service);
+    let wait = body.horizon_ms.min(most_ms) * MS + HORIZON_LATE;
+    let received = ReceivedLookup {
+        body,
+        received_at,
+        nonce,
+    };
+    let (answered, answer) = async_channel::bounded(1);
+    let driver = front.clone();
     // What may run only once is seen to its end, whoever still waits.
-    f.runtime.spawn(async move {
-        let _ = tx.try_send(drive(me, b, t0, nonce).await);
+    front.runtime.spawn(async move {
+        // Nobody may be waiting any more.
+        let _ = answered.try_send(drive(driver, received).await);
     });
     let late = || refuse(Code::StillRunning, "its horizon has passed", BACK_SOON);
-    f.runtime
-        .timeout(left, rx.recv())
+    front
+        .runtime
+        .timeout(wait, answer.recv())
         .await
-        .and_then(|r| r.ok())
+        .and_then(|answer| answer.ok())
         .unwrap_or_else(late)
 }
 
-async fn drive(f: Arc<Front>, b: LookupBody, t0: u64, nonce: u64) -> Response {
-    if !(HORIZON_MIN..=HORIZON_MAX).contains(&b.horizon_ms) {
-        return refuse(Code::BadHorizon, "", 0);
-    }
-    if !name_ok(&b.key) || (!b.job.is_empty() && !name_ok(&b.job)) {
-        return refuse(Code::BadField, "key or job", 0);
-    }
-    if !f.watcher.may_serve() {
-        return refuse(Code::NotServing, "", BACK_SOON);
+/// ms. The longest deadline that the service allows.
+fn most_horizon_ms(front: &Front, service: &str) -> u64 {
+    let configuration = front.documents.config.load();
+    let service = configuration.1.services.get(service);
+    service.map_or(HORIZON_MAX, |service| service.horizon_ms)
+}
+
+async fn drive(front: Arc<Front>, received: ReceivedLookup) -> Response {
+    match serve(&front, received).await {
+        Ok(value) => reply(200, &value),
+        Err(rejection) => refuse(rejection.code, &rejection.reason, rejection.retry_after),
     }
-    let conf = f.documents.config.load_full();
-    let Some(svc) = conf
-        .1
-        .services
-        .get(&b.service)
-        .filter(|s| s.kind == Kind::Lookup && s.methods.contains(&b.method))
-    else {
-        return refuse(
-            Code::UnknownService,
-            &format!("{}/{}", b.service, b.method),
-            0,
-        );
+}
+
+async fn serve(front: &Arc<Front>, received: ReceivedLookup) -> Result<Value, Rejection> {
+    let lookup = validate(front, received)?;
+    let permit = admit(front, &lookup).await?;
+    let lookup = match register_once(front, lookup).await? {
+        Registration::Dispatchable(lookup) => lookup,
+        Registration::Stored(outcome) => return Ok(outcome),
     };
-    let once = svc.once.contains(&b.method);
-    if once && b.job.is_empty() {
-        return refuse(
-            Code::BadField,
-            "job: this method may run only once and needs a job id",
-            0,
-        );
-    }
-    let horizon = t0 + b.horizon_ms.min(svc.horizon_ms) * MS;
-    let patience = t0 + (horizon - t0) * PATIENCE / 100;
+    let outcome = run(front, &lookup).await;
+    drop(permit);
+    settle(front, lookup, outcome).await
+}
+
+/// Waits until a server has a free slot.
+async fn admit<'a>(front: &'a Front, lookup: &ValidLookup) -> Result<Permit<'a>, Rejection> {
     let request = admission::Request {
-        service: &b.service,
+        service: &lookup.body.service,
         class: Class::Normal,
-        deadline: horizon,
-        patience,
+        deadline: lookup.deadline,
+        patience: lookup.queueing_deadline,
         needs: HORIZON_SPARE,
-        capacity: svc.line,
-        urgent_share: svc.urgent_share,
-    };
-    let pass = match f
-        .admission
-        .admit(&f.runtime, request, || server_table::slots(&f, &b.service))
-        .await
-    {
-        Ok(permit) => permit,
-        Err(refused) => return refuse(refused.code, "", refused.retry_after),
-    };
-    let key = format!("once/{}/{}", b.service, b.job);
-    let mut epoch = 0;
-    if once {
-        let a = PeerRequest::BeginTurn(BeginTurn {
-            key: key.clone(),
-            request_id: b.job.clone(),
-            digest: content_digest(format!("{}\n{}", b.method, b.key).as_bytes()),
-            nonce,
-            front: f.settings.name.clone(),
-            remaining_ms: horizon.saturating_sub(f.runtime.now()) / MS,
-            budget: None,
-            max_output_tokens: 0,
-            retain_ms: svc.keep_ms,
-            known_history: None,
-        });
-        match f.store_until(&key, &a, &[], 3, patience).await {
-            Some((PeerResponse::TurnBegun(g), _)) => epoch = g.epoch,
-            Some((PeerResponse::StoredOutcome { .. }, v)) => {
-                let v: Value = serde_json::from_slice(&v).unwrap_or_default();
-                return reply(200, &v);
-            }
-            Some((PeerResponse::Rejected(c), _))
-                if !matches!(c, Code::Undecided | Code::StoreAway) =>
-            {
-                return refuse(c, "", c.back());
-            }
-            _ => {
-                f.abort(&key, &b.job, nonce, None);
-                return refuse(Code::StoreAway, "", BACK_SOON);
-            }
-        }
-    }
-    let job = if b.job.is_empty() {
-        format!("{nonce:x}")
-    } else {
-        format!("{}#{nonce:x}", b.job)
+        capacity: lookup.queue_capacity,
+        urgent_share: lookup.urgent_share,
     };
-    let fam = ProgramClass::default();
-    let none = SessionCacheState::default();
-    let mut not: Vec<String> = vec![];
-    let mut lost = false;
-    let won = loop {
-        let left = horizon.saturating_sub(f.runtime.now() + HORIZON_SPARE / 2);
-        let servers = server_table::fit(&f, &b.service);
-        let case = Case {
-            key: &b.key,
-            site: &f.settings.site,
-            tokens: 0,
-            max_out: 0,
-            kv: &none,
-            left,
-        };
-        let p = judge::pick(&servers, &case, &Weights::from(&fam), &not);
-        let Some(p) = p.filter(|_| left > 0 && f.watcher.may_serve()) else {
-            let waits = f.runtime.now() < patience
-                && left > 20 * MS
-                && servers.iter().any(|s| !not.contains(&s.at.server));
-            if waits && f.watcher.may_serve() {
-                f.runtime.sleep(10 * MS).await;
-                continue;
-            }
-            break Err(if lost {
-                Code::MayHaveRun
-            } else if servers.is_empty() {
-                Code::NoServer
-            } else {
-                Code::TooLate
-            });
+    let slots = || server_table::slots(front, &lookup.body.service);
+    let admitted = front.admission.admit(&front.runtime, request, slots).await;
+    admitted.map_err(|refused| Rejection::new(refused.code, refused.retry_after))
+}
+
+/// Attempts the lookup at one server after another until one answers.
+async fn run(front: &Front, lookup: &RegisteredLookup) -> Result<Value, Code> {
+    let mut excluded: Vec<String> = vec![];
+    let mut is_outcome_unknown = false;
+    loop {
+        let selected = match select_server(front, lookup, &excluded).await {
+            Ok(selected) => selected,
+            Err(_) if is_outcome_unknown => return Err(Code::MayHaveRun),
+            Err(code) => return Err(code),
         };
-        let at = &p.server.at;
-        let Ok(k) = f
-            .pool
-            .get(&f.runtime, &b.service, &at.server, at.addr)
-            .await
-        else {
-            f.slowed(&at.server);
-            not.push(at.server.clone());
+        let name = &selected.server.server;
+        let Ok(connection) = connect(front, lookup, &selected.server).await else {
+            front.slowed(name);
+            excluded.push(name.clone());
             continue;
         };
-        if !f.watcher.may_serve()
-            || !server_table::fit(&f, &b.service)
-                .iter()
-                .any(|s| s.at == *at)
-        {
+        if !is_still_fit(front, lookup, &selected.server) {
             continue;
         }
-        let _claim = f.claim(&at.server);
-        let q = json!({"job": job, "method": b.method, "key": b.key, "horizon_ms": left / MS});
-        let t = f.runtime.now();
-        // A repeatable lookup keeps time for one more shot.
-        let wait = if once {
-            left
-        } else {
-            (left / 2).max(left.min(100 * MS))
-        };
-        let sent = k
-            .send(
-                &f.runtime,
-                "/lookup",
-                serde_json::to_vec(&q).unwrap_or_default(),
-                wait,
-            )
-            .await;
-        let got = match sent {
-            Sent::Answered(mut r) => {
-                let ok = r.status().is_success();
-                let v = f
-                    .runtime
-                    .timeout(wait, body(&mut r, BODY_MAX))
-                    .await
-                    .and_then(|v| v.ok());
-                v.and_then(|v| serde_json::from_slice::<Value>(&v).ok())
-                    .map(|v| (ok, v))
-            }
-            _ => None,
-        };
-        let stamped = |v: &Value| {
-            serde_json::from_value::<Stamp>(v["stamp"].clone()).is_ok_and(|s| k.stamped(&s, &job))
-        };
-        match got {
-            Some((true, v)) if stamped(&v) => {
-                f.admission.served_in(&b.service, f.runtime.now() - t);
-                f.calm(&at.server);
-                f.pool.put(&f.runtime, k);
-                break Ok(v);
-            }
-            Some((false, v)) if v["refused"] == json!(true) && stamped(&v) => {
-                not.push(at.server.clone())
-            }
-            _ => {
-                f.slowed(&at.server);
-                not.push(at.server.clone());
-                lost = true;
-                if once {
-                    break Err(Code::MayHaveRun);
+        match attempt(front, lookup, &selected, connection).await {
+            AttemptOutcome::Answered(answer) => return Ok(answer),
+            AttemptOutcome::Rejected => excluded.push(name.clone()),
+            AttemptOutcome::Unknown => {
+                front.slowed(name);
+                excluded.push(name.clone());
+                is_outcome_unknown = true;
+                if lookup.is_once() {
+                    return Err(Code::MayHaveRun);
                 }
             }
         }
-    };
-    drop(pass);
-    match won {
-        Ok(v) => {
-            let Ok(x) = serde_json::from_value::<Found>(v) else {
-                return refuse(Code::MayHaveRun, "", 0);
-            };
-            let stamp = Stamp {
-                job: b.job.clone(),
-                ..x.stamp
-            };
-            let v = json!({"code": Code::Done.number(), "value": x.value, "stamp": stamp});
-            if once
-                && let Some(c) =
-                    close(&f, &key, &b.job, nonce, epoch, Code::Done, horizon, &v).await
-            {
-                return refuse(c, "", c.back());
-            }
-            f.counts.found.fetch_add(1, SeqCst);
-            reply(200, &v)
+    }
+}
+
+/// Makes the outcome durable where the lookup may run only once, and tells it.
+async fn settle(
+    front: &Arc<Front>,
+    lookup: RegisteredLookup,
+    outcome: Result<Value, Code>,
+) -> Result<Value, Rejection> {
+    match outcome {
+        Ok(answer) => settle_answered(front, &lookup, answer).await,
+        // One that may run again is worth repeating.
+        Err(Code::MayHaveRun) if !lookup.is_once() => {
+            Err(Rejection::new(Code::MayHaveRun, BACK_SOON))
         }
-        // One that may run again is worth asking again.
-        Err(Code::MayHaveRun) if !once => refuse(Code::MayHaveRun, "", BACK_SOON),
         Err(Code::MayHaveRun) => {
-            let me = f.clone();
-            f.runtime.spawn(async move {
-                close(
-                    &me,
-                    &key,
-                    &b.job,
-                    nonce,
-                    epoch,
-                    Code::MayHaveRun,
-                    horizon + SEC,
-                    &Value::Null,
-                )
-                .await;
-            });
-            refuse(Code::MayHaveRun, "", 0)
+            commit_in_background(front, &lookup, Code::MayHaveRun);
+            Err(Rejection::new(Code::MayHaveRun, 0))
         }
-        Err(c) => {
-            if once {
-                f.abort(&key, &b.job, nonce, None);
-            }
-            refuse(c, "", BACK_SOON)
+        Err(code) => {
+            abort(front, &lookup);
+            Err(Rejection::new(code, BACK_SOON))
         }
     }
 }
 
-#[allow(clippy::too_many_arguments)]
-async fn close(
+async fn settle_answered(
     front: &Arc<Front>,
-    key: &str,
-    job: &str,
-    nonce: u64,
-    epoch: u64,
-    code: Code,
-    until: u64,
-    v: &Value,
-) -> Option<Code> {
-    let kept = if code == Code::Done {
-        serde_json::to_vec(v).unwrap_or_default()
-    } else {
-        vec![]
+    lookup: &RegisteredLookup,
+    answer: Value,
+) -> Result<Value, Rejection> {
+    let Ok(answer) = serde_json::from_value::<ServerAnswer>(answer) else {
+        return Err(Rejection::new(Code::MayHaveRun, 0));
     };
-    let a = PeerRequest::CommitTurn(CommitTurn {
-        key: key.into(),
-        request_id: job.into(),
-        epoch,
-        nonce,
-        code,
-        used_tokens: 0,
-        rule: Rule::All,
-        cache: SessionCacheState::default(),
-        history_bytes: 0,
-    });
-    loop {
-        match front.store(key, &a, &kept, 1).await {
-            Some((PeerResponse::Committed, _)) => return None,
-            Some((PeerResponse::Rejected(Code::MayHaveRun), _)) => return Some(Code::MayHaveRun),
-            _ if front.runtime.now() > until => return Some(Code::Undecided),
-            _ => front.runtime.sleep(30 * MS).await,
-        }
+    let stamp = Stamp {
+        job: lookup.request.body.job.clone(),
+        ..answer.stamp
+    };
+    let outcome = json!({"code": Code::Done.number(), "value": answer.value, "stamp": stamp});
+    if let Err(code) = commit(front, lookup, &outcome).await {
+        return Err(Rejection::new(code, code.back()));
     }
+    front.counts.found.fetch_add(1, SeqCst);
+    Ok(outcome)
 }
--- /dev/null
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -0,0 +1,104 @@
+//! One attempt of a lookup at a server.
+
+use super::once::RegisteredLookup;
+use super::selection::SelectedServer;
+use crate::Front;
+use crate::back::{Back, Sent, Stamp, Verified};
+use serde_json::{Value, json};
+use yewcross_common::buffered_http::body;
+use yewcross_common::constants::{BODY_MAX, MS};
+
+/// us. An attempt is given this much of the time left, even where half of it is less.
+const LEAST_ATTEMPT: u64 = 100 * MS;
+
+/// What came of an attempt.
+pub(super) enum AttemptOutcome {
+    /// The server's answer, stamped for this very lookup.
+    Answered(Value),
+    /// The server says itself that it did not run.
+    Rejected,
+    /// It may have run.
+    Unknown,
+}
+
+/// A server's answer, of either kind.
+struct Reply {
+    is_success: bool,
+    value: Value,
+}
+
+/// Sends the lookup to the selected server.
+pub(super) async fn attempt(
+    front: &Front,
+    lookup: &RegisteredLookup,
+    selected: &SelectedServer,
+    connection: Back<Verified>,
+) -> AttemptOutcome {
+    let server = &selected.server.server;
+    let _claim = front.claim(server);
+    let job = lookup.server_job();
+    let started = front.runtime.now();
+    let wait = attempt_timeout(lookup, selected.time_left);
+    let reply = exchange(front, lookup, selected, &connection, wait).await;
+    let is_stamped = |value: &Value| {
+        serde_json::from_value::<Stamp>(value["stamp"].clone())
+            .is_ok_and(|stamp| connection.stamped(&stamp, &job))
+    };
+    match reply {
+        Some(reply) if reply.is_success && is_stamped(&reply.value) => {
+            let elapsed = front.runtime.now() - started;
+            front
+                .admission
+                .served_in(&lookup.request.body.service, elapsed);
+            front.calm(server);
+            front.pool.put(&front.runtime, connection);
+            AttemptOutcome::Answered(reply.value)
+        }
+        Some(reply)
+            if !reply.is_success
+                && reply.value["refused"] == json!(true)
+                && is_stamped(&reply.value) =>
+        {
+            AttemptOutcome::Rejected
+        }
+        _ => AttemptOutcome::Unknown,
+    }
+}
+
+/// us. A lookup that may run again keeps time for one more attempt.
+fn attempt_timeout(lookup: &RegisteredLookup, time_left: u64) -> u64 {
+    if lookup.is_once() {
+        time_left
+    } else {
+        (time_left / 2).max(time_left.min(LEAST_ATTEMPT))
+    }
+}
+
+/// None if no answer came in time, or none that can be read.
+async fn exchange(
+    front: &Front,
+    lookup: &RegisteredLookup,
+    selected: &SelectedServer,
+    connection: &Back<Verified>,
+    wait: u64,
+) -> Option<Reply> {
+    let request = json!({
+        "job": lookup.server_job(),
+        "method": lookup.request.body.method,
+        "key": lookup.request.body.key,
+        "horizon_ms": selected.time_left / MS,
+    });
+    let request = serde_json::to_vec(&request).unwrap_or_default();
+    let sent = connection.send(&front.runtime, "/lookup", request, wait);
+    let Sent::Answered(mut response) = sent.await else {
+        return None;
+    };
+    let is_success = response.status().is_success();
+    let bytes = front
+        .runtime
+        .timeout(wait, body(&mut response, BODY_MAX))
+        .await?
+        .ok()?;
+    let value = serde_json::from_slice(&bytes).ok()?;
+    Some(Reply { is_success, value })
+}
--- /dev/null
+++ b/yewcross-proxy/src/lookup/selection.rs
@@ -0,0 +1,92 @@
+//! Which server a lookup goes to.
+
+use super::once::RegisteredLookup;
+use crate::back::{Back, Verified};
+use crate::judge::{self, Case, Weights};
+use crate::{Front, server_table};
+use std::io;
+use yewcross_common::configuration::ProgramClass;
+use yewcross_common::constants::{HORIZON_SPARE, MS};
+use yewcross_common::error_code::Code;
+use yewcross_common::protocol::{ListedServer, SessionCacheState};
+
+/// us. How often a lookup looks for a server again while none has room.
+const SELECTION_INTERVAL: u64 = 10 * MS;
+/// us. With less time left than this, no server is waited for.
+const LEAST_WAIT_LEFT: u64 = 20 * MS;
+
+/// A server with room, and the time that is left for it.
+pub(super) struct SelectedServer {
+    pub(super) server: ListedServer,
+    /// us.
+    pub(super) time_left: u64,
+}
+
+/// Selects the best server that is not excluded; waits for one with room while the lookup may
+/// queue.
+pub(super) async fn select_server(
+    front: &Front,
+    lookup: &RegisteredLookup,
+    excluded: &[String],
+) -> Result<SelectedServer, Code> {
+    let request = &lookup.request;
+    let weights = Weights::from(&ProgramClass::default());
+    let no_cache = SessionCacheState::default();
+    loop {
+        let end = front.runtime.now() + HORIZON_SPARE / 2;
+        let time_left = request.deadline.saturating_sub(end);
+        let servers = server_table::fit(front, &request.body.service);
+        let case = Case {
+            key: &request.body.key,
+            site: &front.settings.site,
+            tokens: 0,
+            max_out: 0,
+            kv: &no_cache,
+            left: time_left,
+        };
+        let pick = judge::pick(&servers, &case, &weights, excluded);
+        if let Some(pick) = pick.filter(|_| time_left > 0 && front.watcher.may_serve()) {
+            return Ok(SelectedServer {
+                server: pick.server.at,
+                time_left,
+            });
+        }
+        let may_wait = front.runtime.now() < request.queueing_deadline
+            && time_left > LEAST_WAIT_LEFT
+            && servers.iter().any(|s| !excluded.contains(&s.at.server));
+        if !may_wait || !front.watcher.may_serve() {
+            return Err(if servers.is_empty() {
+                Code::NoServer
+            } else {
+                Code::TooLate
+            });
+        }
+        front.runtime.sleep(SELECTION_INTERVAL).await;
+    }
+}
+
+/// A verified connection to the server.
+pub(super) async fn connect(
+    front: &Front,
+    lookup: &RegisteredLookup,
+    server: &ListedServer,
+) -> io::Result<Back<Verified>> {
+    let service = &lookup.request.body.service;
+    front
+        .pool
+        .get(&front.runtime, service, &server.server, server.addr)
+        .await
+}
+
+/// Whether the lookup may still go there. Checked last before it is sent: what was decided before
+/// a freeze is decided again.
+pub(super) fn is_still_fit(
+    front: &Front,
+    lookup: &RegisteredLookup,
+    server: &ListedServer,
+) -> bool {
+    front.watcher.may_serve()
+        && server_table::fit(front, &lookup.request.body.service)
+            .iter()
+            .any(|candidate| candidate.at == *server)
+}
--- /dev/null
+++ b/yewcross-proxy/src/lookup/validation.rs
@@ -0,0 +1,93 @@
+//! The first phase of a lookup: checks that need no other node.
+
+use super::Rejection;
+use crate::Front;
+use crate::turn::name_ok;
+use serde::{Deserialize, Serialize};
+use yewcross_common::configuration::Kind;
+use yewcross_common::constants::{BACK_SOON, HORIZON_MAX, HORIZON_MIN, MS, PATIENCE};
+use yewcross_common::error_code::Code;
+
+/// The body of a lookup request.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct LookupBody {
+    pub service: String,
+    pub method: String,
+    pub key: String,
+    /// ms within which the caller wants its answer.
+    pub horizon_ms: u64,
+    /// The caller's id of the request; empty where the method may run again.
+    #[serde(default)]
+    pub job: String,
+}
+
+/// A lookup as it arrived.
+pub(super) struct ReceivedLookup {
+    pub(super) body: LookupBody,
+    /// us of the node's clock.
+    pub(super) received_at: u64,
+    /// Identifies this attempt among those of the same request.
+    pub(super) nonce: u64,
+}
+
+/// A lookup that the configuration allows. Times are in us of the node's clock.
+pub(super) struct ValidLookup {
+    pub(super) body: LookupBody,
+    pub(super) nonce: u64,
+    /// The method may run only once.
+    pub(super) is_once: bool,
+    /// When its answer is due.
+    pub(super) deadline: u64,
+    /// When it must be told, if it is not to be served.
+    pub(super) queueing_deadline: u64,
+    /// How many requests of the service may wait.
+    pub(super) queue_capacity: u64,
+    /// Percent of the capacity that only urgent requests may use.
+    pub(super) urgent_share: u64,
+    /// ms that the outcome of a once-only lookup is kept.
+    pub(super) retain_ms: u64,
+}
+
+pub(super) fn validate(front: &Front, received: ReceivedLookup) -> Result<ValidLookup, Rejection> {
+    let body = received.body;
+    check_body(&body)?;
+    if !front.watcher.may_serve() {
+        return Err(Rejection::new(Code::NotServing, BACK_SOON));
+    }
+    let configuration = front.documents.config.load();
+    let service = configuration.1.services.get(&body.service);
+    let has_method = service
+        .filter(|service| service.kind == Kind::Lookup && service.methods.contains(&body.method));
+    let Some(service) = has_method else {
+        let reason = format!("{}/{}", body.service, body.method);
+        return Err(Rejection::with_reason(Code::UnknownService, &reason));
+    };
+    let is_once = service.once.contains(&body.method);
+    if is_once && body.job.is_empty() {
+        let reason = "job: this method may run only once and needs a job id";
+        return Err(Rejection::with_reason(Code::BadField, reason));
+    }
+    let horizon = body.horizon_ms.min(service.horizon_ms) * MS;
+    Ok(ValidLookup {
+        nonce: received.nonce,
+        is_once,
+        deadline: received.received_at + horizon,
+        queueing_deadline: received.received_at + horizon * PATIENCE / 100,
+        queue_capacity: service.line,
+        urgent_share: service.urgent_share,
+        retain_ms: service.keep_ms,
+        body,
+    })
+}
+
+fn check_body(body: &LookupBody) -> Result<(), Rejection> {
+    if !(HORIZON_MIN..=HORIZON_MAX).contains(&body.horizon_ms) {
+        return Err(Rejection::new(Code::BadHorizon, 0));
+    }
+    let is_job_valid = body.job.is_empty() || name_ok(&body.job);
+    if !name_ok(&body.key) || !is_job_valid {
+        return Err(Rejection::with_reason(Code::BadField, "key or job"));
+    }
+    Ok(())
+}
