--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -43,7 +43,7 @@
 use yewcross_common::storage::DurableStorage;
 use yewcross_common::transport::PeerClient;
 use yewcross_state::records::RecordStore;
-use yewcross_state::turn_store::Engine;
+use yewcross_state::turn_store::TurnStore;
 
 /// us. A stopping node stays this long after it has announced that it leaves, so that operators'
 /// requests already on their way are answered.
@@ -65,7 +65,7 @@
     /// Records of sessions and budgets.
     pub store: Arc<RecordStore>,
     /// The turn log.
-    pub chain: Arc<Engine>,
+    pub chain: Arc<TurnStore>,
     pub duties: singleton_tasks::SingletonTasks,
     /// Newest version of the configuration known to be in force.
     pub in_force_version: AtomicU64,
--- a/yewcross-control/src/start.rs
+++ b/yewcross-control/src/start.rs
@@ -25,7 +25,7 @@
 use yewcross_common::storage::DurableStorage;
 use yewcross_common::transport::PeerClient;
 use yewcross_state::records::RecordStore;
-use yewcross_state::turn_store::Engine;
+use yewcross_state::turn_store::TurnStore;
 
 /// Why a node does not start.
 #[derive(Debug, Snafu)]
@@ -126,7 +126,7 @@
     )
     .await
     .context(DiskSnafu)?;
-    let chain = Engine::start(runtime, &settings, &members, &documents, &storage)
+    let chain = TurnStore::start(runtime, &settings, &members, &documents, &storage)
         .await
         .context(DiskSnafu)?;
     let control = Arc::new(Control {
--- a/yewcross-state/src/restore.rs
+++ b/yewcross-state/src/restore.rs
@@ -1,7 +1,7 @@
 //! Reads a store's log again after a write of unknown outcome.
 
 use crate::segment_log::{Item, Log, path};
-use crate::turn_store::{Engine, Shelf};
+use crate::turn_store::{TurnIndex, TurnStore};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
@@ -10,28 +10,28 @@
 use yewcross_common::storage::encode_frame;
 use yewcross_common::turn_log::store_client::encode;
 
-impl Engine {
+impl TurnStore {
     /// Replaces what is in memory, which may be ahead of the disk, by what the log holds. Only
     /// called while the disk counts as failed, so that nothing is answered meanwhile. Where bytes
     /// that were answered for are gone, the store is in doubt, as after a start that finds damage.
     pub async fn restore(self: &Arc<Self>) -> io::Result<()> {
         while self.log.lock().unwrap().is_busy() {
-            self.w.sleep(DISK_RETRY / 10).await;
+            self.runtime.sleep(DISK_RETRY / 10).await;
         }
         let answered = self.log.lock().unwrap().sizes.clone();
-        let (shelf, found) = Shelf::read(&self.w).await?;
+        let (shelf, found) = TurnIndex::load(&self.runtime).await?;
         let is_shorter =
             |(segment, bytes): (&u64, &u64)| found.sizes.get(segment).is_none_or(|now| now < bytes);
         let damaged = !found.hurt.is_empty() || answered.iter().any(is_shorter);
         let mut sizes = found.sizes;
         let segment = sizes.keys().last().map_or(1, |newest| newest + 1);
         self.mark_torn(segment, &found.torn, &mut sizes).await?;
-        *self.st.lock().unwrap() = shelf;
+        *self.index.lock().unwrap() = shelf;
         *self.log.lock().unwrap() = Log::new(segment, sizes);
         if damaged {
-            self.w
+            self.runtime
                 .log("the log lost what was answered for; asking the other disks");
-            self.doubt.store(true, SeqCst);
+            self.recovery_pending.store(true, SeqCst);
         }
         Ok(())
     }
@@ -52,7 +52,7 @@
             .collect();
         let body = encode_frame(&encode(&marks));
         let bytes = body.len() as u64;
-        self.w.append(&path(segment), body).await?;
+        self.runtime.append(&path(segment), body).await?;
         sizes.insert(segment, bytes);
         Ok(())
     }
--- a/yewcross-state/src/segment_log.rs
+++ b/yewcross-state/src/segment_log.rs
@@ -1,7 +1,7 @@
 //! A store's log: batches sealed and appended to segments, one sync a batch, whatever the number
 //! that waited for it.
 
-use crate::turn_store::Engine;
+use crate::turn_store::TurnStore;
 use async_channel::Receiver;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -148,12 +148,12 @@
     Ok(f)
 }
 
-impl Engine {
+impl TurnStore {
     /// Queues items for the disk; `true` comes once they are safe. Called under the shelf's lock,
     /// where order matters.
-    pub fn keep(self: &Arc<Self>, items: Vec<Item>) -> Receiver<bool> {
+    pub fn append(self: &Arc<Self>, items: Vec<Item>) -> Receiver<bool> {
         let (tx, rx) = async_channel::bounded(1);
-        if self.vault.failed.load(SeqCst) {
+        if self.storage.failed.load(SeqCst) {
             return rx;
         }
         let mut g = self.log.lock().unwrap();
@@ -161,20 +161,20 @@
         g.line.push((items, tx));
         if !std::mem::replace(&mut g.busy, true) {
             let me = self.clone();
-            self.w.spawn(async move { me.write().await });
+            self.runtime.spawn(async move { me.write().await });
         }
         rx
     }
 
     /// Whether the disk has fallen too far behind to take more.
-    pub fn clogged(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         let g = self.log.lock().unwrap();
-        g.waiting > CHAIN_QUEUE || g.since.is_some_and(|t| self.w.now() > t + SYNC_WAIT)
+        g.waiting > CHAIN_QUEUE || g.since.is_some_and(|t| self.runtime.now() > t + SYNC_WAIT)
     }
 
     /// Whether it is safe on the disk, as far as that is known within the time a disk has.
-    pub async fn safe(&self, rx: Receiver<bool>) -> bool {
-        self.w.timeout(SYNC_WAIT, rx.recv()).await == Some(Ok(true))
+    pub async fn is_durable(&self, rx: Receiver<bool>) -> bool {
+        self.runtime.timeout(SYNC_WAIT, rx.recv()).await == Some(Ok(true))
     }
 
     async fn write(self: Arc<Self>) {
@@ -200,26 +200,26 @@
                 let n = b.len() as u64;
                 let new = {
                     let mut g = self.log.lock().unwrap();
-                    g.since = Some(self.w.now());
+                    g.since = Some(self.runtime.now());
                     !g.sizes.contains_key(&seg)
                 };
-                let r = self.w.append(&path(seg), b).await;
+                let r = self.runtime.append(&path(seg), b).await;
                 self.log.lock().unwrap().since = None;
-                self.vault.syncs.fetch_add(1 + new as u64, Relaxed);
-                self.vault.bytes.fetch_add(n, Relaxed);
-                self.counts.batches.fetch_add(1, Relaxed);
-                self.counts.items.fetch_add(items.len() as u64, Relaxed);
+                self.storage.syncs.fetch_add(1 + new as u64, Relaxed);
+                self.storage.bytes.fetch_add(n, Relaxed);
+                self.counters.batches.fetch_add(1, Relaxed);
+                self.counters.records.fetch_add(items.len() as u64, Relaxed);
                 r.map(|()| {
                     *self.log.lock().unwrap().sizes.entry(seg).or_default() += n;
                 })
             };
             if let Err(e) = written {
-                self.vault.mark_failed(&e);
+                self.storage.mark_failed(&e);
                 self.log.lock().unwrap().abandon();
                 return;
             }
             {
-                let mut st = self.st.lock().unwrap();
+                let mut st = self.index.lock().unwrap();
                 line.iter()
                     .flat_map(|x| &x.0)
                     .for_each(|i| st.apply(i, seg));
@@ -233,7 +233,7 @@
     /// than what lives.
     pub async fn compact(self: &Arc<Self>) {
         loop {
-            let live = self.st.lock().unwrap().bytes as u64;
+            let live = self.index.lock().unwrap().turn_bytes as u64;
             let (old, cur, total) = {
                 let g = self.log.lock().unwrap();
                 (
@@ -246,11 +246,11 @@
                 return;
             };
             let items = {
-                let mut g = self.st.lock().unwrap();
-                if total <= live + live / 2 + SEGMENT_SLACK && g.needs(s) {
+                let mut g = self.index.lock().unwrap();
+                if total <= live + live / 2 + SEGMENT_SLACK && g.needs_segment(s) {
                     return;
                 }
-                g.in_segment(s)
+                g.take_segment(s)
             };
             let mut part = vec![];
             let mut size = 0;
@@ -260,20 +260,20 @@
                 size += x.bytes();
                 part.push(x);
                 if size >= CHAIN_PUSH || i + 1 == n {
-                    ok &= self.keep(std::mem::take(&mut part)).recv().await == Ok(true);
+                    ok &= self.append(std::mem::take(&mut part)).recv().await == Ok(true);
                     size = 0;
                 }
             }
             // Segments go for good in their order: the mark of a torn end stands in a later one
             // than the end itself.
-            if !ok || self.w.remove(&path(s)).await.is_err() {
+            if !ok || self.runtime.remove(&path(s)).await.is_err() {
                 return;
             }
-            if let Err(e) = self.w.sync(DIR).await {
-                return self.vault.mark_failed(&e);
+            if let Err(e) = self.runtime.sync(DIR).await {
+                return self.storage.mark_failed(&e);
             }
             self.log.lock().unwrap().sizes.remove(&s);
-            self.counts.compacted.fetch_add(1, Relaxed);
+            self.counters.compacted.fetch_add(1, Relaxed);
         }
     }
 }
--- a/yewcross-state/src/sweep.rs
+++ b/yewcross-state/src/sweep.rs
@@ -1,6 +1,6 @@
 //! How a change of disks is made good: every store brings what it holds to where it is needed.
 
-use crate::turn_store::Engine;
+use crate::turn_store::TurnStore;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
@@ -13,42 +13,45 @@
 /// back.
 const PUSH_WAIT: u64 = PEER_WAIT + SYNC_WAIT;
 
-impl Engine {
+impl TurnStore {
     /// Whether all that this disk held when it adopted the layout is where that layout needs it,
     /// and how much is not yet. A disk without a seat has nothing to bring.
     pub fn swept(&self, layout: u64) -> (bool, u64) {
-        let seated = self.line.replicas().has(&self.me);
+        let seated = self.stores.replicas().has(&self.own_disk);
         (
-            !seated || self.swept.load(SeqCst) >= layout,
-            self.left.load(SeqCst),
+            !seated || self.swept_layout.load(SeqCst) >= layout,
+            self.under_replicated.load(SeqCst),
         )
     }
 
     pub(crate) async fn watch(self: Arc<Self>) {
         loop {
-            let moved = self.line.documents.changed.listen();
-            let seats = self.line.replicas();
-            let seated = seats.has(&self.me);
-            if seated && self.doubt.load(SeqCst) {
+            let moved = self.stores.documents.changed.listen();
+            let seats = self.stores.replicas();
+            let seated = seats.has(&self.own_disk);
+            if seated && self.recovery_pending.load(SeqCst) {
                 self.ask_mend(&seats).await;
             }
-            if seated && self.swept.load(SeqCst) < seats.since {
-                let begun = self.w.now();
+            if seated && self.swept_layout.load(SeqCst) < seats.since {
+                let begun = self.runtime.now();
                 let done = seats.previous.is_empty() || self.sweep(&seats).await;
-                if done && self.line.replicas().since == seats.since {
-                    self.swept.fetch_max(seats.since, SeqCst);
+                if done && self.stores.replicas().since == seats.since {
+                    self.swept_layout.fetch_max(seats.since, SeqCst);
                     if !seats.previous.is_empty() {
-                        self.w.log(&format!(
+                        self.runtime.log(&format!(
                             "swept for layout {} in {} ms",
                             seats.since,
-                            (self.w.now() - begun) / MS
+                            (self.runtime.now() - begun) / MS
                         ));
                     }
                     continue;
                 }
             }
-            if seated && (self.swept.load(SeqCst) < seats.since || self.doubt.load(SeqCst)) {
-                self.w.timeout(2 * CHAIN_AGAIN, moved).await;
+            if seated
+                && (self.swept_layout.load(SeqCst) < seats.since
+                    || self.recovery_pending.load(SeqCst))
+            {
+                self.runtime.timeout(2 * CHAIN_AGAIN, moved).await;
             } else {
                 moved.await;
             }
@@ -56,9 +59,11 @@
     }
 
     /// Another disk was damaged: it is brought up to date.
-    pub(crate) async fn mend(self: &Arc<Self>) -> TurnLogResponse {
-        let seats = self.line.replicas();
-        if self.doubt.load(SeqCst) || !self.sweep_to(&seats, &seats.current.clone()).await {
+    pub(crate) async fn repair_replicas(self: &Arc<Self>) -> TurnLogResponse {
+        let seats = self.stores.replicas();
+        if self.recovery_pending.load(SeqCst)
+            || !self.sweep_to(&seats, &seats.current.clone()).await
+        {
             TurnLogResponse::Unavailable
         } else {
             TurnLogResponse::Ok
@@ -66,13 +71,17 @@
     }
 
     async fn ask_mend(self: &Arc<Self>, seats: &StoreReplicas) {
-        let order: Vec<String> = seats.all().into_iter().filter(|d| *d != self.me).collect();
-        let until = self.w.now() + 10 * SEC;
+        let order: Vec<String> = seats
+            .all()
+            .into_iter()
+            .filter(|d| *d != self.own_disk)
+            .collect();
+        let until = self.runtime.now() + 10 * SEC;
         let (me, lay) = (self.clone(), seats.layout_version);
         let ask = move |d: &str| -> BoxFuture<'static, TurnLogResponse> {
             let (me, d) = (me.clone(), d.to_string());
             Box::pin(async move {
-                me.line
+                me.stores
                     .request(&d, lay, &TurnLogOperation::Repair, 10 * SEC)
                     .await
                     .unwrap_or(TurnLogResponse::Unavailable)
@@ -87,12 +96,12 @@
             }
         };
         let g = self
-            .line
+            .stores
             .gather(order, true, lay, until, ask, enough, took)
             .await;
         if g.enough {
-            self.doubt.store(false, SeqCst);
-            self.w.log("what was damaged is whole again");
+            self.recovery_pending.store(false, SeqCst);
+            self.runtime.log("what was damaged is whole again");
         }
     }
 
@@ -105,7 +114,7 @@
     ) -> bool {
         let n = rows.len() + ledgers.len();
         let ok = self
-            .line
+            .stores
             .request(
                 d,
                 lay,
@@ -114,26 +123,26 @@
             )
             .await
             == Ok(TurnLogResponse::Ok);
-        self.counts
-            .pushed
+        self.counters
+            .transferred
             .fetch_add(if ok { n as u64 } else { 0 }, Relaxed);
         ok
     }
 
     async fn push_ledgers(self: &Arc<Self>, d: &str) -> bool {
         let all: Vec<LedgerRecord> = self
-            .st
+            .index
             .lock()
             .unwrap()
             .ledgers
             .iter()
-            .map(|(p, l)| l.row(p))
+            .map(|(p, l)| l.to_record(p))
             .collect();
         for part in all.chunks(1024) {
             if !self
                 .push(
                     d,
-                    self.line.replicas().layout_version,
+                    self.stores.replicas().layout_version,
                     vec![],
                     part.to_vec(),
                 )
@@ -156,7 +165,7 @@
                 push
             })
             .collect();
-        let (n, rx) = (pushes.len(), self.w.spawn_all(pushes));
+        let (n, rx) = (pushes.len(), self.runtime.spawn_all(pushes));
         let mut reached = 0;
         for _ in 0..n {
             reached += (rx.recv().await == Ok(true)) as usize;
@@ -168,11 +177,15 @@
     /// every disk of the incoming set, of which as many may then be missed as may be lost: what is
     /// read meets the rest.
     async fn sweep_ledgers(self: &Arc<Self>, seats: &StoreReplicas, to: &[String]) -> bool {
-        let lacking: Vec<&String> = to.iter().filter(|d| **d != self.me).collect();
+        let lacking: Vec<&String> = to.iter().filter(|d| **d != self.own_disk).collect();
         if self.push_ledgers_to(&lacking).await == lacking.len() {
             return true;
         }
-        let others: Vec<&String> = seats.current.iter().filter(|d| **d != self.me).collect();
+        let others: Vec<&String> = seats
+            .current
+            .iter()
+            .filter(|d| **d != self.own_disk)
+            .collect();
         let mine = seats.current.len() - others.len();
         self.push_ledgers_to(&others).await + mine + seats.may_miss() >= seats.current.len()
     }
@@ -188,7 +201,7 @@
         let others: Vec<String> = seats
             .current
             .iter()
-            .filter(|d| **d != self.me && self.line.is_responsive(d))
+            .filter(|d| **d != self.own_disk && self.stores.is_responsive(d))
             .cloned()
             .collect();
         let n = others.len();
@@ -198,14 +211,14 @@
                 let (me, ids, lay) = (
                     self.clone(),
                     ids.to_vec(),
-                    self.line.replicas().layout_version,
+                    self.stores.replicas().layout_version,
                 );
                 let f: BoxFuture<'static, _> = Box::pin(async move {
                     let mut has = BTreeSet::new();
-                    let asked = me.w.now();
+                    let asked = me.runtime.now();
                     for part in ids.chunks(CHAIN_IDS) {
                         let Ok(TurnLogResponse::Contains(v)) = me
-                            .line
+                            .stores
                             .request(
                                 &d,
                                 lay,
@@ -214,8 +227,8 @@
                             )
                             .await
                         else {
-                            me.line.has_not_answered_since(&d, asked);
-                            me.line.mark_slow(&d);
+                            me.stores.has_not_answered_since(&d, asked);
+                            me.stores.mark_slow(&d);
                             break;
                         };
                         has.extend(part.iter().zip(v).filter(|x| x.1).map(|x| *x.0));
@@ -225,7 +238,7 @@
                 f
             })
             .collect();
-        let rx = self.w.spawn_all(fs);
+        let rx = self.runtime.spawn_all(fs);
         let mut m = HashMap::new();
         for _ in 0..n {
             m.extend(rx.recv().await);
@@ -251,30 +264,30 @@
     async fn sweep_to(self: &Arc<Self>, seats: &StoreReplicas, to: &[String]) -> bool {
         // Whatever was checked against an older layout is on the disk after this.
         let rx = {
-            let _g = self.st.lock().unwrap();
-            self.keep(vec![])
+            let _g = self.index.lock().unwrap();
+            self.append(vec![])
         };
         if rx.recv().await != Ok(true) || !self.sweep_ledgers(seats, to).await {
             return false;
         }
         for pass in 0.. {
-            if self.line.replicas().since != seats.since
-                || self.vault.failed.load(SeqCst)
+            if self.stores.replicas().since != seats.since
+                || self.storage.failed.load(SeqCst)
                 || pass > 50
             {
                 return false;
             }
-            let now = self.line.members.clock();
+            let now = self.stores.members.clock();
             let ids: Vec<u128> = {
-                let g = self.st.lock().unwrap();
+                let g = self.index.lock().unwrap();
                 g.turns
                     .iter()
-                    .filter(|(_, k)| !now.1 || k.until >= now.0)
+                    .filter(|(_, k)| !now.1 || k.retained_until_ms >= now.0)
                     .map(|x| *x.0)
                     .collect()
             };
             let has = self.holders(seats, &ids).await;
-            let mine = seats.current.contains(&self.me);
+            let mine = seats.current.contains(&self.own_disk);
             let short: Vec<u128> = ids
                 .into_iter()
                 .filter(|i| {
@@ -282,7 +295,7 @@
                         < seats.replica_count()
                 })
                 .collect();
-            self.left.store(short.len() as u64, SeqCst);
+            self.under_replicated.store(short.len() as u64, SeqCst);
             if short.is_empty() {
                 return true;
             }
@@ -297,13 +310,13 @@
                     f
                 })
                 .collect::<Vec<_>>();
-            let (n, rx) = (fs.len(), self.w.spawn_all(fs));
+            let (n, rx) = (fs.len(), self.runtime.spawn_all(fs));
             let mut ok = true;
             for _ in 0..n {
                 ok &= rx.recv().await == Ok(true);
             }
             if !some || !ok {
-                self.w.sleep(CHAIN_AGAIN * 2).await;
+                self.runtime.sleep(CHAIN_AGAIN * 2).await;
             }
         }
         false
@@ -319,7 +332,7 @@
                 && !self
                     .push(
                         d,
-                        self.line.replicas().layout_version,
+                        self.stores.replicas().layout_version,
                         std::mem::take(&mut part),
                         vec![],
                     )
@@ -344,7 +357,7 @@
         has: &HashMap<String, BTreeSet<u128>>,
         pass: usize,
     ) -> BTreeMap<String, Vec<StoredTurn>> {
-        let g = self.st.lock().unwrap();
+        let g = self.index.lock().unwrap();
         let mut jobs: BTreeMap<String, (Vec<StoredTurn>, BTreeSet<u128>)> = BTreeMap::new();
         for i in short {
             let Some(k) = g.turns.get(i) else { continue };
@@ -352,14 +365,16 @@
                 .iter()
                 .filter(|x| x.1.contains(i))
                 .map(|x| x.0.as_str())
-                .chain([self.me.as_str()])
+                .chain([self.own_disk.as_str()])
                 .collect();
-            let key = if k.row.program.is_empty() {
-                &k.row.turn.id
+            let key = if k.stored.program.is_empty() {
+                &k.stored.turn.id
             } else {
-                &k.row.program
+                &k.stored.program
             };
-            if pass < 3 && ranked(key, holds.iter().cloned()).first() != Some(&self.me.as_str()) {
+            if pass < 3
+                && ranked(key, holds.iter().cloned()).first() != Some(&self.own_disk.as_str())
+            {
                 continue;
             }
             let want = seats.replica_count().saturating_sub(
@@ -369,14 +384,14 @@
                     .count(),
             );
             let mut to: Vec<&str> = ranked(key, seats.current.iter().map(|d| d.as_str()));
-            to.retain(|d| !holds.contains(d) && *d != self.me && self.line.is_alive(d));
+            to.retain(|d| !holds.contains(d) && *d != self.own_disk && self.stores.is_alive(d));
             to.sort_by_key(|d| !fresh.iter().any(|x| x == d));
             for d in to.into_iter().take(want) {
                 let (rows, sent) = jobs.entry(d.into()).or_default();
                 let there = has.get(d);
                 let mut chain: Vec<StoredTurn> = g
-                    .walk(&k.row.turn.id)
-                    .0
+                    .history(&k.stored.turn.id)
+                    .turns
                     .into_iter()
                     .filter(|r| {
                         let h = yewcross_common::hash::key_128(r.turn.id.as_bytes());
--- /dev/null
+++ b/yewcross-state/src/turn_store/open_turn.rs
@@ -0,0 +1,172 @@
+//! Opens a turn: reserves its tokens as the owner of its program's ledger, and collects the history
+//! that it continues.
+
+use crate::turn_store::reservation::Reservation;
+use crate::turn_store::{TurnStore, owner_of};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::{Relaxed, SeqCst};
+use yewcross_common::turn_log::store_client::{
+    GatherStep, StoredTurn, TurnLogOperation, TurnLogResponse, epoch_owner_id,
+};
+
+/// A request to open a turn.
+pub(super) struct OpenTurnRequest {
+    pub(super) program: String,
+    pub(super) turn: String,
+    /// Tokens to reserve.
+    pub(super) max_output_tokens: u64,
+    /// Nothing is reserved without one.
+    pub(super) budget: Option<u64>,
+    /// The turn whose history is asked for; empty for none.
+    pub(super) parent: String,
+    /// Take the ledger over even from a live owner.
+    pub(super) take_over: bool,
+    pub(super) deadline_us: u64,
+}
+
+/// What other stores returned of a history.
+enum Lookup {
+    /// Newest first, not empty.
+    Found(Vec<StoredTurn>),
+    /// As many disks as to meet every write say that they do not have it.
+    NotStored,
+    NewerLayout(u64),
+    Unavailable,
+}
+
+impl TurnStore {
+    pub(super) async fn open_turn(self: &Arc<Self>, request: OpenTurnRequest) -> TurnLogResponse {
+        let is_budgeted = request.budget.is_some();
+        if is_budgeted && let Some(disk) = self.live_owner(&request.program, request.take_over) {
+            return TurnLogResponse::Owner(disk);
+        }
+        let collect = async {
+            if request.parent.is_empty() {
+                Ok(vec![])
+            } else {
+                self.collect_history(&request.program, &request.parent, request.deadline_us)
+                    .await
+            }
+        };
+        let reserve = async {
+            match request.budget {
+                Some(budget) => self.reserve(&Reservation::new(&request, budget)).await,
+                None => TurnLogResponse::Ok,
+            }
+        };
+        match futures_lite::future::zip(reserve, collect).await {
+            (TurnLogResponse::Ok, Ok(rows)) => TurnLogResponse::Opened { rows },
+            (TurnLogResponse::Ok, Err(failure)) => {
+                // Where it is not certain, another store may yet open the same turn.
+                if is_budgeted && failure == TurnLogResponse::UnknownTurn {
+                    self.release_reservation(&request.program, &request.turn);
+                }
+                failure
+            }
+            (rejection, _) => rejection,
+        }
+    }
+
+    /// Another disk whose store owns the program's ledger, as far as this one knows, and is alive.
+    pub(super) fn live_owner(&self, program: &str, take_over: bool) -> Option<String> {
+        let promised = self.promised_epoch(program)?;
+        let owner = owner_of(promised);
+        let disk = self
+            .stores
+            .replicas()
+            .all()
+            .into_iter()
+            .find(|disk| epoch_owner_id(disk) == owner)?;
+        let is_live =
+            !take_over && promised.n > 0 && disk != self.own_disk && self.stores.is_alive(&disk);
+        is_live.then_some(disk)
+    }
+
+    /// The whole chain that ends in `parent`, newest first; what is not here comes from other
+    /// stores.
+    async fn collect_history(
+        self: &Arc<Self>,
+        program: &str,
+        parent: &str,
+        deadline_us: u64,
+    ) -> Result<Vec<StoredTurn>, TurnLogResponse> {
+        let key = if program.is_empty() { parent } else { program };
+        let mut turns: Vec<StoredTurn> = vec![];
+        let mut next = parent.to_string();
+        loop {
+            let local = self.index.lock().unwrap().history(&next);
+            turns.extend(local.turns);
+            next = local.missing;
+            if next.is_empty() {
+                return Ok(turns);
+            }
+            if self.runtime.now() >= deadline_us {
+                return Err(TurnLogResponse::Unavailable);
+            }
+            match self.look_up(key, &next, deadline_us).await {
+                Lookup::Found(found) => {
+                    next = found
+                        .last()
+                        .map(|stored| stored.turn.prev.clone())
+                        .unwrap_or_default();
+                    turns.extend(found);
+                    if next.is_empty() {
+                        return Ok(turns);
+                    }
+                }
+                Lookup::NewerLayout(version) => self.stores.catch_up(version).await,
+                // Certain only for the whole chain: a part of it that is gone is no answer.
+                Lookup::NotStored if turns.is_empty() => return Err(TurnLogResponse::UnknownTurn),
+                Lookup::NotStored | Lookup::Unavailable => {
+                    return Err(TurnLogResponse::Unavailable);
+                }
+            }
+        }
+    }
+
+    /// Asks the other stores for the chain that ends in `id`.
+    async fn look_up(self: &Arc<Self>, key: &str, id: &str, deadline_us: u64) -> Lookup {
+        self.counters.lookups.fetch_add(1, Relaxed);
+        let replicas = self.stores.replicas();
+        let layout_version = replicas.layout_version;
+        let mut order = self.stores.order(key, &replicas, None);
+        order.retain(|disk| *disk != self.own_disk);
+        // This disk does not have it; that counts only while nothing of it is lost.
+        let counts_itself = replicas.has(&self.own_disk) && !self.recovery_pending.load(SeqCst);
+        let operation = TurnLogOperation::FindHistory { id: id.to_string() };
+        let request = self.requester(layout_version, operation, deadline_us);
+        let is_enough = |answered: &BTreeSet<String>| {
+            replicas.is_read_quorum(|disk| {
+                answered.contains(disk) || (counts_itself && disk == self.own_disk)
+            })
+        };
+        let mut found = None;
+        let on_response = |_: &str, response| match response {
+            TurnLogResponse::History(turns) if !turns.is_empty() => {
+                found = Some(turns);
+                GatherStep::Stop
+            }
+            TurnLogResponse::NotStored => GatherStep::Accept,
+            _ => GatherStep::Reject,
+        };
+        let outcome = self
+            .stores
+            .gather(
+                order,
+                false,
+                layout_version,
+                deadline_us,
+                request,
+                is_enough,
+                on_response,
+            )
+            .await;
+        match found {
+            Some(turns) => Lookup::Found(turns),
+            None if outcome.newer > layout_version => Lookup::NewerLayout(outcome.newer),
+            None if outcome.enough => Lookup::NotStored,
+            None => Lookup::Unavailable,
+        }
+    }
+}
--- /dev/null
+++ b/yewcross-state/src/turn_store/replication.rs
@@ -0,0 +1,203 @@
+//! What every replica does with the records of others.
+//!
+//! The layout is checked under the index's lock, so that what is accepted under an older layout is
+//! seen by the anti-entropy of the newer one.
+
+use crate::segment_log::Item;
+use crate::turn_store::index::TurnIndex;
+use crate::turn_store::{TurnStore, owner_of};
+use async_channel::Receiver;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::{Relaxed, SeqCst};
+use yewcross_common::constants::PEER_WAIT;
+use yewcross_common::register::Ballot;
+use yewcross_common::turn_log::store_client::{
+    LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse, epoch_owner_id,
+};
+
+impl TurnStore {
+    pub(super) fn find_history(&self, layout_version: u64, id: &str) -> TurnLogResponse {
+        let index = self.index.lock().unwrap();
+        if layout_version < self.layout_version() {
+            return TurnLogResponse::NewerLayout(self.layout_version());
+        }
+        let turns = index.history(id).turns;
+        if !turns.is_empty() {
+            TurnLogResponse::History(turns)
+        } else if self.recovery_pending.load(SeqCst) {
+            TurnLogResponse::Unavailable
+        } else {
+            TurnLogResponse::NotStored
+        }
+    }
+
+    pub(super) fn contains_turns(&self, ids: &[u128]) -> TurnLogResponse {
+        let index = self.index.lock().unwrap();
+        TurnLogResponse::Contains(ids.iter().map(|id| index.turns.contains_key(id)).collect())
+    }
+
+    /// Promises an epoch that is not below the one promised before, and returns all entries.
+    pub(super) async fn promise_epoch(
+        self: &Arc<Self>,
+        layout_version: u64,
+        record: LedgerRecord,
+    ) -> TurnLogResponse {
+        let now_ms = self.clock_ms();
+        let (written, entries) = {
+            let mut index = self.index.lock().unwrap();
+            if layout_version < self.layout_version() {
+                return TurnLogResponse::NewerLayout(self.layout_version());
+            }
+            if self.recovery_pending.load(SeqCst) {
+                return TurnLogResponse::Unavailable;
+            }
+            let ledger = index.ledgers.entry(record.program.clone()).or_default();
+            if record.epoch < ledger.promised {
+                self.counters.stale_epochs.fetch_add(1, Relaxed);
+                return TurnLogResponse::StaleEpoch(ledger.promised);
+            }
+            // A repetition adds nothing, and waits only for what is on its way to the disk.
+            let is_repetition = ledger.promised == record.epoch && record.entries.is_empty();
+            ledger.promised = record.epoch;
+            ledger.merge(&record.entries, now_ms, record.retain_ms);
+            let entries = ledger.to_record("").entries;
+            let items = if is_repetition {
+                vec![]
+            } else {
+                vec![Item::Ledger(record, now_ms)]
+            };
+            (self.append(items), entries)
+        };
+        self.once_durable(written, TurnLogResponse::LedgerAcquired(entries))
+            .await
+    }
+
+    /// Adds an owner's entries under the epoch that was promised to it, and no other: a disk that
+    /// forgot the promise, or never gave it, does not vouch for the owner.
+    pub(super) async fn append_entries(
+        self: &Arc<Self>,
+        layout_version: u64,
+        record: LedgerRecord,
+    ) -> TurnLogResponse {
+        let now_ms = self.clock_ms();
+        let written = {
+            let mut index = self.index.lock().unwrap();
+            if layout_version < self.layout_version() {
+                return TurnLogResponse::NewerLayout(self.layout_version());
+            }
+            let promised = index
+                .ledgers
+                .get(&record.program)
+                .map(|ledger| ledger.promised)
+                .unwrap_or_default();
+            let Some(ledger) = index
+                .ledgers
+                .get_mut(&record.program)
+                .filter(|ledger| ledger.promised == record.epoch)
+            else {
+                self.counters.stale_epochs.fetch_add(1, Relaxed);
+                return TurnLogResponse::StaleEpoch(promised);
+            };
+            ledger.merge(&record.entries, now_ms, record.retain_ms);
+            self.append(vec![Item::Ledger(record, now_ms)])
+        };
+        self.once_durable(written, TurnLogResponse::Ok).await
+    }
+
+    /// Forwards the end of a turn to the program's owner, where the sender takes another store for
+    /// the owner.
+    pub(super) fn forward_to_owner(self: &Arc<Self>, record: &LedgerRecord) {
+        let Some(owner) = self.promised_epoch(&record.program).map(owner_of) else {
+            return;
+        };
+        let replicas = self.stores.replicas();
+        let to = replicas.all().into_iter().find(|disk| {
+            epoch_owner_id(disk) == owner
+                && *disk != self.own_disk
+                && owner != owner_of(record.epoch)
+        });
+        let Some(disk) = to else { return };
+        self.counters.forwarded.fetch_add(1, Relaxed);
+        let store = self.clone();
+        let mut record = record.clone();
+        record.epoch.by = owner;
+        self.runtime.spawn(async move {
+            let operation = TurnLogOperation::StoreTurns {
+                rows: vec![],
+                ledger: Some(record),
+            };
+            // Best effort: the owner counts the turn at its maximum until it learns of its end.
+            let _ = store
+                .stores
+                .request(&disk, replicas.layout_version, &operation, PEER_WAIT)
+                .await;
+        });
+    }
+
+    /// Stores turns, oldest first, and ledger entries that need no epoch.
+    pub async fn store_records(
+        self: &Arc<Self>,
+        layout_version: u64,
+        turns: Vec<StoredTurn>,
+        ledgers: Vec<LedgerRecord>,
+    ) -> TurnLogResponse {
+        let now_ms = self.clock_ms();
+        self.counters.writes.fetch_add(1, Relaxed);
+        let written = {
+            let mut index = self.index.lock().unwrap();
+            if layout_version < self.layout_version() {
+                return TurnLogResponse::NewerLayout(self.layout_version());
+            }
+            if !turns.is_empty() && index.turn_bytes > self.turn_bytes_limit {
+                return TurnLogResponse::Unavailable;
+            }
+            if let Some(parent) = missing_parent(&index, &turns) {
+                return TurnLogResponse::MissingParent(parent.into());
+            }
+            // A turn enters the index only once it is durable.
+            let mut items: Vec<Item> = turns
+                .iter()
+                .filter(|stored| index.get(&stored.turn.id).is_none())
+                .cloned()
+                .map(Item::Turn)
+                .collect();
+            for mut record in ledgers {
+                record.epoch = Ballot::default();
+                index
+                    .ledgers
+                    .entry(record.program.clone())
+                    .or_default()
+                    .merge(&record.entries, now_ms, record.retain_ms);
+                items.push(Item::Ledger(record, now_ms));
+            }
+            self.append(items)
+        };
+        self.once_durable(written, TurnLogResponse::Ok).await
+    }
+
+    async fn once_durable(
+        &self,
+        written: Receiver<bool>,
+        response: TurnLogResponse,
+    ) -> TurnLogResponse {
+        if self.is_durable(written).await {
+            response
+        } else {
+            TurnLogResponse::Unavailable
+        }
+    }
+}
+
+/// The first predecessor of these turns that is neither indexed nor before its successor here.
+fn missing_parent<'a>(index: &TurnIndex, turns: &'a [StoredTurn]) -> Option<&'a str> {
+    let mut added: BTreeSet<&str> = BTreeSet::new();
+    for stored in turns {
+        let parent = stored.turn.prev.as_str();
+        if !parent.is_empty() && !added.contains(parent) && index.get(parent).is_none() {
+            return Some(parent);
+        }
+        added.insert(&stored.turn.id);
+    }
+    None
+}
--- /dev/null
+++ b/yewcross-state/src/turn_store/requests.rs
@@ -0,0 +1,116 @@
+//! Checks a request to the turn log, and dispatches it.
+
+use crate::turn_store::TurnStore;
+use crate::turn_store::open_turn::OpenTurnRequest;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::{Relaxed, SeqCst};
+use yewcross_common::constants::CHAIN_BUSY;
+use yewcross_common::turn_log::store_client::{
+    TurnLogOperation, TurnLogRequest, TurnLogResponse, decode, encode,
+};
+
+impl TurnStore {
+    /// Answers an encoded request. Above the bound of requests in flight, and while the disk is far
+    /// behind, it is rejected at once.
+    pub async fn handle(self: &Arc<Self>, body: Vec<u8>) -> Vec<u8> {
+        let Some(request) = decode::<TurnLogRequest>(&body) else {
+            return encode(&TurnLogResponse::Unavailable);
+        };
+        drop(body);
+        let in_flight = self.requests_in_flight.fetch_add(1, SeqCst);
+        let response = if in_flight >= CHAIN_BUSY || self.is_saturated() {
+            self.counters.overloaded.fetch_add(1, Relaxed);
+            TurnLogResponse::Unavailable
+        } else {
+            self.answer(request).await
+        };
+        self.requests_in_flight.fetch_sub(1, SeqCst);
+        encode(&response)
+    }
+
+    async fn answer(self: &Arc<Self>, request: TurnLogRequest) -> TurnLogResponse {
+        let deadline_us = self.runtime.now() + request.timeout_us;
+        if let Err(rejection) = self.check(&request).await {
+            return rejection;
+        }
+        self.dispatch(request.layout_version, request.operation, deadline_us)
+            .await
+    }
+
+    /// Whether this store may answer the request, and under which layout.
+    async fn check(self: &Arc<Self>, request: &TurnLogRequest) -> Result<(), TurnLogResponse> {
+        if request.disk != self.own_disk || self.storage.failed.load(SeqCst) {
+            return Err(TurnLogResponse::Unavailable);
+        }
+        let layout_version = request.layout_version;
+        if layout_version > self.layout_version() {
+            let store = self.clone();
+            let catch_up = async move { store.stores.catch_up(layout_version).await };
+            // Only an owner counts disks itself; the others can answer before they have the layout.
+            if matches!(request.operation, TurnLogOperation::OpenTurn { .. }) {
+                catch_up.await
+            } else {
+                self.runtime.spawn(catch_up)
+            }
+        } else if !self.stores.replicas().has(&self.own_disk) {
+            return Err(if layout_version < self.layout_version() {
+                TurnLogResponse::NewerLayout(self.layout_version())
+            } else {
+                TurnLogResponse::Unavailable
+            });
+        }
+        Ok(())
+    }
+
+    async fn dispatch(
+        self: &Arc<Self>,
+        layout_version: u64,
+        operation: TurnLogOperation,
+        deadline_us: u64,
+    ) -> TurnLogResponse {
+        match operation {
+            TurnLogOperation::OpenTurn {
+                program,
+                turn,
+                max_output_tokens,
+                budget,
+                parent,
+                take_over,
+            } => {
+                if layout_version < self.layout_version() {
+                    return TurnLogResponse::NewerLayout(self.layout_version());
+                }
+                self.counters.opens.fetch_add(1, Relaxed);
+                let request = OpenTurnRequest {
+                    program,
+                    turn,
+                    max_output_tokens,
+                    budget,
+                    parent,
+                    take_over,
+                    deadline_us,
+                };
+                self.open_turn(request).await
+            }
+            TurnLogOperation::FindHistory { id } => self.find_history(layout_version, &id),
+            TurnLogOperation::AcquireLedger { ledger } => {
+                self.promise_epoch(layout_version, ledger).await
+            }
+            TurnLogOperation::AppendEntries { ledger } => {
+                self.append_entries(layout_version, ledger).await
+            }
+            TurnLogOperation::StoreTurns { rows, ledger } => {
+                if let Some(ledger) = &ledger {
+                    self.forward_to_owner(ledger);
+                }
+                self.store_records(layout_version, rows, ledger.into_iter().collect())
+                    .await
+            }
+            TurnLogOperation::TransferRecords { rows, ledgers } => {
+                self.store_records(layout_version, rows, ledgers).await
+            }
+            TurnLogOperation::ContainsTurns { ids } => self.contains_turns(&ids),
+            TurnLogOperation::Repair => self.repair_replicas().await,
+        }
+    }
+}
--- a/yewcross-testkit/examples/chain_load.rs
+++ b/yewcross-testkit/examples/chain_load.rs
@@ -18,9 +18,9 @@
 use yewcross_common::transport::*;
 use yewcross_common::turn_log::client::TurnLogClient;
 use yewcross_common::turn_log::*;
-use yewcross_state::turn_store::Engine;
+use yewcross_state::turn_store::TurnStore;
 
-struct Ear(Arc<Membership>, Option<Arc<Engine>>);
+struct Ear(Arc<Membership>, Option<Arc<TurnStore>>);
 
 impl RequestHandler for Ear {
     fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
@@ -117,7 +117,7 @@
             let members = Membership::new(&w, &st, &peers, &disk);
             let book = DocumentCache::new(&w);
             let engine = match &vault {
-                Some(v) => Engine::start(&w, &st, &members, &book, v).await.ok(),
+                Some(v) => TurnStore::start(&w, &st, &members, &book, v).await.ok(),
                 None => None,
             };
             if !store {
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -18,12 +18,12 @@
 use yewcross_common::turn_log::client::TurnLogClient;
 use yewcross_common::turn_log::store_client::*;
 use yewcross_common::turn_log::*;
-use yewcross_state::turn_store::Engine;
+use yewcross_state::turn_store::TurnStore;
 use yewcross_testkit::sim::{Sim, Weather};
 
 struct Ear {
     members: Arc<Membership>,
-    engine: Option<Arc<Engine>>,
+    engine: Option<Arc<TurnStore>>,
 }
 
 impl RequestHandler for Ear {
@@ -52,7 +52,7 @@
     w: Runtime,
     book: Arc<DocumentCache>,
     disk: String,
-    engine: Option<Arc<Engine>>,
+    engine: Option<Arc<TurnStore>>,
     client: Option<Arc<TurnLogClient>>,
 }
 
@@ -227,7 +227,7 @@
                 );
             });
             let engine = match &vault {
-                Some(v) => Engine::start(&w, &st, &members, &book, v).await.ok(),
+                Some(v) => TurnStore::start(&w, &st, &members, &book, v).await.ok(),
                 None => None,
             };
             let client = (!store).then(|| Arc::new(TurnLogClient::new(&members, &book, &st)));
@@ -1146,7 +1146,7 @@
             for n in &t.stores {
                 let e = t.node(n).and_then(|x| x.engine).unwrap();
                 assert!(
-                    !e.doubt.load(SeqCst),
+                    !e.recovery_pending.load(SeqCst),
                     "seed {seed}, round {round}: {n} takes a torn end for damage"
                 );
                 torn += e.figures()["torn"];
@@ -1340,7 +1340,7 @@
                 .unwrap()
                 .engine
                 .unwrap()
-                .st
+                .index
                 .lock()
                 .unwrap()
                 .ledgers["p"]
@@ -1440,7 +1440,7 @@
     fn records(&self, n: &str) -> usize {
         self.node(n)
             .and_then(|x| x.engine)
-            .map_or(0, |e| e.st.lock().unwrap().turns.len())
+            .map_or(0, |e| e.index.lock().unwrap().turns.len())
     }
 }
 
@@ -1606,7 +1606,7 @@
         others.iter().for_each(|n| t.boot(n));
         t.pass(3_000);
         let e = t.node("store2").and_then(|x| x.engine).unwrap();
-        assert!(!e.doubt.load(SeqCst), "seed {seed}: not mended");
+        assert!(!e.recovery_pending.load(SeqCst), "seed {seed}: not mended");
         t.wipe("store3");
         t.pass(2_000);
         t.read_back();
@@ -1762,7 +1762,7 @@
     let held = |n: &str| {
         t.node(n)
             .and_then(|x| x.engine)
-            .is_some_and(|e| e.st.lock().unwrap().ledgers.contains_key("rest"))
+            .is_some_and(|e| e.index.lock().unwrap().ledgers.contains_key("rest"))
     };
     let before: Vec<String> = t.stores.iter().filter(|n| held(n)).cloned().collect();
     assert!(before.len() >= 2);
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -431,7 +431,7 @@
                 let store = t.at("store1").unwrap();
                 let keep = |n: u64| {
                     let store = store.clone();
-                    async move { store.chain.keep(vec![ledger(n)]).recv().await == Ok(true) }
+                    async move { store.chain.append(vec![ledger(n)]).recv().await == Ok(true) }
                 };
                 assert!(keep(1).await);
                 set(&t, "store1", trouble, true);
@@ -447,14 +447,14 @@
                     .await
                     .unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
                 let programs = |c: &yewcross_control::Control| {
-                    let shelf = c.chain.st.lock().unwrap();
+                    let shelf = c.chain.index.lock().unwrap();
                     let mut names: Vec<String> = shelf.ledgers.keys().cloned().collect();
                     names.sort();
                     names
                 };
                 assert_eq!(programs(&store), ["p1"], "{trouble:?}");
                 assert!(
-                    !store.chain.doubt.load(SeqCst),
+                    !store.chain.recovery_pending.load(SeqCst),
                     "{trouble:?}: nothing was lost"
                 );
                 assert!(keep(3).await, "{trouble:?}: keeps nothing any more");
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -101,7 +101,7 @@
                 .on(name, |c| {
                     Box::pin(async move {
                         c.chain
-                            .take_in(c.documents.layout.load().0, part, ledgers)
+                            .store_records(c.documents.layout.load().0, part, ledgers)
                             .await
                     })
                 })
@@ -123,13 +123,13 @@
     for (i, id) in ids.iter().enumerate() {
         let holders = stores
             .iter()
-            .filter(|c| c.chain.st.lock().unwrap().get(id).is_some())
+            .filter(|c| c.chain.index.lock().unwrap().get(id).is_some())
             .count();
         assert!(holders >= copies, "{id} is on {holders} disks\n{}", tell(t));
         let program = format!("program-{}", i % 50);
         let knows = |c: &yewcross_control::Control| {
             c.chain
-                .st
+                .index
                 .lock()
                 .unwrap()
                 .ledgers
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -38,7 +38,7 @@
     BudgetRecord, Head, Mark, Reservation, Run, SessionRecord, budget_key,
 };
 use yewcross_state::segment_log::{self, Item};
-use yewcross_state::turn_store::Shelf;
+use yewcross_state::turn_store::TurnIndex;
 use yewcross_testkit::proof::Lab;
 use yewcross_testkit::script::on_fleet;
 use yewcross_testkit::sim::Sim;
@@ -351,14 +351,14 @@
     }
 }
 
-fn tell_shelf(shelf: &Shelf) -> String {
+fn tell_shelf(shelf: &TurnIndex) -> String {
     let mut lines: Vec<String> = shelf
         .turns
         .values()
-        .map(|kept| format!("turn {}", tell_row(&kept.row)))
+        .map(|kept| format!("turn {}", tell_row(&kept.stored)))
         .collect();
     for (program, ledger) in &shelf.ledgers {
-        let row = ledger.row(program);
+        let row = ledger.to_record(program);
         let mut entries: Vec<String> = row
             .entries
             .iter()
@@ -513,7 +513,7 @@
 
 async fn keep_turns(tier: &Tier, items: Vec<Item>) {
     let store = tier.at("store1").unwrap();
-    assert_eq!(store.chain.keep(items).recv().await, Ok(true));
+    assert_eq!(store.chain.append(items).recv().await, Ok(true));
 }
 
 /// The last batch that the machine wrote is cut short.
@@ -586,7 +586,7 @@
     told.insert("peers".into(), peers.join(" "));
     told.insert(
         "log".into(),
-        tell_shelf(&tier.at("store1").unwrap().chain.st.lock().unwrap()),
+        tell_shelf(&tier.at("store1").unwrap().chain.index.lock().unwrap()),
     );
     let holder = tier.at(&tier.on_duty()[0]).unwrap();
     told.insert(
@@ -760,7 +760,7 @@
     let (sim, machine) = machine_with(stored_folder("store1"));
     let (words, torn, hurt) = run_on(&sim, machine, |w| {
         Box::pin(async move {
-            let (shelf, found) = Shelf::read(&w).await.unwrap();
+            let (shelf, found) = TurnIndex::load(&w).await.unwrap();
             (tell_shelf(&shelf), found.torn, found.hurt)
         })
     });
