--- a/yewcross-state/src/lib.rs
+++ b/yewcross-state/src/lib.rs
@@ -2,11 +2,11 @@
 //! ledgers in a replicated log.
 //!
 //! [`records`] changes records through the registers of [`yewcross_common::register`].
-//! [`turn_store`] keeps turns and ledgers of a store node in memory, [`segment_log`] on its disk;
-//! [`sweep`] brings them to the disks that ought to hold them.
+//! [`turn_store`] is one replica of the turn log: its requests, and its turns and ledgers in memory.
+//! [`segment_log`] makes them durable on its disk, `anti_entropy` brings them to the disks that need
+//! them.
 
+mod anti_entropy;
 pub mod records;
-mod restore;
 pub mod segment_log;
-pub mod sweep;
 pub mod turn_store;
--- /dev/null
+++ b/yewcross-state/src/segment_log/compaction.rs
@@ -0,0 +1,77 @@
+//! Removes the oldest segments of a log that is much larger than what is still retained.
+
+use crate::segment_log::{LogRecord, path};
+use crate::turn_store::TurnStore;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::Relaxed;
+use yewcross_common::constants::{CHAIN_PUSH, SEGMENT_SLACK};
+use yewcross_common::storage::CHAIN_FOLDER;
+
+/// The oldest segment, and the records in it that are still needed.
+struct OldestSegment {
+    segment: u64,
+    records: Vec<LogRecord>,
+}
+
+impl TurnStore {
+    /// Appends again what is needed of the oldest segment and removes it, until the log is small
+    /// enough. Segments are removed in their order only: the mark of a torn end is in a later
+    /// segment than the end itself.
+    pub(crate) async fn compact(self: &Arc<Self>) {
+        while let Some(oldest) = self.take_oldest_segment() {
+            let is_rewritten = self.rewrite(oldest.records).await;
+            if !is_rewritten || self.runtime.remove(&path(oldest.segment)).await.is_err() {
+                return;
+            }
+            if let Err(error) = self.runtime.sync(CHAIN_FOLDER).await {
+                return self.storage.mark_failed(&error);
+            }
+            self.log
+                .lock()
+                .unwrap()
+                .segment_bytes
+                .remove(&oldest.segment);
+            self.counters.compacted.fetch_add(1, Relaxed);
+        }
+    }
+
+    /// `None` where only the segment that is written to is left, or the log is small enough.
+    fn take_oldest_segment(&self) -> Option<OldestSegment> {
+        let live_bytes = self.index.lock().unwrap().turn_bytes as u64;
+        let (segment, log_bytes) = {
+            let log = self.log.lock().unwrap();
+            let oldest = log.segment_bytes.keys().next().copied();
+            (
+                oldest.filter(|oldest| *oldest < log.segment)?,
+                log.segment_bytes.values().sum::<u64>(),
+            )
+        };
+        let mut index = self.index.lock().unwrap();
+        let is_small_enough = log_bytes <= live_bytes + live_bytes / 2 + SEGMENT_SLACK;
+        if is_small_enough && index.needs_segment(segment) {
+            return None;
+        }
+        let records = index.take_segment(segment);
+        Some(OldestSegment { segment, records })
+    }
+
+    /// Appends in small batches, which do not hold up the requests' syncs; whether all of them are
+    /// durable.
+    async fn rewrite(self: &Arc<Self>, records: Vec<LogRecord>) -> bool {
+        let mut batch = vec![];
+        let mut batch_bytes = 0;
+        let mut is_rewritten = true;
+        let mut remaining = records.len();
+        for record in records {
+            batch_bytes += record.bytes();
+            batch.push(record);
+            remaining -= 1;
+            if batch_bytes >= CHAIN_PUSH || remaining == 0 {
+                let written = self.append(std::mem::take(&mut batch));
+                is_rewritten &= written.recv().await == Ok(true);
+                batch_bytes = 0;
+            }
+        }
+        is_rewritten
+    }
+}
--- /dev/null
+++ b/yewcross-state/src/segment_log/writer.rs
@@ -0,0 +1,179 @@
+//! Appends batches of records to the log.
+//!
+//! All records that arrive while a batch is being written make up the next one, so that one sync
+//! serves any number of requests.
+
+use crate::segment_log::{LogRecord, path};
+use crate::turn_store::TurnStore;
+use async_channel::{Receiver, Sender};
+use std::collections::BTreeMap;
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::{Relaxed, SeqCst};
+use yewcross_common::constants::{CHAIN_QUEUE, SEGMENT, SYNC_WAIT};
+use yewcross_common::storage::encode_frame;
+use yewcross_common::turn_log::store_client::encode;
+
+/// The queue of records to write, and the segments written.
+#[derive(Default)]
+pub(crate) struct LogWriter {
+    /// The segment that is written to.
+    pub(super) segment: u64,
+    /// Bytes in each segment.
+    pub(crate) segment_bytes: BTreeMap<u64, u64>,
+    queue: Vec<QueuedAppend>,
+    /// Bytes of the records in the queue and in the batch being written.
+    pending_bytes: usize,
+    /// A task writes batches until the queue is empty.
+    is_writing: bool,
+    /// When the batch being written was begun, us.
+    batch_started_at_us: Option<u64>,
+}
+
+struct QueuedAppend {
+    records: Vec<LogRecord>,
+    written: Sender<bool>,
+}
+
+/// What was in the queue, and the segment that it goes to.
+struct Batch {
+    appends: Vec<QueuedAppend>,
+    segment: u64,
+}
+
+impl Batch {
+    fn records(&self) -> impl Iterator<Item = &LogRecord> {
+        self.appends.iter().flat_map(|append| &append.records)
+    }
+}
+
+impl LogWriter {
+    pub(crate) fn new(segment: u64, segment_bytes: BTreeMap<u64, u64>) -> LogWriter {
+        LogWriter {
+            segment,
+            segment_bytes,
+            ..Default::default()
+        }
+    }
+
+    /// Whether a batch is being written.
+    pub(super) fn is_writing(&self) -> bool {
+        self.is_writing
+    }
+
+    /// After a failed write: what is queued is never acknowledged.
+    fn abandon(&mut self) {
+        self.queue.clear();
+        self.pending_bytes = 0;
+        self.is_writing = false;
+    }
+
+    /// The next batch, in a new segment if this one is full.
+    fn next_batch(&mut self) -> Option<Batch> {
+        if self.queue.is_empty() {
+            self.is_writing = false;
+            return None;
+        }
+        let is_full = self
+            .segment_bytes
+            .get(&self.segment)
+            .is_some_and(|bytes| *bytes >= SEGMENT);
+        if is_full {
+            self.segment += 1;
+        }
+        Some(Batch {
+            appends: std::mem::take(&mut self.queue),
+            segment: self.segment,
+        })
+    }
+}
+
+impl TurnStore {
+    /// Queues records for the log; `true` is received once they are durable. Called under the
+    /// index's lock where the order of changes matters. An empty list is durable once all that was
+    /// queued before it is.
+    pub fn append(self: &Arc<Self>, records: Vec<LogRecord>) -> Receiver<bool> {
+        let (written, receiver) = async_channel::bounded(1);
+        if self.storage.failed.load(SeqCst) {
+            return receiver;
+        }
+        let mut log = self.log.lock().unwrap();
+        log.pending_bytes += records.iter().map(LogRecord::bytes).sum::<usize>();
+        log.queue.push(QueuedAppend { records, written });
+        if !std::mem::replace(&mut log.is_writing, true) {
+            let store = self.clone();
+            self.runtime
+                .spawn(async move { store.write_batches().await });
+        }
+        receiver
+    }
+
+    /// Whether the disk is too far behind for new requests.
+    pub(crate) fn is_saturated(&self) -> bool {
+        let log = self.log.lock().unwrap();
+        log.pending_bytes > CHAIN_QUEUE
+            || log
+                .batch_started_at_us
+                .is_some_and(|started_us| self.runtime.now() > started_us + SYNC_WAIT)
+    }
+
+    /// Whether an append became durable, within the time that a disk has for it. `false` says
+    /// nothing: the records may become durable later.
+    pub(crate) async fn is_durable(&self, written: Receiver<bool>) -> bool {
+        self.runtime.timeout(SYNC_WAIT, written.recv()).await == Some(Ok(true))
+    }
+
+    async fn write_batches(self: Arc<Self>) {
+        loop {
+            let Some(batch) = self.log.lock().unwrap().next_batch() else {
+                return;
+            };
+            let batch_bytes: usize = batch.records().map(LogRecord::bytes).sum();
+            if let Err(error) = self.write_batch(&batch).await {
+                self.storage.mark_failed(&error);
+                self.log.lock().unwrap().abandon();
+                return;
+            }
+            {
+                let mut index = self.index.lock().unwrap();
+                batch
+                    .records()
+                    .for_each(|record| index.apply(record, batch.segment));
+            }
+            self.log.lock().unwrap().pending_bytes -= batch_bytes;
+            for append in &batch.appends {
+                // Nobody waits any more where this fails.
+                let _ = append.written.try_send(true);
+            }
+        }
+    }
+
+    /// Writes one frame; nothing for a batch without records.
+    async fn write_batch(&self, batch: &Batch) -> io::Result<()> {
+        let records: Vec<&LogRecord> = batch.records().collect();
+        if records.is_empty() {
+            return Ok(());
+        }
+        let frame = encode_frame(&encode(&records));
+        let frame_bytes = frame.len() as u64;
+        let is_new_segment = {
+            let mut log = self.log.lock().unwrap();
+            log.batch_started_at_us = Some(self.runtime.now());
+            !log.segment_bytes.contains_key(&batch.segment)
+        };
+        let appended = self.runtime.append(&path(batch.segment), frame).await;
+        self.log.lock().unwrap().batch_started_at_us = None;
+        // A new file costs a sync of its folder, too.
+        let syncs = 1 + is_new_segment as u64;
+        self.storage.syncs.fetch_add(syncs, Relaxed);
+        self.storage.bytes.fetch_add(frame_bytes, Relaxed);
+        self.counters.batches.fetch_add(1, Relaxed);
+        self.counters
+            .records
+            .fetch_add(records.len() as u64, Relaxed);
+        appended?;
+        let mut log = self.log.lock().unwrap();
+        *log.segment_bytes.entry(batch.segment).or_default() += frame_bytes;
+        Ok(())
+    }
+}
--- a/yewcross-state/src/turn_store/index.rs
+++ b/yewcross-state/src/turn_store/index.rs
@@ -3,7 +3,7 @@
 //! A turn is immutable. A turn that is indexed has all turns before it indexed, too, and they are
 //! retained at least as long as it.
 
-use crate::segment_log::{self, Found, Item};
+use crate::segment_log::{self, LogRecord, LogScan};
 use crate::turn_store::ledger::Ledger;
 use std::collections::HashMap;
 use std::io;
@@ -42,9 +42,10 @@
 
 impl TurnIndex {
     /// Reads all that the disk's log holds.
-    pub async fn load(runtime: &Runtime) -> io::Result<(TurnIndex, Found)> {
+    pub async fn load(runtime: &Runtime) -> io::Result<(TurnIndex, LogScan)> {
         let mut index = TurnIndex::default();
-        let found = segment_log::read(runtime, |item, segment| index.apply(item, segment)).await?;
+        let scan =
+            segment_log::read(runtime, |record, segment| index.apply(record, segment)).await?;
         // A turn may stand in the log behind one that continues it.
         let ends: Vec<(String, u64)> = index
             .turns
@@ -54,7 +55,7 @@
         for (prev, until_ms) in &ends {
             index.extend_retention(prev, *until_ms);
         }
-        Ok((index, found))
+        Ok((index, scan))
     }
 
     /// The turn of this id.
@@ -65,16 +66,19 @@
     }
 
     /// Takes in a record that is in this segment of the log.
-    pub fn apply(&mut self, item: &Item, segment: u64) {
-        match item {
-            Item::Turn(stored) => self.apply_turn(stored, segment),
-            Item::Ledger(record, changed_at_ms) => {
+    pub fn apply(&mut self, record: &LogRecord, segment: u64) {
+        match record {
+            LogRecord::Turn(stored) => self.apply_turn(stored, segment),
+            LogRecord::Ledger {
+                record,
+                changed_at_ms,
+            } => {
                 let ledger = self.ledgers.entry(record.program.clone()).or_default();
                 ledger.promised = ledger.promised.max(record.epoch);
                 ledger.merge(&record.entries, *changed_at_ms, record.retain_ms);
                 ledger.oldest_segment = ledger.oldest_segment.min(segment);
             }
-            Item::Torn(..) => {}
+            LogRecord::Torn(_) => {}
         }
     }
 
@@ -132,23 +136,23 @@
 
     /// The records that the segment is needed for, which the caller must append again at once: from
     /// here on the ledgers among them count as needing no segment.
-    pub(crate) fn take_segment(&mut self, segment: u64) -> Vec<Item> {
-        let mut items: Vec<Item> = self
+    pub(crate) fn take_segment(&mut self, segment: u64) -> Vec<LogRecord> {
+        let mut records: Vec<LogRecord> = self
             .turns
             .values()
             .filter(|indexed| indexed.newest_segment <= segment)
-            .map(|indexed| Item::Turn(indexed.stored.clone()))
+            .map(|indexed| LogRecord::Turn(indexed.stored.clone()))
             .collect();
         for (program, ledger) in &mut self.ledgers {
             if ledger.oldest_segment <= segment {
                 ledger.oldest_segment = u64::MAX;
-                items.push(Item::Ledger(
-                    ledger.to_record(program),
-                    ledger.changed_at_ms,
-                ));
+                records.push(LogRecord::Ledger {
+                    record: ledger.to_record(program),
+                    changed_at_ms: ledger.changed_at_ms,
+                });
             }
         }
-        items
+        records
     }
 
     /// Bytes of the turns and the ledgers.
--- a/yewcross-state/src/turn_store/metrics.rs
+++ b/yewcross-state/src/turn_store/metrics.rs
@@ -46,7 +46,7 @@
                 index.ledgers.len() as u64,
             )
         };
-        let log_bytes = self.log.lock().unwrap().sizes.values().sum();
+        let log_bytes = self.log.lock().unwrap().segment_bytes.values().sum();
         let counters = &self.counters;
         [
             ("turns", turns),
--- a/yewcross-state/src/turn_store/mod.rs
+++ b/yewcross-state/src/turn_store/mod.rs
@@ -27,7 +27,7 @@
 pub use index::{IndexedTurn, TurnIndex};
 pub use ledger::Ledger;
 
-use crate::segment_log::{Item, Log};
+use crate::segment_log::{LogRecord, LogWriter, TornEnd, next_segment};
 use crate::turn_store::metrics::TurnStoreCounters;
 use crate::turn_store::ownership::SharedOwnership;
 use std::collections::HashMap;
@@ -62,7 +62,7 @@
     /// The id of this store's disk.
     pub(crate) own_disk: String,
     pub index: Mutex<TurnIndex>,
-    pub(crate) log: Mutex<Log>,
+    pub(crate) log: Mutex<LogWriter>,
     /// Programs that this store is or was an owner of.
     owned_ledgers: Mutex<HashMap<String, SharedOwnership>>,
     pub(crate) counters: TurnStoreCounters,
@@ -89,45 +89,42 @@
         documents: &Arc<DocumentCache>,
         storage: &Arc<DurableStorage>,
     ) -> io::Result<Arc<TurnStore>> {
-        let (index, found) = TurnIndex::load(runtime).await?;
-        for segment in &found.hurt {
+        let (index, scan) = TurnIndex::load(runtime).await?;
+        for segment in &scan.damaged {
             runtime.log(&format!(
                 "damaged segment {segment:x} of the log; asking the other disks"
             ));
         }
-        let segment = found.sizes.keys().last().map_or(1, |newest| newest + 1);
+        let segment = next_segment(&scan);
         let store = Arc::new(TurnStore {
             runtime: runtime.clone(),
             stores: StoreClient::new(members, documents, &settings.name, settings.bounds.lost),
             storage: storage.clone(),
             own_disk: storage.disk_id.clone(),
             index: Mutex::new(index),
-            log: Mutex::new(Log::new(segment, found.sizes)),
+            log: Mutex::new(LogWriter::new(segment, scan.segment_bytes)),
             owned_ledgers: Default::default(),
             counters: Default::default(),
             owner_id: epoch_owner_id(&storage.disk_id) | (runtime.random() & INCARNATION_BITS),
             requests_in_flight: AtomicUsize::new(0),
             turn_bytes_limit: turn_bytes_limit(settings),
-            recovery_pending: AtomicBool::new(!found.hurt.is_empty()),
+            recovery_pending: AtomicBool::new(!scan.damaged.is_empty()),
             swept_layout: AtomicU64::new(0),
             under_replicated: AtomicU64::new(0),
         });
-        store.mark_torn_ends(&found.torn);
+        store.mark_torn_ends(&scan.torn);
         runtime.spawn(store.clone().run_expiry());
-        runtime.spawn(store.clone().watch());
+        runtime.spawn(store.clone().run_anti_entropy());
         Ok(store)
     }
 
     /// Torn ends are marked before anything else is written behind them.
-    fn mark_torn_ends(self: &Arc<Self>, torn: &[(u64, u64)]) {
+    fn mark_torn_ends(self: &Arc<Self>, torn: &[TornEnd]) {
         self.counters.torn.store(torn.len() as u64, Relaxed);
         if torn.is_empty() {
             return;
         }
-        let marks = torn
-            .iter()
-            .map(|(segment, bytes)| Item::Torn(*segment, *bytes))
-            .collect();
+        let marks = torn.iter().map(|end| LogRecord::Torn(*end)).collect();
         self.append(marks);
     }
 
--- a/yewcross-state/src/turn_store/ownership.rs
+++ b/yewcross-state/src/turn_store/ownership.rs
@@ -4,7 +4,7 @@
 //! disk that promised an epoch rejects entries under every other; so the entries that the promises
 //! return are all that an earlier owner can have had acknowledged.
 
-use crate::segment_log::Item;
+use crate::segment_log::LogRecord;
 use crate::turn_store::TurnStore;
 use async_channel::Receiver;
 use std::collections::BTreeSet;
@@ -89,7 +89,10 @@
             };
             ledger.promised = record.epoch;
             ledger.merge(&record.entries, now_ms, record.retain_ms);
-            self.append(vec![Item::Ledger(record.clone(), now_ms)])
+            self.append(vec![LogRecord::Ledger {
+                record: record.clone(),
+                changed_at_ms: now_ms,
+            }])
         };
         self.confirm_epoch(owned, replicas, record, Some(written), deadline_us)
             .await
--- a/yewcross-state/src/turn_store/replication.rs
+++ b/yewcross-state/src/turn_store/replication.rs
@@ -3,7 +3,7 @@
 //! The layout is checked under the index's lock, so that what is accepted under an older layout is
 //! seen by the anti-entropy of the newer one.
 
-use crate::segment_log::Item;
+use crate::segment_log::LogRecord;
 use crate::turn_store::index::TurnIndex;
 use crate::turn_store::{TurnStore, owner_of};
 use async_channel::Receiver;
@@ -62,12 +62,15 @@
             ledger.promised = record.epoch;
             ledger.merge(&record.entries, now_ms, record.retain_ms);
             let entries = ledger.to_record("").entries;
-            let items = if is_repetition {
+            let records = if is_repetition {
                 vec![]
             } else {
-                vec![Item::Ledger(record, now_ms)]
+                vec![LogRecord::Ledger {
+                    record,
+                    changed_at_ms: now_ms,
+                }]
             };
-            (self.append(items), entries)
+            (self.append(records), entries)
         };
         self.once_durable(written, TurnLogResponse::LedgerAcquired(entries))
             .await
@@ -100,7 +103,10 @@
                 return TurnLogResponse::StaleEpoch(promised);
             };
             ledger.merge(&record.entries, now_ms, record.retain_ms);
-            self.append(vec![Item::Ledger(record, now_ms)])
+            self.append(vec![LogRecord::Ledger {
+                record,
+                changed_at_ms: now_ms,
+            }])
         };
         self.once_durable(written, TurnLogResponse::Ok).await
     }
@@ -156,11 +162,11 @@
                 return TurnLogResponse::MissingParent(parent.into());
             }
             // A turn enters the index only once it is durable.
-            let mut items: Vec<Item> = turns
+            let mut records: Vec<LogRecord> = turns
                 .iter()
                 .filter(|stored| index.get(&stored.turn.id).is_none())
                 .cloned()
-                .map(Item::Turn)
+                .map(LogRecord::Turn)
                 .collect();
             for mut record in ledgers {
                 record.epoch = Ballot::default();
@@ -169,9 +175,12 @@
                     .entry(record.program.clone())
                     .or_default()
                     .merge(&record.entries, now_ms, record.retain_ms);
-                items.push(Item::Ledger(record, now_ms));
+                records.push(LogRecord::Ledger {
+                    record,
+                    changed_at_ms: now_ms,
+                });
             }
-            self.append(items)
+            self.append(records)
         };
         self.once_durable(written, TurnLogResponse::Ok).await
     }
--- a/yewcross-state/src/turn_store/reservation.rs
+++ b/yewcross-state/src/turn_store/reservation.rs
@@ -5,7 +5,7 @@
 //! acknowledged may be on any disk: it is released, or counts at its maximum until its turn's end
 //! is known.
 
-use crate::segment_log::Item;
+use crate::segment_log::LogRecord;
 use crate::turn_store::TurnStore;
 use crate::turn_store::open_turn::OpenTurnRequest;
 use crate::turn_store::ownership::{Acquisition, OwnedLedger, SharedOwnership};
@@ -269,7 +269,10 @@
         if earlier.is_some() && ledger.spent > budget {
             return LocalEntry::Overdrawn;
         }
-        let written = self.append(vec![Item::Ledger(record.clone(), now_ms)]);
+        let written = self.append(vec![LogRecord::Ledger {
+            record: record.clone(),
+            changed_at_ms: now_ms,
+        }]);
         LocalEntry::Added { record, written }
     }
 
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -11,7 +11,7 @@
 use yewcross_common::storage::{DurableStorage, encode_frame};
 use yewcross_common::turn_log::store_client::{LedgerRecord, encode};
 use yewcross_control::api::{PutAnswer, ReadAnswer};
-use yewcross_state::segment_log::{self, Item};
+use yewcross_state::segment_log::{self, LogRecord};
 use yewcross_testkit::sim::Sim;
 use yewcross_testkit::tier::{Tier, play, tell, up};
 
@@ -273,14 +273,14 @@
     }
 }
 
-fn ledger(n: u64) -> Item {
-    Item::Ledger(
-        LedgerRecord {
+fn ledger(n: u64) -> LogRecord {
+    LogRecord::Ledger {
+        record: LedgerRecord {
             program: format!("p{n}"),
             ..Default::default()
         },
-        n,
-    )
+        changed_at_ms: n,
+    }
 }
 
 /// Segments are appended to, the process is killed at any moment, another reads and goes on, and
@@ -292,19 +292,23 @@
         Box::pin(async move {
             DurableStorage::open(&w).await.unwrap();
             let mut items = vec![];
-            let note = |item: &Item, _| {
-                if let Item::Ledger(_, at) = item {
+            let note = |item: &LogRecord, _| {
+                if let LogRecord::Ledger {
+                    changed_at_ms: at, ..
+                } = item
+                {
                     items.push(*at);
                 }
             };
             let found = segment_log::read(&w, note).await.unwrap();
-            let next = found.sizes.keys().last().map_or(1, |s| s + 1);
-            let mut batch: Vec<Item> = found.torn.iter().map(|(s, n)| Item::Torn(*s, *n)).collect();
+            let next = found.segment_bytes.keys().last().map_or(1, |s| s + 1);
+            let mut batch: Vec<LogRecord> =
+                found.torn.iter().map(|end| LogRecord::Torn(*end)).collect();
             batch.push(ledger(1_000_000 + next));
             w.append(&segment_log::path(next), encode_frame(&encode(&batch)))
                 .await
                 .unwrap();
-            (items, found.hurt)
+            (items, found.damaged)
         })
     };
     for seed in 0..400 {
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -37,7 +37,7 @@
 use yewcross_state::records::{
     BudgetRecord, Head, Mark, Reservation, Run, SessionRecord, budget_key,
 };
-use yewcross_state::segment_log::{self, Item};
+use yewcross_state::segment_log::{self, LogRecord, TornEnd};
 use yewcross_state::turn_store::TurnIndex;
 use yewcross_testkit::proof::Lab;
 use yewcross_testkit::script::on_fleet;
@@ -500,7 +500,7 @@
     }
 }
 
-fn ledger(program: &str, entry: (&str, LedgerEntry)) -> Item {
+fn ledger(program: &str, entry: (&str, LedgerEntry)) -> LogRecord {
     let epoch = Ballot { n: 4, by: 6 };
     let row = LedgerRecord {
         program: program.into(),
@@ -508,10 +508,13 @@
         entries: vec![(entry.0.into(), entry.1)],
         retain_ms: 900_000_000_000,
     };
-    Item::Ledger(row, 1_790_000_000_000)
+    LogRecord::Ledger {
+        record: row,
+        changed_at_ms: 1_790_000_000_000,
+    }
 }
 
-async fn keep_turns(tier: &Tier, items: Vec<Item>) {
+async fn keep_turns(tier: &Tier, items: Vec<LogRecord>) {
     let store = tier.at("store1").unwrap();
     assert_eq!(store.chain.append(items).recv().await, Ok(true));
 }
@@ -541,8 +544,8 @@
 /// Turns in two segments of the log: the end of the first was torn, and is marked so in the second.
 async fn write_log(tier: &Arc<Tier>) {
     let first = vec![
-        Item::Turn(row("t1", "")),
-        Item::Turn(row("t2", "t1")),
+        LogRecord::Turn(row("t1", "")),
+        LogRecord::Turn(row("t2", "t1")),
         ledger("p1", ("t1", LedgerEntry::Done(40))),
     ];
     keep_turns(tier, first).await;
@@ -761,7 +764,7 @@
     let (words, torn, hurt) = run_on(&sim, machine, |w| {
         Box::pin(async move {
             let (shelf, found) = TurnIndex::load(&w).await.unwrap();
-            (tell_shelf(&shelf), found.torn, found.hurt)
+            (tell_shelf(&shelf), found.torn, found.damaged)
         })
     });
     assert_eq!(words, text_of(&told, "log"));
@@ -1154,7 +1157,7 @@
     }
 }
 
-fn items() -> Vec<Item> {
+fn items() -> Vec<LogRecord> {
     let entries = vec![
         ("t1".into(), LedgerEntry::Open(81)),
         ("t2".into(), LedgerEntry::Done(82)),
@@ -1166,9 +1169,15 @@
         retain_ms: 85,
     };
     vec![
-        Item::Turn(row("t2", "t1")),
-        Item::Ledger(ledger, 86),
-        Item::Torn(87, 88),
+        LogRecord::Turn(row("t2", "t1")),
+        LogRecord::Ledger {
+            record: ledger,
+            changed_at_ms: 86,
+        },
+        LogRecord::Torn(TornEnd {
+            segment: 87,
+            valid_bytes: 88,
+        }),
     ]
 }
 
@@ -1325,7 +1334,7 @@
         tell_record(&SessionRecord::read(&stored["session record"])),
         tell_record(&session_record())
     );
-    let read: Vec<Item> = decode(&stored["log items"]).unwrap();
+    let read: Vec<LogRecord> = decode(&stored["log items"]).unwrap();
     assert_eq!(format!("{read:?}"), format!("{:?}", items()));
 }
 
--- a/yewcross-testkit/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -30,7 +30,7 @@
 use yewcross_common::turn_log::store_client::{TurnLogOperation, decode, encode};
 use yewcross_proxy::load_exchange::ServerLoad;
 use yewcross_state::records::SessionRecord;
-use yewcross_state::segment_log::Item;
+use yewcross_state::segment_log::LogRecord;
 use yewcross_testkit::sim::Sim;
 
 // ---- Fixture files ----
@@ -456,7 +456,7 @@
 
 #[test]
 fn every_item_of_a_store_log_keeps_its_bytes() {
-    keeps_places_of_all::<Item>("log_item", item_name, &log_items());
+    keeps_places_of_all::<LogRecord>("log_item", item_name, &log_items());
 }
 
 #[test]
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -22,7 +22,7 @@
 use yewcross_proxy::load_exchange::{ServerKey, ServerLoad};
 use yewcross_proxy::turn::Kept;
 use yewcross_state::records::{Head, Mark, Reservation, Run, SessionRecord};
-use yewcross_state::segment_log::Item;
+use yewcross_state::segment_log::{LogRecord, TornEnd};
 
 fn text(value: &str) -> String {
     value.into()
@@ -749,19 +749,25 @@
     }
 }
 
-pub fn log_items() -> Vec<Item> {
+pub fn log_items() -> Vec<LogRecord> {
     vec![
-        Item::Turn(rows().remove(0)),
-        Item::Ledger(ledger(), 451),
-        Item::Torn(452, 453),
+        LogRecord::Turn(rows().remove(0)),
+        LogRecord::Ledger {
+            record: ledger(),
+            changed_at_ms: 451,
+        },
+        LogRecord::Torn(TornEnd {
+            segment: 452,
+            valid_bytes: 453,
+        }),
     ]
 }
 
-pub fn item_name(item: &Item) -> &'static str {
+pub fn item_name(item: &LogRecord) -> &'static str {
     match item {
-        Item::Turn(_) => "Turn",
-        Item::Ledger(..) => "Ledger",
-        Item::Torn(..) => "Torn",
+        LogRecord::Turn(_) => "Turn",
+        LogRecord::Ledger { .. } => "Ledger",
+        LogRecord::Torn(..) => "Torn",
     }
 }
 
