--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -1667,10 +1667,10 @@
     t.pass(110_000);
     let v = seen.lock().unwrap().clone();
     let want = [
-        ("alone", "Unknown"),
+        ("alone", "UnknownTurn"),
         ("first", "1"),
         ("second", "2"),
-        ("never", "Unknown"),
+        ("never", "UnknownTurn"),
     ];
     assert_eq!(v, want.map(|(a, b)| (a.to_string(), b.to_string())));
 }
