--- /dev/null
+++ b/yewcross-common/src/turn_log/client/open.rs
@@ -0,0 +1,195 @@
+//! Opens a turn at the store that owns its program's ledger.
+
+use crate::constants::{CHAIN_AGAIN, CHAIN_MUTE, CHAIN_SPARE};
+use crate::turn_log::client::Inner;
+use crate::turn_log::client::settlement::SettleOnDrop;
+use crate::turn_log::messages::{StoredTurn, TurnLogOperation, TurnLogResponse};
+use crate::turn_log::replicas::StoreReplicas;
+use crate::turn_log::{OpenTurn, OpenTurnError, OpenedTurn};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::Relaxed;
+
+/// The attempts to open a turn so far.
+#[derive(Default)]
+struct OpenAttempts {
+    /// Disks that did not open it.
+    tried: BTreeSet<String>,
+    /// The next store is to become the owner even though another one is.
+    take_over: bool,
+    /// The owner, as the last store answered.
+    redirected_to: Option<String>,
+}
+
+impl Inner {
+    pub(super) async fn open(
+        self: &Arc<Self>,
+        open: OpenTurn,
+        deadline_us: u64,
+    ) -> Result<OpenedTurn, OpenTurnError> {
+        let cached = self.cache.lock().unwrap().history(&open.prev);
+        let mut chain = cached.turns;
+        let is_complete = cached.missing.is_empty();
+        if is_complete {
+            self.counters.cache_hits.fetch_add(1, Relaxed);
+        }
+        if !is_complete || open.is_budgeted() {
+            let rest = self
+                .open_or_settle(&open, cached.missing, deadline_us)
+                .await?;
+            chain.extend(rest);
+        }
+        chain.reverse();
+        let turns = chain.iter().map(|stored| stored.turn.clone()).collect();
+        let mut cache = self.cache.lock().unwrap();
+        cache.open_chains.put(open.turn, chain);
+        Ok(OpenedTurn { chain: turns })
+    }
+
+    /// What may have been reserved is released, unless the answer is certain.
+    async fn open_or_settle(
+        self: &Arc<Self>,
+        open: &OpenTurn,
+        missing: String,
+        deadline_us: u64,
+    ) -> Result<Vec<StoredTurn>, OpenTurnError> {
+        let mut guard = SettleOnDrop::new(self, open, 0);
+        let rows = self.request_open(open, missing, deadline_us).await;
+        if !matches!(rows, Err(OpenTurnError::Unavailable)) {
+            guard.disarm();
+        }
+        rows
+    }
+
+    /// Asks one store after the other until one gives a certain answer. Returns the chain that ends
+    /// in `missing`, newest first.
+    async fn request_open(
+        self: &Arc<Self>,
+        open: &OpenTurn,
+        missing: String,
+        deadline_us: u64,
+    ) -> Result<Vec<StoredTurn>, OpenTurnError> {
+        let runtime = &self.stores.runtime;
+        let mut attempts = OpenAttempts::default();
+        while runtime.now() < deadline_us {
+            let replicas = self.stores.replicas();
+            let Some(disk) = self.next_store(open, &replicas, &mut attempts) else {
+                attempts.tried.clear();
+                runtime
+                    .sleep(CHAIN_AGAIN + runtime.random() % CHAIN_AGAIN)
+                    .await;
+                continue;
+            };
+            let operation = TurnLogOperation::OpenTurn {
+                program: open.program.clone(),
+                turn: open.turn.clone(),
+                max_output_tokens: open.max_output_tokens,
+                budget: open.budget.filter(|_| !open.program.is_empty()),
+                parent: missing.clone(),
+                take_over: attempts.take_over,
+            };
+            let response = self
+                .request_patiently(&disk, replicas.layout_version, &operation, deadline_us)
+                .await;
+            match response {
+                Some(TurnLogResponse::Opened { rows }) => {
+                    self.cache_opened(open, &disk, &rows);
+                    return Ok(rows);
+                }
+                Some(TurnLogResponse::BudgetSpent) => return Err(OpenTurnError::BudgetSpent),
+                Some(TurnLogResponse::UnknownTurn) => return Err(OpenTurnError::UnknownTurn),
+                Some(TurnLogResponse::NewerLayout(version)) => {
+                    self.stores.catch_up(version).await;
+                }
+                Some(TurnLogResponse::Owner(owner)) => {
+                    self.follow_owner(owner, &replicas, &mut attempts);
+                }
+                _ => self.fail_over(open, disk, &mut attempts),
+            }
+        }
+        Err(OpenTurnError::Unavailable)
+    }
+
+    /// The owner if it is known and responsive, else the first in order that was not tried yet.
+    fn next_store(
+        &self,
+        open: &OpenTurn,
+        replicas: &StoreReplicas,
+        attempts: &mut OpenAttempts,
+    ) -> Option<String> {
+        let order = self
+            .stores
+            .order_by_site(open.rank_key(), replicas, &self.site);
+        let redirected_to = attempts.redirected_to.take();
+        let owner = redirected_to
+            .or_else(|| self.known_owner(&open.program))
+            .filter(|disk| replicas.has(disk));
+        let tried = &attempts.tried;
+        owner
+            .filter(|disk| !tried.contains(disk) && self.stores.is_responsive(disk))
+            .or_else(|| order.into_iter().find(|disk| !tried.contains(disk)))
+    }
+
+    fn cache_opened(&self, open: &OpenTurn, disk: &str, rows: &[StoredTurn]) {
+        let mut cache = self.cache.lock().unwrap();
+        if !open.program.is_empty() {
+            cache.owners.put(open.program.clone(), disk.into());
+        }
+        for stored in rows {
+            cache.put(stored.clone(), vec![disk.to_string()]);
+        }
+    }
+
+    /// A store rejects in favour of an owner that it takes for alive. Where this node cannot reach
+    /// the owner, the store is asked to take over.
+    fn follow_owner(&self, owner: String, replicas: &StoreReplicas, attempts: &mut OpenAttempts) {
+        let is_reachable = replicas.has(&owner)
+            && self.stores.is_responsive(&owner)
+            && !attempts.tried.contains(&owner);
+        if is_reachable {
+            attempts.redirected_to = Some(owner);
+        } else {
+            attempts.take_over = true;
+        }
+    }
+
+    fn fail_over(&self, open: &OpenTurn, disk: String, attempts: &mut OpenAttempts) {
+        self.counters.failovers.fetch_add(1, Relaxed);
+        self.cache.lock().unwrap().owners.pop(&open.program);
+        attempts.tried.insert(disk);
+        attempts.take_over = true;
+    }
+
+    /// Waits for one store as long as it is not suspected and answers anything at all: one that is
+    /// merely slow is not passed over.
+    async fn request_patiently(
+        &self,
+        disk: &str,
+        layout_version: u64,
+        operation: &TurnLogOperation,
+        deadline_us: u64,
+    ) -> Option<TurnLogResponse> {
+        let runtime = &self.stores.runtime;
+        let sent_us = runtime.now();
+        let request = async {
+            let timeout_us = deadline_us.saturating_sub(runtime.now());
+            self.stores
+                .request(disk, layout_version, operation, timeout_us)
+                .await
+                .ok()
+        };
+        let watch = async {
+            for waits in 1.. {
+                runtime.sleep(CHAIN_SPARE).await;
+                self.stores.mark_slow(disk);
+                let is_gone = !self.stores.is_alive(disk)
+                    || (waits >= CHAIN_MUTE && self.stores.has_not_answered_since(disk, sent_us));
+                if is_gone {
+                    break;
+                }
+            }
+            None
+        };
+        futures_lite::future::or(request, watch).await
+    }
+}
--- a/yewcross-state/src/anti_entropy/ledgers.rs
+++ b/yewcross-state/src/anti_entropy/ledgers.rs
@@ -3,7 +3,7 @@
 use crate::turn_store::TurnStore;
 use std::sync::Arc;
 use yewcross_common::runtime::BoxFuture;
-use yewcross_common::turn_log::store_client::StoreReplicas;
+use yewcross_common::turn_log::StoreReplicas;
 
 impl TurnStore {
     /// Brings all ledgers to the disks that lack them. Where one of those cannot be reached, they
--- a/yewcross-state/src/anti_entropy/mod.rs
+++ b/yewcross-state/src/anti_entropy/mod.rs
@@ -14,8 +14,8 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::{CHAIN_AGAIN, MS, SEC};
 use yewcross_common::runtime::BoxFuture;
-use yewcross_common::turn_log::store_client::{
-    GatherStep, StoreReplicas, TurnLogOperation, TurnLogResponse,
+use yewcross_common::turn_log::{
+    Gather, GatherStep, StoreReplicas, TurnLogOperation, TurnLogResponse,
 };
 
 /// How long the other stores have to repair this one, us.
@@ -156,16 +156,18 @@
         let outcome = self
             .stores
             .gather(
-                order,
-                true,
-                layout_version,
-                deadline_us,
+                Gather {
+                    order,
+                    is_broadcast: true,
+                    layout_version,
+                    deadline_us,
+                },
                 request,
                 is_enough,
                 on_response,
             )
             .await;
-        if outcome.enough {
+        if outcome.is_enough {
             self.recovery_pending.store(false, SeqCst);
             self.runtime.log("the damaged log is repaired");
         }
--- a/yewcross-state/src/anti_entropy/transfer.rs
+++ b/yewcross-state/src/anti_entropy/transfer.rs
@@ -4,9 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 use yewcross_common::constants::{CHAIN_PUSH, PEER_WAIT, SYNC_WAIT};
-use yewcross_common::turn_log::store_client::{
-    LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse,
-};
+use yewcross_common::turn_log::{LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse};
 
 /// Longest wait for a disk that records are transferred to, us: its sync, and the way there and
 /// back.
--- a/yewcross-state/src/anti_entropy/turns.rs
+++ b/yewcross-state/src/anti_entropy/turns.rs
@@ -7,9 +7,7 @@
 use yewcross_common::constants::{CHAIN_AGAIN, CHAIN_IDS, PEER_WAIT};
 use yewcross_common::hash::{key_128, ranked};
 use yewcross_common::runtime::BoxFuture;
-use yewcross_common::turn_log::store_client::{
-    StoreReplicas, StoredTurn, TurnLogOperation, TurnLogResponse,
-};
+use yewcross_common::turn_log::{StoreReplicas, StoredTurn, TurnLogOperation, TurnLogResponse};
 
 /// The last pass before a sweep is given up, to be begun anew.
 const LAST_PASS: usize = 50;
--- a/yewcross-state/src/segment_log/mod.rs
+++ b/yewcross-state/src/segment_log/mod.rs
@@ -17,7 +17,7 @@
 
 use serde::{Deserialize, Serialize};
 use yewcross_common::storage::CHAIN_FOLDER;
-use yewcross_common::turn_log::store_client::{LedgerRecord, StoredTurn};
+use yewcross_common::turn_log::{LedgerRecord, StoredTurn};
 
 /// Bytes of a ledger record beside its program and entries, estimated.
 const LEDGER_BYTES: usize = 64;
--- a/yewcross-state/src/segment_log/reader.rs
+++ b/yewcross-state/src/segment_log/reader.rs
@@ -3,11 +3,10 @@
 use crate::segment_log::{LogRecord, TornEnd, path, segment_of};
 use std::collections::BTreeMap;
 use std::io;
-
 use yewcross_common::constants::DISK_FORMAT;
 use yewcross_common::runtime::Runtime;
 use yewcross_common::storage::{CHAIN_FOLDER, decode_first_frame};
-use yewcross_common::turn_log::store_client::decode;
+use yewcross_common::turn_log::messages::decode;
 
 /// What a scan of the segments found beside their records.
 #[derive(Default)]
--- a/yewcross-state/src/segment_log/restore.rs
+++ b/yewcross-state/src/segment_log/restore.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::DISK_RETRY;
 use yewcross_common::storage::encode_frame;
-use yewcross_common::turn_log::store_client::encode;
+use yewcross_common::turn_log::messages::encode;
 
 /// How often a write in flight is looked at, us.
 const WRITE_POLL_US: u64 = DISK_RETRY / 10;
--- a/yewcross-state/src/segment_log/writer.rs
+++ b/yewcross-state/src/segment_log/writer.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
 use yewcross_common::constants::{CHAIN_QUEUE, SEGMENT, SYNC_WAIT};
 use yewcross_common::storage::encode_frame;
-use yewcross_common::turn_log::store_client::encode;
+use yewcross_common::turn_log::messages::encode;
 
 /// The queue of records to write, and the segments written.
 #[derive(Default)]
--- a/yewcross-state/src/turn_store/index.rs
+++ b/yewcross-state/src/turn_store/index.rs
@@ -9,7 +9,7 @@
 use std::io;
 use yewcross_common::hash::key_128;
 use yewcross_common::runtime::Runtime;
-use yewcross_common::turn_log::store_client::StoredTurn;
+use yewcross_common::turn_log::StoredTurn;
 
 /// A turn on this disk.
 pub struct IndexedTurn {
--- a/yewcross-state/src/turn_store/ledger.rs
+++ b/yewcross-state/src/turn_store/ledger.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 use yewcross_common::register::Ballot;
-use yewcross_common::turn_log::store_client::{LedgerEntry, LedgerRecord};
+use yewcross_common::turn_log::{LedgerEntry, LedgerRecord};
 
 /// Memory taken by a ledger without entries, estimated.
 const LEDGER_BYTES: usize = 200;
--- a/yewcross-state/src/turn_store/mod.rs
+++ b/yewcross-state/src/turn_store/mod.rs
@@ -41,16 +41,12 @@
 use yewcross_common::register::Ballot;
 use yewcross_common::runtime::{BoxFuture, Runtime};
 use yewcross_common::storage::DurableStorage;
-use yewcross_common::turn_log::store_client::{
-    StoreClient, TurnLogOperation, TurnLogResponse, epoch_owner_id,
-};
+use yewcross_common::turn_log::epoch::{INCARNATION_BITS, epoch_owner_id};
+use yewcross_common::turn_log::{StoreClient, TurnLogOperation, TurnLogResponse};
 
 /// Turns may take three eighths of a process's memory, in bytes per MB of its bound.
 const TURN_BYTES_PER_MB: usize = 3 << 17;
 
-/// Bits of an owner id that differ from one incarnation of a process to the next.
-const INCARNATION_BITS: u64 = 0xffff;
-
 /// The turns and ledgers of one disk, and its side of the turn log's protocol.
 ///
 /// Where several locks are taken, it is in the order: a program's ownership, `index`, then
@@ -183,8 +179,3 @@
         (settings.bounds.memory_mb as usize) * TURN_BYTES_PER_MB
     }
 }
-
-/// The disk, as [`epoch_owner_id`] gives it, whose store acquired an epoch.
-fn owner_of(epoch: Ballot) -> u64 {
-    epoch.by & !INCARNATION_BITS
-}
--- a/yewcross-state/src/turn_store/open_turn.rs
+++ b/yewcross-state/src/turn_store/open_turn.rs
@@ -1,13 +1,14 @@
 //! Opens a turn: reserves its tokens as the owner of its program's ledger, and collects the history
 //! that it continues.
 
+use crate::turn_store::TurnStore;
 use crate::turn_store::reservation::Reservation;
-use crate::turn_store::{TurnStore, owner_of};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross_common::turn_log::store_client::{
-    GatherStep, StoredTurn, TurnLogOperation, TurnLogResponse, epoch_owner_id,
+use yewcross_common::turn_log::epoch::{epoch_owner_id, owner_of};
+use yewcross_common::turn_log::{
+    Gather, GatherStep, StoredTurn, TurnLogOperation, TurnLogResponse,
 };
 
 /// A request to open a turn.
@@ -153,10 +154,12 @@
         let outcome = self
             .stores
             .gather(
-                order,
-                false,
-                layout_version,
-                deadline_us,
+                Gather {
+                    order,
+                    is_broadcast: false,
+                    layout_version,
+                    deadline_us,
+                },
                 request,
                 is_enough,
                 on_response,
@@ -164,8 +167,10 @@
             .await;
         match found {
             Some(turns) => Lookup::Found(turns),
-            None if outcome.newer > layout_version => Lookup::NewerLayout(outcome.newer),
-            None if outcome.enough => Lookup::NotStored,
+            None if outcome.newer_layout > layout_version => {
+                Lookup::NewerLayout(outcome.newer_layout)
+            }
+            None if outcome.is_enough => Lookup::NotStored,
             None => Lookup::Unavailable,
         }
     }
--- a/yewcross-state/src/turn_store/ownership.rs
+++ b/yewcross-state/src/turn_store/ownership.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 use yewcross_common::register::Ballot;
-use yewcross_common::turn_log::store_client::{
-    GatherStep, LedgerEntry, LedgerRecord, StoreReplicas, TurnLogOperation, TurnLogResponse,
+use yewcross_common::turn_log::{
+    Gather, GatherStep, LedgerEntry, LedgerRecord, StoreReplicas, TurnLogOperation, TurnLogResponse,
 };
 
 /// What this store knows of its own ownership of a program's ledger.
@@ -171,10 +171,12 @@
         let outcome = self
             .stores
             .gather(
-                order,
-                true,
-                replicas.layout_version,
-                deadline_us,
+                Gather {
+                    order,
+                    is_broadcast: true,
+                    layout_version: replicas.layout_version,
+                    deadline_us,
+                },
                 request,
                 is_enough,
                 on_response,
@@ -183,9 +185,9 @@
         Promises {
             entries,
             highest_rejected,
-            promised_by: outcome.taken,
-            is_quorum: outcome.enough,
-            newer_layout: outcome.newer,
+            promised_by: outcome.accepted,
+            is_quorum: outcome.is_enough,
+            newer_layout: outcome.newer_layout,
         }
     }
 }
--- a/yewcross-state/src/turn_store/replication.rs
+++ b/yewcross-state/src/turn_store/replication.rs
@@ -4,17 +4,16 @@
 //! seen by the anti-entropy of the newer one.
 
 use crate::segment_log::LogRecord;
+use crate::turn_store::TurnStore;
 use crate::turn_store::index::TurnIndex;
-use crate::turn_store::{TurnStore, owner_of};
 use async_channel::Receiver;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
 use yewcross_common::constants::PEER_WAIT;
 use yewcross_common::register::Ballot;
-use yewcross_common::turn_log::store_client::{
-    LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse, epoch_owner_id,
-};
+use yewcross_common::turn_log::epoch::{epoch_owner_id, owner_of};
+use yewcross_common::turn_log::{LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse};
 
 impl TurnStore {
     pub(super) fn find_history(&self, layout_version: u64, id: &str) -> TurnLogResponse {
--- a/yewcross-state/src/turn_store/requests.rs
+++ b/yewcross-state/src/turn_store/requests.rs
@@ -5,9 +5,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
 use yewcross_common::constants::CHAIN_BUSY;
-use yewcross_common::turn_log::store_client::{
-    TurnLogOperation, TurnLogRequest, TurnLogResponse, decode, encode,
-};
+use yewcross_common::turn_log::messages::{decode, encode};
+use yewcross_common::turn_log::{TurnLogOperation, TurnLogRequest, TurnLogResponse};
 
 impl TurnStore {
     /// Answers an encoded request. Above the bound of requests in flight, and while the disk is far
--- a/yewcross-state/src/turn_store/reservation.rs
+++ b/yewcross-state/src/turn_store/reservation.rs
@@ -15,8 +15,8 @@
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
 use yewcross_common::constants::{CHAIN_AGAIN, CHAIN_FRESH, LEDGER_KEPT, PEER_WAIT};
 use yewcross_common::register::Ballot;
-use yewcross_common::turn_log::store_client::{
-    GatherOutcome, GatherStep, LedgerEntry, LedgerRecord, StoreReplicas, TurnLogOperation,
+use yewcross_common::turn_log::{
+    Gather, GatherOutcome, GatherStep, LedgerEntry, LedgerRecord, StoreReplicas, TurnLogOperation,
     TurnLogResponse,
 };
 
@@ -289,15 +289,15 @@
         let (outcome, highest_rejected) = self
             .gather_appends(replicas, entry.record, &entry.promised_by, deadline_us)
             .await;
-        if outcome.enough {
+        if outcome.is_enough {
             return Attempt::Finished(if self.is_durable(entry.written).await {
                 TurnLogResponse::Ok
             } else {
                 TurnLogResponse::Unavailable
             });
         }
-        if outcome.newer > replicas.layout_version {
-            return Attempt::CatchUp(outcome.newer);
+        if outcome.newer_layout > replicas.layout_version {
+            return Attempt::CatchUp(outcome.newer_layout);
         }
         // Taken over, or forgotten by too many disks: acquired anew, if no other store owns it.
         let mut owned = ownership.lock().await;
@@ -348,10 +348,12 @@
         let outcome = self
             .stores
             .gather(
-                order,
-                false,
-                replicas.layout_version,
-                deadline_us,
+                Gather {
+                    order,
+                    is_broadcast: false,
+                    layout_version: replicas.layout_version,
+                    deadline_us,
+                },
                 request,
                 is_enough,
                 on_response,
@@ -380,10 +382,10 @@
         self.runtime.spawn(async move {
             for _ in 0..RELEASE_ATTEMPTS {
                 let outcome = store.replicate_release(&record).await;
-                if outcome.enough {
+                if outcome.is_enough {
                     return;
                 }
-                store.stores.catch_up(outcome.newer).await;
+                store.stores.catch_up(outcome.newer_layout).await;
                 store.runtime.sleep(CHAIN_AGAIN).await;
             }
         });
@@ -418,10 +420,12 @@
         };
         self.stores
             .gather(
-                order,
-                true,
-                layout_version,
-                deadline_us,
+                Gather {
+                    order,
+                    is_broadcast: true,
+                    layout_version,
+                    deadline_us,
+                },
                 request,
                 is_enough,
                 on_response,
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -16,7 +16,7 @@
 use yewcross_common::storage::DurableStorage;
 use yewcross_common::transport::*;
 use yewcross_common::turn_log::client::TurnLogClient;
-use yewcross_common::turn_log::store_client::*;
+use yewcross_common::turn_log::messages::{decode, encode};
 use yewcross_common::turn_log::*;
 use yewcross_state::turn_store::TurnStore;
 use yewcross_testkit::sim::{Sim, Weather};
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -9,9 +9,7 @@
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, ReplicaGroup};
 use yewcross_common::turn_log::Turn;
-use yewcross_common::turn_log::store_client::{
-    LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse,
-};
+use yewcross_common::turn_log::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse};
 use yewcross_control::api::{ReadAnswer, RetireBegin, RetireState};
 use yewcross_control::layout::planning::{self, ClusterView, ReplicaReport};
 use yewcross_testkit::routed::tier::Plan;
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -28,9 +28,8 @@
 use yewcross_common::runtime::{BoxFuture, Runtime};
 use yewcross_common::storage::{DurableStorage, encode_frame};
 use yewcross_common::turn_log::Turn;
-use yewcross_common::turn_log::store_client::{
-    LedgerEntry, LedgerRecord, StoredTurn, decode, encode,
-};
+use yewcross_common::turn_log::messages::{decode, encode};
+use yewcross_common::turn_log::{LedgerEntry, LedgerRecord, StoredTurn};
 use yewcross_control::Control;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_control::lease::KeptGrant;
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -13,7 +13,7 @@
 use yewcross_common::protocol::*;
 use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest};
 use yewcross_common::turn_log::Turn;
-use yewcross_common::turn_log::store_client::{
+use yewcross_common::turn_log::{
     LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse,
 };
 use yewcross_control::lease::KeptGrant;
