--- a/yewcross-proxy/src/lookup/validation.rs
+++ b/yewcross-proxy/src/lookup/validation.rs
@@ -2,7 +2,7 @@
 
 use super::Rejection;
 use crate::Front;
-use crate::turn::name_ok;
+use crate::turn::is_valid_name;
 use serde::{Deserialize, Serialize};
 use yewcross_common::configuration::Kind;
 use yewcross_common::constants::{BACK_SOON, HORIZON_MAX, HORIZON_MIN, MS, PATIENCE};
@@ -85,8 +85,8 @@
     if !(HORIZON_MIN..=HORIZON_MAX).contains(&body.horizon_ms) {
         return Err(Rejection::new(Code::BadHorizon, 0));
     }
-    let is_job_valid = body.job.is_empty() || name_ok(&body.job);
-    if !name_ok(&body.key) || !is_job_valid {
+    let is_job_valid = body.job.is_empty() || is_valid_name(&body.job);
+    if !is_valid_name(&body.key) || !is_job_valid {
         return Err(Rejection::with_reason(Code::BadField, "key or job"));
     }
     Ok(())
--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -1,129 +1,181 @@
 //! The answer to a caller: one JSON object, or a stream of lines.
 
+use super::drive::drive;
+use super::events::{Event, Rejection, TurnEnd, TurnOutcome};
+use super::request::{TurnBody, check};
+use super::state::ReceivedTurn;
 use crate::Front;
-use crate::back::Stamp;
-use crate::turn::drive::drive;
-use crate::turn::request::{TurnBody, check};
 use http_types::Response;
-use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use yewcross_common::buffered_http::{BufferedRequest, refuse, reply, stream, until};
 use yewcross_common::constants::{BACK_SOON, HORIZON_LATE, HORIZON_MAX, MS};
 use yewcross_common::error_code::Code;
+use yewcross_common::runtime::Runtime;
 
-/// What is kept of a done turn, and given again to whoever repeats its id.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Kept {
-    pub text: String,
-    pub digest: String,
-    pub prompt: u64,
-    pub reused: u64,
-    pub output: u64,
-    pub stamp: Stamp,
-}
-
-pub enum Event {
-    No(Code, String, u64),
-    Piece(u64, String),
-    End(Box<Kept>, u64, bool),
-}
+/// count. Lines of a streamed answer that wait for a caller that reads slowly.
+const STREAM_LINES: usize = 64;
 
-pub async fn answer(front: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
-    let t0 = front.runtime.now();
-    let b: TurnBody = match serde_json::from_slice(&j.body) {
-        Ok(b) => b,
-        Err(e) => return refuse(Code::BadBody, &e.to_string(), 0),
+/// Answers a turn, at its deadline at the latest.
+pub async fn answer(front: Arc<Front>, request: BufferedRequest, nonce: u64) -> Response {
+    let received_at = front.runtime.now();
+    let body: TurnBody = match serde_json::from_slice(&request.body) {
+        Ok(body) => body,
+        Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
     };
-    if let Err((c, w)) = check(&b) {
-        return refuse(c, &w, 0);
+    if let Err(rejection) = check(&body) {
+        return reject(&rejection);
     }
-    let cap = front
-        .documents
-        .config
-        .load()
-        .1
-        .families
-        .get(&b.program)
-        .map_or(HORIZON_MAX, |p| p.eff.horizon_ms);
-    let end = t0 + b.horizon_ms.min(cap) * MS + HORIZON_LATE;
+    let most_ms = most_horizon_ms(&front, &body.program);
+    let end = received_at + body.horizon_ms.min(most_ms) * MS + HORIZON_LATE;
     // What is said at the last moment still has to be sent.
     let cut = end + HORIZON_LATE / 2;
     // As long as a turn's output may be: a caller that reads slowly holds no server up.
-    let (tx, rx) = async_channel::unbounded();
-    let (me, streamed) = (front.clone(), b.stream);
-    front
-        .runtime
-        .spawn(async move { drive(me, b, t0, nonce, tx).await });
-    let w = front.runtime.clone();
-    let next = async move || {
-        let left = end.saturating_sub(w.now());
-        let late = Event::No(
-            Code::StillRunning,
-            "its horizon has passed".into(),
-            BACK_SOON,
-        );
-        w.timeout(left, rx.recv())
-            .await
-            .unwrap_or(Ok(late))
-            .unwrap_or(Event::No(Code::MayHaveRun, String::new(), 0))
+    let (sender, events) = async_channel::unbounded();
+    let is_streamed = body.stream;
+    let received = ReceivedTurn {
+        body,
+        received_at,
+        nonce,
     };
-    if !streamed {
-        let mut text = String::new();
-        loop {
-            match next().await {
-                Event::No(c, w, back) => return refuse(c, &w, back),
-                Event::Piece(_, t) => text += &t,
-                Event::End(k, _, again) => {
-                    if again {
-                        text = k.text.clone();
-                    }
-                    return until(reply(200, &end_line(&k, 1, again, Some(&text))), cut);
-                }
+    front.runtime.spawn(drive(front.clone(), received, sender));
+    let events = Events {
+        runtime: front.runtime.clone(),
+        events,
+        end,
+    };
+    if is_streamed {
+        streamed_answer(&front.runtime, events, cut).await
+    } else {
+        single_answer(events, cut).await
+    }
+}
+
+/// ms. The longest deadline that the program allows.
+fn most_horizon_ms(front: &Front, program: &str) -> u64 {
+    let configuration = front.documents.config.load();
+    let program = configuration.1.families.get(program);
+    program.map_or(HORIZON_MAX, |program| program.eff.horizon_ms)
+}
+
+/// The events of a turn, until its end.
+struct Events {
+    runtime: Runtime,
+    events: async_channel::Receiver<Event>,
+    /// us of the node's clock.
+    end: u64,
+}
+
+impl Events {
+    async fn next(&self) -> Event {
+        let left = self.end.saturating_sub(self.runtime.now());
+        match self.runtime.timeout(left, self.events.recv()).await {
+            Some(Ok(event)) => event,
+            Some(Err(_)) => Event::Rejected(Rejection::new(Code::MayHaveRun, "", 0)),
+            None => {
+                let reason = "its horizon has passed";
+                Event::Rejected(Rejection::new(Code::StillRunning, reason, BACK_SOON))
             }
         }
     }
-    let mut x = match next().await {
-        Event::No(c, w, back) => return refuse(c, &w, back),
-        x => x,
-    };
-    let (otx, orx) = async_channel::bounded::<Vec<u8>>(64);
-    front.runtime.spawn(async move {
-        loop {
-            let (v, last) = match x {
-                Event::Piece(n, t) => (vec![json!({"n": n, "text": t})], false),
-                Event::No(c, w, back) => {
-                    let ran: &str = c.ran().into();
-                    (vec![json!({"broken": true, "code": c.number(), "ran": ran, "why": w, "retry_after": back})], true)
-                }
-                Event::End(k, _, true) => (vec![json!({"n": 0, "text": k.text}), end_line(&k, 1, true, None)], true),
-                Event::End(k, n, false) => (vec![end_line(&k, n, false, None)], true),
-            };
-            for l in v {
-                let mut l = serde_json::to_vec(&l).unwrap_or_default();
-                l.push(b'\n');
-                if otx.send(l).await.is_err() {
-                    return;
+}
+
+fn reject(rejection: &Rejection) -> Response {
+    refuse(rejection.code, &rejection.reason, rejection.retry_after)
+}
+
+/// One JSON object with the whole output.
+async fn single_answer(events: Events, cut: u64) -> Response {
+    let mut text = String::new();
+    loop {
+        match events.next().await {
+            Event::Rejected(rejection) => return reject(&rejection),
+            Event::Chunk { text: chunk, .. } => text += &chunk,
+            Event::End(end) => {
+                let outcome = &end.outcome;
+                if end.is_replayed {
+                    text = outcome.text.clone();
                 }
+                let mut answer = end_line(outcome, 1, end.is_replayed);
+                answer["text"] = json!(text);
+                return until(reply(200, &answer), cut);
             }
-            if last {
-                return;
-            }
-            x = next().await;
+        }
+    }
+}
+
+/// A line for each event; a rejection before the first chunk is a plain answer.
+async fn streamed_answer(runtime: &Runtime, events: Events, cut: u64) -> Response {
+    let first = match events.next().await {
+        Event::Rejected(rejection) => return reject(&rejection),
+        event => event,
+    };
+    let (lines, body) = async_channel::bounded(STREAM_LINES);
+    runtime.spawn(async move {
+        let mut event = first;
+        while write_event(event, &lines).await {
+            event = events.next().await;
         }
     });
-    until(stream(orx), cut)
+    until(stream(body), cut)
 }
 
-pub(super) fn end_line(k: &Kept, pieces: u64, again: bool, text: Option<&str>) -> Value {
-    let mut v = json!({"end": true, "code": Code::Done.number(), "pieces": pieces, "digest": k.digest, "replayed": again,
-        "usage": {"prompt": k.prompt, "reused": k.reused, "output": k.output}, "stamp": k.stamp});
-    text.iter().for_each(|t| v["text"] = json!(t));
-    v
+/// Whether the stream goes on.
+async fn write_event(event: Event, lines: &async_channel::Sender<Vec<u8>>) -> bool {
+    let is_last = !matches!(event, Event::Chunk { .. });
+    for line in stream_lines(event) {
+        let mut line = serde_json::to_vec(&line).unwrap_or_default();
+        line.push(b'\n');
+        if lines.send(line).await.is_err() {
+            return false;
+        }
+    }
+    !is_last
+}
+
+fn stream_lines(event: Event) -> Vec<Value> {
+    match event {
+        Event::Chunk { index, text } => vec![json!({"n": index, "text": text})],
+        Event::Rejected(rejection) => vec![broken_line(&rejection)],
+        Event::End(end) => {
+            let TurnEnd {
+                outcome,
+                chunks,
+                is_replayed,
+            } = *end;
+            let last = end_line(&outcome, chunks, is_replayed);
+            if is_replayed {
+                vec![json!({"n": 0, "text": outcome.text}), last]
+            } else {
+                vec![last]
+            }
+        }
+    }
 }
 
-pub(super) type Out = async_channel::Sender<Event>;
+fn broken_line(rejection: &Rejection) -> Value {
+    let ran: &str = rejection.code.ran().into();
+    json!({
+        "broken": true,
+        "code": rejection.code.number(),
+        "ran": ran,
+        "why": rejection.reason,
+        "retry_after": rejection.retry_after,
+    })
+}
 
-pub(super) async fn no(out: &Out, c: Code, why: &str, back: u64) {
-    let _ = out.send(Event::No(c, why.into(), back)).await;
+fn end_line(outcome: &TurnOutcome, chunks: u64, is_replayed: bool) -> Value {
+    json!({
+        "end": true,
+        "code": Code::Done.number(),
+        "pieces": chunks,
+        "digest": outcome.digest,
+        "replayed": is_replayed,
+        "usage": {
+            "prompt": outcome.prompt,
+            "reused": outcome.reused,
+            "output": outcome.output,
+        },
+        "stamp": outcome.stamp,
+    })
 }
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -1,198 +1,303 @@
-//! One attempt at a server: the request, its pieces, its verified end.
+//! One attempt of a turn at a server: the request, its chunks, its verified end.
 
-use crate::back::{Back, Lines, Sent, Stamp, Verified};
-use crate::judge::Pick;
-use crate::turn::answer::{Event, Kept, Out};
-use crate::turn::request::tokens;
-use crate::turn::state::{Begun, Ran};
+use super::events::{Event, EventSender, TurnOutcome};
+use super::request::tokens;
+use super::state::{BegunTurn, FinishedAttempt};
+use crate::back::{Back, Lines, Sent, Stamp, Verified, ask_once};
 use crate::{Front, kv, server_table};
-use serde::{Deserialize, Serialize};
+use http_types::Response;
+use serde::Deserialize;
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
+use yewcross_common::buffered_http::body;
 use yewcross_common::constants::{BACK_WAIT, MS, PIECE_WAIT};
 use yewcross_common::hash::digest;
 use yewcross_common::protocol::ListedServer;
 
+/// Bytes. Longest answer of a server that rejects a turn.
+const REJECTION_BYTES_MAX: usize = 64 << 10;
+
+/// A server's line with a part of the output.
 #[derive(Deserialize)]
-struct Piece {
-    n: u64,
+struct ChunkLine {
+    #[serde(rename = "n")]
+    index: u64,
     text: String,
 }
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct End {
-    pub end: bool,
-    pub pieces: u64,
-    pub digest: String,
-    pub prompt: u64,
-    pub reused: u64,
-    pub output: u64,
-    #[serde(default)]
-    pub placed: u64,
-    pub stamp: Stamp,
+/// A server's last line.
+#[derive(Deserialize)]
+struct EndLine {
+    end: bool,
+    #[serde(rename = "pieces")]
+    chunks: u64,
+    digest: String,
+    prompt: u64,
+    reused: u64,
+    output: u64,
+    #[serde(default, rename = "placed")]
+    placed_tokens: u64,
+    stamp: Stamp,
 }
 
-pub(super) enum Shot {
-    Ran(Box<Ran>),
+/// A server's answer to a cancellation.
+#[derive(Deserialize)]
+pub(super) struct Cancelled {
+    /// Tokens that it put out.
+    output: Option<u64>,
+    stamp: Stamp,
+}
+
+/// What came of an attempt.
+pub(super) enum AttemptOutcome {
+    Finished(Box<FinishedAttempt>),
     /// The server said so itself, or nothing was sent.
-    NotRun(Box<Begun>),
-    Lost(Box<Begun>, bool),
-    /// Cut short for want of a listener, after so many tokens.
-    Left(Box<Begun>, u64),
+    NotRun,
+    /// It may have run; the caller may have some of its output.
+    Unknown {
+        has_output: bool,
+    },
+    /// Cancelled because nobody listens any more, after this many tokens.
+    Abandoned {
+        used_tokens: u64,
+    },
 }
 
-pub(super) fn shot_id(g: &Begun) -> String {
-    format!("{}#{:x}", g.r.b.job, g.shot)
+/// What servers know the present attempt by.
+pub(super) fn server_job(turn: &BegunTurn) -> String {
+    format!("{}#{:x}", turn.request.body.job, turn.attempt_nonce)
 }
 
-pub(super) async fn shot(f: &Arc<Front>, g: Begun, p: &Pick, b: Back<Verified>, out: &Out) -> Shot {
-    let job = shot_id(&g);
-    let mut prompt = g.hist.clone();
-    prompt.extend(&g.ask);
-    let left = g.r.horizon.saturating_sub(f.runtime.now());
-    // Fenced last: what was decided before a freeze is decided again.
-    if !f.watcher.may_serve()
-        || !server_table::fit(f, &g.r.fam.service)
-            .iter()
-            .any(|s| s.at == p.server.at)
-    {
-        return Shot::NotRun(Box::new(g));
+/// Sends the turn to a server, and passes its output on as it comes.
+pub(super) async fn attempt(
+    front: &Arc<Front>,
+    turn: &BegunTurn,
+    server: &ListedServer,
+    connection: Back<Verified>,
+    events: &EventSender,
+) -> AttemptOutcome {
+    let time_left = turn.request.deadline.saturating_sub(front.runtime.now());
+    if !is_still_fit(front, turn, server) {
+        return AttemptOutcome::NotRun;
     }
-    let body = json!({"job": job, "session": g.r.key, "program": g.r.b.program, "service": g.r.fam.service,
-        "prompt": String::from_utf8_lossy(&prompt), "max_output": g.r.max_out, "horizon_ms": left / MS});
-    let p_at = p.server.at.clone();
-    let started = f.runtime.now();
-    let mut r = match b
-        .send(
-            &f.runtime,
-            "/turn",
-            serde_json::to_vec(&body).unwrap_or_default(),
-            left + PIECE_WAIT,
-        )
+    let job = server_job(turn);
+    let request = server_request(turn, &job, time_left);
+    let started = front.runtime.now();
+    let sent = connection
+        .send(&front.runtime, "/turn", request, time_left + PIECE_WAIT)
+        .await;
+    let Sent::Answered(mut response) = sent else {
+        return AttemptOutcome::Unknown { has_output: false };
+    };
+    if !response.status().is_success() {
+        return read_rejection(front, &connection, response, &job).await;
+    }
+    let mut output = OutputReader {
+        front,
+        turn,
+        server,
+        connection: &connection,
+        job: &job,
+        lines: Lines::of(&mut response),
+        text: String::new(),
+        chunks: 0,
+    };
+    let end = match output.read_to_end(events).await {
+        Ok(end) => end,
+        Err(outcome) => return outcome,
+    };
+    let is_drained = output.lines.drained(&front.runtime).await;
+    let (text, chunks) = (output.text, output.chunks);
+    if is_drained {
+        front.pool.put(&front.runtime, connection);
+    }
+    let elapsed = front.runtime.now() - started;
+    let class = &turn.request.class;
+    front.admission.served_in(&class.service, elapsed);
+    let (ran_at, cache) = (&end.stamp.server, &turn.cache);
+    kv::count(front, class, cache, ran_at, end.prompt, end.reused);
+    AttemptOutcome::Finished(Box::new(finished(turn, end, text, chunks)))
+}
+
+/// Whether the turn may still go there. Checked last before it is sent: what was decided before a
+/// freeze is decided again.
+fn is_still_fit(front: &Front, turn: &BegunTurn, server: &ListedServer) -> bool {
+    front.watcher.may_serve()
+        && server_table::fit(front, &turn.request.class.service)
+            .iter()
+            .any(|candidate| candidate.at == *server)
+}
+
+fn server_request(turn: &BegunTurn, job: &str, time_left: u64) -> Vec<u8> {
+    let request = &turn.request;
+    let mut prompt = turn.history.clone();
+    prompt.extend(&turn.open_line);
+    let body = json!({
+        "job": job,
+        "session": request.key,
+        "program": request.body.program,
+        "service": request.class.service,
+        "prompt": String::from_utf8_lossy(&prompt),
+        "max_output": request.max_output_tokens,
+        "horizon_ms": time_left / MS,
+    });
+    serde_json::to_vec(&body).unwrap_or_default()
+}
+
+/// An answer other than 200: only a stamped rejection says that the turn did not run.
+async fn read_rejection(
+    front: &Front,
+    connection: &Back<Verified>,
+    mut response: Response,
+    job: &str,
+) -> AttemptOutcome {
+    let bytes = front
+        .runtime
+        .timeout(BACK_WAIT, body(&mut response, REJECTION_BYTES_MAX))
         .await
-    {
-        Sent::Answered(r) => r,
-        Sent::Lost => return Shot::Lost(Box::new(g), false),
+        .and_then(|bytes| bytes.ok())
+        .unwrap_or_default();
+    let answer: Value = serde_json::from_slice(&bytes).unwrap_or_default();
+    let is_stamped = serde_json::from_value::<Stamp>(answer["stamp"].clone())
+        .is_ok_and(|stamp| connection.stamped(&stamp, job));
+    if answer["refused"] == json!(true) && is_stamped {
+        AttemptOutcome::NotRun
+    } else {
+        AttemptOutcome::Unknown { has_output: false }
+    }
+}
+
+fn finished(turn: &BegunTurn, end: EndLine, text: String, chunks: u64) -> FinishedAttempt {
+    let stamp = Stamp {
+        job: turn.request.body.job.clone(),
+        ..end.stamp
     };
-    if !r.status().is_success() {
-        let v = f
-            .runtime
-            .timeout(
-                BACK_WAIT,
-                yewcross_common::buffered_http::body(&mut r, 64 << 10),
-            )
-            .await
-            .and_then(|v| v.ok())
-            .unwrap_or_default();
-        let v: Value = serde_json::from_slice(&v).unwrap_or_default();
-        let said = v["refused"] == json!(true)
-            && serde_json::from_value::<Stamp>(v["stamp"].clone())
-                .is_ok_and(|s| b.stamped(&s, &job));
-        return if said {
-            Shot::NotRun(Box::new(g))
-        } else {
-            Shot::Lost(Box::new(g), false)
-        };
+    let outcome = TurnOutcome {
+        digest: end.digest,
+        prompt: end.prompt,
+        reused: end.reused,
+        output: end.output.min(turn.request.max_output_tokens),
+        stamp,
+        text,
+    };
+    FinishedAttempt {
+        outcome,
+        placed_tokens: end.placed_tokens,
+        chunks,
     }
-    let mut lines = Lines::of(&mut r);
-    let (mut n, mut text) = (0u64, String::new());
-    loop {
-        let until = g.r.horizon + PIECE_WAIT;
-        let Some(l) = lines
-            .next(
-                &f.runtime,
-                PIECE_WAIT.min(until.saturating_sub(f.runtime.now())),
-            )
-            .await
-        else {
-            return Shot::Lost(Box::new(g), n > 0);
-        };
-        if let Ok(p) = serde_json::from_slice::<Piece>(&l) {
-            if p.n != n || tokens(text.len() + p.text.len()) > g.r.max_out + 1 {
-                f.counts.broken.fetch_add(1, SeqCst);
-                return Shot::Lost(Box::new(g), n > 0);
-            }
-            text += &p.text;
-            n += 1;
-            let gone = out.send(Event::Piece(p.n, p.text)).await.is_err();
-            // A run that may be repeated is cut short when nobody listens; one that may not goes on
-            // and is kept.
-            if gone && g.r.fam.repeatable {
-                f.counts.cancelled.fetch_add(1, SeqCst);
-                // What was passed on is not what it put out: only its own stamped word says less
-                // than all.
-                let said = cancel(f, &p_at, &g.r.fam.service, &job).await;
-                let used = said
-                    .filter(|c| b.stamped(&c.stamp, &job))
-                    .and_then(|c| c.output)
-                    .unwrap_or(g.r.max_out)
-                    .min(g.r.max_out);
-                return Shot::Left(Box::new(g), used);
+}
+
+/// Reads a server's output line by line, and passes it on.
+struct OutputReader<'a> {
+    front: &'a Arc<Front>,
+    turn: &'a BegunTurn,
+    server: &'a ListedServer,
+    connection: &'a Back<Verified>,
+    job: &'a str,
+    lines: Lines,
+    text: String,
+    chunks: u64,
+}
+
+impl OutputReader<'_> {
+    /// The verified end; otherwise what came of the attempt.
+    async fn read_to_end(&mut self, events: &EventSender) -> Result<EndLine, AttemptOutcome> {
+        loop {
+            let Some(line) = self.next_line().await else {
+                return Err(self.unknown());
+            };
+            match serde_json::from_slice::<ChunkLine>(&line) {
+                Ok(chunk) => self.pass_on(chunk, events).await?,
+                Err(_) => return self.verified_end(&line).ok_or_else(|| self.broken()),
             }
-            continue;
         }
-        let e = serde_json::from_slice::<End>(&l).ok();
-        let whole = e.filter(|e| {
-            e.end
-                && e.pieces == n
-                && e.digest == digest(text.as_bytes())
-                && b.stamped(&e.stamp, &job)
-        });
-        let Some(e) = whole else {
-            f.counts.broken.fetch_add(1, SeqCst);
-            return Shot::Lost(Box::new(g), n > 0);
-        };
-        if lines.drained(&f.runtime).await {
-            f.pool.put(&f.runtime, b);
+    }
+
+    async fn next_line(&mut self) -> Option<Vec<u8>> {
+        let runtime = &self.front.runtime;
+        let until = self.turn.request.deadline + PIECE_WAIT;
+        let wait = PIECE_WAIT.min(until.saturating_sub(runtime.now()));
+        self.lines.next(runtime, wait).await
+    }
+
+    async fn pass_on(
+        &mut self,
+        chunk: ChunkLine,
+        events: &EventSender,
+    ) -> Result<(), AttemptOutcome> {
+        let output_tokens = tokens(self.text.len() + chunk.text.len());
+        if chunk.index != self.chunks || output_tokens > self.turn.request.max_output_tokens + 1 {
+            return Err(self.broken());
         }
-        f.admission
-            .served_in(&g.r.fam.service, f.runtime.now() - started);
-        kv::count(f, &g.r.fam, &g.kv, &e.stamp.server, e.prompt, e.reused);
-        let stamp = Stamp {
-            job: g.r.b.job.clone(),
-            ..e.stamp
+        self.text += &chunk.text;
+        self.chunks += 1;
+        let event = Event::Chunk {
+            index: chunk.index,
+            text: chunk.text,
         };
-        let kept = Kept {
-            digest: e.digest,
-            prompt: e.prompt,
-            reused: e.reused,
-            output: e.output.min(g.r.max_out),
-            stamp,
-            text,
-        };
-        return Shot::Ran(Box::new(Ran {
-            g,
-            kept,
-            placed: e.placed,
-            pieces: n,
-        }));
+        let is_caller_gone = events.send(event).await.is_err();
+        // A run that may be repeated is cancelled when nobody listens; one that may not goes on and
+        // is kept.
+        if is_caller_gone && self.turn.request.class.repeatable {
+            return Err(self.abandon().await);
+        }
+        Ok(())
     }
-}
 
-#[derive(Deserialize)]
-pub(super) struct Stopped {
-    pub(super) output: Option<u64>,
-    pub(super) stamp: Stamp,
+    async fn abandon(&mut self) -> AttemptOutcome {
+        self.front.counts.cancelled.fetch_add(1, SeqCst);
+        let request = &self.turn.request;
+        let cancelled = cancel(self.front, self.server, &request.class.service, self.job).await;
+        // What was passed on is not all that it put out: only the server's own stamped word says
+        // less than the most allowed.
+        let used_tokens = cancelled
+            .filter(|answer| self.connection.stamped(&answer.stamp, self.job))
+            .and_then(|answer| answer.output)
+            .unwrap_or(request.max_output_tokens)
+            .min(request.max_output_tokens);
+        AttemptOutcome::Abandoned { used_tokens }
+    }
+
+    fn verified_end(&self, line: &[u8]) -> Option<EndLine> {
+        let end: EndLine = serde_json::from_slice(line).ok()?;
+        let is_verified = end.end
+            && end.chunks == self.chunks
+            && end.digest == digest(self.text.as_bytes())
+            && self.connection.stamped(&end.stamp, self.job);
+        is_verified.then_some(end)
+    }
+
+    fn broken(&self) -> AttemptOutcome {
+        self.front.counts.broken.fetch_add(1, SeqCst);
+        self.unknown()
+    }
+
+    fn unknown(&self) -> AttemptOutcome {
+        AttemptOutcome::Unknown {
+            has_output: self.chunks > 0,
+        }
+    }
 }
 
+/// Cancels an attempt; the server's answer, if there is one.
 pub(super) async fn cancel(
     front: &Arc<Front>,
-    at: &ListedServer,
-    svc: &str,
+    server: &ListedServer,
+    service: &str,
     job: &str,
-) -> Option<Stopped> {
-    let b = serde_json::to_vec(&json!({"job": job})).unwrap_or_default();
-    let v = crate::back::ask_once(
+) -> Option<Cancelled> {
+    let request = serde_json::to_vec(&json!({"job": job})).unwrap_or_default();
+    let answer = ask_once(
         &front.runtime,
         &front.pool,
-        svc,
-        &at.server,
-        at.addr,
+        service,
+        &server.server,
+        server.addr,
         "/cancel",
-        b,
+        request,
         BACK_WAIT,
     )
     .await?;
-    serde_json::from_slice(&v).ok()
+    serde_json::from_slice(&answer).ok()
 }
--- a/yewcross-proxy/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -1,8 +1,8 @@
-//! Keeps a turn's outcome in the store, whatever it is.
+//! Commits a turn's outcome to the store, whatever it is.
 
-use crate::turn::answer::{Event, Out, no};
-use crate::turn::request::tokens;
-use crate::turn::state::{Begun, Ran};
+use super::events::{EventSender, Rejection, TurnEnd, send_end, send_rejection};
+use super::request::tokens;
+use super::state::{BegunTurn, FinishedAttempt};
 use crate::{Front, kv};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -13,111 +13,142 @@
     CachedPrefix, CommitTurn, PeerRequest, PeerResponse, SessionCacheState,
 };
 
-/// One round trip: history, outcome and budget are on a majority before the end line goes out.
-pub(super) async fn keep(front: Arc<Front>, x: Ran, out: &Out) {
-    let Ran {
-        g,
-        kept,
-        placed,
-        pieces,
-    } = x;
-    let mut line = g.ask.clone();
-    line.extend(serde_json::to_vec(&kept.text).unwrap_or_default());
-    let mut prefix = g.hist.clone();
+/// us. Backoff between two attempts of a commit.
+const COMMIT_BACKOFF: u64 = 30 * MS;
+/// Rounds over the store's replicas in which a turn without an answer is closed.
+const CLOSE_ROUNDS: usize = 4;
+const LINE_END: u8 = b'\n';
+
+/// Commits a finished turn in one round trip: history, outcome and budget are on a majority before
+/// the caller is told of the end.
+pub(super) async fn commit(
+    front: &Arc<Front>,
+    turn: BegunTurn,
+    finished: FinishedAttempt,
+    events: &EventSender,
+) -> Result<(), Rejection> {
+    let outcome = finished.outcome;
+    let mut line = turn.open_line.clone();
+    line.extend(serde_json::to_vec(&outcome.text).unwrap_or_default());
+    let mut prefix = turn.history.clone();
     prefix.extend(&line);
-    line.push(b'\n');
-    let mut hist = g.hist.clone();
-    hist.extend(&line);
-    g.r.fam.history.trim(&mut hist);
     let home = CachedPrefix {
-        server: kept.stamp.server.clone(),
-        instance: kept.stamp.inst,
-        weights: kept.stamp.weights.clone(),
+        server: outcome.stamp.server.clone(),
+        instance: outcome.stamp.inst,
+        weights: outcome.stamp.weights.clone(),
         tokens: tokens(prefix.len()),
         digest: digest(&prefix),
-        placed_tokens: placed,
-    };
-    let pushed = front.replicas.lock().unwrap().get(&g.r.key).cloned();
-    let replica = pushed.or(g.kv.replica.clone()).filter(|r| {
-        r.weights == home.weights && r.server != home.server && g.kv.program == g.r.b.program
-    });
-    let kv = SessionCacheState {
-        home: Some(home),
-        replica,
-        program: g.r.b.program.clone(),
+        placed_tokens: finished.placed_tokens,
     };
-    let c = CommitTurn {
-        key: g.r.key.clone(),
-        request_id: g.r.b.job.clone(),
-        epoch: g.epoch,
-        nonce: g.nonce,
-        code: Code::Done,
-        used_tokens: kept.output,
-        rule: g.r.fam.history,
-        cache: kv.clone(),
+    line.push(LINE_END);
+    let mut history = turn.history.clone();
+    history.extend(&line);
+    turn.request.class.history.trim(&mut history);
+    let cache = cache_state(front, &turn, home);
+    let request = CommitTurn {
         history_bytes: line.len() as u64,
+        ..commit_turn(&turn, Code::Done, outcome.output, cache.clone())
     };
     let mut blob = line;
-    blob.extend(serde_json::to_vec(&kept).unwrap_or_default());
-    let a = PeerRequest::CommitTurn(c);
+    blob.extend(serde_json::to_vec(&outcome).unwrap_or_default());
+    commit_by_deadline(front, &turn, request, &blob).await?;
+    front.counts.done.fetch_add(1, SeqCst);
+    front.remember(&turn.request.key, history);
+    let end = TurnEnd {
+        outcome,
+        chunks: finished.chunks,
+        is_replayed: false,
+    };
+    send_end(events, end).await;
+    let fresh = kv::Fresh {
+        key: turn.request.key,
+        epoch: turn.epoch,
+        kv: cache,
+        fam: turn.request.class,
+    };
+    kv::share(front.clone(), fresh).await;
+    Ok(())
+}
+
+/// Where the session's prefix is cached after the turn.
+fn cache_state(front: &Front, turn: &BegunTurn, home: CachedPrefix) -> SessionCacheState {
+    let program = &turn.request.body.program;
+    let replicas = front.replicas.lock().unwrap();
+    let pushed = replicas.get(&turn.request.key).cloned();
+    let is_usable = |replica: &CachedPrefix| {
+        replica.weights == home.weights
+            && replica.server != home.server
+            && turn.cache.program == *program
+    };
+    let replica = pushed.or(turn.cache.replica.clone()).filter(is_usable);
+    SessionCacheState {
+        replica,
+        home: Some(home),
+        program: program.clone(),
+    }
+}
+
+async fn commit_by_deadline(
+    front: &Arc<Front>,
+    turn: &BegunTurn,
+    request: CommitTurn,
+    blob: &[u8],
+) -> Result<(), Rejection> {
+    let request = PeerRequest::CommitTurn(request);
     loop {
-        match front.store(&g.r.key, &a, &blob, 1).await {
-            Some((PeerResponse::Committed, _)) => break,
+        match front.store(&turn.request.key, &request, blob, 1).await {
+            Some((PeerResponse::Committed, _)) => return Ok(()),
             Some((PeerResponse::Rejected(Code::MayHaveRun), _)) => {
-                return no(out, Code::MayHaveRun, "the session went on without it", 0).await;
+                let reason = "the session went on without it";
+                return Err(Rejection::new(Code::MayHaveRun, reason, 0));
             }
-            _ if front.runtime.now() > g.r.horizon => {
-                return no(
-                    out,
-                    Code::Undecided,
-                    "the outcome is not yet kept",
-                    BACK_SOON,
-                )
-                .await;
+            _ if front.runtime.now() > turn.request.deadline => {
+                let reason = "the outcome is not yet kept";
+                return Err(Rejection::new(Code::Undecided, reason, BACK_SOON));
             }
-            _ => front.runtime.sleep(30 * MS).await,
+            _ => front.runtime.sleep(COMMIT_BACKOFF).await,
         }
     }
-    front.counts.done.fetch_add(1, SeqCst);
-    front.remember(&g.r.key, hist);
-    let _ = out.send(Event::End(Box::new(kept), pieces, false)).await;
-    kv::share(
-        front,
-        kv::Fresh {
-            key: g.r.key,
-            epoch: g.epoch,
-            kv,
-            fam: g.r.fam,
-        },
-    )
-    .await;
 }
 
-/// Sent, and its outcome lost: told at once, then closed for good as "may have run", its
-/// reservation spent in full.
-pub(super) async fn lost(front: &Arc<Front>, g: Begun, out: &Out) {
+/// Closes a turn that was sent and whose outcome is lost: the caller is told at once, then it is
+/// closed for good as "may have run", its reservation spent in full.
+pub(super) async fn close_unknown(front: &Arc<Front>, turn: &BegunTurn, events: &EventSender) {
     front.counts.lost.fetch_add(1, SeqCst);
-    no(out, Code::MayHaveRun, "", 0).await;
-    let all = g.r.max_out;
-    close(front, g, Code::MayHaveRun, all).await;
+    send_rejection(events, Rejection::new(Code::MayHaveRun, "", 0)).await;
+    let all = turn.request.max_output_tokens;
+    close(front, turn, Code::MayHaveRun, all).await;
 }
 
-pub(super) async fn close(front: &Arc<Front>, g: Begun, code: Code, used: u64) {
-    let c = CommitTurn {
-        key: g.r.key.clone(),
-        request_id: g.r.b.job.clone(),
-        epoch: g.epoch,
-        nonce: g.nonce,
-        code,
-        used_tokens: used,
-        rule: g.r.fam.history,
-        cache: SessionCacheState {
-            home: None,
-            ..g.kv.clone()
-        },
-        history_bytes: 0,
+/// Closes a turn that has no answer.
+pub(super) async fn close(front: &Arc<Front>, turn: &BegunTurn, code: Code, used_tokens: u64) {
+    let cache = SessionCacheState {
+        home: None,
+        ..turn.cache.clone()
     };
-    front
-        .store(&g.r.key, &PeerRequest::CommitTurn(c), &[], 4)
+    let request = PeerRequest::CommitTurn(commit_turn(turn, code, used_tokens, cache));
+    // Where this is lost, the store closes the turn by itself after its deadline.
+    let _ = front
+        .store(&turn.request.key, &request, &[], CLOSE_ROUNDS)
         .await;
 }
+
+/// A commit that adds nothing to the history.
+fn commit_turn(
+    turn: &BegunTurn,
+    code: Code,
+    used_tokens: u64,
+    cache: SessionCacheState,
+) -> CommitTurn {
+    CommitTurn {
+        key: turn.request.key.clone(),
+        request_id: turn.request.body.job.clone(),
+        epoch: turn.epoch,
+        nonce: turn.request.nonce,
+        code,
+        used_tokens,
+        rule: turn.request.class.history,
+        cache,
+        history_bytes: 0,
+    }
+}
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -1,292 +1,233 @@
-//! The steps of a turn, and what follows when one fails.
+//! The phases of a turn, and what follows when an attempt fails.
 
-use crate::turn::answer::{Event, Kept, Out, no};
-use crate::turn::attempt::{Shot, cancel, shot, shot_id};
-use crate::turn::commit::{close, keep, lost};
-use crate::turn::place::place;
-use crate::turn::request::{TurnBody, tokens};
-use crate::turn::state::{Begun, Read};
+use super::attempt::{AttemptOutcome, attempt, cancel, server_job};
+use super::begin::{Beginning, begin, budget_limit, limited_budget};
+use super::commit::{close, close_unknown, commit};
+use super::events::{EventSender, Rejection, TurnEnd, send_end, send_rejection};
+use super::request::tokens;
+use super::selection::select_server;
+use super::state::{BegunTurn, FinishedAttempt, ReceivedTurn, ValidTurn};
+use crate::admission::Permit;
 use crate::{Front, admission, kv, server_table};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::configuration::ResolvedProgramClass;
 use yewcross_common::constants::{BACK_SOON, HORIZON_SPARE, MS, PATIENCE};
 use yewcross_common::error_code::Code;
-use yewcross_common::hash::content_digest;
 use yewcross_common::protocol::{ListedServer, PeerRequest, PeerResponse};
 
-pub(super) async fn drive(front: Arc<Front>, b: TurnBody, t0: u64, nonce: u64, out: Out) {
+/// Takes a turn through its phases; its caller is told by events.
+pub(super) async fn drive(front: Arc<Front>, received: ReceivedTurn, events: EventSender) {
     front.counts.turns.fetch_add(1, SeqCst);
-    if !front.watcher.may_serve() {
-        return no(&out, Code::NotServing, "", BACK_SOON).await;
+    // Given back after the caller is told, unless the turn finishes or waits before.
+    let mut permit = None;
+    if let Err(rejection) = serve(&front, received, &mut permit, &events).await {
+        send_rejection(&events, rejection).await;
     }
-    let conf = front.documents.config.load_full();
-    let Some(ResolvedProgramClass { eff: fam, .. }) = conf.1.families.get(&b.program).cloned()
-    else {
-        return no(&out, Code::UnknownProgram, &b.program, 0).await;
+}
+
+async fn serve<'a>(
+    front: &'a Arc<Front>,
+    received: ReceivedTurn,
+    permit: &mut Option<Permit<'a>>,
+    events: &EventSender,
+) -> Result<(), Rejection> {
+    let turn = validate(front, received)?;
+    *permit = Some(admit(front, &turn).await?);
+    let mut turn = match begin(front, turn).await? {
+        Beginning::Begun(turn) => *turn,
+        Beginning::Replayed(outcome) => {
+            let end = TurnEnd {
+                outcome,
+                chunks: 1,
+                is_replayed: true,
+            };
+            send_end(events, end).await;
+            return Ok(());
+        }
+    };
+    kv::begins(front, &turn.request.key, turn.epoch);
+    let Some(finished) = run(front, &mut turn, permit, events).await? else {
+        return Ok(());
     };
-    if b.budget != fam.budget {
-        return no(&out, Code::WrongBudget, &b.budget, 0).await;
+    *permit = None;
+    commit(front, turn, finished, events).await
+}
+
+fn validate(front: &Front, received: ReceivedTurn) -> Result<ValidTurn, Rejection> {
+    let body = received.body;
+    if !front.watcher.may_serve() {
+        return Err(Rejection::new(Code::NotServing, "", BACK_SOON));
     }
-    let horizon = t0 + b.horizon_ms.min(fam.horizon_ms) * MS;
-    let key = format!("session/{}/{}", b.program, b.session);
-    let max_out = b.max_output.unwrap_or(fam.max_output).min(fam.max_output);
-    let (capacity, urgent_share) = conf
-        .1
-        .services
-        .get(&fam.service)
-        .map(|s| (s.line, s.urgent_share))
-        .unwrap_or((1, 0));
-    // A session not on hand may be new: then all of its prompt must be read.
-    let fresh = if front.hand.lock().unwrap().contains_key(&key) {
-        0
-    } else {
-        tokens(b.messages.iter().map(|m| m.text.len()).sum())
+    let configuration = front.documents.config.load();
+    let Some(program) = configuration.1.families.get(&body.program) else {
+        return Err(Rejection::new(Code::UnknownProgram, &body.program, 0));
     };
-    let least = |s: &server_table::Server| {
-        s.report.decode_us_per_token * max_out + s.report.prefill_us_per_1000 * fresh / 1000
+    let class = program.eff.clone();
+    if body.budget != class.budget {
+        return Err(Rejection::new(Code::WrongBudget, &body.budget, 0));
+    }
+    let horizon = body.horizon_ms.min(class.horizon_ms) * MS;
+    let max_output = body.max_output.unwrap_or(class.max_output);
+    Ok(ValidTurn {
+        nonce: received.nonce,
+        key: format!("session/{}/{}", body.program, body.session),
+        deadline: received.received_at + horizon,
+        queueing_deadline: received.received_at + horizon * PATIENCE / 100,
+        max_output_tokens: max_output.min(class.max_output),
+        class,
+        body,
+    })
+}
+
+/// Waits until a server has a free slot.
+async fn admit<'a>(front: &'a Front, turn: &ValidTurn) -> Result<Permit<'a>, Rejection> {
+    let (capacity, urgent_share) = {
+        let configuration = front.documents.config.load();
+        let service = configuration.1.services.get(&turn.class.service);
+        service.map_or((1, 0), |service| (service.line, service.urgent_share))
     };
-    let needs = server_table::fit(&front, &fam.service)
-        .iter()
-        .map(least)
-        .min()
-        .unwrap_or(0)
-        + HORIZON_SPARE;
-    let patience = t0 + (horizon - t0) * PATIENCE / 100;
     let request = admission::Request {
-        service: &fam.service,
-        class: fam.class,
-        deadline: horizon,
-        patience,
-        needs,
+        service: &turn.class.service,
+        class: turn.class.class,
+        deadline: turn.deadline,
+        patience: turn.queueing_deadline,
+        needs: least_service_time(front, turn),
         capacity,
         urgent_share,
     };
-    let mut pass = match front
-        .admission
-        .admit(&front.runtime, request, || {
-            server_table::slots(&front, &fam.service)
-        })
-        .await
-    {
-        Ok(permit) => Some(permit),
-        Err(refused) => return no(&out, refused.code, "", refused.retry_after).await,
-    };
-    let r = Read {
-        b,
-        fam,
-        key,
-        horizon,
-        patience,
-        max_out,
+    let slots = || server_table::slots(front, &turn.class.service);
+    let admitted = front.admission.admit(&front.runtime, request, slots).await;
+    admitted.map_err(|refused| Rejection::new(refused.code, "", refused.retry_after))
+}
+
+/// us. The least time that any server needs for the turn.
+fn least_service_time(front: &Front, turn: &ValidTurn) -> u64 {
+    // A session not on hand may be new: then all of its prompt must be read.
+    let unread_tokens = if front.hand.lock().unwrap().contains_key(&turn.key) {
+        0
+    } else {
+        tokens(turn.body.messages.iter().map(|m| m.text.len()).sum())
     };
-    let mut g = match begin(&front, r, nonce, &out).await {
-        Some(g) => g,
-        None => return,
+    let needed = |server: &server_table::Server| {
+        let decode = server.report.decode_us_per_token * turn.max_output_tokens;
+        decode + server.report.prefill_us_per_1000 * unread_tokens / 1000
     };
-    kv::begins(&front, &g.r.key, g.epoch);
-    let mut not: Vec<String> = vec![];
-    let ran = loop {
-        let Some((p, b)) = place(&front, &mut g, &mut not, &mut pass).await else {
-            if g.lost {
-                return lost(&front, g, &out).await;
+    let servers = server_table::fit(front, &turn.class.service);
+    servers.iter().map(needed).min().unwrap_or(0) + HORIZON_SPARE
+}
+
+/// Attempts the turn at one server after another until one finishes it. None if it ended in
+/// another way, and its caller was told.
+async fn run(
+    front: &Arc<Front>,
+    turn: &mut BegunTurn,
+    permit: &mut Option<Permit<'_>>,
+    events: &EventSender,
+) -> Result<Option<FinishedAttempt>, Rejection> {
+    let mut excluded: Vec<String> = vec![];
+    loop {
+        let selected = select_server(front, turn, &mut excluded, permit).await;
+        let Some(selected) = selected else {
+            if turn.is_outcome_unknown {
+                close_unknown(front, turn, events).await;
+                return Ok(None);
             }
-            front.abort(&g.r.key, &g.r.b.job, g.nonce, purse(&front, &g.r));
-            let c = if server_table::fit(&front, &g.r.fam.service).is_empty() {
-                Code::NoServer
-            } else {
-                Code::TooLate
-            };
-            return no(&out, c, "", BACK_SOON).await;
+            return Err(give_up(front, turn));
         };
-        let claim = front.claim(&p.server.at.server);
-        let s = shot(&front, g, &p, b, &out).await;
+        let server = selected.pick.server.at.clone();
+        let claim = front.claim(&server.server);
+        let outcome = attempt(front, turn, &server, selected.connection, events).await;
         drop(claim);
-        match s {
-            Shot::Ran(r) => {
-                front.calm(&p.server.at.server);
-                break *r;
-            }
-            Shot::Left(back, used) => {
-                close(&front, *back, Code::Cancelled, used).await;
-                return;
+        match outcome {
+            AttemptOutcome::Finished(finished) => {
+                front.calm(&server.server);
+                return Ok(Some(*finished));
             }
-            Shot::NotRun(back) => {
-                not.push(p.server.at.server.clone());
-                g = *back;
+            AttemptOutcome::Abandoned { used_tokens } => {
+                close(front, turn, Code::Cancelled, used_tokens).await;
+                return Ok(None);
             }
-            Shot::Lost(mut back, sent_any) => {
-                front.slowed(&p.server.at.server);
-                back.lost = true;
-                let again = back.r.fam.repeatable
-                    && !sent_any
-                    && front.runtime.now() + HORIZON_SPARE < back.r.horizon;
-                if !again || !another(&front, &mut back, &p.server.at).await {
-                    lost(&front, *back, &out).await;
-                    return;
+            AttemptOutcome::NotRun => excluded.push(server.server),
+            AttemptOutcome::Unknown { has_output } => {
+                front.slowed(&server.server);
+                turn.is_outcome_unknown = true;
+                if has_output || !prepare_retry(front, turn, &server).await {
+                    close_unknown(front, turn, events).await;
+                    return Ok(None);
                 }
-                not.push(p.server.at.server.clone());
-                g = *back;
+                excluded.push(server.server);
             }
         }
+    }
+}
+
+/// No server takes the turn, and none has run it.
+fn give_up(front: &Arc<Front>, turn: &BegunTurn) -> Rejection {
+    let request = &turn.request;
+    let budget = limited_budget(front, request);
+    front.abort(&request.key, &request.body.job, request.nonce, budget);
+    let code = if server_table::fit(front, &request.class.service).is_empty() {
+        Code::NoServer
+    } else {
+        Code::TooLate
     };
-    drop(pass);
-    keep(front, ran, &out).await;
+    Rejection::new(code, "", BACK_SOON)
 }
 
-/// The budget that a turn spends from, if the configuration limits it.
-pub(super) fn purse(front: &Front, r: &Read) -> Option<String> {
-    front
-        .documents
-        .config
-        .load()
-        .1
-        .budgets
-        .contains_key(&r.fam.budget)
-        .then(|| r.fam.budget.clone())
+/// Whether the turn may be attempted once more, after an attempt of unknown outcome.
+async fn prepare_retry(front: &Arc<Front>, turn: &mut BegunTurn, last: &ListedServer) -> bool {
+    let is_in_time = front.runtime.now() + HORIZON_SPARE < turn.request.deadline;
+    turn.request.class.repeatable && is_in_time && reserve_another_attempt(front, turn, last).await
 }
 
-/// The lost shot may yet put out all it was allowed: the next one needs a reservation of its own,
-/// which stays spent.
-async fn another(front: &Arc<Front>, g: &mut Begun, was: &ListedServer) -> bool {
-    let (me, at, svc, job) = (
-        front.clone(),
-        was.clone(),
-        g.r.fam.service.clone(),
-        shot_id(g),
-    );
-    front.runtime.spawn(async move {
-        cancel(&me, &at, &svc, &job).await;
-    });
-    g.shot = front.runtime.random();
-    let limit = front
-        .documents
-        .config
-        .load()
-        .1
-        .budgets
-        .get(&g.r.fam.budget)
-        .map(|b| b.tokens);
-    let Some(limit) = limit else { return true };
-    let (budget, entry) = (
-        g.r.fam.budget.clone(),
-        format!("{}|{}|{}", g.r.key, g.r.b.job, g.shot),
+/// The lost attempt may yet put out all that it was allowed: the next one needs a reservation of
+/// its own, which stays spent.
+async fn reserve_another_attempt(
+    front: &Arc<Front>,
+    turn: &mut BegunTurn,
+    last: &ListedServer,
+) -> bool {
+    cancel_in_background(front, turn, last);
+    turn.attempt_nonce = front.runtime.random();
+    let request = &turn.request;
+    let Some(limit) = budget_limit(front, request) else {
+        return true;
+    };
+    let budget = request.class.budget.clone();
+    let entry = format!(
+        "{}|{}|{}",
+        request.key, request.body.job, turn.attempt_nonce
     );
-    let (key, job, nonce) = (g.r.key.clone(), g.r.b.job.clone(), g.shot);
-    let a = PeerRequest::ReserveBudget {
+    let reserve = PeerRequest::ReserveBudget {
         budget: budget.clone(),
         entry: entry.clone(),
-        amount: g.r.max_out,
+        amount: request.max_output_tokens,
         limit,
-        key,
-        request_id: job,
-        nonce,
+        key: request.key.clone(),
+        request_id: request.body.job.clone(),
+        nonce: turn.attempt_nonce,
         retain_ms: 0,
     };
-    let at = format!("budget/{budget}");
-    if !matches!(
-        front.store(&at, &a, &[], 1).await,
-        Some((PeerResponse::Ok, _))
-    ) {
+    let budget_key = format!("budget/{budget}");
+    let reserved = front.store(&budget_key, &reserve, &[], 1).await;
+    if !matches!(reserved, Some((PeerResponse::Ok, _))) {
         return false;
     }
-    front
-        .store(
-            &at,
-            &PeerRequest::SettleBudget {
-                budget,
-                entry,
-                used: None,
-            },
-            &[],
-            1,
-        )
-        .await;
+    let settle = PeerRequest::SettleBudget {
+        budget,
+        entry,
+        used: None,
+    };
+    // Where this is lost the store settles it in full by itself.
+    let _ = front.store(&budget_key, &settle, &[], 1).await;
     true
 }
 
-/// One round trip: the record is ours under a new epoch, the budget holds our reservation.
-async fn begin(front: &Arc<Front>, r: Read, nonce: u64, out: &Out) -> Option<Begun> {
-    let ask = {
-        let mut v = serde_json::to_vec(&r.b.messages).unwrap_or_default();
-        v.push(b'\t');
-        v
-    };
-    let limit = front
-        .documents
-        .config
-        .load()
-        .1
-        .budgets
-        .get(&r.fam.budget)
-        .map(|b| b.tokens);
-    let hand = front.hand.lock().unwrap().get(&r.key).cloned();
-    let body = serde_json::to_vec(&(&r.b.program, &r.b.session, &r.b.messages, r.b.max_output))
-        .unwrap_or_default();
-    let a = PeerRequest::BeginTurn(yewcross_common::protocol::BeginTurn {
-        key: r.key.clone(),
-        request_id: r.b.job.clone(),
-        digest: content_digest(&body),
-        nonce,
-        front: front.settings.name.clone(),
-        remaining_ms: (r.horizon.saturating_sub(front.runtime.now())) / MS,
-        budget: limit.map(|l| (r.fam.budget.clone(), l)),
-        max_output_tokens: r.max_out,
-        retain_ms: r.fam.keep_ms,
-        known_history: hand.as_ref().map(|h| (h.len() as u64, content_digest(h))),
+fn cancel_in_background(front: &Arc<Front>, turn: &BegunTurn, server: &ListedServer) {
+    let (canceller, server) = (front.clone(), server.clone());
+    let service = turn.request.class.service.clone();
+    let job = server_job(turn);
+    front.runtime.spawn(async move {
+        cancel(&canceller, &server, &service, &job).await;
     });
-    match front.store_until(&r.key, &a, &[], 3, r.patience).await {
-        Some((PeerResponse::TurnBegun(g), blob)) => {
-            let hist = if g.history_complete {
-                blob
-            } else {
-                hand.unwrap_or_default()
-            };
-            let all = tokens(hist.len() + ask.len());
-            if all > r.fam.max_prompt {
-                front.abort(&r.key, &r.b.job, nonce, purse(front, &r));
-                no(
-                    out,
-                    Code::TooLarge,
-                    "the prompt with its history passes max_prompt",
-                    0,
-                )
-                .await;
-                return None;
-            }
-            Some(Begun {
-                nonce,
-                shot: nonce,
-                lost: false,
-                epoch: g.epoch,
-                kv: g.cache,
-                hist,
-                ask,
-                r,
-            })
-        }
-        Some((PeerResponse::StoredOutcome { .. }, blob)) => {
-            front.counts.replayed.fetch_add(1, SeqCst);
-            match serde_json::from_slice::<Kept>(&blob) {
-                Ok(k) => {
-                    let _ = out.send(Event::End(Box::new(k), 1, true)).await;
-                }
-                Err(_) => no(out, Code::Forgotten, "", 0).await,
-            }
-            None
-        }
-        Some((PeerResponse::Rejected(Code::Undecided | Code::StoreAway), _)) | None => {
-            front.abort(&r.key, &r.b.job, nonce, purse(front, &r));
-            no(out, Code::StoreAway, "", BACK_SOON).await;
-            None
-        }
-        Some((PeerResponse::Rejected(c), _)) => {
-            no(out, c, "", c.back()).await;
-            None
-        }
-        Some(_) => {
-            no(out, Code::StoreAway, "", BACK_SOON).await;
-            None
-        }
-    }
 }
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -1,6 +1,6 @@
-//! The end of a session: its history is forgotten and its replica dropped.
+//! The end of a session: its history is forgotten and its cached prefixes dropped.
 
-use crate::turn::request::name_ok;
+use super::request::is_valid_name;
 use crate::{Front, kv};
 use http_types::Response;
 use serde::Deserialize;
@@ -9,8 +9,12 @@
 use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
 use yewcross_common::constants::BACK_SOON;
 use yewcross_common::error_code::Code;
-use yewcross_common::protocol::{PeerRequest, PeerResponse};
+use yewcross_common::protocol::{PeerRequest, PeerResponse, SessionCacheState};
 
+/// Rounds over the store's replicas in which the end is tried.
+const END_ROUNDS: usize = 3;
+
+/// The body of a request that ends a session.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EndBody {
@@ -18,41 +22,43 @@
     session: String,
 }
 
-/// The session is over: its history is forgotten and its replica dropped.
-pub async fn end(front: Arc<Front>, j: BufferedRequest) -> Response {
-    let b: EndBody = match serde_json::from_slice(&j.body) {
-        Ok(b) => b,
-        Err(e) => return refuse(Code::BadBody, &e.to_string(), 0),
+/// Ends a session.
+pub async fn end(front: Arc<Front>, request: BufferedRequest) -> Response {
+    let body: EndBody = match serde_json::from_slice(&request.body) {
+        Ok(body) => body,
+        Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
     };
-    if !name_ok(&b.program) || !name_ok(&b.session) {
+    if !is_valid_name(&body.program) || !is_valid_name(&body.session) {
         return refuse(Code::BadField, "program or session", 0);
     }
-    let Some(p) = front
-        .documents
-        .config
-        .load()
-        .1
-        .families
-        .get(&b.program)
-        .cloned()
-    else {
-        return refuse(Code::UnknownProgram, &b.program, 0);
+    let Some(service) = service_of(&front, &body.program) else {
+        return refuse(Code::UnknownProgram, &body.program, 0);
     };
-    let key = format!("session/{}/{}", b.program, b.session);
-    match front
-        .store(&key, &PeerRequest::EndSession { key: key.clone() }, &[], 3)
-        .await
-    {
-        Some((PeerResponse::SessionEnded { cache: kv }, _)) => {
-            let pushed = front.replicas.lock().unwrap().remove(&key);
-            front.spares.forget(&key);
-            front.hand.lock().unwrap().remove(&key);
-            for at in kv.replica.into_iter().chain(pushed).chain(kv.home) {
-                kv::drop_at(&front, &p.eff.service, &key, &at.server).await;
-            }
+    let key = format!("session/{}/{}", body.program, body.session);
+    let request = PeerRequest::EndSession { key: key.clone() };
+    match front.store(&key, &request, &[], END_ROUNDS).await {
+        Some((PeerResponse::SessionEnded { cache }, _)) => {
+            drop_prefixes(&front, &service, &key, cache).await;
             reply(200, &json!({"code": Code::Done.number(), "ended": true}))
         }
-        Some((PeerResponse::Rejected(c), _)) => refuse(c, "", c.back()),
+        Some((PeerResponse::Rejected(code), _)) => refuse(code, "", code.back()),
         _ => refuse(Code::StoreAway, "", BACK_SOON),
     }
 }
+
+fn service_of(front: &Front, program: &str) -> Option<String> {
+    let configuration = front.documents.config.load();
+    let program = configuration.1.families.get(program)?;
+    Some(program.eff.service.clone())
+}
+
+/// What this proxy knows of the session is forgotten, and its prefixes are dropped by the servers.
+async fn drop_prefixes(front: &Arc<Front>, service: &str, key: &str, cache: SessionCacheState) {
+    let pushed = front.replicas.lock().unwrap().remove(key);
+    front.spares.forget(key);
+    front.hand.lock().unwrap().remove(key);
+    let prefixes = cache.replica.into_iter().chain(pushed).chain(cache.home);
+    for prefix in prefixes {
+        kv::drop_at(front, service, key, &prefix.server).await;
+    }
+}
--- a/yewcross-proxy/src/turn/request.rs
+++ b/yewcross-proxy/src/turn/request.rs
@@ -1,54 +1,66 @@
-//! What a caller may ask, and the checks that need no other node.
+//! What a caller may send, and the checks that need no other node.
 
+use super::events::Rejection;
 use serde::{Deserialize, Serialize};
 use yewcross_common::constants::{HORIZON_MAX, HORIZON_MIN, TOKEN_BYTES};
 use yewcross_common::error_code::Code;
 
+/// Longest name of a program, session or request, bytes.
+const NAME_BYTES_MAX: usize = 128;
+
+/// One message of a turn's prompt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Message {
-    pub role: String,
-    pub text: String,
+pub(super) struct Message {
+    pub(super) role: String,
+    pub(super) text: String,
 }
 
+/// The body of a turn request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TurnBody {
-    pub program: String,
-    pub session: String,
-    pub job: String,
-    pub horizon_ms: u64,
+pub(super) struct TurnBody {
+    pub(super) program: String,
+    pub(super) session: String,
+    /// The caller's id of the request.
+    pub(super) job: String,
+    /// ms within which the caller wants its answer.
+    pub(super) horizon_ms: u64,
     #[serde(default)]
-    pub budget: String,
-    pub messages: Vec<Message>,
+    pub(super) budget: String,
+    pub(super) messages: Vec<Message>,
+    /// Tokens.
     #[serde(default)]
-    pub max_output: Option<u64>,
+    pub(super) max_output: Option<u64>,
     #[serde(default)]
-    pub stream: bool,
+    pub(super) stream: bool,
 }
 
-pub fn name_ok(s: &str) -> bool {
-    !s.is_empty()
-        && s.len() <= 128
-        && s.bytes()
-            .all(|b| b.is_ascii_graphic() && b != b'/' && b != b'|')
+/// Whether a caller may name a program, session or request so.
+pub(crate) fn is_valid_name(name: &str) -> bool {
+    !name.is_empty()
+        && name.len() <= NAME_BYTES_MAX
+        && name
+            .bytes()
+            .all(|byte| byte.is_ascii_graphic() && byte != b'/' && byte != b'|')
 }
 
-pub(super) fn check(b: &TurnBody) -> Result<(), (Code, String)> {
-    let bad = |k: &str| Err((Code::BadField, k.to_string()));
-    match b {
-        _ if !name_ok(&b.program) => bad("program"),
-        _ if !name_ok(&b.session) => bad("session"),
-        _ if !name_ok(&b.job) => bad("job"),
-        _ if b.messages.is_empty() => bad("messages"),
-        _ if b.max_output == Some(0) => bad("max_output"),
-        _ if !(HORIZON_MIN..=HORIZON_MAX).contains(&b.horizon_ms) => Err((
-            Code::BadHorizon,
-            format!("{HORIZON_MIN} to {HORIZON_MAX} ms"),
-        )),
+pub(super) fn check(body: &TurnBody) -> Result<(), Rejection> {
+    let bad_field = |name: &str| Err(Rejection::new(Code::BadField, name, 0));
+    match body {
+        _ if !is_valid_name(&body.program) => bad_field("program"),
+        _ if !is_valid_name(&body.session) => bad_field("session"),
+        _ if !is_valid_name(&body.job) => bad_field("job"),
+        _ if body.messages.is_empty() => bad_field("messages"),
+        _ if body.max_output == Some(0) => bad_field("max_output"),
+        _ if !(HORIZON_MIN..=HORIZON_MAX).contains(&body.horizon_ms) => {
+            let reason = format!("{HORIZON_MIN} to {HORIZON_MAX} ms");
+            Err(Rejection::new(Code::BadHorizon, &reason, 0))
+        }
         _ => Ok(()),
     }
 }
 
+/// Tokens of a text of this many bytes.
 pub fn tokens(bytes: usize) -> u64 {
     bytes.div_ceil(TOKEN_BYTES) as u64
 }
--- /dev/null
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -0,0 +1,204 @@
+//! Which server a turn goes to.
+
+use super::request::tokens;
+use super::state::BegunTurn;
+use crate::admission::Permit;
+use crate::back::{Back, Verified};
+use crate::judge::{Case, Pick, Warmth, Weights};
+use crate::kv::Due;
+use crate::server_table::Server;
+use crate::{Front, judge, kv, server_table};
+use std::io::ErrorKind;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+use yewcross_common::constants::{HORIZON_SPARE, MS};
+use yewcross_common::protocol::{CachedPrefix, SessionCacheState};
+
+/// us. How often a turn looks for a server again while it waits for one.
+const SELECTION_INTERVAL: u64 = 20 * MS;
+
+/// The server picked, with a verified connection to it.
+pub(super) struct SelectedServer {
+    pub(super) pick: Pick,
+    pub(super) connection: Back<Verified>,
+}
+
+/// What to do next.
+enum Decision {
+    Dispatch(Box<Pick>),
+    /// No server has room.
+    WaitForRoom,
+    /// The session's home has no room, and waiting for it costs less than another server.
+    WaitForHome,
+    GiveUp,
+}
+
+/// What the turn may be decided by at one moment.
+struct Candidates<'a> {
+    servers: &'a [Server],
+    cache: &'a SessionCacheState,
+    excluded: &'a [String],
+    /// us until the server must be done.
+    time_left: u64,
+    /// When the selection began.
+    started: u64,
+}
+
+/// Selects a server and connects to it; one that cannot be reached is excluded. No import is waited
+/// for: while the session's home is full, its replica is brought in beside the wait, and a turn that
+/// must move before that is served cold.
+pub(super) async fn select_server(
+    front: &Arc<Front>,
+    turn: &BegunTurn,
+    excluded: &mut Vec<String>,
+    permit: &mut Option<Permit<'_>>,
+) -> Option<SelectedServer> {
+    let started = front.runtime.now();
+    let mut is_import_ahead = false;
+    loop {
+        let end = front.runtime.now() + HORIZON_SPARE;
+        let time_left = turn.request.deadline.checked_sub(end)?;
+        if !front.watcher.may_serve() {
+            return None;
+        }
+        let servers = server_table::fit(front, &turn.request.class.service);
+        if servers.iter().all(|s| excluded.contains(&s.at.server)) {
+            return None;
+        }
+        let cache = kv::known(front, &turn.request.key, &turn.cache);
+        let candidates = Candidates {
+            servers: &servers,
+            cache: &cache,
+            excluded,
+            time_left,
+            started,
+        };
+        match decide(front, turn, &candidates) {
+            Decision::GiveUp => return None,
+            Decision::Dispatch(pick) => {
+                match connect(front, turn, &pick).await {
+                    Some(connection) => return Some(selected(front, *pick, connection)),
+                    None => excluded.push(pick.server.at.server),
+                }
+                continue;
+            }
+            Decision::WaitForRoom => {}
+            Decision::WaitForHome => *permit = None,
+        }
+        if !is_import_ahead {
+            is_import_ahead = import_ahead(front, turn, &servers, &cache);
+        }
+        front.runtime.sleep(SELECTION_INTERVAL).await;
+    }
+}
+
+fn decide(front: &Front, turn: &BegunTurn, candidates: &Candidates) -> Decision {
+    let request = &turn.request;
+    let case = Case {
+        key: &request.key,
+        site: &front.settings.site,
+        tokens: tokens(turn.history.len() + turn.open_line.len()),
+        max_out: request.max_output_tokens,
+        kv: candidates.cache,
+        left: candidates.time_left,
+    };
+    let weights = Weights::from(&request.class);
+    let now = front.runtime.now();
+    let excluded = candidates.excluded;
+    let Some(pick) = judge::pick(candidates.servers, &case, &weights, excluded) else {
+        let mut allowed = candidates
+            .servers
+            .iter()
+            .filter(|server| !excluded.contains(&server.at.server));
+        let is_too_late = allowed.all(|server| {
+            judge::takes(server, &case, &judge::warmth(server, &case)) > candidates.time_left
+        });
+        return if is_too_late || now > request.queueing_deadline {
+            Decision::GiveUp
+        } else {
+            Decision::WaitForRoom
+        };
+    };
+    let wait_until = home_wait_end(turn, candidates, &case, &pick);
+    if wait_until.is_some_and(|end| now < end) {
+        Decision::WaitForHome
+    } else {
+        Decision::Dispatch(Box::new(pick))
+    }
+}
+
+/// Until when the session's home is waited for; None where the pick is the home, or the home no
+/// longer holds the prefix. A full home is waited for no longer than the move would cost over
+/// staying.
+fn home_wait_end(
+    turn: &BegunTurn,
+    candidates: &Candidates,
+    case: &Case,
+    pick: &Pick,
+) -> Option<u64> {
+    let home_name = &turn.cache.home.as_ref()?.server;
+    if candidates.excluded.contains(home_name) || pick.server.at.server == *home_name {
+        return None;
+    }
+    let mut servers = candidates.servers.iter();
+    let home = servers.find(|server| server.at.server == *home_name)?;
+    let warmth = judge::warmth(home, case);
+    if !matches!(warmth, Warmth::Held(_)) {
+        return None;
+    }
+    let saved = pick.takes.saturating_sub(judge::takes(home, case, &warmth));
+    let slack = candidates.time_left.saturating_sub(pick.takes);
+    let end = candidates.started + saved.min(slack);
+    Some(end.min(turn.request.queueing_deadline))
+}
+
+/// Has the session's replica brought into its server's cache, if there is one and that server has
+/// room.
+fn import_ahead(
+    front: &Arc<Front>,
+    turn: &BegunTurn,
+    servers: &[Server],
+    cache: &SessionCacheState,
+) -> bool {
+    let has_room = |replica: &&CachedPrefix| {
+        !replica.digest.is_empty()
+            && servers
+                .iter()
+                .any(|s| s.at.server == replica.server && s.free() > 0)
+    };
+    let Some(replica) = cache.replica.as_ref().filter(has_room) else {
+        return false;
+    };
+    let due = Due {
+        key: turn.request.key.clone(),
+        service: turn.request.class.service.clone(),
+        replica: replica.clone(),
+        tell: false,
+    };
+    kv::ahead(front, due, true);
+    true
+}
+
+/// A verified connection to the server picked.
+async fn connect(front: &Front, turn: &BegunTurn, pick: &Pick) -> Option<Back<Verified>> {
+    let server = &pick.server.at;
+    let service = &turn.request.class.service;
+    let connection = front
+        .pool
+        .get(&front.runtime, service, &server.server, server.addr)
+        .await;
+    if let Err(error) = &connection {
+        if error.kind() == ErrorKind::PermissionDenied {
+            front.counts.strangers.fetch_add(1, SeqCst);
+        }
+        front.slowed(&server.server);
+    }
+    connection.ok()
+}
+
+fn selected(front: &Front, pick: Pick, connection: Back<Verified>) -> SelectedServer {
+    if matches!(pick.warmth, Warmth::Import(_)) {
+        front.counts.unready.fetch_add(1, SeqCst);
+    }
+    SelectedServer { pick, connection }
+}
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -20,7 +20,7 @@
 use yewcross_proxy::back::Stamp;
 use yewcross_proxy::balance::Load;
 use yewcross_proxy::load_exchange::{ServerKey, ServerLoad};
-use yewcross_proxy::turn::Kept;
+use yewcross_proxy::turn::TurnOutcome;
 use yewcross_state::records::{Head, Mark, Reservation, Run, SessionRecord};
 use yewcross_state::segment_log::{LogRecord, TornEnd};
 
@@ -561,7 +561,7 @@
     }
 }
 
-pub fn kept_outcome() -> Kept {
+pub fn kept_outcome() -> TurnOutcome {
     let stamp = Stamp {
         service: text("stamp service"),
         server: text("stamp server"),
@@ -569,7 +569,7 @@
         weights: text("stamp weights"),
         job: text("stamp job"),
     };
-    Kept {
+    TurnOutcome {
         text: text("kept text"),
         digest: text("kept digest"),
         prompt: 362,
