--- a/yewcross-testkit/src/grind.rs
+++ b/yewcross-testkit/src/grind.rs
@@ -80,7 +80,7 @@
             let k = format!("k{k}");
             let mut got = None;
             for n in me.names(Role::Store) {
-                if let Some(c) = me.control(&n).filter(|_| me.sim.up(me.sim.find(&n)))
+                if let Some(c) = me.control(&n).filter(|_| me.sim.is_up(me.sim.find(&n)))
                     && let Ok((_, _, v)) = c.registers.read(&k, 5 * SEC).await
                 {
                     got = Some(ids(&v));
@@ -107,7 +107,7 @@
         lab.op.sleep(lab.sim.rand() % (60 * MS)).await;
         let Some(c) = lab
             .control(&node)
-            .filter(|_| lab.sim.up(lab.sim.find(&node)))
+            .filter(|_| lab.sim.is_up(lab.sim.find(&node)))
         else {
             continue;
         };
--- a/yewcross-testkit/src/proof/faults/disks.rs
+++ b/yewcross-testkit/src/proof/faults/disks.rs
@@ -77,11 +77,11 @@
                 });
             }
             let end = s.now() + 6 * SEC;
-            while s.up(m) && s.now() < end {
+            while s.is_up(m) && s.now() < end {
                 self.op.sleep(5 * MS).await;
             }
             s.disk(m, |d| d.trip = None);
-            if !s.up(m) {
+            if !s.is_up(m) {
                 self.hard(&n);
                 self.nap(2).await;
                 if act == Act::TripStoreDisk {
--- a/yewcross-testkit/src/proof/faults/network.rs
+++ b/yewcross-testkit/src/proof/faults/network.rs
@@ -2,7 +2,7 @@
 
 use crate::proof::lab::{Lab, addr};
 use crate::proof::scenario::Act;
-use crate::sim::Weather;
+use crate::sim::NetworkConditions;
 use crate::standin::Spec;
 use std::sync::Arc;
 use yewcross_common::constants::MS;
@@ -19,7 +19,7 @@
         } else {
             1
         };
-        s.split(&v[..k], &v[k..]);
+        s.partition(&v[..k], &v[k..]);
         self.hard(name);
         let me = self.clone();
         let base = self.version().await;
@@ -35,7 +35,7 @@
     pub(super) async fn cut_cores_from_fronts(self: &Arc<Self>, act: Act) {
         let s = self.sim.clone();
         let name: &str = act.into();
-        s.split(&self.ids(Role::Core), &self.ids(Role::Front));
+        s.partition(&self.ids(Role::Core), &self.ids(Role::Front));
         self.hard(name);
         self.nap(6).await;
         s.heal();
@@ -60,7 +60,7 @@
         };
         let (x, y): (Vec<_>, Vec<_>) = all().partition(|n| n.1 == z);
         let ids = |v: Vec<(String, String)>| v.iter().map(|n| s.find(&n.0)).collect::<Vec<_>>();
-        s.split(&ids(x), &ids(y));
+        s.partition(&ids(x), &ids(y));
         self.hard(name);
         self.nap(6).await;
         s.heal();
@@ -76,7 +76,7 @@
                 v[s.rand() as usize % v.len()],
                 v[s.rand() as usize % v.len()],
             );
-            s.cut(x, y);
+            s.block(x, y);
         }
         self.hard(name);
         self.nap(5).await;
@@ -86,25 +86,25 @@
     /// Messages are lost, doubled and late.
     pub(super) async fn lossy_network(self: &Arc<Self>) {
         let s = self.sim.clone();
-        s.weather(Weather {
-            lose: 20,
-            twice: 30,
-            late: 40,
-            jitter: 3 * MS,
+        s.set_network_conditions(NetworkConditions {
+            drop_per_mille: 20,
+            duplicate_per_mille: 30,
+            delay_per_mille: 40,
+            max_jitter: 3 * MS,
         });
         self.nap(8).await;
-        s.weather(Weather::default());
+        s.set_network_conditions(NetworkConditions::default());
     }
 
     /// Every message takes up to 40 ms longer.
     pub(super) async fn slow_links(self: &Arc<Self>) {
         let s = self.sim.clone();
-        s.weather(Weather {
-            jitter: 40 * MS,
+        s.set_network_conditions(NetworkConditions {
+            max_jitter: 40 * MS,
             ..Default::default()
         });
         self.nap(8).await;
-        s.weather(Weather::default());
+        s.set_network_conditions(NetworkConditions::default());
     }
 
     /// A core loses its disk while another core is cut off.
@@ -115,7 +115,7 @@
         let k = s.rand() as usize % v.len();
         let (n, far) = (v[k].clone(), v[(k + 1) % v.len()].clone());
         let rest: Vec<usize> = v.iter().filter(|x| **x != far).map(|x| s.find(x)).collect();
-        s.split(&[s.find(&far)], &rest);
+        s.partition(&[s.find(&far)], &rest);
         self.hard(&n);
         self.restart(n, true, true, 2).await;
         self.nap(5).await;
--- a/yewcross-testkit/src/proof/faults/processes.rs
+++ b/yewcross-testkit/src/proof/faults/processes.rs
@@ -184,7 +184,7 @@
         self.sh
             .nodes
             .iter()
-            .for_each(|n| s.skew(s.find(&n.name), (s.rand() % 20_000) as i64 - 10_000));
+            .for_each(|n| s.set_clock_skew(s.find(&n.name), (s.rand() % 20_000) as i64 - 10_000));
     }
 
     /// The platform's list cannot be read for 5 s.
--- a/yewcross-testkit/src/proof/lab.rs
+++ b/yewcross-testkit/src/proof/lab.rs
@@ -122,7 +122,7 @@
             return;
         }
         if let Some(st) = self.startup(name) {
-            self.sim.charge(m, self.sh.charges.of(st.role));
+            self.sim.set_costs(m, self.sh.charges.of(st.role));
             w.clone().spawn(async move {
                 let p = match st.role {
                     Role::Front => Front::start(&w, st).await.ok().map(Proc::Front),
@@ -312,7 +312,7 @@
                 .unwrap()
                 .iter()
                 .filter_map(|(n, p)| match p {
-                    Proc::Control(c) if self.sim.up(self.sim.find(n)) => Some(c.clone()),
+                    Proc::Control(c) if self.sim.is_up(self.sim.find(n)) => Some(c.clone()),
                     _ => None,
                 })
                 .collect();
--- a/yewcross-testkit/src/proof/long_day.rs
+++ b/yewcross-testkit/src/proof/long_day.rs
@@ -80,11 +80,11 @@
         }
         for k in 0..4 {
             me.op.sleep(secs * SEC / 4).await;
-            let (tasks, _, files) = me.sim.sizes();
+            let counts = me.sim.object_counts();
             let s = Sizes {
                 at: me.sim.now(),
-                tasks,
-                files,
+                tasks: counts.tasks,
+                files: counts.files,
                 lines: me.sim.log().len(),
                 done: me.diary.seen.lock().unwrap().len(),
             };
--- a/yewcross-testkit/src/proof/run.rs
+++ b/yewcross-testkit/src/proof/run.rs
@@ -94,7 +94,7 @@
             let up: Vec<String> = me
                 .names(Role::Core)
                 .into_iter()
-                .filter(|n| me.sim.up(me.sim.find(n)))
+                .filter(|n| me.sim.is_up(me.sim.find(n)))
                 .collect();
             me.put(&up[me.sim.rand() as usize % up.len()], base, "last")
                 .await;
@@ -192,8 +192,9 @@
             mine.max().unwrap_or(0)
         })
         .collect();
+    let counts = lab.sim.object_counts();
     let figures = json!({"callers": caller::sum(&seen), "fronts": sums, "messages": msgs, "bytes_within": near, "bytes_across": far,
-        "syncs": syncs, "odd_frames": odd, "kinds": kinds, "in_force_ms": puts, "leaving_to_last_job_ms": last, "polls": lab.sim.polls(), "sizes": format!("{:?}", lab.sim.sizes())});
+        "syncs": syncs, "odd_frames": odd, "kinds": kinds, "in_force_ms": puts, "leaving_to_last_job_ms": last, "polls": lab.sim.polls(), "sizes": format!("{:?}", (counts.tasks, counts.connections, counts.files))});
     let end = over.lock().unwrap().2;
     let founded = over.lock().unwrap().1;
     let last = got.lock().unwrap().clone();
@@ -237,7 +238,7 @@
         moving: {
             let g = lab.procs.lock().unwrap();
             let v = g.iter().filter_map(|x| match x.1 {
-                Proc::Control(c) if lab.sim.up(lab.sim.find(x.0)) => {
+                Proc::Control(c) if lab.sim.is_up(lab.sim.find(x.0)) => {
                     Some(c.documents.layout.load_full())
                 }
                 _ => None,
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -6,7 +6,7 @@
 use super::server::{Fault, Ground, Mood, Roster, Server, ServerSpec};
 use super::verdict::Evidence;
 use crate::shape::{Shape, shape};
-use crate::sim::{Sim, Weather};
+use crate::sim::{NetworkConditions, Sim};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::Ordering::SeqCst;
@@ -169,7 +169,7 @@
         self.sim.power_on(m);
         let w = self.sim.boot(m);
         let Some(st) = self.startup(name) else { return };
-        self.sim.charge(m, self.sh.charges.of(st.role));
+        self.sim.set_costs(m, self.sh.charges.of(st.role));
         let (me, n) = (self.clone(), name.to_string());
         self.nodes.lock().unwrap().remove(name);
         w.clone().spawn(async move {
@@ -304,7 +304,7 @@
             .names(Role::Core)
             .iter()
             .filter_map(|n| match g.get(n) {
-                Some(Node::Control(c)) if self.sim.up(self.sim.find(n)) => Some(c),
+                Some(Node::Control(c)) if self.sim.is_up(self.sim.find(n)) => Some(c),
                 _ => None,
             })
             .collect();
@@ -404,7 +404,8 @@
             let g = me.nodes.lock().unwrap();
             let fs = me.sh.of(Role::Front);
             let ready = |n: &str| {
-                matches!(g.get(n), Some(Node::Front(f)) if f.ready()) && me.sim.up(me.sim.find(n))
+                matches!(g.get(n), Some(Node::Front(f)) if f.ready())
+                    && me.sim.is_up(me.sim.find(n))
             };
             let v: Vec<_> = fs
                 .iter()
@@ -471,7 +472,7 @@
             .map(|n| self.sim.find(&n.name))
             .filter(|m| !xs.contains(m))
             .collect();
-        self.sim.split(xs, &rest);
+        self.sim.partition(xs, &rest);
         self.op.sleep(us).await;
         self.sim.heal();
         self.op.sleep(4_200 * MS).await;
@@ -552,14 +553,15 @@
             }
             Act::Storm => {
                 let t = self.op.now();
-                self.sim.weather(Weather {
-                    lose: 50,
-                    twice: 50,
-                    late: 50,
-                    jitter: 20 * MS,
+                self.sim.set_network_conditions(NetworkConditions {
+                    drop_per_mille: 50,
+                    duplicate_per_mille: 50,
+                    delay_per_mille: 50,
+                    max_jitter: 20 * MS,
                 });
                 self.op.sleep(back).await;
-                self.sim.weather(Weather::default());
+                self.sim
+                    .set_network_conditions(NetworkConditions::default());
                 self.op.sleep(SEC).await;
                 self.trouble(t);
             }
@@ -630,7 +632,7 @@
             }
             Act::Burst => {
                 let m = self.sim.find("callers");
-                let w = self.sim.beside(m);
+                let w = self.sim.runtime_of(m);
                 self.more(&w, 40, 20, 20 * MS);
                 self.op.sleep(3 * SEC).await;
             }
--- a/yewcross-testkit/src/shape.rs
+++ b/yewcross-testkit/src/shape.rs
@@ -1,6 +1,6 @@
 //! The two deployments' shapes: machines, servers, configuration, mix of jobs.
 
-use crate::sim::Costs;
+use crate::sim::MachineCosts;
 use crate::standin::Spec;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -25,20 +25,20 @@
 /// What the machines of each role charge; nothing by itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Charges {
-    pub front: Costs,
-    pub core: Costs,
-    pub store: Costs,
+    pub front: MachineCosts,
+    pub core: MachineCosts,
+    pub store: MachineCosts,
 }
 
 impl Charges {
     /// Small machines with slow disks. 20 us a task and 3 ns a byte are what the daemons' release
     /// builds took.
     pub fn small(sync: u64) -> Charges {
-        let of = |share| Costs {
-            share,
-            wake: 20,
-            byte: 3,
-            sync,
+        let of = |share| MachineCosts {
+            core_percent: share,
+            poll_us: 20,
+            byte_ns: 3,
+            sync_us: sync,
         };
         Charges {
             front: of(25),
@@ -46,7 +46,7 @@
             store: of(50),
         }
     }
-    pub fn of(&self, r: Role) -> Costs {
+    pub fn of(&self, r: Role) -> MachineCosts {
         match r {
             Role::Front => self.front,
             Role::Core => self.core,
--- a/yewcross-testkit/src/sim/fingerprint.rs
+++ b/yewcross-testkit/src/sim/fingerprint.rs
@@ -60,7 +60,7 @@
         at: SocketAddr,
     },
     Opened {
-        wire: u64,
+        connection: u64,
         to: &'a str,
         at: SocketAddr,
     },
@@ -73,18 +73,18 @@
         at: SocketAddr,
     },
     Wrote {
-        wire: u64,
+        connection: u64,
         to: &'a str,
         data: &'a [u8],
     },
     /// It writes no more.
     Closed {
-        wire: u64,
+        connection: u64,
         to: &'a str,
     },
     /// It reads no more either.
     Left {
-        wire: u64,
+        connection: u64,
         to: &'a str,
     },
     Stored {
@@ -151,16 +151,22 @@
             Event::Healed => self.code(7),
             Event::Bound { at, ok } => self.code(8).address(at).code(ok.into()),
             Event::Unbound { at } => self.code(9).address(at),
-            Event::Opened { wire, to, at } => self.code(10).number(wire).text(to).address(at),
+            Event::Opened { connection, to, at } => {
+                self.code(10).number(connection).text(to).address(at)
+            }
             Event::Refused { to, at } => self.code(11).text(to).address(at),
             Event::Unheard { at } => self.code(12).address(at),
-            Event::Wrote { wire, to, data } => self
+            Event::Wrote {
+                connection,
+                to,
+                data,
+            } => self
                 .code(13)
-                .number(wire)
+                .number(connection)
                 .text(to)
                 .content(data.len(), key_128(&undated(data))),
-            Event::Closed { wire, to } => self.code(14).number(wire).text(to),
-            Event::Left { wire, to } => self.code(15).number(wire).text(to),
+            Event::Closed { connection, to } => self.code(14).number(connection).text(to),
+            Event::Left { connection, to } => self.code(15).number(connection).text(to),
             Event::Stored { step, ok } => self
                 .code(16)
                 .code(step.kind as u8)
--- /dev/null
+++ b/yewcross-testkit/src/sim/mod.rs
@@ -0,0 +1,183 @@
+//! A deterministic simulator: many machines in one thread, with virtual time, faults, and every
+//! choice drawn from one seed.
+//!
+//! `scheduler` polls tasks and `clock` moves time; `machine`, `processor` and `disk` are what a
+//! process runs on; `network`, `connection`, `stream` and `listener` what it talks over. `host`
+//! offers all of it to a process as its runtime. `fingerprint` digests what happens.
+//!
+//! One lock guards the world. Wakers and destructors call back into the simulator, so they run
+//! after it is released.
+
+mod clock;
+mod connection;
+mod disk;
+mod fingerprint;
+mod host;
+mod listener;
+mod machine;
+mod network;
+mod processor;
+mod scheduler;
+mod stream;
+
+pub use disk::Disk;
+pub use host::SimHost;
+pub use machine::MachineId;
+pub use network::NetworkConditions;
+pub use processor::MachineCosts;
+
+use clock::Timers;
+use connection::{ConnectionId, ConnectionState};
+use fingerprint::{Event, Fingerprint};
+use listener::ListenerState;
+use machine::Machine;
+use scheduler::{RunQueue, Task, TaskId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
+
+/// Bytes that a connection takes before its reader must read, unless set otherwise.
+const DEFAULT_RECEIVE_WINDOW: usize = 256 << 10;
+
+/// A line of the log: when (us), whose, and what.
+pub type LogLine = (u64, String, String);
+
+/// How much the world contains.
+#[derive(Clone, Copy, Debug)]
+pub struct ObjectCounts {
+    /// Tasks of all processes.
+    pub tasks: usize,
+    /// Connections that an end still holds.
+    pub connections: usize,
+    /// Files on all disks.
+    pub files: usize,
+}
+
+struct World {
+    /// us
+    now: u64,
+    random: fastrand::Rng,
+    /// Of tasks, timers and connections together.
+    latest_id: u64,
+    tasks: BTreeMap<TaskId, Task>,
+    timers: Timers,
+    machines: Vec<Machine>,
+    listeners: BTreeMap<SocketAddr, ListenerState>,
+    connections: BTreeMap<ConnectionId, ConnectionState>,
+    connections_opened: u64,
+    /// Pairs of machines whose traffic, from the first to the second, is held back.
+    blocked: BTreeSet<(usize, usize)>,
+    /// us between sites, one way.
+    site_latency: u64,
+    receive_window: usize,
+    conditions: NetworkConditions,
+    log: Vec<LogLine>,
+    /// Digest of the log.
+    log_hash: u64,
+    fingerprint: Fingerprint,
+    /// Polls so far, also those that a frozen machine put off.
+    polls: u64,
+}
+
+impl World {
+    fn next_id(&mut self) -> u64 {
+        self.latest_id += 1;
+        self.latest_id
+    }
+
+    fn note(&mut self, source: &str, line: &str) {
+        self.log_hash = yewcross_common::hash::rendezvous_weight(
+            &format!("{} {source} {line}", self.now),
+            &self.log_hash.to_string(),
+        );
+        self.log.push((self.now, source.into(), line.into()));
+    }
+
+    /// Takes what the machine does into the fingerprint.
+    fn record(&mut self, machine: MachineId, event: Event) {
+        let name = &self.machines[machine].name;
+        self.fingerprint.add(self.now, name, event);
+    }
+}
+
+/// The simulated world; clones share it.
+#[derive(Clone)]
+pub struct Sim {
+    world: Arc<Mutex<World>>,
+    /// Apart from the world: wakers use it while the world may be locked.
+    run_queue: Arc<Mutex<RunQueue>>,
+}
+
+impl Sim {
+    /// A world without machines, whose sites are `site_latency` us apart.
+    pub fn new(seed: u64, site_latency: u64) -> Sim {
+        let world = World {
+            now: 1,
+            random: fastrand::Rng::with_seed(seed),
+            latest_id: 0,
+            tasks: BTreeMap::new(),
+            timers: Timers::default(),
+            machines: vec![],
+            listeners: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            connections_opened: 0,
+            blocked: BTreeSet::new(),
+            site_latency,
+            receive_window: DEFAULT_RECEIVE_WINDOW,
+            conditions: NetworkConditions::default(),
+            log: vec![],
+            log_hash: seed,
+            fingerprint: Fingerprint::default(),
+            polls: 0,
+        };
+        Sim {
+            world: Arc::new(Mutex::new(world)),
+            run_queue: Default::default(),
+        }
+    }
+
+    fn world(&self) -> MutexGuard<'_, World> {
+        self.world.lock().unwrap()
+    }
+
+    /// A random number from the world's seed.
+    pub fn rand(&self) -> u64 {
+        self.world().random.u64(..)
+    }
+
+    /// All lines logged so far.
+    pub fn log(&self) -> Vec<LogLine> {
+        self.world().log.clone()
+    }
+
+    /// Digest of all lines logged so far, in their words.
+    pub fn hash(&self) -> u64 {
+        self.world().log_hash
+    }
+
+    /// Digest of what the machines did on connections and disks, and when. What is logged does not
+    /// enter.
+    pub fn fingerprint(&self) -> u128 {
+        self.world().fingerprint.value()
+    }
+
+    /// Polls of tasks so far.
+    pub fn polls(&self) -> u64 {
+        self.world().polls
+    }
+
+    /// Writes a line to the log in the test's own name.
+    pub fn note(&self, line: &str) {
+        self.world().note("lab", line);
+    }
+
+    /// How much the world contains.
+    pub fn object_counts(&self) -> ObjectCounts {
+        let world = self.world();
+        ObjectCounts {
+            tasks: world.tasks.len(),
+            connections: world.connections.len(),
+            files: world.machines.iter().map(|m| m.disk.files()).sum(),
+        }
+    }
+}
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -191,7 +191,7 @@
         others
             .iter()
             .filter(|o| *o != name)
-            .for_each(|o| self.sim.cut(self.sim.find(name), self.sim.find(o)));
+            .for_each(|o| self.sim.block(self.sim.find(name), self.sim.find(o)));
     }
 
     /// Stops what flows to one machine from each of the others.
@@ -199,7 +199,7 @@
         others
             .iter()
             .filter(|o| *o != name)
-            .for_each(|o| self.sim.cut(self.sim.find(o), self.sim.find(name)));
+            .for_each(|o| self.sim.block(self.sim.find(o), self.sim.find(name)));
     }
 
     /// Machines that hold the duties at this moment.
--- a/yewcross-testkit/tests/calls.rs
+++ b/yewcross-testkit/tests/calls.rs
@@ -47,10 +47,10 @@
     let machine = t.sim.find(&fronts[t.op.random_index(fronts.len())]);
     let usual = t.sh.charges.of(Role::Front);
     let mut slow = usual;
-    slow.share = (usual.share / SLOW_TO).max(1);
-    t.sim.charge(machine, slow);
+    slow.core_percent = (usual.core_percent / SLOW_TO).max(1);
+    t.sim.set_costs(machine, slow);
     t.op.sleep(SLOW_FOR).await;
-    t.sim.charge(machine, usual);
+    t.sim.set_costs(machine, usual);
 }
 
 fn play(seed: u64) -> (Arc<Tier>, Evidence) {
--- a/yewcross-testkit/tests/catching_up.rs
+++ b/yewcross-testkit/tests/catching_up.rs
@@ -68,7 +68,7 @@
                 .cloned()
                 .collect();
             let others: Vec<usize> = all.iter().map(|n| tier.sim.find(n)).collect();
-            tier.sim.split(&[machine], &others);
+            tier.sim.partition(&[machine], &others);
         }
     }
 }
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -19,7 +19,7 @@
 use yewcross_common::turn_log::messages::{decode, encode};
 use yewcross_common::turn_log::*;
 use yewcross_state::turn_store::TurnStore;
-use yewcross_testkit::sim::{Sim, Weather};
+use yewcross_testkit::sim::{NetworkConditions, Sim};
 
 struct Ear {
     members: Arc<Membership>,
@@ -276,7 +276,7 @@
             .map(|x| self.sim.find(x))
             .filter(|x| *x != m)
             .collect();
-        self.sim.split(&[m], &all);
+        self.sim.partition(&[m], &all);
         self.apart.lock().unwrap().insert(n.into());
     }
 
@@ -297,8 +297,8 @@
             .map(|x| self.sim.find(x))
             .filter(|x| *x != m && !half.contains(x))
             .collect();
-        self.sim.split(&[m], &rest);
-        self.sim.split(&half, &rest);
+        self.sim.partition(&[m], &rest);
+        self.sim.partition(&half, &rest);
         self.fronts
             .iter()
             .skip(1)
@@ -778,7 +778,7 @@
             self.pass(300 + r(4000));
             self.calm();
             hit.iter()
-                .filter(|n| !self.sim.up(self.sim.find(n)))
+                .filter(|n| !self.sim.is_up(self.sim.find(n)))
                 .for_each(|n| self.boot(n));
         }
         self.pass(1500);
@@ -800,11 +800,11 @@
 ) -> Arc<Town> {
     let t = Town::new(seed, stores, 4, lost);
     if seed % 2 == 1 {
-        t.sim.weather(Weather {
-            lose: 5,
-            twice: 20,
-            late: 20,
-            jitter: 2 * MS,
+        t.sim.set_network_conditions(NetworkConditions {
+            drop_per_mille: 5,
+            duplicate_per_mille: 20,
+            delay_per_mille: 20,
+            max_jitter: 2 * MS,
         });
     }
     plans.iter().for_each(|p| t.session(p.clone()));
--- a/yewcross-testkit/tests/charges.rs
+++ b/yewcross-testkit/tests/charges.rs
@@ -5,10 +5,10 @@
 use yewcross_common::process_settings::Role;
 use yewcross_testkit::proof::Lab;
 use yewcross_testkit::shape::Charges;
-use yewcross_testkit::sim::Costs;
+use yewcross_testkit::sim::MachineCosts;
 
 /// Founded and left alone for ten seconds: what each role's first machine was charged, us.
-fn idle(c: Costs) -> Vec<u64> {
+fn idle(c: MachineCosts) -> Vec<u64> {
     let lab = Lab::of(7, "small", |s| {
         s.charges = Charges {
             front: c,
@@ -25,7 +25,10 @@
         me.put("core1", 1, "first").await;
     });
     lab.sim.run(10 * SEC, || false);
-    let of = |r| lab.sim.used(lab.sim.find(&lab.sh.of(r)[0].name));
+    let of = |r| {
+        lab.sim
+            .processor_time_used(lab.sim.find(&lab.sh.of(r)[0].name))
+    };
     let all = || [Role::Front, Role::Core, Role::Store].map(of);
     let a = all();
     lab.sim.run(20 * SEC, || false);
@@ -34,15 +37,15 @@
 
 #[test]
 fn an_idle_machine_is_charged_by_its_wakes() {
-    let v = idle(Costs {
-        share: 100,
-        wake: 1,
-        byte: 0,
-        sync: 0,
+    let v = idle(MachineCosts {
+        core_percent: 100,
+        poll_us: 1,
+        byte_ns: 0,
+        sync_us: 0,
     });
     println!("tasks woken over 10 s at rest: front, core, store: {v:?}");
     assert!(v.iter().all(|n| *n > 0));
-    let free = idle(Costs::default());
+    let free = idle(MachineCosts::default());
     assert!(free.iter().all(|n| *n == 0), "{free:?}");
 }
 
@@ -76,7 +79,7 @@
         });
     });
     lab.sim.run(18 * SEC, || false);
-    let store = lab.sim.used(lab.sim.find("store1"));
+    let store = lab.sim.processor_time_used(lab.sim.find("store1"));
     let d: Arc<_> = lab.diary.clone();
     let n = d
         .seen
--- a/yewcross-testkit/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -6,7 +6,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_control::api::*;
-use yewcross_testkit::sim::{Costs, Weather};
+use yewcross_testkit::sim::{MachineCosts, NetworkConditions};
 use yewcross_testkit::tier::*;
 
 #[test]
@@ -150,7 +150,7 @@
                 let fronts: Vec<usize> =
                     t.names(Role::Front).iter().map(|n| t.sim.find(n)).collect();
                 // Nothing that the putter sends arrives, at fronts.
-                t.sim.split(&[cores[1]], &fronts);
+                t.sim.partition(&[cores[1]], &fronts);
                 let mut ok = false;
                 while !ok {
                     ok = matches!(t.put("core2", 5, "6 b").await, Some(PutAnswer::InForce(6)));
@@ -195,11 +195,11 @@
         Box::pin(async move {
             up(&t).await;
             t.put_surely(0, "1 first").await;
-            t.sim.weather(Weather {
-                lose: 10,
-                twice: 20,
-                late: 20,
-                jitter: 500,
+            t.sim.set_network_conditions(NetworkConditions {
+                drop_per_mille: 10,
+                duplicate_per_mille: 20,
+                delay_per_mille: 20,
+                max_jitter: 500,
             });
             // Text, base, and the answer; what was told of each.
             let told: Arc<Mutex<Vec<(String, u64, PutAnswer)>>> = Default::default();
@@ -252,7 +252,7 @@
                     .collect();
                 match t.op.random() % 4 {
                     0 => {
-                        t.sim.split(&[m], &others);
+                        t.sim.partition(&[m], &others);
                         t.op.sleep(t.op.random() % (2 * SEC)).await;
                         t.sim.heal();
                     }
@@ -271,7 +271,7 @@
             }
             let _ = (done.recv().await, done.recv().await);
             t.sim.heal();
-            t.sim.weather(Weather::default());
+            t.sim.set_network_conditions(NetworkConditions::default());
             t.op.sleep(4 * SEC).await;
             let mut last = vec![];
             for n in t.names(Role::Core) {
@@ -594,13 +594,13 @@
     let t = Tier::new(600, [8, 9, 55], 2);
     for (r, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
         t.names(r).iter().for_each(|n| {
-            t.sim.charge(
+            t.sim.set_costs(
                 t.sim.find(n),
-                Costs {
-                    share,
-                    wake: 20,
-                    byte: 3,
-                    sync: 500,
+                MachineCosts {
+                    core_percent: share,
+                    poll_us: 20,
+                    byte_ns: 3,
+                    sync_us: 500,
                 },
             )
         });
@@ -619,7 +619,7 @@
             let used = |t: &Tier, r| {
                 t.names(r)
                     .iter()
-                    .map(|n| t.sim.used(t.sim.find(n)))
+                    .map(|n| t.sim.processor_time_used(t.sim.find(n)))
                     .collect::<Vec<u64>>()
             };
             let sum = |t: &Tier| {
@@ -688,11 +688,11 @@
             up(&t).await;
             t.put_surely(0, "1 a").await;
             let (mut base, mut spare, mut worst) = (1u64, 60, 0);
-            t.sim.weather(Weather {
-                lose: 5,
-                twice: 10,
-                late: 10,
-                jitter: 300,
+            t.sim.set_network_conditions(NetworkConditions {
+                drop_per_mille: 5,
+                duplicate_per_mille: 10,
+                delay_per_mille: 10,
+                max_jitter: 300,
             });
             for _ in 0..14 {
                 let mut all: Vec<String> = t
@@ -752,7 +752,7 @@
                     tell(&t)
                 );
             }
-            t.sim.weather(Weather::default());
+            t.sim.set_network_conditions(NetworkConditions::default());
             let (c, s) = (t.names(Role::Core), t.names(Role::Store));
             t.seated(&c, &s, 8 * SEC)
                 .await
--- a/yewcross-testkit/tests/core_outages.rs
+++ b/yewcross-testkit/tests/core_outages.rs
@@ -124,7 +124,7 @@
                     let machines: Vec<usize> =
                         cores.iter().map(|name| tier.sim.find(name)).collect();
                     let (left, right) = machines.split_at(machines.len() / 2);
-                    tier.sim.split(left, right);
+                    tier.sim.partition(left, right);
                     let end = tier.op.now() + 3 * SEC;
                     while tier.op.now() < end {
                         let core = &cores[tier.op.random() as usize % cores.len()];
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -76,7 +76,7 @@
                     .unwrap();
                 let id = |n: &String| lab.sim.find(n);
                 lab.sim
-                    .split(&[id(&copies[0])], &[id(&copies[1]), id(&copies[2])]);
+                    .partition(&[id(&copies[0])], &[id(&copies[1]), id(&copies[2])]);
                 let x = begin(&key, "j", 7, Some(&b));
                 let first = ask(
                     &lab.control(&copies[0]).unwrap(),
@@ -305,7 +305,7 @@
                 .map(id)
                 .collect();
             lab.sim
-                .split(&cut.iter().map(id).collect::<Vec<_>>(), &rest);
+                .partition(&cut.iter().map(id).collect::<Vec<_>>(), &rest);
             lab.op.sleep(3 * SEC).await;
             let (mut acks, mut stale) = (vec![], vec![]);
             for list in [&[2, 3][..], &[2, 3, 4], &[4, 5, 6]] {
@@ -365,7 +365,7 @@
     };
     let (held, stop, cut, whole) = on_fleet_of("small", 37, edit, |lab| {
         Box::pin(async move {
-            lab.sim.window(4 << 10);
+            lab.sim.set_receive_window(4 << 10);
             let (f, to) = (lab.front("front1").unwrap(), lab.sh.of(Role::Front)[0].http);
             let body = |n: &str| {
                 format!(
@@ -457,12 +457,12 @@
                 c.store
                     .handle(PeerRequest::CommitTurn(x), b"turn\n".to_vec())
                     .await;
-                lab.sim.skew(lab.sim.find(&first), 5 * 86_400_000);
+                lab.sim.set_clock_skew(lab.sim.find(&first), 5 * 86_400_000);
                 // Long enough for several sweeps.
                 lab.op.sleep(40 * SEC).await;
                 let kept = ask(&c, PeerRequest::BeginTurn(begin(&key, "j2", 2, None))).await;
                 lab.op.sleep(SEC).await;
-                lab.sim.skew(lab.sim.find(&first), 9 * 86_400_000);
+                lab.sim.set_clock_skew(lab.sim.find(&first), 9 * 86_400_000);
                 let second = ask(&c, PeerRequest::BeginTurn(begin(&key, "j3", 3, None))).await;
                 let PeerResponse::SessionReservations { open, .. } =
                     ask(&c, PeerRequest::InspectSession { key }).await
@@ -495,11 +495,11 @@
         |lab| {
             Box::pin(async move {
                 let m = lab.sim.find("store2");
-                lab.sim.skew(m, 3_600_000);
+                lab.sim.set_clock_skew(m, 3_600_000);
                 lab.sim.kill(m, false);
                 lab.boot("store2");
                 lab.op.sleep(5 * SEC).await;
-                lab.sim.skew(m, 0);
+                lab.sim.set_clock_skew(m, 0);
                 lab.sim.kill(m, false);
                 lab.boot("store2");
                 lab.op.sleep(5 * SEC).await;
@@ -543,7 +543,7 @@
                     let (x, y): (Vec<_>, Vec<_>) = all.into_iter().partition(|n| n.1);
                     let ids =
                         |v: Vec<(usize, bool)>| v.into_iter().map(|n| n.0).collect::<Vec<_>>();
-                    lab.sim.split(&ids(x), &ids(y));
+                    lab.sim.partition(&ids(x), &ids(y));
                     lab.op.sleep(6 * SEC).await;
                     let (mut tried, mut away) = (0, 0);
                     for i in 0..40u64 {
@@ -591,10 +591,11 @@
                 .await
                 .unwrap();
                 // Pieces are under way while the cancel is.
-                lab.sim.weather(yewcross_testkit::sim::Weather {
-                    jitter: 100 * MS,
-                    ..Default::default()
-                });
+                lab.sim
+                    .set_network_conditions(yewcross_testkit::sim::NetworkConditions {
+                        max_jitter: 100 * MS,
+                        ..Default::default()
+                    });
                 let mut b = [0u8; 2000];
                 while c
                     .read(&mut b)
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -618,7 +618,7 @@
                             .filter(|_| steps.op.random().is_multiple_of(3))
                         {
                             let ms = (steps.op.random() % 4_000) as i64 - 2_000;
-                            steps.sim.skew(steps.sim.find(name), ms);
+                            steps.sim.set_clock_skew(steps.sim.find(name), ms);
                         }
                         steps.op.sleep(700 * MS).await;
                     }
--- a/yewcross-testkit/tests/duty.rs
+++ b/yewcross-testkit/tests/duty.rs
@@ -7,7 +7,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::ListedServer;
-use yewcross_testkit::sim::{Costs, Weather};
+use yewcross_testkit::sim::{MachineCosts, NetworkConditions};
 use yewcross_testkit::tier::*;
 
 #[path = "support/cuts.rs"]
@@ -184,13 +184,13 @@
         for power in [false, true] {
             let t = Tier::new(5300 + 10 * size as u64 + power as u64, counts, lost);
             t.names(Role::Core).iter().for_each(|n| {
-                t.sim.charge(
+                t.sim.set_costs(
                     t.sim.find(n),
-                    Costs {
-                        share: 11,
-                        wake: 20,
-                        byte: 3,
-                        sync: 500,
+                    MachineCosts {
+                        core_percent: 11,
+                        poll_us: 20,
+                        byte_ns: 3,
+                        sync_us: 500,
                     },
                 )
             });
@@ -294,11 +294,11 @@
                 t.list_servers(vec![server(1, false)]).await;
                 up(&t).await;
                 let watch = Watch::start(&t);
-                t.sim.weather(Weather {
-                    lose: 10,
-                    twice: 20,
-                    late: 20,
-                    jitter: 2000,
+                t.sim.set_network_conditions(NetworkConditions {
+                    drop_per_mille: 10,
+                    duplicate_per_mille: 20,
+                    delay_per_mille: 20,
+                    max_jitter: 2000,
                 });
                 for _ in 0..10 {
                     let cores = t.names(Role::Core);
@@ -322,7 +322,7 @@
                     }
                     t.op.sleep(t.op.random() % (2 * SEC)).await;
                 }
-                t.sim.weather(Weather::default());
+                t.sim.set_network_conditions(NetworkConditions::default());
                 t.op.sleep(4 * SEC).await;
                 assert_eq!(t.on_duty().len(), 1, "{}", tell(&t));
                 watch.end();
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -10,7 +10,7 @@
 use yewcross_common::register::Step;
 use yewcross_control::api::*;
 use yewcross_testkit::history::*;
-use yewcross_testkit::sim::{Costs, Weather};
+use yewcross_testkit::sim::{MachineCosts, NetworkConditions};
 use yewcross_testkit::tier::*;
 
 type Calls = Arc<Mutex<Vec<Operation<ConfigRegister>>>>;
@@ -246,17 +246,17 @@
                 .map(|n| tier.sim.find(n))
                 .collect();
             match tier.op.random() % 8 {
-                0 => tier.sim.split(&[machine], &others),
-                1 => others.iter().for_each(|o| tier.sim.cut(machine, *o)),
-                2 => others.iter().for_each(|o| tier.sim.cut(*o, machine)),
+                0 => tier.sim.partition(&[machine], &others),
+                1 => others.iter().for_each(|o| tier.sim.block(machine, *o)),
+                2 => others.iter().for_each(|o| tier.sim.block(*o, machine)),
                 3 => tier.sim.freeze(machine),
-                4 => tier.sim.charge(
+                4 => tier.sim.set_costs(
                     machine,
-                    Costs {
-                        share: 2,
-                        wake: 200,
-                        byte: 50,
-                        sync: 60_000,
+                    MachineCosts {
+                        core_percent: 2,
+                        poll_us: 200,
+                        byte_ns: 50,
+                        sync_us: 60_000,
                     },
                 ),
                 5 => {
@@ -286,7 +286,8 @@
         tier.sim.heal();
         for name in tier.names(Role::Core) {
             tier.sim.thaw(tier.sim.find(&name));
-            tier.sim.charge(tier.sim.find(&name), Costs::default());
+            tier.sim
+                .set_costs(tier.sim.find(&name), MachineCosts::default());
         }
         back.iter().for_each(|n| tier.boot(n, false));
         tier.op.sleep(settle + tier.op.random() % SEC).await;
@@ -342,11 +343,11 @@
                 text: "1 first".into(),
             };
             while caller(&tier).send_until_clear(&first).await != Some(true) {}
-            tier.sim.weather(Weather {
-                lose: 5,
-                twice: 20,
-                late: 20,
-                jitter: 500,
+            tier.sim.set_network_conditions(NetworkConditions {
+                drop_per_mille: 5,
+                duplicate_per_mille: 20,
+                delay_per_mille: 20,
+                max_jitter: 500,
             });
             let until = tier.op.now() + plan.length;
             let (done_tx, done) = async_channel::unbounded();
@@ -361,7 +362,8 @@
             for _ in 0..plan.operators {
                 let _ = done.recv().await;
             }
-            tier.sim.weather(Weather::default());
+            tier.sim
+                .set_network_conditions(NetworkConditions::default());
             tier.op.sleep(4 * SEC).await;
             for core in tier.names(Role::Core) {
                 let begin = tier.op.now();
@@ -526,11 +528,11 @@
     play(&tier, move |tier| {
         Box::pin(async move {
             up(&tier).await;
-            tier.sim.weather(Weather {
-                lose: 5,
-                twice: 20,
-                late: 20,
-                jitter: 500,
+            tier.sim.set_network_conditions(NetworkConditions {
+                drop_per_mille: 5,
+                duplicate_per_mille: 20,
+                delay_per_mille: 20,
+                max_jitter: 500,
             });
             let until = tier.op.now() + plan.length;
             let (done_tx, done) = async_channel::unbounded();
--- a/yewcross-testkit/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -235,7 +235,7 @@
     }
 
     pub fn stand(&self, i: usize, l: &ListedServer) {
-        if !self.sim.up(self.machines[i]) {
+        if !self.sim.is_up(self.machines[i]) {
             self.worlds.lock().unwrap()[i] = self.sim.boot(self.machines[i]);
         }
         let w = self.worlds.lock().unwrap()[i].clone();
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -13,7 +13,7 @@
 use yewcross_control::api::{ReadAnswer, RetireBegin, RetireState};
 use yewcross_control::layout::planning::{self, ClusterView, ReplicaReport};
 use yewcross_testkit::routed::tier::Plan;
-use yewcross_testkit::sim::Costs;
+use yewcross_testkit::sim::MachineCosts;
 use yewcross_testkit::tier::*;
 
 /// us. A core seat is whole within this from its machine's return.
@@ -147,13 +147,13 @@
 fn burden(t: &Tier) {
     for (role, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
         t.names(role).iter().for_each(|n| {
-            t.sim.charge(
+            t.sim.set_costs(
                 t.sim.find(n),
-                Costs {
-                    share,
-                    wake: 20,
-                    byte: 3,
-                    sync: 2_000,
+                MachineCosts {
+                    core_percent: share,
+                    poll_us: 20,
+                    byte_ns: 3,
+                    sync_us: 2_000,
                 },
             )
         });
--- a/yewcross-testkit/tests/support/operators.rs
+++ b/yewcross-testkit/tests/support/operators.rs
@@ -5,7 +5,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_control::api::PutAnswer;
-use yewcross_testkit::sim::Costs;
+use yewcross_testkit::sim::MachineCosts;
 use yewcross_testkit::tier::*;
 
 const OPERATORS: u64 = 8;
@@ -57,15 +57,15 @@
 pub fn small_machines(seed: u64, counts: [usize; 3], lost: usize) -> Arc<Tier> {
     let tier = Tier::new(seed, counts, lost);
     for (role, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
-        let costs = Costs {
-            share,
-            wake: 40,
-            byte: 10,
-            sync: 500,
+        let costs = MachineCosts {
+            core_percent: share,
+            poll_us: 40,
+            byte_ns: 10,
+            sync_us: 500,
         };
         tier.names(role)
             .iter()
-            .for_each(|name| tier.sim.charge(tier.sim.find(name), costs));
+            .for_each(|name| tier.sim.set_costs(tier.sim.find(name), costs));
     }
     tier
 }
--- a/yewcross-testkit/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -68,7 +68,7 @@
                     .filter(|n| !["store2", "store3"].contains(&n.name.as_str()))
                     .map(|n| machine(&n.name))
                     .collect();
-                lab.sim.split(&[machine("store2")], &others);
+                lab.sim.partition(&[machine("store2")], &others);
                 lab.boot("store2");
                 lab.sim.thaw(machine("store3"));
                 let stale = owner(&lab, "store3");
