--- a/yewcross-capacity/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -9,7 +9,7 @@
 };
 use yewcross_common::constants::SEC;
 use yewcross_common::process_settings::{ProcessSettings, Role};
-use yewcross_testkit::proof::{Lab, Proc};
+use yewcross_testkit::proof::{Process, TestCluster};
 
 fn cost(i: &Inputs, name: &str) -> Cost {
     let m = MECHANISMS
@@ -122,7 +122,7 @@
 
 fn at_rest(seed: u64, more: usize) -> Rest {
     const SECS: u64 = 10;
-    let lab = Lab::of(seed, "kowhai", |sh| {
+    let lab = TestCluster::with_topology(seed, "kowhai", |sh| {
         let like: ProcessSettings = sh.of(Role::Front)[0].clone();
         (0..more).for_each(|i| {
             let at = |p: u16| {
@@ -139,19 +139,22 @@
         });
     });
     lab.boot("platform");
-    lab.sh.backs.iter().for_each(|b| lab.boot(&b.server));
-    lab.sh.nodes.iter().for_each(|n| lab.boot(&n.name));
+    lab.topology
+        .servers
+        .iter()
+        .for_each(|b| lab.boot(&b.server));
+    lab.topology.nodes.iter().for_each(|n| lab.boot(&n.name));
     type Counts = (BTreeMap<&'static str, (u64, u64)>, u64);
-    let count = |lab: &Lab| -> Counts {
+    let count = |lab: &TestCluster| -> Counts {
         let mut c: Counts = Default::default();
-        lab.procs.lock().unwrap().values().for_each(|p| {
+        lab.processes.lock().unwrap().values().for_each(|p| {
             let peers = match p {
-                Proc::Front(f) => {
+                Process::Front(f) => {
                     c.1 += f.counts.polls.load(SeqCst);
                     &f.peers
                 }
-                Proc::Control(x) => &x.peers,
-                Proc::Back(_) => return,
+                Process::Control(x) => &x.peers,
+                Process::Server(_) => return,
             };
             peers
                 .metrics
@@ -168,13 +171,13 @@
     };
     let out: Arc<Mutex<Option<(Counts, Counts)>>> = Default::default();
     let (me, o) = (lab.clone(), out.clone());
-    lab.op.spawn(async move {
-        me.op.sleep(3 * SEC).await;
-        me.found().await;
+    lab.operator.spawn(async move {
+        me.operator.sleep(3 * SEC).await;
+        me.bootstrap().await;
         me.put("core1", 1, "first").await;
-        me.op.sleep(10 * SEC).await;
+        me.operator.sleep(10 * SEC).await;
         let a = count(&me);
-        me.op.sleep(SECS * SEC).await;
+        me.operator.sleep(SECS * SEC).await;
         *o.lock().unwrap() = Some((a, count(&me)));
     });
     lab.sim.run(300 * SEC, || out.lock().unwrap().is_some());
@@ -188,10 +191,10 @@
         )
     });
     Rest {
-        nodes: lab.sh.nodes.len() as f64,
-        fronts: lab.sh.of(Role::Front).len() as f64,
-        cores: lab.sh.of(Role::Core).len() as f64,
-        servers: lab.sh.backs.len() as f64,
+        nodes: lab.topology.nodes.len() as f64,
+        fronts: lab.topology.of(Role::Front).len() as f64,
+        cores: lab.topology.of(Role::Core).len() as f64,
+        servers: lab.topology.servers.len() as f64,
         kinds: kinds.collect(),
         polls: (b.1 - a.1) as f64 / s,
     }
--- a/yewcross-capacity/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -8,11 +8,15 @@
 use yewcross_common::process_settings::Role;
 use yewcross_control::layout::Move;
 use yewcross_testkit::caller::{self, Ask, Heard};
-use yewcross_testkit::proof::Lab;
-use yewcross_testkit::script::on_fleet_of;
+use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
-async fn talk(lab: &Arc<Lab>, turns: std::ops::Range<usize>) -> Vec<caller::Seen> {
-    let fronts: Vec<_> = lab.sh.of(Role::Front).iter().map(|n| n.http).collect();
+async fn talk(lab: &Arc<TestCluster>, turns: std::ops::Range<usize>) -> Vec<caller::Seen> {
+    let fronts: Vec<_> = lab
+        .topology
+        .of(Role::Front)
+        .iter()
+        .map(|n| n.http)
+        .collect();
     let mut v = vec![];
     for t in turns {
         for s in 0..10 {
@@ -30,22 +34,24 @@
                 max_output: 16,
                 stream: false,
             };
-            let x = caller::turn(&lab.op, fronts[s % fronts.len()], &a).await;
+            let x = caller::turn(&lab.operator, fronts[s % fronts.len()], &a).await;
             assert_eq!(x.heard, Heard::Done, "{x:?}");
             v.push(x);
         }
-        lab.op.sleep(8 * SEC).await;
+        lab.operator.sleep(8 * SEC).await;
     }
     v
 }
 
-async fn checkpoint(lab: &Arc<Lab>) -> Checkpoint {
-    take(&lab.op, lab.sh.of(Role::Core)[0].http).await.unwrap()
+async fn checkpoint(lab: &Arc<TestCluster>) -> Checkpoint {
+    take(&lab.operator, lab.topology.of(Role::Core)[0].http)
+        .await
+        .unwrap()
 }
 
 #[test]
 fn emptying_a_store_copies_exactly_what_was_planned() {
-    on_fleet_of(
+    with_cluster_of(
         "kowhai",
         11,
         |_| (),
@@ -58,7 +64,7 @@
                 assert_eq!(lab.post("core2", "/v1/disks/store2/empty").await.0, 200);
                 let mut safe = false;
                 for _ in 0..60 {
-                    lab.op.sleep(SEC).await;
+                    lab.operator.sleep(SEC).await;
                     safe = lab.get("core2", "/v1/disks/store2").await.1["safe_to_remove"]
                         == json!(true);
                     if safe {
@@ -104,7 +110,7 @@
 
 #[test]
 fn a_lost_server_sends_sessions_where_the_plan_said() {
-    on_fleet_of(
+    with_cluster_of(
         "kowhai",
         12,
         |_| (),
@@ -123,7 +129,7 @@
                     p.text()
                 );
                 lab.sim.kill(lab.sim.find(&busiest), false);
-                lab.op.sleep(3 * SEC).await;
+                lab.operator.sleep(3 * SEC).await;
                 let seen = talk(&lab, 2..3).await;
                 for m in &p.homes {
                     let s = seen
@@ -148,7 +154,7 @@
 
 #[test]
 fn a_configuration_is_refused_or_told_setting_by_setting() {
-    on_fleet_of(
+    with_cluster_of(
         "small",
         13,
         |_| (),
--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -1,7 +1,7 @@
 //! Callers: sessions that speak turn after turn, lookups between, all of it written down.
 
-use crate::shape::Shape;
-use crate::standin::{MARKS, mark};
+use crate::stub_server::{MARKS, mark};
+use crate::topology::Topology;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -237,22 +237,24 @@
 }
 
 /// One session's life: turns in order, each checked against what this caller knows was kept.
-pub async fn session(runtime: Runtime, sh: Arc<Shape>, d: Arc<Diary>, id: usize, turns: usize) {
+pub async fn session(runtime: Runtime, sh: Arc<Topology>, d: Arc<Diary>, id: usize, turns: usize) {
     let fronts: Vec<SocketAddr> = sh
         .of(yewcross_common::process_settings::Role::Front)
         .iter()
         .map(|n| n.http)
         .collect();
-    let total: u32 = sh.mix.turns.iter().map(|t| t.2).sum();
+    let total: u32 = sh.workload.turns.iter().map(|t| t.weight).sum();
     let mut x = (runtime.random() % total as u64) as u32;
-    let kind = sh.mix.turns.iter().find(|t| {
-        let hit = x < t.2;
-        x = x.wrapping_sub(t.2);
+    let kind = sh.workload.turns.iter().find(|t| {
+        let hit = x < t.weight;
+        x = x.wrapping_sub(t.weight);
         hit
     });
-    let Some((program, budget, _, first, later, max)) = kind.cloned() else {
+    let Some(kind) = kind.cloned() else {
         return;
     };
+    let (program, budget, max) = (kind.program, kind.budget, kind.max_output_tokens);
+    let (first, later) = (kind.first_message_bytes, kind.later_message_bytes);
     let name = format!("s{id}");
     let mut known: Vec<String> = vec![];
     let mut unsure = 0usize;
@@ -263,7 +265,9 @@
         }
         if runtime.random().is_multiple_of(6) {
             // Once only: the same id again and again, at any front, whatever was said.
-            let (s, _, _) = sh.mix.lookups[runtime.random_index(sh.mix.lookups.len())].clone();
+            let asked =
+                sh.workload.lookups[runtime.random_index(sh.workload.lookups.len())].clone();
+            let s = asked.service;
             let job = format!("{name}-once-{t}");
             for _ in 0..1 + runtime.random_index(3) {
                 let seen = lookup(
@@ -280,7 +284,9 @@
             }
         }
         for _ in 0..runtime.random_index(3) {
-            let (s, m, _) = sh.mix.lookups[runtime.random_index(sh.mix.lookups.len())].clone();
+            let asked =
+                sh.workload.lookups[runtime.random_index(sh.workload.lookups.len())].clone();
+            let (s, m) = (asked.service, asked.method);
             let seen = lookup(
                 &runtime,
                 fronts[at],
--- a/yewcross-testkit/src/fleet.rs
+++ b/yewcross-testkit/src/fleet.rs
@@ -1,8 +1,8 @@
 //! A whole fleet on this machine: real processes, real sockets, real files.
 
 use crate::caller::{self, Diary};
-use crate::shape::{Shape, shape};
-use crate::standin::Spec;
+use crate::stub_server::StubServerSettings;
+use crate::topology::{Topology, topology};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 pub struct Fleet {
     pub w: Runtime,
-    pub sh: Arc<Shape>,
+    pub sh: Arc<Topology>,
     dir: PathBuf,
     bin: PathBuf,
     kids: BTreeMap<String, Child>,
@@ -35,16 +35,16 @@
 impl Fleet {
     pub fn plan(runtime: &Runtime, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
         let at = |base: u16| {
-            shape(name, &move |n: usize, k: u16| {
+            topology(name, &move |n: usize, k: u16| {
                 SocketAddr::from(([127, 0, 0, 1], base + 2 * n as u16 + k))
             })
         };
-        let free = |sh: &Shape| {
+        let free = |sh: &Topology| {
             let all = sh
                 .nodes
                 .iter()
                 .flat_map(|n| [n.peer, n.http])
-                .chain(sh.backs.iter().map(|b| b.addr))
+                .chain(sh.servers.iter().map(|b| b.addr))
                 .chain([sh.platform]);
             all.map(std::net::TcpListener::bind)
                 .collect::<Result<Vec<_>, _>>()
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    pub fn start_back(&mut self, s: &Spec) -> Result<(), String> {
+    pub fn start_back(&mut self, s: &StubServerSettings) -> Result<(), String> {
         let f = self.dir.join(format!("{}.json", s.server));
         std::fs::write(&f, serde_json::to_vec(s).unwrap_or_default()).map_err(|e| e.to_string())?;
         self.spawn(
@@ -145,8 +145,11 @@
     pub fn start_all(&mut self) -> Result<(), String> {
         let sh = self.sh.clone();
         let p = self.dir.join("list.json");
-        std::fs::write(&p, serde_json::to_vec(&sh.listed()).unwrap_or_default())
-            .map_err(|e| e.to_string())?;
+        std::fs::write(
+            &p,
+            serde_json::to_vec(&sh.server_list()).unwrap_or_default(),
+        )
+        .map_err(|e| e.to_string())?;
         let args = [
             "platform".into(),
             "--at".into(),
@@ -155,7 +158,7 @@
             p.display().to_string(),
         ];
         self.spawn("platform", "yewcross-lab", &args)?;
-        sh.backs.iter().try_for_each(|b| self.start_back(b))?;
+        sh.servers.iter().try_for_each(|b| self.start_back(b))?;
         sh.nodes.iter().try_for_each(|n| self.start_node(n))
     }
 
@@ -344,7 +347,7 @@
     let mut f = Fleet::plan(&runtime, name, dir, base)?;
     println!(
         "{name}: {} processes in {}",
-        f.sh.nodes.len() + f.sh.backs.len() + 1,
+        f.sh.nodes.len() + f.sh.servers.len() + 1,
         dir.display()
     );
     f.start_all()?;
@@ -362,9 +365,9 @@
     });
     let mut c0 = f.counts().await;
     let model = |i: usize| {
-        f.sh.backs
+        f.sh.servers
             .iter()
-            .filter(|b| b.model)
+            .filter(|b| b.is_model)
             .nth(i)
             .map(|b| b.server.clone())
             .unwrap_or_default()
--- a/yewcross-testkit/src/main.rs
+++ b/yewcross-testkit/src/main.rs
@@ -1,9 +1,13 @@
+//! The command line of the testkit.
+
 use std::path::PathBuf;
 use strum::IntoEnumIterator;
 use yewcross_common::process_settings::exit;
 use yewcross_common::runtime::os::OsRuntime;
-use yewcross_testkit::proof::{Act, Plan};
-use yewcross_testkit::{fleet, grind, platform, proof, standin};
+use yewcross_testkit::proof::{Fault, Plan};
+use yewcross_testkit::stub_server::StubServer;
+use yewcross_testkit::topology::topology;
+use yewcross_testkit::{fleet, platform, proof, register_stress};
 
 xflags::xflags! {
     /// Stand-ins, callers, local fleets and the simulator of yewcross.
@@ -65,114 +69,129 @@
     }
 }
 
-fn fail(code: i32, why: &str) -> ! {
+/// Seconds of traffic and callers at once of `up`, unless given.
+const DEFAULT_SECONDS: u64 = 40;
+const DEFAULT_SESSIONS: usize = 24;
+/// Ports that may be the first one.
+const BASE_PORTS: std::ops::RangeInclusive<u16> = 1024..=60_000;
+
+fn exit_with(code: i32, why: &str) -> ! {
     eprintln!("{why}");
     std::process::exit(code)
 }
 
+fn exit_by_count(bad_runs: usize) -> ! {
+    std::process::exit(if bad_runs == 0 { exit::OK } else { 1 })
+}
+
 fn read<T: for<'a> serde::Deserialize<'a>>(path: &str) -> T {
-    let b =
-        std::fs::read(path).unwrap_or_else(|e| fail(exit::BAD_STARTUP, &format!("{path}: {e}")));
-    serde_json::from_slice(&b).unwrap_or_else(|e| fail(exit::BAD_STARTUP, &format!("{path}: {e}")))
+    let bytes = std::fs::read(path)
+        .unwrap_or_else(|error| exit_with(exit::BAD_STARTUP, &format!("{path}: {error}")));
+    serde_json::from_slice(&bytes)
+        .unwrap_or_else(|error| exit_with(exit::BAD_STARTUP, &format!("{path}: {error}")))
 }
 
 fn seeds(from: Option<u64>, count: Option<u64>) -> std::ops::Range<u64> {
     let from = from.unwrap_or(1);
     let to = from
         .checked_add(count.unwrap_or(1))
-        .unwrap_or_else(|| fail(exit::USAGE, "--from, --count: past the last seed"));
+        .unwrap_or_else(|| exit_with(exit::USAGE, "--from, --count: past the last seed"));
     from..to
 }
 
-fn main() {
-    let a = YewcrossLab::from_env_or_exit();
-    match a.subcommand {
-        YewcrossLabCmd::Up(u) => {
-            let w = OsRuntime::start(".", 2);
-            let shape = u.shape.unwrap_or("kowhai".into());
-            let dir = u
-                .dir
-                .unwrap_or(std::env::temp_dir().join(format!("yewcross-{}", std::process::id())));
-            let base = u.base.unwrap_or(0);
-            if base > 0 && !(1024..=60_000).contains(&base) {
-                fail(exit::USAGE, "--base: must be 1024 to 60000");
-            }
-            let r = smol::block_on(fleet::up(
-                w,
-                &shape,
-                &dir,
-                base,
-                u.seconds.unwrap_or(40),
-                u.sessions.unwrap_or(24),
-            ));
-            r.unwrap_or_else(|e| fail(1, &e));
+fn up(options: Up) {
+    let runtime = OsRuntime::start(".", 2);
+    let topology = options.shape.unwrap_or("kowhai".into());
+    let name = format!("yewcross-{}", std::process::id());
+    let dir = options.dir.unwrap_or(std::env::temp_dir().join(name));
+    let base = options.base.unwrap_or(0);
+    if base > 0 && !BASE_PORTS.contains(&base) {
+        exit_with(exit::USAGE, "--base: must be 1024 to 60000");
+    }
+    let seconds = options.seconds.unwrap_or(DEFAULT_SECONDS);
+    let sessions = options.sessions.unwrap_or(DEFAULT_SESSIONS);
+    let result = smol::block_on(fleet::up(runtime, &topology, &dir, base, seconds, sessions));
+    result.unwrap_or_else(|error| exit_with(1, &error));
+}
+
+/// Plans of one seed: the faults as `--acts` says.
+fn plans(seed: u64, topology: &str, acts: &str) -> Vec<Plan> {
+    let all: Vec<Fault> = Fault::iter().collect();
+    match acts {
+        "each" => all
+            .iter()
+            .map(|fault| Plan::new(seed, topology, &[*fault]))
+            .collect(),
+        "pairs" => {
+            let mut random = fastrand::Rng::with_seed(seed);
+            let mut draw = || all[random.usize(0..all.len())];
+            let pair = [draw(), draw()];
+            vec![Plan::new(seed, topology, &pair)]
         }
-        YewcrossLabCmd::Sim(s) => {
-            let shape = s.shape.unwrap_or("small".into());
-            if yewcross_testkit::shape::shape(&shape, &|_, _| ([127, 0, 0, 1], 1).into()).is_none()
-            {
-                fail(
-                    exit::USAGE,
-                    &format!(
-                        "--shape: no shape {shape}; there are kowhai, consorcio, small, metered, wide, disks"
-                    ),
-                );
-            }
-            let which = s.acts.unwrap_or("calm".into());
-            let all: Vec<Act> = Act::iter().collect();
-            let mut plans = vec![];
-            for seed in seeds(s.from, s.count) {
-                match which.as_str() {
-                    "each" => all
-                        .iter()
-                        .for_each(|a| plans.push(Plan::new(seed, &shape, &[*a]))),
-                    "pairs" => {
-                        let mut r = fastrand::Rng::with_seed(seed);
-                        let (a, b) = (all[r.usize(0..all.len())], all[r.usize(0..all.len())]);
-                        plans.push(Plan::new(seed, &shape, &[a, b]));
-                    }
-                    v => {
-                        let acts: Option<Vec<Act>> = v.split('+').map(|x| x.parse().ok()).collect();
-                        let acts = acts.unwrap_or_else(|| {
-                            fail(exit::USAGE, &format!("--acts: unknown act in {v}"))
-                        });
-                        plans.push(Plan::new(seed, &shape, &acts));
-                    }
-                }
-            }
-            plans.iter_mut().for_each(|p| {
-                p.budget = s.budget;
-                p.no_share = s.no_share;
-                p.repeatable = s.repeatable;
-                p.one_purse = s.one_purse;
+        names => {
+            let faults: Option<Vec<Fault>> =
+                names.split('+').map(|name| name.parse().ok()).collect();
+            let faults = faults.unwrap_or_else(|| {
+                exit_with(exit::USAGE, &format!("--acts: unknown act in {names}"))
             });
-            let bad = proof::sweep(plans, s.trace);
-            std::process::exit(if bad == 0 { exit::OK } else { 1 });
-        }
-        YewcrossLabCmd::Grind(g) => {
-            let bad = grind::sweep(seeds(g.from, g.count).collect(), g.trace);
-            std::process::exit(if bad == 0 { exit::OK } else { 1 });
+            vec![Plan::new(seed, topology, &faults)]
         }
-        YewcrossLabCmd::Standin(s) => {
-            let w = OsRuntime::start(".", 1);
-            let r = smol::block_on(standin::Standin::start(
-                &w,
-                read(&s.spec),
-                Default::default(),
-            ));
-            r.map(|_| ())
-                .unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
-            smol::block_on(std::future::pending::<()>())
-        }
-        YewcrossLabCmd::Platform(p) => {
-            let w = OsRuntime::start(".", 1);
-            let at =
-                p.at.parse()
-                    .unwrap_or_else(|_| fail(exit::USAGE, "--at: not an address"));
-            let r = smol::block_on(platform::Platform::start(&w, at, read(&p.list)));
-            r.map(|_| ())
-                .unwrap_or_else(|e| fail(exit::CANNOT_BIND, &e.to_string()));
-            smol::block_on(std::future::pending::<()>())
+    }
+}
+
+fn simulate(options: Sim) -> ! {
+    let name = options.shape.unwrap_or("small".into());
+    if topology(&name, &|_, _| ([127, 0, 0, 1], 1).into()).is_none() {
+        exit_with(
+            exit::USAGE,
+            &format!(
+                "--shape: no shape {name}; there are kowhai, consorcio, small, metered, wide, disks"
+            ),
+        );
+    }
+    let acts = options.acts.unwrap_or("calm".into());
+    let mut all: Vec<Plan> = seeds(options.from, options.count)
+        .flat_map(|seed| plans(seed, &name, &acts))
+        .collect();
+    for plan in &mut all {
+        plan.budget = options.budget;
+        plan.disable_kv_share = options.no_share;
+        plan.repeatable = options.repeatable;
+        plan.single_budget = options.one_purse;
+    }
+    exit_by_count(proof::sweep(all, options.trace))
+}
+
+fn serve_stub(options: Standin) -> ! {
+    let runtime = OsRuntime::start(".", 1);
+    let settings = read(&options.spec);
+    let started = smol::block_on(StubServer::start(&runtime, settings, Default::default()));
+    let _server = started.unwrap_or_else(|error| exit_with(exit::CANNOT_BIND, &error.to_string()));
+    smol::block_on(std::future::pending())
+}
+
+fn serve_platform(options: Platform) -> ! {
+    let runtime = OsRuntime::start(".", 1);
+    let at = options
+        .at
+        .parse()
+        .unwrap_or_else(|_| exit_with(exit::USAGE, "--at: not an address"));
+    let list = read(&options.list);
+    let started = smol::block_on(platform::Platform::start(&runtime, at, list));
+    let _platform =
+        started.unwrap_or_else(|error| exit_with(exit::CANNOT_BIND, &error.to_string()));
+    smol::block_on(std::future::pending())
+}
+
+fn main() {
+    match YewcrossLab::from_env_or_exit().subcommand {
+        YewcrossLabCmd::Up(options) => up(options),
+        YewcrossLabCmd::Sim(options) => simulate(options),
+        YewcrossLabCmd::Grind(options) => {
+            let seeds = seeds(options.from, options.count).collect();
+            exit_by_count(register_stress::sweep(seeds, options.trace))
         }
+        YewcrossLabCmd::Standin(options) => serve_stub(options),
+        YewcrossLabCmd::Platform(options) => serve_platform(options),
     }
 }
--- a/yewcross-testkit/src/proof/checks/answers.rs
+++ b/yewcross-testkit/src/proof/checks/answers.rs
@@ -1,132 +1,151 @@
-//! What callers were answered: whole, consistent, prompt.
+//! What callers were answered: complete, consistent, prompt.
 
 use crate::caller::{Heard, Seen};
-use crate::proof::evidence::Evidence;
+use crate::proof::evidence::{Disruption, Evidence};
 use std::collections::BTreeMap;
 use yewcross_common::constants::{MS, SEC};
 
+/// us for which a disruption excuses an error after it.
+const DISRUPTION_TIME: u64 = 9 * SEC;
+/// us within which a front that cannot serve rejects; a longer silence is a dropped request.
+const PROMPT: u64 = 100 * MS;
+/// us after its deadline within which a request must have ended.
+const DEADLINE_GRACE: u64 = SEC;
+
+/// What callers themselves found wrong with an answer.
+pub(super) fn malformed(evidence: &Evidence) -> Vec<String> {
+    let faulty = evidence.seen.iter().filter(|seen| !seen.fault.is_empty());
+    faulty
+        .map(|seen| {
+            let checker = if seen.fault.starts_with("forgot") {
+                5
+            } else if seen.fault.contains("piece") || seen.fault.contains("digest") {
+                6
+            } else {
+                1
+            };
+            format!("{checker} {} at {}: {}", seen.job, seen.at, seen.fault)
+        })
+        .collect()
+}
+
+fn is_turn(seen: &Seen) -> bool {
+    seen.kind == "turn"
+}
+
 /// A stream that broke off and its repetition, joined as a caller would: what came first must begin
-/// what came whole.
-pub(super) fn joined(e: &Evidence) -> Vec<String> {
-    let mut whole: BTreeMap<(&str, &str), &str> = BTreeMap::new();
-    let mut v = vec![];
-    e.seen
-        .iter()
-        .filter(|s| s.kind == "turn" && s.heard == Heard::Done)
-        .for_each(|s| {
-            if whole
-                .insert((&s.session, &s.job), &s.text)
-                .is_some_and(|t| t != s.text)
-            {
-                v.push(format!("6 {} was answered with two texts", s.job));
-            }
-        });
-    let parts = e
-        .seen
-        .iter()
-        .filter(|s| s.kind == "turn" && s.heard != Heard::Done && !s.text.is_empty());
-    let parts = parts.filter(|s| {
-        whole
-            .get(&(s.session.as_str(), s.job.as_str()))
-            .is_some_and(|t| !t.starts_with(&s.text))
-    });
-    v.extend(parts.map(|s| {
-        format!(
-            "6 {} at {} began otherwise than it was repeated",
-            s.job, s.at
-        )
-    }));
-    v
+/// what came complete.
+pub(super) fn inconsistent(evidence: &Evidence) -> Vec<String> {
+    let mut violations = vec![];
+    let mut complete: BTreeMap<(&str, &str), &str> = BTreeMap::new();
+    let turns = || evidence.seen.iter().filter(|seen| is_turn(seen));
+    for seen in turns().filter(|seen| seen.heard == Heard::Done) {
+        let earlier = complete.insert((&seen.session, &seen.job), &seen.text);
+        if earlier.is_some_and(|text| text != seen.text) {
+            violations.push(format!("6 {} was answered with two texts", seen.job));
+        }
+    }
+    for seen in turns().filter(|seen| seen.heard != Heard::Done && !seen.text.is_empty()) {
+        let text = complete.get(&(seen.session.as_str(), seen.job.as_str()));
+        if text.is_some_and(|text| !text.starts_with(&seen.text)) {
+            violations.push(format!(
+                "6 {} at {} began otherwise than it was repeated",
+                seen.job, seen.at
+            ));
+        }
+    }
+    violations
 }
 
-/// A front that was itself struck, or cut off, may leave a caller without an answer; no other may,
-/// whatever goes on.
-pub(super) fn dropped(e: &Evidence) -> Vec<String> {
-    let silent = |s: &&Seen| {
-        matches!(s.heard, Heard::Cut) || (s.heard == Heard::Nothing && s.took > 100 * MS)
+/// A front that was itself disrupted, or partitioned, may leave a caller without an answer; no
+/// other may, whatever goes on.
+pub(super) fn dropped(evidence: &Evidence) -> Vec<String> {
+    let is_dropped = |seen: &Seen| {
+        seen.heard == Heard::Cut || (seen.heard == Heard::Nothing && seen.took > PROMPT)
     };
-    let struck = |s: &&Seen| {
-        let me = s
-            .front
-            .and_then(|a| e.doors.get(&a))
-            .map(|d| d.0.as_str())
-            .unwrap_or("");
-        e.hard
-            .iter()
-            .any(|h| h.1 == me && s.at < h.0 + 9 * SEC && s.at + s.took + SEC > h.0)
+    let is_excused = |seen: &Seen| {
+        let front = seen.front.and_then(|front| evidence.fronts.get(&front));
+        let front = front.map_or("", |front| front.name.as_str());
+        evidence.disruptions.iter().any(|disruption| {
+            disruption.subject == front
+                && seen.at < disruption.at + DISRUPTION_TIME
+                && seen.at + seen.took + SEC > disruption.at
+        })
     };
-    let bad = e.seen.iter().filter(silent).filter(|s| !struck(s));
-    bad.map(|s| {
+    let dropped = evidence.seen.iter().filter(|seen| is_dropped(seen));
+    dropped
+        .filter(|seen| !is_excused(seen))
+        .map(|seen| {
+            format!(
+                "11 {} at {} got {:?} after {} ms from a front that was not struck",
+                seen.job,
+                seen.at,
+                seen.heard,
+                seen.took / 1000
+            )
+        })
+        .collect()
+}
+
+/// Whether the request was under way during the disruption, or soon after it.
+fn meets(seen: &Seen, disruption: &Disruption) -> bool {
+    seen.at < disruption.at + DISRUPTION_TIME && seen.at + seen.took > disruption.at
+}
+
+/// Whether the disruption keeps a front from answering its caller.
+fn silences_fronts(disruption: &Disruption) -> bool {
+    let subject = disruption.subject.as_str();
+    subject.starts_with("front") || ["freeze-front", "site-cut", "one-way-cut"].contains(&subject)
+}
+
+/// What is given up is rejected at once, with a time to come back; never near the deadline for the
+/// sake of waiting.
+pub(super) fn late_rejections(evidence: &Evidence) -> Vec<String> {
+    let is_given_up = |seen: &&Seen| matches!(seen.heard, Heard::Code(3001..=3004 | 3006..=3009));
+    let rejected = || evidence.seen.iter().filter(is_given_up);
+    let without_time = rejected().filter(|seen| seen.retry_after == 0).map(|seen| {
         format!(
-            "11 {} at {} got {:?} after {} ms from a front that was not struck",
-            s.job,
-            s.at,
-            s.heard,
-            s.took / 1000
+            "13 {} was refused with {:?} and no time to come back",
+            seen.job, seen.heard
         )
-    })
-    .collect()
+    });
+    // A front that froze, or a site that was partitioned, cannot answer meanwhile.
+    let is_excused = |seen: &Seen| evidence.disruptions.iter().any(|d| meets(seen, d));
+    let held_back = rejected()
+        .filter(|seen| seen.took > seen.horizon * 6 / 10 && !is_excused(seen))
+        .map(|seen| {
+            format!(
+                "13 {} was held {} of {} ms and then refused with {:?}",
+                seen.job,
+                seen.took / 1000,
+                seen.horizon / 1000,
+                seen.heard
+            )
+        });
+    without_time
+        .chain(held_back)
+        .chain(ended_late(evidence))
+        .collect()
 }
 
-/// What is given up is told at once, with a time to come back; never near the horizon for the sake
-/// of waiting.
-pub(super) fn prompt_finals(e: &Evidence) -> Vec<String> {
-    let given_up = |s: &&Seen| matches!(s.heard, Heard::Code(3001..=3004 | 3006..=3009));
-    let no_time = e
-        .seen
-        .iter()
-        .filter(given_up)
-        .filter(|s| s.retry_after == 0);
-    // A front that froze, or a site cut off, cannot answer meanwhile.
-    let struck = |s: &&Seen| {
-        e.hard
-            .iter()
-            .any(|h| s.at < h.0 + 9 * SEC && s.at + s.took > h.0)
+/// Only a front that was itself disrupted, or partitioned from its caller, may answer later than
+/// the deadline.
+fn ended_late(evidence: &Evidence) -> impl Iterator<Item = String> {
+    let is_excused = |seen: &Seen| {
+        let mut silencing = evidence.disruptions.iter().filter(|d| silences_fronts(d));
+        silencing.any(|disruption| meets(seen, disruption))
     };
-    let held = e
+    evidence
         .seen
         .iter()
-        .filter(given_up)
-        .filter(|s| s.took > s.horizon * 6 / 10 && !struck(s));
-    // Only a front that was itself struck, or cut off from its caller, may speak later than the
-    // horizon.
-    let deaf = |s: &&Seen| {
-        let mute = |w: &str| {
-            w.starts_with("front") || ["freeze-front", "site-cut", "one-way-cut"].contains(&w)
-        };
-        e.hard
-            .iter()
-            .any(|h| mute(&h.1) && s.at < h.0 + 9 * SEC && s.at + s.took > h.0)
-    };
-    let late = e
-        .seen
-        .iter()
-        .filter(|s| s.took > s.horizon + SEC && !deaf(s));
-    let late = late.map(|s| {
-        format!(
-            "13 {} {} ended with {:?} {} ms after its horizon",
-            s.kind,
-            s.job,
-            s.heard,
-            (s.took - s.horizon) / 1000
-        )
-    });
-    no_time
-        .map(|s| {
+        .filter(move |seen| seen.took > seen.horizon + DEADLINE_GRACE && !is_excused(seen))
+        .map(|seen| {
             format!(
-                "13 {} was refused with {:?} and no time to come back",
-                s.job, s.heard
+                "13 {} {} ended with {:?} {} ms after its horizon",
+                seen.kind,
+                seen.job,
+                seen.heard,
+                (seen.took - seen.horizon) / 1000
             )
         })
-        .chain(held.map(|s| {
-            format!(
-                "13 {} was held {} of {} ms and then refused with {:?}",
-                s.job,
-                s.took / 1000,
-                s.horizon / 1000,
-                s.heard
-            )
-        }))
-        .chain(late)
-        .collect()
 }
--- a/yewcross-testkit/src/proof/checks/mod.rs
+++ b/yewcross-testkit/src/proof/checks/mod.rs
@@ -7,46 +7,47 @@
 
 pub use availability::back_ms;
 
-use crate::proof::evidence::Evidence;
+use super::evidence::Evidence;
 
-/// The twelve that must never happen, each judged from evidence alone; and that work got done.
-pub fn judge(e: &Evidence) -> Vec<String> {
-    let mut v: Vec<String> = vec![];
-    if !e.founded {
-        v.push("0 the tier was not founded".into());
+/// All that must never happen, each judged from evidence alone; and that work got done. Each
+/// violation begins with its checker's number.
+pub fn judge(evidence: &Evidence) -> Vec<String> {
+    let mut violations: Vec<String> = vec![];
+    if !evidence.is_bootstrapped {
+        violations.push("0 the tier was not founded".into());
     }
-    e.seen.iter().filter(|s| !s.fault.is_empty()).for_each(|s| {
-        let n = if s.fault.starts_with("forgot") {
-            5
-        } else if s.fault.contains("piece") || s.fault.contains("digest") {
-            6
-        } else {
-            1
-        };
-        v.push(format!("{n} {} at {}: {}", s.job, s.at, s.fault));
-    });
-    v.extend(execution::twice(e));
-    v.extend(execution::not_run(e));
-    v.extend(execution::budget(e));
-    v.extend(execution::leaving(e));
-    v.extend(configuration::in_force(e));
-    v.extend(configuration::acked(e));
-    v.extend(execution::allowed(e));
-    v.extend(answers::joined(e));
-    v.extend(answers::dropped(e));
-    v.extend(availability::back_in_time(e));
-    v.extend(answers::prompt_finals(e));
-    if e.odd > 0 {
-        v.push(format!(
+    violations.extend(answers::malformed(evidence));
+    violations.extend(execution::run_twice(evidence));
+    violations.extend(execution::run_though_rejected(evidence));
+    violations.extend(execution::over_budget(evidence));
+    violations.extend(execution::run_while_draining(evidence));
+    violations.extend(configuration::out_of_force(evidence));
+    violations.extend(configuration::false_acks(evidence));
+    violations.extend(execution::not_allowed(evidence));
+    violations.extend(answers::inconsistent(evidence));
+    violations.extend(answers::dropped(evidence));
+    violations.extend(availability::not_back_in_time(evidence));
+    violations.extend(answers::late_rejections(evidence));
+    violations.extend(final_state(evidence));
+    violations
+}
+
+/// The state of the cluster at the end, and whether it kept its replicas.
+fn final_state(evidence: &Evidence) -> Vec<String> {
+    let mut violations = vec![];
+    if evidence.rejected_frames > 0 {
+        violations.push(format!(
             "15 {} frames of a version that the receiver does not speak",
-            e.odd
+            evidence.rejected_frames
         ));
     }
-    if e.log.iter().any(|l| l.2.starts_with("not whole in time")) {
-        v.push("14 copies were not made whole in 30 s".into());
+    let lacked_replicas =
+        |(_, _, text): &(u64, String, String)| text.starts_with("not whole in time");
+    if evidence.log.iter().any(lacked_replicas) {
+        violations.push("14 copies were not made whole in 30 s".into());
     }
-    if e.moving {
-        v.push("14 a change of disks did not come to its end".into());
+    if evidence.is_reassigning {
+        violations.push("14 a change of disks did not come to its end".into());
     }
-    v
+    violations
 }
--- a/yewcross-testkit/src/proof/faults/load.rs
+++ b/yewcross-testkit/src/proof/faults/load.rs
@@ -1,67 +1,88 @@
 //! More callers than the deployment is built for.
 
 use crate::caller;
-use crate::proof::lab::{Lab, addr};
+use crate::proof::cluster::{TestCluster, address};
+use crate::topology::Topology;
 use std::sync::Arc;
 
-impl Lab {
+/// Turns of each of the added callers.
+const SESSION_TURNS: usize = 2;
+
+/// A machine with added callers.
+struct Crowd {
+    machine: &'static str,
+    /// Index of its site.
+    site: usize,
+    /// Index of its address.
+    host: usize,
+    callers: usize,
+    /// Number of the first caller's session.
+    first_session: usize,
+}
+
+impl TestCluster {
     /// Sixty more callers come at once.
     pub(super) async fn crowd(self: &Arc<Self>) {
-        let w = self.sim.boot(
-            self.sim
-                .machine("crowd", &self.sh.sites[2], addr(902, 0).ip()),
-        );
-        (0..60).for_each(|i| {
-            w.spawn(caller::session(
-                w.clone(),
-                self.sh.clone(),
-                self.diary.clone(),
-                5000 + i,
-                2,
-            ))
-        });
-        self.nap(6).await;
+        let crowd = Crowd {
+            machine: "crowd",
+            site: 2,
+            host: 902,
+            callers: 60,
+            first_session: 5000,
+        };
+        self.add_callers(crowd, self.topology.clone());
+        self.sleep_seconds(6).await;
     }
 
     /// Ten callers a model server come at once, all with the second program.
     pub(super) async fn urgent_crowd(self: &Arc<Self>) {
-        let w = self.sim.boot(
-            self.sim
-                .machine("crowd", &self.sh.sites[3], addr(904, 0).ip()),
-        );
-        let mut sh = (*self.sh).clone();
-        sh.mix
-            .turns
-            .iter_mut()
-            .for_each(|t| t.2 = if t.0 == self.sh.mix.turns[1].0 { 1 } else { 0 });
-        let sh = Arc::new(sh);
-        (0..10 * self.sh.backs.iter().filter(|b| b.model).count()).for_each(|i| {
-            w.spawn(caller::session(
-                w.clone(),
-                sh.clone(),
-                self.diary.clone(),
-                20_000 + i,
-                2,
-            ))
-        });
-        self.nap(6).await;
+        let crowd = Crowd {
+            machine: "crowd",
+            site: 3,
+            host: 904,
+            callers: 10 * self.model_servers(),
+            first_session: 20_000,
+        };
+        let mut topology = (*self.topology).clone();
+        let urgent = topology.workload.turns[1].program.clone();
+        for turns in &mut topology.workload.turns {
+            turns.weight = (turns.program == urgent).into();
+        }
+        self.add_callers(crowd, Arc::new(topology));
+        self.sleep_seconds(6).await;
     }
 
     /// Forty callers a model server come at once.
     pub(super) async fn flood(self: &Arc<Self>) {
-        let w = self.sim.boot(
-            self.sim
-                .machine("flood", &self.sh.sites[1], addr(903, 0).ip()),
-        );
-        (0..40 * self.sh.backs.iter().filter(|b| b.model).count()).for_each(|i| {
-            w.spawn(caller::session(
-                w.clone(),
-                self.sh.clone(),
+        let crowd = Crowd {
+            machine: "flood",
+            site: 1,
+            host: 903,
+            callers: 40 * self.model_servers(),
+            first_session: 8000,
+        };
+        self.add_callers(crowd, self.topology.clone());
+        self.sleep_seconds(10).await;
+    }
+
+    fn model_servers(&self) -> usize {
+        let servers = self.topology.servers.iter();
+        servers.filter(|server| server.is_model).count()
+    }
+
+    fn add_callers(&self, crowd: Crowd, topology: Arc<Topology>) {
+        let site = &self.topology.sites[crowd.site];
+        let ip = address(crowd.host, 0).ip();
+        let machine = self.sim.machine(crowd.machine, site, ip);
+        let runtime = self.sim.boot(machine);
+        for caller in 0..crowd.callers {
+            runtime.spawn(caller::session(
+                runtime.clone(),
+                topology.clone(),
                 self.diary.clone(),
-                8000 + i,
-                2,
-            ))
-        });
-        self.nap(10).await;
+                crowd.first_session + caller,
+                SESSION_TURNS,
+            ));
+        }
     }
 }
--- a/yewcross-testkit/src/proof/faults/network.rs
+++ b/yewcross-testkit/src/proof/faults/network.rs
@@ -1,158 +1,159 @@
-//! Faults of the network: partitions, one-way cuts, loss, delay, addresses taken over.
+//! Faults of the network: partitions, one-way blocks, loss, delay, addresses taken over.
 
-use crate::proof::lab::{Lab, addr};
-use crate::proof::scenario::Act;
-use crate::sim::NetworkConditions;
-use crate::standin::Spec;
+use super::Crash;
+use crate::proof::cluster::{TestCluster, address};
+use crate::proof::scenario::Fault;
+use crate::sim::{MachineId, NetworkConditions};
+use crate::stub_server::StubServerSettings;
 use std::sync::Arc;
 use yewcross_common::constants::MS;
 use yewcross_common::process_settings::Role;
 
-impl Lab {
-    /// The cores are split in two halves, or one from the rest, while an operator puts.
-    pub(super) async fn split_cores(self: &Arc<Self>, act: Act) {
-        let s = self.sim.clone();
-        let name: &str = act.into();
-        let v = self.ids(Role::Core);
-        let k = if act == Act::CoreSplitEven {
-            v.len() / 2
+/// Pairs of nodes that lose one direction.
+const BLOCKED_PAIRS: usize = 4;
+/// Indexes of the addresses to which nodes move: the first, and how many.
+const FIRST_OTHER_ADDRESS: usize = 800;
+const OTHER_ADDRESSES: usize = 90;
+
+impl TestCluster {
+    /// The cores are partitioned in two halves, or one from the rest, while an operator puts.
+    pub(super) async fn partition_cores(self: &Arc<Self>, fault: Fault) {
+        let cores = self.machines(Role::Core);
+        let group = if fault == Fault::CoreSplitEven {
+            cores.len() / 2
         } else {
             1
         };
-        s.partition(&v[..k], &v[k..]);
-        self.hard(name);
-        let me = self.clone();
+        self.sim.partition(&cores[..group], &cores[group..]);
+        self.record_disruption(fault.into());
         let base = self.version().await;
         let core = self.any(Role::Core);
-        self.op.spawn(async move {
-            me.put(&core, base, &format!("split{}", me.sim.now())).await;
+        let cluster = self.clone();
+        self.operator.spawn(async move {
+            let mark = format!("split{}", cluster.sim.now());
+            cluster.put(&core, base, &mark).await;
         });
-        self.nap(6).await;
-        s.heal();
+        self.sleep_seconds(6).await;
+        self.sim.heal();
     }
 
     /// No front reaches a core.
-    pub(super) async fn cut_cores_from_fronts(self: &Arc<Self>, act: Act) {
-        let s = self.sim.clone();
-        let name: &str = act.into();
-        s.partition(&self.ids(Role::Core), &self.ids(Role::Front));
-        self.hard(name);
-        self.nap(6).await;
-        s.heal();
+    pub(super) async fn partition_cores_from_fronts(self: &Arc<Self>, fault: Fault) {
+        let cores = self.machines(Role::Core);
+        self.sim.partition(&cores, &self.machines(Role::Front));
+        self.record_disruption(fault.into());
+        self.sleep_seconds(6).await;
+        self.sim.heal();
     }
 
-    /// One zone is cut off.
-    pub(super) async fn cut_zone(self: &Arc<Self>, act: Act) {
-        let s = self.sim.clone();
-        let name: &str = act.into();
-        let z = self.sh.sites[1 + s.rand() as usize % 3].clone();
-        let all = || {
-            self.sh
-                .nodes
+    /// One site is partitioned from the others.
+    pub(super) async fn partition_site(self: &Arc<Self>, fault: Fault) {
+        let site = &self.topology.sites[1 + self.sim.rand() as usize % 3];
+        let nodes = self.topology.nodes.iter();
+        let nodes = nodes.map(|node| (&node.name, &node.site));
+        let servers = self.topology.servers.iter();
+        let servers = servers.map(|server| (&server.server, &server.site));
+        let (inside, outside): (Vec<_>, Vec<_>) =
+            nodes.chain(servers).partition(|(_, at)| *at == site);
+        let machines = |members: Vec<(&String, &String)>| -> Vec<MachineId> {
+            members
                 .iter()
-                .map(|n| (n.name.clone(), n.site.clone()))
-                .chain(
-                    self.sh
-                        .backs
-                        .iter()
-                        .map(|b| (b.server.clone(), b.site.clone())),
-                )
+                .map(|(name, _)| self.sim.find(name))
+                .collect()
         };
-        let (x, y): (Vec<_>, Vec<_>) = all().partition(|n| n.1 == z);
-        let ids = |v: Vec<(String, String)>| v.iter().map(|n| s.find(&n.0)).collect::<Vec<_>>();
-        s.partition(&ids(x), &ids(y));
-        self.hard(name);
-        self.nap(6).await;
-        s.heal();
+        self.sim.partition(&machines(inside), &machines(outside));
+        self.record_disruption(fault.into());
+        self.sleep_seconds(6).await;
+        self.sim.heal();
     }
 
     /// Four drawn pairs of nodes lose one direction.
-    pub(super) async fn cut_one_way(self: &Arc<Self>, act: Act) {
-        let s = self.sim.clone();
-        let name: &str = act.into();
-        let v: Vec<usize> = self.sh.nodes.iter().map(|n| s.find(&n.name)).collect();
-        for _ in 0..4 {
-            let (x, y) = (
-                v[s.rand() as usize % v.len()],
-                v[s.rand() as usize % v.len()],
-            );
-            s.block(x, y);
+    pub(super) async fn block_one_way(self: &Arc<Self>, fault: Fault) {
+        let nodes = self.topology.nodes.iter();
+        let machines: Vec<MachineId> = nodes.map(|node| self.sim.find(&node.name)).collect();
+        let any = || machines[self.sim.rand() as usize % machines.len()];
+        for _ in 0..BLOCKED_PAIRS {
+            let from = any();
+            let to = any();
+            self.sim.block(from, to);
         }
-        self.hard(name);
-        self.nap(5).await;
-        s.heal();
+        self.record_disruption(fault.into());
+        self.sleep_seconds(5).await;
+        self.sim.heal();
     }
 
-    /// Messages are lost, doubled and late.
-    pub(super) async fn lossy_network(self: &Arc<Self>) {
-        let s = self.sim.clone();
-        s.set_network_conditions(NetworkConditions {
+    /// Frames are dropped, duplicated and delayed.
+    pub(super) async fn degrade_network(self: &Arc<Self>) {
+        let conditions = NetworkConditions {
             drop_per_mille: 20,
             duplicate_per_mille: 30,
             delay_per_mille: 40,
             max_jitter: 3 * MS,
-        });
-        self.nap(8).await;
-        s.set_network_conditions(NetworkConditions::default());
+        };
+        self.sim.set_network_conditions(conditions);
+        self.sleep_seconds(8).await;
+        self.sim
+            .set_network_conditions(NetworkConditions::default());
     }
 
     /// Every message takes up to 40 ms longer.
-    pub(super) async fn slow_links(self: &Arc<Self>) {
-        let s = self.sim.clone();
-        s.set_network_conditions(NetworkConditions {
+    pub(super) async fn delay_network(self: &Arc<Self>) {
+        let conditions = NetworkConditions {
             max_jitter: 40 * MS,
             ..Default::default()
-        });
-        self.nap(8).await;
-        s.set_network_conditions(NetworkConditions::default());
+        };
+        self.sim.set_network_conditions(conditions);
+        self.sleep_seconds(8).await;
+        self.sim
+            .set_network_conditions(NetworkConditions::default());
     }
 
-    /// A core loses its disk while another core is cut off.
-    pub(super) async fn wipe_core_in_split(self: &Arc<Self>, act: Act) {
-        let s = self.sim.clone();
-        let name: &str = act.into();
-        let v = self.names(Role::Core);
-        let k = s.rand() as usize % v.len();
-        let (n, far) = (v[k].clone(), v[(k + 1) % v.len()].clone());
-        let rest: Vec<usize> = v.iter().filter(|x| **x != far).map(|x| s.find(x)).collect();
-        s.partition(&[s.find(&far)], &rest);
-        self.hard(&n);
-        self.restart(n, true, true, 2).await;
-        self.nap(5).await;
-        s.heal();
-        self.hard(name);
+    /// A core loses its disk while another core is partitioned from the rest.
+    pub(super) async fn wipe_core_in_partition(self: &Arc<Self>, fault: Fault) {
+        let cores = self.names(Role::Core);
+        let index = self.sim.rand() as usize % cores.len();
+        let wiped = &cores[index];
+        let apart = &cores[(index + 1) % cores.len()];
+        let others = cores.iter().filter(|core| *core != apart);
+        let others: Vec<MachineId> = others.map(|core| self.sim.find(core)).collect();
+        self.sim.partition(&[self.sim.find(apart)], &others);
+        self.record_disruption(wiped);
+        self.restart(wiped, Crash::Disk, 2).await;
+        self.sleep_seconds(5).await;
+        self.sim.heal();
+        self.record_disruption(fault.into());
     }
 
     /// A core or store comes back at another address; something else takes the old one.
-    pub(super) async fn move_to_other_address(self: &Arc<Self>, act: Act) {
-        let s = self.sim.clone();
-        let n = self.any(if act == Act::CoreElsewhere {
-            Role::Core
-        } else {
-            Role::Store
-        });
-        let Some(mut st) = self.startup(&n) else {
+    pub(super) async fn move_to_other_address(self: &Arc<Self>, role: Role) {
+        let node = self.any(role);
+        let Some(mut settings) = self.settings(&node) else {
             return;
         };
-        s.kill(s.find(&n), true);
-        self.hard(&n);
+        self.sim.kill(self.sim.find(&node), true);
+        self.record_disruption(&node);
         // A lookup service takes the old address and answers HTTP where frames were spoken.
-        let old = s.machine("x-squatter", &st.site, st.peer.ip());
-        let squat = Spec {
+        let old = settings.peer;
+        let squatter = self.sim.machine("x-squatter", &settings.site, old.ip());
+        let squatter_settings = StubServerSettings {
             server: "x9".into(),
             service: "squat".into(),
-            addr: st.peer,
-            model: false,
-            ..self.sh.backs[0].clone()
+            addr: old,
+            is_model: false,
+            ..self.topology.servers[0].clone()
         };
-        self.boot_back(s.boot(old), squat);
-        self.nap(2).await;
-        let i = 800 + s.rand() as usize % 90;
-        (st.peer, st.http) = (addr(i, 0), addr(i, 1));
-        s.machine(&n, &st.site, st.peer.ip());
-        self.elsewhere.lock().unwrap().insert(n.clone(), st);
-        self.boot(&n);
-        self.nap(6).await;
-        s.kill(old, true);
+        self.boot_server(self.sim.boot(squatter), squatter_settings);
+        self.sleep_seconds(2).await;
+        let host = FIRST_OTHER_ADDRESS + self.sim.rand() as usize % OTHER_ADDRESSES;
+        settings.peer = address(host, 0);
+        settings.http = address(host, 1);
+        self.sim.machine(&node, &settings.site, settings.peer.ip());
+        self.changed_nodes
+            .lock()
+            .unwrap()
+            .insert(node.clone(), settings);
+        self.boot(&node);
+        self.sleep_seconds(6).await;
+        self.sim.kill(squatter, true);
     }
 }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -5,8 +5,8 @@
 use super::ports::Ports;
 use super::server::{Fault, Ground, Mood, Roster, Server, ServerSpec};
 use super::verdict::Evidence;
-use crate::shape::{Shape, shape};
 use crate::sim::{NetworkConditions, Sim};
+use crate::topology::{Topology, topology};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::Ordering::SeqCst;
@@ -71,7 +71,7 @@
 
 pub struct Tier {
     pub sim: Sim,
-    pub sh: Shape,
+    pub sh: Topology,
     pub op: Runtime,
     pub ground: Arc<Ground>,
     pub callers: Arc<Book>,
@@ -109,9 +109,9 @@
 
 impl Tier {
     pub fn new(seed: u64, name: &str) -> Arc<Tier> {
-        let mut sh = shape(name, &addr).unwrap_or_else(|| panic!("no shape {name}"));
+        let mut sh = topology(name, &addr).unwrap_or_else(|| panic!("no shape {name}"));
         sh.nodes.iter_mut().for_each(|n| n.found = true);
-        let sim = Sim::new(seed, sh.gap);
+        let sim = Sim::new(seed, sh.site_latency);
         let z = sh.sites[0].clone();
         let m = sim.machine("operator", &z, addr(900, 0).ip());
         let op = sim.boot(m);
@@ -169,7 +169,7 @@
         self.sim.power_on(m);
         let w = self.sim.boot(m);
         let Some(st) = self.startup(name) else { return };
-        self.sim.set_costs(m, self.sh.charges.of(st.role));
+        self.sim.set_costs(m, self.sh.costs.of(st.role));
         let (me, n) = (self.clone(), name.to_string());
         self.nodes.lock().unwrap().remove(name);
         w.clone().spawn(async move {
--- /dev/null
+++ b/yewcross-testkit/src/stub_server/kv_cache.rs
@@ -0,0 +1,278 @@
+//! The cache of session prefixes, and its transfer between servers.
+
+use super::{StubServer, text};
+use http_types::{Method, Response};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use yewcross_common::buffered_http::{fetch, reply};
+use yewcross_common::constants::{KV_IMPORT_PER_K, KV_PUSH_WAIT, KV_TOKEN_BYTES, SEC};
+use yewcross_common::hash::digest;
+
+/// Bytes that a save writes in one us.
+const SAVE_BYTES_PER_US: u64 = 4_000;
+/// Replicas may take so many times the room of the cache.
+const REPLICA_ROOM: u64 = 4;
+
+/// A session's history as far as it is computed.
+#[derive(Clone, Debug)]
+pub(super) struct Prefix {
+    /// Bytes of the history.
+    pub(super) length: usize,
+    /// Digest of these bytes.
+    pub(super) digest: String,
+    pub(super) tokens: u64,
+    /// us; the least recently used is evicted first.
+    pub(super) used_at: u64,
+}
+
+/// What was last saved of a session.
+struct Saved {
+    digest: String,
+    tokens: u64,
+}
+
+#[derive(Default)]
+pub(super) struct KvCache {
+    /// Prefixes that turns reuse, by session.
+    prefixes: BTreeMap<String, Prefix>,
+    /// Prefixes that other servers sent and that are not imported, by session.
+    replicas: BTreeMap<String, Prefix>,
+    saved: BTreeMap<String, Saved>,
+    /// Tokens put into the cache so far.
+    pub(super) placed_tokens: u64,
+}
+
+/// What a server holds of a session.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct HeldTokens {
+    /// Of its replica, if there is one.
+    pub replica: Option<u64>,
+    /// Of its prefix in the cache, if there is one.
+    pub cached: Option<u64>,
+}
+
+/// Evicts the least recently used entries but one until the rest fits.
+fn evict(prefixes: &mut BTreeMap<String, Prefix>, capacity: u64) {
+    let total = |prefixes: &BTreeMap<String, Prefix>| -> u64 {
+        prefixes.values().map(|prefix| prefix.tokens).sum()
+    };
+    while total(prefixes) > capacity && prefixes.len() > 1 {
+        let oldest = prefixes
+            .iter()
+            .min_by_key(|(_, prefix)| prefix.used_at)
+            .map(|(session, _)| session.clone())
+            .unwrap_or_default();
+        prefixes.remove(&oldest);
+    }
+}
+
+impl KvCache {
+    /// Puts a prefix into the cache, of which so many tokens are new there; returns the tokens
+    /// placed so far.
+    pub(super) fn place(
+        &mut self,
+        session: &str,
+        prefix: Prefix,
+        added: u64,
+        capacity: u64,
+    ) -> u64 {
+        self.placed_tokens += added;
+        self.prefixes.insert(session.into(), prefix);
+        evict(&mut self.prefixes, capacity);
+        self.placed_tokens
+    }
+
+    /// The session's prefix in the cache, if it has that digest.
+    fn cached(&self, session: &str, digest: &str) -> Option<Prefix> {
+        let prefix = self.prefixes.get(session)?;
+        (prefix.digest == digest).then(|| prefix.clone())
+    }
+
+    /// The session's replica, if it has that digest.
+    fn replica(&self, session: &str, digest: &str) -> Option<Prefix> {
+        let prefix = self.replicas.get(session)?;
+        (prefix.digest == digest).then(|| prefix.clone())
+    }
+
+    fn store_replica(&mut self, session: String, prefix: Prefix, cache_tokens: u64) {
+        self.replicas.insert(session, prefix);
+        evict(&mut self.replicas, REPLICA_ROOM * cache_tokens);
+    }
+
+    /// Tokens of the session that were saved with that digest.
+    fn saved_tokens(&self, session: &str, digest: &str) -> Option<u64> {
+        let saved = self.saved.get(session)?;
+        (saved.digest == digest).then_some(saved.tokens)
+    }
+}
+
+impl StubServer {
+    /// Tokens of the session that the server holds.
+    pub fn held_tokens(&self, session: &str) -> HeldTokens {
+        let state = self.state();
+        HeldTokens {
+            replica: state.kv.replicas.get(session).map(|prefix| prefix.tokens),
+            cached: state.kv.prefixes.get(session).map(|prefix| prefix.tokens),
+        }
+    }
+
+    /// Tokens at the prompt's beginning that the cache holds, which counts as a use of them.
+    pub(super) fn reuse_prefix(&self, session: &str, prompt: &str) -> u64 {
+        let mut state = self.state();
+        let now = self.runtime.now();
+        let is_prefix = |prefix: &&mut Prefix| {
+            prefix.length <= prompt.len()
+                && digest(&prompt.as_bytes()[..prefix.length]) == prefix.digest
+        };
+        let Some(prefix) = state.kv.prefixes.get_mut(session).filter(is_prefix) else {
+            return 0;
+        };
+        prefix.used_at = now;
+        prefix.tokens
+    }
+
+    /// Saves a cached session, of which only what is new is written if the last save is its base.
+    pub(super) async fn answer_save(&self, body: &Value) -> Response {
+        let session = text(body, "session");
+        let cached = self.state().kv.cached(&session, &text(body, "digest"));
+        let Some(prefix) = cached else {
+            return reply(404, &json!({"ok": false}));
+        };
+        let base = body["base"].as_str();
+        let saved = base.and_then(|digest| self.state().kv.saved_tokens(&session, digest));
+        let bytes = prefix.tokens.saturating_sub(saved.unwrap_or(0)) * KV_TOKEN_BYTES;
+        let save = Saved {
+            digest: prefix.digest.clone(),
+            tokens: prefix.tokens,
+        };
+        self.state().kv.saved.insert(session, save);
+        self.runtime.sleep(bytes / SAVE_BYTES_PER_US).await;
+        reply(
+            200,
+            &json!({"tokens": prefix.tokens, "digest": prefix.digest, "bytes": bytes}),
+        )
+    }
+
+    /// Sends a cached session to another server: a delta if that has the base, else all of it.
+    pub(super) async fn answer_send(&self, body: &Value) -> Response {
+        let session = text(body, "session");
+        let cached = self.state().kv.cached(&session, &text(body, "digest"));
+        let to = text(body, "to").parse::<SocketAddr>();
+        let (Some(prefix), Ok(to)) = (cached, to) else {
+            return reply(404, &json!({"ok": false, "bytes": 0}));
+        };
+        let target = text(body, "target");
+        let mut bytes = 0;
+        for base in [text(body, "base"), String::new()] {
+            let offer = json!({
+                "session": session,
+                "digest": prefix.digest,
+                "len": prefix.length,
+                "tokens": prefix.tokens,
+                "base": base,
+                "target": target,
+            });
+            let Some((status, answer)) = self.offer_replica(to, &offer).await else {
+                break;
+            };
+            bytes += answer["bytes"].as_u64().unwrap_or(0);
+            if status == 200 {
+                return reply(
+                    200,
+                    &json!({"ok": true, "bytes": bytes, "inst": answer["inst"]}),
+                );
+            }
+            if base.is_empty() {
+                break;
+            }
+        }
+        reply(200, &json!({"ok": false, "bytes": bytes}))
+    }
+
+    async fn offer_replica(&self, to: SocketAddr, offer: &Value) -> Option<(u16, Value)> {
+        let body = serde_json::to_vec(offer).unwrap_or_default();
+        let fetched = fetch(
+            &self.runtime,
+            to,
+            Method::Post,
+            "/kv/put",
+            &[],
+            body,
+            KV_PUSH_WAIT,
+        );
+        let (status, _, answer) = fetched.await.ok()?;
+        Some((status, serde_json::from_slice(&answer).unwrap_or_default()))
+    }
+
+    /// Receives a replica: a delta only on top of the base it names. The link's time passes here.
+    pub(super) async fn answer_put(&self, body: &Value) -> Response {
+        let session = text(body, "session");
+        let base = text(body, "base");
+        self.record_arrival(&format!("push of {session}"));
+        if text(body, "target") != self.name() {
+            return reply(403, &json!({"ok": false, "bytes": 0}));
+        }
+        let base_tokens = if base.is_empty() {
+            Some(0)
+        } else {
+            let replica = self.state().kv.replica(&session, &base);
+            replica.map(|replica| replica.tokens)
+        };
+        let Some(base_tokens) = base_tokens else {
+            return reply(409, &json!({"ok": false, "bytes": 0}));
+        };
+        let tokens = body["tokens"].as_u64().unwrap_or(0);
+        let bytes = tokens.saturating_sub(base_tokens) * KV_TOKEN_BYTES;
+        let link = self.settings.link_bytes_per_second.max(1);
+        self.runtime.sleep(bytes.saturating_mul(SEC) / link).await;
+        let prefix = Prefix {
+            length: body["len"].as_u64().unwrap_or(0) as usize,
+            digest: text(body, "digest"),
+            tokens,
+            used_at: self.runtime.now(),
+        };
+        let cache_tokens = self.settings.cache_tokens;
+        self.state().kv.store_replica(session, prefix, cache_tokens);
+        reply(
+            200,
+            &json!({"ok": true, "bytes": bytes, "inst": self.instance}),
+        )
+    }
+
+    /// Puts a replica into the cache.
+    pub(super) async fn answer_import(&self, body: &Value) -> Response {
+        let session = text(body, "session");
+        self.record_arrival(&format!("import of {session}"));
+        let replica = self.state().kv.replica(&session, &text(body, "digest"));
+        let Some(prefix) = replica else {
+            return reply(200, &json!({"ok": false}));
+        };
+        let duration = prefix.tokens * KV_IMPORT_PER_K / 1000 * self.import_slowdown();
+        self.runtime.sleep(duration).await;
+        if self.take_fault(|faults| &mut faults.failed_imports) {
+            return reply(200, &json!({"ok": false}));
+        }
+        let tokens = prefix.tokens;
+        let imported = Prefix {
+            used_at: self.runtime.now(),
+            ..prefix
+        };
+        let capacity = self.settings.cache_tokens;
+        let placed = self.state().kv.place(&session, imported, tokens, capacity);
+        reply(
+            200,
+            &json!({"ok": true, "tokens": tokens, "placed": placed}),
+        )
+    }
+
+    /// Forgets what is stored of a session outside the cache.
+    pub(super) fn answer_drop(&self, body: &Value) -> Response {
+        let session = text(body, "session");
+        let mut state = self.state();
+        state.kv.replicas.remove(&session);
+        state.kv.saved.remove(&session);
+        drop(state);
+        reply(200, &json!({"ok": true}))
+    }
+}
--- /dev/null
+++ b/yewcross-testkit/src/stub_server/lookup.rs
@@ -0,0 +1,42 @@
+//! Lookups.
+
+use super::{STALL_TIME, StubServer, text};
+use http_types::Response;
+use serde_json::{Value, json};
+use yewcross_common::buffered_http::reply;
+use yewcross_common::hash::digest;
+
+impl StubServer {
+    pub(super) async fn answer_lookup(&self, body: &Value) -> Response {
+        let job = text(body, "job");
+        let key = text(body, "key");
+        self.record_arrival(&job);
+        let Some(_slot) = self.acquire_slot().await else {
+            return self.reject(&job);
+        };
+        self.record_execution(&job, &key, &text(body, "method"));
+        let duration = self.settings.output_us * self.slowdown();
+        self.runtime.sleep(duration).await;
+        if self.take_fault(|faults| &mut faults.stalls) {
+            self.runtime.sleep(STALL_TIME).await;
+        }
+        if self.take_fault(|faults| &mut faults.lost_answers) {
+            return reply(200, &"lost");
+        }
+        let stamped_job = self.stamped_job(job);
+        let value = format!("{key}={}", &digest(key.as_bytes())[..8]);
+        reply(
+            200,
+            &json!({"value": value, "stamp": self.stamp(&stamped_job)}),
+        )
+    }
+
+    /// The job that an answer is stamped for: another one if that fault is due.
+    pub(super) fn stamped_job(&self, job: String) -> String {
+        if self.take_fault(|faults| &mut faults.misattributed_answers) {
+            format!("{job}-other")
+        } else {
+            job
+        }
+    }
+}
--- a/yewcross-testkit/tests/behaviour.rs
+++ b/yewcross-testkit/tests/behaviour.rs
@@ -8,37 +8,37 @@
 use std::sync::Mutex;
 use strum::IntoEnumIterator;
 use yewcross_common::constants::*;
-use yewcross_testkit::proof::{Act, Plan, each, run};
+use yewcross_testkit::proof::{Fault, Plan, each, run};
 use yewcross_testkit::sim::Sim;
 use yewcross_testkit::tier::{Tier, play, up};
 
 /// A row's name, and the run that it stands for.
-struct StoredTurn {
+struct Row {
     name: String,
     run: Box<dyn Fn() -> u128 + Send + Sync>,
 }
 
-impl StoredTurn {
-    fn new(name: String, run: impl Fn() -> u128 + Send + Sync + 'static) -> StoredTurn {
-        StoredTurn {
+impl Row {
+    fn new(name: String, run: impl Fn() -> u128 + Send + Sync + 'static) -> Row {
+        Row {
             name,
             run: Box::new(run),
         }
     }
 
     /// Faults one after another, in the deployment that the proof runs use.
-    fn of_proof(seed: u64, acts: &[Act]) -> StoredTurn {
+    fn of_proof(seed: u64, acts: &[Fault]) -> Row {
         let words: Vec<&str> = acts.iter().map(|act| act.into()).collect();
         let plan = Plan::new(seed, "small", acts);
-        StoredTurn::new(
+        Row::new(
             format!("proof small {seed} {}", words.join("+")),
             move || run(&plan).fingerprint,
         )
     }
 
     /// A control plane that keeps itself, takes orders and loses a core and a store.
-    fn of_control(seed: u64) -> StoredTurn {
-        StoredTurn::new(
+    fn of_control(seed: u64) -> Row {
+        Row::new(
             format!("control 4+4+2 {seed} orders+power-core+power-store"),
             move || control(seed),
         )
@@ -68,18 +68,15 @@
 /// Runs of routed requests are not among them: the stores' `Chain` messages list their entries, and
 /// servers' connections are closed, in an order that is another one in each process, as that of a
 /// hash map is.
-fn rows() -> Vec<StoredTurn> {
-    let acts: Vec<Act> = Act::iter().collect();
-    let alone = acts.iter().map(|act| StoredTurn::of_proof(1, &[*act]));
+fn rows() -> Vec<Row> {
+    let acts: Vec<Fault> = Fault::iter().collect();
+    let alone = acts.iter().map(|act| Row::of_proof(1, &[*act]));
     let pairs = (300..320u64).map(|seed| {
         let [first, second] =
             [7, 13].map(|stride| acts[(seed * stride % acts.len() as u64) as usize]);
-        StoredTurn::of_proof(seed, &[first, second])
+        Row::of_proof(seed, &[first, second])
     });
-    alone
-        .chain(pairs)
-        .chain([StoredTurn::of_control(1)])
-        .collect()
+    alone.chain(pairs).chain([Row::of_control(1)]).collect()
 }
 
 fn table_file() -> PathBuf {
--- a/yewcross-testkit/tests/charges.rs
+++ b/yewcross-testkit/tests/charges.rs
@@ -3,31 +3,31 @@
 use std::sync::Arc;
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
-use yewcross_testkit::proof::Lab;
-use yewcross_testkit::shape::Charges;
+use yewcross_testkit::proof::TestCluster;
 use yewcross_testkit::sim::MachineCosts;
+use yewcross_testkit::topology::RoleCosts;
 
 /// Founded and left alone for ten seconds: what each role's first machine was charged, us.
 fn idle(c: MachineCosts) -> Vec<u64> {
-    let lab = Lab::of(7, "small", |s| {
-        s.charges = Charges {
+    let lab = TestCluster::with_topology(7, "small", |s| {
+        s.costs = RoleCosts {
             front: c,
             core: c,
             store: c,
         }
     });
     lab.boot("platform");
-    lab.sh.nodes.iter().for_each(|n| lab.boot(&n.name));
+    lab.topology.nodes.iter().for_each(|n| lab.boot(&n.name));
     let me = lab.clone();
-    lab.op.spawn(async move {
-        me.op.sleep(1500 * MS).await;
-        me.found().await;
+    lab.operator.spawn(async move {
+        me.operator.sleep(1500 * MS).await;
+        me.bootstrap().await;
         me.put("core1", 1, "first").await;
     });
     lab.sim.run(10 * SEC, || false);
     let of = |r| {
         lab.sim
-            .processor_time_used(lab.sim.find(&lab.sh.of(r)[0].name))
+            .processor_time_used(lab.sim.find(&lab.topology.of(r)[0].name))
     };
     let all = || [Role::Front, Role::Core, Role::Store].map(of);
     let a = all();
@@ -50,28 +50,31 @@
 }
 
 /// Turns done in 10 s by so many sessions, with servers that are never the narrow place.
-fn done(charges: Charges, sessions: usize) -> (usize, u64) {
-    let lab = Lab::of(11, "metered", |s| {
-        s.charges = charges;
-        s.backs
+fn done(costs: RoleCosts, sessions: usize) -> (usize, u64) {
+    let lab = TestCluster::with_topology(11, "metered", |s| {
+        s.costs = costs;
+        s.servers
             .iter_mut()
-            .filter(|b| b.model)
-            .for_each(|b| (b.slots, b.per_k, b.per_out) = (1000, 10, 10));
+            .filter(|b| b.is_model)
+            .for_each(|b| (b.slots, b.prefill_us_per_1000, b.output_us) = (1000, 10, 10));
     });
     lab.boot("platform");
-    lab.sh.backs.iter().for_each(|b| lab.boot(&b.server));
-    lab.sh.nodes.iter().for_each(|n| lab.boot(&n.name));
+    lab.topology
+        .servers
+        .iter()
+        .for_each(|b| lab.boot(&b.server));
+    lab.topology.nodes.iter().for_each(|n| lab.boot(&n.name));
     let me = lab.clone();
-    lab.op.spawn(async move {
-        me.op.sleep(1500 * MS).await;
-        me.found().await;
+    lab.operator.spawn(async move {
+        me.operator.sleep(1500 * MS).await;
+        me.bootstrap().await;
         me.put("core1", 1, "first").await;
-        me.op.sleep(4 * SEC).await;
+        me.operator.sleep(4 * SEC).await;
         let w = me.sim.boot(me.sim.find("callers"));
         (0..sessions).for_each(|i| {
             w.spawn(yewcross_testkit::caller::session(
                 w.clone(),
-                me.sh.clone(),
+                me.topology.clone(),
                 me.diary.clone(),
                 i,
                 100_000,
@@ -93,8 +96,8 @@
 
 #[test]
 fn slow_disks_and_small_processors_bound_what_is_served() {
-    let (free, _) = done(Charges::default(), 150);
-    let (small, used) = done(Charges::small(2 * MS), 150);
+    let (free, _) = done(RoleCosts::default(), 150);
+    let (small, used) = done(RoleCosts::small(2 * MS), 150);
     println!(
         "done by 150 sessions: free {free}, charged {small}, store1 used {} ms",
         used / MS
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -9,8 +9,7 @@
 use yewcross_common::protocol::*;
 use yewcross_control::Control;
 use yewcross_state::records::{BudgetRecord, budget_key};
-use yewcross_testkit::proof::Lab;
-use yewcross_testkit::script::on_fleet_of;
+use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
 fn begin(key: &str, job: &str, nonce: u64, budget: Option<&str>) -> BeginTurn {
     BeginTurn {
@@ -32,12 +31,12 @@
 }
 
 /// The stores in the order in which they would own the key.
-fn ranked(lab: &Lab, key: &str) -> Vec<String> {
+fn ranked(lab: &TestCluster, key: &str) -> Vec<String> {
     let c = lab.control("store1").unwrap();
     let at = replicas_by_preference(&c.documents, &c.members, key);
     at.iter()
         .filter_map(|a| {
-            lab.sh
+            lab.topology
                 .of(Role::Store)
                 .iter()
                 .find(|n| n.peer == *a)
@@ -46,7 +45,7 @@
         .collect()
 }
 
-async fn purse(lab: &Lab, budget: &str) -> BudgetRecord {
+async fn purse(lab: &TestCluster, budget: &str) -> BudgetRecord {
     let c = lab.control(&ranked(lab, &budget_key(budget))[0]).unwrap();
     let (_, _, v) = c
         .registers
@@ -60,7 +59,7 @@
 /// elsewhere without one.
 #[test]
 fn a_shot_that_begins_at_the_second_try_keeps_its_reservation() {
-    let (first, second, open) = on_fleet_of(
+    let (first, second, open) = with_cluster_of(
         "disks",
         31,
         |_| (),
@@ -84,7 +83,7 @@
                 )
                 .await;
                 lab.sim.heal();
-                lab.op.sleep(2 * SEC).await;
+                lab.operator.sleep(2 * SEC).await;
                 let second =
                     ask(&lab.control(&copies[1]).unwrap(), PeerRequest::BeginTurn(x)).await;
                 (first, second, purse(&lab, &b).await.open.len())
@@ -103,7 +102,7 @@
 /// horizon.
 #[test]
 fn a_shot_given_up_cannot_begin_any_more() {
-    let (late, next, p) = on_fleet_of(
+    let (late, next, p) = with_cluster_of(
         "small",
         32,
         |_| (),
@@ -137,7 +136,7 @@
                     },
                 )
                 .await;
-                lab.op.sleep(50 * SEC).await;
+                lab.operator.sleep(50 * SEC).await;
                 (late, next, purse(&lab, "b").await)
             })
         },
@@ -153,7 +152,7 @@
 /// A reservation whose job never began was charged in full.
 #[test]
 fn a_reservation_for_nothing_is_given_back() {
-    let (early, late) = on_fleet_of(
+    let (early, late) = with_cluster_of(
         "small",
         33,
         |_| (),
@@ -175,7 +174,7 @@
                 // that one counts in full.
                 ask(&c, a(2, 1000)).await;
                 let early = purse(&lab, "b").await;
-                lab.op.sleep(50 * SEC).await;
+                lab.operator.sleep(50 * SEC).await;
                 (early, purse(&lab, "b").await)
             })
         },
@@ -187,7 +186,7 @@
 /// A job id older than the last 1,024 of its session ran again.
 #[test]
 fn an_id_that_fell_off_the_marks_is_refused() {
-    let (done, old, new) = on_fleet_of(
+    let (done, old, new) = with_cluster_of(
         "small",
         34,
         |_| (),
@@ -251,7 +250,7 @@
             }
         }
     };
-    let end = on_fleet_of(
+    let end = with_cluster_of(
         "small",
         35,
         |_| (),
@@ -286,18 +285,18 @@
 /// acknowledged.
 #[test]
 fn lists_of_fronts_not_yet_proved_are_not_stepped_over() {
-    let fronts = |lab: &Lab, n: &[u8]| {
-        lab.text.lock().unwrap()["fronts"] =
+    let fronts = |lab: &TestCluster, n: &[u8]| {
+        lab.config.lock().unwrap()["fronts"] =
             serde_json::json!(n.iter().map(|i| format!("front{i}")).collect::<Vec<_>>());
     };
     let edit =
         |t: &mut serde_json::Value| t["fronts"] = serde_json::json!(["front1", "front2", "front3"]);
-    let (acks, stale, healed) = on_fleet_of("consorcio", 36, edit, move |lab| {
+    let (acks, stale, healed) = with_cluster_of("consorcio", 36, edit, move |lab| {
         Box::pin(async move {
             let id = |n: &String| lab.sim.find(n);
             let cut: Vec<String> = vec!["front1".into(), "front2".into()];
             let rest: Vec<usize> = lab
-                .sh
+                .topology
                 .nodes
                 .iter()
                 .map(|n| &n.name)
@@ -306,7 +305,7 @@
                 .collect();
             lab.sim
                 .partition(&cut.iter().map(id).collect::<Vec<_>>(), &rest);
-            lab.op.sleep(3 * SEC).await;
+            lab.operator.sleep(3 * SEC).await;
             let (mut acks, mut stale) = (vec![], vec![]);
             for list in [&[2, 3][..], &[2, 3, 4], &[4, 5, 6]] {
                 fronts(&lab, list);
@@ -331,7 +330,7 @@
                 acks.push(a.code);
             }
             lab.sim.heal();
-            lab.op.sleep(3 * SEC).await;
+            lab.operator.sleep(3 * SEC).await;
             let base = lab.version().await;
             fronts(&lab, &[4, 5, 6]);
             let whole = lab.put("core1", base, "whole").await.code;
@@ -363,10 +362,13 @@
         let s = &mut t["families"]["talk"]["set"];
         (s["max_output"], s["horizon_ms"]) = (6000.into(), 60_000.into());
     };
-    let (held, stop, cut, whole) = on_fleet_of("small", 37, edit, |lab| {
+    let (held, stop, cut, whole) = with_cluster_of("small", 37, edit, |lab| {
         Box::pin(async move {
             lab.sim.set_receive_window(4 << 10);
-            let (f, to) = (lab.front("front1").unwrap(), lab.sh.of(Role::Front)[0].http);
+            let (f, to) = (
+                lab.front("front1").unwrap(),
+                lab.topology.of(Role::Front)[0].http,
+            );
             let body = |n: &str| {
                 format!(
                     r#"{{"program":"chargeback","session":"{n}","job":"{n}","budget":"chargeback","horizon_ms":60000,"messages":[{{"role":"user","text":"hi"}}],"max_output":6000,"stream":true}}"#
@@ -374,8 +376,8 @@
             };
             let mut deaf = vec![];
             for i in 0..12 {
-                let mut c = lab.op.connect(to).await.unwrap();
-                let q = yewcross_testkit::script::request(
+                let mut c = lab.operator.connect(to).await.unwrap();
+                let q = yewcross_testkit::http_transcript::request(
                     "POST",
                     "/v1/turn",
                     "",
@@ -387,8 +389,8 @@
             // One reads slowly but to the end: it must lose nothing.
             let mut slow = deaf.pop().unwrap();
             let (tx, rx) = async_channel::bounded(1);
-            let w = lab.op.clone();
-            lab.op.spawn(async move {
+            let w = lab.operator.clone();
+            lab.operator.spawn(async move {
                 let (mut v, mut b) = (vec![], [0u8; 512]);
                 while let Ok(n @ 1..) = slow.read(&mut b).await {
                     v.extend(&b[..n]);
@@ -397,7 +399,7 @@
                 let _ = tx.send(String::from_utf8_lossy(&v).into_owned()).await;
             });
             // By now all are made: 6,000 tokens take 24 s, in two rounds at most.
-            lab.op.sleep(50 * SEC).await;
+            lab.operator.sleep(50 * SEC).await;
             let held: u32 = yewcross_proxy::server_table::fit(&f, "llm")
                 .iter()
                 .map(|s| s.report.running)
@@ -405,7 +407,7 @@
             let t0 = lab.sim.now();
             let g = f.clone();
             let stopped = lab
-                .op
+                .operator
                 .timeout(60 * SEC, async move { g.stop().await })
                 .await;
             let stop = stopped.map(|_| (lab.sim.now() - t0) / SEC);
@@ -429,7 +431,7 @@
 /// One machine's clock, days ahead, erased what was to be kept and closed what still ran.
 #[test]
 fn one_clock_far_ahead_erases_nothing_and_closes_nothing() {
-    let (kept, running, second) = on_fleet_of(
+    let (kept, running, second) = with_cluster_of(
         "small",
         38,
         |_| (),
@@ -459,9 +461,9 @@
                     .await;
                 lab.sim.set_clock_skew(lab.sim.find(&first), 5 * 86_400_000);
                 // Long enough for several sweeps.
-                lab.op.sleep(40 * SEC).await;
+                lab.operator.sleep(40 * SEC).await;
                 let kept = ask(&c, PeerRequest::BeginTurn(begin(&key, "j2", 2, None))).await;
-                lab.op.sleep(SEC).await;
+                lab.operator.sleep(SEC).await;
                 lab.sim.set_clock_skew(lab.sim.find(&first), 9 * 86_400_000);
                 let second = ask(&c, PeerRequest::BeginTurn(begin(&key, "j3", 3, None))).await;
                 let PeerResponse::SessionReservations { open, .. } =
@@ -488,7 +490,7 @@
 /// forgotten.
 #[test]
 fn a_clock_set_back_does_not_keep_a_machine_out() {
-    let (out, in_again) = on_fleet_of(
+    let (out, in_again) = with_cluster_of(
         "small",
         39,
         |_| (),
@@ -498,11 +500,11 @@
                 lab.sim.set_clock_skew(m, 3_600_000);
                 lab.sim.kill(m, false);
                 lab.boot("store2");
-                lab.op.sleep(5 * SEC).await;
+                lab.operator.sleep(5 * SEC).await;
                 lab.sim.set_clock_skew(m, 0);
                 lab.sim.kill(m, false);
                 lab.boot("store2");
-                lab.op.sleep(5 * SEC).await;
+                lab.operator.sleep(5 * SEC).await;
                 let c = lab.control("store2").unwrap();
                 let seen = lab
                     .control("core1")
@@ -528,14 +530,14 @@
 fn no_site_holds_a_majority_of_a_key() {
     let (mut tried, mut away) = (0, 0);
     for seed in 40..43 {
-        let got = on_fleet_of(
+        let got = with_cluster_of(
             "wide",
             seed,
             |_| (),
             |lab| {
                 Box::pin(async move {
                     let all: Vec<_> = lab
-                        .sh
+                        .topology
                         .nodes
                         .iter()
                         .map(|n| (lab.sim.find(&n.name), n.site == "z2"))
@@ -544,7 +546,7 @@
                     let ids =
                         |v: Vec<(usize, bool)>| v.into_iter().map(|n| n.0).collect::<Vec<_>>();
                     lab.sim.partition(&ids(x), &ids(y));
-                    lab.op.sleep(6 * SEC).await;
+                    lab.operator.sleep(6 * SEC).await;
                     let (mut tried, mut away) = (0, 0);
                     for i in 0..40u64 {
                         let key = format!("session/p/s{i}");
@@ -576,17 +578,18 @@
     };
     let (mut cut, mut spent, mut out) = (0, 0, 0);
     for seed in 60..64 {
-        let got = on_fleet_of("small", seed, edit, |lab| {
+        let got = with_cluster_of("small", seed, edit, |lab| {
             Box::pin(async move {
                 use futures_lite::{AsyncReadExt, AsyncWriteExt};
                 let body = r#"{"program":"chargeback","session":"s","job":"j","budget":"chargeback","horizon_ms":6000,"messages":[{"role":"user","text":"hi"}],"max_output":600,"stream":true}"#;
                 let mut c = lab
-                    .op
-                    .connect(lab.sh.of(Role::Front)[0].http)
+                    .operator
+                    .connect(lab.topology.of(Role::Front)[0].http)
                     .await
                     .unwrap();
                 c.write_all(
-                    yewcross_testkit::script::request("POST", "/v1/turn", "", body).as_bytes(),
+                    yewcross_testkit::http_transcript::request("POST", "/v1/turn", "", body)
+                        .as_bytes(),
                 )
                 .await
                 .unwrap();
@@ -603,12 +606,12 @@
                     .is_ok_and(|n| !b[..n].windows(5).any(|w| w == b"\"n\":2"))
                 {}
                 drop(c);
-                lab.op.sleep(8 * SEC).await;
+                lab.operator.sleep(8 * SEC).await;
                 let f = lab.front("front1").unwrap();
                 let cut = f.counts.cancelled.load(std::sync::atomic::Ordering::SeqCst);
                 let out: u64 = lab
-                    .ledger
-                    .runs
+                    .execution_log
+                    .executions
                     .lock()
                     .unwrap()
                     .iter()
--- a/yewcross-testkit/tests/doors.rs
+++ b/yewcross-testkit/tests/doors.rs
@@ -8,7 +8,8 @@
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_testkit::caller::{self, Heard};
-use yewcross_testkit::script::{on_fleet, raw, request};
+use yewcross_testkit::http_transcript::{exchange, request};
+use yewcross_testkit::proof::with_cluster;
 
 const TURN: &str = r#"{"program":"chargeback","session":"s","job":"j1","budget":"chargeback","horizon_ms":2000,"messages":[{"role":"user","text":"hello"}],"max_output":16,"stream":true}"#;
 const LOOKUP: &str =
@@ -70,17 +71,17 @@
 
 #[test]
 fn spoiled_requests_and_frames_touch_nothing() {
-    let (answers, bad, last, odd) = on_fleet(
+    let (answers, bad, last, odd) = with_cluster(
         51,
         |_| (),
         |lab| {
             Box::pin(async move {
                 let mut r = fastrand::Rng::with_seed(51);
                 let (f, c) = (
-                    lab.sh.of(Role::Front)[0].clone(),
-                    lab.sh.of(Role::Core)[0].clone(),
+                    lab.topology.of(Role::Front)[0].clone(),
+                    lab.topology.of(Role::Core)[0].clone(),
                 );
-                let conf = lab.text.lock().unwrap().to_string();
+                let conf = lab.config.lock().unwrap().to_string();
                 let found =
                     json!({"cores": ["core1", "core2", "core3"], "stores": ["store1"]}).to_string();
                 let doors = [
@@ -102,7 +103,7 @@
                     let (to, verb, path, body) = doors[i % doors.len()];
                     let q = http(&mut r, verb, path, body);
                     let t0 = lab.sim.now();
-                    let a = raw(&lab.op, to, &[&q], 0).await;
+                    let a = exchange(&lab.operator, to, &[&q], 0).await;
                     answers += a.starts_with("HTTP/1.1 ") as usize;
                     // A head or body that never comes whole is waited for, five seconds each.
                     let slow = lab.sim.now() > t0 + 11 * SEC;
@@ -124,7 +125,7 @@
                     json!({"Probe": {"dig": 1}}),
                 ];
                 for i in 0..240 {
-                    let to = lab.sh.nodes[i % lab.sh.nodes.len()].peer;
+                    let to = lab.topology.nodes[i % lab.topology.nodes.len()].peer;
                     let body = spoil(&mut r, &asks[i % asks.len()].to_string());
                     let blob: Vec<u8> = (0..r.usize(0..64)).map(|_| r.u8(..)).collect();
                     let mut b = yewcross_common::transport::pack(
@@ -140,9 +141,11 @@
                         let k = r.usize(0..b.len());
                         b[k] ^= 1 << r.u8(0..8);
                     }
-                    lab.op.timeout(SEC, raw(&lab.op, to, &[&b], 0)).await;
+                    lab.operator
+                        .timeout(SEC, exchange(&lab.operator, to, &[&b], 0))
+                        .await;
                 }
-                lab.op.sleep(3 * SEC).await;
+                lab.operator.sleep(3 * SEC).await;
                 let a = caller::Ask {
                     program: "chargeback".into(),
                     session: "sound".into(),
@@ -153,7 +156,7 @@
                     max_output: 16,
                     stream: false,
                 };
-                let last = caller::turn(&lab.op, f.http, &a).await;
+                let last = caller::turn(&lab.operator, f.http, &a).await;
                 let odd = lab
                     .control("store1")
                     .unwrap()
@@ -236,7 +239,7 @@
 /// A server that reports absurd figures must not bring a front down: sums overflowed.
 #[test]
 fn a_server_with_absurd_figures_harms_only_itself() {
-    let done = on_fleet(
+    let done = with_cluster(
         52,
         |_| (),
         |lab| {
@@ -244,24 +247,28 @@
                 let m = lab.sim.find("m1");
                 lab.sim.kill(m, false);
                 let b = lab
-                    .sh
-                    .backs
+                    .topology
+                    .servers
                     .iter()
                     .find(|b| b.server == "m1")
                     .cloned()
                     .unwrap();
-                let absurd = yewcross_testkit::standin::Spec {
+                let absurd = yewcross_testkit::stub_server::StubServerSettings {
                     slots: u32::MAX,
-                    per_k: u64::MAX,
-                    per_out: u64::MAX,
-                    cache: u64::MAX,
+                    prefill_us_per_1000: u64::MAX,
+                    output_us: u64::MAX,
+                    cache_tokens: u64::MAX,
                     ..b
                 };
                 let w = lab.sim.boot(m);
-                yewcross_testkit::standin::Standin::start(&w, absurd, lab.ledger.clone())
-                    .await
-                    .unwrap();
-                lab.op.sleep(2 * SEC).await;
+                yewcross_testkit::stub_server::StubServer::start(
+                    &w,
+                    absurd,
+                    lab.execution_log.clone(),
+                )
+                .await
+                .unwrap();
+                lab.operator.sleep(2 * SEC).await;
                 let mut done = 0;
                 for i in 0..12 {
                     let a = caller::Ask {
@@ -274,10 +281,11 @@
                         max_output: 16,
                         stream: true,
                     };
-                    done += (caller::turn(&lab.op, lab.sh.of(Role::Front)[i % 2].http, &a)
-                        .await
-                        .heard
-                        == Heard::Done) as usize;
+                    done +=
+                        (caller::turn(&lab.operator, lab.topology.of(Role::Front)[i % 2].http, &a)
+                            .await
+                            .heard
+                            == Heard::Done) as usize;
                 }
                 done
             })
--- a/yewcross-testkit/tests/kv_share.rs
+++ b/yewcross-testkit/tests/kv_share.rs
@@ -5,14 +5,13 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_testkit::caller::{self, Ask, Heard, Seen};
-use yewcross_testkit::proof::Lab;
-use yewcross_testkit::script::on_fleet_of;
-use yewcross_testkit::standin::Faults;
+use yewcross_testkit::proof::{TestCluster, with_cluster_of};
+use yewcross_testkit::stub_server::StubFaults;
 
 const KEY: &str = "session/chargeback/s";
 
 /// One turn of the session at the nth front; the first says so many bytes.
-async fn say(lab: &Arc<Lab>, front: usize, turn: usize, first: usize) -> Seen {
+async fn say(lab: &Arc<TestCluster>, front: usize, turn: usize, first: usize) -> Seen {
     let a = Ask {
         program: "chargeback".into(),
         budget: "chargeback".into(),
@@ -27,27 +26,30 @@
         max_output: 16,
         stream: true,
     };
-    caller::turn(&lab.op, lab.sh.of(Role::Front)[front].http, &a).await
+    caller::turn(&lab.operator, lab.topology.of(Role::Front)[front].http, &a).await
 }
 
-fn models(lab: &Lab) -> Vec<String> {
-    lab.sh
-        .backs
+fn models(lab: &TestCluster) -> Vec<String> {
+    lab.topology
+        .servers
         .iter()
-        .filter(|b| b.model)
+        .filter(|b| b.is_model)
         .map(|b| b.server.clone())
         .collect()
 }
 
 /// Servers at which a replica of the session stands.
-fn replicas(lab: &Lab) -> Vec<String> {
+fn replicas(lab: &TestCluster) -> Vec<String> {
     models(lab)
         .into_iter()
-        .filter(|n| lab.back(n).is_some_and(|b| b.holds(KEY).0.is_some()))
+        .filter(|n| {
+            lab.server(n)
+                .is_some_and(|b| b.held_tokens(KEY).replica.is_some())
+        })
         .collect()
 }
 
-fn count(lab: &Lab, of: impl Fn(&yewcross_proxy::Counts) -> u64) -> u64 {
+fn count(lab: &TestCluster, of: impl Fn(&yewcross_proxy::Counts) -> u64) -> u64 {
     ["front1", "front2"]
         .iter()
         .filter_map(|n| lab.front(n))
@@ -57,23 +59,23 @@
 
 #[test]
 fn no_import_holds_a_moved_turns_first_event() {
-    let (home, s, unready) = on_fleet_of(
+    let (home, s, unready) = with_cluster_of(
         "small",
         71,
         |_| (),
         |lab| {
             Box::pin(async move {
                 models(&lab).iter().for_each(|n| {
-                    lab.back(n).unwrap().fault(Faults {
-                        slow_import: 1000,
+                    lab.server(n).unwrap().set_faults(StubFaults {
+                        import_slowdown: 1000,
                         ..Default::default()
                     })
                 });
                 let home = say(&lab, 0, 0, 40_000).await.server;
-                lab.op.sleep(6 * SEC).await;
+                lab.operator.sleep(6 * SEC).await;
                 assert_eq!(replicas(&lab).len(), 1);
-                lab.leave(&home);
-                lab.op.sleep(SEC).await;
+                lab.drain_server(&home);
+                lab.operator.sleep(SEC).await;
                 let s = say(&lab, 0, 1, 0).await;
                 (home, s, count(&lab, |c| c.unready.load(SeqCst)))
             })
@@ -98,7 +100,7 @@
         (74, "killed", 0),
         (75, "killed", 1),
     ] {
-        let (home, spare, s) = on_fleet_of(
+        let (home, spare, s) = with_cluster_of(
             "small",
             seed,
             |_| (),
@@ -106,14 +108,14 @@
                 Box::pin(async move {
                     let home = say(&lab, 0, 0, 40_000).await.server;
                     assert_eq!(say(&lab, 0, 1, 0).await.server, home);
-                    lab.op.sleep(6 * SEC).await;
+                    lab.operator.sleep(6 * SEC).await;
                     let spare = replicas(&lab);
                     if gone == "leaving" {
-                        lab.leave(&home)
+                        lab.drain_server(&home)
                     } else {
                         lab.sim.kill(lab.sim.find(&home), true)
                     }
-                    lab.op.sleep(4 * SEC).await;
+                    lab.operator.sleep(4 * SEC).await;
                     (home, spare, say(&lab, front, 2, 0).await)
                 })
             },
@@ -138,16 +140,16 @@
 /// conversation.
 #[test]
 fn an_import_is_left_out_while_its_prefix_is_held_and_made_again_when_it_is_not() {
-    let (steady, skipped, again) = on_fleet_of(
+    let (steady, skipped, again) = with_cluster_of(
         "small",
         76,
         |_| (),
         |lab| {
             Box::pin(async move {
-                let imports = |lab: &Arc<Lab>| count(lab, |c| c.imports.load(SeqCst));
+                let imports = |lab: &Arc<TestCluster>| count(lab, |c| c.imports.load(SeqCst));
                 for t in 0..6 {
                     assert_eq!(say(&lab, 0, t, 40_000).await.heard, Heard::Done);
-                    lab.op.sleep(5 * SEC).await;
+                    lab.operator.sleep(5 * SEC).await;
                 }
                 let (steady, skipped) = (
                     imports(&lab),
@@ -157,9 +159,9 @@
                 lab.sim.kill(lab.sim.find(&spare), true);
                 lab.boot(&spare);
                 // A new life's cache turns over at a pace that is known only after a while.
-                lab.op.sleep(3 * SEC).await;
+                lab.operator.sleep(3 * SEC).await;
                 say(&lab, 0, 6, 0).await;
-                lab.op.sleep(5 * SEC).await;
+                lab.operator.sleep(5 * SEC).await;
                 (steady, skipped, imports(&lab))
             })
         },
@@ -173,7 +175,7 @@
 #[test]
 fn only_long_turns_are_shared_and_with_one_server() {
     for (bytes, want) in [(32_400, 0), (32_600, 1)] {
-        let (tokens, stand, pushes) = on_fleet_of(
+        let (tokens, stand, pushes) = with_cluster_of(
             "small",
             77,
             |_| (),
@@ -183,7 +185,7 @@
                     for t in 0..3 {
                         let s = say(&lab, 0, t, bytes).await;
                         tokens = s.prompt + s.output;
-                        lab.op.sleep(4 * SEC).await;
+                        lab.operator.sleep(4 * SEC).await;
                     }
                     (
                         tokens,
--- a/yewcross-testkit/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -1,13 +1,13 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use strum::IntoEnumIterator;
-use yewcross_testkit::proof::{Act, Plan, judge, run, sweep};
-use yewcross_testkit::rogue::Sin;
+use yewcross_testkit::proof::{Fault, Plan, judge, run, sweep};
+use yewcross_testkit::protocol_violation::ProtocolViolation;
 
 #[test]
 fn every_breakdown_alone_keeps_the_twelve() {
     let plans: Vec<Plan> = (1..=2)
-        .flat_map(|s| Act::iter().map(move |a| Plan::new(s, "small", &[a])))
+        .flat_map(|s| Fault::iter().map(move |a| Plan::new(s, "small", &[a])))
         .collect();
     assert_eq!(sweep(plans, false), 0);
 }
@@ -15,7 +15,7 @@
 #[test]
 fn both_deployments_keep_the_twelve() {
     let plans = ["kowhai", "consorcio"].into_iter().flat_map(|sh| {
-        Act::iter()
+        Fault::iter()
             .enumerate()
             .map(move |(i, a)| Plan::new(70 + i as u64, sh, &[a]))
     });
@@ -24,7 +24,7 @@
 
 #[test]
 fn breakdowns_in_pairs_keep_the_twelve() {
-    let all: Vec<Act> = Act::iter().collect();
+    let all: Vec<Fault> = Fault::iter().collect();
     let plans = (300..340u64).map(|s| {
         let (a, b) = (
             all[(s * 7 % all.len() as u64) as usize],
@@ -39,27 +39,27 @@
 /// and that may not.
 #[test]
 fn budgets_hold_across_breakdowns() {
-    let small = Act::iter()
+    let small = Fault::iter()
         .enumerate()
         .map(|(i, a)| (500 + i as u64, "small", a));
     let big = ["kowhai", "consorcio"].into_iter().flat_map(|s| {
         let acts = [
-            Act::KillFront,
-            Act::PowerAllStores,
-            Act::LoseAnswers,
-            Act::BudgetMoves,
-            Act::Weather,
+            Fault::KillFront,
+            Fault::PowerAllStores,
+            Fault::LoseAnswers,
+            Fault::BudgetMoves,
+            Fault::Weather,
         ];
         acts.into_iter()
             .enumerate()
             .map(move |(i, a)| (560 + i as u64, s, a))
     });
     let plans = small.chain(big).map(|(n, s, a)| {
-        let (repeatable, one_purse) = (n % 2 == 0, n % 4 < 2);
+        let (repeatable, single_budget) = (n % 2 == 0, n % 4 < 2);
         Plan {
             budget: Some(1500),
             repeatable,
-            one_purse,
+            single_budget,
             ..Plan::new(n, s, &[a])
         }
     });
@@ -68,12 +68,12 @@
     yewcross_testkit::proof::each((500..508).collect(), |seed| {
         let e = run(&Plan {
             budget: Some(1500),
-            ..Plan::new(seed, "small", &[Act::Calm])
+            ..Plan::new(seed, "small", &[Fault::Calm])
         });
         spent
             .lock()
             .unwrap()
-            .push(e.runs.iter().map(|r| r.output).sum());
+            .push(e.executions.iter().map(|r| r.output).sum());
         true
     });
     let spent = spent.into_inner().unwrap();
@@ -84,7 +84,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let p = Plan::new(9, "small", &[Act::Weather, Act::PowerStore]);
+    let p = Plan::new(9, "small", &[Fault::Weather, Fault::PowerStore]);
     let (a, b) = (run(&p), run(&p));
     assert_eq!(
         (a.hash, a.seen.len(), a.figures.to_string()),
@@ -95,26 +95,26 @@
 
 #[test]
 fn every_checker_can_fail() {
-    for sin in Sin::iter() {
-        let budget = (sin == Sin::Overspends).then_some(500);
+    for violation in ProtocolViolation::iter() {
+        let budget = (violation == ProtocolViolation::Overspends).then_some(500);
         let v = judge(&run(&Plan {
-            sin: Some(sin),
+            violation: Some(violation),
             budget,
-            ..Plan::new(1, "small", &[Act::Calm])
+            ..Plan::new(1, "small", &[Fault::Calm])
         }));
-        let n = format!("{} ", sin as u8);
+        let n = format!("{} ", violation as u8);
         println!(
-            "{sin:?}: {}",
+            "{violation:?}: {}",
             v.iter()
                 .find(|x| x.starts_with(&n))
                 .unwrap_or(&"not seen".into())
         );
         assert!(
             v.iter().any(|x| x.starts_with(&n)),
-            "{sin:?} went unseen: {v:?}"
+            "{violation:?} went unseen: {v:?}"
         );
         assert!(
-            sin != Sin::RunsRefused || v.iter().any(|x| x.contains("its shot")),
+            violation != ProtocolViolation::RunsRefused || v.iter().any(|x| x.contains("its shot")),
             "the shot alone tells it: {v:?}"
         );
     }
@@ -127,16 +127,16 @@
     // written. 93 and 1: after a cut healed, the smaller side's "gone" spread over all; 3: it
     // rejoined only after 10 s.
     let long = vec![
-        Act::CoreSplitEven,
-        Act::CoreSplitOne,
-        Act::CoreCutFromFronts,
-        Act::SiteCut,
-        Act::RacingPuts,
+        Fault::CoreSplitEven,
+        Fault::CoreSplitOne,
+        Fault::CoreCutFromFronts,
+        Fault::SiteCut,
+        Fault::RacingPuts,
     ];
     let plans = [
-        (11, "small", vec![Act::SiteCut]),
-        (93, "consorcio", vec![Act::SiteCut]),
-        (1, "consorcio", vec![Act::SiteCut]),
+        (11, "small", vec![Fault::SiteCut]),
+        (93, "consorcio", vec![Fault::SiteCut]),
+        (1, "consorcio", vec![Fault::SiteCut]),
         (3, "small", long.clone()),
         (3, "kowhai", long),
     ];
@@ -157,8 +157,9 @@
 fn every_check_sees_its_own_tampering() {
     use yewcross_common::constants::{MS, SEC};
     use yewcross_testkit::caller::{Heard, Seen};
-    use yewcross_testkit::proof::{Ack, Cap, Evidence};
-    let clean = run(&Plan::new(21, "small", &[Act::KillStore]));
+    use yewcross_testkit::proof::{Ack, Cap, Departure, Evidence, Withdrawal};
+    use yewcross_testkit::stub_server::LateArrival;
+    let clean = run(&Plan::new(21, "small", &[Fault::KillStore]));
     assert!(judge(&clean).is_empty());
     let done = |e: &Evidence| {
         e.seen
@@ -173,27 +174,36 @@
     };
     let no = |s: &mut Seen, c: u16, ran: &str| (s.heard, s.ran) = (Heard::Code(c), ran.into());
     let after = |e: &mut Evidence, pick: &dyn Fn(&Seen) -> bool| {
-        let t = e.hard.last().unwrap().0;
+        let t = e.disruptions.last().unwrap().at;
         e.seen
             .iter_mut()
             .filter(|s| s.at > t && pick(s))
             .for_each(|s| (s.heard, s.retry_after) = (Heard::Code(3006), 1));
     };
+    let withdrawal = |subject: &str| Withdrawal {
+        from: 10 * SEC,
+        until: 30 * SEC,
+        subject: subject.into(),
+    };
     type Tamper<'a> = (&'a str, Box<dyn Fn(&mut Evidence) + 'a>);
     let all: Vec<Tamper> = vec![
         (
             "3 turn",
             Box::new(|e| {
                 let r = e
-                    .runs
+                    .executions
                     .iter()
-                    .find(|r| e.seen.iter().any(|s| s.kind == "turn" && s.shot == r.shot))
+                    .find(|r| {
+                        e.seen
+                            .iter()
+                            .any(|s| s.kind == "turn" && s.shot == r.attempt)
+                    })
                     .unwrap()
                     .clone();
                 let s = e
                     .seen
                     .iter_mut()
-                    .find(|s| s.kind == "turn" && s.shot == r.shot)
+                    .find(|s| s.kind == "turn" && s.shot == r.attempt)
                     .unwrap();
                 no(s, 3002, "not_run");
                 s.retry_after = 1;
@@ -202,7 +212,7 @@
         (
             "3 lookup",
             Box::new(|e| {
-                let shots: Vec<String> = e.runs.iter().map(|r| r.shot.clone()).collect();
+                let shots: Vec<String> = e.executions.iter().map(|r| r.attempt.clone()).collect();
                 let s = e
                     .seen
                     .iter_mut()
@@ -215,7 +225,7 @@
         (
             "4 chargeback: ",
             Box::new(|e| {
-                let t = e.runs[e.runs.len() / 2].at;
+                let t = e.executions[e.executions.len() / 2].at;
                 e.budgets.get_mut("chargeback").unwrap().caps.push(Cap {
                     from: t - 2 * SEC,
                     tokens: 10,
@@ -235,8 +245,15 @@
         (
             "7 m1 push",
             Box::new(|e| {
-                e.left.push((20 * SEC, "m1".into()));
-                e.knocks.push((24 * SEC, "m1 push of session/x".into()));
+                e.departures.push(Departure {
+                    at: 20 * SEC,
+                    server: "m1".into(),
+                });
+                e.late_arrivals.push(LateArrival {
+                    at: 24 * SEC,
+                    server: "m1".into(),
+                    request: "push of session/x".into(),
+                });
             }),
         ),
         (
@@ -283,20 +300,14 @@
                     .for_each(|a| a.at += 3 * SEC)
             }),
         ),
+        ("10 ", Box::new(|e| e.withdrawals.push(withdrawal("m1")))),
         (
             "10 ",
-            Box::new(|e| e.banned.push((10 * SEC, 30 * SEC, "m1".into()))),
+            Box::new(|e| e.withdrawals.push(withdrawal("settlement/status"))),
         ),
         (
             "10 ",
-            Box::new(|e| {
-                e.banned
-                    .push((10 * SEC, 30 * SEC, "settlement/status".into()))
-            }),
-        ),
-        (
-            "10 ",
-            Box::new(|e| e.banned.push((10 * SEC, 30 * SEC, "settlement/".into()))),
+            Box::new(|e| e.withdrawals.push(withdrawal("settlement/"))),
         ),
         ("11 ", Box::new(|e| again(e, &|s| s.heard = Heard::Cut))),
         (
@@ -314,7 +325,7 @@
         (
             "12 ",
             Box::new(|e| {
-                let t = e.hard.last().unwrap().0;
+                let t = e.disruptions.last().unwrap().at;
                 e.seen.retain(|s| s.at < t);
             }),
         ),
@@ -343,7 +354,8 @@
 
 #[test]
 fn a_long_day_stays_bounded_and_survives_its_last_fault() {
-    let (s, e) = yewcross_testkit::proof::long_day(77, 400);
+    let day = yewcross_testkit::proof::long_day(77, 400);
+    let (s, e) = (day.samples, day.evidence);
     println!("{s:?}");
     let v = judge(&e);
     assert!(v.is_empty(), "{v:?}");
@@ -369,13 +381,21 @@
 /// 41 and 45 once found a damaged file that was mended too late.
 #[test]
 fn the_register_holds_under_rough_acts() {
-    assert_eq!(yewcross_testkit::grind::sweep((1..=48).collect(), false), 0);
+    assert_eq!(
+        yewcross_testkit::register_stress::sweep((1..=48).collect(), false),
+        0
+    );
 }
 
 #[test]
 fn the_register_judge_sees_a_disk_that_lies() {
     let bad = (1..=6u64)
-        .filter(|s| !yewcross_testkit::grind::judge(&yewcross_testkit::grind::lying(*s)).is_empty())
+        .filter(|s| {
+            !yewcross_testkit::register_stress::violations(
+                &yewcross_testkit::register_stress::run_with_lying_disks(*s),
+            )
+            .is_empty()
+        })
         .count();
     println!("{bad} of 6 seeds with lying disks were caught");
     assert!(bad >= 3);
@@ -392,7 +412,7 @@
     {
         let sums: Mutex<BTreeMap<&str, u64>> = Mutex::default();
         yewcross_testkit::proof::each((1..=SEEDS).collect(), |seed| {
-            let e = run(&Plan::new(seed, shape, &[Act::Calm]));
+            let e = run(&Plan::new(seed, shape, &[Fault::Calm]));
             let done = e.figures["callers"]["turns"]["done"].as_u64().unwrap();
             for figure in ["bytes_across", "syncs", "messages"] {
                 *sums.lock().unwrap().entry(figure).or_default() +=
@@ -409,7 +429,7 @@
         );
         assert!(per("bytes_across") < across && per("syncs") < syncs && per("messages") < msgs);
         let moved =
-            run(&Plan::new(2, shape, &[Act::Leaving])).figures["fronts"]["moved_cold"].as_u64();
+            run(&Plan::new(2, shape, &[Fault::Leaving])).figures["fronts"]["moved_cold"].as_u64();
         assert!(moved <= Some(1));
     }
 }
@@ -495,12 +515,12 @@
     };
     let missing = |part: &str| match part.split_once(':') {
         Some((_, "")) => false,
-        Some(("act", n)) => n.parse::<Act>().is_err(),
+        Some(("act", n)) => n.parse::<Fault>().is_err(),
         Some(("test", n)) => {
             !code.contains(&format!("#[test]\nfn {n}("))
                 && !code.contains(&format!("#[test]\n    fn {n}("))
         }
-        Some(("sin", n)) => !Sin::iter().any(|s| format!("{s:?}") == n),
+        Some(("sin", n)) => !ProtocolViolation::iter().any(|s| format!("{s:?}") == n),
         Some(("code", n)) => {
             let (f, i) = n.split_once('#').unwrap();
             !std::fs::read_to_string(format!("{root}/{f}")).is_ok_and(|t| has(&t, i))
@@ -526,7 +546,7 @@
         .collect();
     let lost: Vec<&String> = named.iter().chain(&told).filter(|p| missing(p)).collect();
     assert!(lost.is_empty(), "not there: {lost:?}");
-    let unnamed: Vec<&str> = Act::iter()
+    let unnamed: Vec<&str> = Fault::iter()
         .map(|a| a.into())
         .filter(|a: &&str| !named.contains(&format!("act:{a}")))
         .collect();
--- a/yewcross-testkit/tests/real.rs
+++ b/yewcross-testkit/tests/real.rs
@@ -13,7 +13,7 @@
 use yewcross_common::runtime::os::OsRuntime;
 use yewcross_testkit::caller::{self, Ask, Diary, Heard};
 use yewcross_testkit::fleet::Fleet;
-use yewcross_testkit::standin::Spec;
+use yewcross_testkit::stub_server::StubServerSettings;
 
 fn dir(n: &str) -> PathBuf {
     let d = std::env::temp_dir().join(format!("yewcross-real-{n}-{}", std::process::id()));
@@ -109,9 +109,9 @@
         .await;
 
         // Another server at a known server's address is never given a job.
-        let b = f.sh.backs.iter().find(|b| b.model).cloned().unwrap();
+        let b = f.sh.servers.iter().find(|b| b.is_model).cloned().unwrap();
         f.kill(&b.server);
-        let other = Spec {
+        let other = StubServerSettings {
             server: "x9".into(),
             ..b.clone()
         };
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -38,8 +38,7 @@
 };
 use yewcross_state::segment_log::{self, LogRecord, TornEnd};
 use yewcross_state::turn_store::TurnIndex;
-use yewcross_testkit::proof::Lab;
-use yewcross_testkit::script::on_fleet;
+use yewcross_testkit::proof::{TestCluster, with_cluster};
 use yewcross_testkit::sim::Sim;
 use yewcross_testkit::tier::{Tier, play, tell, up};
 
@@ -671,7 +670,7 @@
 /// A core whose tier numbers the versions keeps all documents, those in force before, and what was
 /// proved.
 fn write_operated_folder() {
-    let (lab, told) = on_fleet(
+    let (lab, told) = with_cluster(
         81,
         |_| (),
         |lab| {
@@ -681,7 +680,7 @@
                     lab.put("core1", version, "second").await.code,
                     Code::Done.number()
                 );
-                lab.op.sleep(5 * SEC).await;
+                lab.operator.sleep(5 * SEC).await;
                 let core = lab.control("core1").unwrap();
                 let told = tell_operated(&core);
                 lab.sim.kill(lab.sim.find("core1"), false);
@@ -911,7 +910,7 @@
         "no past"
     );
     assert_ne!(text_of(&told, "proved"), "0");
-    let lab = Lab::new(82, "small");
+    let lab = TestCluster::new(82, "small");
     fill(
         &lab.sim,
         lab.sim.find("core1"),
@@ -928,7 +927,7 @@
 /// Why there is no folder of a front among the fixtures.
 #[test]
 fn a_front_keeps_nothing_on_its_disk() {
-    let files = on_fleet(
+    let files = with_cluster(
         83,
         |_| (),
         |lab| {
--- a/yewcross-testkit/tests/transcripts.rs
+++ b/yewcross-testkit/tests/transcripts.rs
@@ -5,7 +5,8 @@
 use yewcross_common::constants::*;
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Role;
-use yewcross_testkit::script::{on_fleet, plain, raw, request};
+use yewcross_testkit::http_transcript::{exchange, normalize, request};
+use yewcross_testkit::proof::with_cluster;
 
 fn approve(path: &str, text: &str) {
     let at = format!("{}/../{path}", env!("CARGO_MANIFEST_DIR"));
@@ -56,21 +57,21 @@
 }
 
 fn play(role: Role, steps: Vec<Step>, edit: fn(&mut serde_json::Value)) -> String {
-    on_fleet(4242, edit, move |lab| {
+    with_cluster(4242, edit, move |lab| {
         Box::pin(async move {
-            let to = lab.sh.of(role)[0].http;
+            let to = lab.topology.of(role)[0].http;
             let mut out = String::new();
             for (name, parts, pause) in steps {
                 let parts: Vec<&[u8]> = parts.iter().map(|p| p.as_slice()).collect();
                 let t0 = lab.sim.now();
-                let a = raw(&lab.op, to, &parts, pause).await;
+                let a = exchange(&lab.operator, to, &parts, pause).await;
                 let secs = (lab.sim.now() - t0) / SEC;
                 let sent = String::from_utf8_lossy(parts[0]).replace('\r', "");
                 let shown: String = sent.chars().take(400).collect();
                 out += &format!(
                     "### {name}\n\n{}\n\n--- {secs} s\n\n{}\n",
                     shown.trim_end(),
-                    plain(&a)
+                    normalize(&a)
                 );
             }
             out
--- a/yewcross-testkit/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -4,8 +4,7 @@
 use std::sync::Arc;
 use yewcross_common::constants::*;
 use yewcross_common::register::{RegisterClient, Step};
-use yewcross_testkit::proof::Lab;
-use yewcross_testkit::script::on_fleet_of;
+use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
 const KEY: &str = "k";
 
@@ -20,7 +19,7 @@
     }
 }
 
-fn owner(lab: &Lab, node: &str) -> Arc<RegisterClient> {
+fn owner(lab: &TestCluster, node: &str) -> Arc<RegisterClient> {
     lab.control(node).unwrap().registers.clone()
 }
 
@@ -38,7 +37,7 @@
 /// forgot. With `unnamed`, `store3` takes the machine at that address for one of an older program,
 /// which knows no names of disks.
 fn wiped_behind_its_address(seed: u64, unnamed: bool) -> Outcome {
-    on_fleet_of(
+    with_cluster_of(
         "small",
         seed,
         |_| (),
@@ -62,7 +61,7 @@
                 lab.sim.power_on(machine("store2"));
                 // Nobody tells `store3` yet which disk answers there now.
                 let others: Vec<usize> = lab
-                    .sh
+                    .topology
                     .nodes
                     .iter()
                     .filter(|n| !["store2", "store3"].contains(&n.name.as_str()))
@@ -76,7 +75,12 @@
                 let end = lab.sim.now() + 3 * SEC;
                 while lab.sim.now() < end {
                     if unnamed {
-                        let node = lab.sh.nodes.iter().find(|n| n.name == "store2").unwrap();
+                        let node = lab
+                            .topology
+                            .nodes
+                            .iter()
+                            .find(|n| n.name == "store2")
+                            .unwrap();
                         lab.control("store3").unwrap().peers.record_peer(
                             node.peer,
                             &node.site,
@@ -90,12 +94,12 @@
                         overwritten |= stale.change(KEY, 100 * MS, append(" third")).await.is_ok();
                         break;
                     }
-                    lab.op.sleep(2 * MS).await;
+                    lab.operator.sleep(2 * MS).await;
                 }
                 lab.sim.heal();
                 lab.sim.power_on(machine("store1"));
                 lab.boot("store1");
-                lab.op.sleep(6 * SEC).await;
+                lab.operator.sleep(6 * SEC).await;
                 let mut value = Err(yewcross_common::register::ChangeError::NotDone);
                 while value.is_err() {
                     value = owner(&lab, "store1").read(KEY, 2 * SEC).await;
@@ -135,7 +139,7 @@
 }
 
 /// Stores that all hold a key of an earlier life, under ballots that rose with each fight over it.
-async fn an_earlier_life(lab: &Lab) {
+async fn an_earlier_life(lab: &TestCluster) {
     for text in ["a", "b", "c", "d"] {
         owner(lab, "store1")
             .change(KEY, 2 * SEC, append(text))
@@ -150,7 +154,7 @@
 }
 
 /// What each store reads once all of them are there.
-async fn read_by_all(lab: &Lab) -> Vec<String> {
+async fn read_by_all(lab: &TestCluster) -> Vec<String> {
     let mut values = vec![];
     for node in ["store3", "store1", "store2"] {
         let (_, _, value) = owner(lab, node).read(KEY, 5 * SEC).await.unwrap();
@@ -164,7 +168,7 @@
 #[test]
 fn a_record_erased_right_before_power_goes_does_not_come_back() {
     for seed in 910..926 {
-        let held = on_fleet_of(
+        let held = with_cluster_of(
             "small",
             seed,
             |_| (),
@@ -182,12 +186,12 @@
                         .await
                         .is_some()
                     {
-                        lab.op.sleep(MS).await;
+                        lab.operator.sleep(MS).await;
                     }
-                    lab.op.sleep(5 * MS).await;
+                    lab.operator.sleep(5 * MS).await;
                     lab.sim.kill(third, true);
                     lab.boot("store3");
-                    lab.op.sleep(200 * MS).await;
+                    lab.operator.sleep(200 * MS).await;
                     lab.control("store3")
                         .unwrap()
                         .replica
@@ -206,7 +210,7 @@
 #[test]
 fn a_leftover_of_an_earlier_life_does_not_lead() {
     for seed in 920..924 {
-        let values = on_fleet_of(
+        let values = with_cluster_of(
             "small",
             seed,
             |_| (),
@@ -222,13 +226,13 @@
                         lab.sim.kill(lab.sim.find(node), false);
                         lab.boot(node);
                     }
-                    lab.op.sleep(4 * SEC).await;
+                    lab.operator.sleep(4 * SEC).await;
                     owner(&lab, "store1")
                         .change(KEY, 5 * SEC, append("new"))
                         .await
                         .unwrap();
                     lab.boot("store3");
-                    lab.op.sleep(4 * SEC).await;
+                    lab.operator.sleep(4 * SEC).await;
                     read_by_all(&lab).await
                 })
             },
