--- a/yewcross-testkit/tests/models/main.rs
+++ b/yewcross-testkit/tests/models/main.rs
@@ -6,7 +6,10 @@
 mod register;
 
 use explorer::{Report, explore};
-use register::*;
+use register::{
+    Action, Budget, Checked, FORGETFUL_VOTE, Fault, LOST, REFUSED_STANDS, Register, TWO_VALUES,
+    TWO_WINNERS, leftover, seat,
+};
 use yewcross_common::register::ReplicaSet;
 
 /// Above any model here; a model that outgrows it fails instead of being cut short.
