--- a/yewcross-capacity/src/capacity/configuration.rs
+++ b/yewcross-capacity/src/capacity/configuration.rs
@@ -3,7 +3,9 @@
 use crate::capacity::cost::{Cost, core, mb};
 use crate::capacity::inputs::{DAY, Inputs};
 use crate::capacity::messages::{Messages, PACKET};
-use yewcross_common::constants::{BODY_MAX, PAST_KEPT, PEER_WAIT, SEC, SERVE_ASK};
+use yewcross_common::constants::{
+    MAX_BODY_BYTES, PEER_REQUEST_TIMEOUT, RETAINED_VERSIONS, SEC, SERVING_LEASE_RENEWAL,
+};
 
 pub(super) fn config_text(i: &Inputs, m: &Messages) -> f64 {
     i.ours.routes * m.route
@@ -12,7 +14,7 @@
 /// The document carries the texts of the versions before along with the newest.
 pub(super) fn whole_text(i: &Inputs, m: &Messages) -> Cost {
     let t = config_text(i, m);
-    let doc = t * (1.0 + PAST_KEPT as f64);
+    let doc = t * (1.0 + RETAINED_VERSIONS as f64);
     Cost {
         messages_s: 2.0 * i.config_s(),
         bytes_s: i.config_s() * doc,
@@ -22,11 +24,11 @@
             + i.config_s() * (doc + t) / 1000.0 * i.costs.parse_us_kb / 10_000.0,
         // One machine sends it to all.
         recovery_s: doc * i.size.nodes / i.ours.link_bytes_s,
-        wrong: (t > BODY_MAX as f64).then(|| {
+        wrong: (t > MAX_BODY_BYTES as f64).then(|| {
             format!(
                 "a text of {:.1} MB, of which {:.1} are taken",
                 mb(t),
-                mb(BODY_MAX as f64)
+                mb(MAX_BODY_BYTES as f64)
             )
         }),
         ..Default::default()
@@ -58,7 +60,8 @@
         memory_mb: mb(2.0 * config_text(i, m)),
         core_pct: core(i, 2.0 * i.config_s() * (1.0 + per_zone))
             + i.config_s() * d / 1000.0 * i.costs.parse_us_kb / 10_000.0,
-        recovery_s: config_text(i, m) / i.ours.link_bytes_s + 3.0 * PEER_WAIT as f64 / SEC as f64,
+        recovery_s: config_text(i, m) / i.ours.link_bytes_s
+            + 3.0 * PEER_REQUEST_TIMEOUT as f64 / SEC as f64,
         ..Default::default()
     }
 }
@@ -67,7 +70,7 @@
 pub(super) fn leases(i: &Inputs, m: &Messages) -> Cost {
     let n = i.size.control_machines;
     let asked = n - (n / 2.0).floor() - 1.0 + 2.0;
-    let s = i.fronts() * asked * (SEC as f64 / SERVE_ASK as f64) / n;
+    let s = i.fronts() * asked * (SEC as f64 / SERVING_LEASE_RENEWAL as f64) / n;
     Cost {
         messages_s: 2.0 * s,
         bytes_s: s * (m.newer + 2.0 * PACKET),
@@ -110,7 +113,7 @@
         bytes_s: s * (m.listed + 2.0 * PACKET) * (1.0 + per_zone),
         memory_mb: mb(2.0 * i.size.servers * m.listed),
         core_pct: core(i, 2.0 * s * (1.0 + per_zone)),
-        recovery_s: 3.0 * PEER_WAIT as f64 / SEC as f64,
+        recovery_s: 3.0 * PEER_REQUEST_TIMEOUT as f64 / SEC as f64,
         ..Default::default()
     }
 }
--- a/yewcross-capacity/src/capacity/cost.rs
+++ b/yewcross-capacity/src/capacity/cost.rs
@@ -3,7 +3,9 @@
 use crate::capacity::inputs::Inputs;
 use crate::capacity::messages::Messages;
 use serde::Serialize;
-use yewcross_common::constants::{PROBE_EVERY, PROBE_WAIT, REPORT_EVERY, SEC, SUSPECT_FOR};
+use yewcross_common::constants::{
+    LOAD_REPORT_INTERVAL, PROBE_INTERVAL, PROBE_TIMEOUT, SEC, SUSPICION_TIMEOUT,
+};
 
 /// What a mechanism costs one node: the one that bears the most of it, where they differ.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -72,17 +74,17 @@
 }
 
 pub(super) fn beats_s() -> f64 {
-    SEC as f64 / PROBE_EVERY as f64
+    SEC as f64 / PROBE_INTERVAL as f64
 }
 
 /// s from a node's end until all know it: a probe's turn, its wait, the helpers' wait, suspicion,
 /// and its spread.
 pub(super) fn spread_s(i: &Inputs) -> f64 {
-    let us = (PROBE_EVERY + 3 * PROBE_WAIT + SUSPECT_FOR) as f64
-        + i.size.nodes.log2().ceil() * PROBE_EVERY as f64;
+    let us = (PROBE_INTERVAL + 3 * PROBE_TIMEOUT + SUSPICION_TIMEOUT) as f64
+        + i.size.nodes.log2().ceil() * PROBE_INTERVAL as f64;
     us / SEC as f64
 }
 
 pub(super) fn polls_s() -> f64 {
-    SEC as f64 / REPORT_EVERY as f64
+    SEC as f64 / LOAD_REPORT_INTERVAL as f64
 }
--- a/yewcross-capacity/src/capacity/membership.rs
+++ b/yewcross-capacity/src/capacity/membership.rs
@@ -3,7 +3,7 @@
 use crate::capacity::cost::{Cost, beats_s, core, mb, spread_s};
 use crate::capacity::inputs::Inputs;
 use crate::capacity::messages::{Messages, PACKET};
-use yewcross_common::constants::NEWS_MOST;
+use yewcross_common::constants::GOSSIP_MAX_NODES;
 
 /// Each node probes one other a beat, and is probed once; while a change spreads, exchanges carry
 /// more.
@@ -31,5 +31,5 @@
 
 pub(super) fn recent_changes(i: &Inputs, m: &Messages) -> Cost {
     // Both ways at most so many of the latest. A digest is made once a change.
-    membership(i, m, 2.0 * NEWS_MOST as f64 * m.node, i.moves_s())
+    membership(i, m, 2.0 * GOSSIP_MAX_NODES as f64 * m.node, i.moves_s())
 }
--- a/yewcross-capacity/src/capacity/state.rs
+++ b/yewcross-capacity/src/capacity/state.rs
@@ -3,7 +3,7 @@
 use crate::capacity::cost::{Cost, core, mb};
 use crate::capacity::inputs::Inputs;
 use crate::capacity::messages::Messages;
-use yewcross_common::constants::{HAND_SESSIONS, STORE_COPIES};
+use yewcross_common::constants::{CACHED_SESSION_HISTORIES, RECORD_REPLICAS};
 
 /// As measured: syncs and bytes inside the tier for one turn whose session, budget and outcome are
 /// registers.
@@ -16,7 +16,7 @@
     Cost {
         syncs_s: s * REGISTER_SYNCS,
         bytes_s: s * REGISTER_BYTES * 2.0,
-        memory_mb: mb(i.size.programs * i.history() * STORE_COPIES as f64 / i.ours.stores),
+        memory_mb: mb(i.size.programs * i.history() * RECORD_REPLICAS as f64 / i.ours.stores),
         ..Default::default()
     }
 }
@@ -91,7 +91,7 @@
 }
 
 pub(super) fn hand_by_count(i: &Inputs, _: &Messages) -> Cost {
-    let n = (i.size.programs / i.fronts()).min(HAND_SESSIONS as f64);
+    let n = (i.size.programs / i.fronts()).min(CACHED_SESSION_HISTORIES as f64);
     Cost {
         memory_mb: mb(n * i.history()),
         ..Default::default()
--- a/yewcross-common/src/buffered_http/client.rs
+++ b/yewcross-common/src/buffered_http/client.rs
@@ -1,6 +1,6 @@
 //! Requests to other servers.
 
-use crate::constants::FRAME_MAX;
+use crate::constants::MAX_FRAME_BYTES;
 use crate::runtime::{Connection, Runtime};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use http_types::{Body, Method, Request, Response, Url};
@@ -64,7 +64,7 @@
         .timeout(timeout, async {
             let mut connection = runtime.connect(to).await?;
             let mut response = exchange(&connection, method, path, headers, request_body).await?;
-            let response_body = body(&mut response, FRAME_MAX).await?;
+            let response_body = body(&mut response, MAX_FRAME_BYTES).await?;
             // The response is complete; how the connection ends does not matter.
             let _ = connection.close().await;
             Ok((response.status().into(), response, response_body))
--- a/yewcross-common/src/buffered_http/server.rs
+++ b/yewcross-common/src/buffered_http/server.rs
@@ -3,7 +3,8 @@
 use super::response::{SendDeadline, refuse};
 use super::tracker::ConnectionTracker;
 use crate::constants::{
-    ANSWER_WAIT, BODY_MAX, BODY_WAIT, CALLERS_MAX, HEAD_MAX, HEAD_WAIT, IDLE_WAIT, MS, SEC,
+    BODY_TIMEOUT, HEAD_TIMEOUT, IDLE_CONNECTION_TIMEOUT, MAX_BODY_BYTES, MAX_CALLER_CONNECTIONS,
+    MAX_HEAD_BYTES, MS, RESPONSE_TIMEOUT, SEC,
 };
 use crate::error_code::Code;
 use crate::runtime::{BoxFuture, Connection, Listener, Runtime};
@@ -82,7 +83,7 @@
             runtime.sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        if tracker.open.fetch_add(1, SeqCst) >= CALLERS_MAX {
+        if tracker.open.fetch_add(1, SeqCst) >= MAX_CALLER_CONNECTIONS {
             tracker.connection_closed();
             let reject_runtime = runtime.clone();
             runtime.spawn(async move {
@@ -147,7 +148,7 @@
     let deadline = response
         .ext()
         .get::<SendDeadline>()
-        .map_or(runtime.now() + ANSWER_WAIT, |deadline| deadline.0);
+        .map_or(runtime.now() + RESPONSE_TIMEOUT, |deadline| deadline.0);
     let sent = runtime
         .timeout(
             deadline.saturating_sub(runtime.now()),
@@ -187,8 +188,12 @@
     tracker: &ConnectionTracker,
     is_first: bool,
 ) -> Result<(Request, impl AsyncRead + Unpin), ReadError> {
-    connection.limit_reads(2 * HEAD_MAX);
-    let timeout = if is_first { HEAD_WAIT } else { IDLE_WAIT };
+    connection.limit_reads(2 * MAX_HEAD_BYTES);
+    let timeout = if is_first {
+        HEAD_TIMEOUT
+    } else {
+        IDLE_CONNECTION_TIMEOUT
+    };
     let closed = async {
         // The caller of a new connection is about to send its first request.
         if is_first {
@@ -220,19 +225,19 @@
 /// Reads the body of a request completely.
 async fn read_body(runtime: &Runtime, request: &mut Request) -> Result<Vec<u8>, ReadError> {
     let expected = request.len();
-    if expected.is_some_and(|length| length > BODY_MAX) {
+    if expected.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(ReadError::Rejected(Code::TooLarge));
     }
     let mut body = Vec::new();
     // One byte more than allowed tells a body that is too large.
-    let mut reader = request.take_body().take(BODY_MAX as u64 + 1);
+    let mut reader = request.take_body().take(MAX_BODY_BYTES as u64 + 1);
     let read = runtime
-        .timeout(BODY_WAIT, reader.read_to_end(&mut body))
+        .timeout(BODY_TIMEOUT, reader.read_to_end(&mut body))
         .await;
     match read {
         None => Err(ReadError::Rejected(Code::TooSlow)),
         Some(Err(_)) => Err(ReadError::Rejected(Code::BadBody)),
-        Some(Ok(_)) if body.len() > BODY_MAX => Err(ReadError::Rejected(Code::TooLarge)),
+        Some(Ok(_)) if body.len() > MAX_BODY_BYTES => Err(ReadError::Rejected(Code::TooLarge)),
         Some(Ok(_)) if expected.is_some_and(|length| length != body.len()) => {
             Err(ReadError::Rejected(Code::BadBody))
         }
--- a/yewcross-common/src/configuration/history.rs
+++ b/yewcross-common/src/configuration/history.rs
@@ -1,6 +1,6 @@
 //! How much of a session's history is kept.
 
-use crate::constants::TOKEN_BYTES;
+use crate::constants::BYTES_PER_TOKEN;
 use serde::{Deserialize, Serialize};
 
 /// Which earlier turns of a session are kept.
@@ -23,7 +23,7 @@
             Rule::All => 0,
             Rule::Turns(turns) => start_of_latest(turns, &line_ends(history)),
             Rule::Tokens(tokens) => {
-                let kept_bytes = (tokens as usize).saturating_mul(TOKEN_BYTES);
+                let kept_bytes = (tokens as usize).saturating_mul(BYTES_PER_TOKEN);
                 let excess_bytes = history.len().saturating_sub(kept_bytes);
                 start_without(excess_bytes, &line_ends(history))
             }
--- a/yewcross-common/src/configuration/settings.rs
+++ b/yewcross-common/src/configuration/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of program classes, services and budgets: their types, defaults, ranges and meanings.
 
 use super::history::Rule;
-use crate::constants::{HORIZON_MAX, HORIZON_MIN, KEEP_MAX, KV_MIN_TOKENS};
+use crate::constants::{DEADLINE_MAX_MS, DEADLINE_MIN_MS, KV_MIN_TOKENS, RETENTION_MAX_MS};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -90,13 +90,13 @@
     ProgramClass {
     service: String = "llm".into(), |s| !s.is_empty(), "name of a service", "model service that takes the turns";
     budget: String = String::new(), |_| true, "name of a budget, or empty", "budget that all sessions of the program share";
-    horizon_ms: u64 = 6000, |n| (HORIZON_MIN..=HORIZON_MAX).contains(n), "10 to 600000", "longest horizon a turn may ask for";
+    horizon_ms: u64 = 6000, |n| (DEADLINE_MIN_MS..=DEADLINE_MAX_MS).contains(n), "10 to 600000", "longest horizon a turn may ask for";
     class: Class = Class::Normal, |_| true, "urgent, normal, idle", "place in the waiting line";
     history: Rule = Rule::All, |r| !matches!(r, Rule::Turns(0) | Rule::Tokens(0)), "all, {turns: n}, {tokens: n}", "which earlier turns are kept and sent on";
     max_output: u64 = 512, |n| (1..=65_536).contains(n), "1 to 65536", "tokens, cap on one turn's output";
     max_prompt: u64 = 200_000, |n| (1..=2_000_000).contains(n), "1 to 2000000", "tokens, cap on one turn's prompt with its history";
     repeatable: bool = false, |_| true, "true or false", "a lost turn may be sent again within its horizon";
-    keep_ms: u64 = 86_400_000, |n| (1000..=KEEP_MAX).contains(n), "1000 to 315360000000", "how long after its last turn a session and its outcomes are kept";
+    keep_ms: u64 = 86_400_000, |n| (1000..=RETENTION_MAX_MS).contains(n), "1000 to 315360000000", "how long after its last turn a session and its outcomes are kept";
     kv_share: bool = true, |_| true, "true or false", "keep a replica of the session's KV cache at its spill target";
     kv_min_tokens: u64 = KV_MIN_TOKENS, |n| (1..=1_000_000).contains(n), "1 to 1000000", "tokens, turns below this are not replicated";
     kv_session_bytes: u64 = 8 << 30, |n| *n > 0, "above 0", "bytes, largest replica kept for one session";
@@ -115,8 +115,8 @@
     urgent_share: u64 = 25, |n| *n <= 90, "0 to 90", "percent of the line kept for urgent jobs";
     methods: Vec<String> = vec![], |_| true, "names", "lookup methods that exist; empty allows none";
     once: Vec<String> = vec![], |_| true, "names", "lookup methods that may run only once";
-    horizon_ms: u64 = 1500, |n| (HORIZON_MIN..=HORIZON_MAX).contains(n), "10 to 600000", "longest horizon a lookup may ask for";
-    keep_ms: u64 = 86_400_000, |n| (1000..=KEEP_MAX).contains(n), "1000 to 315360000000", "how long the outcome of a once-only lookup is kept";
+    horizon_ms: u64 = 1500, |n| (DEADLINE_MIN_MS..=DEADLINE_MAX_MS).contains(n), "10 to 600000", "longest horizon a lookup may ask for";
+    keep_ms: u64 = 86_400_000, |n| (1000..=RETENTION_MAX_MS).contains(n), "1000 to 315360000000", "how long the outcome of a once-only lookup is kept";
     link_bytes: u64 = 1_250_000_000, |n| *n >= 1000, "1000 or more", "bytes per second a server's link may carry for replicas";
 });
 
--- a/yewcross-common/src/documents/watcher.rs
+++ b/yewcross-common/src/documents/watcher.rs
@@ -11,7 +11,7 @@
 mod serving_lease;
 
 use super::cache::DocumentCache;
-use crate::constants::{MS, PEER_WAIT};
+use crate::constants::{MS, PEER_REQUEST_TIMEOUT};
 use crate::membership::{Membership, Node};
 use crate::process_settings::Role;
 use crate::protocol::{PeerRequest, PeerResponse};
@@ -181,7 +181,9 @@
         request: &PeerRequest,
     ) -> Option<u64> {
         let peers = &self.members.peers;
-        let answer = peers.request(address, request, &[], PEER_WAIT).await;
+        let answer = peers
+            .request(address, request, &[], PEER_REQUEST_TIMEOUT)
+            .await;
         let Ok((PeerResponse::Document { version, epoch }, content)) = answer else {
             return None;
         };
--- a/yewcross-common/src/documents/watcher/poll.rs
+++ b/yewcross-common/src/documents/watcher/poll.rs
@@ -2,7 +2,7 @@
 
 use super::super::departures;
 use super::DocumentWatcher;
-use crate::constants::SERVE_ASK;
+use crate::constants::SERVING_LEASE_RENEWAL;
 use crate::membership::{MemberState, Node};
 use crate::process_settings::Role;
 use crate::protocol::{PeerRequest, PeerResponse};
@@ -119,7 +119,10 @@
 
     async fn request_versions(&self, core: &Node, request: &PeerRequest) -> Option<PollAnswer> {
         let peers = &self.members.peers;
-        match peers.request(core.peer, request, &[], SERVE_ASK).await {
+        match peers
+            .request(core.peer, request, &[], SERVING_LEASE_RENEWAL)
+            .await
+        {
             Ok((
                 PeerResponse::DocumentVersions {
                     newest,
--- a/yewcross-common/src/documents/watcher/serving_lease.rs
+++ b/yewcross-common/src/documents/watcher/serving_lease.rs
@@ -6,7 +6,7 @@
 //! reach, a majority of the fronts that the configuration names takes their place.
 
 use super::DocumentWatcher;
-use crate::constants::{MS, SERVE_ASK, SERVE_LEASE};
+use crate::constants::{MS, SERVING_LEASE, SERVING_LEASE_RENEWAL};
 use crate::documents::DocumentName;
 use crate::membership::Node;
 use crate::process_settings::Role;
@@ -68,13 +68,15 @@
 }
 
 impl DocumentWatcher {
-    /// Asks for confirmations in rounds, [`SERVE_ASK`] apart.
+    /// Asks for confirmations in rounds, [`SERVING_LEASE_RENEWAL`] apart.
     pub(super) async fn renew_in_rounds(self: &Arc<Self>) {
         loop {
             let round_start = self.runtime.now();
             self.run_round().await;
             let elapsed = self.runtime.now() - round_start;
-            let sleep = SERVE_ASK.saturating_sub(elapsed).max(ROUND_SLEEP_MIN);
+            let sleep = SERVING_LEASE_RENEWAL
+                .saturating_sub(elapsed)
+                .max(ROUND_SLEEP_MIN);
             self.runtime.sleep(sleep).await;
         }
     }
@@ -120,7 +122,8 @@
 
     /// Whether the lease was not renewed in the last two rounds.
     fn is_running_out(&self) -> bool {
-        self.serving_until.load(SeqCst) < self.runtime.now() + SERVE_LEASE - 2 * SERVE_ASK
+        self.serving_until.load(SeqCst)
+            < self.runtime.now() + SERVING_LEASE - 2 * SERVING_LEASE_RENEWAL
     }
 
     fn poll(&self, node: Node) -> BoxFuture<'static, PollAnswer> {
@@ -131,7 +134,9 @@
             leaving_digest: 0,
         };
         Box::pin(async move {
-            let answer = peers.request(node.peer, &request, &[], SERVE_ASK).await;
+            let answer = peers
+                .request(node.peer, &request, &[], SERVING_LEASE_RENEWAL)
+                .await;
             PollAnswer {
                 node,
                 response: answer.ok().map(|(response, _)| response),
@@ -201,13 +206,13 @@
         }
         let confirmations = self.confirmations.lock().unwrap();
         let by_cores = self.confirmed_by_cores(&confirmations);
-        if by_cores.is_some_and(|since| self.runtime.now() < since + SERVE_LEASE) {
+        if by_cores.is_some_and(|since| self.runtime.now() < since + SERVING_LEASE) {
             self.is_confirmed.store(true, SeqCst);
         }
         let by_fronts = self.confirmed_by_fronts(&confirmations);
         let lease_end = by_cores
             .max(by_fronts)
-            .map_or(0, |since| since + SERVE_LEASE);
+            .map_or(0, |since| since + SERVING_LEASE);
         self.serving_until.fetch_max(lease_end, SeqCst);
         self.log_serving();
     }
--- a/yewcross-common/src/membership/clock.rs
+++ b/yewcross-common/src/membership/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! A single clock that is wrong, or jumps, does not move the median of three or more.
 
-use crate::constants::{CLOCK_KEPT, CLOCKS, MS};
+use crate::constants::{CLOCK_QUORUM, CLOCK_SAMPLE_LIFETIME, MS};
 use std::collections::BTreeMap;
 
 /// The wall clock of another node, as measured by a probe.
@@ -34,7 +34,7 @@
     /// enough clocks are known to rely on it. Drops the samples that are too old.
     pub(super) fn median(&mut self, now: u64, own_wall_clock_ms: u64) -> (u64, bool) {
         self.samples
-            .retain(|_, sample| now < sample.measured_at + CLOCK_KEPT);
+            .retain(|_, sample| now < sample.measured_at + CLOCK_SAMPLE_LIFETIME);
         let now_ms = (now / MS) as i64;
         let own_offset_ms = own_wall_clock_ms as i64 - now_ms;
         let mut offsets: Vec<i64> = self
@@ -46,6 +46,6 @@
         offsets.sort();
         let median_offset_ms = offsets[(offsets.len() - 1) / 2];
         let median_ms = (median_offset_ms + now_ms).max(0) as u64;
-        (median_ms, offsets.len() >= CLOCKS)
+        (median_ms, offsets.len() >= CLOCK_QUORUM)
     }
 }
--- a/yewcross-common/src/membership/mod.rs
+++ b/yewcross-common/src/membership/mod.rs
@@ -2,8 +2,8 @@
 //! Infection-style Process Group Membership Protocol", 2002).
 //!
 //! - **Failure detection** (`prober`): each node probes the others in rounds of random order. A
-//!   node that does not answer is probed indirectly, through `PROBE_HELPERS` other members.
-//! - **Suspicion**: a node that no probe reaches is suspect first and removed `SUSPECT_FOR` later.
+//!   node that does not answer is probed indirectly, through `INDIRECT_PROBES` other members.
+//! - **Suspicion**: a node that no probe reaches is suspect first and removed `SUSPICION_TIMEOUT` later.
 //!   It refutes the suspicion by a higher refutation count, which only the node itself raises.
 //! - **Dissemination** (`table`): recent changes are piggybacked on probes and their answers,
 //!   together with a digest of the table; where the digests differ, whole tables are exchanged
@@ -24,7 +24,7 @@
 
 pub use node::{MemberState, Node};
 
-use crate::constants::{MEMBERS_QUIET, MS, PEER_WAIT, PROBE_WAIT};
+use crate::constants::{MEMBER_LOG_DELAY, MS, PEER_REQUEST_TIMEOUT, PROBE_TIMEOUT};
 use crate::error_code::Code;
 use crate::notify::Latch;
 use crate::process_settings::{ProcessSettings, Role};
@@ -121,7 +121,7 @@
             clocks: Default::default(),
             started,
             probe_interval: settings.bounds.beat.max(PROBE_INTERVAL_MIN_MS) * MS,
-            probe_timeout: PROBE_WAIT.max(settings.bounds.beat * MS / 3),
+            probe_timeout: PROBE_TIMEOUT.max(settings.bounds.beat * MS / 3),
             replaced: Latch::default(),
             outranks_namesake: AtomicBool::new(false),
             changed: Event::new(),
@@ -279,14 +279,16 @@
             };
             self.runtime.spawn(async move {
                 // A lost update is made good by the next probe.
-                let _ = peers.request(recipient, &update, &[], PEER_WAIT).await;
+                let _ = peers
+                    .request(recipient, &update, &[], PEER_REQUEST_TIMEOUT)
+                    .await;
             });
         }
     }
 
     /// One line for all members that a starting node has met, in place of one for each.
     async fn log_members_at_start(self: Arc<Self>) {
-        let until = self.started + MEMBERS_QUIET;
+        let until = self.started + MEMBER_LOG_DELAY;
         self.runtime
             .sleep(until.saturating_sub(self.runtime.now()))
             .await;
@@ -347,7 +349,7 @@
                 nodes: vec![own_node],
             };
             // Whoever misses the announcement notices the stop by its probes.
-            let _ = peers.request(to, &request, &[], PROBE_WAIT).await;
+            let _ = peers.request(to, &request, &[], PROBE_TIMEOUT).await;
         })
     }
 }
--- a/yewcross-common/src/membership/node.rs
+++ b/yewcross-common/src/membership/node.rs
@@ -13,7 +13,7 @@
     Alive,
     /// It answered neither a direct nor an indirect probe; it still counts as a member.
     Suspect,
-    /// It stopped, or stayed suspect for `SUSPECT_FOR`; it is no member any more.
+    /// It stopped, or stayed suspect for `SUSPICION_TIMEOUT`; it is no member any more.
     #[serde(rename = "Gone")]
     Removed,
 }
--- a/yewcross-common/src/membership/prober.rs
+++ b/yewcross-common/src/membership/prober.rs
@@ -4,7 +4,8 @@
 use super::Membership;
 use super::node::{MemberState, Node};
 use crate::constants::{
-    MS, PEER_WAIT, PROBE_EVERY, PROBE_HELPERS, REJOIN_BEATS, SEED_EVERY, SEEDS_AT_ONCE,
+    INDIRECT_PROBES, MS, PEER_REQUEST_TIMEOUT, PROBE_INTERVAL, REJOIN_PROBE_INTERVALS,
+    SEED_CONTACT_INTERVAL, SEEDS_CONTACTED_AT_ONCE,
 };
 use crate::protocol::{PeerRequest, PeerResponse};
 use crate::runtime::BoxFuture;
@@ -12,7 +13,7 @@
 use std::sync::Arc;
 
 /// µs between two attempts to reach a node that is missing from the view, at least.
-const REJOIN_INTERVAL: u64 = REJOIN_BEATS * PROBE_EVERY;
+const REJOIN_INTERVAL: u64 = REJOIN_PROBE_INTERVALS * PROBE_INTERVAL;
 
 /// The nodes that are still to be probed in the current round, in random order. Each node of the
 /// view is probed once a round, which bounds the time until a failure is noticed.
@@ -64,7 +65,7 @@
     next_disk: u64,
     next_rejoin: u64,
     /// Whether nodes with disks are probed more often than the others: this node has a disk, and
-    /// the probe interval set by the operator is longer than `PROBE_EVERY`.
+    /// the probe interval set by the operator is longer than `PROBE_INTERVAL`.
     probes_disks_apart: bool,
 }
 
@@ -89,7 +90,7 @@
             disks: ProbeRound::new(&own_node.name, true),
             next_disk: 0,
             next_rejoin: self.runtime.now() + REJOIN_INTERVAL,
-            probes_disks_apart: own_node.has_disk() && self.probe_interval > PROBE_EVERY,
+            probes_disks_apart: own_node.has_disk() && self.probe_interval > PROBE_INTERVAL,
         };
         let mut is_announced = false;
         loop {
@@ -123,7 +124,7 @@
             self.probe_next(&mut schedule.all);
         }
         if schedule.probes_disks_apart && now >= schedule.next_disk {
-            schedule.next_disk = now + PROBE_EVERY;
+            schedule.next_disk = now + PROBE_INTERVAL;
             self.probe_next(&mut schedule.disks);
         }
     }
@@ -134,7 +135,7 @@
             self.clone().start_table_exchange(address);
         }
         let changed = self.changed.listen();
-        self.runtime.timeout(SEED_EVERY, changed).await;
+        self.runtime.timeout(SEED_CONTACT_INTERVAL, changed).await;
     }
 
     /// After a partition each side has removed the other, and neither probes it: one of the missing
@@ -152,7 +153,7 @@
     /// A few of the addresses at which a node may answer, drawn at random.
     fn join_candidates(&self) -> Vec<SocketAddr> {
         let mut candidates = self.known_addresses();
-        while candidates.len() > SEEDS_AT_ONCE {
+        while candidates.len() > SEEDS_CONTACTED_AT_ONCE {
             candidates.swap_remove(self.runtime.random_index(candidates.len()));
         }
         candidates
@@ -247,7 +248,7 @@
             .cloned()
             .collect();
         let mut probes: Vec<BoxFuture<'static, bool>> = vec![];
-        while !candidates.is_empty() && probes.len() < PROBE_HELPERS {
+        while !candidates.is_empty() && probes.len() < INDIRECT_PROBES {
             let index = self.runtime.random_index(candidates.len());
             let helper = candidates.swap_remove(index);
             probes.push(self.indirect_probe(helper.peer, node.peer));
@@ -280,7 +281,10 @@
     /// other one does not answer; later probes try again.
     async fn exchange_tables(&self, with: SocketAddr) {
         let request = PeerRequest::ExchangeMembership { nodes: self.all() };
-        let response = self.peers.request(with, &request, &[], PEER_WAIT).await;
+        let response = self
+            .peers
+            .request(with, &request, &[], PEER_REQUEST_TIMEOUT)
+            .await;
         if let Ok((PeerResponse::Membership { nodes }, _)) = response {
             self.merge(nodes);
         }
--- a/yewcross-common/src/membership/table.rs
+++ b/yewcross-common/src/membership/table.rs
@@ -9,7 +9,10 @@
 //! - Only the node itself raises its incarnation and its refutation count.
 
 use super::node::{MemberState, Node, table_digest};
-use crate::constants::{GONE_KEPT, MEMBERS_QUIET, NEWS_MOST, NEWS_YOUNG, SUSPECT_FOR, YOUNG};
+use crate::constants::{
+    GOSSIP_MAX_AGE, GOSSIP_MAX_NODES, MEMBER_LOG_DELAY, NEW_INCARNATION_PERIOD,
+    REMOVED_NODE_RETENTION, SUSPICION_TIMEOUT,
+};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -107,12 +110,12 @@
         let mut recent: Vec<&TableEntry> = self
             .entries
             .values()
-            .filter(|entry| now < entry.changed_at + NEWS_YOUNG)
+            .filter(|entry| now < entry.changed_at + GOSSIP_MAX_AGE)
             .collect();
         recent.sort_by_key(|entry| Reverse(entry.changed_at));
         recent
             .into_iter()
-            .take(NEWS_MOST)
+            .take(GOSSIP_MAX_NODES)
             .map(|entry| entry.node.clone())
             .collect()
     }
@@ -147,7 +150,7 @@
             // Under a clock that was ahead, an earlier process of this very node drew a higher
             // incarnation: at the same address, or just after the start, it is outbid.
             let is_earlier_process = statement.peer == own_node.peer
-                || context.now < context.started + YOUNG
+                || context.now < context.started + NEW_INCARNATION_PERIOD
                 || context.outranks_namesake;
             if !is_earlier_process || own_node.state != MemberState::Alive {
                 outcome.is_replaced = true;
@@ -179,7 +182,7 @@
         // The nodes met while this process starts are logged in one line.
         let is_met_at_start = known_state.is_none()
             && statement.state == MemberState::Alive
-            && context.now < context.started + MEMBERS_QUIET;
+            && context.now < context.started + MEMBER_LOG_DELAY;
         outcome.accepted.push(AcceptedNode {
             name: statement.name.clone(),
             state: statement.state,
@@ -239,13 +242,13 @@
                 .map(|entry| &entry.node)
         };
         ExpiredEntries {
-            suspects: older_than(MemberState::Suspect, SUSPECT_FOR)
+            suspects: older_than(MemberState::Suspect, SUSPICION_TIMEOUT)
                 .map(|node| ProcessId {
                     name: node.name.clone(),
                     incarnation: node.incarnation,
                 })
                 .collect(),
-            forgotten: older_than(MemberState::Removed, GONE_KEPT)
+            forgotten: older_than(MemberState::Removed, REMOVED_NODE_RETENTION)
                 .map(|node| node.name.clone())
                 .collect(),
         }
--- a/yewcross-common/src/protocol/load_report.rs
+++ b/yewcross-common/src/protocol/load_report.rs
@@ -1,6 +1,6 @@
 //! What model servers report of their load.
 
-use crate::constants::{REPORT_JOBS, REPORT_TOKENS, REPORT_US};
+use crate::constants::{REPORT_MAX_REQUESTS, REPORT_MAX_TOKENS, REPORT_MAX_US};
 use serde::{Deserialize, Serialize};
 
 /// What a server reports of itself.
@@ -55,12 +55,12 @@
     pub fn sane(&self) -> bool {
         [self.slots, self.running, self.waiting]
             .iter()
-            .all(|n| *n <= REPORT_JOBS)
+            .all(|n| *n <= REPORT_MAX_REQUESTS)
             && [self.prefill_us_per_1000, self.decode_us_per_token]
                 .iter()
-                .all(|n| *n <= REPORT_US)
+                .all(|n| *n <= REPORT_MAX_US)
             && [self.placed_tokens, self.cache_tokens]
                 .iter()
-                .all(|n| *n <= REPORT_TOKENS)
+                .all(|n| *n <= REPORT_MAX_TOKENS)
     }
 }
--- a/yewcross-common/src/register/client/proposer_cache.rs
+++ b/yewcross-common/src/register/client/proposer_cache.rs
@@ -3,7 +3,7 @@
 
 use super::super::proposer::Proposer;
 use super::super::{SHARDS, locate};
-use crate::constants::HELD_IDLE;
+use crate::constants::OWNED_VALUE_IDLE_TIMEOUT;
 use futures_util::lock::Mutex as AsyncMutex;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -70,7 +70,7 @@
         let is_idle = |entry: &CacheEntry| {
             entry
                 .try_lock()
-                .is_some_and(|cached| now >= cached.last_used + HELD_IDLE)
+                .is_some_and(|cached| now >= cached.last_used + OWNED_VALUE_IDLE_TIMEOUT)
         };
         let mut remaining = 0;
         for shard in &self.shards {
--- a/yewcross-common/src/register/client/read.rs
+++ b/yewcross-common/src/register/client/read.rs
@@ -7,7 +7,7 @@
 use super::super::replica_call::ReplicaCall;
 use super::rounds::Votes;
 use super::{Decided, RegisterClient, Step};
-use crate::constants::{READ_LOOK_AGAIN, READ_LOOKS};
+use crate::constants::{READ_ATTEMPTS, READ_RETRY_DELAY};
 use std::sync::Arc;
 
 /// A survey under way: all replicas of a key were asked what they have.
@@ -43,9 +43,9 @@
         // An answer that is lost must not use up the time of the next survey.
         let survey_timeout = timeout_us / 4;
         let surveys_end = self.runtime.now() + timeout_us / 2;
-        for attempt in 0..READ_LOOKS {
+        for attempt in 0..READ_ATTEMPTS {
             if attempt > 0 {
-                let backoff = READ_LOOK_AGAIN + self.runtime.random() % READ_LOOK_AGAIN;
+                let backoff = READ_RETRY_DELAY + self.runtime.random() % READ_RETRY_DELAY;
                 self.runtime.sleep(backoff).await;
             }
             let survey = self.runtime.timeout(survey_timeout, self.survey(key)).await;
--- a/yewcross-common/src/register/client/repair.rs
+++ b/yewcross-common/src/register/client/repair.rs
@@ -5,7 +5,7 @@
 use super::super::quorum::ReplicaSet;
 use super::super::replica_call::ReplicaCall;
 use super::{RegisterClient, Step};
-use crate::constants::PEER_WAIT;
+use crate::constants::PEER_REQUEST_TIMEOUT;
 use std::sync::Arc;
 
 impl RegisterClient {
@@ -42,7 +42,7 @@
         key: &str,
         may_erase: impl Fn(&[u8]) -> bool,
     ) -> Result<bool, ChangeError> {
-        self.change(key, PEER_WAIT, |_, value| {
+        self.change(key, PEER_REQUEST_TIMEOUT, |_, value| {
             if value.is_empty() || !may_erase(value) {
                 Step::Keep(value.is_empty())
             } else {
--- a/yewcross-common/src/register/placement.rs
+++ b/yewcross-common/src/register/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: which disks replicate a key.
 
 use super::quorum::{ReplicaSet, Seat};
-use crate::constants::STORE_COPIES;
+use crate::constants::RECORD_REPLICAS;
 use crate::documents::DocumentName;
 use crate::protocol::{Layout, ReplicaGroup};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
     }
 
     /// The disks out of `disks` that replicate a key, most preferred first: all of them for a
-    /// document, [`STORE_COPIES`] for any other key. No site has two replicas while another has
+    /// document, [`RECORD_REPLICAS`] for any other key. No site has two replicas while another has
     /// none; a disk of no known site counts as a site of its own.
     pub fn replicas_for<'a>(&self, key: &str, disks: &'a [String]) -> Vec<&'a str> {
         let ranked = crate::hash::ranked(key, disks.iter().map(|disk| disk.as_str()));
@@ -50,7 +50,7 @@
         first_of_site
             .into_iter()
             .chain(others)
-            .take(STORE_COPIES)
+            .take(RECORD_REPLICAS)
             .collect()
     }
 }
--- a/yewcross-common/src/register/replica.rs
+++ b/yewcross-common/src/register/replica.rs
@@ -7,7 +7,7 @@
 use super::acceptor::{self, Effect, Record, Transition};
 use super::message::{Ballot, RegisterReply, RegisterRequest};
 use super::{SHARDS, locate};
-use crate::constants::SYNC_WAIT;
+use crate::constants::SYNC_TIMEOUT;
 use crate::runtime::Runtime;
 use crate::storage::{DurableStorage, shard_folder};
 use futures_util::lock::Mutex;
@@ -205,7 +205,7 @@
             // Nobody receives the answer if it came too late.
             let _ = sender.try_send(replica.handle_exclusively(request, blob).await);
         });
-        match self.runtime.timeout(SYNC_WAIT, receiver.recv()).await {
+        match self.runtime.timeout(SYNC_TIMEOUT, receiver.recv()).await {
             Some(Ok(answer)) => answer,
             _ => (RegisterReply::Away, vec![]),
         }
--- a/yewcross-common/src/register/replica_call.rs
+++ b/yewcross-common/src/register/replica_call.rs
@@ -4,7 +4,7 @@
 use super::proposer::Vote;
 use super::quorum::Seat;
 use super::replica::Replica;
-use crate::constants::{PEER_WAIT, WIRE_DELTAS, WIRE_NAMED_DISKS};
+use crate::constants::{PEER_REQUEST_TIMEOUT, WIRE_DELTAS, WIRE_NAMED_DISKS};
 use crate::protocol::{PeerRequest, PeerResponse};
 use crate::transport::PeerClient;
 use std::net::SocketAddr;
@@ -89,7 +89,10 @@
     } else {
         PeerRequest::UnnamedRegister(request)
     };
-    match peers.request(address, &question, blob, PEER_WAIT).await {
+    match peers
+        .request(address, &question, blob, PEER_REQUEST_TIMEOUT)
+        .await
+    {
         Ok((PeerResponse::Register { disk: from, reply }, value)) if from == disk => (reply, value),
         Ok((PeerResponse::Register { .. } | PeerResponse::OtherDisk { .. }, _)) => {
             (RegisterReply::OtherDisk, vec![])
--- a/yewcross-common/src/runtime/os/disk_threads.rs
+++ b/yewcross-common/src/runtime/os/disk_threads.rs
@@ -1,6 +1,6 @@
 //! Threads for operations that wait for the disk, apart from those that run tasks.
 
-use crate::constants::DISK_HANDS;
+use crate::constants::DISK_THREADS;
 use async_channel::{Receiver, Sender};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -10,7 +10,7 @@
 
 pub(super) type DiskOperation = Box<dyn FnOnce() + Send>;
 
-/// Up to `DISK_HANDS` threads. They start when they are needed and then stay.
+/// Up to `DISK_THREADS` threads. They start when they are needed and then stay.
 pub(super) struct DiskThreads {
     sender: Sender<DiskOperation>,
     receiver: Receiver<DiskOperation>,
@@ -33,8 +33,8 @@
     pub(super) fn run(&self, operation: DiskOperation) {
         let has_idle_thread = self.idle.load(SeqCst) > self.sender.len();
         if !has_idle_thread
-            && self.started.load(SeqCst) < DISK_HANDS
-            && self.started.fetch_add(1, SeqCst) < DISK_HANDS
+            && self.started.load(SeqCst) < DISK_THREADS
+            && self.started.fetch_add(1, SeqCst) < DISK_THREADS
         {
             self.start_thread();
         }
--- a/yewcross-common/src/runtime/os/tcp.rs
+++ b/yewcross-common/src/runtime/os/tcp.rs
@@ -1,6 +1,6 @@
 //! TCP sockets of the operating system, watched by the reactor.
 
-use crate::constants::{BACKLOG, SILENT, SILENT_ASK};
+use crate::constants::{ACCEPT_BACKLOG, KEEPALIVE_INTERVAL, SEND_TIMEOUT};
 use crate::runtime::reactor::{Direction, Reactor, WatchedSocket};
 use crate::runtime::{BoxFuture, ByteStream, Connection, Listener};
 use mio::Interest;
@@ -110,8 +110,8 @@
     let socket = new_socket(to)?;
     set_stream_options(SockRef::from(&socket))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(Duration::from_micros(SILENT_ASK))
-        .with_interval(Duration::from_micros(SILENT_ASK));
+        .with_time(Duration::from_micros(KEEPALIVE_INTERVAL))
+        .with_interval(Duration::from_micros(KEEPALIVE_INTERVAL));
     socket.set_tcp_keepalive(&keepalive)?;
     match socket.connect(&to.into()) {
         Err(error) if !is_in_progress(&error) => Err(error),
@@ -128,7 +128,7 @@
     let socket = new_socket(at)?;
     socket.set_reuse_address(true)?;
     socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     let listener = TcpListener::from_std(socket.into());
     let socket = reactor.watch(listener, Interest::READABLE)?;
     Ok(Box::new(OsTcpListener { socket, reactor }))
@@ -146,5 +146,5 @@
 /// was sent, or does not answer keepalive probes.
 fn set_stream_options(socket: SockRef<'_>) -> io::Result<()> {
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(Duration::from_micros(SILENT)))
+    socket.set_tcp_user_timeout(Some(Duration::from_micros(SEND_TIMEOUT)))
 }
--- a/yewcross-common/src/storage.rs
+++ b/yewcross-common/src/storage.rs
@@ -7,7 +7,7 @@
 //! The disk's identity is written last, once the folders whose contents it vouches for are named on
 //! the disk, and is void where one of them is missing later.
 
-use crate::constants::{DISK_FORMAT, DISK_PROBE, KEY_SHARDS};
+use crate::constants::{DISK_FORMAT, DISK_PROBE_BYTES, KEY_SHARDS};
 use crate::runtime::Runtime;
 use event_listener::Event;
 use snafu::Snafu;
@@ -372,7 +372,9 @@
     /// Whether the disk takes and syncs a file of usual size again.
     pub async fn probe(&self) -> io::Result<()> {
         let path = format!("{LOCAL_FOLDER}/.probe");
-        self.runtime.write_file(&path, vec![0; DISK_PROBE]).await?;
+        self.runtime
+            .write_file(&path, vec![0; DISK_PROBE_BYTES])
+            .await?;
         self.runtime.sync(&path).await?;
         self.runtime.remove(&path).await?;
         self.runtime.sync(LOCAL_FOLDER).await
--- a/yewcross-common/src/streaming_http/server.rs
+++ b/yewcross-common/src/streaming_http/server.rs
@@ -4,7 +4,7 @@
 use super::tracker::ConnectionTracker;
 use super::{Body, full};
 use crate::configuration::route::Limits;
-use crate::constants::{CALLERS_MAX, LAST_LOOK, MS};
+use crate::constants::{CLOSING_LINGER, MAX_CALLER_CONNECTIONS, MS};
 use crate::runtime::{BoxFuture, Connection, Listener, Runtime};
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -116,7 +116,12 @@
     })
     .await;
     // What the caller sends at this very moment is still served.
-    if !has_ended && runtime.timeout(LAST_LOOK, serving.as_mut()).await.is_none() {
+    if !has_ended
+        && runtime
+            .timeout(CLOSING_LINGER, serving.as_mut())
+            .await
+            .is_none()
+    {
         serving.as_mut().graceful_shutdown();
         let _ = serving.await;
     }
@@ -152,14 +157,14 @@
             })
             .await;
         match accepted {
-            Some(Ok(connection)) if tracker.open() <= CALLERS_MAX => start(connection),
+            Some(Ok(connection)) if tracker.open() <= MAX_CALLER_CONNECTIONS => start(connection),
             // Beyond that many, connections are closed at once.
             Some(Ok(connection)) => drop(connection),
             Some(Err(_)) => runtime.sleep(ACCEPT_BACKOFF).await,
             None => break,
         }
     }
-    while let Some(Ok(connection)) = runtime.timeout(LAST_LOOK, listener.accept()).await {
+    while let Some(Ok(connection)) = runtime.timeout(CLOSING_LINGER, listener.accept()).await {
         start(connection);
     }
     drop(listener);
--- a/yewcross-common/src/transport/client.rs
+++ b/yewcross-common/src/transport/client.rs
@@ -3,7 +3,7 @@
 use super::connection::{PeerConnection, WRITE_QUEUE};
 use super::frame::{Envelope, pack};
 use super::metrics::TransportMetrics;
-use crate::constants::{DIAL_WAIT, LINK_DOUBT, LINK_SILENT, WIRE_OLDEST};
+use crate::constants::{CONNECT_TIMEOUT, LINK_SUSPECT_AFTER, PEER_SEND_TIMEOUT, WIRE_OLDEST};
 use crate::protocol::{PeerRequest, PeerResponse};
 use crate::runtime::{Connection, FrameFault, Runtime};
 use async_channel::{Receiver, Sender};
@@ -199,10 +199,10 @@
         }
         let stream = self
             .runtime
-            .connect_within(to, DIAL_WAIT)
+            .connect_within(to, CONNECT_TIMEOUT)
             .await
             .map_err(|_| SendError::NotSent)?;
-        stream.set_send_timeout(LINK_SILENT);
+        stream.set_send_timeout(PEER_SEND_TIMEOUT);
         let (sender, outgoing) = async_channel::bounded::<Vec<u8>>(WRITE_QUEUE);
         let opened = Arc::new(PeerConnection::new(sender, self.runtime.now()));
         // Another request may have connected meanwhile: its connection is used, and this one ends.
@@ -256,14 +256,14 @@
         connection: &Arc<PeerConnection>,
         request_started: u64,
     ) {
-        let is_in_doubt = self.runtime.now() >= request_started + LINK_DOUBT;
+        let is_in_doubt = self.runtime.now() >= request_started + LINK_SUSPECT_AFTER;
         if !is_in_doubt || !connection.is_silent_since(request_started) {
             return;
         }
         if self.detach(to, connection) {
             let (runtime, connection) = (self.runtime.clone(), connection.clone());
             self.runtime.spawn(async move {
-                runtime.sleep(LINK_SILENT).await;
+                runtime.sleep(PEER_SEND_TIMEOUT).await;
                 connection.outgoing.close();
             });
         }
--- a/yewcross-common/src/transport/connection.rs
+++ b/yewcross-common/src/transport/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a peer, shared by the requests in flight on it.
 
 use super::frame::{Envelope, read_frame, unpack};
-use crate::constants::LINK_READ;
+use crate::constants::PEER_READ_BUFFER_BYTES;
 use crate::runtime::{Connection, Runtime};
 use async_channel::{Receiver, Sender};
 use futures_lite::AsyncWriteExt;
@@ -59,7 +59,7 @@
         newest_version: u16,
     ) {
         let mut writer = stream.clone();
-        let mut reader = BufReader::with_capacity(LINK_READ, stream.clone());
+        let mut reader = BufReader::with_capacity(PEER_READ_BUFFER_BYTES, stream.clone());
         let read = self.read_responses(runtime, &mut reader, newest_version);
         let write = write_frames(outgoing, &mut writer);
         futures_lite::future::or(read, write).await;
--- a/yewcross-common/src/transport/frame.rs
+++ b/yewcross-common/src/transport/frame.rs
@@ -1,7 +1,7 @@
 //! The bytes of one message between processes: a Cap'n Proto `Frame`.
 
 use super::frame_capnp::frame;
-use crate::constants::{FRAME_MAX, WIRE_OLDEST};
+use crate::constants::{MAX_FRAME_BYTES, WIRE_OLDEST};
 use capnp::message::ReaderOptions;
 use futures_lite::io::AsyncRead;
 use serde::Deserialize;
@@ -82,7 +82,7 @@
 
 fn reader_options() -> ReaderOptions {
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(FRAME_MAX / WORD_BYTES));
+    options.traversal_limit_in_words(Some(MAX_FRAME_BYTES / WORD_BYTES));
     options
 }
 
--- a/yewcross-common/src/transport/server.rs
+++ b/yewcross-common/src/transport/server.rs
@@ -3,7 +3,7 @@
 use super::client::PeerClient;
 use super::connection::{WRITE_QUEUE, write_frames};
 use super::frame::{DecodedFrame, Envelope, pack, read_frame, unpack};
-use crate::constants::{LINK_READ, LINK_SILENT, MS};
+use crate::constants::{MS, PEER_READ_BUFFER_BYTES, PEER_SEND_TIMEOUT};
 use crate::runtime::{BoxFuture, Connection, Listener};
 use async_channel::Sender;
 use futures_lite::io::BufReader;
@@ -52,8 +52,8 @@
         handler: Arc<dyn RequestHandler>,
     ) {
         let (replies, outgoing) = async_channel::bounded::<Vec<u8>>(WRITE_QUEUE);
-        connection.set_send_timeout(LINK_SILENT);
-        let mut reader = BufReader::with_capacity(LINK_READ, connection.clone());
+        connection.set_send_timeout(PEER_SEND_TIMEOUT);
+        let mut reader = BufReader::with_capacity(PEER_READ_BUFFER_BYTES, connection.clone());
         let mut writer = connection;
         let read = self.read_requests(&mut reader, &replies, &handler);
         let write = write_frames(&outgoing, &mut writer);
--- a/yewcross-common/src/turn_log/client/cache.rs
+++ b/yewcross-common/src/turn_log/client/cache.rs
@@ -1,6 +1,6 @@
 //! What a proxy remembers of turns and owners, so that it need not ask the stores.
 
-use crate::constants::CHAIN_OWNERS;
+use crate::constants::CACHED_LEDGER_OWNERS;
 use crate::turn_log::messages::StoredTurn;
 use lru::LruCache;
 use std::num::NonZeroUsize;
@@ -35,7 +35,7 @@
 
 impl TurnCache {
     pub(super) fn new(turn_bytes_limit: usize) -> TurnCache {
-        let programs = NonZeroUsize::new(CHAIN_OWNERS).unwrap_or(NonZeroUsize::MIN);
+        let programs = NonZeroUsize::new(CACHED_LEDGER_OWNERS).unwrap_or(NonZeroUsize::MIN);
         TurnCache {
             turns: LruCache::unbounded(),
             turn_bytes: 0,
--- a/yewcross-common/src/turn_log/client/mod.rs
+++ b/yewcross-common/src/turn_log/client/mod.rs
@@ -11,7 +11,7 @@
 mod settlement;
 mod write;
 
-use crate::constants::CHAIN_HAND;
+use crate::constants::TURN_CACHE_BYTES;
 use crate::documents::cache::DocumentCache;
 use crate::membership::Membership;
 use crate::process_settings::ProcessSettings;
@@ -99,10 +99,10 @@
 
 fn cache_bytes(settings: &ProcessSettings) -> usize {
     if settings.bounds.memory_mb == 0 {
-        return CHAIN_HAND;
+        return TURN_CACHE_BYTES;
     }
     let share = (settings.bounds.memory_mb as usize) << CACHE_BYTES_PER_MB_SHIFT;
-    share.min(CHAIN_HAND)
+    share.min(TURN_CACHE_BYTES)
 }
 
 impl TurnLogService for TurnLogClient {
--- a/yewcross-common/src/turn_log/client/open.rs
+++ b/yewcross-common/src/turn_log/client/open.rs
@@ -1,6 +1,6 @@
 //! Opens a turn at the store that owns its program's ledger.
 
-use crate::constants::{CHAIN_AGAIN, CHAIN_MUTE, CHAIN_SPARE};
+use crate::constants::{STORE_HEDGE_DELAY, STORE_RETRY_DELAY, STORE_UNRESPONSIVE_HEDGES};
 use crate::turn_log::client::Inner;
 use crate::turn_log::client::settlement::SettleOnDrop;
 use crate::turn_log::messages::{StoredTurn, TurnLogOperation, TurnLogResponse};
@@ -76,7 +76,7 @@
             let Some(disk) = self.next_store(open, &replicas, &mut attempts) else {
                 attempts.tried.clear();
                 runtime
-                    .sleep(CHAIN_AGAIN + runtime.random() % CHAIN_AGAIN)
+                    .sleep(STORE_RETRY_DELAY + runtime.random() % STORE_RETRY_DELAY)
                     .await;
                 continue;
             };
@@ -180,10 +180,11 @@
         };
         let watch = async {
             for waits in 1.. {
-                runtime.sleep(CHAIN_SPARE).await;
+                runtime.sleep(STORE_HEDGE_DELAY).await;
                 self.stores.mark_slow(disk);
                 let is_gone = !self.stores.is_alive(disk)
-                    || (waits >= CHAIN_MUTE && self.stores.has_not_answered_since(disk, sent_us));
+                    || (waits >= STORE_UNRESPONSIVE_HEDGES
+                        && self.stores.has_not_answered_since(disk, sent_us));
                 if is_gone {
                     break;
                 }
--- a/yewcross-common/src/turn_log/client/settlement.rs
+++ b/yewcross-common/src/turn_log/client/settlement.rs
@@ -1,6 +1,6 @@
 //! Counts what a turn used that was not stored, in the background.
 
-use crate::constants::{CHAIN_AGAIN, CHAIN_SETTLE, SEC};
+use crate::constants::{SEC, SETTLEMENT_RETRY_PERIOD, STORE_RETRY_DELAY};
 use crate::turn_log::OpenTurn;
 use crate::turn_log::client::Inner;
 use crate::turn_log::client::write::{TurnWrite, end_of_turn};
@@ -61,8 +61,8 @@
 
     async fn run_settlement(self: &Arc<Self>, open: OpenTurn, used_tokens: u64) {
         let runtime = &self.stores.runtime;
-        let end_us = runtime.now() + CHAIN_SETTLE;
-        let mut backoff_us = CHAIN_AGAIN;
+        let end_us = runtime.now() + SETTLEMENT_RETRY_PERIOD;
+        let mut backoff_us = STORE_RETRY_DELAY;
         let mut written = BTreeSet::new();
         while runtime.now() < end_us {
             let write = TurnWrite {
--- a/yewcross-common/src/turn_log/client/write.rs
+++ b/yewcross-common/src/turn_log/client/write.rs
@@ -1,6 +1,8 @@
 //! Stores an answered turn, and the tokens that it used, on a write quorum of disks.
 
-use crate::constants::{CHAIN_AGAIN, CHAIN_SPARE, LEDGER_KEPT, PEER_WAIT};
+use crate::constants::{
+    LEDGER_RETENTION_MS, PEER_REQUEST_TIMEOUT, STORE_HEDGE_DELAY, STORE_RETRY_DELAY,
+};
 use crate::runtime::BoxFuture;
 use crate::turn_log::client::Inner;
 use crate::turn_log::client::settlement::SettleOnDrop;
@@ -16,10 +18,10 @@
 use std::sync::atomic::Ordering::Relaxed;
 
 /// Longest wait for one disk, us: it may have to be sent the chain before the turn, too.
-const WRITE_TIMEOUT_US: u64 = if PEER_WAIT > 4 * CHAIN_SPARE {
-    PEER_WAIT
+const WRITE_TIMEOUT_US: u64 = if PEER_REQUEST_TIMEOUT > 4 * STORE_HEDGE_DELAY {
+    PEER_REQUEST_TIMEOUT
 } else {
-    4 * CHAIN_SPARE
+    4 * STORE_HEDGE_DELAY
 };
 
 /// Requests to one disk: the turn alone, then with the chain before it.
@@ -60,7 +62,7 @@
     LedgerRecord {
         program: open.program.clone(),
         entries: vec![(open.turn.clone(), LedgerEntry::Done(used_tokens))],
-        retain_ms: retain_ms.max(LEDGER_KEPT),
+        retain_ms: retain_ms.max(LEDGER_RETENTION_MS),
         ..Default::default()
     }
 }
@@ -166,7 +168,7 @@
                 self.stores.catch_up(outcome.newer_layout).await;
             } else {
                 runtime
-                    .sleep(CHAIN_AGAIN + runtime.random() % CHAIN_AGAIN)
+                    .sleep(STORE_RETRY_DELAY + runtime.random() % STORE_RETRY_DELAY)
                     .await;
             }
         }
--- a/yewcross-common/src/turn_log/gather.rs
+++ b/yewcross-common/src/turn_log/gather.rs
@@ -1,6 +1,6 @@
 //! Asks stores for the same thing until enough of them have answered.
 
-use crate::constants::CHAIN_SPARE;
+use crate::constants::STORE_HEDGE_DELAY;
 use crate::runtime::BoxFuture;
 use crate::turn_log::messages::TurnLogResponse;
 use crate::turn_log::store_client::StoreClient;
@@ -81,7 +81,7 @@
         if self.remaining.len() == 0 {
             remaining_us
         } else {
-            remaining_us.min(CHAIN_SPARE)
+            remaining_us.min(STORE_HEDGE_DELAY)
         }
     }
 
--- a/yewcross-common/src/turn_log/store_client.rs
+++ b/yewcross-common/src/turn_log/store_client.rs
@@ -1,7 +1,7 @@
 //! Sends requests to stores, and remembers which of them are slow. Used by proxies, and by stores
 //! among themselves.
 
-use crate::constants::{CHAIN_AGAIN, CHAIN_SLOW};
+use crate::constants::{STORE_RETRY_DELAY, STORE_SLOW_PERIOD};
 use crate::documents::cache::DocumentCache;
 use crate::documents::watcher::DocumentWatcher;
 use crate::hash::ranked;
@@ -106,7 +106,7 @@
             self.unresponsive_until_us
                 .lock()
                 .unwrap()
-                .insert(disk.into(), self.runtime.now() + CHAIN_SLOW);
+                .insert(disk.into(), self.runtime.now() + STORE_SLOW_PERIOD);
         }
         is_silent
     }
@@ -119,7 +119,7 @@
             .slow_until_us
             .lock()
             .unwrap()
-            .insert(disk.into(), now_us + CHAIN_SLOW);
+            .insert(disk.into(), now_us + STORE_SLOW_PERIOD);
         if earlier_until_us.is_none_or(|until_us| until_us < now_us)
             && let Some(node) = self.node(disk)
         {
@@ -205,7 +205,7 @@
             self.watcher.fetch("layout", layout_version - 1).await;
         }
         if self.documents.layout.load().0 < layout_version {
-            self.runtime.sleep(CHAIN_AGAIN).await;
+            self.runtime.sleep(STORE_RETRY_DELAY).await;
         }
     }
 }
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -11,7 +11,7 @@
 use crate::Control;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
-use yewcross_common::constants::{PEER_WAIT, PUSH_EVERY};
+use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, PUBLISH_INTERVAL};
 use yewcross_common::documents::cache::DocumentVersion;
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
@@ -85,7 +85,7 @@
     control.runtime.spawn(async move {
         while let Some(announcement) = next_announcement(&publisher, name) {
             send_to_all(&publisher, announcement);
-            publisher.runtime.sleep(PUSH_EVERY).await;
+            publisher.runtime.sleep(PUBLISH_INTERVAL).await;
         }
     });
 }
@@ -191,7 +191,7 @@
                 };
                 control
                     .peers
-                    .request(node.peer, &request, &[], PEER_WAIT)
+                    .request(node.peer, &request, &[], PEER_REQUEST_TIMEOUT)
                     .await
                     .is_ok()
             }
@@ -229,7 +229,7 @@
     };
     match control
         .peers
-        .request(node.peer, &request, &change.delta, PEER_WAIT)
+        .request(node.peer, &request, &change.delta, PEER_REQUEST_TIMEOUT)
         .await
     {
         Ok((PeerResponse::DocumentApplied { version: applied }, _)) if applied >= version => true,
@@ -259,7 +259,7 @@
     for _ in 0..FULL_SEND_ATTEMPTS {
         match control
             .peers
-            .request(node.peer, &request, &document.content, PEER_WAIT)
+            .request(node.peer, &request, &document.content, PEER_REQUEST_TIMEOUT)
             .await
         {
             Ok(_) => return true,
--- a/yewcross-control/src/config/document_requests.rs
+++ b/yewcross-control/src/config/document_requests.rs
@@ -5,7 +5,7 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::PEER_WAIT;
+use yewcross_common::constants::PEER_REQUEST_TIMEOUT;
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Role;
@@ -119,7 +119,8 @@
     if !control.has_quorum_contact() {
         return rejected(Code::NoMajority);
     }
-    let Ok((version, epoch, content)) = control.registers.newest(name, PEER_WAIT).await else {
+    let Ok((version, epoch, content)) = control.registers.newest(name, PEER_REQUEST_TIMEOUT).await
+    else {
         return rejected(Code::NoMajority);
     };
     if version > 0 {
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -3,7 +3,9 @@
 use crate::{Control, proposer};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use yewcross_common::constants::{DOCUMENT_LATE, DOCUMENT_LATE_MOST, DOCUMENT_LOOK, PEER_WAIT};
+use yewcross_common::constants::{
+    LATE_DOCUMENT_DELAY, LATE_DOCUMENT_DELAY_MAX, LATE_DOCUMENT_POLL_INTERVAL, PEER_REQUEST_TIMEOUT,
+};
 use yewcross_common::documents::cache::DOCS;
 
 /// When a late document is fetched next.
@@ -28,7 +30,7 @@
 pub async fn fetch_late_documents(control: Arc<Control>) {
     let mut schedules: BTreeMap<&str, FetchSchedule> = BTreeMap::new();
     loop {
-        control.runtime.sleep(DOCUMENT_LOOK).await;
+        control.runtime.sleep(LATE_DOCUMENT_POLL_INTERVAL).await;
         for name in DOCS {
             let applied = control.documents.document(name).version;
             if newest_known_version(&control, name).await <= applied {
@@ -36,17 +38,17 @@
                 continue;
             }
             let now = control.runtime.now();
-            let first_wait = if applied == 0 { 0 } else { DOCUMENT_LATE };
+            let first_wait = if applied == 0 { 0 } else { LATE_DOCUMENT_DELAY };
             let schedule = schedules.entry(name).or_insert(FetchSchedule {
                 next_at: now + first_wait,
-                backoff: DOCUMENT_LATE,
+                backoff: LATE_DOCUMENT_DELAY,
             });
             if now < schedule.next_at || !control.has_quorum_contact() {
                 continue;
             }
             fetch(&control, name).await;
             schedule.next_at = control.runtime.now() + schedule.backoff;
-            schedule.backoff = (2 * schedule.backoff).min(DOCUMENT_LATE_MOST);
+            schedule.backoff = (2 * schedule.backoff).min(LATE_DOCUMENT_DELAY_MAX);
         }
     }
 }
@@ -62,7 +64,9 @@
 }
 
 async fn fetch(control: &Arc<Control>, name: &str) {
-    if let Ok((version, epoch, content)) = proposer::newest(control, name, PEER_WAIT).await {
+    if let Ok((version, epoch, content)) =
+        proposer::newest(control, name, PEER_REQUEST_TIMEOUT).await
+    {
         if version > 0 {
             control
                 .documents
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -16,7 +16,8 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::configuration::InvalidSetting;
 use yewcross_common::constants::{
-    MS, ORDERS_KEPT, ORDERS_KEPT_ACKS, ORDERS_KEPT_MOST, ORDERS_KEPT_MS, ORDERS_WAITING,
+    MS, ORDER_QUEUE_LIMIT, RETAINED_ORDERS_ACK_TIMES, RETAINED_ORDERS_MAX, RETAINED_ORDERS_MIN,
+    RETAINED_ORDERS_MS,
 };
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Bounds;
@@ -36,10 +37,10 @@
     /// Names this attempt, not the order: a repeat has another.
     pub attempt: &'a str,
     /// ms since 1970 by the median of the known clocks. Where few are known it may be wrong:
-    /// digests may then be dropped early, down to `ORDERS_KEPT`, or stay, up to
-    /// `ORDERS_KEPT_MOST`.
+    /// digests may then be dropped early, down to `RETAINED_ORDERS_MIN`, or stay, up to
+    /// `RETAINED_ORDERS_MAX`.
     pub now_ms: u64,
-    /// ms that digests of taken orders are kept at least, as far as `ORDERS_KEPT_MOST` allows.
+    /// ms that digests of taken orders are kept at least, as far as `RETAINED_ORDERS_MAX` allows.
     pub kept_ms: u64,
 }
 
@@ -180,7 +181,9 @@
         .iter()
         .take_while(|taken| taken.taken_ms + kept_ms >= now_ms)
         .count();
-    young.clamp(ORDERS_KEPT, ORDERS_KEPT_MOST).min(orders.len())
+    young
+        .clamp(RETAINED_ORDERS_MIN, RETAINED_ORDERS_MAX)
+        .min(orders.len())
 }
 
 /// The digests of taken orders, newest first. Documents written before `orders` was added hold them
@@ -207,7 +210,7 @@
 /// ms that digests of taken orders are kept: an operator asks again for a few times the time for an
 /// answer.
 pub fn kept_ms(bounds: &Bounds) -> u64 {
-    ORDERS_KEPT_MS.max(bounds.ack.saturating_mul(ORDERS_KEPT_ACKS))
+    RETAINED_ORDERS_MS.max(bounds.ack.saturating_mul(RETAINED_ORDERS_ACK_TIMES))
 }
 
 /// us. An order that finds no majority is answered within this, so that the operator tries another
@@ -349,7 +352,7 @@
     text: &str,
     timeout: u64,
 ) -> Option<PutAnswer> {
-    if control.counters.orders_waiting.fetch_add(1, SeqCst) >= ORDERS_WAITING as u64 {
+    if control.counters.orders_waiting.fetch_add(1, SeqCst) >= ORDER_QUEUE_LIMIT as u64 {
         control.counters.orders_waiting.fetch_sub(1, SeqCst);
         return Some(PutAnswer::Busy);
     }
--- a/yewcross-control/src/config/put.rs
+++ b/yewcross-control/src/config/put.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::configuration::{Configuration, InvalidSetting};
-use yewcross_common::constants::{PAST_KEPT, PEER_WAIT, PUT_WAIT};
+use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, PUT_TIMEOUT, RETAINED_VERSIONS};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ConfigDoc;
 use yewcross_common::register::{ChangeError, Step};
@@ -131,7 +131,7 @@
     let nodes = control.members.view.load_full();
     let decision = control
         .registers
-        .change("config", PUT_WAIT, |version, value| {
+        .change("config", PUT_TIMEOUT, |version, value| {
             let in_force_version = control.in_force_version.load(SeqCst);
             decide_put(version, value, &attempt, in_force_version, |front| {
                 nodes.contains_key(front)
@@ -153,7 +153,8 @@
 
 /// Rolls the newest version out: the stored one, or one that followed and has it among its past.
 async fn roll_out_newest(control: &Arc<Control>, version: u64) -> Result<u64, PutError> {
-    let Ok((newest, epoch, content)) = control.registers.read("config", PEER_WAIT).await else {
+    let Ok((newest, epoch, content)) = control.registers.read("config", PEER_REQUEST_TIMEOUT).await
+    else {
         return Err(PutError::NotYetInForce { version });
     };
     if roll_out(control, "config", newest, epoch, &content).await {
@@ -213,7 +214,7 @@
     let mut past = document.past.clone();
     if version > 0 {
         past.insert(0, (version, document.put_id.clone(), document.text.clone()));
-        past.truncate(PAST_KEPT);
+        past.truncate(RETAINED_VERSIONS);
     }
     ConfigDoc {
         text: attempt.text.into(),
@@ -228,9 +229,9 @@
 /// a version that it has dropped could not be asked any more.
 fn find_lost_version(document: &ConfigDoc, in_force_version: u64) -> Option<InvalidSetting> {
     let (oldest, _, _) = document.past.last()?;
-    let is_lost = document.past.len() == PAST_KEPT && *oldest > in_force_version;
+    let is_lost = document.past.len() == RETAINED_VERSIONS && *oldest > in_force_version;
     is_lost.then(|| InvalidSetting {
         path: "fronts".into(),
-        why: format!("none of the last {PAST_KEPT} versions is proved in force"),
+        why: format!("none of the last {RETAINED_VERSIONS} versions is proved in force"),
     })
 }
--- a/yewcross-control/src/config/read.rs
+++ b/yewcross-control/src/config/read.rs
@@ -3,7 +3,7 @@
 use crate::api::ReadAnswer;
 use crate::{Control, proposer};
 use std::sync::Arc;
-use yewcross_common::constants::READ_BACK_WITHIN;
+use yewcross_common::constants::READ_BACK_TIMEOUT;
 use yewcross_common::protocol::ConfigDoc;
 
 /// The newest decided configuration. Linearizable with the orders: a majority of the core disks is
@@ -12,7 +12,8 @@
     if control.documents.layout.load().0 == 0 {
         return ReadAnswer::Away;
     }
-    let Ok((version, epoch, content)) = proposer::newest(control, "config", READ_BACK_WITHIN).await
+    let Ok((version, epoch, content)) =
+        proposer::newest(control, "config", READ_BACK_TIMEOUT).await
     else {
         return ReadAnswer::Away;
     };
--- a/yewcross-control/src/config/rollout.rs
+++ b/yewcross-control/src/config/rollout.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{MS, PEER_WAIT, PUT_WAIT};
+use yewcross_common::constants::{MS, PEER_REQUEST_TIMEOUT, PUT_TIMEOUT};
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse};
@@ -50,7 +50,7 @@
 }
 
 /// Sends a decided document to every node. Of a configuration: `true` once no front can serve by
-/// an older one, `false` where that was not seen within `PUT_WAIT`. Of the other documents: `true`
+/// an older one, `false` where that was not seen within `PUT_TIMEOUT`. Of the other documents: `true`
 /// at once.
 pub async fn roll_out(
     control: &Arc<Control>,
@@ -68,7 +68,7 @@
         version,
         epoch,
         content: content.clone(),
-        deadline: control.runtime.now() + PUT_WAIT,
+        deadline: control.runtime.now() + PUT_TIMEOUT,
     });
     let acknowledgements = rollout.publish_to_all();
     if name != "config" {
@@ -128,7 +128,7 @@
             let answer = self
                 .control
                 .peers
-                .request(node.peer, &request, &self.content, PEER_WAIT)
+                .request(node.peer, &request, &self.content, PEER_REQUEST_TIMEOUT)
                 .await;
             match answer {
                 Ok((PeerResponse::DocumentApplied { version }, _)) if version >= self.version => {
@@ -190,7 +190,7 @@
         let answer = self
             .control
             .peers
-            .request(core, &request, &[], PEER_WAIT)
+            .request(core, &request, &[], PEER_REQUEST_TIMEOUT)
             .await;
         answer.ok().map(|(response, _)| response)
     }
@@ -241,7 +241,9 @@
         for core in others {
             let (peers, request) = (self.control.peers.clone(), request.clone());
             self.control.runtime.spawn(async move {
-                let _ = peers.request(core.peer, &request, &[], PEER_WAIT).await;
+                let _ = peers
+                    .request(core.peer, &request, &[], PEER_REQUEST_TIMEOUT)
+                    .await;
             });
         }
     }
--- a/yewcross-control/src/config/rollout_progress.rs
+++ b/yewcross-control/src/config/rollout_progress.rs
@@ -2,7 +2,7 @@
 
 use super::serving_leases::SERVING_LEASE_MARGIN;
 use std::collections::{BTreeMap, BTreeSet};
-use yewcross_common::constants::SERVE_LEASE;
+use yewcross_common::constants::SERVING_LEASE;
 use yewcross_common::register::majority;
 
 /// What a rollout knows of fronts and cores. All times are us of the rolling process's clock.
@@ -64,7 +64,8 @@
         let majority_since = *self.majority_since.get_or_insert(now);
         self.lease_reports >= self.required_lease_reports
             && self.is_each_lease_settled(now)
-            && (self.has_every_front() || now > majority_since + SERVE_LEASE + SERVING_LEASE_MARGIN)
+            && (self.has_every_front()
+                || now > majority_since + SERVING_LEASE + SERVING_LEASE_MARGIN)
     }
 
     fn has_majority_of_each_group(&self) -> bool {
--- a/yewcross-control/src/config/serving_leases.rs
+++ b/yewcross-control/src/config/serving_leases.rs
@@ -7,7 +7,7 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{MS, SERVE_LEASE};
+use yewcross_common::constants::{MS, SERVING_LEASE};
 use yewcross_common::protocol::PeerResponse;
 
 /// us. A granter counts a lease as running for this much longer than its holder does, for the time
@@ -16,7 +16,7 @@
 
 /// Grants or renews the lease of a front.
 pub(super) fn grant(control: &Control, front: &str) {
-    let expires_at = control.runtime.now() + SERVE_LEASE + SERVING_LEASE_MARGIN;
+    let expires_at = control.runtime.now() + SERVING_LEASE + SERVING_LEASE_MARGIN;
     control
         .serving_leases
         .lock()
--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{DISK_RETRY, MS};
+use yewcross_common::constants::{DISK_RETRY_INTERVAL, MS};
 
 /// What an attempt to restore the disk came to.
 enum Outcome {
@@ -46,7 +46,7 @@
 /// Retries until the disk is restored; `false` where only a restart helps.
 async fn restore_until_done(control: &Arc<Control>) -> bool {
     loop {
-        control.runtime.sleep(DISK_RETRY).await;
+        control.runtime.sleep(DISK_RETRY_INTERVAL).await;
         let failures = control.storage.failures.load(SeqCst);
         match restore(control).await {
             Ok(Outcome::OtherDisk) => return false,
--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -6,7 +6,7 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{MS, PEER_WAIT, SEC, SWEEP_PAUSE, SWEEP_REST};
+use yewcross_common::constants::{MS, PEER_REQUEST_TIMEOUT, SEC, SWEEP_INTERVAL, SWEEP_PAUSE};
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 
@@ -55,7 +55,10 @@
     loop {
         let layout_changed = control.documents.changed.listen();
         let Some(assignment) = Assignment::of_this_disk(&control) else {
-            control.runtime.timeout(SWEEP_REST, layout_changed).await;
+            control
+                .runtime
+                .timeout(SWEEP_INTERVAL, layout_changed)
+                .await;
             continue;
         };
         let is_complete = sweep_once(&control, assignment).await;
@@ -65,7 +68,7 @@
         let rest = if assignment.is_changing || !is_complete {
             SWEEP_AGAIN
         } else {
-            SWEEP_REST
+            SWEEP_INTERVAL
         };
         wait_for_next(&control, assignment, rest).await;
     }
@@ -183,7 +186,12 @@
         control.runtime.spawn(async move {
             // This disk's next sweep asks again for as long as keys are damaged.
             let _ = peers
-                .request(node.peer, &PeerRequest::StartSweep, &[], PEER_WAIT)
+                .request(
+                    node.peer,
+                    &PeerRequest::StartSweep,
+                    &[],
+                    PEER_REQUEST_TIMEOUT,
+                )
                 .await;
         });
     }
--- a/yewcross-control/src/layout/bootstrap.rs
+++ b/yewcross-control/src/layout/bootstrap.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{MS, PEER_WAIT, PUT_WAIT, SEC, STORE_COPIES};
+use yewcross_common::constants::{MS, PEER_REQUEST_TIMEOUT, PUT_TIMEOUT, RECORD_REPLICAS, SEC};
 use yewcross_common::error_code::Code;
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
@@ -91,7 +91,9 @@
     let empty = serde_json::to_vec(&ConfigDoc::default()).unwrap_or_default();
     decide_if_absent(control, CONFIG, empty).await?;
     for document in [LAYOUT, CONFIG] {
-        if let Ok((version, epoch, content)) = control.registers.read(document, PEER_WAIT).await {
+        if let Ok((version, epoch, content)) =
+            control.registers.read(document, PEER_REQUEST_TIMEOUT).await
+        {
             let control_handle = control.clone();
             control.runtime.spawn(async move {
                 config::roll_out(&control_handle, document, version, epoch, &content).await;
@@ -129,7 +131,7 @@
     };
     let core = group(cores, Role::Core)?;
     let store = group(stores, Role::Store)?;
-    if core.current.len() < FEWEST_CORES || store.current.len() < STORE_COPIES {
+    if core.current.len() < FEWEST_CORES || store.current.len() < RECORD_REPLICAS {
         return Err(LayoutError::TooFewMachines);
     }
     let layout = Layout {
@@ -155,7 +157,7 @@
     }
     control
         .peers
-        .request(peer, &PeerRequest::Bootstrap, content, PEER_WAIT)
+        .request(peer, &PeerRequest::Bootstrap, content, PEER_REQUEST_TIMEOUT)
         .await
         .map_or(PeerResponse::Rejected(Code::StoreAway), |(answer, _)| {
             answer
@@ -177,7 +179,7 @@
     };
     control
         .registers
-        .change(document, PUT_WAIT, write_first)
+        .change(document, PUT_TIMEOUT, write_first)
         .await
         .map_err(|_| LayoutError::BootstrapUndecided)
 }
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -13,7 +13,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::{
-    FOUND_WAIT, MOVE_LOOK, SEAT_REPORT_WAIT, SEATS_LOOK, SEC, STEP_AGAIN, STEP_WAIT,
+    BOOTSTRAP_WAIT, LAYOUT_CHANGE_POLL_INTERVAL, LAYOUT_STEP_RETRY_DELAY, LAYOUT_STEP_TIMEOUT,
+    MISSING_REPLICA_POLL_INTERVAL, SEC, SWEEP_REPORT_TIMEOUT,
 };
 use yewcross_common::membership::{MemberState, Node};
 use yewcross_common::process_settings::Role;
@@ -22,7 +23,7 @@
 
 /// us. How soon the replicas are looked at again after one did not answer, so that a change that
 /// enlarges the group had to wait.
-const SILENT_REPLICA_AGAIN: u64 = STEP_AGAIN / 2;
+const SILENT_REPLICA_AGAIN: u64 = LAYOUT_STEP_RETRY_DELAY / 2;
 
 /// Looks at the replicas once and takes at most one step of a group that needs one. Returns how long
 /// to rest, in us, unless something changes before.
@@ -41,7 +42,7 @@
     let mut rest = if missing_since.is_empty() {
         SEC
     } else {
-        SEATS_LOOK
+        MISSING_REPLICA_POLL_INTERVAL
     };
     for role in GROUPS_BY_URGENCY {
         let Some(next) = plan_step(control, adopted, &live, &missing_since, role) else {
@@ -50,7 +51,7 @@
         match postponed_by(control, adopted, &next, role, &live).await {
             Some(wait) => rest = rest.min(wait),
             None if decide(control, *version, &next).await => return 0,
-            None => return rest.min(STEP_AGAIN),
+            None => return rest.min(LAYOUT_STEP_RETRY_DELAY),
         }
     }
     if !layout.core.is_changing() && !layout.store.is_changing() {
@@ -59,7 +60,7 @@
     if finish_changes(control, adopted).await {
         0
     } else {
-        rest.min(MOVE_LOOK)
+        rest.min(LAYOUT_CHANGE_POLL_INTERVAL)
     }
 }
 
@@ -124,7 +125,7 @@
         return None;
     }
     if before.current.is_empty() {
-        return awaits_first_stores(control, role, live).then_some(STEP_AGAIN);
+        return awaits_first_stores(control, role, live).then_some(LAYOUT_STEP_RETRY_DELAY);
     }
     if after.current.len() <= before.current.len() {
         return None;
@@ -149,13 +150,13 @@
         .count();
     role == Role::Store
         && stores > 0
-        && control.runtime.now() < control.duties.bootstrapped_at.load(SeqCst) + FOUND_WAIT
+        && control.runtime.now() < control.duties.bootstrapped_at.load(SeqCst) + BOOTSTRAP_WAIT
 }
 
 /// Asks the disks for a report, and has those that do not answer counted as missing and probed.
 /// Returns whether there are any.
 async fn probe_silent(control: &Arc<Control>, disks: Vec<String>, since: u64) -> bool {
-    let reports = survey(control, &disks, since, SEAT_REPORT_WAIT, |_| false).await;
+    let reports = survey(control, &disks, since, SWEEP_REPORT_TIMEOUT, |_| false).await;
     let silent: Vec<String> = disks
         .into_iter()
         .filter(|disk| !reports.iter().any(|report| report.disk == *disk))
@@ -197,7 +198,11 @@
             Step::Keep(false)
         }
     };
-    let decided = control.registers.change(LAYOUT, STEP_WAIT, step).await == Ok(true);
+    let decided = control
+        .registers
+        .change(LAYOUT, LAYOUT_STEP_TIMEOUT, step)
+        .await
+        == Ok(true);
     if decided {
         control.runtime.log(&format!(
             "seats change: core {:?} store {:?}",
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -9,7 +9,8 @@
 use crate::{Control, config};
 use std::sync::Arc;
 use yewcross_common::constants::{
-    PEER_WAIT, READ_LOOK_AGAIN, READ_LOOKS, SEAT_REPORT_WAIT, SEC, STEP_WAIT,
+    LAYOUT_STEP_TIMEOUT, PEER_REQUEST_TIMEOUT, READ_ATTEMPTS, READ_RETRY_DELAY, SEC,
+    SWEEP_REPORT_TIMEOUT,
 };
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::process_settings::Role;
@@ -39,7 +40,7 @@
         control,
         &group.previous,
         since,
-        SEAT_REPORT_WAIT,
+        SWEEP_REPORT_TIMEOUT,
         |reports| reports.len() == reachable && is_joint(reports),
     )
     .await;
@@ -80,12 +81,15 @@
             .any(|report| report.disk == disk && report.kept >= since);
         has_kept || !group.previous.iter().any(|outgoing| outgoing == disk)
     };
-    for look in 0..READ_LOOKS {
+    for look in 0..READ_ATTEMPTS {
         if look > 0 {
-            control.runtime.sleep(READ_LOOK_AGAIN).await;
+            control.runtime.sleep(READ_RETRY_DELAY).await;
         }
         let is_settled = control.registers.is_settled(document, may_vote);
-        let answer = control.runtime.timeout(SEAT_REPORT_WAIT, is_settled).await;
+        let answer = control
+            .runtime
+            .timeout(SWEEP_REPORT_TIMEOUT, is_settled)
+            .await;
         if answer == Some(true) {
             return true;
         }
@@ -103,7 +107,7 @@
     let may_end = |reports: &[ReplicaReport]| {
         planning::store_may_end(group, since, control.settings.bounds.lost, reports)
     };
-    let reports = survey(control, &both, since, SEAT_REPORT_WAIT, may_end).await;
+    let reports = survey(control, &both, since, SWEEP_REPORT_TIMEOUT, may_end).await;
     if !may_end(&reports) {
         publish_again(control, &reports, since);
         return false;
@@ -129,7 +133,7 @@
         control.runtime.spawn(async move {
             // An unanswered message needs no handling: the next look at the change sends it again.
             let _ = peers
-                .request(node.peer, &request, &content, PEER_WAIT)
+                .request(node.peer, &request, &content, PEER_REQUEST_TIMEOUT)
                 .await;
         });
     }
@@ -142,7 +146,7 @@
     };
     let ended = control
         .registers
-        .change(LAYOUT, STEP_WAIT, |version, content| {
+        .change(LAYOUT, LAYOUT_STEP_TIMEOUT, |version, content| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
                 return Step::Keep(None);
             };
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -6,7 +6,7 @@
 use crate::Control;
 use serde::Serialize;
 use std::sync::Arc;
-use yewcross_common::constants::{PUT_WAIT, SEAT_REPORT_WAIT, STORE_COPIES};
+use yewcross_common::constants::{PUT_TIMEOUT, RECORD_REPLICAS, SWEEP_REPORT_TIMEOUT};
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::Layout;
@@ -94,7 +94,7 @@
     {
         return Err(DiskChangeError::OtherRole);
     }
-    if after.len() < STORE_COPIES {
+    if after.len() < RECORD_REPLICAS {
         return Err(DiskChangeError::TooFewLeft);
     }
     let mut next = layout.clone();
@@ -140,7 +140,7 @@
     };
     let outcome = control
         .registers
-        .change(LAYOUT, PUT_WAIT, |version, content| {
+        .change(LAYOUT, PUT_TIMEOUT, |version, content| {
             let Ok(layout) = serde_json::from_slice::<Layout>(content) else {
                 return Step::Keep(Err(LayoutError::NotBootstrapped));
             };
@@ -174,7 +174,8 @@
     let mut replicas = vec![];
     for role in GROUPS_BY_URGENCY {
         for disk in &adopted.group(role).previous {
-            let report = report::ask(control, disk, adopted.since(role), SEAT_REPORT_WAIT).await;
+            let report =
+                report::ask(control, disk, adopted.since(role), SWEEP_REPORT_TIMEOUT).await;
             let (is_swept, keys_left) = report.map_or((false, 0), |report| {
                 (report.replica.swept, report.keys_left)
             });
@@ -246,7 +247,7 @@
     };
     let ended = control
         .registers
-        .change(LAYOUT, PUT_WAIT, |version, content| {
+        .change(LAYOUT, PUT_TIMEOUT, |version, content| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
                 return Step::Keep(());
             };
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -65,7 +65,7 @@
 
 use crate::{Control, config};
 use std::sync::Arc;
-use yewcross_common::constants::PEER_WAIT;
+use yewcross_common::constants::PEER_REQUEST_TIMEOUT;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse, ReplicaGroup};
 use yewcross_common::runtime::BoxFuture;
@@ -102,7 +102,9 @@
     if !control.has_quorum_contact() {
         return;
     }
-    if let Ok((version, epoch, content)) = control.registers.read(LAYOUT, PEER_WAIT).await {
+    if let Ok((version, epoch, content)) =
+        control.registers.read(LAYOUT, PEER_REQUEST_TIMEOUT).await
+    {
         if control.options.tends {
             return config::publish(control, LAYOUT, version, content.to_vec());
         }
@@ -146,7 +148,11 @@
         name: LAYOUT.into(),
         newer_than: known,
     };
-    match control.peers.request(peer, &request, &[], PEER_WAIT).await {
+    match control
+        .peers
+        .request(peer, &request, &[], PEER_REQUEST_TIMEOUT)
+        .await
+    {
         Ok((PeerResponse::Document { version, epoch }, content)) if version > known => {
             control.documents.apply(LAYOUT, version, epoch, content)
         }
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -7,7 +7,7 @@
 //! outgoing set stays in force until the change ends, so the incoming one may be amended at any
 //! time.
 
-use yewcross_common::constants::{SEAT_LOST, SEAT_MISSING};
+use yewcross_common::constants::{REPLICA_LOST_AFTER, REPLICA_MISSING_AFTER};
 use yewcross_common::membership::{MemberState, Node};
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, ReplicaGroup};
@@ -143,7 +143,7 @@
             .live
             .iter()
             .any(|node| node.disk != *disk && layout.names.get(disk) == Some(&node.name));
-        came_back_empty || (view.missing)(disk) >= SEAT_MISSING
+        came_back_empty || (view.missing)(disk) >= REPLICA_MISSING_AFTER
     };
     if !under_way.current.iter().any(is_lost) {
         return None;
@@ -313,7 +313,7 @@
             .collect();
         for node in free {
             match missing.pop() {
-                Some(replica) if replica.missing_us >= SEAT_MISSING => {
+                Some(replica) if replica.missing_us >= REPLICA_MISSING_AFTER => {
                     self.leaving.push(replica.disk);
                     self.joining.push(node);
                 }
@@ -332,7 +332,7 @@
         let lost = unreplaced
             .iter()
             .rev()
-            .filter(|replica| replica.missing_us >= SEAT_LOST);
+            .filter(|replica| replica.missing_us >= REPLICA_LOST_AFTER);
         for replica in lost {
             if remaining > self.fewest() {
                 self.leaving.push(replica.disk);
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -8,7 +8,7 @@
 use crate::proposer::{self, NotAnswered};
 use crate::{Control, config};
 use std::sync::Arc;
-use yewcross_common::constants::{PEER_WAIT, SEC};
+use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, SEC};
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse};
@@ -16,7 +16,7 @@
 
 /// Has a store machine marked as retired, here or by the process that proposes.
 pub async fn retire(control: &Arc<Control>, node: &str) -> RetireBegin {
-    let deadline = control.runtime.now() + PEER_WAIT;
+    let deadline = control.runtime.now() + PEER_REQUEST_TIMEOUT;
     while control.runtime.now() < deadline {
         if control.acting_term().is_some() {
             return mark_retired(control, node).await;
@@ -128,7 +128,9 @@
     if control.documents.layout.load().0 == 0 {
         return RetireState::Away;
     }
-    let Ok((version, epoch, content)) = proposer::newest(control, LAYOUT, PEER_WAIT).await else {
+    let Ok((version, epoch, content)) =
+        proposer::newest(control, LAYOUT, PEER_REQUEST_TIMEOUT).await
+    else {
         return RetireState::Away;
     };
     let Ok(layout) = serde_json::from_slice::<Layout>(&content) else {
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::SYNC_WAIT;
+use yewcross_common::constants::SYNC_TIMEOUT;
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::protocol::Layout;
 use yewcross_common::protocol::lease::{LeaseDenial, LeaseRequest, LeaseResponse, LeaseVerdict};
@@ -52,7 +52,7 @@
         // Fails only if the start has timed out and does not wait for it any more.
         let _ = persisted_sender.try_send(result);
     });
-    let outcome = runtime.timeout(SYNC_WAIT, persisted.recv()).await;
+    let outcome = runtime.timeout(SYNC_TIMEOUT, persisted.recv()).await;
     let is_persisted = matches!(outcome, Some(Ok(Ok(()))));
     Ok(if is_persisted { incarnation } else { 0 })
 }
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -24,7 +24,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::{
-    FENCE_WITHIN, LEASE_RENEW, LEASE_RETRY, LEASE_STAGGER, LEASE_WAIT, MS, SEC, UNFIT_FOR,
+    CANDIDACY_PAUSE, FENCING_TIMEOUT, LEASE_RENEWAL_INTERVAL, LEASE_REQUEST_TIMEOUT,
+    LEASE_RETRY_DELAY, LEASE_STAGGER, MS, SEC,
 };
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::membership::MemberState;
@@ -40,14 +41,14 @@
 const FENCE_RETRY: u64 = 20 * MS;
 
 /// us. How often a process that must not hold the lease looks whether it may.
-const ELIGIBILITY_CHECK: u64 = if SEC < UNFIT_FOR / 4 {
+const ELIGIBILITY_CHECK: u64 = if SEC < CANDIDACY_PAUSE / 4 {
     SEC
 } else {
-    UNFIT_FOR / 4
+    CANDIDACY_PAUSE / 4
 };
 
 /// us. Longest wait for the granters of a lease that is released at a planned stop.
-const RELEASE_WAIT: u64 = LEASE_WAIT / 2;
+const RELEASE_WAIT: u64 = LEASE_REQUEST_TIMEOUT / 2;
 
 /// Round number of the request for the lease; renewals count from 1.
 const REQUEST_ROUND: u64 = 0;
@@ -69,7 +70,7 @@
         if let Some(term) = campaign(&control).await {
             hold(&control, term).await;
         } else {
-            let backoff = LEASE_RETRY + control.runtime.random() % LEASE_RETRY;
+            let backoff = LEASE_RETRY_DELAY + control.runtime.random() % LEASE_RETRY_DELAY;
             control.runtime.sleep(backoff).await;
         }
     }
@@ -203,7 +204,7 @@
     control.runtime.log(&format!("lease taken, term {term}"));
     control.runtime.spawn(fence(control.clone(), term));
     while is_eligible(control) && renew(control, term) {
-        control.runtime.sleep(LEASE_RENEW).await;
+        control.runtime.sleep(LEASE_RENEWAL_INTERVAL).await;
     }
     control.duties.lost.fetch_add(1, SeqCst);
     control.runtime.log(&format!("lease lost, term {term}"));
@@ -239,7 +240,7 @@
 /// be accepted any more. The holder acts only after this; one that does not get there in time lets
 /// another process try.
 async fn fence(control: Arc<Control>, term: u64) {
-    let deadline = control.runtime.now() + FENCE_WITHIN;
+    let deadline = control.runtime.now() + FENCING_TIMEOUT;
     let is_held = || control.lease_term() == Some(term);
     while is_held() && control.runtime.now() < deadline {
         if take_documents(&control).await {
@@ -257,7 +258,7 @@
         control
             .runtime
             .log(&format!("the documents cannot be taken, term {term}"));
-        let unfit_until = control.runtime.now() + UNFIT_FOR;
+        let unfit_until = control.runtime.now() + CANDIDACY_PAUSE;
         control.duties.unfit_until.store(unfit_until, SeqCst);
     }
 }
--- a/yewcross-control/src/operator/configuration.rs
+++ b/yewcross-control/src/operator/configuration.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use yewcross_common::buffered_http::{BufferedRequest, reply};
 use yewcross_common::configuration::Configuration;
-use yewcross_common::constants::PEER_WAIT;
+use yewcross_common::constants::PEER_REQUEST_TIMEOUT;
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ConfigDoc;
 
@@ -59,7 +59,7 @@
 
 /// The newest version and its document, or the answer to an operator where it cannot be read.
 async fn read_newest(control: &Arc<Control>) -> Result<(u64, ConfigDoc), Response> {
-    match control.registers.read("config", PEER_WAIT).await {
+    match control.registers.read("config", PEER_REQUEST_TIMEOUT).await {
         Ok((version, _, value)) => match config::decode_configuration(&value) {
             Ok(document) => Ok((version, document)),
             Err(error) => Err(rejected(Code::Undecided, &error.to_string())),
@@ -119,7 +119,11 @@
 
 async fn find_version(control: &Arc<Control>, version: &str) -> Option<KnownVersion> {
     let wanted: u64 = version.parse().ok()?;
-    let (newest, _, value) = control.registers.read("config", PEER_WAIT).await.ok()?;
+    let (newest, _, value) = control
+        .registers
+        .read("config", PEER_REQUEST_TIMEOUT)
+        .await
+        .ok()?;
     // No version is known by a value that cannot be read, nor by the empty one before the first.
     let document: ConfigDoc = serde_json::from_slice(&value).ok()?;
     if wanted == newest {
--- a/yewcross-control/src/persisted_peers.rs
+++ b/yewcross-control/src/persisted_peers.rs
@@ -5,7 +5,7 @@
 use crate::persisted_documents::LOCAL_FOLDER;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use yewcross_common::constants::PEERS_KEPT;
+use yewcross_common::constants::PEERS_PERSIST_INTERVAL;
 use yewcross_common::storage::StoredFile;
 
 const FILE: &str = "peers";
@@ -48,7 +48,7 @@
                 persisted = next;
             }
         }
-        control.runtime.sleep(PEERS_KEPT).await;
+        control.runtime.sleep(PEERS_PERSIST_INTERVAL).await;
         changed.await;
     }
 }
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -8,8 +8,9 @@
 use yewcross_common::adapter::ServerCatalogue;
 use yewcross_common::buffered_http;
 use yewcross_common::constants::{
-    BACK_WAIT, DECIDE_AGAIN, FRAME_MAX, LIST_EVERY, LIST_PAGES, LIST_PATIENCE, PAGE_WAIT,
-    PAGES_BACK_OFF, PAGES_EVERY, PEER_WAIT, SEC,
+    CATALOGUE_BACKOFF_MAX, CATALOGUE_MAX_PAGES, CATALOGUE_PAGE_TIMEOUT, CATALOGUE_POLL_INTERVAL,
+    CATALOGUE_REREAD_DELAY, MAX_FRAME_BYTES, PEER_REQUEST_TIMEOUT, RETRY_AFTER_MAX, SEC,
+    SERVER_LIST_POLL_INTERVAL, UPSTREAM_REPORT_TIMEOUT,
 };
 use yewcross_common::protocol::{ListedServer, ServerList};
 use yewcross_common::register::Step;
@@ -74,26 +75,26 @@
         "/servers",
         &headers,
         vec![],
-        BACK_WAIT,
+        UPSTREAM_REPORT_TIMEOUT,
     )
     .await
     else {
-        return LIST_EVERY;
+        return SERVER_LIST_POLL_INTERVAL;
     };
     let wait = response
         .header("retry-after")
         .and_then(|value| value.as_str().parse::<u64>().ok())
-        .map_or(LIST_EVERY, |seconds| {
-            seconds.saturating_mul(SEC).min(LIST_PATIENCE)
+        .map_or(SERVER_LIST_POLL_INTERVAL, |seconds| {
+            seconds.saturating_mul(SEC).min(RETRY_AFTER_MAX)
         });
     if status != 200 {
         return wait;
     }
     let Ok(list) = serde_json::from_slice::<ServerList>(&body) else {
-        return LIST_EVERY;
+        return SERVER_LIST_POLL_INTERVAL;
     };
     let Some(term) = control.acting_term() else {
-        return LIST_EVERY;
+        return SERVER_LIST_POLL_INTERVAL;
     };
     if decide_list(control, ServerList { term, ..list }).await {
         *control.duties.etag.lock().unwrap() = response
@@ -109,7 +110,7 @@
 async fn decide_list(control: &Arc<Control>, list: ServerList) -> bool {
     let changed = control
         .registers
-        .change("list", PEER_WAIT, |version, value| {
+        .change("list", PEER_REQUEST_TIMEOUT, |version, value| {
             revise_list(version, value, &list, |written_term| {
                 control.may_write(list.term, written_term)
             })
@@ -123,7 +124,8 @@
         }
         Err(_) => return false,
     }
-    let Ok((version, epoch, content)) = control.registers.read("list", PEER_WAIT).await else {
+    let Ok((version, epoch, content)) = control.registers.read("list", PEER_REQUEST_TIMEOUT).await
+    else {
         return false;
     };
     if version > control.documents.document("list").version {
@@ -168,10 +170,10 @@
     publish_departures(control, &read.servers);
     let servers = without_duplicates(read.servers);
     if !read.is_complete || (known_version > 0 && decided_servers(control) == servers) {
-        return PAGES_EVERY;
+        return CATALOGUE_POLL_INTERVAL;
     }
     let Some(term) = control.acting_term() else {
-        return DECIDE_AGAIN;
+        return CATALOGUE_REREAD_DELAY;
     };
     let proposal = ServersProposal {
         known_version,
@@ -184,10 +186,10 @@
     {
         config::publish(control, "list", list.version, list.content);
     }
-    PAGES_EVERY
+    CATALOGUE_POLL_INTERVAL
 }
 
-/// Reads up to `LIST_PAGES` pages; the error is how long to wait, us.
+/// Reads up to `CATALOGUE_MAX_PAGES` pages; the error is how long to wait, us.
 async fn read_pages(
     control: &Arc<Control>,
     platform: SocketAddr,
@@ -195,21 +197,28 @@
 ) -> Result<CatalogueRead, u64> {
     let mut servers = vec![];
     let mut next_page: Option<String> = None;
-    for _ in 0..LIST_PAGES {
+    for _ in 0..CATALOGUE_MAX_PAGES {
         control.duties.polls.fetch_add(1, SeqCst);
         let mut request = hyper::Request::new(Default::default());
         *request.uri_mut() = catalogue
             .target(next_page.as_deref())
             .parse()
-            .map_err(|_| PAGES_EVERY)?;
-        let response =
-            streaming_http::fetch(&control.runtime, platform, request, FRAME_MAX, PAGE_WAIT)
-                .await
-                .map_err(|_| PAGES_EVERY)?;
+            .map_err(|_| CATALOGUE_POLL_INTERVAL)?;
+        let response = streaming_http::fetch(
+            &control.runtime,
+            platform,
+            request,
+            MAX_FRAME_BYTES,
+            CATALOGUE_PAGE_TIMEOUT,
+        )
+        .await
+        .map_err(|_| CATALOGUE_POLL_INTERVAL)?;
         if response.status() != 200 {
             return Err(backoff(control, response.headers()));
         }
-        let (mut page, following) = catalogue.read(response.body()).map_err(|_| PAGES_EVERY)?;
+        let (mut page, following) = catalogue
+            .read(response.body())
+            .map_err(|_| CATALOGUE_POLL_INTERVAL)?;
         servers.append(&mut page);
         next_page = following;
         if next_page.is_none() {
@@ -230,8 +239,8 @@
         .map(|seconds| (seconds.max(0.0) * US_PER_SECOND) as u64);
     let rejections = control.duties.refused.fetch_add(1, SeqCst);
     retry_after
-        .unwrap_or(PAGES_EVERY << rejections.min(DOUBLINGS_MOST))
-        .min(PAGES_BACK_OFF)
+        .unwrap_or(CATALOGUE_POLL_INTERVAL << rejections.min(DOUBLINGS_MOST))
+        .min(CATALOGUE_BACKOFF_MAX)
 }
 
 fn publish_departures(control: &Arc<Control>, servers: &[ListedServer]) {
@@ -258,7 +267,7 @@
 ) -> Option<DecidedList> {
     let decided = control
         .registers
-        .change("list", PEER_WAIT, |version, value| {
+        .change("list", PEER_REQUEST_TIMEOUT, |version, value| {
             replace_servers(version, value, proposal, |written_term| {
                 control.may_write(proposal.term, written_term)
             })
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -7,7 +7,7 @@
 
 use crate::{Control, singleton_tasks};
 use std::sync::Arc;
-use yewcross_common::constants::{LOOKS_WITHIN, MS, PROPOSER_AGAIN};
+use yewcross_common::constants::{MS, PROPOSER_RETRY_DELAY, READ_TIMEOUT};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::ChangeError;
@@ -48,7 +48,7 @@
 /// Returns once the lease has changed hands, or after a random backoff.
 pub async fn wait_for_one(control: &Arc<Control>) {
     let changed = control.duties.changed.listen();
-    let backoff = PROPOSER_AGAIN + control.runtime.random() % PROPOSER_AGAIN;
+    let backoff = PROPOSER_RETRY_DELAY + control.runtime.random() % PROPOSER_RETRY_DELAY;
     control.runtime.timeout(backoff, changed).await;
 }
 
@@ -64,7 +64,7 @@
     loop {
         let read = control
             .registers
-            .newest(name, time_left().min(LOOKS_WITHIN))
+            .newest(name, time_left().min(READ_TIMEOUT))
             .await;
         if !matches!(read, Err(ChangeError::NotProposer)) {
             return read;
@@ -77,7 +77,7 @@
             name: name.into(),
             hops: 1,
         };
-        match forward(control, &request, &[], left.min(LOOKS_WITHIN)).await {
+        match forward(control, &request, &[], left.min(READ_TIMEOUT)).await {
             Ok((PeerResponse::Document { version, epoch }, content)) => {
                 return Ok((version, epoch, Arc::new(content)));
             }
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -10,7 +10,7 @@
 use crate::lease_granter::{answer, is_voter, with_granter};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{CONTACT_AGAIN, LEASE_WAIT, MS, QUORUM_WAIT};
+use yewcross_common::constants::{CONTACT_RETRY_DELAY, LEASE_REQUEST_TIMEOUT, MS, QUORUM_TIMEOUT};
 use yewcross_common::protocol::lease::{
     LeaseDenial, LeaseOperation, LeaseRequest, LeaseResponse, LeaseVerdict,
 };
@@ -28,7 +28,7 @@
 const FIRST_TURNS: usize = 64;
 
 /// Sends one request to one voter, or answers it here. An answer counts as contact. `None` if the
-/// disk did not answer within `LEASE_WAIT`, or is unable to.
+/// disk did not answer within `LEASE_REQUEST_TIMEOUT`, or is unable to.
 pub(crate) async fn ask_voter(
     control: &Arc<Control>,
     disk: &str,
@@ -49,7 +49,11 @@
     } else {
         let peer = control.members.by_disk(disk)?.peer;
         let request = PeerRequest::Lease(request);
-        match control.peers.request(peer, &request, &[], LEASE_WAIT).await {
+        match control
+            .peers
+            .request(peer, &request, &[], LEASE_REQUEST_TIMEOUT)
+            .await
+        {
             Ok((PeerResponse::Lease(response), _)) => response,
             _ => return None,
         }
@@ -131,7 +135,7 @@
 }
 
 /// Whether a quorum of the voters answers this process; they are asked again if they have not
-/// lately. Takes at most `QUORUM_WAIT`.
+/// lately. Takes at most `QUORUM_TIMEOUT`.
 pub async fn reach_quorum(control: &Arc<Control>) -> bool {
     if control.has_quorum_contact() {
         return true;
@@ -146,7 +150,7 @@
             }
         }
     };
-    control.runtime.timeout(QUORUM_WAIT, reached).await;
+    control.runtime.timeout(QUORUM_TIMEOUT, reached).await;
     control.has_quorum_contact()
 }
 
@@ -155,7 +159,7 @@
 /// as many voters missing as are tolerated the turns alone would leave it short again and again.
 pub(crate) async fn keep_contact(control: Arc<Control>) {
     let interval = contact_lifetime(control.settings.bounds.apply) / POLLS_WITHIN_CONTACT;
-    let first_backoff = CONTACT_AGAIN.min(interval / 2);
+    let first_backoff = CONTACT_RETRY_DELAY.min(interval / 2);
     let mut turn = control.runtime.random() as usize % FIRST_TURNS;
     let mut backoff = first_backoff;
     loop {
--- a/yewcross-control/src/record_router.rs
+++ b/yewcross-control/src/record_router.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
-use yewcross_common::constants::PEER_WAIT;
+use yewcross_common::constants::PEER_REQUEST_TIMEOUT;
 use yewcross_common::documents::cache::{DocumentCache, replicas_by_preference};
 use yewcross_common::error_code::Code;
 use yewcross_common::membership::Membership;
@@ -39,7 +39,10 @@
         {
             return Some(store.handle(request.clone(), vec![]).await.0);
         }
-        let answer = self.peers.request(to, request, &[], PEER_WAIT).await;
+        let answer = self
+            .peers
+            .request(to, request, &[], PEER_REQUEST_TIMEOUT)
+            .await;
         answer.ok().map(|(response, _)| response)
     }
 }
--- a/yewcross-control/tests/orders.rs
+++ b/yewcross-control/tests/orders.rs
@@ -207,11 +207,11 @@
             register.value.len()
         );
         assert!(
-            (ORDERS_KEPT..=ORDERS_KEPT_MOST).contains(&orders),
+            (RETAINED_ORDERS_MIN..=RETAINED_ORDERS_MAX).contains(&orders),
             "{orders}"
         );
         assert!(
-            register.value.len() < 100 * ORDERS_KEPT_MOST,
+            register.value.len() < 100 * RETAINED_ORDERS_MAX,
             "{}",
             register.value.len()
         );
--- a/yewcross-control/tests/put.rs
+++ b/yewcross-control/tests/put.rs
@@ -1,6 +1,6 @@
 //! What a put makes of the configuration's register, and which fronts a rollout must reach.
 
-use yewcross_common::constants::PAST_KEPT;
+use yewcross_common::constants::RETAINED_VERSIONS;
 use yewcross_common::protocol::ConfigDoc;
 use yewcross_common::register::Step;
 use yewcross_control::config::front_groups;
@@ -88,7 +88,7 @@
 #[test]
 fn replaced_versions_are_kept_newest_first_up_to_a_count() {
     let mut register = Register::default();
-    let puts = PAST_KEPT as u64 + 5;
+    let puts = RETAINED_VERSIONS as u64 + 5;
     for base in 0..puts {
         register.in_force_version = base;
         register.put_as(
@@ -100,7 +100,7 @@
     assert_eq!(register.version, puts);
     let past = register.document().past;
     let versions: Vec<u64> = past.iter().map(|(version, _, _)| *version).collect();
-    let expected: Vec<u64> = (puts - PAST_KEPT as u64..puts).rev().collect();
+    let expected: Vec<u64> = (puts - RETAINED_VERSIONS as u64..puts).rev().collect();
     assert_eq!(versions, expected);
     assert_eq!(past[0].1, format!("put {}", puts - 2));
 }
@@ -109,11 +109,11 @@
 fn the_last_version_in_force_is_never_dropped_from_the_past() {
     let mut register = Register::default();
     // The first version has no past; the versions 2 to PAST_KEPT have one that reaches to it.
-    for base in 0..PAST_KEPT as u64 {
+    for base in 0..RETAINED_VERSIONS as u64 {
         let decision = register.put_as(&base.to_string(), base, "{}");
         assert_eq!(decision, PutDecision::Stored { version: base + 1 });
     }
-    let base = PAST_KEPT as u64;
+    let base = RETAINED_VERSIONS as u64;
     let decision = register.put_as("too far", base, "{}");
     assert!(
         matches!(decision, PutDecision::FrontsUnavailable(_)),
--- a/yewcross-control/tests/rollout_progress.rs
+++ b/yewcross-control/tests/rollout_progress.rs
@@ -1,10 +1,10 @@
 //! When a rollout may be called complete, step by step.
 
-use yewcross_common::constants::{MS, SERVE_LEASE};
+use yewcross_common::constants::{MS, SERVING_LEASE};
 use yewcross_control::config::rollout_progress::RolloutProgress;
 
 /// us. As long as a lease lasts for its granter, and no longer.
-const CONFIRMATION: u64 = SERVE_LEASE + 100 * MS;
+const CONFIRMATION: u64 = SERVING_LEASE + 100 * MS;
 
 /// us. When the rollouts here begin.
 const START: u64 = 1_000 * MS;
--- a/yewcross-proxy/src/admission.rs
+++ b/yewcross-proxy/src/admission.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use yewcross_common::configuration::Class;
-use yewcross_common::constants::{BACK_SOON, MS, PACE_AFTER, SEC};
+use yewcross_common::constants::{DEFAULT_RETRY_AFTER_S, MS, PACE_MIN_SAMPLES, SEC};
 use yewcross_common::error_code::Code;
 use yewcross_common::runtime::Runtime;
 
@@ -78,7 +78,7 @@
     fn expected_wait(&self, position: Position, slots: Slots) -> u64 {
         let ahead = self.waiting.range(..position).count() as u64 + 1;
         let by_slots = self.service_time / slots.all.max(1) as u64;
-        let each = if self.intervals_seen < PACE_AFTER {
+        let each = if self.intervals_seen < PACE_MIN_SAMPLES {
             by_slots
         } else {
             by_slots.max(self.interval)
@@ -103,7 +103,7 @@
         if slots.all == 0 {
             return Err(Refused {
                 code: Code::NoServer,
-                retry_after: BACK_SOON,
+                retry_after: DEFAULT_RETRY_AFTER_S,
             });
         }
         let position = (
@@ -170,7 +170,7 @@
 }
 
 fn seconds(us: u64) -> u64 {
-    us.div_ceil(SEC).max(BACK_SOON)
+    us.div_ceil(SEC).max(DEFAULT_RETRY_AFTER_S)
 }
 
 fn class_offset(class: Class) -> u64 {
@@ -283,7 +283,7 @@
             if now > end {
                 return Err(Refused {
                     code: Code::TooLate,
-                    retry_after: BACK_SOON,
+                    retry_after: DEFAULT_RETRY_AFTER_S,
                 });
             }
             world
--- a/yewcross-proxy/src/back.rs
+++ b/yewcross-proxy/src/back.rs
@@ -34,7 +34,7 @@
 
 impl Back<Unverified> {
     pub async fn dial(runtime: &Runtime, to: SocketAddr) -> io::Result<Back<Unverified>> {
-        let conn = runtime.connect_within(to, DIAL_WAIT).await?;
+        let conn = runtime.connect_within(to, CONNECT_TIMEOUT).await?;
         let who = Stamp {
             service: String::new(),
             server: String::new(),
@@ -57,7 +57,7 @@
         server: &str,
     ) -> io::Result<Back<Verified>> {
         let got = runtime
-            .timeout(BACK_WAIT, async {
+            .timeout(UPSTREAM_REPORT_TIMEOUT, async {
                 let mut r =
                     buffered_http::exchange(&self.conn, Method::Get, "/identity", &[], vec![])
                         .await?;
@@ -228,7 +228,7 @@
     };
     let ok = r.status().is_success();
     let v = runtime
-        .timeout(us, buffered_http::body(&mut r, FRAME_MAX))
+        .timeout(us, buffered_http::body(&mut r, MAX_FRAME_BYTES))
         .await?
         .ok()?;
     p.put(runtime, b);
--- a/yewcross-proxy/src/balance/claim.rs
+++ b/yewcross-proxy/src/balance/claim.rs
@@ -95,7 +95,9 @@
     pub fn full(&self) {
         let now = self.w.now();
         let mut g = self.service.lock().unwrap();
-        let pause = (g.usual / 4.0).clamp(FULL_PAUSE_LEAST as f64, FULL_PAUSE_MOST as f64) as u64;
+        let pause = (g.usual / 4.0)
+            .clamp(FULL_SERVER_PAUSE_MIN as f64, FULL_SERVER_PAUSE_MAX as f64)
+            as u64;
         g.servers
             .entry(self.to.server.clone())
             .or_default()
--- a/yewcross-proxy/src/balance/cost.rs
+++ b/yewcross-proxy/src/balance/cost.rs
@@ -22,7 +22,7 @@
     pub(super) fn work(&self, state: &ServerState, server: &str) -> f64 {
         let load = state.load(self.now);
         if self.need.engine.is_none() {
-            return self.usual.max(LEAST_USUAL) * (load + 1.0)
+            return self.usual.max(MIN_USUAL_HEAD_US) * (load + 1.0)
                 / state.slots(self.need).max(1) as f64;
         }
         let tokens = (state.missing(self.need, server, self.policies) + state.reading) as f64;
@@ -61,7 +61,7 @@
         if is_kept || !self.policies.has(Mechanism::KeptConnection) {
             0.0
         } else {
-            DIAL_COST
+            CONNECT_COST_US
         }
     }
 }
--- a/yewcross-proxy/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -96,7 +96,7 @@
             .map(|s| s.full_until.saturating_sub(now))
             .min()
             .unwrap_or(0);
-        ((self.queue.len() + 1) as f64 * self.usual.max(LEAST_USUAL) / slots as f64) as u64
+        ((self.queue.len() + 1) as f64 * self.usual.max(MIN_USUAL_HEAD_US) / slots as f64) as u64
             + first_free
     }
 
@@ -339,7 +339,7 @@
         let services = self.services.read().unwrap();
         services.values().all(|service| {
             let g = service.lock().unwrap();
-            let is_told = g.told_at > 0 && now < g.told_at + LOAD_TOLD_KEPT;
+            let is_told = g.told_at > 0 && now < g.told_at + REPORTED_LOAD_LIFETIME;
             is_told || g.servers.values().all(|state| state.in_flight == 0)
         })
     }
--- a/yewcross-proxy/src/balance/server.rs
+++ b/yewcross-proxy/src/balance/server.rs
@@ -46,7 +46,7 @@
         if self.at == 0 {
             return 0.0;
         }
-        let age = (now - self.at) as f64 / LOAD_FADE as f64;
+        let age = (now - self.at) as f64 / LOAD_DECAY_TIME as f64;
         self.mean + (self.last - self.mean) * (-age).exp()
     }
 }
@@ -145,7 +145,9 @@
         let slots = self.slots(need) as f64;
         let beyond = match &need.engine {
             Some(_) => 0.0,
-            None => SERVER_QUEUE.min(slots * need.target_us as f64 / 4.0 / usual.max(1.0)),
+            None => {
+                SERVER_QUEUE_ALLOWANCE.min(slots * need.target_us as f64 / 4.0 / usual.max(1.0))
+            }
         };
         slots > 0.0 && self.load(now) >= slots + beyond
     }
--- a/yewcross-proxy/src/judge.rs
+++ b/yewcross-proxy/src/judge.rs
@@ -95,7 +95,7 @@
 fn load(s: &Server) -> u64 {
     let full = 2 * s.report.slots.max(1) as u64;
     let v = 1000 - 1000 * (s.occupied() as u64).min(full) / full;
-    v * REPORT_STALE.saturating_sub(s.age) / REPORT_STALE
+    v * LOAD_REPORT_STALE_AFTER.saturating_sub(s.age) / LOAD_REPORT_STALE_AFTER
 }
 
 fn standing(s: &Server) -> u64 {
--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -139,7 +139,7 @@
                         from: placed,
                         last: None,
                     };
-                } else if t >= e.since + KV_FLOW_OVER {
+                } else if t >= e.since + KV_TURNOVER_WINDOW {
                     *e = Flow {
                         inst,
                         since: t,
@@ -150,7 +150,7 @@
             });
     }
 
-    /// Whether what is placed there now is likely to stand for `KV_STANDS`.
+    /// Whether what is placed there now is likely to stand for `KV_PREFETCH_LIFETIME`.
     fn roomy(&self, s: &server_table::Server, tokens: u64) -> bool {
         let g = self.flow.lock().unwrap();
         let Some(e) = g.get(&s.at.server).filter(|e| e.inst == s.report.instance) else {
@@ -161,7 +161,7 @@
             .placed_tokens
             .saturating_sub(e.from)
             .max(e.last.unwrap_or(0));
-        fast.saturating_mul(KV_STANDS / KV_FLOW_OVER)
+        fast.saturating_mul(KV_PREFETCH_LIFETIME / KV_TURNOVER_WINDOW)
             .saturating_add(tokens)
             <= s.report.cache_tokens
     }
@@ -184,7 +184,7 @@
 fn place(v: &mut Vec<CachedPrefix>, p: &CachedPrefix) {
     v.retain(|o| o.server != p.server);
     v.insert(0, p.clone());
-    v.truncate(KV_PLACES);
+    v.truncate(KV_PREFIXES_PER_SESSION);
 }
 
 /// The record's state and what this front saw itself: an import made ahead, or a prefix that a turn
@@ -321,7 +321,7 @@
         s.at.addr,
         "/kv/import",
         body,
-        KV_IMPORT_WAIT,
+        KV_IMPORT_TIMEOUT,
     )
     .await;
     front
@@ -489,7 +489,7 @@
     let c = &f.counts;
     let (all, mv) = match pct {
         p if p >= KV_WARM => (&c.warm, &c.moved_warm),
-        p if p >= KV_PARTLY => (&c.partly, &c.moved_partly),
+        p if p >= KV_PARTLY_WARM => (&c.partly, &c.moved_partly),
         _ => (&c.cold, &c.moved_cold),
     };
     all.fetch_add(1, SeqCst);
@@ -618,7 +618,7 @@
                 at.addr,
                 path,
                 b,
-                KV_PUSH_WAIT,
+                KV_PUSH_TIMEOUT,
             )
             .await
         }
@@ -690,7 +690,7 @@
             l.addr,
             "/kv/drop",
             b,
-            BACK_WAIT,
+            UPSTREAM_REPORT_TIMEOUT,
         )
         .await;
     }
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -151,7 +151,7 @@
 
 impl Links {
     pub async fn take(&self, runtime: &Runtime, from: &str, to: &str) -> Option<LinkPass<'_>> {
-        let end = runtime.now() + KV_PUSH_WAIT;
+        let end = runtime.now() + KV_PUSH_TIMEOUT;
         loop {
             let at = self.free_at.lock().unwrap().get(from).cloned().unwrap_or(0);
             if at > end {
@@ -160,7 +160,7 @@
             if at <= runtime.now() {
                 let mut g = self.to.lock().unwrap();
                 let n = g.entry(to.into()).or_default();
-                if *n < KV_PUSH_LINES {
+                if *n < KV_PUSHES_PER_SERVER {
                     *n += 1;
                     return Some(LinkPass(self, to.into()));
                 }
@@ -284,7 +284,7 @@
         let w = w.clone();
         self.runtime.spawn(async move {
             loop {
-                w.sleep(TIDY_EVERY).await;
+                w.sleep(MAINTENANCE_INTERVAL).await;
                 relay.tidy(
                     m.view
                         .load()
@@ -492,7 +492,7 @@
                 if self.runtime.now() > until {
                     return last;
                 }
-                match self.peers.request(to, a, blob, PEER_WAIT).await {
+                match self.peers.request(to, a, blob, PEER_REQUEST_TIMEOUT).await {
                     Ok((t @ PeerResponse::Rejected(Code::StoreAway | Code::Undecided), b)) => {
                         last = Some((t, b))
                     }
@@ -544,10 +544,11 @@
     /// Callers are sent elsewhere first; then the door closes, and what is under way comes to its
     /// end.
     async fn stop_routes(&self) {
-        let end = self.runtime.now() + (self.settings.bounds.grace * MS).saturating_sub(STOP_SPARE);
+        let end =
+            self.runtime.now() + (self.settings.bounds.grace * MS).saturating_sub(SHUTDOWN_RESERVE);
         self.web.last();
         self.runtime
-            .sleep(STOP_NOTICE.min(self.settings.bounds.grace * MS / 3))
+            .sleep(SHUTDOWN_NOTICE.min(self.settings.bounds.grace * MS / 3))
             .await;
         self.web.close();
         self.runtime
@@ -574,7 +575,7 @@
     pub fn remember(&self, key: &str, hist: Vec<u8>) {
         let mut g = self.hand.lock().unwrap();
         g.insert(key.into(), hist);
-        while g.len() > HAND_SESSIONS {
+        while g.len() > CACHED_SESSION_HISTORIES {
             g.pop_first();
         }
     }
--- a/yewcross-proxy/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -124,7 +124,7 @@
 
 impl Report {
     fn counts(&self, now: u64) -> bool {
-        now < self.at + LOAD_KEPT
+        now < self.at + LOAD_REPORT_LIFETIME
     }
 }
 
@@ -191,14 +191,17 @@
         let (mut idle_since, mut next_sites) = (0, 0);
         loop {
             self.runtime
-                .sleep(LOAD_EVERY * 9 / 10 + self.runtime.random() % (LOAD_EVERY / 5))
+                .sleep(
+                    LOAD_EXCHANGE_INTERVAL * 9 / 10
+                        + self.runtime.random() % (LOAD_EXCHANGE_INTERVAL / 5),
+                )
                 .await;
             let now = self.runtime.now();
             let loads = own_loads(&relay.balance, now);
             // A front without requests has nothing to tell and nothing to choose, and servers that
             // tell their load say more.
             let is_needless = loads.is_empty() || relay.balance.is_told_load(now);
-            if is_needless && now < idle_since + LOAD_IDLE_EVERY {
+            if is_needless && now < idle_since + LOAD_EXCHANGE_IDLE_INTERVAL {
                 continue;
             }
             idle_since = now;
@@ -207,7 +210,7 @@
             if collector.as_deref() == Some(self.name.as_str()) {
                 self.collect(&loads, &relay.balance);
                 if now >= next_sites {
-                    next_sites = now + LOAD_SITES_EVERY;
+                    next_sites = now + LOAD_SITE_EXCHANGE_INTERVAL;
                     self.tell_sites(&fronts);
                 }
             } else if let Some(node) =
@@ -240,7 +243,7 @@
                 collector.peer,
                 &PeerRequest::ExchangeLoads { by_site: false },
                 &blob,
-                LOAD_WAIT,
+                LOAD_EXCHANGE_TIMEOUT,
             )
             .await;
         let Ok((PeerResponse::Loads, blob)) = answer else {
@@ -289,7 +292,7 @@
                 node.peer,
                 &PeerRequest::ExchangeLoads { by_site: true },
                 &blob,
-                LOAD_WAIT,
+                LOAD_EXCHANGE_TIMEOUT,
             )
             .await;
         let told = match answer {
--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -23,7 +23,9 @@
 use validation::{ReceivedLookup, ValidLookup, validate};
 use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
 use yewcross_common::configuration::Class;
-use yewcross_common::constants::{BACK_SOON, HORIZON_LATE, HORIZON_MAX, HORIZON_SPARE, MS};
+use yewcross_common::constants::{
+    COMMIT_RESERVE, DEADLINE_GRACE, DEADLINE_MAX_MS, DEFAULT_RETRY_AFTER_S, MS,
+};
 use yewcross_common::error_code::Code;
 
 /// Why a lookup is not answered, as its caller is told.
@@ -68,7 +70,7 @@
         Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
     };
     let most_ms = most_horizon_ms(&front, &body.service);
-    let wait = body.horizon_ms.min(most_ms) * MS + HORIZON_LATE;
+    let wait = body.horizon_ms.min(most_ms) * MS + DEADLINE_GRACE;
     let received = ReceivedLookup {
         body,
         received_at,
@@ -81,7 +83,13 @@
         // Nobody may be waiting any more.
         let _ = answered.try_send(drive(driver, received).await);
     });
-    let late = || refuse(Code::StillRunning, "its horizon has passed", BACK_SOON);
+    let late = || {
+        refuse(
+            Code::StillRunning,
+            "its horizon has passed",
+            DEFAULT_RETRY_AFTER_S,
+        )
+    };
     front
         .runtime
         .timeout(wait, answer.recv())
@@ -94,7 +102,7 @@
 fn most_horizon_ms(front: &Front, service: &str) -> u64 {
     let configuration = front.documents.config.load();
     let service = configuration.1.services.get(service);
-    service.map_or(HORIZON_MAX, |service| service.horizon_ms)
+    service.map_or(DEADLINE_MAX_MS, |service| service.horizon_ms)
 }
 
 async fn drive(front: Arc<Front>, received: ReceivedLookup) -> Response {
@@ -123,7 +131,7 @@
         class: Class::Normal,
         deadline: lookup.deadline,
         patience: lookup.queueing_deadline,
-        needs: HORIZON_SPARE,
+        needs: COMMIT_RESERVE,
         capacity: lookup.queue_capacity,
         urgent_share: lookup.urgent_share,
     };
@@ -176,7 +184,7 @@
         Ok(answer) => settle_answered(front, &lookup, answer).await,
         // One that may run again is worth repeating.
         Err(Code::MayHaveRun) if !lookup.is_once() => {
-            Err(Rejection::new(Code::MayHaveRun, BACK_SOON))
+            Err(Rejection::new(Code::MayHaveRun, DEFAULT_RETRY_AFTER_S))
         }
         Err(Code::MayHaveRun) => {
             commit_in_background(front, &lookup, Code::MayHaveRun);
@@ -184,7 +192,7 @@
         }
         Err(code) => {
             abort(front, &lookup);
-            Err(Rejection::new(code, BACK_SOON))
+            Err(Rejection::new(code, DEFAULT_RETRY_AFTER_S))
         }
     }
 }
--- a/yewcross-proxy/src/lookup/attempt.rs
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -6,7 +6,7 @@
 use crate::back::{Back, Sent, Stamp, Verified};
 use serde_json::{Value, json};
 use yewcross_common::buffered_http::body;
-use yewcross_common::constants::{BODY_MAX, MS};
+use yewcross_common::constants::{MAX_BODY_BYTES, MS};
 
 /// us. An attempt is given this much of the time left, even where half of it is less.
 const LEAST_ATTEMPT: u64 = 100 * MS;
@@ -96,7 +96,7 @@
     let is_success = response.status().is_success();
     let bytes = front
         .runtime
-        .timeout(wait, body(&mut response, BODY_MAX))
+        .timeout(wait, body(&mut response, MAX_BODY_BYTES))
         .await?
         .ok()?;
     let value = serde_json::from_slice(&bytes).ok()?;
--- a/yewcross-proxy/src/lookup/once.rs
+++ b/yewcross-proxy/src/lookup/once.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::sync::Arc;
 use yewcross_common::configuration::Rule;
-use yewcross_common::constants::{BACK_SOON, MS, SEC};
+use yewcross_common::constants::{DEFAULT_RETRY_AFTER_S, MS, SEC};
 use yewcross_common::error_code::Code;
 use yewcross_common::hash::content_digest;
 use yewcross_common::protocol::{
@@ -107,7 +107,7 @@
         // It may have been registered.
         _ => {
             front.abort(&key, &request.body.job, request.nonce, None);
-            Err(Rejection::new(Code::StoreAway, BACK_SOON))
+            Err(Rejection::new(Code::StoreAway, DEFAULT_RETRY_AFTER_S))
         }
     }
 }
--- a/yewcross-proxy/src/lookup/selection.rs
+++ b/yewcross-proxy/src/lookup/selection.rs
@@ -6,7 +6,7 @@
 use crate::{Front, server_table};
 use std::io;
 use yewcross_common::configuration::ProgramClass;
-use yewcross_common::constants::{HORIZON_SPARE, MS};
+use yewcross_common::constants::{COMMIT_RESERVE, MS};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{ListedServer, SessionCacheState};
 
@@ -33,7 +33,7 @@
     let weights = Weights::from(&ProgramClass::default());
     let no_cache = SessionCacheState::default();
     loop {
-        let end = front.runtime.now() + HORIZON_SPARE / 2;
+        let end = front.runtime.now() + COMMIT_RESERVE / 2;
         let time_left = request.deadline.saturating_sub(end);
         let servers = server_table::fit(front, &request.body.service);
         let case = Case {
--- a/yewcross-proxy/src/lookup/validation.rs
+++ b/yewcross-proxy/src/lookup/validation.rs
@@ -5,7 +5,9 @@
 use crate::turn::is_valid_name;
 use serde::{Deserialize, Serialize};
 use yewcross_common::configuration::Kind;
-use yewcross_common::constants::{BACK_SOON, HORIZON_MAX, HORIZON_MIN, MS, PATIENCE};
+use yewcross_common::constants::{
+    DEADLINE_MAX_MS, DEADLINE_MIN_MS, DEFAULT_RETRY_AFTER_S, MS, QUEUEING_SHARE_PERCENT,
+};
 use yewcross_common::error_code::Code;
 
 /// The body of a lookup request.
@@ -53,7 +55,7 @@
     let body = received.body;
     check_body(&body)?;
     if !front.watcher.may_serve() {
-        return Err(Rejection::new(Code::NotServing, BACK_SOON));
+        return Err(Rejection::new(Code::NotServing, DEFAULT_RETRY_AFTER_S));
     }
     let configuration = front.documents.config.load();
     let service = configuration.1.services.get(&body.service);
@@ -73,7 +75,7 @@
         nonce: received.nonce,
         is_once,
         deadline: received.received_at + horizon,
-        queueing_deadline: received.received_at + horizon * PATIENCE / 100,
+        queueing_deadline: received.received_at + horizon * QUEUEING_SHARE_PERCENT / 100,
         queue_capacity: service.line,
         urgent_share: service.urgent_share,
         retain_ms: service.keep_ms,
@@ -82,7 +84,7 @@
 }
 
 fn check_body(body: &LookupBody) -> Result<(), Rejection> {
-    if !(HORIZON_MIN..=HORIZON_MAX).contains(&body.horizon_ms) {
+    if !(DEADLINE_MIN_MS..=DEADLINE_MAX_MS).contains(&body.horizon_ms) {
         return Err(Rejection::new(Code::BadHorizon, 0));
     }
     let is_job_valid = body.job.is_empty() || is_valid_name(&body.job);
--- a/yewcross-proxy/src/news.rs
+++ b/yewcross-proxy/src/news.rs
@@ -39,7 +39,7 @@
         crate::kv::watch(&f);
         f.tidy();
         f.runtime
-            .sleep(REPORT_EVERY.saturating_sub(f.runtime.now() - t0))
+            .sleep(LOAD_REPORT_INTERVAL.saturating_sub(f.runtime.now() - t0))
             .await;
     }
 }
@@ -58,7 +58,7 @@
                     "/report",
                     &[],
                     vec![],
-                    BACK_WAIT,
+                    UPSTREAM_REPORT_TIMEOUT,
                 )
                 .await
                 .ok()?;
@@ -116,7 +116,7 @@
                 },
             );
             f.runtime.spawn(async move {
-                let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
+                let _ = p.request(n.peer, &a, &[], PEER_REQUEST_TIMEOUT).await;
             });
         });
 }
@@ -125,7 +125,8 @@
     /// Parts reports into those that say something new and the names of the rest; now and then all
     /// are told whole.
     fn fresh(&self, got: Vec<LoadReport>) -> (Vec<LoadReport>, Vec<String>) {
-        let whole = (self.runtime.now() / REPORT_EVERY).is_multiple_of(NEWS_WHOLE);
+        let whole =
+            (self.runtime.now() / LOAD_REPORT_INTERVAL).is_multiple_of(FULL_REPORT_EVERY_POLLS);
         let mut told = self.told.lock().unwrap();
         let (new, old): (Vec<LoadReport>, Vec<LoadReport>) = got.into_iter().partition(|r| {
             let plain = LoadReport {
@@ -158,7 +159,7 @@
         reports.iter().filter(|r| r.sane()).for_each(|r| {
             let newer = g.get(&r.server).is_none_or(|h| {
                 (r.instance, r.sequence) > (h.report.instance, h.report.sequence)
-                    || t > h.at + REPORT_LOST
+                    || t > h.at + LOAD_REPORT_LOST_AFTER
             });
             if newer {
                 let was = g.get(&r.server).map(|h| h.report.leaving);
@@ -200,7 +201,7 @@
                     },
                 );
                 front.runtime.spawn(async move {
-                    let _ = p.request(n.peer, &a, &[], PEER_WAIT).await;
+                    let _ = p.request(n.peer, &a, &[], PEER_REQUEST_TIMEOUT).await;
                 });
             });
     }
--- a/yewcross-proxy/src/pool.rs
+++ b/yewcross-proxy/src/pool.rs
@@ -138,7 +138,7 @@
         let v = g.get_mut(server)?;
         v.retain(|l| !l.send.is_closed() && now < l.until);
         let i = v.iter().rposition(|l| l.send.is_ready())?;
-        (!recent || now < v[i].used_at + LINK_RECENT).then(|| v.remove(i))
+        (!recent || now < v[i].used_at + UPSTREAM_RECENT_USE).then(|| v.remove(i))
     }
 
     pub fn has(&self, server: &str) -> bool {
@@ -159,7 +159,7 @@
             departure: departure.clone(),
         });
         let (send, conn) = Builder::new()
-            .max_buf_size(LINK_BUF)
+            .max_buf_size(UPSTREAM_BUFFER_BYTES)
             .handshake(io)
             .await
             .map_err(io::Error::other)?;
@@ -177,11 +177,11 @@
 
     /// Keeps a connection whose answer was read whole; `idle_ms` is the time that the server names.
     pub fn keep(&self, server: &str, mut l: Link, now: u64, idle_ms: Option<u64>, most: usize) {
-        let told = idle_ms.unwrap_or(LINK_IDLE / MS) * MS;
+        let told = idle_ms.unwrap_or(UPSTREAM_IDLE_TIMEOUT / MS) * MS;
         l.used_at = now;
         l.until = now
-            + if told > 2 * LINK_SPARE {
-                told - LINK_SPARE
+            + if told > 2 * UPSTREAM_IDLE_MARGIN {
+                told - UPSTREAM_IDLE_MARGIN
             } else {
                 told / 2
             };
--- a/yewcross-proxy/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -29,7 +29,9 @@
     ) -> Result<Response<Body>, Rejection> {
         let began = self.runtime.now();
         if !self.informed() {
-            self.runtime.timeout(FIRST_NEWS, self.news()).await;
+            self.runtime
+                .timeout(FIRST_CONFIGURATION_WAIT, self.news())
+                .await;
         }
         let (mut request, route, upstream) = self.read(q, began).await?;
         let input = request.body.clone();
@@ -97,7 +99,7 @@
         // request's head.
         let timeout_ms = found
             .as_ref()
-            .map_or(BODY_WAIT / MS, |(route, _)| route.timeout_ms);
+            .map_or(BODY_TIMEOUT / MS, |(route, _)| route.timeout_ms);
         let until = began
             + meta
                 .deadline_ms
@@ -107,7 +109,7 @@
         let left = until.saturating_sub(self.runtime.now());
         let body = self
             .runtime
-            .timeout(left.min(BODY_WAIT), read_body(body, limit))
+            .timeout(left.min(BODY_TIMEOUT), read_body(body, limit))
             .await;
         let (route, upstream) = found?;
         let body = body.unwrap_or(Err(Unread::Broken)).map_err(|e| match e {
@@ -161,7 +163,7 @@
             };
         };
         let open = open_request(route, &request.meta);
-        let until = request.until.min(self.runtime.now() + STORE_PATIENCE);
+        let until = request.until.min(self.runtime.now() + TURN_OPEN_TIMEOUT);
         let opened = chains
             .open(open.clone(), until)
             .await
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -160,7 +160,10 @@
         if !bare && !tells_its_end(&head.headers) {
             return None;
         }
-        let small = body.size_hint().upper().is_some_and(|n| n <= ANSWER_WHOLE);
+        let small = body
+            .size_hint()
+            .upper()
+            .is_some_and(|n| n <= BUFFERED_RESPONSE_BYTES);
         if !bare && !small || streamed && head.status.is_success() {
             return Some((head, AnswerBody::Coming(body, link)));
         }
@@ -177,7 +180,11 @@
 
     /// Reads the rest of an answer that is not passed on, so that its connection can be used again.
     fn drain(self: &Arc<Self>, server: &str, b: Incoming, l: Link, m: AnswerMeta) {
-        if m.closes || b.size_hint().upper().is_none_or(|n| n > ANSWER_WHOLE) {
+        if m.closes
+            || b.size_hint()
+                .upper()
+                .is_none_or(|n| n > BUFFERED_RESPONSE_BYTES)
+        {
             return;
         }
         let (me, server) = (self.clone(), server.to_string());
@@ -195,7 +202,7 @@
                 l,
                 self.runtime.now(),
                 m.idle_ms,
-                (LINKS_KEPT / self.fronts.load(SeqCst).max(1)).max(4),
+                (IDLE_UPSTREAM_CONNECTIONS / self.fronts.load(SeqCst).max(1)).max(4),
             );
         }
     }
@@ -214,7 +221,7 @@
                 Some(l) => l,
                 None => self
                     .pool
-                    .dial(&self.runtime, &c.to, DIAL_WAIT)
+                    .dial(&self.runtime, &c.to, CONNECT_TIMEOUT)
                     .await
                     .map_err(|_| Failed::Unsent)?,
             };
@@ -228,7 +235,7 @@
                 .ask(
                     &self.runtime,
                     self.request(s, &c.to),
-                    s.until.min(now + SEND_WITHIN),
+                    s.until.min(now + SELECTION_LIFETIME),
                 )
                 .await
             {
--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -112,7 +112,8 @@
         prev: Option<&Turn>,
         tried: &[String],
     ) -> Result<(Route, Claim), Rejection> {
-        let patience = self.runtime.now() + first.target_ms.max(40) * MS * PLACE_PATIENCE / 100;
+        let patience =
+            self.runtime.now() + first.target_ms.max(40) * MS * QUEUEING_TARGET_PERCENT / 100;
         loop {
             let now = self.runtime.now();
             let (route, up) = {
--- a/yewcross-proxy/src/relay/hedge.rs
+++ b/yewcross-proxy/src/relay/hedge.rs
@@ -16,8 +16,8 @@
     fn hedge_after(&self, route: &Route, claim: &Claim) -> u64 {
         let usual = HEDGE_FACTOR * self.balance.usual(&claim.to.service) + claim.reading_us();
         usual
-            .max(route.target_ms * MS * HEDGE_AIM_PERCENT / 100)
-            .max(HEDGE_LEAST)
+            .max(route.target_ms * MS * HEDGE_TARGET_PERCENT / 100)
+            .max(HEDGE_DELAY_MIN)
     }
 
     /// Sends a repeatable request to a server, and to a second one if the first is silent. The
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -4,7 +4,7 @@
 use crate::admission::Slots;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use yewcross_common::constants::REPORT_LOST;
+use yewcross_common::constants::LOAD_REPORT_LOST_AFTER;
 use yewcross_common::membership::Node;
 use yewcross_common::protocol::{CachedPrefix, ListedServer, LoadReport};
 
@@ -81,7 +81,7 @@
         .filter_map(|l| {
             let h = heard.get(&l.server)?;
             let age = t.saturating_sub(h.at);
-            let ok = !h.report.leaving && age < REPORT_LOST && h.report.service == svc;
+            let ok = !h.report.leaving && age < LOAD_REPORT_LOST_AFTER && h.report.service == svc;
             ok.then(|| Server {
                 at: l.clone(),
                 report: h.report.clone(),
--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use yewcross_common::buffered_http::{BufferedRequest, refuse, reply, stream, until};
-use yewcross_common::constants::{BACK_SOON, HORIZON_LATE, HORIZON_MAX, MS};
+use yewcross_common::constants::{DEADLINE_GRACE, DEADLINE_MAX_MS, DEFAULT_RETRY_AFTER_S, MS};
 use yewcross_common::error_code::Code;
 use yewcross_common::runtime::Runtime;
 
@@ -27,9 +27,9 @@
         return reject(&rejection);
     }
     let most_ms = most_horizon_ms(&front, &body.program);
-    let end = received_at + body.horizon_ms.min(most_ms) * MS + HORIZON_LATE;
+    let end = received_at + body.horizon_ms.min(most_ms) * MS + DEADLINE_GRACE;
     // What is said at the last moment still has to be sent.
-    let cut = end + HORIZON_LATE / 2;
+    let cut = end + DEADLINE_GRACE / 2;
     // As long as a turn's output may be: a caller that reads slowly holds no server up.
     let (sender, events) = async_channel::unbounded();
     let is_streamed = body.stream;
@@ -55,7 +55,7 @@
 fn most_horizon_ms(front: &Front, program: &str) -> u64 {
     let configuration = front.documents.config.load();
     let program = configuration.1.families.get(program);
-    program.map_or(HORIZON_MAX, |program| program.eff.horizon_ms)
+    program.map_or(DEADLINE_MAX_MS, |program| program.eff.horizon_ms)
 }
 
 /// The events of a turn, until its end.
@@ -74,7 +74,11 @@
             Some(Err(_)) => Event::Rejected(Rejection::new(Code::MayHaveRun, "", 0)),
             None => {
                 let reason = "its horizon has passed";
-                Event::Rejected(Rejection::new(Code::StillRunning, reason, BACK_SOON))
+                Event::Rejected(Rejection::new(
+                    Code::StillRunning,
+                    reason,
+                    DEFAULT_RETRY_AFTER_S,
+                ))
             }
         }
     }
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::buffered_http::body;
-use yewcross_common::constants::{BACK_WAIT, MS, PIECE_WAIT};
+use yewcross_common::constants::{MS, STREAM_IDLE_TIMEOUT, UPSTREAM_REPORT_TIMEOUT};
 use yewcross_common::hash::digest;
 use yewcross_common::protocol::ListedServer;
 
@@ -85,7 +85,12 @@
     let request = server_request(turn, &job, time_left);
     let started = front.runtime.now();
     let sent = connection
-        .send(&front.runtime, "/turn", request, time_left + PIECE_WAIT)
+        .send(
+            &front.runtime,
+            "/turn",
+            request,
+            time_left + STREAM_IDLE_TIMEOUT,
+        )
         .await;
     let Sent::Answered(mut response) = sent else {
         return AttemptOutcome::Unknown { has_output: false };
@@ -154,7 +159,10 @@
 ) -> AttemptOutcome {
     let bytes = front
         .runtime
-        .timeout(BACK_WAIT, body(&mut response, REJECTION_BYTES_MAX))
+        .timeout(
+            UPSTREAM_REPORT_TIMEOUT,
+            body(&mut response, REJECTION_BYTES_MAX),
+        )
         .await
         .and_then(|bytes| bytes.ok())
         .unwrap_or_default();
@@ -216,8 +224,8 @@
 
     async fn next_line(&mut self) -> Option<Vec<u8>> {
         let runtime = &self.front.runtime;
-        let until = self.turn.request.deadline + PIECE_WAIT;
-        let wait = PIECE_WAIT.min(until.saturating_sub(runtime.now()));
+        let until = self.turn.request.deadline + STREAM_IDLE_TIMEOUT;
+        let wait = STREAM_IDLE_TIMEOUT.min(until.saturating_sub(runtime.now()));
         self.lines.next(runtime, wait).await
     }
 
@@ -296,7 +304,7 @@
         server.addr,
         "/cancel",
         request,
-        BACK_WAIT,
+        UPSTREAM_REPORT_TIMEOUT,
     )
     .await?;
     serde_json::from_slice(&answer).ok()
--- a/yewcross-proxy/src/turn/begin.rs
+++ b/yewcross-proxy/src/turn/begin.rs
@@ -7,7 +7,7 @@
 use crate::Front;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{BACK_SOON, MS};
+use yewcross_common::constants::{DEFAULT_RETRY_AFTER_S, MS};
 use yewcross_common::error_code::Code;
 use yewcross_common::hash::content_digest;
 use yewcross_common::protocol::{BeginTurn, PeerRequest, PeerResponse, TurnBegun};
@@ -49,10 +49,10 @@
         // It may have begun.
         Some((PeerResponse::Rejected(Code::Undecided | Code::StoreAway), _)) | None => {
             abort(front, &turn);
-            Err(Rejection::new(Code::StoreAway, "", BACK_SOON))
+            Err(Rejection::new(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S))
         }
         Some((PeerResponse::Rejected(code), _)) => Err(Rejection::new(code, "", code.back())),
-        Some(_) => Err(Rejection::new(Code::StoreAway, "", BACK_SOON)),
+        Some(_) => Err(Rejection::new(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S)),
     }
 }
 
--- a/yewcross-proxy/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -6,7 +6,7 @@
 use crate::{Front, kv};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{BACK_SOON, MS};
+use yewcross_common::constants::{DEFAULT_RETRY_AFTER_S, MS};
 use yewcross_common::error_code::Code;
 use yewcross_common::hash::digest;
 use yewcross_common::protocol::{
@@ -104,7 +104,11 @@
             }
             _ if front.runtime.now() > turn.request.deadline => {
                 let reason = "the outcome is not yet kept";
-                return Err(Rejection::new(Code::Undecided, reason, BACK_SOON));
+                return Err(Rejection::new(
+                    Code::Undecided,
+                    reason,
+                    DEFAULT_RETRY_AFTER_S,
+                ));
             }
             _ => front.runtime.sleep(COMMIT_BACKOFF).await,
         }
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -11,7 +11,9 @@
 use crate::{Front, admission, kv, server_table};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{BACK_SOON, HORIZON_SPARE, MS, PATIENCE};
+use yewcross_common::constants::{
+    COMMIT_RESERVE, DEFAULT_RETRY_AFTER_S, MS, QUEUEING_SHARE_PERCENT,
+};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{ListedServer, PeerRequest, PeerResponse};
 
@@ -56,7 +58,7 @@
 fn validate(front: &Front, received: ReceivedTurn) -> Result<ValidTurn, Rejection> {
     let body = received.body;
     if !front.watcher.may_serve() {
-        return Err(Rejection::new(Code::NotServing, "", BACK_SOON));
+        return Err(Rejection::new(Code::NotServing, "", DEFAULT_RETRY_AFTER_S));
     }
     let configuration = front.documents.config.load();
     let Some(program) = configuration.1.families.get(&body.program) else {
@@ -72,7 +74,7 @@
         nonce: received.nonce,
         key: format!("session/{}/{}", body.program, body.session),
         deadline: received.received_at + horizon,
-        queueing_deadline: received.received_at + horizon * PATIENCE / 100,
+        queueing_deadline: received.received_at + horizon * QUEUEING_SHARE_PERCENT / 100,
         max_output_tokens: max_output.min(class.max_output),
         class,
         body,
@@ -113,7 +115,7 @@
         decode + server.report.prefill_us_per_1000 * unread_tokens / 1000
     };
     let servers = server_table::fit(front, &turn.class.service);
-    servers.iter().map(needed).min().unwrap_or(0) + HORIZON_SPARE
+    servers.iter().map(needed).min().unwrap_or(0) + COMMIT_RESERVE
 }
 
 /// Attempts the turn at one server after another until one finishes it. None if it ended in
@@ -171,12 +173,12 @@
     } else {
         Code::TooLate
     };
-    Rejection::new(code, "", BACK_SOON)
+    Rejection::new(code, "", DEFAULT_RETRY_AFTER_S)
 }
 
 /// Whether the turn may be attempted once more, after an attempt of unknown outcome.
 async fn prepare_retry(front: &Arc<Front>, turn: &mut BegunTurn, last: &ListedServer) -> bool {
-    let is_in_time = front.runtime.now() + HORIZON_SPARE < turn.request.deadline;
+    let is_in_time = front.runtime.now() + COMMIT_RESERVE < turn.request.deadline;
     turn.request.class.repeatable && is_in_time && reserve_another_attempt(front, turn, last).await
 }
 
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::sync::Arc;
 use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
-use yewcross_common::constants::BACK_SOON;
+use yewcross_common::constants::DEFAULT_RETRY_AFTER_S;
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse, SessionCacheState};
 
@@ -42,7 +42,7 @@
             reply(200, &json!({"code": Code::Done.number(), "ended": true}))
         }
         Some((PeerResponse::Rejected(code), _)) => refuse(code, "", code.back()),
-        _ => refuse(Code::StoreAway, "", BACK_SOON),
+        _ => refuse(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S),
     }
 }
 
--- a/yewcross-proxy/src/turn/request.rs
+++ b/yewcross-proxy/src/turn/request.rs
@@ -2,7 +2,7 @@
 
 use super::events::Rejection;
 use serde::{Deserialize, Serialize};
-use yewcross_common::constants::{HORIZON_MAX, HORIZON_MIN, TOKEN_BYTES};
+use yewcross_common::constants::{BYTES_PER_TOKEN, DEADLINE_MAX_MS, DEADLINE_MIN_MS};
 use yewcross_common::error_code::Code;
 
 /// Longest name of a program, session or request, bytes.
@@ -52,8 +52,8 @@
         _ if !is_valid_name(&body.job) => bad_field("job"),
         _ if body.messages.is_empty() => bad_field("messages"),
         _ if body.max_output == Some(0) => bad_field("max_output"),
-        _ if !(HORIZON_MIN..=HORIZON_MAX).contains(&body.horizon_ms) => {
-            let reason = format!("{HORIZON_MIN} to {HORIZON_MAX} ms");
+        _ if !(DEADLINE_MIN_MS..=DEADLINE_MAX_MS).contains(&body.horizon_ms) => {
+            let reason = format!("{DEADLINE_MIN_MS} to {DEADLINE_MAX_MS} ms");
             Err(Rejection::new(Code::BadHorizon, &reason, 0))
         }
         _ => Ok(()),
@@ -62,5 +62,5 @@
 
 /// Tokens of a text of this many bytes.
 pub fn tokens(bytes: usize) -> u64 {
-    bytes.div_ceil(TOKEN_BYTES) as u64
+    bytes.div_ceil(BYTES_PER_TOKEN) as u64
 }
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -11,7 +11,7 @@
 use std::io::ErrorKind;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{HORIZON_SPARE, MS};
+use yewcross_common::constants::{COMMIT_RESERVE, MS};
 use yewcross_common::protocol::{CachedPrefix, SessionCacheState};
 
 /// us. How often a turn looks for a server again while it waits for one.
@@ -56,7 +56,7 @@
     let started = front.runtime.now();
     let mut is_import_ahead = false;
     loop {
-        let end = front.runtime.now() + HORIZON_SPARE;
+        let end = front.runtime.now() + COMMIT_RESERVE;
         let time_left = turn.request.deadline.checked_sub(end)?;
         if !front.watcher.may_serve() {
             return None;
--- a/yewcross-state/src/anti_entropy/mod.rs
+++ b/yewcross-state/src/anti_entropy/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{CHAIN_AGAIN, MS, SEC};
+use yewcross_common::constants::{MS, SEC, STORE_RETRY_DELAY};
 use yewcross_common::runtime::BoxFuture;
 use yewcross_common::turn_log::{
     Gather, GatherStep, StoreReplicas, TurnLogOperation, TurnLogResponse,
@@ -22,7 +22,7 @@
 const REPAIR_TIMEOUT_US: u64 = 10 * SEC;
 
 /// Pause before a pass that failed is repeated, us; a change of the layout ends it early.
-const RETRY_DELAY_US: u64 = 2 * CHAIN_AGAIN;
+const RETRY_DELAY_US: u64 = 2 * STORE_RETRY_DELAY;
 
 impl TurnStore {
     /// Whether all that this disk held when it adopted the layout is where that layout needs it,
--- a/yewcross-state/src/anti_entropy/transfer.rs
+++ b/yewcross-state/src/anti_entropy/transfer.rs
@@ -3,12 +3,12 @@
 use crate::turn_store::TurnStore;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
-use yewcross_common::constants::{CHAIN_PUSH, PEER_WAIT, SYNC_WAIT};
+use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, SYNC_TIMEOUT, TRANSFER_BATCH_BYTES};
 use yewcross_common::turn_log::{LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse};
 
 /// Longest wait for a disk that records are transferred to, us: its sync, and the way there and
 /// back.
-const TRANSFER_TIMEOUT_US: u64 = PEER_WAIT + SYNC_WAIT;
+const TRANSFER_TIMEOUT_US: u64 = PEER_REQUEST_TIMEOUT + SYNC_TIMEOUT;
 
 /// Ledgers in one transfer.
 const LEDGERS_PER_TRANSFER: usize = 1024;
@@ -45,7 +45,7 @@
             part_bytes += stored.bytes();
             part.push(stored);
             remaining -= 1;
-            if part_bytes >= CHAIN_PUSH || remaining == 0 {
+            if part_bytes >= TRANSFER_BATCH_BYTES || remaining == 0 {
                 if !self.transfer(disk, std::mem::take(&mut part), vec![]).await {
                     return false;
                 }
--- a/yewcross-state/src/anti_entropy/turns.rs
+++ b/yewcross-state/src/anti_entropy/turns.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{CHAIN_AGAIN, CHAIN_IDS, PEER_WAIT};
+use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, STORE_RETRY_DELAY, TURN_IDS_PER_REQUEST};
 use yewcross_common::hash::{key_128, ranked};
 use yewcross_common::runtime::BoxFuture;
 use yewcross_common::turn_log::{StoreReplicas, StoredTurn, TurnLogOperation, TurnLogResponse};
@@ -16,7 +16,7 @@
 const FIRST_SHARED_PASS: usize = 3;
 
 /// Pause after a pass that transferred nothing, or not all, us.
-const PASS_DELAY_US: u64 = CHAIN_AGAIN * 2;
+const PASS_DELAY_US: u64 = STORE_RETRY_DELAY * 2;
 
 /// The turns, by the hash of their ids, that each of the other disks holds.
 struct TurnHolders(HashMap<String, BTreeSet<u128>>);
@@ -130,11 +130,11 @@
     async fn find_held(&self, disk: &str, layout_version: u64, ids: &[u128]) -> BTreeSet<u128> {
         let mut held = BTreeSet::new();
         let started_us = self.runtime.now();
-        for part in ids.chunks(CHAIN_IDS) {
+        for part in ids.chunks(TURN_IDS_PER_REQUEST) {
             let operation = TurnLogOperation::ContainsTurns { ids: part.to_vec() };
             let response = self
                 .stores
-                .request(disk, layout_version, &operation, PEER_WAIT)
+                .request(disk, layout_version, &operation, PEER_REQUEST_TIMEOUT)
                 .await;
             let Ok(TurnLogResponse::Contains(contains)) = response else {
                 self.stores.has_not_answered_since(disk, started_us);
--- a/yewcross-state/src/records/begin_decision.rs
+++ b/yewcross-state/src/records/begin_decision.rs
@@ -2,7 +2,7 @@
 //! rejected.
 
 use super::record::{Mark, Run, SessionRecord};
-use yewcross_common::constants::{HORIZON_MAX, KEEP_MAX, MS, RUN_GRACE};
+use yewcross_common::constants::{DEADLINE_MAX_MS, MS, RETENTION_MAX_MS, RUN_GRACE};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{BeginTurn, TurnBegun};
 use yewcross_common::register::Step;
@@ -124,13 +124,13 @@
     let head = &mut record.head;
     head.epoch += 1;
     head.touched = now_ms;
-    head.keep = begin.retain_ms.min(KEEP_MAX);
+    head.keep = begin.retain_ms.min(RETENTION_MAX_MS);
     head.running = Some(Run {
         job: begin.request_id.clone(),
         digest: begin.digest.clone(),
         nonce: begin.nonce,
         front: begin.front.clone(),
-        until: now_ms + begin.remaining_ms.min(HORIZON_MAX) + RUN_GRACE / MS,
+        until: now_ms + begin.remaining_ms.min(DEADLINE_MAX_MS) + RUN_GRACE / MS,
         max_out: begin.max_output_tokens,
         budget: begin.budget.as_ref().map(|budget| budget.0.clone()),
     });
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -3,7 +3,7 @@
 use super::RecordStore;
 use super::budget_record::{BudgetRecord, Reservation, budget_key};
 use std::sync::Arc;
-use yewcross_common::constants::{AUDIT_AFTER, MS, PEER_WAIT};
+use yewcross_common::constants::{MS, PEER_REQUEST_TIMEOUT, RESERVATION_AUDIT_AGE_MS};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::Step;
@@ -34,7 +34,7 @@
     ) -> PeerResponse {
         let changed = self
             .registers
-            .change(&budget_key(budget), PEER_WAIT, |_, value| {
+            .change(&budget_key(budget), PEER_REQUEST_TIMEOUT, |_, value| {
                 let mut record = BudgetRecord::read(value);
                 if record.open.contains_key(entry) {
                     return Step::Keep(PeerResponse::Ok);
@@ -57,7 +57,7 @@
     pub async fn settle(&self, budget: &str, entry: &str, used: Option<u64>) -> PeerResponse {
         let changed = self
             .registers
-            .change(&budget_key(budget), PEER_WAIT, |_, value| {
+            .change(&budget_key(budget), PEER_REQUEST_TIMEOUT, |_, value| {
                 let mut record = BudgetRecord::read(value);
                 if record.settle(entry, used) {
                     Step::Write(record.write(), ())
@@ -96,7 +96,7 @@
         });
     }
 
-    /// Settles reservations that are older than `AUDIT_AFTER` and whose turn is over: at the usage
+    /// Settles reservations that are older than `RESERVATION_AUDIT_AGE_MS` and whose turn is over: at the usage
     /// that the session's record tells, in full if it tells none.
     pub async fn audit(self: &Arc<Self>, budget: &str) {
         let Some(value) = self.registers.hint(&budget_key(budget)) else {
@@ -104,7 +104,7 @@
         };
         let now_ms = self.clock_ms();
         for (entry, reservation) in BudgetRecord::read(&value).open {
-            if now_ms <= reservation.at + AUDIT_AFTER {
+            if now_ms <= reservation.at + RESERVATION_AUDIT_AGE_MS {
                 continue;
             }
             if let AuditOutcome::Over { used } = self.audit_reservation(&reservation, now_ms).await
--- a/yewcross-state/src/records/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -4,7 +4,9 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
-use yewcross_common::constants::{BARS_KEPT, MARKS_KEPT, OLD_KEPT, OLD_LINE};
+use yewcross_common::constants::{
+    REQUEST_IDS_PER_LINE, RETAINED_BARRED_ATTEMPTS, RETAINED_REQUEST_IDS, RETAINED_REQUEST_MARKS,
+};
 use yewcross_common::error_code::Code;
 use yewcross_common::hash::rendezvous_weight;
 use yewcross_common::protocol::SessionCacheState;
@@ -12,7 +14,7 @@
 /// Bytes of a bare id: 16 hex digits.
 const BARE_ID_BYTES: usize = 16;
 /// Bytes of bare ids at which a session is full: each counts with the end of a line.
-const FULL_BYTES: usize = (BARE_ID_BYTES + 1) * OLD_KEPT;
+const FULL_BYTES: usize = (BARE_ID_BYTES + 1) * RETAINED_REQUEST_IDS;
 
 /// A turn in flight: begun, and neither committed nor aborted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -145,7 +147,7 @@
             code,
             used,
         });
-        while self.head.marks.len() > MARKS_KEPT {
+        while self.head.marks.len() > RETAINED_REQUEST_MARKS {
             if let Some(mark) = self.head.marks.pop_front() {
                 append_bare_id(&mut self.old, &bare_id(&mark.job));
             }
@@ -174,7 +176,7 @@
     /// The attempt may never begin any more.
     pub fn bar(&mut self, nonce: u64) {
         self.head.barred.push_back(nonce);
-        while self.head.barred.len() > BARS_KEPT {
+        while self.head.barred.len() > RETAINED_BARRED_ATTEMPTS {
             self.head.barred.pop_front();
         }
     }
@@ -205,7 +207,7 @@
         .split_inclusive(|byte| *byte == LINE_END)
         .next_back()
         .map_or(0, |line| line.len());
-    if last_line > 0 && last_line <= BARE_ID_BYTES * OLD_LINE {
+    if last_line > 0 && last_line <= BARE_ID_BYTES * REQUEST_IDS_PER_LINE {
         old.pop();
     }
     old.extend(id.as_bytes());
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -5,7 +5,9 @@
 use super::budget_record::budget_key;
 use super::record::SessionRecord;
 use std::sync::Arc;
-use yewcross_common::constants::{BAR_KEPT, OUTCOMES_KEPT, PEER_WAIT};
+use yewcross_common::constants::{
+    BARRED_ATTEMPT_RETENTION_MS, PEER_REQUEST_TIMEOUT, RETAINED_OUTCOMES,
+};
 use yewcross_common::error_code::Code;
 use yewcross_common::hash::content_digest;
 use yewcross_common::protocol::{
@@ -51,7 +53,7 @@
         let is_unreserved = begin.budget.is_some() && reserved.is_none();
         let decided = self
             .registers
-            .change(&begin.key, PEER_WAIT, |_, value| {
+            .change(&begin.key, PEER_REQUEST_TIMEOUT, |_, value| {
                 decide(&begin, value, now_ms, is_unreserved)
             })
             .await;
@@ -148,7 +150,7 @@
         let outcome = String::from_utf8_lossy(outcome);
         let decided = self
             .registers
-            .change(&commit.key, PEER_WAIT, |_, value| {
+            .change(&commit.key, PEER_REQUEST_TIMEOUT, |_, value| {
                 decide_commit(&commit, history, &outcome, value)
             })
             .await;
@@ -177,7 +179,7 @@
         let now_ms = self.clock_ms();
         let is_barred = self
             .registers
-            .change(key, PEER_WAIT, |_, value| {
+            .change(key, PEER_REQUEST_TIMEOUT, |_, value| {
                 decide_abort(request_id, nonce, now_ms, value)
             })
             .await;
@@ -203,7 +205,7 @@
     ) -> PeerResponse {
         let is_current = self
             .registers
-            .change(key, PEER_WAIT, |_, value| {
+            .change(key, PEER_REQUEST_TIMEOUT, |_, value| {
                 let mut record = SessionRecord::read(value);
                 if record.head.epoch != epoch || record.head.kv == cache {
                     return Step::Keep(record.head.epoch == epoch);
@@ -223,7 +225,7 @@
     pub async fn end(&self, key: &str) -> PeerResponse {
         let ended = self
             .registers
-            .change(key, PEER_WAIT, |_, value| decide_end(value))
+            .change(key, PEER_REQUEST_TIMEOUT, |_, value| decide_end(value))
             .await;
         match ended {
             Ok(Ok(cache)) => PeerResponse::SessionEnded { cache },
@@ -255,7 +257,9 @@
         let now_ms = self.clock_ms();
         let inspected = self
             .registers
-            .change(key, PEER_WAIT, |_, value| decide_inspect(now_ms, value))
+            .change(key, PEER_REQUEST_TIMEOUT, |_, value| {
+                decide_inspect(now_ms, value)
+            })
             .await;
         inspected.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
     }
@@ -290,7 +294,7 @@
     if !outcome.is_empty() {
         let kept = &mut record.head.kept;
         kept.push_back((commit.request_id.clone(), outcome.into()));
-        while kept.len() > OUTCOMES_KEPT {
+        while kept.len() > RETAINED_OUTCOMES {
             kept.pop_front();
         }
     }
@@ -320,7 +324,7 @@
     record.bar(nonce);
     if record.head.keep == 0 {
         record.head.touched = now_ms;
-        record.head.keep = BAR_KEPT;
+        record.head.keep = BARRED_ATTEMPT_RETENTION_MS;
     }
     Step::Write(record.write(), true)
 }
--- a/yewcross-state/src/segment_log/compaction.rs
+++ b/yewcross-state/src/segment_log/compaction.rs
@@ -4,7 +4,7 @@
 use crate::turn_store::TurnStore;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
-use yewcross_common::constants::{CHAIN_PUSH, SEGMENT_SLACK};
+use yewcross_common::constants::{LOG_SLACK_BYTES, TRANSFER_BATCH_BYTES};
 use yewcross_common::storage::CHAIN_FOLDER;
 
 /// The oldest segment, and the records in it that are still needed.
@@ -47,7 +47,7 @@
             )
         };
         let mut index = self.index.lock().unwrap();
-        let is_small_enough = log_bytes <= live_bytes + live_bytes / 2 + SEGMENT_SLACK;
+        let is_small_enough = log_bytes <= live_bytes + live_bytes / 2 + LOG_SLACK_BYTES;
         if is_small_enough && index.needs_segment(segment) {
             return None;
         }
@@ -66,7 +66,7 @@
             batch_bytes += record.bytes();
             batch.push(record);
             remaining -= 1;
-            if batch_bytes >= CHAIN_PUSH || remaining == 0 {
+            if batch_bytes >= TRANSFER_BATCH_BYTES || remaining == 0 {
                 let written = self.append(std::mem::take(&mut batch));
                 is_rewritten &= written.recv().await == Ok(true);
                 batch_bytes = 0;
--- a/yewcross-state/src/segment_log/restore.rs
+++ b/yewcross-state/src/segment_log/restore.rs
@@ -6,12 +6,12 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::DISK_RETRY;
+use yewcross_common::constants::DISK_RETRY_INTERVAL;
 use yewcross_common::storage::encode_frame;
 use yewcross_common::turn_log::messages::encode;
 
 /// How often a write in flight is looked at, us.
-const WRITE_POLL_US: u64 = DISK_RETRY / 10;
+const WRITE_POLL_US: u64 = DISK_RETRY_INTERVAL / 10;
 
 impl TurnStore {
     /// Replaces what is in memory, which may be ahead of the disk, by what the log holds. Only
--- a/yewcross-state/src/segment_log/writer.rs
+++ b/yewcross-state/src/segment_log/writer.rs
@@ -10,7 +10,7 @@
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross_common::constants::{CHAIN_QUEUE, SEGMENT, SYNC_WAIT};
+use yewcross_common::constants::{LOG_QUEUE_BYTES, SEGMENT_BYTES, SYNC_TIMEOUT};
 use yewcross_common::storage::encode_frame;
 use yewcross_common::turn_log::messages::encode;
 
@@ -77,7 +77,7 @@
         let is_full = self
             .segment_bytes
             .get(&self.segment)
-            .is_some_and(|bytes| *bytes >= SEGMENT);
+            .is_some_and(|bytes| *bytes >= SEGMENT_BYTES);
         if is_full {
             self.segment += 1;
         }
@@ -111,16 +111,16 @@
     /// Whether the disk is too far behind for new requests.
     pub(crate) fn is_saturated(&self) -> bool {
         let log = self.log.lock().unwrap();
-        log.pending_bytes > CHAIN_QUEUE
+        log.pending_bytes > LOG_QUEUE_BYTES
             || log
                 .batch_started_at_us
-                .is_some_and(|started_us| self.runtime.now() > started_us + SYNC_WAIT)
+                .is_some_and(|started_us| self.runtime.now() > started_us + SYNC_TIMEOUT)
     }
 
     /// Whether an append became durable, within the time that a disk has for it. `false` says
     /// nothing: the records may become durable later.
     pub(crate) async fn is_durable(&self, written: Receiver<bool>) -> bool {
-        self.runtime.timeout(SYNC_WAIT, written.recv()).await == Some(Ok(true))
+        self.runtime.timeout(SYNC_TIMEOUT, written.recv()).await == Some(Ok(true))
     }
 
     async fn write_batches(self: Arc<Self>) {
--- a/yewcross-state/src/turn_store/expiry.rs
+++ b/yewcross-state/src/turn_store/expiry.rs
@@ -4,7 +4,7 @@
 use crate::turn_store::index::TurnIndex;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::{CHAIN_MARGIN, CHAIN_MARGIN_SHORT, CHAIN_TIDY};
+use yewcross_common::constants::{EXPIRY_INTERVAL, RETENTION_MARGIN_MS, RETENTION_MARGIN_SHORT_MS};
 
 impl TurnIndex {
     /// Drops what has been out of its retention for more than the margin.
@@ -26,7 +26,7 @@
     /// Expires and compacts, again and again.
     pub(super) async fn run_expiry(self: Arc<Self>) {
         loop {
-            self.runtime.sleep(CHAIN_TIDY).await;
+            self.runtime.sleep(EXPIRY_INTERVAL).await;
             let (now_ms, is_clock_certain) = self.stores.members.clock();
             if is_clock_certain {
                 let programs = self.expire_index(now_ms);
@@ -43,9 +43,9 @@
         let mut index = self.index.lock().unwrap();
         let is_memory_short = index.memory_bytes() > self.turn_bytes_limit / 2;
         let margin_ms = if is_memory_short {
-            CHAIN_MARGIN_SHORT
+            RETENTION_MARGIN_SHORT_MS
         } else {
-            CHAIN_MARGIN
+            RETENTION_MARGIN_MS
         };
         index.expire(now_ms, margin_ms);
         self.owned_ledgers
--- a/yewcross-state/src/turn_store/mod.rs
+++ b/yewcross-state/src/turn_store/mod.rs
@@ -34,7 +34,7 @@
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
-use yewcross_common::constants::{CHAIN_HELD, PEER_WAIT};
+use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, TURN_STORE_BYTES};
 use yewcross_common::documents::cache::DocumentCache;
 use yewcross_common::membership::Membership;
 use yewcross_common::process_settings::ProcessSettings;
@@ -161,7 +161,7 @@
             Box::pin(async move {
                 let timeout_us = deadline_us
                     .saturating_sub(store.runtime.now())
-                    .min(PEER_WAIT);
+                    .min(PEER_REQUEST_TIMEOUT);
                 store
                     .stores
                     .request(&disk, layout_version, &operation, timeout_us)
@@ -174,7 +174,7 @@
 
 fn turn_bytes_limit(settings: &ProcessSettings) -> usize {
     if settings.bounds.memory_mb == 0 {
-        CHAIN_HELD
+        TURN_STORE_BYTES
     } else {
         (settings.bounds.memory_mb as usize) * TURN_BYTES_PER_MB
     }
--- a/yewcross-state/src/turn_store/replication.rs
+++ b/yewcross-state/src/turn_store/replication.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross_common::constants::PEER_WAIT;
+use yewcross_common::constants::PEER_REQUEST_TIMEOUT;
 use yewcross_common::register::Ballot;
 use yewcross_common::turn_log::epoch::{epoch_owner_id, owner_of};
 use yewcross_common::turn_log::{LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse};
@@ -135,7 +135,12 @@
             // Best effort: the owner counts the turn at its maximum until it learns of its end.
             let _ = store
                 .stores
-                .request(&disk, replicas.layout_version, &operation, PEER_WAIT)
+                .request(
+                    &disk,
+                    replicas.layout_version,
+                    &operation,
+                    PEER_REQUEST_TIMEOUT,
+                )
                 .await;
         });
     }
--- a/yewcross-state/src/turn_store/requests.rs
+++ b/yewcross-state/src/turn_store/requests.rs
@@ -4,7 +4,7 @@
 use crate::turn_store::open_turn::OpenTurnRequest;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross_common::constants::CHAIN_BUSY;
+use yewcross_common::constants::STORE_CONCURRENT_REQUESTS;
 use yewcross_common::turn_log::messages::{decode, encode};
 use yewcross_common::turn_log::{TurnLogOperation, TurnLogRequest, TurnLogResponse};
 
@@ -17,7 +17,7 @@
         };
         drop(body);
         let in_flight = self.requests_in_flight.fetch_add(1, SeqCst);
-        let response = if in_flight >= CHAIN_BUSY || self.is_saturated() {
+        let response = if in_flight >= STORE_CONCURRENT_REQUESTS || self.is_saturated() {
             self.counters.overloaded.fetch_add(1, Relaxed);
             TurnLogResponse::Unavailable
         } else {
--- a/yewcross-state/src/turn_store/reservation.rs
+++ b/yewcross-state/src/turn_store/reservation.rs
@@ -13,7 +13,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, SeqCst};
-use yewcross_common::constants::{CHAIN_AGAIN, CHAIN_FRESH, LEDGER_KEPT, PEER_WAIT};
+use yewcross_common::constants::{
+    LEDGER_REFRESH_INTERVAL, LEDGER_RETENTION_MS, PEER_REQUEST_TIMEOUT, STORE_RETRY_DELAY,
+};
 use yewcross_common::register::Ballot;
 use yewcross_common::turn_log::{
     Gather, GatherOutcome, GatherStep, LedgerEntry, LedgerRecord, StoreReplicas, TurnLogOperation,
@@ -62,7 +64,7 @@
             program: self.program.into(),
             epoch,
             entries: vec![],
-            retain_ms: LEDGER_KEPT,
+            retain_ms: LEDGER_RETENTION_MS,
         }
     }
 }
@@ -111,7 +113,8 @@
                 Attempt::Finished(response) => return response,
                 Attempt::CatchUp(layout_version) => self.stores.catch_up(layout_version).await,
                 Attempt::BackOff => {
-                    let backoff_us = CHAIN_AGAIN / 4 + self.runtime.random() % CHAIN_AGAIN;
+                    let backoff_us =
+                        STORE_RETRY_DELAY / 4 + self.runtime.random() % STORE_RETRY_DELAY;
                     self.runtime.sleep(backoff_us).await;
                 }
                 Attempt::Retry => {}
@@ -142,7 +145,7 @@
                 .await;
         }
         if self.exceeds_budget(reservation)
-            && self.runtime.now() >= owned.refreshed_at_us + CHAIN_FRESH
+            && self.runtime.now() >= owned.refreshed_at_us + LEDGER_REFRESH_INTERVAL
         {
             return self
                 .refresh_entries(&mut owned, &replicas, reservation, epoch)
@@ -367,7 +370,7 @@
         let record = LedgerRecord {
             program: program.into(),
             entries: vec![(turn.into(), LedgerEntry::Done(0))],
-            retain_ms: LEDGER_KEPT,
+            retain_ms: LEDGER_RETENTION_MS,
             ..Default::default()
         };
         // Here at once: the next reservation must not find it.
@@ -386,7 +389,7 @@
                     return;
                 }
                 store.stores.catch_up(outcome.newer_layout).await;
-                store.runtime.sleep(CHAIN_AGAIN).await;
+                store.runtime.sleep(STORE_RETRY_DELAY).await;
             }
         });
     }
@@ -394,7 +397,7 @@
     async fn replicate_release(self: &Arc<Self>, record: &LedgerRecord) -> GatherOutcome {
         let replicas = self.stores.replicas();
         let layout_version = replicas.layout_version;
-        let deadline_us = self.runtime.now() + PEER_WAIT;
+        let deadline_us = self.runtime.now() + PEER_REQUEST_TIMEOUT;
         let is_stored_here = self
             .store_records(layout_version, vec![], vec![record.clone()])
             .await
--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -148,7 +148,7 @@
                     .ok()?;
             heads(&mut s, &r);
             if !a.stream || !r.status().is_success() {
-                let b = buffered_http::body(&mut r, FRAME_MAX).await.ok();
+                let b = buffered_http::body(&mut r, MAX_FRAME_BYTES).await.ok();
                 let v: Value = b
                     .and_then(|b| serde_json::from_slice(&b).ok())
                     .unwrap_or(Value::Null);
--- a/yewcross-testkit/src/proof/cluster.rs
+++ b/yewcross-testkit/src/proof/cluster.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use yewcross_common::buffered_http::fetch;
-use yewcross_common::constants::{MS, SEC, STORE_COPIES, WIRE_OLDEST};
+use yewcross_common::constants::{MS, RECORD_REPLICAS, SEC, WIRE_OLDEST};
 use yewcross_common::process_settings::{ProcessSettings, Role};
 use yewcross_common::runtime::Runtime;
 use yewcross_control::Control;
@@ -488,7 +488,7 @@
 
     /// Adds a store if there are only as many as replicas: no store could be drained.
     pub(super) async fn ensure_spare_store(self: &Arc<Self>) {
-        if self.names(Role::Store).len() == STORE_COPIES {
+        if self.names(Role::Store).len() == RECORD_REPLICAS {
             self.add_node(Role::Store).await;
         }
     }
--- a/yewcross-testkit/src/stub_server/kv_cache.rs
+++ b/yewcross-testkit/src/stub_server/kv_cache.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use yewcross_common::buffered_http::{fetch, reply};
-use yewcross_common::constants::{KV_IMPORT_PER_K, KV_PUSH_WAIT, KV_TOKEN_BYTES, SEC};
+use yewcross_common::constants::{KV_IMPORT_PER_K, KV_PUSH_TIMEOUT, KV_TOKEN_BYTES, SEC};
 use yewcross_common::hash::digest;
 
 /// Bytes that a save writes in one us.
@@ -199,7 +199,7 @@
             "/kv/put",
             &[],
             body,
-            KV_PUSH_WAIT,
+            KV_PUSH_TIMEOUT,
         );
         let (status, _, answer) = fetched.await.ok()?;
         Some((status, serde_json::from_slice(&answer).unwrap_or_default()))
--- a/yewcross-testkit/src/stub_server/turn.rs
+++ b/yewcross-testkit/src/stub_server/turn.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use yewcross_common::buffered_http::{self, stream};
-use yewcross_common::constants::{HORIZON_MAX, MS, TOKEN_BYTES};
+use yewcross_common::constants::{BYTES_PER_TOKEN, DEADLINE_MAX_MS, MS};
 use yewcross_common::hash::digest;
 use yewcross_proxy::turn::tokens;
 
@@ -69,7 +69,7 @@
         let max_output = self.max_output as usize;
         let seed = digest(self.prompt.as_bytes());
         let head = format!("[{}]", marks(&self.prompt));
-        let room = (max_output * TOKEN_BYTES).saturating_sub(head.len());
+        let room = (max_output * BYTES_PER_TOKEN).saturating_sub(head.len());
         let count = (room / WORD_BYTES).min(max_output / 2);
         let words = (0..count).map(|i| {
             let start = i % WORD_POSITIONS;
@@ -108,7 +108,7 @@
         let is_accepted = self.spawn_turn(turn, lines);
         match is_accepted.recv().await {
             Ok(true) => {
-                let deadline = self.runtime.now() + HORIZON_MAX * MS;
+                let deadline = self.runtime.now() + DEADLINE_MAX_MS * MS;
                 buffered_http::until(stream(stream_body), deadline)
             }
             _ => self.reject(&job),
--- a/yewcross-testkit/tests/catching_up.rs
+++ b/yewcross-testkit/tests/catching_up.rs
@@ -176,7 +176,7 @@
             tier.op.sleep(5 * SEC).await;
             let document = tier.at("core1").unwrap().documents.document("config");
             assert!(
-                document.content.len() < TEXT + 100 * ORDERS_KEPT_MOST,
+                document.content.len() < TEXT + 100 * RETAINED_ORDERS_MAX,
                 "{}",
                 document.content.len()
             );
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -1698,7 +1698,7 @@
         .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/")))
         .sum();
     println!("{logs} bytes of log for {}", 2 * 50 * 25 * 20_000);
-    assert!(logs < 3 * 50 * 25 * 20_000 + 4 * (SEGMENT_SLACK + SEGMENT));
+    assert!(logs < 3 * 50 * 25 * 20_000 + 4 * (LOG_SLACK_BYTES + SEGMENT_BYTES));
     t.pass(680_000);
     let logs: u64 = t
         .stores
@@ -1706,7 +1706,7 @@
         .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/")))
         .sum();
     println!("{logs} bytes of log when all is over");
-    assert!(logs < 4 * 2 * SEGMENT);
+    assert!(logs < 4 * 2 * SEGMENT_BYTES);
 }
 
 /// What a program's budget let through when all its turns are asked for at once while every store
--- a/yewcross-testkit/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -311,5 +311,5 @@
         longest / MS,
         back / MS
     );
-    assert!(longest < FENCE_WITHIN + SEC && terms >= 3 && back < DUTY_WITHIN + UNFIT_FOR);
+    assert!(longest < FENCING_TIMEOUT + SEC && terms >= 3 && back < DUTY_WITHIN + CANDIDACY_PAUSE);
 }
--- a/yewcross-testkit/tests/placement.rs
+++ b/yewcross-testkit/tests/placement.rs
@@ -166,7 +166,7 @@
     others(&b, &w, "s1", 9, 0);
     assert_eq!(hits(&b), 0);
     (0..9).for_each(|_| {
-        rest(&sim, &w, LOAD_FADE);
+        rest(&sim, &w, LOAD_DECAY_TIME);
         others(&b, &w, "s1", 0, 0);
     });
     assert!(hits(&b) > 5, "it is idle again");
@@ -273,7 +273,7 @@
     };
     assert_eq!(total(2_000), [(5, 1), (5, 2)]);
     assert_eq!(
-        total(1_000 + LOAD_KEPT),
+        total(1_000 + LOAD_REPORT_LIFETIME),
         [(0, 0), (4, 1)],
         "fronts that fell silent count for nothing"
     );
--- a/yewcross-testkit/tests/relay/attempts.rs
+++ b/yewcross-testkit/tests/relay/attempts.rs
@@ -133,7 +133,7 @@
     let rig = Rig::new(60, 1);
     (0..5).for_each(|i| assert_eq!(rig.ask(&format!("t{i}"), "/once/x", &[], "b").status, 200));
     assert_eq!(rig.floor.conns.load(SeqCst), 1);
-    rig.rest(LINK_IDLE);
+    rig.rest(UPSTREAM_IDLE_TIMEOUT);
     assert_eq!(rig.ask("late", "/once/x", &[], "b").status, 200);
     assert_eq!(rig.floor.conns.load(SeqCst), 2);
 }
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -91,7 +91,7 @@
             let entry = |r: &StoredTurn| LedgerRecord {
                 program: r.program.clone(),
                 entries: vec![(r.turn.id.clone(), LedgerEntry::Done(10))],
-                retain_ms: LEDGER_KEPT,
+                retain_ms: LEDGER_RETENTION_MS,
                 ..Default::default()
             };
             let ledgers: Vec<LedgerRecord> = part.iter().map(entry).collect();
--- a/yewcross-testkit/tests/transcripts.rs
+++ b/yewcross-testkit/tests/transcripts.rs
@@ -89,7 +89,7 @@
     let endless = "a".repeat(40_000);
     let long = format!(
         "POST /v1/turn HTTP/1.1\r\nhost: t\r\ncontent-length: {}\r\n\r\n",
-        BODY_MAX + 1
+        MAX_BODY_BYTES + 1
     );
     let half = request("POST", p, "", &turn("s", "h", "hello", ""));
     let cut = half.len() - 20;
