--- a/yewcross-capacity/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -138,12 +138,7 @@
             });
         });
     });
-    lab.boot("platform");
-    lab.topology
-        .servers
-        .iter()
-        .for_each(|b| lab.boot(&b.server));
-    lab.topology.nodes.iter().for_each(|n| lab.boot(&n.name));
+    lab.boot_all();
     type Counts = (BTreeMap<&'static str, (u64, u64)>, u64);
     let count = |lab: &TestCluster| -> Counts {
         let mut c: Counts = Default::default();
--- a/yewcross-testkit/tests/charges.rs
+++ b/yewcross-testkit/tests/charges.rs
@@ -58,12 +58,7 @@
             .filter(|b| b.is_model)
             .for_each(|b| (b.slots, b.prefill_us_per_1000, b.output_us) = (1000, 10, 10));
     });
-    lab.boot("platform");
-    lab.topology
-        .servers
-        .iter()
-        .for_each(|b| lab.boot(&b.server));
-    lab.topology.nodes.iter().for_each(|n| lab.boot(&n.name));
+    lab.boot_all();
     let me = lab.clone();
     lab.operator.spawn(async move {
         me.operator.sleep(1500 * MS).await;
