--- a/yewcross-control/tests/put.rs
+++ b/yewcross-control/tests/put.rs
@@ -108,7 +108,7 @@
 #[test]
 fn the_last_version_in_force_is_never_dropped_from_the_past() {
     let mut register = Register::default();
-    // The first version has no past; the versions 2 to PAST_KEPT have one that reaches to it.
+    // The first version has no past; the versions 2 to RETAINED_VERSIONS have one that reaches to it.
     for base in 0..RETAINED_VERSIONS as u64 {
         let decision = register.put_as(&base.to_string(), base, "{}");
         assert_eq!(decision, PutDecision::Stored { version: base + 1 });
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -186,16 +186,16 @@
         Platform::start(&self.op, at, servers).await.unwrap()
     }
 
-    /// Stops what flows from one machine to each of the others.
-    pub fn cut_from(&self, name: &str, others: &[String]) {
+    /// Holds back what flows from one machine to each of the others.
+    pub fn block_from(&self, name: &str, others: &[String]) {
         others
             .iter()
             .filter(|o| *o != name)
             .for_each(|o| self.sim.block(self.sim.find(name), self.sim.find(o)));
     }
 
-    /// Stops what flows to one machine from each of the others.
-    pub fn cut_to(&self, name: &str, others: &[String]) {
+    /// Holds back what flows to one machine from each of the others.
+    pub fn block_to(&self, name: &str, others: &[String]) {
         others
             .iter()
             .filter(|o| *o != name)
--- a/yewcross-testkit/tests/balance.rs
+++ b/yewcross-testkit/tests/balance.rs
@@ -3,7 +3,7 @@
 #[path = "support/placement.rs"]
 mod support;
 
-use support::{rest, servers, world};
+use support::{advance, front_runtime, servers};
 use yewcross_common::configuration::route::Engine;
 use yewcross_common::constants::*;
 use yewcross_common::protocol::ListedServer;
@@ -52,7 +52,7 @@
 
 #[test]
 fn requests_spread_by_what_is_under_way() {
-    let (_, w) = world();
+    let (_, w) = front_runtime();
     let (b, v) = (Balance::default(), servers(4, 2));
     tell(&b, &w, &v, 6);
     let mut held: Vec<Claim> = vec![];
@@ -71,7 +71,7 @@
 
 #[test]
 fn nobody_is_refused_while_a_place_is_free() {
-    let (_, w) = world();
+    let (_, w) = front_runtime();
     let (b, v) = (Balance::default(), servers(3, 2));
     tell(&b, &w, &v, 6);
     let held: Vec<Claim> = (0..18)
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_server_that_failed_is_left_alone_for_a_while_but_not_for_ever() {
-    let (sim, w) = world();
+    let (sim, w) = front_runtime();
     let (b, v) = (Balance::default(), servers(2, 2));
     let c = take(&b, &w, &plain(), &v[..1]).unwrap();
     c.failed();
@@ -96,7 +96,7 @@
     (0..8).for_each(|_| assert_eq!(take(&b, &w, &plain(), &v).unwrap().to.server, "s1"));
     // Where it is the only one, it is still asked.
     assert_eq!(take(&b, &w, &plain(), &v[..1]).unwrap().to.server, "s0");
-    rest(&sim, &w, EJECTION_TIME);
+    advance(&sim, &w, EJECTION_TIME);
     assert_eq!(
         take(&b, &w, &plain(), &v).unwrap().to.server,
         "s0",
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_prompt_goes_where_its_parts_are_held_unless_that_costs_more() {
-    let (_, w) = world();
+    let (_, w) = front_runtime();
     let (b, v) = (Balance::default(), servers(4, 2));
     let parts = [(7, 2_500), (8, 1_000)];
     let c = take(&b, &w, &model(&parts), &v[3..]).unwrap();
@@ -147,7 +147,7 @@
 
 #[test]
 fn those_who_wait_are_let_in_by_rank_and_by_the_time_they_have() {
-    let (sim, w) = world();
+    let (sim, w) = front_runtime();
     let (b, v) = (std::sync::Arc::new(Balance::default()), servers(1, 2));
     let held: Vec<Claim> = (0..8)
         .map(|_| take(&b, &w, &model(&[]), &v).unwrap())
--- a/yewcross-testkit/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -9,9 +9,9 @@
 use yewcross_control::api::*;
 use yewcross_testkit::tier::*;
 
-#[path = "support/cuts.rs"]
-mod cuts;
-use cuts::{CUTS, Cut, SIZES, cut};
+#[path = "support/partitions.rs"]
+mod partitions;
+use partitions::{PARTITIONS, Partition, TIER_SIZES, partition_core};
 
 /// Contact is lost within half of the time to apply; a question under way may take that of another
 /// round.
@@ -74,8 +74,8 @@
 
 #[test]
 fn a_core_that_is_cut_off_gives_no_news_and_takes_no_orders() {
-    for (size, (counts, lost)) in SIZES.into_iter().enumerate() {
-        for (i, how) in CUTS.into_iter().enumerate() {
+    for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
+        for (i, how) in PARTITIONS.into_iter().enumerate() {
             let t = Tier::new(6000 + 10 * size as u64 + i as u64, counts, lost);
             play(&t, |t| {
                 Box::pin(async move {
@@ -85,7 +85,7 @@
                     let cores = t.names(Role::Core);
                     let victim = cores[t.op.random() as usize % cores.len()].clone();
                     let other = cores.iter().find(|n| **n != victim).unwrap().clone();
-                    cut(&t, &victim, how);
+                    partition_core(&t, &victim, how);
                     t.op.sleep(NOTICED).await;
                     let takes = t
                         .at(&victim)
@@ -153,7 +153,7 @@
 /// A core restarts and reaches no other core: what its disk holds is no news.
 #[test]
 fn a_core_that_restarts_alone_gives_no_news() {
-    for (size, (counts, lost)) in SIZES.into_iter().enumerate() {
+    for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
         let t = Tier::new(6100 + size as u64, counts, lost);
         play(&t, |t| {
             Box::pin(async move {
@@ -161,7 +161,7 @@
                 t.put_surely(0, "5 a").await;
                 t.op.sleep(2 * SEC).await;
                 t.kill("core2", true);
-                cut(&t, "core2", Cut::Both);
+                partition_core(&t, "core2", Partition::Both);
                 t.boot("core2", false);
                 for _ in 0..20 {
                     t.op.sleep(100 * MS).await;
@@ -194,16 +194,16 @@
 fn fronts_follow_the_side_with_a_majority() {
     let bound = Bounds::default().apply * MS;
     let mut worst = 0;
-    for (size, (counts, lost)) in SIZES.into_iter().enumerate() {
-        for (i, how) in CUTS.into_iter().enumerate() {
+    for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
+        for (i, how) in PARTITIONS.into_iter().enumerate() {
             let t = Tier::new(6200 + 10 * size as u64 + i as u64, counts, lost);
             let us = play(&t, |t| {
                 Box::pin(async move {
                     up(&t).await;
                     t.put_surely(0, "5 a").await;
                     t.op.sleep(2 * SEC).await;
-                    cut(&t, "core1", how);
-                    t.cut_from("core2", &t.names(Role::Front));
+                    partition_core(&t, "core1", how);
+                    t.block_from("core2", &t.names(Role::Front));
                     t.op.sleep(NOTICED).await;
                     let mut worst = 0;
                     for base in 5..15u64 {
--- a/yewcross-testkit/tests/duty.rs
+++ b/yewcross-testkit/tests/duty.rs
@@ -10,9 +10,9 @@
 use yewcross_testkit::sim::{MachineCosts, NetworkConditions};
 use yewcross_testkit::tier::*;
 
-#[path = "support/cuts.rs"]
-mod cuts;
-use cuts::{CUTS, Cut, SIZES, cut};
+#[path = "support/partitions.rs"]
+mod partitions;
+use partitions::{PARTITIONS, Partition, TIER_SIZES, partition_core};
 
 /// Longest time without a process on duty while a majority of the core seats can reach each other.
 const TAKEOVER: u64 = 2 * SEC;
@@ -119,7 +119,7 @@
 
 /// The holder is cut off from the other cores for 20 s while fronts reach all; a server leaves
 /// every second.
-fn holder_cut_off(seed: u64, counts: [usize; 3], lost: usize, how: Cut) -> (u64, u64) {
+fn holder_cut_off(seed: u64, counts: [usize; 3], lost: usize, how: Partition) -> (u64, u64) {
     let t = Tier::new(seed, counts, lost);
     play(&t, |t| {
         Box::pin(async move {
@@ -135,7 +135,7 @@
                 .cloned()
                 .unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
             watch.begin(t.op.now());
-            cut(&t, &holder, how);
+            partition_core(&t, &holder, how);
             let mut slowest = 0;
             for n in 0..20 {
                 let t0 = t.op.now();
@@ -156,8 +156,8 @@
 #[test]
 fn a_holder_that_is_cut_off_is_replaced_in_time() {
     let (mut worst_gap, mut slowest) = (0, 0);
-    for (size, (counts, lost)) in SIZES.into_iter().enumerate() {
-        for (i, how) in CUTS.into_iter().enumerate() {
+    for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
+        for (i, how) in PARTITIONS.into_iter().enumerate() {
             for k in 0..3 {
                 let seed = 5000 + 100 * size as u64 + 10 * i as u64 + k;
                 let (gap, known) = holder_cut_off(seed, counts, lost, how);
@@ -180,7 +180,7 @@
 #[test]
 fn the_lease_is_taken_after_the_whole_core_restarts() {
     let mut worst = 0;
-    for (size, (counts, lost)) in SIZES.into_iter().enumerate() {
+    for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
         for power in [false, true] {
             let t = Tier::new(5300 + 10 * size as u64 + power as u64, counts, lost);
             t.names(Role::Core).iter().for_each(|n| {
@@ -235,7 +235,7 @@
 fn a_holder_that_thaws_writes_nothing() {
     let mut worst = 0;
     for seed in 0..24u64 {
-        let (counts, lost) = SIZES[seed as usize % SIZES.len()];
+        let (counts, lost) = TIER_SIZES[seed as usize % TIER_SIZES.len()];
         let t = Tier::new(5400 + seed, counts, lost);
         let gap = play(&t, |t| {
             Box::pin(async move {
@@ -287,7 +287,7 @@
 #[test]
 fn two_never_hold_the_lease_at_once() {
     for seed in 0..30u64 {
-        let (counts, lost) = SIZES[seed as usize % SIZES.len()];
+        let (counts, lost) = TIER_SIZES[seed as usize % TIER_SIZES.len()];
         let t = Tier::new(5500 + seed, counts, lost);
         play(&t, |t| {
             Box::pin(async move {
@@ -312,7 +312,7 @@
                     match t.op.random() % 5 {
                         0 => t.sim.freeze(t.sim.find(&victim)),
                         1 => t.kill(&victim, t.op.random().is_multiple_of(2)),
-                        n => cut(&t, &victim, CUTS[n as usize - 2]),
+                        n => partition_core(&t, &victim, PARTITIONS[n as usize - 2]),
                     }
                     t.op.sleep(t.op.random() % (3 * SEC)).await;
                     t.sim.heal();
--- a/yewcross-testkit/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -127,7 +127,7 @@
                     .filter(|name| **name != witness)
                     .cloned()
                     .collect();
-                tier.cut_from(&writer, &others);
+                tier.block_from(&writer, &others);
                 let text = format!("2 undecided {}", "x".repeat(TEXT));
                 tier.put(&writer, 1, &text).await;
                 tier.sim.heal();
--- a/yewcross-testkit/tests/placement.rs
+++ b/yewcross-testkit/tests/placement.rs
@@ -4,7 +4,7 @@
 #[path = "support/placement.rs"]
 mod support;
 
-use support::{rest, servers, world};
+use support::{advance, front_runtime, servers};
 use yewcross_common::configuration::route::Engine;
 use yewcross_common::constants::*;
 use yewcross_common::protocol::ListedServer;
@@ -54,9 +54,9 @@
     gap_us: u64,
 ) {
     let mut c = pick(b, w, &model(&[(sim.rand(), tokens)]), &v[..1]);
-    rest(sim, w, 10 * MS + (tokens as f64 * token_us) as u64);
+    advance(sim, w, 10 * MS + (tokens as f64 * token_us) as u64);
     c.headed();
-    rest(sim, w, 7 * gap_us);
+    advance(sim, w, 7 * gap_us);
     c.streamed(8);
 }
 
@@ -103,7 +103,7 @@
         (Policies::all(), true),
         (Policies::all().without(Mechanism::LearnedReading), false),
     ] {
-        let ((sim, w), b, v) = (world(), Balance::with(policies), servers(2, 1));
+        let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(2, 1));
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
         let prompt = [(7, 4_000)];
         pick(&b, &w, &model(&prompt), &v[..1]).read(&prompt, 1_000_000);
@@ -126,13 +126,13 @@
         (Policies::all(), true),
         (Policies::all().without(Mechanism::LearnedCrowding), false),
     ] {
-        let ((sim, w), b, v) = (world(), Balance::with(policies), servers(2, 1));
+        let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(2, 1));
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
         for i in 0..300u32 {
             others(&b, &w, "s0", i % 10, 0);
             let mut c = pick(&b, &w, &model(&[]), &v[..1]);
             c.headed();
-            rest(&sim, &w, 7 * (30 + 5 * (i as u64 % 10)) * MS);
+            advance(&sim, &w, 7 * (30 + 5 * (i as u64 % 10)) * MS);
             c.streamed(8);
         }
         let prompt = [(7, 4_000)];
@@ -151,7 +151,7 @@
 
 #[test]
 fn what_other_fronts_have_under_way_keeps_requests_off_a_hot_server() {
-    let ((sim, w), b, v) = (world(), Balance::default(), servers(3, 1));
+    let ((sim, w), b, v) = (front_runtime(), Balance::default(), servers(3, 1));
     v.iter()
         .for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
     let hits = |b: &Balance| {
@@ -166,7 +166,7 @@
     others(&b, &w, "s1", 9, 0);
     assert_eq!(hits(&b), 0);
     (0..9).for_each(|_| {
-        rest(&sim, &w, LOAD_DECAY_TIME);
+        advance(&sim, &w, LOAD_DECAY_TIME);
         others(&b, &w, "s1", 0, 0);
     });
     assert!(hits(&b) > 5, "it is idle again");
@@ -178,7 +178,7 @@
         (Policies::all(), true),
         (Policies::all().without(Mechanism::SharedEjection), false),
     ] {
-        let ((sim, w), b, v) = (world(), Balance::with(policies), servers(4, 1));
+        let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(4, 1));
         v.iter()
             .for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
         let hits = || {
@@ -190,7 +190,7 @@
         assert!(hits() > 5, "one front alone may be cut off from it");
         others(&b, &w, "s2", 0, EJECTION_QUORUM);
         assert_eq!(hits() == 0, left_alone);
-        rest(&sim, &w, EJECTION_TIME);
+        advance(&sim, &w, EJECTION_TIME);
         assert!(hits() > 5, "what was heard is old");
         b.learn_load(w.now(), |server| {
             Some(Load {
@@ -207,7 +207,7 @@
 
 #[test]
 fn what_concerns_the_same_thing_goes_to_one_server_until_that_costs_too_much() {
-    let ((_sim, w), v) = (world(), servers(6, 1));
+    let ((_sim, w), v) = (front_runtime(), servers(6, 1));
     let plain = |key: &str| Need {
         engine: None,
         affinity: key.into(),
--- a/yewcross-testkit/tests/support/operators.rs
+++ b/yewcross-testkit/tests/support/operators.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
-use yewcross_common::constants::*;
+use yewcross_common::constants::{MS, SEC};
 use yewcross_common::process_settings::Role;
 use yewcross_control::api::PutAnswer;
 use yewcross_testkit::sim::MachineCosts;
-use yewcross_testkit::tier::*;
+use yewcross_testkit::tier::{Tier, up};
 
 const OPERATORS: u64 = 8;
 /// bytes. A text as long as those of some sixty routes.
@@ -34,11 +34,11 @@
 }
 
 /// An operator that builds on the newest version it has heard of, at any core, twice a second.
-async fn operate(tier: Arc<Tier>, orders: Arc<Orders>, me: u64) {
+async fn operate(tier: Arc<Tier>, orders: Arc<Orders>, operator: u64) {
     let cores = tier.names(Role::Core);
     while !orders.ended.load(SeqCst) {
         let base = orders.newest.load(SeqCst);
-        let text = format!("{} by{me} {}", base + 1, "x".repeat(TEXT));
+        let text = format!("{} by{operator} {}", base + 1, "x".repeat(TEXT));
         let core = &cores[tier.op.random() as usize % cores.len()];
         match tier.put(core, base, &text).await {
             Some(PutAnswer::InForce(number)) => orders.acknowledged(tier.op.now(), number),
@@ -56,21 +56,21 @@
 /// Machines of a tenth to a third of a core, as a grown deployment has them.
 pub fn small_machines(seed: u64, counts: [usize; 3], lost: usize) -> Arc<Tier> {
     let tier = Tier::new(seed, counts, lost);
-    for (role, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
+    for (role, core_percent) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
         let costs = MachineCosts {
-            core_percent: share,
+            core_percent,
             poll_us: 40,
             byte_ns: 10,
             sync_us: 500,
         };
-        tier.names(role)
-            .iter()
-            .for_each(|name| tier.sim.set_costs(tier.sim.find(name), costs));
+        for name in tier.names(role) {
+            tier.sim.set_costs(tier.sim.find(&name), costs);
+        }
     }
     tier
 }
 
-/// Founds the tier, puts a first configuration and lets operators begin.
+/// Bootstraps the tier, puts a first configuration and lets operators begin.
 pub async fn begin(tier: &Arc<Tier>) -> Arc<Orders> {
     up(tier).await;
     tier.op.sleep(4 * SEC).await;
@@ -83,8 +83,9 @@
     let orders: Arc<Orders> = Default::default();
     orders.newest.store(version, SeqCst);
     orders.last_at.store(tier.op.now(), SeqCst);
-    for me in 0..OPERATORS {
-        tier.op.spawn(operate(tier.clone(), orders.clone(), me));
+    for operator in 0..OPERATORS {
+        tier.op
+            .spawn(operate(tier.clone(), orders.clone(), operator));
     }
     orders
 }
