--- a/yewcross-testkit/src/proof/cluster/operator.rs
+++ b/yewcross-testkit/src/proof/cluster/operator.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use yewcross_common::buffered_http::fetch;
-use yewcross_common::constants::{MS, SEC, RECORD_REPLICAS};
+use yewcross_common::constants::{MS, RECORD_REPLICAS, SEC};
 use yewcross_common::process_settings::{ProcessSettings, Role};
 
 /// us that the operator waits for an answer.
