--- a/yewcross-common/src/configuration/route.rs
+++ b/yewcross-common/src/configuration/route.rs
@@ -57,7 +57,7 @@
     /// key.
     #[serde(default)]
     pub pinned: bool,
-    /// Whether a stream can be resumed on another server.
+    /// Whether a stream can be resumed on another server. Needs `max_tries` above 1.
     #[serde(default)]
     pub resumable: bool,
     /// ms between two events of a stream, at most; 0 where that is not stated.
--- a/yewcross-common/src/protocol/config_document.rs
+++ b/yewcross-common/src/protocol/config_document.rs
@@ -7,7 +7,7 @@
 pub struct TakenOrder {
     /// The operator's number of it.
     pub number: u64,
-    /// `hash::mark` of the text.
+    /// `hash::content_digest` of the text.
     pub digest: String,
     /// ms since 1970 by the median of the known clocks; never below that of one accepted before.
     pub taken_ms: u64,
--- a/yewcross-common/src/protocol/peer.rs
+++ b/yewcross-common/src/protocol/peer.rs
@@ -110,7 +110,7 @@
         /// Version of the document.
         #[serde(rename = "seq")]
         version: u64,
-        /// Ballot under which the version was decided.
+        /// Ballot under which the version was decided; zero where the sender does not know it.
         epoch: Ballot,
         /// Names of the nodes that forward it, each to its share of the others; empty where nobody
         /// is asked to.
@@ -131,7 +131,7 @@
         epoch: Ballot,
         /// Version that the delta applies to.
         base: u64,
-        /// `hash::mark` of the base version; empty from nodes that don't tell it.
+        /// `hash::content_digest` of the base version; empty from nodes that don't tell it.
         #[serde(default)]
         base_digest: String,
         /// Names of the nodes that forward it, each to its share of the others; empty where nobody
--- a/yewcross-control/src/config.rs
+++ b/yewcross-control/src/config.rs
@@ -1,7 +1,7 @@
 //! The documents of the control plane: deciding configurations, distributing them, reading them.
 //!
 //! - [`orders`] decides operators' numbered orders by a majority of the core disks.
-//! - [`put`] decides versions that the tier numbers itself; `rollout` puts them in force under the
+//! - [`mod@put`] decides versions that the tier numbers itself; `rollout` puts them in force under the
 //!   serving leases of the fronts, and [`rollout_progress`] is its state.
 //! - `distribution` sends decided documents to every node, `document_requests` answers what other
 //!   nodes ask and send of them, and `late_documents` fetches those that a core has missed.
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -2,7 +2,7 @@
 //! holds or wants the lease.
 //!
 //! At most one process holds the lease at any time. A granter grants it to one candidate at a time,
-//! for one lease length on its own clock from the moment of its answer; the holder counts from
+//! for one lease length on its own clock from the moment of its decision; the holder counts from
 //! before it asked, and a margin less. Two majorities of one set of voters share a granter. Nothing
 //! here reads a clock, a disk or the network, so that a model checker can run it.
 
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -2,8 +2,9 @@
 //!
 //! # When the lease expires
 //!
-//! - *At a granter*: `LEASE_LENGTH` after it answered the last request or renewal that it granted,
-//!   on its own clock. Until then it grants the lease to nobody else.
+//! - *At a granter*: `LEASE_LENGTH` after it decided the last request or renewal that it granted,
+//!   on its own clock. After a restart, or a change of the voters that it does not remember, it stays
+//!   quiet for a whole length first. Until then it grants the lease to nobody else.
 //! - *At the holder*: `LEASE_LENGTH - LEASE_MARGIN` after it **sent** the last round that a quorum
 //!   granted, on its own clock. The moment of sending is before that of every answer, so delays on
 //!   the network only shorten the holder's time. The margin covers clocks that run at different
@@ -14,7 +15,7 @@
 //! each time it is called, so it is called right before every act: a process that was frozen finds
 //! out before it acts on a lease that expired meanwhile.
 //!
-//! A new holder acts only after it has taken the documents under new ballots ([`fence`]): by then
+//! A new holder acts only after it has taken the documents under new ballots (`fence`): by then
 //! nothing that an earlier holder has in flight can be accepted any more.
 
 use crate::lease::quorum;
@@ -34,7 +35,8 @@
 use yewcross_common::register::{Ballot, Step};
 use yewcross_common::runtime::BoxFuture;
 
-/// Documents that only the lease holder writes in a tier where any core decides operators' orders.
+/// Documents that a new holder takes before it acts, in a tier where any core decides operators'
+/// orders: there the configuration has no single proposer to fence.
 const FENCED: [&str; 2] = ["layout", "list"];
 
 /// us. How often a holder tries again to take the documents.
