--- a/yewcross-capacity/src/capacity/messages.rs
+++ b/yewcross-capacity/src/capacity/messages.rs
@@ -6,7 +6,7 @@
 use yewcross_common::constants::WIRE_VERSION;
 use yewcross_common::membership::Node;
 use yewcross_common::protocol::{ListedServer, LoadReport};
-use yewcross_common::transport::pack;
+use yewcross_common::transport::encode_frame;
 
 /// bytes. Ethernet, IP and TCP heads of a frame that fits one packet.
 pub(super) const PACKET: f64 = 66.0;
@@ -38,7 +38,7 @@
 
 pub(super) fn frame(reply: bool, body: &Value, blob: usize) -> f64 {
     let body = serde_json::to_vec(body).unwrap_or_default();
-    pack(
+    encode_frame(
         WIRE_VERSION,
         1 << 20,
         reply,
@@ -62,7 +62,7 @@
         let dig = 0x9c41_d07b_e2a3_5f68u64;
         let have = json!([["config", 5600], ["layout", 40], ["list", 90_000]]);
         Messages {
-            frame: pack(WIRE_VERSION, 1 << 20, true, "front-0123", "region-zone-a", &[], &[]).len() as f64,
+            frame: encode_frame(WIRE_VERSION, 1 << 20, true, "front-0123", "region-zone-a", &[], &[]).len() as f64,
             probe: frame(false, &json!({"Probe": {"dig": dig}}), 0)
                 + frame(true, &json!({"Probe": {"dig": dig, "nodes": [], "wall": 1_796_000_000_000u64}}), 0),
             newer: frame(false, &json!({"Newer": {"have": have, "front": true}}), 0)
--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -392,7 +392,7 @@
     for (key, (_, bytes)) in top {
         let a = ReplicaSet::of(key, &c.layout, 0, |_| None).current;
         let b = ReplicaSet::of(key, &next, 0, |_| None).current;
-        let owner = |v: &[yewcross_common::register::Seat]| {
+        let owner = |v: &[yewcross_common::register::ReplicaLocation]| {
             v.first().map(|s| s.disk.clone()).unwrap_or_default()
         };
         p.owners += (owner(&a) != owner(&b)) as u64;
--- a/yewcross-common/src/documents/cache.rs
+++ b/yewcross-common/src/documents/cache.rs
@@ -296,7 +296,7 @@
     layout
         .replicas_for(key, &layout.group(key).current)
         .into_iter()
-        .filter_map(|disk| members.by_disk(disk))
+        .filter_map(|disk| members.node_with_disk(disk))
         .map(|node| node.peer)
         .collect()
 }
--- a/yewcross-common/src/membership/mod.rs
+++ b/yewcross-common/src/membership/mod.rs
@@ -75,7 +75,7 @@
     /// Set when a younger process carries this node's name.
     pub replaced: Latch,
     /// Outbid a younger process of this node's name instead of giving way to it.
-    pub outranks_namesake: AtomicBool,
+    pub supersedes_newer_process: AtomicBool,
     /// Notified when the view changed.
     pub changed: Event,
 }
@@ -123,7 +123,7 @@
             probe_interval: settings.bounds.beat.max(PROBE_INTERVAL_MIN_MS) * MS,
             probe_timeout: PROBE_TIMEOUT.max(settings.bounds.beat * MS / 3),
             replaced: Latch::default(),
-            outranks_namesake: AtomicBool::new(false),
+            supersedes_newer_process: AtomicBool::new(false),
             changed: Event::new(),
         })
     }
@@ -139,7 +139,7 @@
     }
 
     /// The member that runs on a disk.
-    pub fn by_disk(&self, disk: &str) -> Option<Node> {
+    pub fn node_with_disk(&self, disk: &str) -> Option<Node> {
         self.view
             .load()
             .values()
@@ -148,7 +148,7 @@
     }
 
     /// All nodes known, the removed ones among them.
-    pub fn all(&self) -> Vec<Node> {
+    pub fn all_nodes(&self) -> Vec<Node> {
         self.table.lock().unwrap().nodes().cloned().collect()
     }
 
@@ -180,7 +180,7 @@
         let context = MergeContext {
             now: self.runtime.now(),
             started: self.started,
-            outranks_namesake: self.outranks_namesake.load(SeqCst),
+            supersedes_newer_process: self.supersedes_newer_process.load(SeqCst),
         };
         let outcome = table.merge(&mut own_node, nodes, &context);
         for accepted in &outcome.accepted {
@@ -238,7 +238,9 @@
             },
             PeerRequest::ExchangeMembership { nodes } => {
                 self.merge(nodes);
-                PeerResponse::Membership { nodes: self.all() }
+                PeerResponse::Membership {
+                    nodes: self.all_nodes(),
+                }
             }
             _ => PeerResponse::Rejected(Code::BadField),
         }
--- a/yewcross-common/src/membership/prober.rs
+++ b/yewcross-common/src/membership/prober.rs
@@ -165,7 +165,7 @@
         let mut addresses = self.seeds.lock().unwrap().clone();
         addresses.extend(self.persisted_peers.lock().unwrap().iter().cloned());
         addresses.extend(
-            self.all()
+            self.all_nodes()
                 .iter()
                 .filter(|node| node.state == MemberState::Removed)
                 .map(|node| node.peer),
@@ -280,7 +280,9 @@
     /// Full anti-entropy: both sides merge all that the other one knows. Nothing is done where the
     /// other one does not answer; later probes try again.
     async fn exchange_tables(&self, with: SocketAddr) {
-        let request = PeerRequest::ExchangeMembership { nodes: self.all() };
+        let request = PeerRequest::ExchangeMembership {
+            nodes: self.all_nodes(),
+        };
         let response = self
             .peers
             .request(with, &request, &[], PEER_REQUEST_TIMEOUT)
--- a/yewcross-common/src/membership/table.rs
+++ b/yewcross-common/src/membership/table.rs
@@ -36,7 +36,7 @@
     /// µs: when this process started.
     pub(super) started: u64,
     /// Outbid a younger process of this node's name instead of giving way to it.
-    pub(super) outranks_namesake: bool,
+    pub(super) supersedes_newer_process: bool,
 }
 
 /// A statement about another node that a merge took into the table.
@@ -151,7 +151,7 @@
             // incarnation: at the same address, or just after the start, it is outbid.
             let is_earlier_process = statement.peer == own_node.peer
                 || context.now < context.started + NEW_INCARNATION_PERIOD
-                || context.outranks_namesake;
+                || context.supersedes_newer_process;
             if !is_earlier_process || own_node.state != MemberState::Alive {
                 outcome.is_replaced = true;
                 return;
--- a/yewcross-common/src/register/client.rs
+++ b/yewcross-common/src/register/client.rs
@@ -31,7 +31,7 @@
 const BACKOFF_SPAN_MAX: u64 = 640 * MS;
 
 /// What a change makes of the value that it finds.
-pub enum Step<R> {
+pub enum ValueUpdate<R> {
     /// Nothing is written; the value found is proved to be the newest.
     Keep(R),
     /// The next version.
@@ -39,7 +39,7 @@
 }
 
 /// A decided value: its version, the ballot under which it was accepted, its bytes.
-pub type Decided = (u64, Ballot, Arc<Vec<u8>>);
+pub type DecidedValue = (u64, Ballot, Arc<Vec<u8>>);
 
 /// Finds the replicas of a key under the layout in force at the time of the call.
 type ReplicaSetLookup = Arc<dyn Fn(&str) -> ReplicaSet + Send + Sync>;
@@ -110,7 +110,7 @@
     /// From now on this process proposes for a key only while `permit` says so. Safety does not
     /// rest on it: ballots keep two proposers from deciding against each other. A permit that one
     /// process has at a time keeps them from preempting each other.
-    pub fn restrict(&self, permit: impl Fn(&str) -> bool + Send + Sync + 'static) {
+    pub fn set_proposal_permit(&self, permit: impl Fn(&str) -> bool + Send + Sync + 'static) {
         // Set once, at start: a second permit would be ignored.
         let _ = self.permit.set(Box::new(permit));
     }
@@ -125,12 +125,12 @@
         &self,
         key: &str,
         timeout_us: u64,
-        mut decide: impl FnMut(u64, &[u8]) -> Step<R>,
+        mut decide: impl FnMut(u64, &[u8]) -> ValueUpdate<R>,
     ) -> Result<R, ChangeError> {
         let deadline = self.runtime.now() + timeout_us;
         let lock = self.cache.entry(key).lock_owned();
         let Some(mut cached) = self.runtime.timeout(timeout_us, lock).await else {
-            return Err(ChangeError::NotDone);
+            return Err(ChangeError::NotApplied);
         };
         let mut may_be_written = false;
         let mut backoff_span = BACKOFF_SPAN_MIN;
@@ -169,33 +169,35 @@
         &self,
         key: &str,
         proposer: &mut Proposer,
-        decide: &mut impl FnMut(u64, &[u8]) -> Step<R>,
+        decide: &mut impl FnMut(u64, &[u8]) -> ValueUpdate<R>,
     ) -> Result<R, AttemptError> {
         if !self.may_propose(key) {
             return Err(ChangeError::NotProposer.into());
         }
-        let must_prepare = proposer.leads(&(self.replicas_of)(key)).is_none();
+        let must_prepare = proposer
+            .ballot_prepared_at(&(self.replicas_of)(key))
+            .is_none();
         if must_prepare {
             self.prepare(key, proposer)
                 .await
-                .map_err(|round| AttemptError::after_round(&round, ChangeError::NotDone))?;
+                .map_err(|round| AttemptError::after_round(&round, ChangeError::NotApplied))?;
         }
         let replicas = (self.replicas_of)(key);
         // The layout may have changed while the ballot was prepared: it counts only where it was
         // promised.
-        let Some(ballot) = proposer.leads(&replicas) else {
-            return Err(ChangeError::NotDone.into());
+        let Some(ballot) = proposer.ballot_prepared_at(&replicas) else {
+            return Err(ChangeError::NotApplied.into());
         };
         match decide(proposer.seq(), proposer.value()) {
-            Step::Keep(result) => {
+            ValueUpdate::Keep(result) => {
                 // A ballot prepared in this attempt has just proved the value to be the newest.
                 if must_prepare || self.confirm(key, &replicas, ballot).await {
                     return Ok(result);
                 }
-                proposer.resign();
-                Err(ChangeError::NotDone.into())
+                proposer.abandon_ballot();
+                Err(ChangeError::NotApplied.into())
             }
-            Step::Write(value, result) => {
+            ValueUpdate::Write(value, result) => {
                 self.propose(key, &replicas, ballot, proposer, Arc::new(value))
                     .await?;
                 Ok(result)
@@ -217,25 +219,25 @@
         let delta = saves_half.then(|| Arc::new(delta));
         // Whoever drops this future halfway leaves no ballot behind under which the value may be
         // accepted at some replicas only.
-        proposer.resign();
+        proposer.abandon_ballot();
         let next_version = proposer.seq() + 1;
         match self
             .accept(key, replicas, ballot, next_version, &value, delta)
             .await
         {
             Ok(()) => {
-                proposer.decided(ballot, value);
+                proposer.record_decided(ballot, value);
                 Ok(())
             }
             Err(round) => {
-                proposer.saw(round.highest_promised);
+                proposer.observe_ballot_number(round.highest_promised);
                 Err(AttemptError::after_round(&round, round.failure()))
             }
         }
     }
 
     /// The value last known here, without proof that it is the newest.
-    pub fn hint(&self, key: &str) -> Option<Arc<Vec<u8>>> {
+    pub fn cached_value(&self, key: &str) -> Option<Arc<Vec<u8>>> {
         self.cache.hint(key)
     }
 
--- a/yewcross-common/src/register/client/read.rs
+++ b/yewcross-common/src/register/client/read.rs
@@ -2,11 +2,11 @@
 
 use super::super::acceptor::Record;
 use super::super::message::{RegisterReply, RegisterRequest};
-use super::super::proposer::{ChangeError, Survey};
+use super::super::proposer::{ChangeError, ReadRound};
 use super::super::quorum::ReplicaSet;
 use super::super::replica_call::ReplicaCall;
 use super::rounds::Votes;
-use super::{Decided, RegisterClient, Step};
+use super::{DecidedValue, RegisterClient, ValueUpdate};
 use crate::constants::{READ_ATTEMPTS, READ_RETRY_DELAY};
 use std::sync::Arc;
 
@@ -20,10 +20,14 @@
 
 impl RegisterClient {
     /// The newest decided value, proved by a majority under this client's ballot.
-    pub async fn read(&self, key: &str, timeout_us: u64) -> Result<Decided, ChangeError> {
+    pub async fn read_with_ballot(
+        &self,
+        key: &str,
+        timeout_us: u64,
+    ) -> Result<DecidedValue, ChangeError> {
         let (seq, value) = self
             .change(key, timeout_us, |seq, value| {
-                Step::Keep((seq, Arc::new(value.to_vec())))
+                ValueUpdate::Keep((seq, Arc::new(value.to_vec())))
             })
             .await?;
         let ballot = self
@@ -39,7 +43,11 @@
     /// same version, no ballot is prepared. Replicas differ for a moment while a proposer writes;
     /// they are surveyed again first, so that readers do not preempt it. A process that may not
     /// propose for the key never prepares a ballot.
-    pub async fn newest(&self, key: &str, timeout_us: u64) -> Result<Decided, ChangeError> {
+    pub async fn read_newest(
+        &self,
+        key: &str,
+        timeout_us: u64,
+    ) -> Result<DecidedValue, ChangeError> {
         // An answer that is lost must not use up the time of the next survey.
         let survey_timeout = timeout_us / 4;
         let surveys_end = self.runtime.now() + timeout_us / 2;
@@ -56,18 +64,18 @@
                 break;
             }
         }
-        self.read(key, timeout_us).await
+        self.read_with_ballot(key, timeout_us).await
     }
 
     /// The version that a majority of the replicas reports, if none reports a newer one before
     /// that. Nothing is prepared or written.
-    async fn survey(&self, key: &str) -> Option<Decided> {
+    async fn survey(&self, key: &str) -> Option<DecidedValue> {
         let PendingSurvey {
             replicas,
             own_record,
             votes,
         } = self.start_survey(key).await;
-        let mut survey = Survey::default();
+        let mut survey = ReadRound::default();
         while let Ok(vote) = votes.recv().await {
             survey.record(vote);
             if let Some((accepted, seq, value)) = survey.decided(&replicas) {
@@ -86,7 +94,7 @@
     /// Asks all replicas what they have.
     async fn start_survey(&self, key: &str) -> PendingSurvey {
         let replicas = (self.replicas_of)(key);
-        let own_record = self.own_replica.peek(key).await.unwrap_or_default();
+        let own_record = self.own_replica.read_record(key).await.unwrap_or_default();
         let request = RegisterRequest::Look {
             key: key.into(),
             lay: replicas.layout_version,
@@ -102,11 +110,11 @@
 
     /// Whether a majority of each set reports the same version, counting only disks that may vote.
     /// Nothing is prepared: the proposer of the key is not preempted.
-    pub async fn is_settled(&self, key: &str, may_vote: impl Fn(&str) -> bool) -> bool {
+    pub async fn majority_agrees(&self, key: &str, may_vote: impl Fn(&str) -> bool) -> bool {
         let PendingSurvey {
             replicas, votes, ..
         } = self.start_survey(key).await;
-        let mut survey = Survey::default();
+        let mut survey = ReadRound::default();
         while let Ok(vote) = votes.recv().await {
             if may_vote(&vote.disk) {
                 survey.record(vote);
@@ -119,7 +127,7 @@
     }
 
     /// Whether all replicas, current and previous, answer and report the same version.
-    pub async fn is_uniform(&self, key: &str) -> bool {
+    pub async fn all_replicas_agree(&self, key: &str) -> bool {
         let PendingSurvey { votes, .. } = self.start_survey(key).await;
         let mut versions = vec![];
         while let Ok(vote) = votes.recv().await {
--- a/yewcross-common/src/register/client/repair.rs
+++ b/yewcross-common/src/register/client/repair.rs
@@ -4,7 +4,7 @@
 use super::super::proposer::{ChangeError, Proposer, Round};
 use super::super::quorum::ReplicaSet;
 use super::super::replica_call::ReplicaCall;
-use super::{RegisterClient, Step};
+use super::{RegisterClient, ValueUpdate};
 use crate::constants::PEER_REQUEST_TIMEOUT;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
         let mut cached = entry.lock().await;
         let Some(ballot) = cached
             .proposer
-            .resign()
+            .abandon_ballot()
             .filter(|_| cached.proposer.value().is_empty())
         else {
             return false;
@@ -44,9 +44,9 @@
     ) -> Result<bool, ChangeError> {
         self.change(key, PEER_REQUEST_TIMEOUT, |_, value| {
             if value.is_empty() || !may_erase(value) {
-                Step::Keep(value.is_empty())
+                ValueUpdate::Keep(value.is_empty())
             } else {
-                Step::Write(vec![], true)
+                ValueUpdate::Write(vec![], true)
             }
         })
         .await
@@ -60,11 +60,12 @@
         let proposer = &mut cached.proposer;
         let replicas = (self.replicas_of)(key);
         if !self.may_propose(key)
-            || (proposer.leads(&replicas).is_none() && self.prepare(key, proposer).await.is_err())
+            || (proposer.ballot_prepared_at(&replicas).is_none()
+                && self.prepare(key, proposer).await.is_err())
         {
             return false;
         }
-        let Some(ballot) = proposer.leads(&replicas) else {
+        let Some(ballot) = proposer.ballot_prepared_at(&replicas) else {
             return false;
         };
         if proposer.seq() == 0 {
@@ -113,12 +114,12 @@
             let is_rejected = matches!(vote.reply, RegisterReply::Refused { .. });
             round.record(vote);
             if is_rejected {
-                proposer.saw(round.highest_promised);
-                proposer.resign();
+                proposer.observe_ballot_number(round.highest_promised);
+                proposer.abandon_ballot();
             }
         }
         if !round.has_quorum(replicas) {
-            proposer.resign();
+            proposer.abandon_ballot();
             return None;
         }
         Some(round)
--- a/yewcross-common/src/register/client/rounds.rs
+++ b/yewcross-common/src/register/client/rounds.rs
@@ -43,7 +43,7 @@
             if round.has_quorum(replicas) {
                 return Ok(round);
             }
-            if writes_no_value && round.is_hopeless(replicas) {
+            if writes_no_value && round.cannot_reach_quorum(replicas) {
                 break;
             }
         }
@@ -67,16 +67,16 @@
         let promises = self
             .reach_quorum(&replicas, ReplicaCall::without_value(request))
             .await
-            .inspect_err(|round| proposer.saw(round.highest_promised))?;
+            .inspect_err(|round| proposer.observe_ballot_number(round.highest_promised))?;
         // A value that any of the promises reports may have been decided: it must be accepted under
         // the new ballot before another one is proposed.
-        if proposer.promised(&replicas, &promises) {
+        if proposer.record_promises(&replicas, &promises) {
             let (seq, value) = (proposer.seq(), proposer.value().clone());
             self.accept(key, &replicas, ballot, seq, &value, None)
                 .await
-                .inspect_err(|round| proposer.saw(round.highest_promised))?;
+                .inspect_err(|round| proposer.observe_ballot_number(round.highest_promised))?;
         }
-        proposer.lead(ballot);
+        proposer.set_prepared(ballot);
         Ok(())
     }
 
--- a/yewcross-common/src/register/mod.rs
+++ b/yewcross-common/src/register/mod.rs
@@ -53,10 +53,10 @@
 mod replica_call;
 mod restore;
 
-pub use client::{RegisterClient, Step};
+pub use client::{RegisterClient, ValueUpdate};
 pub use message::{Ballot, RegisterReply, RegisterRequest};
 pub use proposer::ChangeError;
-pub use quorum::{ReplicaSet, Seat, majority};
+pub use quorum::{ReplicaLocation, ReplicaSet, majority};
 pub use replica::Replica;
 
 /// Number of independent locks over the keys of a replica or a client.
--- a/yewcross-common/src/register/placement.rs
+++ b/yewcross-common/src/register/placement.rs
@@ -1,6 +1,6 @@
 //! Placement: which disks replicate a key.
 
-use super::quorum::{ReplicaSet, Seat};
+use super::quorum::{ReplicaLocation, ReplicaSet};
 use crate::constants::RECORD_REPLICAS;
 use crate::documents::DocumentName;
 use crate::protocol::{Layout, ReplicaGroup};
@@ -14,7 +14,7 @@
 impl Layout {
     /// Whether the disk is in a set that is in force, which includes the previous sets of a change
     /// under way.
-    pub fn has_seat(&self, disk: &str) -> bool {
+    pub fn includes_disk(&self, disk: &str) -> bool {
         let sets = [
             &self.core.current,
             &self.core.previous,
@@ -64,11 +64,11 @@
         address_of: impl Fn(&str) -> Option<SocketAddr>,
     ) -> ReplicaSet {
         let group = layout.group(key);
-        let seats = |disks: &[String]| -> Vec<Seat> {
+        let seats = |disks: &[String]| -> Vec<ReplicaLocation> {
             let chosen = layout.replicas_for(key, disks);
             chosen
                 .into_iter()
-                .map(|disk| Seat {
+                .map(|disk| ReplicaLocation {
                     disk: disk.into(),
                     addr: address_of(disk),
                 })
--- a/yewcross-common/src/register/proposer.rs
+++ b/yewcross-common/src/register/proposer.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ChangeError {
     /// Nothing of the change can be on any disk.
-    NotDone,
+    NotApplied,
     /// Some disk may have it: it may be decided later, or never.
     Undecided,
     /// Another process proposes for this key; nothing was done here.
@@ -34,7 +34,7 @@
     /// Highest ballot number that a rejection reported.
     pub highest_promised: u64,
     /// Disks of which it is not known what they did.
-    pub unknown: usize,
+    pub unknown_outcomes: usize,
     /// Disks whose record is damaged.
     pub damaged: Vec<String>,
     /// Disks that replied anything else than a grant.
@@ -55,7 +55,7 @@
                 self.highest_promised = self.highest_promised.max(promised.n)
             }
             RegisterReply::OldLayout | RegisterReply::OtherDisk => {}
-            RegisterReply::Away => self.unknown += 1,
+            RegisterReply::Away => self.unknown_outcomes += 1,
             RegisterReply::Damaged | RegisterReply::NeedWhole => self.damaged.push(vote.disk),
         }
     }
@@ -73,19 +73,19 @@
 
     /// Whether a majority of each set in force granted the request.
     pub fn has_quorum(&self, replicas: &ReplicaSet) -> bool {
-        replicas.quorum(|disk| self.has_granted(disk))
+        replicas.is_quorum(|disk| self.has_granted(disk))
     }
 
     /// Whether no quorum can come of it any more, whatever the replicas say that have not replied
     /// yet.
-    pub fn is_hopeless(&self, replicas: &ReplicaSet) -> bool {
-        !replicas.quorum(|disk| !self.denied.iter().any(|denied| denied == disk))
+    pub fn cannot_reach_quorum(&self, replicas: &ReplicaSet) -> bool {
+        !replicas.is_quorum(|disk| !self.denied.iter().any(|denied| denied == disk))
     }
 
     /// What a round without a quorum leaves behind.
     pub fn failure(&self) -> ChangeError {
-        if self.granted.is_empty() && self.unknown == 0 {
-            ChangeError::NotDone
+        if self.granted.is_empty() && self.unknown_outcomes == 0 {
+            ChangeError::NotApplied
         } else {
             ChangeError::Undecided
         }
@@ -118,7 +118,7 @@
 
 /// What the replicas report of their records, without having promised anything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Survey {
+pub struct ReadRound {
     reports: Vec<Report>,
 }
 
@@ -130,7 +130,7 @@
     value: Vec<u8>,
 }
 
-impl Survey {
+impl ReadRound {
     /// Takes in one reply; anything but a report is ignored.
     pub fn record(&mut self, vote: Vote) {
         if let RegisterReply::Looked { accepted, seq } = vote.reply {
@@ -153,7 +153,7 @@
             .max_by_key(|report| (report.accepted, report.seq))?;
         let is_newest =
             |report: &&Report| (report.accepted, report.seq) == (newest.accepted, newest.seq);
-        let has_quorum = replicas.quorum(|disk| {
+        let has_quorum = replicas.is_quorum(|disk| {
             self.reports
                 .iter()
                 .filter(is_newest)
@@ -186,8 +186,9 @@
 
 impl Proposer {
     /// The ballot to continue with, where it was prepared at these replicas.
-    pub fn leads(&self, replicas: &ReplicaSet) -> Option<Ballot> {
-        self.ballot.filter(|_| self.replicas.same_disks(replicas))
+    pub fn ballot_prepared_at(&self, replicas: &ReplicaSet) -> Option<Ballot> {
+        self.ballot
+            .filter(|_| self.replicas.has_same_disks(replicas))
     }
 
     /// The ballot that it leads with.
@@ -219,7 +220,7 @@
 
     /// A quorum promised: the newest value that it reports has to be accepted anew under the
     /// ballot before anything else happens. Returns whether there is one.
-    pub fn promised(&mut self, replicas: &ReplicaSet, round: &Round) -> bool {
+    pub fn record_promises(&mut self, replicas: &ReplicaSet, round: &Round) -> bool {
         let newest = round.newest();
         self.seq = newest.seq;
         self.value = Arc::new(newest.value);
@@ -228,26 +229,26 @@
     }
 
     /// The ballot is prepared, and the newest value is accepted under it.
-    pub fn lead(&mut self, ballot: Ballot) {
+    pub fn set_prepared(&mut self, ballot: Ballot) {
         self.ballot = Some(ballot);
     }
 
     /// Gives the ballot up: the next change prepares a new one. This is done before each write and
     /// undone when the write is decided: a caller that stops waiting leaves no ballot behind under
     /// which some replicas may have accepted the write.
-    pub fn resign(&mut self) -> Option<Ballot> {
+    pub fn abandon_ballot(&mut self) -> Option<Ballot> {
         self.ballot.take()
     }
 
     /// A quorum accepted the next version.
-    pub fn decided(&mut self, ballot: Ballot, value: Arc<Vec<u8>>) {
+    pub fn record_decided(&mut self, ballot: Ballot, value: Arc<Vec<u8>>) {
         self.ballot = Some(ballot);
         self.seq += 1;
         self.value = value;
     }
 
     /// Another proposer was promised this much.
-    pub fn saw(&mut self, number: u64) {
+    pub fn observe_ballot_number(&mut self, number: u64) {
         self.highest = self.highest.max(number);
     }
 }
--- a/yewcross-common/src/register/quorum.rs
+++ b/yewcross-common/src/register/quorum.rs
@@ -5,7 +5,7 @@
 
 /// A replica: its disk, and the address where the disk's machine was last seen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Seat {
+pub struct ReplicaLocation {
     /// Identity of the disk; votes are counted by it.
     pub disk: String,
     /// `None` while no machine is known to have the disk.
@@ -19,9 +19,9 @@
     /// Version of the layout.
     pub layout_version: u64,
     /// The set that remains after a change.
-    pub current: Vec<Seat>,
+    pub current: Vec<ReplicaLocation>,
     /// Empty unless a change is under way.
-    pub previous: Vec<Seat>,
+    pub previous: Vec<ReplicaLocation>,
 }
 
 /// The fewest of `count` members such that any two sets of as many share one.
@@ -31,7 +31,7 @@
 
 impl ReplicaSet {
     /// Every replica once, the current set first.
-    pub fn all(&self) -> Vec<Seat> {
+    pub fn all(&self) -> Vec<ReplicaLocation> {
         let previous_only = self
             .previous
             .iter()
@@ -41,14 +41,14 @@
 
     /// Whether both sets have the same disks: a ballot prepared at the one is prepared at the
     /// other, whatever the version of the layout.
-    pub fn same_disks(&self, other: &ReplicaSet) -> bool {
+    pub fn has_same_disks(&self, other: &ReplicaSet) -> bool {
         disks(&self.current) == disks(&other.current)
             && disks(&self.previous) == disks(&other.previous)
     }
 
     /// Whether the disks that `granted` accepts are a majority of each set in force.
-    pub fn quorum(&self, granted: impl Fn(&str) -> bool) -> bool {
-        let has_majority = |set: &[Seat]| {
+    pub fn is_quorum(&self, granted: impl Fn(&str) -> bool) -> bool {
+        let has_majority = |set: &[ReplicaLocation]| {
             set.iter().filter(|seat| granted(&seat.disk)).count() >= majority(set.len())
         };
         !self.current.is_empty()
@@ -57,6 +57,6 @@
     }
 }
 
-fn disks(seats: &[Seat]) -> BTreeSet<&str> {
+fn disks(seats: &[ReplicaLocation]) -> BTreeSet<&str> {
     seats.iter().map(|seat| seat.disk.as_str()).collect()
 }
--- a/yewcross-common/src/register/replica.rs
+++ b/yewcross-common/src/register/replica.rs
@@ -138,7 +138,7 @@
     }
 
     /// The record of a key, unless it is unknown or damaged.
-    pub async fn peek(&self, key: &str) -> Option<Record> {
+    pub async fn read_record(&self, key: &str) -> Option<Record> {
         let (hash, shard) = locate(key);
         let shard = self.shards[shard].lock().await;
         shard
@@ -164,7 +164,7 @@
     }
 
     /// Drops the record of a key that this disk is no replica of any more.
-    pub async fn forget(&self, key: &str) {
+    pub async fn remove_record(&self, key: &str) {
         let (hash, number) = locate(key);
         let mut shard = self.shards[number].lock().await;
         self.remove(&mut shard, hash, number).await;
--- a/yewcross-common/src/register/replica_call.rs
+++ b/yewcross-common/src/register/replica_call.rs
@@ -2,7 +2,7 @@
 
 use super::message::{RegisterReply, RegisterRequest};
 use super::proposer::Vote;
-use super::quorum::Seat;
+use super::quorum::ReplicaLocation;
 use super::replica::Replica;
 use crate::constants::{PEER_REQUEST_TIMEOUT, WIRE_DELTAS, WIRE_NAMED_DISKS};
 use crate::protocol::{PeerRequest, PeerResponse};
@@ -32,7 +32,7 @@
     /// Sends the call to one replica. A replica without a known address counts as unreachable.
     pub(super) async fn send_to(
         self,
-        seat: Seat,
+        seat: ReplicaLocation,
         peers: Arc<PeerClient>,
         own_replica: Arc<Replica>,
     ) -> Vote {
--- a/yewcross-common/src/transport/client.rs
+++ b/yewcross-common/src/transport/client.rs
@@ -1,7 +1,7 @@
 //! The client's side: sends requests to peers, over one connection for each.
 
 use super::connection::{PeerConnection, WRITE_QUEUE};
-use super::frame::{Envelope, pack};
+use super::frame::{Envelope, encode_frame};
 use super::metrics::TransportMetrics;
 use crate::constants::{CONNECT_TIMEOUT, LINK_SUSPECT_AFTER, PEER_SEND_TIMEOUT, WIRE_OLDEST};
 use crate::protocol::{PeerRequest, PeerResponse};
@@ -131,7 +131,7 @@
         let started = self.runtime.now();
         let connection = self.connection(to).await?;
         let id = self.next_request_id.fetch_add(1, Relaxed);
-        let frame = pack(
+        let frame = encode_frame(
             self.version(to),
             id,
             false,
--- a/yewcross-common/src/transport/connection.rs
+++ b/yewcross-common/src/transport/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a peer, shared by the requests in flight on it.
 
-use super::frame::{Envelope, read_frame, unpack};
+use super::frame::{Envelope, decode_frame, read_frame};
 use crate::constants::PEER_READ_BUFFER_BYTES;
 use crate::runtime::{Connection, Runtime};
 use async_channel::{Receiver, Sender};
@@ -73,7 +73,7 @@
     ) {
         while let Some(frame) = read_frame(reader).await {
             self.last_received.store(runtime.now(), Relaxed);
-            let Some(frame) = unpack(&frame, newest_version) else {
+            let Some(frame) = decode_frame(&frame, newest_version) else {
                 continue;
             };
             if frame.is_reply {
--- a/yewcross-common/src/transport/frame.rs
+++ b/yewcross-common/src/transport/frame.rs
@@ -47,7 +47,7 @@
 
 /// Encodes a frame. `id` numbers the request, and its response carries the same; `me` and `site`
 /// name the sending node and its site.
-pub fn pack(
+pub fn encode_frame(
     version: u16,
     id: u64,
     reply: bool,
@@ -88,7 +88,7 @@
 
 /// Decodes a frame; none where it is malformed, or its version is newer than `newest_version` or
 /// older than this program speaks.
-pub(super) fn unpack(reader: &FrameReader, newest_version: u16) -> Option<DecodedFrame> {
+pub(super) fn decode_frame(reader: &FrameReader, newest_version: u16) -> Option<DecodedFrame> {
     let frame = reader.get_root::<frame::Reader>().ok()?;
     let envelope = Envelope {
         from: frame.get_from().ok()?.to_string().ok()?,
--- a/yewcross-common/src/transport/metrics.rs
+++ b/yewcross-common/src/transport/metrics.rs
@@ -8,11 +8,11 @@
 #[derive(Default)]
 pub struct TransportMetrics {
     /// Messages sent.
-    pub sent: AtomicU64,
+    pub messages_sent: AtomicU64,
     /// Bytes of the frames sent to nodes of the own site.
-    pub bytes_within: AtomicU64,
+    pub same_site_bytes: AtomicU64,
     /// Bytes of the frames sent to other sites.
-    pub bytes_across: AtomicU64,
+    pub cross_site_bytes: AtomicU64,
     /// By kind of request: how many were sent, bytes of their frames, and bytes of the responses
     /// without their frames. The operators' figures hold the three as an array.
     pub kinds: Mutex<BTreeMap<&'static str, (u64, u64, u64)>>,
@@ -20,11 +20,11 @@
 
 impl TransportMetrics {
     pub(super) fn record_frame(&self, is_same_site: bool, bytes: usize) {
-        self.sent.fetch_add(1, Relaxed);
+        self.messages_sent.fetch_add(1, Relaxed);
         let site_bytes = if is_same_site {
-            &self.bytes_within
+            &self.same_site_bytes
         } else {
-            &self.bytes_across
+            &self.cross_site_bytes
         };
         site_bytes.fetch_add(bytes as u64, Relaxed);
     }
--- a/yewcross-common/src/transport/mod.rs
+++ b/yewcross-common/src/transport/mod.rs
@@ -23,6 +23,6 @@
 mod server;
 
 pub use client::{PeerClient, SendError};
-pub use frame::{Envelope, pack};
+pub use frame::{Envelope, encode_frame};
 pub use metrics::TransportMetrics;
 pub use server::{Reply, RequestHandler};
--- a/yewcross-common/src/transport/server.rs
+++ b/yewcross-common/src/transport/server.rs
@@ -2,7 +2,7 @@
 
 use super::client::PeerClient;
 use super::connection::{WRITE_QUEUE, write_frames};
-use super::frame::{DecodedFrame, Envelope, pack, read_frame, unpack};
+use super::frame::{DecodedFrame, Envelope, decode_frame, encode_frame, read_frame};
 use crate::constants::{MS, PEER_READ_BUFFER_BYTES, PEER_SEND_TIMEOUT};
 use crate::runtime::{BoxFuture, Connection, Listener};
 use async_channel::Sender;
@@ -67,7 +67,7 @@
         handler: &Arc<dyn RequestHandler>,
     ) {
         while let Some(frame) = read_frame(reader).await {
-            match unpack(&frame, self.newest_version) {
+            match decode_frame(&frame, self.newest_version) {
                 Some(request) if !request.is_reply => {
                     let answer =
                         self.clone()
@@ -92,7 +92,7 @@
         let is_same_site = envelope.site == self.site;
         let version = envelope.version;
         let reply = handler.handle(envelope).await;
-        let frame = pack(
+        let frame = encode_frame(
             version,
             id,
             true,
--- a/yewcross-common/src/turn_log/client/mod.rs
+++ b/yewcross-common/src/turn_log/client/mod.rs
@@ -73,7 +73,7 @@
     }
 
     /// Metrics by name: what this proxy asked of the stores, and what it has cached.
-    pub fn figures(&self) -> BTreeMap<&'static str, u64> {
+    pub fn metrics(&self) -> BTreeMap<&'static str, u64> {
         let (turns, turn_bytes) = {
             let cache = self.0.cache.lock().unwrap();
             (cache.len() as u64, cache.turn_bytes() as u64)
--- a/yewcross-common/src/turn_log/client/open.rs
+++ b/yewcross-common/src/turn_log/client/open.rs
@@ -123,7 +123,7 @@
         let redirected_to = attempts.redirected_to.take();
         let owner = redirected_to
             .or_else(|| self.known_owner(&open.program))
-            .filter(|disk| replicas.has(disk));
+            .filter(|disk| replicas.contains(disk));
         let tried = &attempts.tried;
         owner
             .filter(|disk| !tried.contains(disk) && self.stores.is_responsive(disk))
@@ -143,7 +143,7 @@
     /// A store rejects in favour of an owner that it takes for alive. Where this node cannot reach
     /// the owner, the store is asked to take over.
     fn follow_owner(&self, owner: String, replicas: &StoreReplicas, attempts: &mut OpenAttempts) {
-        let is_reachable = replicas.has(&owner)
+        let is_reachable = replicas.contains(&owner)
             && self.stores.is_responsive(&owner)
             && !attempts.tried.contains(&owner);
         if is_reachable {
--- a/yewcross-common/src/turn_log/client/write.rs
+++ b/yewcross-common/src/turn_log/client/write.rs
@@ -136,7 +136,7 @@
             let layout_version = replicas.layout_version;
             let owner = self
                 .known_owner(&open.program)
-                .filter(|disk| replicas.has(disk));
+                .filter(|disk| replicas.contains(disk));
             let gather = Gather {
                 order: self.write_order(open, &replicas, owner.as_deref(), written),
                 is_broadcast: false,
@@ -190,7 +190,7 @@
             .map(str::to_string)
             .into_iter()
             .chain(holders)
-            .filter(|disk| self.stores.is_prompt(disk) && replicas.has(disk));
+            .filter(|disk| self.stores.is_prompt(disk) && replicas.contains(disk));
         let mut order: Vec<String> = vec![];
         for disk in likely.chain(ranked) {
             if !order.contains(&disk) && !written.contains(&disk) {
--- a/yewcross-common/src/turn_log/epoch.rs
+++ b/yewcross-common/src/turn_log/epoch.rs
@@ -7,14 +7,14 @@
 use crate::register::Ballot;
 
 /// The bits of an epoch's proposer that differ between incarnations of a process.
-pub const INCARNATION_BITS: u64 = 0xffff;
+pub const INCARNATION_MASK: u64 = 0xffff;
 
 /// What stands for a disk in the epochs that its store acquires.
 pub fn epoch_owner_id(disk: &str) -> u64 {
-    rendezvous_weight(disk, "owner") & !INCARNATION_BITS
+    rendezvous_weight(disk, "owner") & !INCARNATION_MASK
 }
 
 /// What stands for the disk whose store acquired an epoch, as [`epoch_owner_id`] gives it.
 pub fn owner_of(epoch: Ballot) -> u64 {
-    epoch.by & !INCARNATION_BITS
+    epoch.by & !INCARNATION_MASK
 }
--- a/yewcross-common/src/turn_log/replicas.rs
+++ b/yewcross-common/src/turn_log/replicas.rs
@@ -12,7 +12,7 @@
     pub layout_version: u64,
     /// The layout that wrote these sets; `layout_version` may be newer by a change of other
     /// groups.
-    pub since: u64,
+    pub group_version: u64,
     /// The present set.
     pub current: Vec<String>,
     /// The set before, while a change is in progress; else empty.
@@ -26,7 +26,7 @@
     pub fn of(layout_version: u64, layout: &Layout, tolerated_losses: usize) -> StoreReplicas {
         StoreReplicas {
             layout_version,
-            since: layout.since(&layout.store, layout_version),
+            group_version: layout.since(&layout.store, layout_version),
             current: layout.store.current.clone(),
             previous: layout.store.previous.clone(),
             tolerated_losses,
@@ -49,7 +49,7 @@
     }
 
     /// Whether a disk is in either set.
-    pub fn has(&self, disk: &str) -> bool {
+    pub fn contains(&self, disk: &str) -> bool {
         let mut disks = self.current.iter().chain(&self.previous);
         disks.any(|known| known == disk)
     }
@@ -78,7 +78,7 @@
     }
 
     /// How many disks of the present set may be missed by what all of them were to hold.
-    pub fn may_miss(&self) -> usize {
+    pub fn max_missing_disks(&self) -> usize {
         self.tolerated_losses_of(&self.current)
     }
 
--- a/yewcross-common/src/turn_log/store_client.rs
+++ b/yewcross-common/src/turn_log/store_client.rs
@@ -63,7 +63,7 @@
 
     /// The node that a disk is in.
     pub fn node(&self, disk: &str) -> Option<Node> {
-        self.members.by_disk(disk)
+        self.members.node_with_disk(disk)
     }
 
     /// Whether the disk's node is a member, and not suspected.
--- a/yewcross-control/src/config/document_requests.rs
+++ b/yewcross-control/src/config/document_requests.rs
@@ -64,7 +64,7 @@
     }
     control
         .replica
-        .peek(name)
+        .read_record(name)
         .await
         .map_or(0, |record| record.seq)
 }
@@ -77,7 +77,7 @@
     let has_seat = layout.1.core.current.contains(&control.storage.disk_id);
     has_seat
         && !control.storage.failed.load(SeqCst)
-        && control.replica.peek("config").await.is_some()
+        && control.replica.read_record("config").await.is_some()
         && !known.is_empty()
         && (!control.options.tends || control.has_quorum_contact())
 }
@@ -119,7 +119,10 @@
     if !control.has_quorum_contact() {
         return rejected(Code::NoMajority);
     }
-    let Ok((version, epoch, content)) = control.registers.newest(name, PEER_REQUEST_TIMEOUT).await
+    let Ok((version, epoch, content)) = control
+        .registers
+        .read_newest(name, PEER_REQUEST_TIMEOUT)
+        .await
     else {
         return rejected(Code::NoMajority);
     };
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -57,7 +57,7 @@
 async fn newest_known_version(control: &Control, name: &str) -> u64 {
     let on_disk = control
         .replica
-        .peek(name)
+        .read_record(name)
         .await
         .map_or(0, |record| record.seq);
     on_disk.max(control.version_heard(name))
--- a/yewcross-control/src/config/order_decision.rs
+++ b/yewcross-control/src/config/order_decision.rs
@@ -10,7 +10,7 @@
 use super::taken_orders::{Earlier, find_taken, remembered_orders, supersede};
 use yewcross_common::configuration::InvalidSetting;
 use yewcross_common::protocol::{ConfigDoc, TakenOrder};
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 
 /// An operator's order, as it is decided.
 pub struct Order<'a> {
@@ -56,9 +56,9 @@
 
 /// What an order makes of the register's value. Run again on a value that has its change, it comes
 /// to the same. An empty value is the document before the first order.
-pub fn decide(seq: u64, value: &[u8], order: &Order) -> Step<Decision> {
+pub fn decide(seq: u64, value: &[u8], order: &Order) -> ValueUpdate<Decision> {
     let Ok(document) = ConfigDoc::decode(value) else {
-        return Step::Keep(Decision::Unreadable);
+        return ValueUpdate::Keep(Decision::Unreadable);
     };
     let current = if order.number.is_some() {
         document.number
@@ -68,34 +68,34 @@
     let earlier = remembered_orders(&document);
     match find_taken(seq, &document, &earlier, order) {
         Earlier::Taken { number } => {
-            return Step::Keep(Decision::Taken(TakenDocument {
+            return ValueUpdate::Keep(Decision::Taken(TakenDocument {
                 number,
                 seq,
                 document: value.to_vec(),
             }));
         }
-        Earlier::Forgotten => return Step::Keep(Decision::Forgotten),
+        Earlier::Forgotten => return ValueUpdate::Keep(Decision::Forgotten),
         Earlier::NotTaken => {}
     }
     if order.base != current {
-        return Step::Keep(Decision::Conflict { current });
+        return ValueUpdate::Keep(Decision::Conflict { current });
     }
     let number = order.number.unwrap_or(seq + 1);
     if number <= current {
-        return Step::Keep(Decision::Invalid(vec![InvalidSetting {
+        return ValueUpdate::Keep(Decision::Invalid(vec![InvalidSetting {
             path: "number".into(),
             why: format!("must be above {current}"),
         }]));
     }
     let Ok(raw) = successor(&document, earlier, order).encode() else {
-        return Step::Keep(Decision::Unreadable);
+        return ValueUpdate::Keep(Decision::Unreadable);
     };
     let taken = TakenDocument {
         number,
         seq: seq + 1,
         document: raw.clone(),
     };
-    Step::Write(raw, Decision::Taken(taken))
+    ValueUpdate::Write(raw, Decision::Taken(taken))
 }
 
 /// The document after an order on top of another.
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -14,7 +14,7 @@
 use yewcross_common::constants::{MS, ORDER_QUEUE_LIMIT};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
-use yewcross_common::register::{ChangeError, Step};
+use yewcross_common::register::{ChangeError, ValueUpdate};
 
 /// us. Bound of `answer_timeout`, however long `Bounds::ack` is.
 const ANSWER_TIMEOUT_MOST: u64 = 1_500 * MS;
@@ -82,7 +82,7 @@
         kept_ms: 0,
     };
     match decide(applied.version, &applied.content, &order) {
-        Step::Keep(Decision::Taken(taken)) => Some(PutAnswer::InForce(taken.number)),
+        ValueUpdate::Keep(Decision::Taken(taken)) => Some(PutAnswer::InForce(taken.number)),
         _ => None,
     }
 }
@@ -206,7 +206,7 @@
             PutAnswer::Undecided
         }
         Err(ChangeError::NotProposer) => return None,
-        Err(ChangeError::NotDone) => PutAnswer::NoMajority,
+        Err(ChangeError::NotApplied) => PutAnswer::NoMajority,
         Err(ChangeError::Undecided) => PutAnswer::Undecided,
     };
     Some(answer)
--- a/yewcross-control/src/config/put.rs
+++ b/yewcross-control/src/config/put.rs
@@ -15,7 +15,7 @@
 use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, PUT_TIMEOUT, RETAINED_VERSIONS};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ConfigDoc;
-use yewcross_common::register::{ChangeError, Step};
+use yewcross_common::register::{ChangeError, ValueUpdate};
 
 /// Why a configuration is not known to be in force.
 #[derive(Clone, Debug, PartialEq, Snafu)]
@@ -146,14 +146,17 @@
             control.runtime.log(&source.to_string());
             Err(PutError::Unreadable { source })
         }
-        Err(ChangeError::NotDone | ChangeError::NotProposer) => Err(PutError::NoMajority),
+        Err(ChangeError::NotApplied | ChangeError::NotProposer) => Err(PutError::NoMajority),
         Err(ChangeError::Undecided) => Err(PutError::MaybeStored),
     }
 }
 
 /// Rolls the newest version out: the stored one, or one that followed and has it among its past.
 async fn roll_out_newest(control: &Arc<Control>, version: u64) -> Result<u64, PutError> {
-    let Ok((newest, epoch, content)) = control.registers.read("config", PEER_REQUEST_TIMEOUT).await
+    let Ok((newest, epoch, content)) = control
+        .registers
+        .read_with_ballot("config", PEER_REQUEST_TIMEOUT)
+        .await
     else {
         return Err(PutError::NotYetInForce { version });
     };
@@ -172,26 +175,26 @@
     attempt: &PutAttempt,
     in_force_version: u64,
     is_up: impl Fn(&str) -> bool,
-) -> Step<PutDecision> {
+) -> ValueUpdate<PutDecision> {
     let document = match decode_configuration(value) {
         Ok(document) => document,
-        Err(error) => return Step::Keep(PutDecision::Unreadable(error)),
+        Err(error) => return ValueUpdate::Keep(PutDecision::Unreadable(error)),
     };
     if let Some(version) = version_of(&document, version, attempt.id) {
-        return Step::Keep(PutDecision::Stored { version });
+        return ValueUpdate::Keep(PutDecision::Stored { version });
     }
     if version != attempt.base {
-        return Step::Keep(PutDecision::Conflict { newest: version });
+        return ValueUpdate::Keep(PutDecision::Conflict { newest: version });
     }
     let next = successor(&document, version, attempt);
     let fault = find_lost_version(&next, in_force_version)
         .or_else(|| find_unavailable_group(&front_groups(&next, in_force_version), is_up));
     if let Some(fault) = fault {
-        return Step::Keep(PutDecision::FrontsUnavailable(fault));
+        return ValueUpdate::Keep(PutDecision::FrontsUnavailable(fault));
     }
     // Strings and numbers always serialise.
     let raw = serde_json::to_vec(&next).unwrap_or_default();
-    Step::Write(
+    ValueUpdate::Write(
         raw,
         PutDecision::Stored {
             version: version + 1,
--- a/yewcross-control/src/config/rollout.rs
+++ b/yewcross-control/src/config/rollout.rs
@@ -107,7 +107,7 @@
         let others = self
             .control
             .members
-            .all()
+            .all_nodes()
             .into_iter()
             .filter(|node| node.name != self.control.settings.name);
         for node in others {
@@ -278,5 +278,5 @@
         .core
         .current
         .iter()
-        .filter_map(|disk| control.members.by_disk(disk))
+        .filter_map(|disk| control.members.node_with_disk(disk))
 }
--- a/yewcross-control/src/config/serving_leases.rs
+++ b/yewcross-control/src/config/serving_leases.rs
@@ -36,7 +36,7 @@
     // holds the version.
     let on_disk = control
         .replica
-        .peek(name)
+        .read_record(name)
         .await
         .map_or(0, |record| record.seq);
     let now = control.runtime.now();
--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -100,7 +100,7 @@
 
 /// Brings one key to its replicas. Returns false if it has to be tried again.
 async fn sweep_key(control: &Arc<Control>, assignment: Assignment, key: &str) -> bool {
-    if control.replica.peek(key).await.is_none() {
+    if control.replica.read_record(key).await.is_none() {
         return true;
     }
     let is_stored_here = crate::replica_set(&control.documents, &control.members, key)
@@ -108,7 +108,7 @@
         .iter()
         .any(|replica| replica.disk == control.storage.disk_id);
     if !is_stored_here && !assignment.is_changing {
-        control.replica.forget(key).await;
+        control.replica.remove_record(key).await;
         return true;
     }
     let is_document = DOCS.contains(&key);
@@ -140,7 +140,7 @@
 async fn is_expired(control: &Control, key: &str) -> bool {
     control
         .replica
-        .peek(key)
+        .read_record(key)
         .await
         .is_some_and(|slot| slot.value.is_empty() || control.store.outlived(&slot.value))
 }
@@ -166,7 +166,7 @@
 /// Documents are repaired by the process that proposes, and by no other. Returns false if it has to
 /// be tried again.
 async fn repair_document(control: &Control, name: &str) -> bool {
-    if control.lease_term().is_none() || control.registers.is_uniform(name).await {
+    if control.lease_term().is_none() || control.registers.all_replicas_agree(name).await {
         return true;
     }
     control.counters.repaired_records.fetch_add(1, SeqCst);
--- a/yewcross-control/src/layout/bootstrap.rs
+++ b/yewcross-control/src/layout/bootstrap.rs
@@ -16,7 +16,7 @@
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{ConfigDoc, Layout, PeerRequest, PeerResponse, ReplicaGroup};
-use yewcross_common::register::{Ballot, Step};
+use yewcross_common::register::{Ballot, ValueUpdate};
 
 /// Name of the document that holds the operators' configuration.
 const CONFIG: &str = "config";
@@ -91,8 +91,10 @@
     let empty = serde_json::to_vec(&ConfigDoc::default()).unwrap_or_default();
     decide_if_absent(control, CONFIG, empty).await?;
     for document in [LAYOUT, CONFIG] {
-        if let Ok((version, epoch, content)) =
-            control.registers.read(document, PEER_REQUEST_TIMEOUT).await
+        if let Ok((version, epoch, content)) = control
+            .registers
+            .read_with_ballot(document, PEER_REQUEST_TIMEOUT)
+            .await
         {
             let control_handle = control.clone();
             control.runtime.spawn(async move {
@@ -172,9 +174,9 @@
 ) -> Result<(), LayoutError> {
     let write_first = |version, _: &[u8]| {
         if version == 0 {
-            Step::Write(content.clone(), ())
+            ValueUpdate::Write(content.clone(), ())
         } else {
-            Step::Keep(())
+            ValueUpdate::Keep(())
         }
     };
     control
@@ -306,9 +308,9 @@
     let adopted = control.documents.document(LAYOUT);
     let write_layout = |version, _: &[u8]| {
         if version == 0 && adopted.version == FIRST_VERSION {
-            Step::Write(adopted.content.to_vec(), true)
+            ValueUpdate::Write(adopted.content.to_vec(), true)
         } else {
-            Step::Keep(version > 0)
+            ValueUpdate::Keep(version > 0)
         }
     };
     let layout_decided = control.registers.change(LAYOUT, SEC, write_layout).await;
@@ -318,9 +320,9 @@
     let empty = serde_json::to_vec(&ConfigDoc::default()).unwrap_or_default();
     let write_configuration = |version, _: &[u8]| {
         if version == 0 {
-            Step::Write(empty.clone(), true)
+            ValueUpdate::Write(empty.clone(), true)
         } else {
-            Step::Keep(false)
+            ValueUpdate::Keep(false)
         }
     };
     let written_now = control
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -19,7 +19,7 @@
 use yewcross_common::membership::{MemberState, Node};
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, ReplicaGroup};
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 
 /// us. How soon the replicas are looked at again after one did not answer, so that a change that
 /// enlarges the group had to wait.
@@ -104,7 +104,7 @@
     };
     let view = ClusterView {
         live,
-        heard: &control.members.all(),
+        heard: &control.members.all_nodes(),
         missing: &missing,
         lost: control.settings.bounds.lost,
     };
@@ -171,7 +171,7 @@
     }
     let silent_nodes: Vec<Node> = silent
         .iter()
-        .filter_map(|disk| control.members.by_disk(disk))
+        .filter_map(|disk| control.members.node_with_disk(disk))
         .collect();
     for node in silent_nodes {
         control.members.clone().probe_or_suspect(node).await;
@@ -193,9 +193,9 @@
     let content = serde_json::to_vec(&next).unwrap_or_default();
     let step = |found_version, _: &[u8]| {
         if found_version == version && control.may_write(term, planned_on_term) {
-            Step::Write(content.clone(), true)
+            ValueUpdate::Write(content.clone(), true)
         } else {
-            Step::Keep(false)
+            ValueUpdate::Keep(false)
         }
     };
     let decided = control
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -15,7 +15,7 @@
 use yewcross_common::documents::cache::DOCS;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, PeerRequest, ReplicaGroup};
-use yewcross_common::register::{Ballot, Step};
+use yewcross_common::register::{Ballot, ValueUpdate};
 
 /// Ends the changes that may end, each independently. Returns whether any ended.
 pub(super) async fn finish_changes(control: &Arc<Control>, adopted: VersionedLayout<'_>) -> bool {
@@ -33,7 +33,7 @@
     let reachable = group
         .previous
         .iter()
-        .filter(|disk| control.members.by_disk(disk).is_some())
+        .filter(|disk| control.members.node_with_disk(disk).is_some())
         .count();
     let is_joint = |reports: &[ReplicaReport]| planning::core_is_joint(group, since, reports);
     let reports = survey(
@@ -57,7 +57,7 @@
         }
         let read = control
             .registers
-            .change(document, SEC, |_, _| Step::Keep(()));
+            .change(document, SEC, |_, _| ValueUpdate::Keep(()));
         if read.await.is_err() {
             return false;
         }
@@ -85,7 +85,7 @@
         if look > 0 {
             control.runtime.sleep(READ_RETRY_DELAY).await;
         }
-        let is_settled = control.registers.is_settled(document, may_vote);
+        let is_settled = control.registers.majority_agrees(document, may_vote);
         let answer = control
             .runtime
             .timeout(SWEEP_REPORT_TIMEOUT, is_settled)
@@ -121,7 +121,7 @@
     let behind = reports
         .iter()
         .filter(|report| report.kept < since)
-        .filter_map(|report| control.members.by_disk(&report.disk));
+        .filter_map(|report| control.members.node_with_disk(&report.disk));
     for node in behind {
         let (peers, content) = (control.peers.clone(), document.content.clone());
         let request = PeerRequest::PublishDocument {
@@ -148,14 +148,14 @@
         .registers
         .change(LAYOUT, LAYOUT_STEP_TIMEOUT, |version, content| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
-                return Step::Keep(None);
+                return ValueUpdate::Keep(None);
             };
             let group = planning::group(&layout, role);
             if !group.is_changing()
                 || layout.since(group, version) != since
                 || !control.may_write(term, layout.term)
             {
-                return Step::Keep(None);
+                return ValueUpdate::Keep(None);
             }
             layout.term = term;
             planning::end(&mut layout, version, role);
@@ -164,7 +164,7 @@
                 version: version + 1,
                 content: content.clone(),
             };
-            Step::Write(content, Some(decided))
+            ValueUpdate::Write(content, Some(decided))
         })
         .await;
     let Ok(Some(decided)) = ended else {
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -10,7 +10,7 @@
 use yewcross_common::membership::Node;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::Layout;
-use yewcross_common::register::{ChangeError, Step};
+use yewcross_common::register::{ChangeError, ValueUpdate};
 
 /// A change of disks. Disks are named by their identity or by the name of their machine.
 #[derive(Clone, Debug, PartialEq)]
@@ -142,12 +142,12 @@
         .registers
         .change(LAYOUT, PUT_TIMEOUT, |version, content| {
             let Ok(layout) = serde_json::from_slice::<Layout>(content) else {
-                return Step::Keep(Err(LayoutError::NotBootstrapped));
+                return ValueUpdate::Keep(Err(LayoutError::NotBootstrapped));
             };
             match propose(&layout, version, &change, node_of) {
-                Err(source) => Step::Keep(Err(source.into())),
-                Ok(None) => Step::Keep(Ok(version)),
-                Ok(Some(next)) => Step::Write(
+                Err(source) => ValueUpdate::Keep(Err(source.into())),
+                Ok(None) => ValueUpdate::Keep(Ok(version)),
+                Ok(Some(next)) => ValueUpdate::Write(
                     serde_json::to_vec(&next).unwrap_or_default(),
                     Ok(version + 1),
                 ),
@@ -158,7 +158,7 @@
     match outcome {
         Ok(begun) => begun,
         Err(ChangeError::Undecided) => Err(LayoutError::ChangeUndecided),
-        Err(ChangeError::NotDone | ChangeError::NotProposer) => Err(LayoutError::NoMajority),
+        Err(ChangeError::NotApplied | ChangeError::NotProposer) => Err(LayoutError::NoMajority),
     }
 }
 
@@ -249,10 +249,10 @@
         .registers
         .change(LAYOUT, PUT_TIMEOUT, |version, content| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
-                return Step::Keep(());
+                return ValueUpdate::Keep(());
             };
             if version != planned_on || !control.may_write(term, layout.term) {
-                return Step::Keep(());
+                return ValueUpdate::Keep(());
             }
             layout.term = term;
             for role in GROUPS_BY_URGENCY {
@@ -260,7 +260,7 @@
                     planning::end(&mut layout, version, role);
                 }
             }
-            Step::Write(serde_json::to_vec(&layout).unwrap_or_default(), ())
+            ValueUpdate::Write(serde_json::to_vec(&layout).unwrap_or_default(), ())
         })
         .await;
     if ended.is_ok() {
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -102,8 +102,10 @@
     if !control.has_quorum_contact() {
         return;
     }
-    if let Ok((version, epoch, content)) =
-        control.registers.read(LAYOUT, PEER_REQUEST_TIMEOUT).await
+    if let Ok((version, epoch, content)) = control
+        .registers
+        .read_with_ballot(LAYOUT, PEER_REQUEST_TIMEOUT)
+        .await
     {
         if control.options.tends {
             return config::publish(control, LAYOUT, version, content.to_vec());
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -41,7 +41,7 @@
     let response = if disk == control.storage.disk_id {
         report(control, since)
     } else {
-        let node = control.members.by_disk(disk)?;
+        let node = control.members.node_with_disk(disk)?;
         let request = PeerRequest::SweepProgress {
             layout: since,
             disk: disk.into(),
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -12,7 +12,7 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse};
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 
 /// Has a store machine marked as retired, here or by the process that proposes.
 pub async fn retire(control: &Arc<Control>, node: &str) -> RetireBegin {
@@ -55,17 +55,17 @@
     let fewest_stores = 2 * control.settings.bounds.lost + 1;
     let is_known_store = control
         .members
-        .all()
+        .all_nodes()
         .iter()
         .any(|member| member.name == node && member.role == Role::Store);
     let marking = control
         .registers
         .change(LAYOUT, SEC, |version, content| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
-                return Step::Keep(Marking::Unchanged(RetireBegin::Away));
+                return ValueUpdate::Keep(Marking::Unchanged(RetireBegin::Away));
             };
             if let Some(answer) = answer_unchanged(&layout, node, is_known_store, fewest_stores) {
-                return Step::Keep(Marking::Unchanged(answer));
+                return ValueUpdate::Keep(Marking::Unchanged(answer));
             }
             layout.retired.insert(node.into());
             let content = serde_json::to_vec(&layout).unwrap_or_default();
@@ -73,7 +73,7 @@
                 version: version + 1,
                 content: content.clone(),
             };
-            Step::Write(content, Marking::Marked(decided))
+            ValueUpdate::Write(content, Marking::Marked(decided))
         })
         .await;
     match marking {
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -179,7 +179,7 @@
     for document in DOCS {
         let on_disk = control
             .replica
-            .peek(document)
+            .read_record(document)
             .await
             .map_or(0, |slot| slot.seq);
         let adopted = control.documents.document(document).version;
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -32,7 +32,7 @@
 use yewcross_common::membership::MemberState;
 use yewcross_common::protocol::ReplicaGroup;
 use yewcross_common::protocol::lease::{LeaseOperation, LeaseResponse, LeaseVerdict};
-use yewcross_common::register::{Ballot, Step};
+use yewcross_common::register::{Ballot, ValueUpdate};
 use yewcross_common::runtime::BoxFuture;
 
 /// Documents that a new holder takes before it acts, in a tier where any core decides operators'
@@ -123,7 +123,7 @@
     let is_alive = |disk: &str| {
         control
             .members
-            .by_disk(disk)
+            .node_with_disk(disk)
             .is_some_and(|node| node.state == MemberState::Alive)
     };
     let candidates = layout
@@ -295,7 +295,7 @@
 /// Takes one document, and publishes a version that an earlier holder decided without publishing it.
 async fn take_document(control: &Arc<Control>, name: &'static str) -> bool {
     let known = control.documents.document(name).version;
-    let read = |version, content: &[u8]| Step::Keep((version, content.to_vec()));
+    let read = |version, content: &[u8]| ValueUpdate::Keep((version, content.to_vec()));
     let Ok((version, content)) = control.registers.change(name, SEC, read).await else {
         return false;
     };
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -117,6 +117,6 @@
 ) -> ReplicaSet {
     let layout = documents.layout.load();
     ReplicaSet::of(key, &layout.1, layout.0, |disk| {
-        members.by_disk(disk).map(|node| node.peer)
+        members.node_with_disk(disk).map(|node| node.peer)
     })
 }
--- a/yewcross-control/src/operator/configuration.rs
+++ b/yewcross-control/src/operator/configuration.rs
@@ -59,7 +59,11 @@
 
 /// The newest version and its document, or the answer to an operator where it cannot be read.
 async fn read_newest(control: &Arc<Control>) -> Result<(u64, ConfigDoc), Response> {
-    match control.registers.read("config", PEER_REQUEST_TIMEOUT).await {
+    match control
+        .registers
+        .read_with_ballot("config", PEER_REQUEST_TIMEOUT)
+        .await
+    {
         Ok((version, _, value)) => match config::decode_configuration(&value) {
             Ok(document) => Ok((version, document)),
             Err(error) => Err(rejected(Code::Undecided, &error.to_string())),
@@ -121,7 +125,7 @@
     let wanted: u64 = version.parse().ok()?;
     let (newest, _, value) = control
         .registers
-        .read("config", PEER_REQUEST_TIMEOUT)
+        .read_with_ballot("config", PEER_REQUEST_TIMEOUT)
         .await
         .ok()?;
     // No version is known by a value that cannot be read, nor by the empty one before the first.
--- a/yewcross-control/src/operator/status.rs
+++ b/yewcross-control/src/operator/status.rs
@@ -36,7 +36,7 @@
         "role": control.settings.role,
         "disk": control.storage.disk_id,
         "disk_failed": control.storage.failed.load(SeqCst),
-        "nodes": control.members.all(),
+        "nodes": control.members.all_nodes(),
         "versions": versions,
         "duties": duties,
         "lease": singleton_tasks::status(control),
@@ -78,7 +78,7 @@
 
 /// None where the disk holds no value of the key.
 async fn checkpoint_key(control: &Control, key: String) -> Option<CheckpointKey> {
-    let record = control.replica.peek(&key).await?;
+    let record = control.replica.read_record(&key).await?;
     if record.seq == 0 {
         return None;
     }
@@ -97,9 +97,9 @@
     let transport = &control.peers.metrics;
     let body = json!({
         "odd_frames": control.peers.rejected_frames.load(SeqCst),
-        "messages": transport.sent.load(SeqCst),
-        "bytes_within": transport.bytes_within.load(SeqCst),
-        "bytes_across": transport.bytes_across.load(SeqCst),
+        "messages": transport.messages_sent.load(SeqCst),
+        "bytes_within": transport.same_site_bytes.load(SeqCst),
+        "bytes_across": transport.cross_site_bytes.load(SeqCst),
         "kinds": *transport.kinds.lock().unwrap(),
         "syncs": control.storage.syncs.load(SeqCst),
         "disk_bytes": control.storage.bytes.load(SeqCst),
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -13,7 +13,7 @@
     SERVER_LIST_POLL_INTERVAL, UPSTREAM_REPORT_TIMEOUT,
 };
 use yewcross_common::protocol::{ListedServer, ServerList};
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 use yewcross_common::streaming_http;
 
 /// us. Between looks whether a platform has been configured.
@@ -124,7 +124,10 @@
         }
         Err(_) => return false,
     }
-    let Ok((version, epoch, content)) = control.registers.read("list", PEER_REQUEST_TIMEOUT).await
+    let Ok((version, epoch, content)) = control
+        .registers
+        .read_with_ballot("list", PEER_REQUEST_TIMEOUT)
+        .await
     else {
         return false;
     };
@@ -141,17 +144,17 @@
     value: &[u8],
     list: &ServerList,
     may_write_over: impl FnOnce(u64) -> bool,
-) -> Step<Result<(), UnreadableDocument>> {
+) -> ValueUpdate<Result<(), UnreadableDocument>> {
     let current = match decode_server_list(value) {
         Ok(current) => current,
-        Err(error) => return Step::Keep(Err(error)),
+        Err(error) => return ValueUpdate::Keep(Err(error)),
     };
     let is_known = version > 0 && current.revision >= list.revision;
     if is_known || !may_write_over(current.term) {
-        return Step::Keep(Ok(()));
+        return ValueUpdate::Keep(Ok(()));
     }
     // Strings and numbers always serialise.
-    Step::Write(serde_json::to_vec(list).unwrap_or_default(), Ok(()))
+    ValueUpdate::Write(serde_json::to_vec(list).unwrap_or_default(), Ok(()))
 }
 
 /// Polls a catalogue in its own format, page by page; the tier numbers the lists. A list read while
@@ -286,14 +289,14 @@
     value: &[u8],
     proposal: &ServersProposal,
     may_write_over: impl FnOnce(u64) -> bool,
-) -> Step<Result<DecidedList, UnreadableDocument>> {
+) -> ValueUpdate<Result<DecidedList, UnreadableDocument>> {
     let current = match decode_server_list(value) {
         Ok(current) => current,
-        Err(error) => return Step::Keep(Err(error)),
+        Err(error) => return ValueUpdate::Keep(Err(error)),
     };
     let is_outdated = version > proposal.known_version || current.servers == proposal.servers;
     if is_outdated || !may_write_over(current.term) {
-        return Step::Keep(Ok(DecidedList {
+        return ValueUpdate::Keep(Ok(DecidedList {
             version,
             content: value.to_vec(),
         }));
@@ -307,7 +310,7 @@
         version: version + 1,
         content: content.clone(),
     };
-    Step::Write(content, Ok(decided))
+    ValueUpdate::Write(content, Ok(decided))
 }
 
 /// The servers of the applied list as they were decided, without what was announced of them since.
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -11,7 +11,7 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::ChangeError;
-use yewcross_common::register::client::Decided;
+use yewcross_common::register::client::DecidedValue;
 use yewcross_common::transport::SendError;
 
 /// us. Less than this is not enough for a request to the proposer.
@@ -58,20 +58,20 @@
     control: &Arc<Control>,
     name: &str,
     timeout: u64,
-) -> Result<Decided, ChangeError> {
+) -> Result<DecidedValue, ChangeError> {
     let deadline = control.runtime.now() + timeout;
     let time_left = || deadline.saturating_sub(control.runtime.now());
     loop {
         let read = control
             .registers
-            .newest(name, time_left().min(READ_TIMEOUT))
+            .read_newest(name, time_left().min(READ_TIMEOUT))
             .await;
         if !matches!(read, Err(ChangeError::NotProposer)) {
             return read;
         }
         let left = time_left();
         if left < SHORTEST_FORWARD {
-            return Err(ChangeError::NotDone);
+            return Err(ChangeError::NotApplied);
         }
         let request = PeerRequest::ReadDecidedDocument {
             name: name.into(),
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -47,7 +47,7 @@
     let response = if disk == control.storage.disk_id {
         answer(control, &request).await
     } else {
-        let peer = control.members.by_disk(disk)?.peer;
+        let peer = control.members.node_with_disk(disk)?.peer;
         let request = PeerRequest::Lease(request);
         match control
             .peers
--- a/yewcross-control/src/request_handler.rs
+++ b/yewcross-control/src/request_handler.rs
@@ -177,7 +177,7 @@
             .layout
             .load()
             .1
-            .has_seat(&self.storage.disk_id);
+            .includes_disk(&self.storage.disk_id);
         if !has_seat {
             return without_payload(PeerResponse::UnnamedRegister(RegisterReply::Away));
         }
--- a/yewcross-control/src/singleton_tasks.rs
+++ b/yewcross-control/src/singleton_tasks.rs
@@ -130,7 +130,10 @@
     if holder.disk == control.storage.disk_id {
         return None;
     }
-    control.members.by_disk(&holder.disk).map(|node| node.peer)
+    control
+        .members
+        .node_with_disk(&holder.disk)
+        .map(|node| node.peer)
 }
 
 fn lately_reported_holder(control: &Control) -> Option<Candidate> {
--- a/yewcross-control/src/start.rs
+++ b/yewcross-control/src/start.rs
@@ -99,7 +99,9 @@
     let replica = Replica::open(&storage).await.context(DiskSnafu)?;
     let peers = PeerClient::new(runtime, &settings.name, &settings.site, settings.wire);
     let members = Membership::new(runtime, &settings, &peers, &storage.disk_id);
-    members.outranks_namesake.store(options.stays, SeqCst);
+    members
+        .supersedes_newer_process
+        .store(options.stays, SeqCst);
     let documents = DocumentCache::of(runtime, options.dialect.clone());
     let local = LocalState::load(&storage, &documents)
         .await
@@ -219,7 +221,7 @@
     };
     control
         .registers
-        .restrict(move |key| !DOCS.contains(&key) || holds_lease());
+        .set_proposal_permit(move |key| !DOCS.contains(&key) || holds_lease());
 }
 
 /// Serves the product's own operators' interface.
--- a/yewcross-control/tests/orders.rs
+++ b/yewcross-control/tests/orders.rs
@@ -3,7 +3,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Bounds;
 use yewcross_common::protocol::ConfigDoc;
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 use yewcross_control::config::order_decision::{Decision, Order, decide};
 use yewcross_control::config::taken_orders::kept_ms;
 
@@ -34,8 +34,8 @@
             kept_ms: kept_ms(&Bounds::default()),
         };
         match decide(self.seq, &self.value, &order) {
-            Step::Keep(decision) => decision,
-            Step::Write(value, decision) => {
+            ValueUpdate::Keep(decision) => decision,
+            ValueUpdate::Write(value, decision) => {
                 self.seq += 1;
                 self.value = value;
                 decision
--- a/yewcross-control/tests/platform_list.rs
+++ b/yewcross-control/tests/platform_list.rs
@@ -1,7 +1,7 @@
 //! What a read of the platform's list makes of its register.
 
 use yewcross_common::protocol::{ListedServer, ServerList};
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 use yewcross_control::platform_list::{DecidedList, ServersProposal, replace_servers, revise_list};
 
 fn list(revision: u64, term: u64, names: &[&str]) -> ServerList {
@@ -37,7 +37,7 @@
 #[test]
 fn an_empty_value_is_the_list_before_the_first() {
     let first = list(0, 2, &["a"]);
-    let Step::Write(value, Ok(())) = revise_list(0, b"", &first, up_to(2)) else {
+    let ValueUpdate::Write(value, Ok(())) = revise_list(0, b"", &first, up_to(2)) else {
         panic!()
     };
     assert_eq!(value, encoded(&first));
@@ -46,7 +46,8 @@
         term: 2,
         servers: &servers(&["a"]),
     };
-    let Step::Write(value, Ok(decided)) = replace_servers(0, b"", &proposal, up_to(2)) else {
+    let ValueUpdate::Write(value, Ok(decided)) = replace_servers(0, b"", &proposal, up_to(2))
+    else {
         panic!()
     };
     assert_eq!((decided.version, &decided.content), (1, &value));
@@ -61,7 +62,7 @@
         let next = list(revision, term, &["b"]);
         matches!(
             revise_list(7, &current, &next, up_to(term)),
-            Step::Write(_, Ok(()))
+            ValueUpdate::Write(_, Ok(()))
         )
     };
     assert_eq!([4, 5, 6].map(|r| is_written(r, 3)), [false, false, true]);
@@ -78,8 +79,8 @@
             servers: &servers(names),
         };
         match replace_servers(7, &current, &proposal, up_to(term)) {
-            Step::Write(_, Ok(decided)) => decided.version == 8,
-            Step::Keep(Ok(kept)) => {
+            ValueUpdate::Write(_, Ok(decided)) => decided.version == 8,
+            ValueUpdate::Keep(Ok(kept)) => {
                 let content = current.clone();
                 assert_eq!(
                     kept,
@@ -107,7 +108,7 @@
         assert!(
             matches!(
                 revise_list(7, value, &next, up_to(3)),
-                Step::Keep(Err(error)) if error.name == "list"
+                ValueUpdate::Keep(Err(error)) if error.name == "list"
             ),
             "{value:?}"
         );
@@ -119,7 +120,7 @@
         assert!(
             matches!(
                 replace_servers(7, value, &proposal, up_to(3)),
-                Step::Keep(Err(error)) if error.name == "list"
+                ValueUpdate::Keep(Err(error)) if error.name == "list"
             ),
             "{value:?}"
         );
--- a/yewcross-control/tests/put.rs
+++ b/yewcross-control/tests/put.rs
@@ -2,7 +2,7 @@
 
 use yewcross_common::constants::RETAINED_VERSIONS;
 use yewcross_common::protocol::ConfigDoc;
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 use yewcross_control::config::front_groups;
 use yewcross_control::config::put::{PutAttempt, PutDecision, decide_put};
 
@@ -30,8 +30,8 @@
             self.in_force_version,
             is_up,
         ) {
-            Step::Keep(decision) => decision,
-            Step::Write(value, decision) => {
+            ValueUpdate::Keep(decision) => decision,
+            ValueUpdate::Write(value, decision) => {
                 self.version += 1;
                 self.value = value;
                 decision
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -631,8 +631,8 @@
             let t = &front.peers.metrics;
             reply(
                 200,
-                &json!({"counts": front.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": front.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst),
-                    "bytes_across": t.bytes_across.load(SeqCst), "lines": front.admission.depth(), "open": front.connections.open.load(SeqCst),
+                &json!({"counts": front.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": front.peers.rejected_frames.load(SeqCst), "messages": t.messages_sent.load(SeqCst), "bytes_within": t.same_site_bytes.load(SeqCst),
+                    "bytes_across": t.cross_site_bytes.load(SeqCst), "lines": front.admission.depth(), "open": front.connections.open.load(SeqCst),
                     "busy": front.connections.busy.load(SeqCst)}),
             )
         }
--- a/yewcross-state/src/anti_entropy/ledgers.rs
+++ b/yewcross-state/src/anti_entropy/ledgers.rs
@@ -21,7 +21,7 @@
         let others = self.others_of(&replicas.current);
         let own = replicas.current.len() - others.len();
         let reached = self.transfer_ledgers_to(&others).await;
-        reached + own + replicas.may_miss() >= replicas.current.len()
+        reached + own + replicas.max_missing_disks() >= replicas.current.len()
     }
 
     fn others_of(&self, disks: &[String]) -> Vec<String> {
--- a/yewcross-state/src/anti_entropy/mod.rs
+++ b/yewcross-state/src/anti_entropy/mod.rs
@@ -28,7 +28,7 @@
     /// Whether all that this disk held when it adopted the layout is where that layout needs it,
     /// and how many turns are not yet. A disk that is no replica has nothing to transfer.
     pub fn swept(&self, layout: u64) -> (bool, u64) {
-        let is_replica = self.stores.replicas().has(&self.own_disk);
+        let is_replica = self.stores.replicas().contains(&self.own_disk);
         (
             !is_replica || self.swept_layout.load(SeqCst) >= layout,
             self.under_replicated.load(SeqCst),
@@ -41,7 +41,7 @@
             // Listened to first: a change during the pass must not be missed.
             let layout_changed = self.stores.documents.changed.listen();
             let replicas = self.stores.replicas();
-            let is_replica = replicas.has(&self.own_disk);
+            let is_replica = replicas.contains(&self.own_disk);
             if is_replica && self.recovery_pending.load(SeqCst) {
                 self.request_repair(&replicas).await;
             }
@@ -58,7 +58,7 @@
     }
 
     fn needs_sweep(&self, replicas: &StoreReplicas) -> bool {
-        self.swept_layout.load(SeqCst) < replicas.since
+        self.swept_layout.load(SeqCst) < replicas.group_version
     }
 
     /// Whether the sweep for this layout has finished, and the layout is still the present one.
@@ -66,14 +66,14 @@
         let started_us = self.runtime.now();
         let is_change = !replicas.previous.is_empty();
         let is_finished = !is_change || self.sweep_change(replicas).await;
-        if !is_finished || self.stores.replicas().since != replicas.since {
+        if !is_finished || self.stores.replicas().group_version != replicas.group_version {
             return false;
         }
-        self.swept_layout.fetch_max(replicas.since, SeqCst);
+        self.swept_layout.fetch_max(replicas.group_version, SeqCst);
         if is_change {
             self.runtime.log(&format!(
                 "swept for layout {} in {} ms",
-                replicas.since,
+                replicas.group_version,
                 (self.runtime.now() - started_us) / MS
             ));
         }
--- a/yewcross-state/src/anti_entropy/turns.rs
+++ b/yewcross-state/src/anti_entropy/turns.rs
@@ -64,7 +64,7 @@
         preferred: &[String],
     ) -> bool {
         for pass in 0..=LAST_PASS {
-            let is_outdated = self.stores.replicas().since != replicas.since;
+            let is_outdated = self.stores.replicas().group_version != replicas.group_version;
             if is_outdated || self.storage.failed.load(SeqCst) {
                 return false;
             }
--- a/yewcross-state/src/records/begin_decision.rs
+++ b/yewcross-state/src/records/begin_decision.rs
@@ -5,7 +5,7 @@
 use yewcross_common::constants::{DEADLINE_MAX_MS, MS, RETENTION_MAX_MS, RUN_GRACE};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{BeginTurn, TurnBegun};
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 
 /// A turn that may be dispatched.
 pub(super) struct Begun {
@@ -33,10 +33,10 @@
     value: &[u8],
     now_ms: u64,
     is_unreserved: bool,
-) -> Step<BeginDecision> {
+) -> ValueUpdate<BeginDecision> {
     let mut record = SessionRecord::read(value);
     if let Some(decision) = finished_before(begin, &record) {
-        return Step::Keep(decision);
+        return ValueUpdate::Keep(decision);
     }
     let mut closed = None;
     if let Some(run) = &record.head.running {
@@ -45,14 +45,14 @@
         }
         if is_same_attempt(begin, run) {
             // The answer of this very begin was lost.
-            return Step::Keep(begun(record, None));
+            return ValueUpdate::Keep(begun(record, None));
         }
         let is_same_request = run.job == begin.request_id;
         let reserved = run.max_out;
         closed = record.close(Code::MayHaveRun, reserved);
         if is_same_request {
             let decision = BeginDecision::Rejected(Code::MayHaveRun);
-            return Step::Write(record.write(), decision);
+            return ValueUpdate::Write(record.write(), decision);
         }
     }
     if record.is_full() {
@@ -62,11 +62,11 @@
         return reject(Code::StoreAway);
     }
     start(begin, &mut record, now_ms);
-    Step::Write(record.write(), begun(record, closed))
+    ValueUpdate::Write(record.write(), begun(record, closed))
 }
 
-fn reject(code: Code) -> Step<BeginDecision> {
-    Step::Keep(BeginDecision::Rejected(code))
+fn reject(code: Code) -> ValueUpdate<BeginDecision> {
+    ValueUpdate::Keep(BeginDecision::Rejected(code))
 }
 
 /// The answer to a request that finished before, or to an attempt that was barred.
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -6,7 +6,7 @@
 use yewcross_common::constants::{MS, PEER_REQUEST_TIMEOUT, RESERVATION_AUDIT_AGE_MS};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 
 /// Attempts of a settlement in the background; the audit settles what they miss.
 const SETTLE_ATTEMPTS: u32 = 4;
@@ -37,16 +37,16 @@
             .change(&budget_key(budget), PEER_REQUEST_TIMEOUT, |_, value| {
                 let mut record = BudgetRecord::read(value);
                 if record.open.contains_key(entry) {
-                    return Step::Keep(PeerResponse::Ok);
+                    return ValueUpdate::Keep(PeerResponse::Ok);
                 }
                 if record.recent.iter().any(|settled| settled == entry) {
-                    return Step::Keep(PeerResponse::Rejected(Code::Conflict));
+                    return ValueUpdate::Keep(PeerResponse::Rejected(Code::Conflict));
                 }
                 if record.committed_tokens() >= limit {
-                    return Step::Keep(PeerResponse::Rejected(Code::BudgetSpent));
+                    return ValueUpdate::Keep(PeerResponse::Rejected(Code::BudgetSpent));
                 }
                 record.open.insert(entry.into(), reservation.clone());
-                Step::Write(record.write(), PeerResponse::Ok)
+                ValueUpdate::Write(record.write(), PeerResponse::Ok)
             })
             .await;
         changed.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
@@ -60,9 +60,9 @@
             .change(&budget_key(budget), PEER_REQUEST_TIMEOUT, |_, value| {
                 let mut record = BudgetRecord::read(value);
                 if record.settle(entry, used) {
-                    Step::Write(record.write(), ())
+                    ValueUpdate::Write(record.write(), ())
                 } else {
-                    Step::Keep(())
+                    ValueUpdate::Keep(())
                 }
             })
             .await;
@@ -99,7 +99,7 @@
     /// Settles reservations that are older than `RESERVATION_AUDIT_AGE_MS` and whose turn is over: at the usage
     /// that the session's record tells, in full if it tells none.
     pub async fn audit(self: &Arc<Self>, budget: &str) {
-        let Some(value) = self.registers.hint(&budget_key(budget)) else {
+        let Some(value) = self.registers.cached_value(&budget_key(budget)) else {
             return;
         };
         let now_ms = self.clock_ms();
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -13,7 +13,7 @@
 use yewcross_common::protocol::{
     BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState,
 };
-use yewcross_common::register::{ChangeError, Step};
+use yewcross_common::register::{ChangeError, ValueUpdate};
 
 /// What a commit found.
 enum CommitDecision {
@@ -36,7 +36,7 @@
 /// The answer to a request whose change failed: only an undecided one may have taken effect.
 fn rejection(error: ChangeError) -> PeerResponse {
     PeerResponse::Rejected(match error {
-        ChangeError::NotDone | ChangeError::NotProposer => Code::StoreAway,
+        ChangeError::NotApplied | ChangeError::NotProposer => Code::StoreAway,
         ChangeError::Undecided => Code::Undecided,
     })
 }
@@ -104,7 +104,7 @@
     /// Whether the value last known here says that the turn will not begin, so that a reservation
     /// would be for nothing.
     fn is_probably_known(&self, begin: &BeginTurn) -> bool {
-        let Some(value) = self.registers.hint(&begin.key) else {
+        let Some(value) = self.registers.cached_value(&begin.key) else {
             return false;
         };
         let record = SessionRecord::read(&value);
@@ -208,10 +208,10 @@
             .change(key, PEER_REQUEST_TIMEOUT, |_, value| {
                 let mut record = SessionRecord::read(value);
                 if record.head.epoch != epoch || record.head.kv == cache {
-                    return Step::Keep(record.head.epoch == epoch);
+                    return ValueUpdate::Keep(record.head.epoch == epoch);
                 }
                 record.head.kv = cache.clone();
-                Step::Write(record.write(), true)
+                ValueUpdate::Write(record.write(), true)
             })
             .await;
         if is_current == Ok(true) {
@@ -270,11 +270,11 @@
     history: &[u8],
     outcome: &str,
     value: &[u8],
-) -> Step<CommitDecision> {
+) -> ValueUpdate<CommitDecision> {
     let mut record = SessionRecord::read(value);
     if let Some(mark) = record.mark(&commit.request_id) {
         let is_same = mark.nonce == commit.nonce && mark.code == commit.code;
-        return Step::Keep(if is_same {
+        return ValueUpdate::Keep(if is_same {
             CommitDecision::Committed { budget: None }
         } else {
             CommitDecision::Conflict
@@ -286,7 +286,7 @@
         .as_ref()
         .is_some_and(|run| run.nonce == commit.nonce && run.job == commit.request_id);
     if record.head.epoch != commit.epoch || !is_in_flight {
-        return Step::Keep(CommitDecision::Conflict);
+        return ValueUpdate::Keep(CommitDecision::Conflict);
     }
     let closed = record.close(commit.code, commit.used_tokens);
     record.hist.extend(history);
@@ -300,11 +300,11 @@
     }
     record.head.kv = commit.cache.clone();
     let budget = closed.and_then(|run| run.budget);
-    Step::Write(record.write(), CommitDecision::Committed { budget })
+    ValueUpdate::Write(record.write(), CommitDecision::Committed { budget })
 }
 
 /// Whether the attempt is barred; not one that finished, or whose request ran before.
-fn decide_abort(request_id: &str, nonce: u64, now_ms: u64, value: &[u8]) -> Step<bool> {
+fn decide_abort(request_id: &str, nonce: u64, now_ms: u64, value: &[u8]) -> ValueUpdate<bool> {
     let mut record = SessionRecord::read(value);
     let is_attempt_finished = record
         .head
@@ -312,10 +312,10 @@
         .iter()
         .any(|mark| mark.job == request_id && mark.nonce == nonce);
     if is_attempt_finished || record.ran_before(request_id) {
-        return Step::Keep(false);
+        return ValueUpdate::Keep(false);
     }
     if record.head.barred.contains(&nonce) {
-        return Step::Keep(true);
+        return ValueUpdate::Keep(true);
     }
     record
         .head
@@ -326,26 +326,26 @@
         record.head.touched = now_ms;
         record.head.keep = BARRED_ATTEMPT_RETENTION_MS;
     }
-    Step::Write(record.write(), true)
+    ValueUpdate::Write(record.write(), true)
 }
 
 /// The cache state that the session had, unless a turn is in flight.
-fn decide_end(value: &[u8]) -> Step<Result<SessionCacheState, Code>> {
+fn decide_end(value: &[u8]) -> ValueUpdate<Result<SessionCacheState, Code>> {
     let mut record = SessionRecord::read(value);
     if record.head.running.is_some() {
-        return Step::Keep(Err(Code::SessionBusy));
+        return ValueUpdate::Keep(Err(Code::SessionBusy));
     }
     let cache = std::mem::take(&mut record.head.kv);
     let has_nothing = record.hist.is_empty() && cache == SessionCacheState::default();
     if value.is_empty() || has_nothing {
-        return Step::Keep(Ok(cache));
+        return ValueUpdate::Keep(Ok(cache));
     }
     record.hist.clear();
     record.head.epoch += 1;
-    Step::Write(record.write(), Ok(cache))
+    ValueUpdate::Write(record.write(), Ok(cache))
 }
 
-fn decide_inspect(now_ms: u64, value: &[u8]) -> Step<PeerResponse> {
+fn decide_inspect(now_ms: u64, value: &[u8]) -> ValueUpdate<PeerResponse> {
     let mut record = SessionRecord::read(value);
     let lost = record
         .head
@@ -365,8 +365,8 @@
             .collect(),
     };
     if reserved_by_lost.is_some() {
-        Step::Write(record.write(), answer)
+        ValueUpdate::Write(record.write(), answer)
     } else {
-        Step::Keep(answer)
+        ValueUpdate::Keep(answer)
     }
 }
--- a/yewcross-state/src/turn_store/mod.rs
+++ b/yewcross-state/src/turn_store/mod.rs
@@ -41,7 +41,7 @@
 use yewcross_common::register::Ballot;
 use yewcross_common::runtime::{BoxFuture, Runtime};
 use yewcross_common::storage::DurableStorage;
-use yewcross_common::turn_log::epoch::{INCARNATION_BITS, epoch_owner_id};
+use yewcross_common::turn_log::epoch::{INCARNATION_MASK, epoch_owner_id};
 use yewcross_common::turn_log::{StoreClient, TurnLogOperation, TurnLogResponse};
 
 /// Turns may take three eighths of a process's memory, in bytes per MB of its bound.
@@ -101,7 +101,7 @@
             log: Mutex::new(LogWriter::new(segment, scan.segment_bytes)),
             owned_ledgers: Default::default(),
             counters: Default::default(),
-            owner_id: epoch_owner_id(&storage.disk_id) | (runtime.random() & INCARNATION_BITS),
+            owner_id: epoch_owner_id(&storage.disk_id) | (runtime.random() & INCARNATION_MASK),
             requests_in_flight: AtomicUsize::new(0),
             turn_bytes_limit: turn_bytes_limit(settings),
             recovery_pending: AtomicBool::new(!scan.damaged.is_empty()),
--- a/yewcross-state/src/turn_store/open_turn.rs
+++ b/yewcross-state/src/turn_store/open_turn.rs
@@ -134,7 +134,8 @@
         let mut order = self.stores.order(key, &replicas, None);
         order.retain(|disk| *disk != self.own_disk);
         // This disk does not have it; that counts only while nothing of it is lost.
-        let counts_itself = replicas.has(&self.own_disk) && !self.recovery_pending.load(SeqCst);
+        let counts_itself =
+            replicas.contains(&self.own_disk) && !self.recovery_pending.load(SeqCst);
         let operation = TurnLogOperation::FindHistory { id: id.to_string() };
         let request = self.requester(layout_version, operation, deadline_us);
         let is_enough = |answered: &BTreeSet<String>| {
--- a/yewcross-state/src/turn_store/requests.rs
+++ b/yewcross-state/src/turn_store/requests.rs
@@ -51,7 +51,7 @@
             } else {
                 self.runtime.spawn(catch_up)
             }
-        } else if !self.stores.replicas().has(&self.own_disk) {
+        } else if !self.stores.replicas().contains(&self.own_disk) {
             return Err(if layout_version < self.layout_version() {
                 TurnLogResponse::NewerLayout(self.layout_version())
             } else {
--- a/yewcross-state/src/turn_store/reservation.rs
+++ b/yewcross-state/src/turn_store/reservation.rs
@@ -133,7 +133,7 @@
         let mut owned = ownership.lock().await;
         let replicas = self.stores.replicas();
         if self.runtime.now() >= reservation.deadline_us
-            || !replicas.has(&self.own_disk)
+            || !replicas.contains(&self.own_disk)
             || self.recovery_pending.load(SeqCst)
         {
             return Attempt::Finished(TurnLogResponse::Unavailable);
--- a/yewcross-testkit/src/proof/run.rs
+++ b/yewcross-testkit/src/proof/run.rs
@@ -287,9 +287,9 @@
             sum.bytes_sent += counts.1;
             sum.bytes_received += counts.2;
         }
-        sums.messages += peers.metrics.sent.load(SeqCst);
-        sums.bytes_within += peers.metrics.bytes_within.load(SeqCst);
-        sums.bytes_across += peers.metrics.bytes_across.load(SeqCst);
+        sums.messages += peers.metrics.messages_sent.load(SeqCst);
+        sums.bytes_within += peers.metrics.same_site_bytes.load(SeqCst);
+        sums.bytes_across += peers.metrics.cross_site_bytes.load(SeqCst);
     }
     sums
 }
--- a/yewcross-testkit/src/register_stress.rs
+++ b/yewcross-testkit/src/register_stress.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use yewcross_common::constants::{MS, SEC};
 use yewcross_common::process_settings::Role;
-use yewcross_common::register::{ChangeError, Step};
+use yewcross_common::register::{ChangeError, ValueUpdate};
 use yewcross_control::Control;
 
 /// us from the nodes' start to bootstrap.
@@ -178,7 +178,7 @@
         let Some(control) = running_control(cluster, &node) else {
             continue;
         };
-        if let Ok((_, _, value)) = control.registers.read(key, READ_TIMEOUT).await {
+        if let Ok((_, _, value)) = control.registers.read_with_ballot(key, READ_TIMEOUT).await {
             return Some(ids(&value));
         }
     }
@@ -236,11 +236,11 @@
 async fn append_id(control: &Control, key: &str, id: u64) -> Result<(), ChangeError> {
     let add = |_: u64, value: &[u8]| {
         if ids(value).contains(&id) {
-            return Step::Keep(());
+            return ValueUpdate::Keep(());
         }
         let mut longer = value.to_vec();
         longer.extend(id.to_le_bytes());
-        Step::Write(longer, ())
+        ValueUpdate::Write(longer, ())
     };
     control.registers.change(key, CHANGE_TIMEOUT, add).await
 }
@@ -281,7 +281,7 @@
                 "{key}: change {id} was acknowledged at {:?} and is lost",
                 change.ended
             )),
-            (Some(Err(ChangeError::NotDone)), true) => found.push(format!(
+            (Some(Err(ChangeError::NotApplied)), true) => found.push(format!(
                 "{key}: change {id} was refused at {:?} and stands",
                 change.ended
             )),
@@ -324,7 +324,7 @@
     OutcomeCounts {
         all: run.changes.len(),
         acknowledged: count(Ok(())),
-        rejected: count(Err(ChangeError::NotDone)),
+        rejected: count(Err(ChangeError::NotApplied)),
         undecided: count(Err(ChangeError::Undecided)),
     }
 }
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -344,7 +344,7 @@
         for n in self.names(Role::Core) {
             let got = self
                 .on(&n, |c| {
-                    Box::pin(async move { c.registers.newest("layout", SEC).await.ok() })
+                    Box::pin(async move { c.registers.read_newest("layout", SEC).await.ok() })
                 })
                 .await
                 .flatten();
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -49,7 +49,7 @@
     let c = lab.control(&ranked(lab, &budget_key(budget))[0]).unwrap();
     let (_, _, v) = c
         .registers
-        .read(&budget_key(budget), 2 * SEC)
+        .read_with_ballot(&budget_key(budget), 2 * SEC)
         .await
         .unwrap();
     BudgetRecord::read(&v)
@@ -240,13 +240,13 @@
 /// the new one's.
 #[test]
 fn an_owner_that_wakes_after_its_key_was_forgotten_cannot_bring_it_back() {
-    use yewcross_common::register::Step;
+    use yewcross_common::register::ValueUpdate;
     let add = |what: &'static str| {
         move |_: u64, v: &[u8]| {
             if v.ends_with(what.as_bytes()) {
-                Step::Keep(())
+                ValueUpdate::Keep(())
             } else {
-                Step::Write([v, what.as_bytes()].concat(), ())
+                ValueUpdate::Write([v, what.as_bytes()].concat(), ())
             }
         }
     };
@@ -266,14 +266,14 @@
                 let m = lab.sim.find("store1");
                 lab.sim.freeze(m);
                 for n in ["store1", "store2", "store3"] {
-                    lab.control(n).unwrap().replica.forget("k").await;
+                    lab.control(n).unwrap().replica.remove_record("k").await;
                 }
                 // A new life, begun by one that knows nothing of the old.
                 let new = own("store3");
                 new.change("k", 2 * SEC, add("new")).await.unwrap();
                 lab.sim.thaw(m);
                 let _ = sleeper.change("k", SEC, add("woken")).await;
-                let (_, _, v) = new.read("k", 2 * SEC).await.unwrap();
+                let (_, _, v) = new.read_with_ballot("k", 2 * SEC).await.unwrap();
                 String::from_utf8_lossy(&v).into_owned()
             })
         },
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -114,7 +114,10 @@
                 let replica = open(&w).await;
                 (
                     replica.storage.disk_id.clone(),
-                    replica.peek(KEY).await.map_or(0, |slot| slot.promised.n),
+                    replica
+                        .read_record(KEY)
+                        .await
+                        .map_or(0, |slot| slot.promised.n),
                 )
             })
         };
@@ -150,7 +153,10 @@
                 Box::pin(async move {
                     let replica = open(&w).await;
                     let id = replica.storage.disk_id.clone();
-                    let known = replica.peek(KEY).await.map_or(0, |slot| slot.promised.n);
+                    let known = replica
+                        .read_record(KEY)
+                        .await
+                        .map_or(0, |slot| slot.promised.n);
                     let vouched = told
                         .lock()
                         .unwrap()
@@ -200,7 +206,7 @@
             Box::pin(async move {
                 open(&w)
                     .await
-                    .peek(KEY)
+                    .read_record(KEY)
                     .await
                     .map_or(0, |slot| slot.promised.n)
             })
@@ -247,7 +253,7 @@
                         RegisterReply::Accepted
                     );
                 } else {
-                    replica.forget(KEY).await;
+                    replica.remove_record(KEY).await;
                 }
                 assert!(matches!(
                     replica.handle(promise(1), vec![]).await.0,
@@ -263,7 +269,15 @@
         bench.lose_power();
         let value = bench
             .run(SEC, |w| {
-                Box::pin(async move { open(&w).await.peek(KEY).await.unwrap().value.to_vec() })
+                Box::pin(async move {
+                    open(&w)
+                        .await
+                        .read_record(KEY)
+                        .await
+                        .unwrap()
+                        .value
+                        .to_vec()
+                })
             })
             .unwrap();
         assert_eq!(
--- a/yewcross-testkit/tests/doors.rs
+++ b/yewcross-testkit/tests/doors.rs
@@ -128,7 +128,7 @@
                     let to = lab.topology.nodes[i % lab.topology.nodes.len()].peer;
                     let body = spoil(&mut r, &asks[i % asks.len()].to_string());
                     let blob: Vec<u8> = (0..r.usize(0..64)).map(|_| r.u8(..)).collect();
-                    let mut b = yewcross_common::transport::pack(
+                    let mut b = yewcross_common::transport::encode_frame(
                         WIRE_VERSION,
                         i as u64,
                         false,
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -7,7 +7,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::ConfigDoc;
-use yewcross_common::register::Step;
+use yewcross_common::register::ValueUpdate;
 use yewcross_control::api::*;
 use yewcross_testkit::history::*;
 use yewcross_testkit::sim::{MachineCosts, NetworkConditions};
@@ -161,7 +161,7 @@
                             let is_same_base = document.note == order.base.to_string()
                                 || broken == Some(Broken::TextAlone);
                             if document.text == order.text && is_same_base {
-                                Step::Keep(PutAnswer::InForce(order.number))
+                                ValueUpdate::Keep(PutAnswer::InForce(order.number))
                             } else if base_fits && order.number > document.number {
                                 let next = ConfigDoc {
                                     text: order.text.clone(),
@@ -169,14 +169,14 @@
                                     number: order.number,
                                     ..Default::default()
                                 };
-                                Step::Write(
+                                ValueUpdate::Write(
                                     next.encode().unwrap(),
                                     PutAnswer::InForce(order.number),
                                 )
                             } else if base_fits {
-                                Step::Keep(PutAnswer::Bad(vec![]))
+                                ValueUpdate::Keep(PutAnswer::Bad(vec![]))
                             } else {
-                                Step::Keep(PutAnswer::Conflict(document.number))
+                                ValueUpdate::Keep(PutAnswer::Conflict(document.number))
                             }
                         })
                         .await;
--- a/yewcross-testkit/tests/links.rs
+++ b/yewcross-testkit/tests/links.rs
@@ -8,7 +8,9 @@
 use yewcross_common::constants::*;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::runtime::*;
-use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler, SendError, pack};
+use yewcross_common::transport::{
+    Envelope, PeerClient, Reply, RequestHandler, SendError, encode_frame,
+};
 use yewcross_testkit::sim::Sim;
 
 const ASKER: &str = "10.0.0.1";
@@ -31,7 +33,7 @@
 }
 
 fn answer(id: u64, text: &str) -> Vec<u8> {
-    pack(
+    encode_frame(
         WIRE_OLDEST,
         id,
         true,
--- a/yewcross-testkit/tests/models/register/conclusion.rs
+++ b/yewcross-testkit/tests/models/register/conclusion.rs
@@ -39,7 +39,9 @@
             Intent::Recover => self.lead(state, index, &pending),
             Intent::Write { change, value } => {
                 let process = Arc::make_mut(&mut state.processes[index]);
-                process.proposer.decided(pending.ballot, value.clone());
+                process
+                    .proposer
+                    .record_decided(pending.ballot, value.clone());
                 self.acknowledge(state, index, *change);
             }
             Intent::Confirm => {
@@ -60,7 +62,7 @@
             &pending.round
         };
         let replicas = self.replicas(pending.layout);
-        if !process.proposer.promised(replicas, round) {
+        if !process.proposer.record_promises(replicas, round) {
             self.lead(state, index, &pending);
             return;
         }
@@ -93,7 +95,7 @@
 
     fn lead(&self, state: &mut State, index: usize, pending: &Pending) {
         let process = Arc::make_mut(&mut state.processes[index]);
-        process.proposer.lead(pending.ballot);
+        process.proposer.set_prepared(pending.ballot);
         process.may_finish |= pending.fenced;
         self.decide(state, index);
         self.check_value(state, index, &pending.floor);
@@ -147,13 +149,15 @@
             }
         }
         let process = Arc::make_mut(&mut state.processes[index]);
-        process.proposer.saw(pending.round.highest_promised);
+        process
+            .proposer
+            .observe_ballot_number(pending.round.highest_promised);
         match pending.intent {
-            Intent::Write { change, .. } if pending.round.failure() == ChangeError::NotDone => {
+            Intent::Write { change, .. } if pending.round.failure() == ChangeError::NotApplied => {
                 state.refused.insert(change);
             }
             Intent::Confirm => {
-                process.proposer.resign();
+                process.proposer.abandon_ballot();
             }
             _ => {}
         }
--- a/yewcross-testkit/tests/models/register/delivery.rs
+++ b/yewcross-testkit/tests/models/register/delivery.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use yewcross_common::register::acceptor::{self, Effect, Record};
 use yewcross_common::register::proposer::Vote;
-use yewcross_common::register::{RegisterReply, RegisterRequest, Seat};
+use yewcross_common::register::{RegisterReply, RegisterRequest, ReplicaLocation};
 
 /// What a machine answers, and what it shows of itself.
 struct Answer {
@@ -39,7 +39,7 @@
     }
 
     /// Carries out the request at the machine.
-    fn act(&self, machine: &mut Machine, seat: &Seat, sent: &Sent) -> Answer {
+    fn act(&self, machine: &mut Machine, seat: &ReplicaLocation, sent: &Sent) -> Answer {
         let has_kept = machine.layout > 1;
         let is_other = machine.disk != seat.disk;
         if is_other && self.model.fault != Fault::VotesByAddress {
@@ -75,7 +75,7 @@
     }
 
     /// Counts the answer of a seat.
-    fn count(&self, pending: &mut Pending, seat: &Seat, answer: Answer) {
+    fn count(&self, pending: &mut Pending, seat: &ReplicaLocation, answer: Answer) {
         let vote = Vote {
             disk: seat.disk.clone(),
             reply: answer.reply,
@@ -106,7 +106,12 @@
     }
 
     /// Whether the request can still change what the machine holds.
-    pub(super) fn may_still_act(&self, machine: &Machine, seat: &Seat, sent: &Sent) -> bool {
+    pub(super) fn may_still_act(
+        &self,
+        machine: &Machine,
+        seat: &ReplicaLocation,
+        sent: &Sent,
+    ) -> bool {
         let is_meant = machine.disk == seat.disk || self.model.fault == Fault::VotesByAddress;
         let is_current =
             sent.layout >= machine.layout || self.model.fault == Fault::FinishesUnfenced;
--- a/yewcross-testkit/tests/models/register/mod.rs
+++ b/yewcross-testkit/tests/models/register/mod.rs
@@ -27,7 +27,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use yewcross_common::register::acceptor::Record;
-use yewcross_common::register::{Ballot, ReplicaSet, Seat, majority};
+use yewcross_common::register::{Ballot, ReplicaLocation, ReplicaSet, majority};
 
 pub const TWO_VALUES: &str = "two values are decided under one version";
 pub const TWO_WINNERS: &str = "two changes are acknowledged under one version";
@@ -103,7 +103,7 @@
     /// The sets that must agree, as the fault has them, by layout.
     counted: Vec<ReplicaSet>,
     /// Address and disk of each replica, by layout.
-    seats: Vec<Vec<(usize, Seat)>>,
+    seats: Vec<Vec<(usize, ReplicaLocation)>>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -127,14 +127,14 @@
 }
 
 /// The seat of a disk whose machine is at the address.
-pub fn seat(disk: &str, address: usize) -> Seat {
-    Seat {
+pub fn seat(disk: &str, address: usize) -> ReplicaLocation {
+    ReplicaLocation {
         disk: disk.into(),
         addr: Some(SocketAddr::from(([10, 0, 0, address as u8], 1))),
     }
 }
 
-fn address_of(seat: &Seat) -> usize {
+fn address_of(seat: &ReplicaLocation) -> usize {
     match seat.addr {
         Some(SocketAddr::V4(addr)) => usize::from(addr.ip().octets()[3]),
         _ => usize::MAX,
@@ -181,7 +181,7 @@
         &self.counted[layout as usize - 1]
     }
 
-    fn seats(&self, layout: u64) -> &[(usize, Seat)] {
+    fn seats(&self, layout: u64) -> &[(usize, ReplicaLocation)] {
         &self.seats[layout as usize - 1]
     }
 
@@ -193,7 +193,7 @@
     /// proposer of before.
     fn is_fenced(&self, state: &State) -> bool {
         let old = &self.replicas(state.layout).previous;
-        let kept = |seat: &&Seat| {
+        let kept = |seat: &&ReplicaLocation| {
             let machine = &state.machines[address_of(seat)];
             machine.disk == seat.disk && machine.layout >= state.layout
         };
--- a/yewcross-testkit/tests/models/register/sending.rs
+++ b/yewcross-testkit/tests/models/register/sending.rs
@@ -4,7 +4,7 @@
 use super::{CLOCK, Checked, Fault};
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use yewcross_common::register::proposer::{Round, Survey};
+use yewcross_common::register::proposer::{ReadRound, Round};
 use yewcross_common::register::{Ballot, RegisterRequest};
 
 /// What a process sends for what it intends, and the value that goes with it.
@@ -59,7 +59,7 @@
             ballot,
             layout,
             round: Round::default(),
-            survey: Survey::default(),
+            survey: ReadRound::default(),
             reached: BTreeSet::new(),
             answered: BTreeSet::new(),
             floor,
@@ -88,7 +88,7 @@
         process.changes -= 1;
         let mut value = process.proposer.value().to_vec();
         value.push(change);
-        let Some(ballot) = process.proposer.resign() else {
+        let Some(ballot) = process.proposer.abandon_ballot() else {
             return;
         };
         self.start(
--- a/yewcross-testkit/tests/models/register/state.rs
+++ b/yewcross-testkit/tests/models/register/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use yewcross_common::register::acceptor::Record;
-use yewcross_common::register::proposer::{Proposer, Round, Survey};
+use yewcross_common::register::proposer::{Proposer, ReadRound, Round};
 use yewcross_common::register::{Ballot, RegisterRequest};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -35,7 +35,7 @@
     pub(super) ballot: Ballot,
     pub(super) layout: u64,
     pub(super) round: Round,
-    pub(super) survey: Survey,
+    pub(super) survey: ReadRound,
     /// Addresses that the request has reached, and those whose answer arrived.
     pub(super) reached: BTreeSet<usize>,
     pub(super) answered: BTreeSet<usize>,
--- a/yewcross-testkit/tests/models/register/steps.rs
+++ b/yewcross-testkit/tests/models/register/steps.rs
@@ -70,8 +70,8 @@
             let process = Arc::make_mut(&mut processes[index]);
             process
                 .proposer
-                .promised(self.replicas(1), &Round::default());
-            process.proposer.lead(EARLIER);
+                .record_promises(self.replicas(1), &Round::default());
+            process.proposer.set_prepared(EARLIER);
         }
         processes
     }
@@ -108,7 +108,7 @@
     fn request_actions(&self, state: &State, index: usize, actions: &mut Vec<Action>) {
         let process = &state.processes[index];
         let replicas = self.replicas(process.layout);
-        let leads = process.proposer.leads(replicas).is_some();
+        let leads = process.proposer.ballot_prepared_at(replicas).is_some();
         if !leads && process.prepares > 0 {
             actions.push(Action::Prepare(index));
         }
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -576,7 +576,7 @@
         } else {
             owner_of(tier, &key)
         };
-        let (seq, _, value) = control.registers.newest(&key, SEC).await.unwrap();
+        let (seq, _, value) = control.registers.read_newest(&key, SEC).await.unwrap();
         told.insert(format!("number {key}"), seq.to_string());
         told.insert(format!("value {key}"), tell_value(&key, &value));
     }
@@ -717,7 +717,7 @@
                 .unwrap();
             assert_eq!(replica.keys().await.1, 0, "damaged records");
             replica
-                .peek(&key)
+                .read_record(&key)
                 .await
                 .map(|record| (record.seq, record.value.to_vec()))
         })
@@ -946,7 +946,7 @@
 async fn purse_value(tier: &Tier) -> Vec<u8> {
     owner_of(tier, &budget_key(BUDGET))
         .registers
-        .newest(&budget_key(BUDGET), SEC)
+        .read_newest(&budget_key(BUDGET), SEC)
         .await
         .unwrap()
         .2
--- a/yewcross-testkit/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -3,18 +3,18 @@
 
 use std::sync::Arc;
 use yewcross_common::constants::*;
-use yewcross_common::register::{RegisterClient, Step};
+use yewcross_common::register::{RegisterClient, ValueUpdate};
 use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
 const KEY: &str = "k";
 
 /// Appends the text unless the value already ends with it.
-fn append(text: &'static str) -> impl FnMut(u64, &[u8]) -> Step<()> {
+fn append(text: &'static str) -> impl FnMut(u64, &[u8]) -> ValueUpdate<()> {
     move |_, value| {
         if value.ends_with(text.as_bytes()) {
-            Step::Keep(())
+            ValueUpdate::Keep(())
         } else {
-            Step::Write([value, text.as_bytes()].concat(), ())
+            ValueUpdate::Write([value, text.as_bytes()].concat(), ())
         }
     }
 }
@@ -87,7 +87,7 @@
                             WIRE_OLDEST,
                         );
                     }
-                    if let Ok((_, _, value)) = stale.read(KEY, 20 * MS).await
+                    if let Ok((_, _, value)) = stale.read_with_ballot(KEY, 20 * MS).await
                         && !value.ends_with(b"second")
                     {
                         stale_reads.push(String::from_utf8_lossy(&value).into_owned());
@@ -100,9 +100,9 @@
                 lab.sim.power_on(machine("store1"));
                 lab.boot("store1");
                 lab.operator.sleep(6 * SEC).await;
-                let mut value = Err(yewcross_common::register::ChangeError::NotDone);
+                let mut value = Err(yewcross_common::register::ChangeError::NotApplied);
                 while value.is_err() {
-                    value = owner(&lab, "store1").read(KEY, 2 * SEC).await;
+                    value = owner(&lab, "store1").read_with_ballot(KEY, 2 * SEC).await;
                 }
                 let end = String::from_utf8_lossy(&value.unwrap().2).into_owned();
                 Outcome {
@@ -157,7 +157,10 @@
 async fn read_by_all(lab: &TestCluster) -> Vec<String> {
     let mut values = vec![];
     for node in ["store3", "store1", "store2"] {
-        let (_, _, value) = owner(lab, node).read(KEY, 5 * SEC).await.unwrap();
+        let (_, _, value) = owner(lab, node)
+            .read_with_ballot(KEY, 5 * SEC)
+            .await
+            .unwrap();
         values.push(String::from_utf8_lossy(&value).into_owned());
     }
     values
@@ -182,7 +185,7 @@
                         .control("store3")
                         .unwrap()
                         .replica
-                        .peek(KEY)
+                        .read_record(KEY)
                         .await
                         .is_some()
                     {
@@ -195,7 +198,7 @@
                     lab.control("store3")
                         .unwrap()
                         .replica
-                        .peek(KEY)
+                        .read_record(KEY)
                         .await
                         .map(|record| (record.seq, record.value.len()))
                 })
@@ -219,7 +222,7 @@
                     an_earlier_life(&lab).await;
                     lab.sim.kill(lab.sim.find("store3"), true);
                     for node in ["store1", "store2"] {
-                        lab.control(node).unwrap().replica.forget(KEY).await;
+                        lab.control(node).unwrap().replica.remove_record(KEY).await;
                     }
                     // The proposers of the earlier life have forgotten it as well.
                     for node in ["store1", "store2"] {
--- a/yewcross-testkit/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -26,7 +26,7 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{ConfigDoc, PeerRequest, PeerResponse};
 use yewcross_common::runtime::*;
-use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler, pack};
+use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler, encode_frame};
 use yewcross_common::turn_log::TurnLogOperation;
 use yewcross_common::turn_log::messages::{decode, encode};
 use yewcross_proxy::load_exchange::ServerLoad;
@@ -490,7 +490,7 @@
 }
 
 fn question_frame(version: u16) -> Vec<u8> {
-    pack(
+    encode_frame(
         version,
         FRAME_ID,
         false,
@@ -502,7 +502,7 @@
 }
 
 fn answer_frame(version: u16) -> Vec<u8> {
-    pack(
+    encode_frame(
         version,
         FRAME_ID,
         true,
@@ -515,7 +515,7 @@
 
 /// The first question of a process, and its answer.
 fn first_question_frame(version: u16) -> Vec<u8> {
-    pack(
+    encode_frame(
         version,
         1,
         false,
@@ -527,7 +527,7 @@
 }
 
 fn first_answer_frame(version: u16) -> Vec<u8> {
-    pack(
+    encode_frame(
         version,
         1,
         true,
