--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -20,7 +20,7 @@
 use yewcross_common::runtime::Runtime;
 use yewcross_control::layout::{Move, propose};
 use yewcross_proxy::judge::{self, Home, Weights};
-use yewcross_proxy::server_table::{Server, home_of};
+use yewcross_proxy::server_table::{Server, designated_front};
 
 /// Why the tier's state could not be read.
 #[derive(Debug, Snafu)]
@@ -259,13 +259,14 @@
     kv: &SessionCacheState,
 ) -> Option<String> {
     let home = kv.home.as_ref()?;
-    let at = servers.iter().find(|s| s.at.server == home.server)?;
+    let at = servers.iter().find(|s| s.listed.server == home.server)?;
     let h = Home {
         server: home.server.clone(),
-        site: at.at.site.clone(),
+        site: at.listed.site.clone(),
     };
-    (home.tokens >= fam.kv_min_tokens && fam.kv_share)
-        .then(|| judge::spill(servers, key, &h, &Weights::from(fam)).map(|s| s.at.server.clone()))?
+    (home.tokens >= fam.kv_min_tokens && fam.kv_share).then(|| {
+        judge::spill(servers, key, &h, &Weights::from(fam)).map(|s| s.listed.server.clone())
+    })?
 }
 
 fn allowed(t: &Configuration, servers: &BTreeMap<String, Vec<Server>>, svc: &str) -> Vec<Server> {
@@ -274,7 +275,7 @@
         .get(svc)
         .into_iter()
         .flatten()
-        .filter(|x| s.is_some_and(|s| s.allows(&x.at.server)))
+        .filter(|x| s.is_some_and(|s| s.allows(&x.listed.server)))
         .cloned()
         .collect()
 }
@@ -299,13 +300,13 @@
             continue;
         };
         let (had, has) = (
-            v0.iter().any(|s| s.at.server == home.server),
-            v1.iter().any(|s| s.at.server == home.server),
+            v0.iter().any(|s| s.listed.server == home.server),
+            v1.iter().any(|s| s.listed.server == home.server),
         );
         if had && !has {
             let warm = kv.replica.as_ref().filter(|r| {
                 v1.iter()
-                    .any(|s| s.at.server == r.server && s.report.instance == r.instance)
+                    .any(|s| s.listed.server == r.server && s.report.instance == r.instance)
             });
             p.homes.push(Moved {
                 what: key.clone(),
@@ -453,7 +454,10 @@
 
 fn without(c: &Checkpoint, p: &mut Plan, t: &Configuration, gone: &str) {
     let known = c.nodes.iter().any(|n| n.name == gone)
-        || c.servers.values().flatten().any(|s| s.at.server == gone);
+        || c.servers
+            .values()
+            .flatten()
+            .any(|s| s.listed.server == gone);
     if !known {
         return p.refused.push(InvalidSetting {
             path: gone.into(),
@@ -466,7 +470,10 @@
         .map(|(k, v)| {
             (
                 k.clone(),
-                v.iter().filter(|s| s.at.server != gone).cloned().collect(),
+                v.iter()
+                    .filter(|s| s.listed.server != gone)
+                    .cloned()
+                    .collect(),
             )
         })
         .collect();
@@ -482,7 +489,10 @@
     let sites: BTreeSet<&str> = c.list.servers.iter().map(|s| s.site.as_str()).collect();
     t.services.keys().for_each(|svc| {
         sites.iter().for_each(|z| {
-            let (a, b) = (home_of(&all, svc, z), home_of(&rest, svc, z));
+            let (a, b) = (
+                designated_front(&all, svc, z),
+                designated_front(&rest, svc, z),
+            );
             if a != b {
                 let none = || "none".to_string();
                 p.news.push(Moved {
--- a/yewcross-proxy/src/balance/claim.rs
+++ b/yewcross-proxy/src/balance/claim.rs
@@ -81,7 +81,7 @@
     /// The server told its load: requests running and waiting, and its slots.
     pub fn told(&self, (running, waiting, slots): (u32, u32, u32)) {
         let now = self.w.now();
-        if self.policies.has(Mechanism::ToldLoad) {
+        if self.policies.has(Mechanism::ReportedLoad) {
             let mut g = self.service.lock().unwrap();
             g.told_at = now;
             g.servers
--- a/yewcross-proxy/src/balance/cost.rs
+++ b/yewcross-proxy/src/balance/cost.rs
@@ -30,7 +30,7 @@
     }
 
     fn token_us(&self) -> f64 {
-        if self.policies.has(Mechanism::LearnedReading) {
+        if self.policies.has(Mechanism::LearnedPromptCost) {
             self.observed.reading.value()
         } else {
             ASSUMED_READING_US
@@ -39,7 +39,7 @@
 
     /// us that each request under way beside it adds.
     pub(super) fn neighbour_us(&self) -> f64 {
-        if self.policies.has(Mechanism::LearnedCrowding) {
+        if self.policies.has(Mechanism::LearnedConcurrencyCost) {
             self.observed.neighbour_us()
         } else {
             ASSUMED_NEIGHBOUR_US
@@ -58,7 +58,7 @@
 
     /// What a server costs more to which no connection is kept.
     pub(super) fn dial(&self, is_kept: bool) -> f64 {
-        if is_kept || !self.policies.has(Mechanism::KeptConnection) {
+        if is_kept || !self.policies.has(Mechanism::KeptConnectionPreference) {
             0.0
         } else {
             CONNECT_COST_US
--- a/yewcross-proxy/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -110,7 +110,8 @@
         let is_well = |server: &&&ListedServer| {
             let ejection = &self.servers[&server.server].ejection;
             let ejected = policies.has(Mechanism::Ejection) && ejection.is_ejected(now);
-            let silent = policies.has(Mechanism::Silence) && ejection.is_silent(now, self.usual);
+            let silent =
+                policies.has(Mechanism::UnansweredEjection) && ejection.is_silent(now, self.usual);
             !ejected && !silent
         };
         let sound: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
@@ -248,7 +249,7 @@
         };
         let work = |server: &ListedServer| pricing.work(&g.servers[&server.server], &server.server);
         let by_affinity = affine(n, &free, policies);
-        let candidates = match n.engine.is_none() && policies.has(Mechanism::ChoiceOfTwo) {
+        let candidates = match n.engine.is_none() && policies.has(Mechanism::PowerOfTwoChoices) {
             true => two_at_random(runtime, n, free),
             false => free,
         };
@@ -310,7 +311,10 @@
 
     /// Waits for a place to come free, until `until`; false if none did.
     pub async fn wait(&self, runtime: &Runtime, n: &Need, until: u64) -> bool {
-        let rank = self.policies.has(Mechanism::WaitingOrder).then_some(n.rank);
+        let rank = self
+            .policies
+            .has(Mechanism::QueuePriority)
+            .then_some(n.rank);
         let rx = self.service(&n.service).lock().unwrap().queue.join(rank);
         runtime
             .timeout(until.saturating_sub(runtime.now()), rx.recv())
--- a/yewcross-proxy/src/balance/server.rs
+++ b/yewcross-proxy/src/balance/server.rs
@@ -133,11 +133,11 @@
         usual: f64,
         policies: Policies,
     ) -> bool {
-        let crowded = policies.has(Mechanism::FullServers)
+        let crowded = policies.has(Mechanism::FullServerAvoidance)
             && (now < self.full_until || self.slots_taken(need, now, usual));
-        let linked = policies.has(Mechanism::ConnectionBound) && self.in_flight >= need.conns;
+        let linked = policies.has(Mechanism::ConnectionLimit) && self.in_flight >= need.conns;
         let no_memory =
-            policies.has(Mechanism::MemoryBound) && self.memory_taken(need, server, now, policies);
+            policies.has(Mechanism::MemoryLimit) && self.memory_taken(need, server, now, policies);
         crowded || linked || no_memory
     }
 
--- a/yewcross-proxy/src/judge.rs
+++ b/yewcross-proxy/src/judge.rs
@@ -71,7 +71,7 @@
     let held = placed.filter(|p| s.holds(p)).map(|p| p.tokens).max();
     let stored = c.kv.replica.as_ref().filter(|p| {
         !p.digest.is_empty()
-            && p.server == s.at.server
+            && p.server == s.listed.server
             && p.instance == s.report.instance
             && p.weights == s.report.weights
     });
@@ -95,11 +95,11 @@
 fn load(s: &Server) -> u64 {
     let full = 2 * s.report.slots.max(1) as u64;
     let v = 1000 - 1000 * (s.occupied() as u64).min(full) / full;
-    v * LOAD_REPORT_STALE_AFTER.saturating_sub(s.age) / LOAD_REPORT_STALE_AFTER
+    v * LOAD_REPORT_STALE_AFTER.saturating_sub(s.age_us) / LOAD_REPORT_STALE_AFTER
 }
 
 fn standing(s: &Server) -> u64 {
-    1000 / (1 + s.slow as u64)
+    1000 / (1 + s.recent_failures as u64)
 }
 
 fn prefix(c: &Case, w: &Warmth) -> u64 {
@@ -112,7 +112,7 @@
 }
 
 fn site(s: &Server, c: &Case) -> u64 {
-    if s.at.site == c.site { 1000 } else { 0 }
+    if s.listed.site == c.site { 1000 } else { 0 }
 }
 
 pub fn vote(s: &Server, c: &Case, w: &Weights) -> (u64, Warmth) {
@@ -129,14 +129,14 @@
 pub fn pick(servers: &[Server], c: &Case, w: &Weights, not: &[String]) -> Option<Pick> {
     servers
         .iter()
-        .filter(|s| s.free() > 0 && !not.contains(&s.at.server))
+        .filter(|s| s.free() > 0 && !not.contains(&s.listed.server))
         .filter_map(|s| {
             let (v, m) = vote(s, c, w);
             let t = takes(s, c, &m);
             (t <= c.left).then(|| {
                 (
                     v / 4096,
-                    yewcross_common::hash::rendezvous_weight(c.key, &s.at.server),
+                    yewcross_common::hash::rendezvous_weight(c.key, &s.listed.server),
                     Pick {
                         server: s.clone(),
                         warmth: m,
@@ -154,13 +154,13 @@
 pub fn spill<'a>(servers: &'a [Server], key: &str, home: &Home, w: &Weights) -> Option<&'a Server> {
     servers
         .iter()
-        .filter(|s| s.at.server != home.server && s.report.cache_tokens > 0)
+        .filter(|s| s.listed.server != home.server && s.report.cache_tokens > 0)
         .max_by_key(|s| {
-            let near = (s.at.site == home.site) as u64;
+            let near = (s.listed.site == home.site) as u64;
             (
                 w.standing * standing(s) / 4096,
                 near * w.site,
-                yewcross_common::hash::rendezvous_weight(key, &s.at.server),
+                yewcross_common::hash::rendezvous_weight(key, &s.listed.server),
             )
         })
 }
@@ -194,11 +194,11 @@
             ..Default::default()
         };
         Server {
-            at,
+            listed: at,
             report,
-            age: 0,
-            mine: 0,
-            slow: 0,
+            age_us: 0,
+            sent_since_report: 0,
+            recent_failures: 0,
         }
     }
 
@@ -233,13 +233,13 @@
         ];
         let p = pick(&v, &c, &w, &[]).unwrap();
         assert_eq!(
-            (p.server.at.server.as_str(), p.warmth),
+            (p.server.listed.server.as_str(), p.warmth),
             ("m1", Warmth::Held(10_000))
         );
         v[0].report.running = 4;
         let p = pick(&v, &c, &w, &[]).unwrap();
         assert_eq!(
-            (p.server.at.server.as_str(), p.warmth),
+            (p.server.listed.server.as_str(), p.warmth),
             ("m2", Warmth::Import(place("m2")))
         );
         v[1].report.instance = 2;
--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -125,13 +125,13 @@
 
     fn flows(&self, t: u64, servers: &[server_table::Server]) {
         let mut g = self.flow.lock().unwrap();
-        g.retain(|n, _| servers.iter().any(|s| s.at.server == *n));
+        g.retain(|n, _| servers.iter().any(|s| s.listed.server == *n));
         servers
             .iter()
             .filter(|s| s.report.cache_tokens > 0)
             .for_each(|s| {
                 let (inst, placed) = (s.report.instance, s.report.placed_tokens);
-                let e = g.entry(s.at.server.clone()).or_default();
+                let e = g.entry(s.listed.server.clone()).or_default();
                 if e.inst != inst {
                     *e = Flow {
                         inst,
@@ -153,7 +153,10 @@
     /// Whether what is placed there now is likely to stand for `KV_PREFETCH_LIFETIME`.
     fn roomy(&self, s: &server_table::Server, tokens: u64) -> bool {
         let g = self.flow.lock().unwrap();
-        let Some(e) = g.get(&s.at.server).filter(|e| e.inst == s.report.instance) else {
+        let Some(e) = g
+            .get(&s.listed.server)
+            .filter(|e| e.inst == s.report.instance)
+        else {
             return false;
         };
         let fast = s
@@ -286,10 +289,10 @@
         .unwrap()
         .get(&key)
         .is_some_and(|p| p.digest != replica.digest);
-    let servers = server_table::fit(front, &service);
+    let servers = server_table::eligible_servers(front, &service);
     let Some(s) = servers
         .iter()
-        .find(|s| s.at.server == replica.server && s.report.instance == replica.instance)
+        .find(|s| s.listed.server == replica.server && s.report.instance == replica.instance)
         .filter(|_| !newer)
     else {
         return;
@@ -318,7 +321,7 @@
         &front.pool,
         &service,
         &replica.server,
-        s.at.addr,
+        s.listed.addr,
         "/kv/import",
         body,
         KV_IMPORT_TIMEOUT,
@@ -407,10 +410,10 @@
         .1
         .services
         .keys()
-        .flat_map(|s| server_table::fit(front, s))
+        .flat_map(|s| server_table::eligible_servers(front, s))
         .collect();
     front.spares.flows(front.runtime.now(), &servers);
-    let fit: BTreeSet<String> = servers.into_iter().map(|s| s.at.server).collect();
+    let fit: BTreeSet<String> = servers.into_iter().map(|s| s.listed.server).collect();
     let was = std::mem::replace(&mut *front.spares.fit.lock().unwrap(), fit.clone());
     let gone: BTreeSet<String> = was.difference(&fit).cloned().collect();
     if gone.is_empty() {
@@ -447,8 +450,8 @@
 /// A replica has just arrived: it is brought in at once where the target's cache turns over slowly,
 /// and else where the home is nearly full, or no longer takes turns, and the target has places.
 fn after(f: &Arc<Front>, x: &Fresh, replica: CachedPrefix) {
-    let servers = server_table::fit(f, &x.fam.service);
-    let at = |n: &str| servers.iter().find(|s| s.at.server == n);
+    let servers = server_table::eligible_servers(f, &x.fam.service);
+    let at = |n: &str| servers.iter().find(|s| s.listed.server == n);
     let full = |s: &server_table::Server| {
         s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL
     };
@@ -584,30 +587,36 @@
     if !fam.kv_share || !big {
         return None;
     }
-    let servers = server_table::fit(f, &fam.service);
+    let servers = server_table::eligible_servers(f, &fam.service);
     let at = servers
         .iter()
-        .find(|s| s.at.server == home.server)
+        .find(|s| s.listed.server == home.server)
         .cloned()?;
     let here = judge::Home {
         server: home.server.clone(),
-        site: at.at.site.clone(),
+        site: at.listed.site.clone(),
     };
     let to = judge::spill(&servers, key, &here, &Weights::from(fam)).cloned()?;
     let old = kv.replica.clone().filter(|r| {
-        r.server == to.at.server && r.instance == to.report.instance && r.weights == home.weights
+        r.server == to.listed.server
+            && r.instance == to.report.instance
+            && r.weights == home.weights
     });
-    if let Some(gone) = kv.replica.clone().filter(|r| r.server != to.at.server) {
+    if let Some(gone) = kv.replica.clone().filter(|r| r.server != to.listed.server) {
         f.replicas.lock().unwrap().remove(key);
         drop_at(f, &fam.service, key, &gone.server).await;
     }
-    let Some(_line) = f.links.take(&f.runtime, &home.server, &to.at.server).await else {
+    let Some(_line) = f
+        .links
+        .take(&f.runtime, &home.server, &to.listed.server)
+        .await
+    else {
         f.counts.push_skipped.fetch_add(1, SeqCst);
         return None;
     };
     let base = old.as_ref().map(|r| r.digest.clone());
     let ask = |path: &'static str, v: serde_json::Value| {
-        let (f, svc, at) = (f.clone(), fam.service.clone(), at.at.clone());
+        let (f, svc, at) = (f.clone(), fam.service.clone(), at.listed.clone());
         async move {
             let b = serde_json::to_vec(&v).unwrap_or_default();
             back::ask_once(
@@ -645,7 +654,7 @@
         .map(|s| s.link_bytes)
         .unwrap_or(u64::MAX);
     f.links.spend(f.runtime.now(), &home.server, s.bytes, limit);
-    let v = json!({"session": key, "digest": s.digest, "base": base, "to": to.at.addr, "target": to.at.server, "service": fam.service});
+    let v = json!({"session": key, "digest": s.digest, "base": base, "to": to.listed.addr, "target": to.listed.server, "service": fam.service});
     let sent = ask("/kv/send", v)
         .await
         .and_then(|b| serde_json::from_slice::<Pushed>(&b).ok())
@@ -656,7 +665,7 @@
     };
     let c = &f.counts;
     c.pushes.fetch_add(1, SeqCst);
-    if to.at.site == at.at.site {
+    if to.listed.site == at.listed.site {
         &c.push_within
     } else {
         &c.push_across
@@ -668,7 +677,7 @@
         to.report.instance
     };
     Some(CachedPrefix {
-        server: to.at.server.clone(),
+        server: to.listed.server.clone(),
         instance: inst,
         weights: home.weights,
         tokens: s.tokens,
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -4,8 +4,8 @@
 pub mod judge;
 pub mod kv;
 pub mod load_exchange;
+pub mod load_reports;
 pub mod lookup;
-pub mod news;
 pub mod policy;
 pub mod pool;
 pub mod relay;
@@ -92,7 +92,7 @@
     /// Requests that wait for a server with room.
     pub admission: admission::Admission,
     pub links: Links,
-    pub heard: Mutex<BTreeMap<String, server_table::Heard>>,
+    pub heard: Mutex<BTreeMap<String, server_table::ReceivedReport>>,
     /// What this node last told of each server as its home.
     pub told: Mutex<BTreeMap<String, LoadReport>>,
     /// Jobs sent to a server since its last report.
@@ -230,7 +230,7 @@
             f.connections.clone(),
         ));
         f.run();
-        w.spawn(news::run(f.clone()));
+        w.spawn(load_reports::run(f.clone()));
         Ok(f)
     }
 
@@ -255,12 +255,12 @@
             documents: f.documents.clone(),
             site: f.settings.site.clone(),
             caller: o.caller,
-            back: o.back,
-            chains: o.chains,
-            fronts: Default::default(),
+            upstream_protocol: o.back,
+            turn_log: o.chains,
+            front_count: Default::default(),
             pool: Default::default(),
             balance: Default::default(),
-            retries: Default::default(),
+            retry_budget: Default::default(),
             counts: Default::default(),
         });
         let _ = f.relay.set(relay.clone());
@@ -285,7 +285,7 @@
         self.runtime.spawn(async move {
             loop {
                 w.sleep(MAINTENANCE_INTERVAL).await;
-                relay.tidy(
+                relay.prune(
                     m.view
                         .load()
                         .values()
@@ -299,7 +299,7 @@
 
     /// Whether new callers may be sent here.
     pub fn ready(&self) -> bool {
-        !self.leaving.load(SeqCst) && self.relay.get().is_some_and(|r| r.informed())
+        !self.leaving.load(SeqCst) && self.relay.get().is_some_and(|r| r.has_documents())
     }
 
     fn run(self: &Arc<Self>) {
@@ -459,7 +459,7 @@
                 same,
                 relay,
             } => {
-                news::hear(self, &service, reports, same, relay);
+                load_reports::receive_reports(self, &service, reports, same, relay);
                 PeerResponse::Ok
             }
             _ => PeerResponse::Rejected(Code::BadField),
@@ -595,7 +595,7 @@
         self.heard
             .lock()
             .unwrap()
-            .retain(|_, h| t < h.at + 60 * SEC);
+            .retain(|_, h| t < h.as_of + 60 * SEC);
         self.slow.lock().unwrap().retain(|_, s| t < s.1);
     }
 }
@@ -618,7 +618,9 @@
         (Method::Post, "/v1/turn") => turn::answer(front, j, nonce).await,
         (Method::Post, "/v1/session/end") => turn::end(front, j).await,
         (Method::Post, "/v1/lookup") => lookup::answer(front, j, nonce).await,
-        (Method::Get, "/v1/servers") => reply(200, &server_table::table(&front)),
+        (Method::Get, "/v1/servers") => {
+            reply(200, &server_table::eligible_servers_by_service(&front))
+        }
         (Method::Get, "/health") => {
             let ok = front.watcher.may_serve();
             let v: BTreeMap<String, u64> = front.documents.versions().into_iter().collect();
--- a/yewcross-proxy/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -8,7 +8,7 @@
 
 use crate::balance::{Balance, Load};
 use crate::relay::Relay;
-use crate::server_table::home_of;
+use crate::server_table::designated_front;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
@@ -206,7 +206,7 @@
             }
             idle_since = now;
             let fronts = self.members.nodes_of_role(Role::Front);
-            let collector = home_of(&fronts, COLLECTOR, &self.site);
+            let collector = designated_front(&fronts, COLLECTOR, &self.site);
             if collector.as_deref() == Some(self.name.as_str()) {
                 self.collect(&loads, &relay.balance);
                 if now >= next_sites {
@@ -263,7 +263,7 @@
             .filter(|s| *s != self.site)
             .collect();
         for site in sites {
-            let Some(node) = home_of(fronts, COLLECTOR, site)
+            let Some(node) = designated_front(fronts, COLLECTOR, site)
                 .and_then(|name| fronts.iter().find(|n| n.name == name))
             else {
                 continue;
--- a/yewcross-proxy/src/news.rs
+++ b/yewcross-proxy/src/load_reports.rs
@@ -1,7 +1,7 @@
 //! What is known of the servers: home nodes poll and tell, everyone keeps a table.
 
 use crate::Front;
-use crate::server_table::{Heard, home_of};
+use crate::server_table::{ReceivedReport, designated_front};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::buffered_http;
@@ -11,7 +11,7 @@
 use yewcross_common::runtime::*;
 
 fn home(f: &Front, service: &str, site: &str) -> Option<String> {
-    home_of(&f.members.nodes_of_role(Role::Front), service, site)
+    designated_front(&f.members.nodes_of_role(Role::Front), service, site)
 }
 
 pub async fn run(f: Arc<Front>) {
@@ -81,7 +81,7 @@
     if got.is_empty() {
         return;
     }
-    hear(&f, &svc, got.clone(), vec![], false);
+    receive_reports(&f, &svc, got.clone(), vec![], false);
     let all = got.clone();
     let (got, same) = f.fresh(got);
     let (near, far): (Vec<_>, Vec<_>) = f
@@ -141,7 +141,7 @@
 }
 
 /// Takes news in; a home node passes on to its own site what came from another.
-pub fn hear(
+pub fn receive_reports(
     front: &Arc<Front>,
     svc: &str,
     reports: Vec<LoadReport>,
@@ -153,13 +153,13 @@
     {
         let mut g = front.heard.lock().unwrap();
         same.iter().for_each(|n| {
-            g.get_mut(n).into_iter().for_each(|h| h.at = t);
+            g.get_mut(n).into_iter().for_each(|h| h.as_of = t);
             front.sent.lock().unwrap().remove(n);
         });
         reports.iter().filter(|r| r.sane()).for_each(|r| {
             let newer = g.get(&r.server).is_none_or(|h| {
                 (r.instance, r.sequence) > (h.report.instance, h.report.sequence)
-                    || t > h.at + LOAD_REPORT_LOST_AFTER
+                    || t > h.as_of + LOAD_REPORT_LOST_AFTER
             });
             if newer {
                 let was = g.get(&r.server).map(|h| h.report.leaving);
@@ -171,9 +171,9 @@
                 }
                 g.insert(
                     r.server.clone(),
-                    Heard {
+                    ReceivedReport {
                         report: r.clone(),
-                        at: t.saturating_sub(r.age_us),
+                        as_of: t.saturating_sub(r.age_us),
                     },
                 );
                 front.sent.lock().unwrap().remove(&r.server);
--- a/yewcross-proxy/src/lookup/selection.rs
+++ b/yewcross-proxy/src/lookup/selection.rs
@@ -35,7 +35,7 @@
     loop {
         let end = front.runtime.now() + COMMIT_RESERVE / 2;
         let time_left = request.deadline.saturating_sub(end);
-        let servers = server_table::fit(front, &request.body.service);
+        let servers = server_table::eligible_servers(front, &request.body.service);
         let case = Case {
             key: &request.body.key,
             site: &front.settings.site,
@@ -47,13 +47,13 @@
         let pick = judge::pick(&servers, &case, &weights, excluded);
         if let Some(pick) = pick.filter(|_| time_left > 0 && front.watcher.may_serve()) {
             return Ok(SelectedServer {
-                server: pick.server.at,
+                server: pick.server.listed,
                 time_left,
             });
         }
         let may_wait = front.runtime.now() < request.queueing_deadline
             && time_left > LEAST_WAIT_LEFT
-            && servers.iter().any(|s| !excluded.contains(&s.at.server));
+            && servers.iter().any(|s| !excluded.contains(&s.listed.server));
         if !may_wait || !front.watcher.may_serve() {
             return Err(if servers.is_empty() {
                 Code::NoServer
@@ -86,7 +86,7 @@
     server: &ListedServer,
 ) -> bool {
     front.watcher.may_serve()
-        && server_table::fit(front, &lookup.request.body.service)
+        && server_table::eligible_servers(front, &lookup.request.body.service)
             .iter()
-            .any(|candidate| candidate.at == *server)
+            .any(|candidate| candidate.listed == *server)
 }
--- a/yewcross-proxy/src/policy.rs
+++ b/yewcross-proxy/src/policy.rs
@@ -12,37 +12,48 @@
     /// A turn goes on at the server of the turn before it.
     PreviousServer,
     /// The price of a prompt's tokens is learned from first events.
-    LearnedReading,
+    #[strum(serialize = "learned-reading")]
+    LearnedPromptCost,
     /// The price of requests under way beside it is learned from the pace of streams.
-    LearnedCrowding,
+    #[strum(serialize = "learned-crowding")]
+    LearnedConcurrencyCost,
     /// Fronts tell each other what they have under way.
     LoadExchange,
     /// What a server says of its load in its answers counts.
-    ToldLoad,
+    #[strum(serialize = "told-load")]
+    ReportedLoad,
     /// Two candidates at random, and the better one, where a service is no model.
-    ChoiceOfTwo,
+    #[strum(serialize = "choice-of-two")]
+    PowerOfTwoChoices,
     /// Requests that concern the same thing go to the same server of a service that is no model.
     Affinity,
     /// Servers of our own zone cost less.
     ZonePreference,
     /// Servers with a kept connection cost less.
-    KeptConnection,
+    #[strum(serialize = "kept-connection")]
+    KeptConnectionPreference,
     /// A full server is passed by.
-    FullServers,
+    #[strum(serialize = "full-servers")]
+    FullServerAvoidance,
     /// The memory of a model server bounds what it is sent.
-    MemoryBound,
+    #[strum(serialize = "memory-bound")]
+    MemoryLimit,
     /// Connections to one server are bounded.
-    ConnectionBound,
+    #[strum(serialize = "connection-bound")]
+    ConnectionLimit,
     /// Those who wait for a place are let in by rank and time left.
-    WaitingOrder,
+    #[strum(serialize = "waiting-order")]
+    QueuePriority,
     /// A request waits a moment for a place before it is refused.
-    Patience,
+    #[strum(serialize = "patience")]
+    QueueWait,
     /// A server that failed is left alone for a while.
     Ejection,
     /// So is one that several other fronts leave alone.
     SharedEjection,
     /// A server that owes answers for long is left alone.
-    Silence,
+    #[strum(serialize = "silence")]
+    UnansweredEjection,
     /// A second server is asked where the first one is silent.
     Hedging,
     /// Second attempts are bounded by a share of the first ones.
--- a/yewcross-proxy/src/relay.rs
+++ b/yewcross-proxy/src/relay.rs
@@ -58,13 +58,13 @@
     pub documents: Arc<DocumentCache>,
     pub site: String,
     pub caller: Arc<dyn Caller>,
-    pub back: Arc<dyn UpstreamProtocol>,
-    pub chains: Option<Arc<dyn TurnLogService>>,
+    pub upstream_protocol: Arc<dyn UpstreamProtocol>,
+    pub turn_log: Option<Arc<dyn TurnLogService>>,
     /// Fronts that share the servers' connections, ourselves among them.
-    pub fronts: AtomicUsize,
+    pub front_count: AtomicUsize,
     pub pool: Pool,
     pub balance: Balance,
-    pub retries: RetryBudget,
+    pub retry_budget: RetryBudget,
     pub counts: Counts,
 }
 
@@ -128,8 +128,8 @@
     }
 
     /// Drops idle connections and records of servers that are gone.
-    pub fn tidy(&self, fronts: usize) {
-        self.fronts.store(fronts, SeqCst);
+    pub fn prune(&self, fronts: usize) {
+        self.front_count.store(fronts, SeqCst);
         let l = self.documents.list.load();
         let listed = |s: &str| l.1.servers.iter().any(|x| x.server == s);
         self.pool.tidy(self.runtime.now(), listed);
--- a/yewcross-proxy/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -28,7 +28,7 @@
         q: Request<Incoming>,
     ) -> Result<Response<Body>, Rejection> {
         let began = self.runtime.now();
-        if !self.informed() {
+        if !self.has_documents() {
             self.runtime
                 .timeout(FIRST_CONFIGURATION_WAIT, self.news())
                 .await;
@@ -152,7 +152,7 @@
             )
         };
         let Some(chains) = self
-            .chains
+            .turn_log
             .clone()
             .filter(|_| is_accounted(route, &request.meta))
         else {
@@ -190,14 +190,14 @@
     }
 
     /// A configuration and a list are on hand.
-    pub fn informed(&self) -> bool {
+    pub fn has_documents(&self) -> bool {
         self.documents.config.load().0 > 0 && self.documents.list.load().0 > 0
     }
 
     async fn news(&self) {
         loop {
             let l = self.documents.changed.listen();
-            if self.informed() {
+            if self.has_documents() {
                 return;
             }
             l.await;
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -92,7 +92,9 @@
             Err(failed) => return self.count_failure(failed, &claim),
         };
         let status = response.status();
-        let meta = self.back.answer(status.as_u16(), response.headers());
+        let meta = self
+            .upstream_protocol
+            .answer(status.as_u16(), response.headers());
         if !is_answer_to(request, &response, &meta, link.fresh) {
             self.counts.strangers.fetch_add(1, SeqCst);
             claim.failed();
@@ -196,7 +198,7 @@
         if meta.closes {
             return;
         }
-        let fronts = self.fronts.load(SeqCst).max(1);
+        let fronts = self.front_count.load(SeqCst).max(1);
         let most = (IDLE_UPSTREAM_CONNECTIONS / fronts).max(IDLE_CONNECTIONS_MIN);
         self.pool
             .keep(server, link, self.runtime.now(), meta.idle_ms, most);
@@ -268,7 +270,7 @@
             .find(&request.host, request.head.uri.path())
             .and_then(|route| self.urgency(request, route, has_engine));
         let left_ms = request.until.saturating_sub(self.runtime.now()) / MS;
-        self.back
+        self.upstream_protocol
             .dress(upstream_request.headers_mut(), to, left_ms, urgency);
         upstream_request
     }
--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -69,7 +69,7 @@
         previous: Option<&Turn>,
     ) -> Result<Dispatched, Rejection> {
         let mut progress = Progress::default();
-        self.retries.deposit();
+        self.retry_budget.deposit();
         loop {
             let place = self.seat(request, first, previous, &progress.tried).await;
             let (route, claim) = match place {
@@ -84,7 +84,8 @@
                 .await;
             progress.sent += !outcome.nothing_sent() as u32;
             let may_go_on = progress.sent < route.max_tries && self.runtime.now() < request.until;
-            let may_run_again = || self.repeatable(&route) && may_go_on && self.retries.withdraw();
+            let may_run_again =
+                || self.repeatable(&route) && may_go_on && self.retry_budget.withdraw();
             match outcome {
                 Outcome::Answer(answer) => {
                     let is_error = answer.head.status.is_server_error();
@@ -199,7 +200,7 @@
         upstream: &Upstream,
         previous: Option<&Turn>,
     ) -> Need {
-        let fronts = self.fronts.load(SeqCst).max(1) as u32;
+        let fronts = self.front_count.load(SeqCst).max(1) as u32;
         let meta = &request.meta;
         let finish = request.began + meta.finish_ms.unwrap_or(route.timeout_ms) * MS;
         Need {
--- a/yewcross-proxy/src/relay/hedge.rs
+++ b/yewcross-proxy/src/relay/hedge.rs
@@ -38,7 +38,7 @@
         if let Some(outcome) = self.runtime.timeout(pause, first.as_mut()).await {
             return outcome;
         }
-        let Some(mut permit) = self.retries.reserve() else {
+        let Some(mut permit) = self.retry_budget.reserve() else {
             return first.await;
         };
         let place = async { Raced::Second(self.seat(request, route, None, tried).await) };
--- a/yewcross-proxy/src/relay/resume.rs
+++ b/yewcross-proxy/src/relay/resume.rs
@@ -96,9 +96,11 @@
         {
             return None;
         }
-        let permit = relay.retries.reserve()?;
+        let permit = relay.retry_budget.reserve()?;
         let mut request = ClientRequest::clone(&self.request);
-        relay.back.resume_after(&mut request.head.headers, last_id);
+        relay
+            .upstream_protocol
+            .resume_after(&mut request.head.headers, last_id);
         let attempt = TakeUpAttempt {
             relay: relay.clone(),
             request,
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -9,31 +9,35 @@
 use yewcross_common::protocol::{CachedPrefix, ListedServer, LoadReport};
 
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct ReceivedReport {
     pub report: LoadReport,
-    pub at: u64,
+    pub as_of: u64,
 }
 
 /// A server as the judges see it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Server {
-    pub at: ListedServer,
+    #[serde(rename = "at")]
+    pub listed: ListedServer,
     pub report: LoadReport,
-    pub age: u64,
-    pub mine: u32,
-    pub slow: u32,
+    #[serde(rename = "age")]
+    pub age_us: u64,
+    #[serde(rename = "mine")]
+    pub sent_since_report: u32,
+    #[serde(rename = "slow")]
+    pub recent_failures: u32,
 }
 
 impl Server {
     pub fn occupied(&self) -> u32 {
-        self.report.running + self.report.waiting + self.mine
+        self.report.running + self.report.waiting + self.sent_since_report
     }
     pub fn free(&self) -> u32 {
         self.report.slots.saturating_sub(self.occupied())
     }
     /// Whether a prefix placed there is still held, from counts alone.
     pub fn holds(&self, p: &CachedPrefix) -> bool {
-        p.server == self.at.server
+        p.server == self.listed.server
             && p.instance == self.report.instance
             && p.weights == self.report.weights
             && self
@@ -47,7 +51,7 @@
 
 /// The front of a site that polls and tells for a service there; of any site where that one has
 /// none.
-pub fn home_of(fronts: &[Node], service: &str, site: &str) -> Option<String> {
+pub fn designated_front(fronts: &[Node], service: &str, site: &str) -> Option<String> {
     let near: Vec<&str> = fronts
         .iter()
         .filter(|n| n.site == site)
@@ -61,7 +65,7 @@
 }
 
 /// Servers that may take a job of the service now: allowed, listed, heard of, not leaving.
-pub fn fit(front: &Front, svc: &str) -> Vec<Server> {
+pub fn eligible_servers(front: &Front, svc: &str) -> Vec<Server> {
     let conf = front.documents.config.load();
     let Some(s) = conf.1.services.get(svc) else {
         return vec![];
@@ -80,14 +84,14 @@
         .filter(|l| l.service == svc && !l.leaving && s.allows(&l.server))
         .filter_map(|l| {
             let h = heard.get(&l.server)?;
-            let age = t.saturating_sub(h.at);
+            let age = t.saturating_sub(h.as_of);
             let ok = !h.report.leaving && age < LOAD_REPORT_LOST_AFTER && h.report.service == svc;
             ok.then(|| Server {
-                at: l.clone(),
+                listed: l.clone(),
                 report: h.report.clone(),
-                age,
-                mine: sent.get(&l.server).cloned().unwrap_or(0),
-                slow: slow
+                age_us: age,
+                sent_since_report: sent.get(&l.server).cloned().unwrap_or(0),
+                recent_failures: slow
                     .get(&l.server)
                     .filter(|x| t < x.1)
                     .map(|x| x.0)
@@ -97,7 +101,7 @@
         .collect()
 }
 
-pub fn table(front: &Front) -> BTreeMap<String, Vec<Server>> {
+pub fn eligible_servers_by_service(front: &Front) -> BTreeMap<String, Vec<Server>> {
     front
         .documents
         .config
@@ -105,13 +109,13 @@
         .1
         .services
         .keys()
-        .map(|s| (s.clone(), fit(front, s)))
+        .map(|s| (s.clone(), eligible_servers(front, s)))
         .collect()
 }
 
 /// Slots of the servers that may take a request of the service now.
 pub fn slots(front: &Front, service: &str) -> Slots {
-    let servers = fit(front, service);
+    let servers = eligible_servers(front, service);
     Slots {
         free: servers.iter().map(|s| s.free()).sum(),
         all: servers.iter().map(|s| s.report.slots).sum(),
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -129,9 +129,9 @@
 /// freeze is decided again.
 fn is_still_fit(front: &Front, turn: &BegunTurn, server: &ListedServer) -> bool {
     front.watcher.may_serve()
-        && server_table::fit(front, &turn.request.class.service)
+        && server_table::eligible_servers(front, &turn.request.class.service)
             .iter()
-            .any(|candidate| candidate.at == *server)
+            .any(|candidate| candidate.listed == *server)
 }
 
 fn server_request(turn: &BegunTurn, job: &str, time_left: u64) -> Vec<u8> {
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -114,7 +114,7 @@
         let decode = server.report.decode_us_per_token * turn.max_output_tokens;
         decode + server.report.prefill_us_per_1000 * unread_tokens / 1000
     };
-    let servers = server_table::fit(front, &turn.class.service);
+    let servers = server_table::eligible_servers(front, &turn.class.service);
     servers.iter().map(needed).min().unwrap_or(0) + COMMIT_RESERVE
 }
 
@@ -136,7 +136,7 @@
             }
             return Err(give_up(front, turn));
         };
-        let server = selected.pick.server.at.clone();
+        let server = selected.pick.server.listed.clone();
         let claim = front.claim(&server.server);
         let outcome = attempt(front, turn, &server, selected.connection, events).await;
         drop(claim);
@@ -168,7 +168,7 @@
     let request = &turn.request;
     let budget = limited_budget(front, request);
     front.abort(&request.key, &request.body.job, request.nonce, budget);
-    let code = if server_table::fit(front, &request.class.service).is_empty() {
+    let code = if server_table::eligible_servers(front, &request.class.service).is_empty() {
         Code::NoServer
     } else {
         Code::TooLate
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -61,8 +61,8 @@
         if !front.watcher.may_serve() {
             return None;
         }
-        let servers = server_table::fit(front, &turn.request.class.service);
-        if servers.iter().all(|s| excluded.contains(&s.at.server)) {
+        let servers = server_table::eligible_servers(front, &turn.request.class.service);
+        if servers.iter().all(|s| excluded.contains(&s.listed.server)) {
             return None;
         }
         let cache = kv::known(front, &turn.request.key, &turn.cache);
@@ -78,7 +78,7 @@
             Decision::Dispatch(pick) => {
                 match connect(front, turn, &pick).await {
                     Some(connection) => return Some(selected(front, *pick, connection)),
-                    None => excluded.push(pick.server.at.server),
+                    None => excluded.push(pick.server.listed.server),
                 }
                 continue;
             }
@@ -109,7 +109,7 @@
         let mut allowed = candidates
             .servers
             .iter()
-            .filter(|server| !excluded.contains(&server.at.server));
+            .filter(|server| !excluded.contains(&server.listed.server));
         let is_too_late = allowed.all(|server| {
             judge::takes(server, &case, &judge::warmth(server, &case)) > candidates.time_left
         });
@@ -137,11 +137,11 @@
     pick: &Pick,
 ) -> Option<u64> {
     let home_name = &turn.cache.home.as_ref()?.server;
-    if candidates.excluded.contains(home_name) || pick.server.at.server == *home_name {
+    if candidates.excluded.contains(home_name) || pick.server.listed.server == *home_name {
         return None;
     }
     let mut servers = candidates.servers.iter();
-    let home = servers.find(|server| server.at.server == *home_name)?;
+    let home = servers.find(|server| server.listed.server == *home_name)?;
     let warmth = judge::warmth(home, case);
     if !matches!(warmth, Warmth::Held(_)) {
         return None;
@@ -164,7 +164,7 @@
         !replica.digest.is_empty()
             && servers
                 .iter()
-                .any(|s| s.at.server == replica.server && s.free() > 0)
+                .any(|s| s.listed.server == replica.server && s.free() > 0)
     };
     let Some(replica) = cache.replica.as_ref().filter(has_room) else {
         return false;
@@ -181,7 +181,7 @@
 
 /// A verified connection to the server picked.
 async fn connect(front: &Front, turn: &BegunTurn, pick: &Pick) -> Option<Back<Verified>> {
-    let server = &pick.server.at;
+    let server = &pick.server.listed;
     let service = &turn.request.class.service;
     let connection = front
         .pool
--- a/yewcross-proxy/tests/kv.rs
+++ b/yewcross-proxy/tests/kv.rs
@@ -26,11 +26,11 @@
         ..Default::default()
     };
     Server {
-        at,
+        listed: at,
         report,
-        age: 0,
-        mine: 0,
-        slow: 0,
+        age_us: 0,
+        sent_since_report: 0,
+        recent_failures: 0,
     }
 }
 
@@ -117,13 +117,13 @@
     let to = |v: &[Server]| {
         spill(v, "k", &home, &Weights::from(&f))
             .unwrap()
-            .at
+            .listed
             .server
             .clone()
     };
     let first = to(&v);
     v.iter_mut()
-        .filter(|s| s.at.server == first)
+        .filter(|s| s.listed.server == first)
         .for_each(|s| s.report.running = 4);
     assert_eq!(to(&v), first);
     // Without a replica a full home's turn is picked another server, cold.
@@ -133,10 +133,10 @@
         program: "p".into(),
     };
     v.iter_mut()
-        .filter(|s| s.at.server == "m1")
+        .filter(|s| s.listed.server == "m1")
         .for_each(|s| s.report.running = 4);
     assert!(
         pick(&v, &case(&kv), &Weights::from(&f), &[])
-            .is_some_and(|p| p.server.at.server != "m1" && p.warmth == Warmth::Cold)
+            .is_some_and(|p| p.server.listed.server != "m1" && p.warmth == Warmth::Cold)
     );
 }
--- a/yewcross-testkit/examples/relay_load.rs
+++ b/yewcross-testkit/examples/relay_load.rs
@@ -214,12 +214,12 @@
             documents: book,
             site: "z".into(),
             caller: Arc::new(Ports),
-            back: Arc::new(Ports),
-            chains: None,
-            fronts: AtomicUsize::new(1),
+            upstream_protocol: Arc::new(Ports),
+            turn_log: None,
+            front_count: AtomicUsize::new(1),
             pool: Default::default(),
             balance: Default::default(),
-            retries: Default::default(),
+            retry_budget: Default::default(),
             counts: Default::default(),
         });
         let d = front.bind(at(7_599)).await.unwrap();
--- a/yewcross-testkit/src/proof/faults/processes.rs
+++ b/yewcross-testkit/src/proof/faults/processes.rs
@@ -9,7 +9,7 @@
 use yewcross_common::process_settings::Role;
 use yewcross_control::Control;
 use yewcross_proxy::Front;
-use yewcross_proxy::server_table::home_of;
+use yewcross_proxy::server_table::designated_front;
 
 /// us that a node has to stop in good order.
 const STOP_TIMEOUT: u64 = 15 * SEC;
@@ -136,7 +136,7 @@
             .front("front1")
             .map(|front| front.members.nodes_of_role(Role::Front))
             .unwrap_or_default();
-        let front = home_of(&fronts, "llm", &site).unwrap_or("front1".into());
+        let front = designated_front(&fronts, "llm", &site).unwrap_or("front1".into());
         self.sim.kill(self.sim.find(&front), false);
         self.record_disruption(&front);
         if fault == Fault::LeavingHomeDies {
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -400,7 +400,7 @@
             });
             // By now all are made: 6,000 tokens take 24 s, in two rounds at most.
             lab.operator.sleep(50 * SEC).await;
-            let held: u32 = yewcross_proxy::server_table::fit(&f, "llm")
+            let held: u32 = yewcross_proxy::server_table::eligible_servers(&f, "llm")
                 .iter()
                 .map(|s| s.report.running)
                 .sum();
--- a/yewcross-testkit/tests/placement.rs
+++ b/yewcross-testkit/tests/placement.rs
@@ -101,7 +101,7 @@
 fn the_price_of_a_token_is_learned_from_first_events() {
     for (policies, cold_is_taken) in [
         (Policies::all(), true),
-        (Policies::all().without(Mechanism::LearnedReading), false),
+        (Policies::all().without(Mechanism::LearnedPromptCost), false),
     ] {
         let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(2, 1));
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
@@ -124,7 +124,10 @@
 fn the_price_of_a_neighbour_is_learned_from_the_pace_of_streams() {
     for (policies, idle_is_taken) in [
         (Policies::all(), true),
-        (Policies::all().without(Mechanism::LearnedCrowding), false),
+        (
+            Policies::all().without(Mechanism::LearnedConcurrencyCost),
+            false,
+        ),
     ] {
         let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(2, 1));
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
--- a/yewcross-testkit/tests/relay/requests.rs
+++ b/yewcross-testkit/tests/relay/requests.rs
@@ -116,12 +116,12 @@
                 documents: book.clone(),
                 site: "z".into(),
                 caller: Arc::new(Ports),
-                back: Arc::new(Ports),
-                chains: None,
-                fronts: AtomicUsize::new(1),
+                upstream_protocol: Arc::new(Ports),
+                turn_log: None,
+                front_count: AtomicUsize::new(1),
                 pool: Default::default(),
                 balance: Default::default(),
-                retries: Default::default(),
+                retry_budget: Default::default(),
                 counts: Default::default(),
             };
             let (fresh, w2) = (Arc::new(fresh), w.clone());
--- a/yewcross-testkit/tests/relay/resumption.rs
+++ b/yewcross-testkit/tests/relay/resumption.rs
@@ -229,7 +229,7 @@
     assert_eq!(r.floor.seen.load(SeqCst), 1);
 
     let r = first_is(Act::Pause(2, PAUSE), 235, Policies::all());
-    while r.relay.retries.withdraw() {}
+    while r.relay.retry_budget.withdraw() {}
     check_paused(&r, "t", "/again/stream/x", &[], "no retry budget");
     assert_eq!(r.floor.seen.load(SeqCst), 1);
 
@@ -347,7 +347,7 @@
     let counts = r.relay.counts.all();
     assert!(counts["stalled"] > 1, "{counts:?}");
     assert_eq!(counts["resumed"], 1, "{counts:?}");
-    let left = (0..20).filter(|_| r.relay.retries.withdraw()).count();
+    let left = (0..20).filter(|_| r.relay.retry_budget.withdraw()).count();
     assert_eq!(left as f64, RETRY_BURST - 1.0, "one attempt was made");
 }
 
--- a/yewcross-testkit/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -148,12 +148,12 @@
             documents: book,
             site: "z".into(),
             caller: Arc::new(Ports),
-            back: Arc::new(Ports),
-            chains: Some(memory.clone()),
-            fronts: AtomicUsize::new(1),
+            upstream_protocol: Arc::new(Ports),
+            turn_log: Some(memory.clone()),
+            front_count: AtomicUsize::new(1),
             pool: Default::default(),
             balance: Balance::with(policies),
-            retries: RetryBudget::new(policies),
+            retry_budget: RetryBudget::new(policies),
             counts: Default::default(),
         });
         let door: SocketAddr = "10.0.0.1:80".parse().unwrap();
