--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -291,9 +291,9 @@
             continue;
         };
         let f1 = key.split('/').nth(1).and_then(|n| is.0.families.get(n));
-        let v0 = allowed(was.0, was.1, &f0.eff.service);
+        let v0 = allowed(was.0, was.1, &f0.settings.service);
         let v1 = f1
-            .map(|f| allowed(is.0, is.1, &f.eff.service))
+            .map(|f| allowed(is.0, is.1, &f.settings.service))
             .unwrap_or_default();
         let Some(home) = kv.home.clone() else {
             continue;
@@ -314,8 +314,8 @@
             });
             continue;
         }
-        let s0 = spill(&f0.eff, &v0, &key, &kv);
-        let s1 = f1.and_then(|f| spill(&f.eff, &v1, &key, &kv));
+        let s0 = spill(&f0.settings, &v0, &key, &kv);
+        let s1 = f1.and_then(|f| spill(&f.settings, &v1, &key, &kv));
         if s0 != s1 {
             p.replica_bytes += if s1.is_some() {
                 home.tokens * KV_TOKEN_BYTES
@@ -339,15 +339,15 @@
             continue;
         };
         let (x, y) = (
-            serde_json::to_value(&f0.eff).unwrap_or_default(),
-            serde_json::to_value(&f1.eff).unwrap_or_default(),
+            serde_json::to_value(&f0.settings).unwrap_or_default(),
+            serde_json::to_value(&f1.settings).unwrap_or_default(),
         );
         y.as_object()
             .into_iter()
             .flatten()
             .filter(|(k, v)| x[k.as_str()] != **v)
             .for_each(|(k, v)| {
-                let from = f1.from.get(k).cloned().unwrap_or_default();
+                let from = f1.origins.get(k).cloned().unwrap_or_default();
                 p.settings.push(Setting {
                     family: n.clone(),
                     key: k.clone(),
@@ -371,7 +371,7 @@
         Err(why) => {
             return p.refused.push(InvalidSetting {
                 path: "layout".into(),
-                why: why.to_string(),
+                reason: why.to_string(),
             });
         }
         Ok(None) => return,
@@ -457,7 +457,7 @@
     if !known {
         return p.refused.push(InvalidSetting {
             path: gone.into(),
-            why: "no machine or server of this name".into(),
+            reason: "no machine or server of this name".into(),
         });
     }
     let left: BTreeMap<String, Vec<Server>> = c
@@ -560,7 +560,7 @@
         if !self.refused.is_empty() {
             self.refused
                 .iter()
-                .for_each(|b| say(format!("refused: {}: {}", b.path, b.why)));
+                .for_each(|b| say(format!("refused: {}: {}", b.path, b.reason)));
             return s;
         }
         self.families_new
--- a/yewcross-capacity/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -88,7 +88,9 @@
                 };
                 let new: BTreeSet<_> = pairs(&after)
                     .difference(&pairs(&before))
-                    .filter(|x| !yewcross_common::documents::cache::DOCS.contains(&x.0.as_str()))
+                    .filter(|x| {
+                        !yewcross_common::documents::cache::DOCUMENT_NAMES.contains(&x.0.as_str())
+                    })
                     .cloned()
                     .collect();
                 let said: BTreeSet<_> = p
@@ -142,7 +144,7 @@
                     );
                     if m.is != "cold" {
                         assert_eq!(
-                            (&s.server, 100 * s.reused / s.prompt >= KV_WARM),
+                            (&s.server, 100 * s.reused / s.prompt >= KV_WARM_PERCENT),
                             (&m.is, true)
                         );
                     }
--- a/yewcross-common/src/adapter.rs
+++ b/yewcross-common/src/adapter.rs
@@ -20,7 +20,7 @@
     /// Id of the session within the program; empty for none.
     pub session: String,
     /// ms until the whole program should be over.
-    pub finish_ms: Option<u64>,
+    pub program_deadline_ms: Option<u64>,
     /// Output tokens that the program's turns may use together.
     pub budget: Option<u64>,
     /// Name of the model that is asked for; empty for none.
@@ -30,37 +30,37 @@
     /// Cap on the output in tokens.
     pub max_output_tokens: u64,
     /// Segments of the prompt in order: digest, and length in tokens.
-    pub parts: Vec<(u64, u64)>,
+    pub prompt_segments: Vec<(u64, u64)>,
     /// The turn that it continues; empty for none.
-    pub prev: String,
+    pub previous_turn: String,
     /// Affinity key: a server that lately served a request of the same key is faster. Empty for
     /// none.
     pub affinity: String,
 }
 
 /// How callers state requests and read rejections.
-pub trait Caller: Send + Sync {
+pub trait CallerProtocol: Send + Sync {
     /// Reads the headers of a request; `Err` names the invalid one.
-    fn request(&self, headers: &HeaderMap) -> Result<RequestMeta, String>;
+    fn parse_request(&self, headers: &HeaderMap) -> Result<RequestMeta, String>;
     /// A rejection by the tier. `retry_after_ms` says when a retry may help; 0 where it is not said.
-    fn refuse(&self, code: Code, why: &str, retry_after_ms: u64) -> Response<Bytes>;
+    fn reject(&self, code: Code, why: &str, retry_after_ms: u64) -> Response<Bytes>;
 }
 
 /// What the headers of a server's response state.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerMeta {
+pub struct ResponseMeta {
     /// The id of the attempt that it answers; empty where it is not stated.
     pub attempt: String,
     /// Whether it comes from the server itself, rather than from something in between.
-    pub stamped: bool,
+    pub from_server: bool,
     /// Whether the server states that it did not execute the request.
-    pub not_run: bool,
+    pub not_executed: bool,
     /// Jobs running, jobs waiting, and slots of the server.
     pub load: Option<(u32, u32, u32)>,
     /// ms for which the server keeps an idle connection.
     pub idle_ms: Option<u64>,
     /// Whether the server closes the connection after it.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// Version of the model weights that it was computed by; empty where it is not stated.
     pub weights: String,
 }
@@ -69,19 +69,25 @@
 pub trait UpstreamProtocol: Send + Sync {
     /// Adds the headers that only the tier knows: the server that the request is meant for, the ms
     /// left until its deadline, and its urgency (0 is the highest).
-    fn dress(&self, headers: &mut HeaderMap, to: &ListedServer, left_ms: u64, urgency: Option<u8>);
+    fn add_headers(
+        &self,
+        headers: &mut HeaderMap,
+        to: &ListedServer,
+        left_ms: u64,
+        urgency: Option<u8>,
+    );
     /// Adds the header that resumes a stream after the event of this id.
     fn resume_after(&self, headers: &mut HeaderMap, event_id: &[u8]);
     /// Reads the status and headers of a response.
-    fn answer(&self, status: u16, headers: &HeaderMap) -> AnswerMeta;
+    fn parse_response(&self, status: u16, headers: &HeaderMap) -> ResponseMeta;
 }
 
 /// The platform's list of servers, which is read page by page.
 pub trait ServerCatalogue: Send + Sync {
     /// The HTTP target of a page; of the first one for `None`.
-    fn target(&self, page: Option<&str>) -> String;
+    fn page_target(&self, page: Option<&str>) -> String;
     /// The servers on a page, and the next page if there is one; `Err` says what is malformed.
-    fn read(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String>;
+    fn parse_page(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String>;
 }
 
 /// How an operator's text becomes a configuration.
--- a/yewcross-common/src/buffered_http/response.rs
+++ b/yewcross-common/src/buffered_http/response.rs
@@ -33,7 +33,7 @@
 /// A rejection. `why` adds to the meaning of the code; `retry_after` is in seconds, 0 for no
 /// header.
 pub fn refuse(code: Code, why: &str, retry_after: u64) -> Response {
-    let ran: &str = code.ran().into();
+    let ran: &str = code.execution().into();
     let name: &str = code.into();
     let mut response = reply(
         code.http(),
--- a/yewcross-common/src/buffered_http/server.rs
+++ b/yewcross-common/src/buffered_http/server.rs
@@ -269,7 +269,7 @@
 }
 
 async fn reject_and_close(runtime: &Runtime, mut connection: Connection, code: Code) {
-    let mut response = refuse(code, "", code.back());
+    let mut response = refuse(code, "", code.retry_after_s());
     response.insert_header("connection", "close");
     runtime
         .timeout(
--- a/yewcross-common/src/configuration/mod.rs
+++ b/yewcross-common/src/configuration/mod.rs
@@ -24,9 +24,11 @@
     /// Where it is defined in the text.
     pub path: String,
     /// The settings in effect.
-    pub eff: ProgramClass,
+    #[serde(rename = "eff")]
+    pub settings: ProgramClass,
     /// For each setting, the family it comes from; "default" where none sets it.
-    pub from: BTreeMap<String, String>,
+    #[serde(rename = "from")]
+    pub origins: BTreeMap<String, String>,
 }
 
 /// A valid configuration.
@@ -50,7 +52,8 @@
     /// Where it is in the text; empty where the text as a whole is meant.
     pub path: String,
     /// What is wrong with it.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 impl Configuration {
--- a/yewcross-common/src/configuration/route.rs
+++ b/yewcross-common/src/configuration/route.rs
@@ -202,18 +202,18 @@
     }
 
     /// All that is invalid: paths in the routing, and reasons.
-    pub fn faults(&self) -> Vec<(String, String)> {
+    pub fn validation_errors(&self) -> Vec<(String, String)> {
         let mut seen = BTreeSet::new();
         self.routes
             .iter()
             .flat_map(|route| {
                 let is_unique = seen.insert((route.host.to_ascii_lowercase(), &route.prefix));
-                self.route_faults(route, is_unique)
+                self.route_errors(route, is_unique)
             })
             .collect()
     }
 
-    fn route_faults(&self, route: &Route, is_unique: bool) -> Vec<(String, String)> {
+    fn route_errors(&self, route: &Route, is_unique: bool) -> Vec<(String, String)> {
         let total_weight: u64 = route.variants.iter().map(|(_, weight)| weight).sum();
         let has_known_variants = route
             .variants
--- a/yewcross-common/src/configuration/validation.rs
+++ b/yewcross-common/src/configuration/validation.rs
@@ -17,10 +17,12 @@
 struct RawFamily {
     /// Settings that differ from those of the family above.
     #[serde(default)]
-    set: Map<String, Value>,
+    #[serde(rename = "set")]
+    settings: Map<String, Value>,
     /// Families that inherit from this one.
     #[serde(default)]
-    under: BTreeMap<String, RawFamily>,
+    #[serde(rename = "under")]
+    children: BTreeMap<String, RawFamily>,
 }
 
 /// A configuration as the operators write it.
@@ -70,7 +72,7 @@
     let raw: RawConfiguration = serde_json::from_slice(text).map_err(|error| {
         vec![InvalidSetting {
             path: String::new(),
-            why: error.to_string(),
+            reason: error.to_string(),
         }]
     })?;
     let mut validation = Validation::default();
@@ -95,7 +97,7 @@
     fn reject(&mut self, path: impl Into<String>, why: impl Into<String>) {
         self.errors.push(InvalidSetting {
             path: path.into(),
-            why: why.into(),
+            reason: why.into(),
         });
     }
 
@@ -117,7 +119,7 @@
             self.reject(&path, "a family of this name stands elsewhere in the tree");
         }
         let mut own = above.clone();
-        for (key, value) in &family.set {
+        for (key, value) in &family.settings {
             match own.settings.set(key, value) {
                 Ok(()) => {
                     own.origins.insert(key.clone(), name.to_string());
@@ -127,11 +129,11 @@
         }
         let resolved = ResolvedProgramClass {
             path: path.clone(),
-            eff: own.settings.clone(),
-            from: own.origins.clone(),
+            settings: own.settings.clone(),
+            origins: own.origins.clone(),
         };
         self.configuration.families.insert(name.into(), resolved);
-        for (child_name, child) in &family.under {
+        for (child_name, child) in &family.children {
             self.add_family(&format!("{path}/under"), child_name, child, &own);
         }
     }
@@ -183,7 +185,7 @@
         for family in families.values() {
             let ProgramClass {
                 service, budget, ..
-            } = &family.eff;
+            } = &family.settings;
             let is_model = services
                 .get(service)
                 .is_some_and(|service| service.kind == Kind::Model);
@@ -206,7 +208,7 @@
     }
 
     fn check_routes(&mut self) {
-        for (path, why) in self.configuration.routing.faults() {
+        for (path, why) in self.configuration.routing.validation_errors() {
             self.reject(format!("routing/{path}"), why);
         }
     }
--- a/yewcross-common/src/constants.rs
+++ b/yewcross-common/src/constants.rs
@@ -31,8 +31,8 @@
 /// can be upgraded node by node. 2 added deltas of register changes and news by difference, 3
 /// register requests and answers that name the disk they are meant for and come from.
 pub const WIRE_VERSION: u16 = 3;
-pub const WIRE_OLDEST: u16 = 1;
-pub const WIRE_DELTAS: u16 = 2;
-pub const WIRE_NAMED_DISKS: u16 = 3;
+pub const WIRE_VERSION_MIN: u16 = 1;
+pub const WIRE_VERSION_DELTAS: u16 = 2;
+pub const WIRE_VERSION_NAMED_DISKS: u16 = 3;
 /// Version of the files under the data folder.
 pub const DISK_FORMAT: u32 = 1;
--- a/yewcross-common/src/constants/control.rs
+++ b/yewcross-common/src/constants/control.rs
@@ -17,12 +17,12 @@
 /// count. And at most so many, whatever their age: 90 bytes each make 46 KB, written and synced
 /// with each order.
 pub const RETAINED_ORDERS_MAX: usize = 512;
-/// ms. Digests younger than this are kept, or than `RETAINED_ORDERS_ACK_TIMES` times the time for an answer,
+/// ms. Digests younger than this are kept, or than `RETAINED_ORDERS_ACK_TIMEOUTS` times the time for an answer,
 /// if that is longer.
 pub const RETAINED_ORDERS_MS: u64 = 30_000;
 /// count. An operator whose answer was lost has given up, or has been answered, within so many
 /// times the time for one.
-pub const RETAINED_ORDERS_ACK_TIMES: u64 = 4;
+pub const RETAINED_ORDERS_ACK_TIMEOUTS: u64 = 4;
 /// us. A seat whose machine is missing this long is given to a disk that has none.
 pub const REPLICA_MISSING_AFTER: u64 = 1_500 * MS;
 /// us. A seat whose machine is missing this long, and that no disk takes, is given up while enough
--- a/yewcross-common/src/constants/requests.rs
+++ b/yewcross-common/src/constants/requests.rs
@@ -28,4 +28,4 @@
 /// keeps most of its time for another try, and the line holds only jobs that can still be served.
 pub const QUEUEING_SHARE_PERCENT: u64 = 40;
 /// count. Passes after which a line's own pace is trusted.
-pub const PACE_MIN_SAMPLES: u64 = 4;
+pub const QUEUE_RATE_MIN_SAMPLES: u64 = 4;
--- a/yewcross-common/src/constants/routing.rs
+++ b/yewcross-common/src/constants/routing.rs
@@ -30,11 +30,11 @@
 /// count. Other fronts that have to leave a server alone before this one does too.
 pub const EJECTION_QUORUM: u32 = 2;
 /// percent of the servers that are left alone on the word of others, at most.
-pub const EJECTED_MOST_PERCENT: usize = 30;
+pub const EJECTED_MAX_PERCENT: usize = 30;
 /// A server is silent that owes an answer for so many times the usual time from dispatch to the
 /// head, and this (us) longer.
-pub const SILENCE_FACTOR: f64 = 4.0;
-pub const SILENCE_MIN: u64 = 150 * MS;
+pub const UNRESPONSIVE_FACTOR: f64 = 4.0;
+pub const UNRESPONSIVE_MIN: u64 = 150 * MS;
 /// us. What was heard of a server's load fades towards its mean at this pace: about as long as a
 /// request takes.
 pub const LOAD_DECAY_TIME: u64 = 300 * MS;
@@ -64,17 +64,17 @@
 /// count. Samples as which an assumed slope weighs.
 pub const SLOPE_PRIOR: f64 = 4.0;
 /// us a token of a prompt, until first events have shown it.
-pub const ASSUMED_READING_US: f64 = 33.0;
+pub const ASSUMED_PREFILL_US_PER_TOKEN: f64 = 33.0;
 /// tokens. Usual deviation of what a server has to read.
-pub const READING_SPREAD: f64 = 1_000.0;
+pub const PREFILL_TOKENS_DEVIATION: f64 = 1_000.0;
 /// us between two events for each request beside it, until streams have shown it.
-pub const ASSUMED_CROWDING_US: f64 = 500.0;
+pub const ASSUMED_EVENT_SLOWDOWN_US: f64 = 500.0;
 /// count. Usual deviation of the requests beside one.
-pub const CROWDING_SPREAD: f64 = 2.0;
+pub const CONCURRENCY_DEVIATION: f64 = 2.0;
 /// count. Events of a stream, until some have been seen.
-pub const ASSUMED_EVENTS: f64 = 10.0;
+pub const ASSUMED_EVENTS_PER_STREAM: f64 = 10.0;
 /// us that a request beside it adds, where that is not learned.
-pub const ASSUMED_NEIGHBOUR_US: f64 = 1_000.0;
+pub const ASSUMED_CONCURRENCY_COST_US: f64 = 1_000.0;
 /// Second attempts for each request, on the long run, and how many may come at once (count).
 pub const RETRY_SHARE: f64 = 0.1;
 pub const RETRY_BURST: f64 = 10.0;
@@ -90,7 +90,7 @@
 /// us. What a prompt's bytes between zones are worth against its time to the first event.
 pub const ZONE_COST_MODEL: f64 = 20_000.0;
 /// us. The same of a lookup's bytes against its answer.
-pub const ZONE_COST_PLAIN: f64 = 8_000.0;
+pub const ZONE_COST_LOOKUP: f64 = 8_000.0;
 /// A server that by its name is the one for an affinity key is taken as long as its work costs at
 /// most so many times the best other's: it does such work in about half of the time, and must not
 /// be flooded for it.
@@ -104,7 +104,7 @@
 pub const MAINTENANCE_INTERVAL: u64 = SEC;
 /// us. From the word to stop until the door closes: the platform sends new callers elsewhere after
 /// two missed checks.
-pub const SHUTDOWN_NOTICE: u64 = 2_500 * MS;
+pub const SHUTDOWN_DRAIN_DELAY: u64 = 2_500 * MS;
 /// us. Kept back from the grace of a stop, so that the process ends by itself.
 pub const SHUTDOWN_RESERVE: u64 = 500 * MS;
 /// us. How long a turn waits for the stores to open it before it is sent back; a store that moved
--- a/yewcross-common/src/constants/sessions.rs
+++ b/yewcross-common/src/constants/sessions.rs
@@ -5,7 +5,7 @@
 /// count. Outcomes kept whole per session; older ones keep only their mark.
 pub const RETAINED_OUTCOMES: usize = 16;
 /// count. Marks (job id and body digest) kept per session.
-pub const RETAINED_REQUEST_MARKS: usize = 1024;
+pub const RETAINED_REQUEST_DIGESTS: usize = 1024;
 /// count. Bare ids kept beyond the marks, and how many stand in one line of the record; a session
 /// that has used all is full. A turn a second for 18 hours.
 pub const RETAINED_REQUEST_IDS: usize = 65_536;
--- a/yewcross-common/src/documents/cache.rs
+++ b/yewcross-common/src/documents/cache.rs
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex};
 
 /// The text forms of all document names.
-pub const DOCS: [&str; 3] = [
+pub const DOCUMENT_NAMES: [&str; 3] = [
     DocumentName::Configuration.as_str(),
     DocumentName::Layout.as_str(),
     DocumentName::ServerList.as_str(),
@@ -30,7 +30,7 @@
     /// The version of the register that the document was decided in.
     pub version: u64,
     /// The ballot under which it was decided, as far as the sender knew.
-    pub epoch: Ballot,
+    pub ballot: Ballot,
     /// The document's bytes.
     pub content: Arc<Vec<u8>>,
 }
@@ -38,7 +38,7 @@
 /// Why a document that was received has not become the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum DocumentRejected {
-    /// A name that is not in [`DOCS`].
+    /// A name that is not in [`DOCUMENT_NAMES`].
     #[snafu(display("no document of this name is kept"))]
     UnknownName,
     /// The current version is the same or a newer one.
@@ -78,18 +78,21 @@
     pub layout: ArcSwap<(u64, Layout)>,
     /// The server list in force and its version. Every server that was ever reported as leaving is
     /// marked so in it.
-    pub list: ArcSwap<(u64, ServerList)>,
+    pub server_list: ArcSwap<(u64, ServerList)>,
     departures: Mutex<Departures>,
 }
 
 impl DocumentCache {
     /// An empty cache for configurations in the native format.
     pub fn new(runtime: &Runtime) -> Arc<DocumentCache> {
-        DocumentCache::of(runtime, Arc::new(NativeFormat))
+        DocumentCache::with_format(runtime, Arc::new(NativeFormat))
     }
 
     /// An empty cache for configurations in the given format.
-    pub fn of(runtime: &Runtime, format: Arc<dyn ConfigurationFormat>) -> Arc<DocumentCache> {
+    pub fn with_format(
+        runtime: &Runtime,
+        format: Arc<dyn ConfigurationFormat>,
+    ) -> Arc<DocumentCache> {
         Arc::new(DocumentCache {
             runtime: runtime.clone(),
             apply_lock: Mutex::new(()),
@@ -99,7 +102,7 @@
             versions: std::array::from_fn(|_| ArcSwap::default()),
             config: ArcSwap::default(),
             layout: ArcSwap::default(),
-            list: ArcSwap::default(),
+            server_list: ArcSwap::default(),
             departures: Mutex::default(),
         })
     }
@@ -174,7 +177,7 @@
             .ok_or(DocumentRejected::Unreadable)?;
         self.current(name).store(Arc::new(DocumentVersion {
             version,
-            epoch: ballot,
+            ballot,
             content: Arc::new(content),
         }));
         self.log_applied(name, version);
@@ -221,7 +224,7 @@
             }
             DocumentName::ServerList => {
                 let list = serde_json::from_slice(content).ok()?;
-                self.list
+                self.server_list
                     .store(Arc::new((version, self.with_departures(list))));
             }
         }
@@ -266,8 +269,8 @@
         if !has_new {
             return false;
         }
-        let list = self.list.load();
-        self.list
+        let list = self.server_list.load();
+        self.server_list
             .store(Arc::new((list.0, self.with_departures(list.1.clone()))));
         self.runtime
             .log(&format!("servers leaving: {}", servers.join(" ")));
--- a/yewcross-common/src/documents/watcher.rs
+++ b/yewcross-common/src/documents/watcher.rs
@@ -110,7 +110,7 @@
         if self.uses_leases() {
             self.renew_in_rounds().await
         } else {
-            self.poll_in_turn().await
+            self.poll_round_robin().await
         }
     }
 
@@ -184,7 +184,14 @@
         let answer = peers
             .request(address, request, &[], PEER_REQUEST_TIMEOUT)
             .await;
-        let Ok((PeerResponse::Document { version, epoch }, content)) = answer else {
+        let Ok((
+            PeerResponse::Document {
+                version,
+                ballot: epoch,
+            },
+            content,
+        )) = answer
+        else {
             return None;
         };
         if version > 0 {
@@ -194,7 +201,7 @@
     }
 
     /// A newer document was received: what was confirmed of the old one no longer counts.
-    pub fn reset(&self) {
+    pub fn reset_confirmations(&self) {
         self.confirmations.lock().unwrap().clear();
     }
 }
--- a/yewcross-common/src/documents/watcher/poll.rs
+++ b/yewcross-common/src/documents/watcher/poll.rs
@@ -28,14 +28,14 @@
 impl DocumentWatcher {
     /// Polls one core at a time, those of our site every other time; wakes at once when cores
     /// become known.
-    pub(super) async fn poll_in_turn(self: &Arc<Self>) {
+    pub(super) async fn poll_round_robin(self: &Arc<Self>) {
         // Until the first documents are here, polls follow each other quickly. Cores that have just
         // started know in a moment whether a majority answers them, so the interval grows only with
         // rounds that succeed.
         let mut bootstrap_interval = self.poll_interval / 4;
         loop {
             let members_changed = self.members.changed.listen();
-            let cores = self.cores_in_turn();
+            let cores = self.cores_for_round();
             if cores.is_empty() {
                 self.runtime
                     .timeout(self.poll_interval, members_changed)
@@ -59,7 +59,7 @@
         self.documents.config.load().0 > 0 && self.documents.layout.load().0 > 0
     }
 
-    fn cores_in_turn(&self) -> Vec<Node> {
+    fn cores_for_round(&self) -> Vec<Node> {
         let round = self.rounds.fetch_add(1, SeqCst) as usize;
         let mut cores: Vec<Node> = self
             .members
@@ -163,7 +163,7 @@
         if version <= known_version {
             return;
         }
-        if known_version > 0 && self.was_published(name, version).await {
+        if known_version > 0 && self.wait_for_publication(name, version).await {
             return;
         }
         let request = PeerRequest::FetchDocument {
@@ -175,7 +175,7 @@
 
     /// Whether the version arrives by itself in a moment: what was just decided is on its way to
     /// every node as a delta, and the complete document need not be fetched.
-    async fn was_published(&self, name: &str, version: u64) -> bool {
+    async fn wait_for_publication(&self, name: &str, version: u64) -> bool {
         let deadline = self.runtime.now() + self.poll_interval / 4;
         loop {
             let changed = self.documents.changed.listen();
--- a/yewcross-common/src/documents/watcher/serving_lease.rs
+++ b/yewcross-common/src/documents/watcher/serving_lease.rs
@@ -102,7 +102,7 @@
     /// needed at a time. All cores, and the other fronts, are asked while a lease runs out.
     fn round_targets(&self) -> Vec<Node> {
         let mut targets = self.members.nodes_of_role(Role::Core);
-        if self.is_front && self.is_running_out() {
+        if self.is_front && self.is_expiring() {
             let fronts = self.members.nodes_of_role(Role::Front);
             targets.extend(fronts.into_iter().filter(|front| front.name != self.name));
             return targets;
@@ -121,7 +121,7 @@
     }
 
     /// Whether the lease was not renewed in the last two rounds.
-    fn is_running_out(&self) -> bool {
+    fn is_expiring(&self) -> bool {
         self.serving_until.load(SeqCst)
             < self.runtime.now() + SERVING_LEASE - 2 * SERVING_LEASE_RENEWAL
     }
--- a/yewcross-common/src/error_code.rs
+++ b/yewcross-common/src/error_code.rs
@@ -31,10 +31,10 @@
             pub fn http(self) -> u16 { match self { $(Code::$name => $http),* } }
 
             /// What the code says of the execution of the request.
-            pub fn ran(self) -> ExecutionStatus { match self { $(Code::$name => ExecutionStatus::$status),* } }
+            pub fn execution(self) -> ExecutionStatus { match self { $(Code::$name => ExecutionStatus::$status),* } }
 
             /// Seconds after which a retry may help; 0 where none does.
-            pub fn back(self) -> u64 { match self { $(Code::$name => $retry_after),* } }
+            pub fn retry_after_s(self) -> u64 { match self { $(Code::$name => $retry_after),* } }
 
             /// The meaning in words, as callers read it.
             pub fn text(self) -> &'static str { match self { $(Code::$name => $text),* } }
@@ -96,12 +96,12 @@
         );
         for code in Code::iter() {
             let name: &str = code.into();
-            let status: &str = code.ran().into();
+            let status: &str = code.execution().into();
             table += &format!(
                 "| {} | {name} | {} | {status} | {} | {} |\n",
                 code.number(),
                 code.http(),
-                code.back(),
+                code.retry_after_s(),
                 code.text()
             );
         }
--- a/yewcross-common/src/membership/node.rs
+++ b/yewcross-common/src/membership/node.rs
@@ -1,6 +1,6 @@
 //! A member of the tier as the others know it.
 
-use crate::constants::WIRE_OLDEST;
+use crate::constants::WIRE_VERSION_MIN;
 use crate::process_settings::Role;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
 }
 
 fn oldest_wire_version() -> u16 {
-    WIRE_OLDEST
+    WIRE_VERSION_MIN
 }
 
 /// Precedence of a statement about a node. Compared field by field, in this order.
--- a/yewcross-common/src/process_settings.rs
+++ b/yewcross-common/src/process_settings.rs
@@ -1,6 +1,6 @@
 //! A process's settings: the startup file, which is read and validated before anything is bound.
 
-use crate::constants::{WIRE_OLDEST, WIRE_VERSION};
+use crate::constants::{WIRE_VERSION, WIRE_VERSION_MIN};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 use std::net::SocketAddr;
@@ -208,7 +208,7 @@
     /// Validates the settings for a front, or for a core or store: all errors, not just the first.
     pub fn check(&self, front: bool) -> Vec<SettingsError> {
         const NAME_RULE: &str = "must be 1 to 64 letters, digits, - or _";
-        let speaks_wire_version = (WIRE_OLDEST..=WIRE_VERSION).contains(&self.wire);
+        let speaks_wire_version = (WIRE_VERSION_MIN..=WIRE_VERSION).contains(&self.wire);
         let checks = [
             (is_name(&self.name), "name", NAME_RULE),
             (is_name(&self.site), "site", NAME_RULE),
--- a/yewcross-common/src/protocol/config_document.rs
+++ b/yewcross-common/src/protocol/config_document.rs
@@ -4,13 +4,14 @@
 
 /// A configuration that an operator put and that was accepted, by the digest of its text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakenOrder {
+pub struct AcceptedOrder {
     /// The operator's number of it.
     pub number: u64,
     /// `hash::content_digest` of the text.
     pub digest: String,
     /// ms since 1970 by the median of the known clocks; never below that of one accepted before.
-    pub taken_ms: u64,
+    #[serde(rename = "taken_ms")]
+    pub accepted_ms: u64,
 }
 
 /// What the configuration register holds.
@@ -26,18 +27,20 @@
     /// Newest first: version, put id and text of what was in force before, where the tier numbers
     /// the versions. Documents written before `orders` was added hold the operator's number, the
     /// text's digest and nothing.
-    pub past: Vec<(u64, String, String)>,
+    #[serde(rename = "past")]
+    pub superseded: Vec<(u64, String, String)>,
     /// The operator's own number; 0 where the tier numbers the versions.
     #[serde(default)]
     pub number: u64,
     /// The highest number among the accepted orders that are no longer in `orders`; 0 while all
     /// are.
     #[serde(default)]
-    pub forgotten: u64,
+    #[serde(rename = "forgotten")]
+    pub highest_dropped: u64,
     /// The operator's orders accepted before the one in force, newest first; bounded by age, by
     /// count and so in bytes.
     #[serde(default)]
-    pub orders: Vec<TakenOrder>,
+    pub orders: Vec<AcceptedOrder>,
 }
 
 impl ConfigDoc {
--- a/yewcross-common/src/protocol/lease.rs
+++ b/yewcross-common/src/protocol/lease.rs
@@ -13,13 +13,14 @@
     /// Incarnation: how often processes have started on the disk. It is on the disk before the
     /// process requests anything. 0: not known.
     #[serde(default)]
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl Candidate {
     /// Whether this is a process that started on the same disk after the other one had ended.
-    pub fn succeeds(&self, other: &Candidate) -> bool {
-        self.disk == other.disk && self.life > other.life
+    pub fn is_restart_of(&self, other: &Candidate) -> bool {
+        self.disk == other.disk && self.incarnation > other.incarnation
     }
 }
 
@@ -31,9 +32,11 @@
     /// Who requests.
     pub candidate: Candidate,
     /// Digest of the core replicas among which the candidate counts its majority.
-    pub seats: u64,
+    #[serde(rename = "seats")]
+    pub replicas_digest: u64,
     /// What is requested.
-    pub call: LeaseOperation,
+    #[serde(rename = "call")]
+    pub operation: LeaseOperation,
     /// The candidate has granted the lease to nobody and asks who holds it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub wants_holder: bool,
@@ -44,7 +47,8 @@
 pub enum LeaseOperation {
     /// Asks whether the lease is free, and nothing else. It doubles as the heartbeat that shows
     /// contact with a majority.
-    Look,
+    #[serde(rename = "Look")]
+    Check,
     /// Asks for the lease under a new term.
     Request {
         /// The new term.
@@ -103,7 +107,8 @@
     /// Another disk answers at this address.
     OtherDisk,
     /// The granter is no core replica, or knows other core replicas than the candidate.
-    OtherSeats,
+    #[serde(rename = "OtherSeats")]
+    OtherReplicas,
     /// A term as high was granted before.
     OldTerm,
     /// The lease is held, or may be held by a grant that the granter does not remember.
--- a/yewcross-common/src/protocol/load_report.rs
+++ b/yewcross-common/src/protocol/load_report.rs
@@ -52,7 +52,7 @@
 
 impl LoadReport {
     /// Whether all figures are within the bounds of what a server can mean.
-    pub fn sane(&self) -> bool {
+    pub fn is_plausible(&self) -> bool {
         [self.slots, self.running, self.waiting]
             .iter()
             .all(|n| *n <= REPORT_MAX_REQUESTS)
--- a/yewcross-common/src/protocol/mod.rs
+++ b/yewcross-common/src/protocol/mod.rs
@@ -15,7 +15,7 @@
 mod session;
 
 pub use checkpoint::CheckpointKey;
-pub use config_document::{ConfigDoc, TakenOrder};
+pub use config_document::{AcceptedOrder, ConfigDoc};
 pub use layout::{Layout, ReplicaGroup};
 pub use load_report::LoadReport;
 pub use peer::{PeerRequest, PeerResponse};
--- a/yewcross-common/src/protocol/operator_orders.rs
+++ b/yewcross-common/src/protocol/operator_orders.rs
@@ -14,9 +14,11 @@
     /// Not the base, but this version is current. Nothing was done and never will be.
     Conflict(u64),
     /// The text is rejected, for these reasons. Nothing was done and never will be.
-    Bad(Vec<InvalidSetting>),
+    #[serde(rename = "Bad")]
+    Invalid(Vec<InvalidSetting>),
     /// The tier is not bootstrapped yet. Nothing was done.
-    NotFounded,
+    #[serde(rename = "NotFounded")]
+    NotBootstrapped,
     /// No majority of core disks could be asked, or no process proposes now. Nothing was done.
     NoMajority,
     /// More orders are queued than can be decided in time. Nothing was done.
@@ -30,7 +32,7 @@
 
 /// The answer to an order to drain a store node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RetireBegin {
+pub enum RetireOutcome {
     /// Begun now or before.
     Begun,
     /// No store node of this name is known.
@@ -38,5 +40,6 @@
     /// Fewer than `2 * Bounds::lost + 1` store replicas would remain.
     TooFew,
     /// No majority of core disks could be reached, or the outcome is unknown; it may be retried.
-    Away,
+    #[serde(rename = "Away")]
+    Unavailable,
 }
--- a/yewcross-common/src/protocol/peer.rs
+++ b/yewcross-common/src/protocol/peer.rs
@@ -6,7 +6,7 @@
 
 use super::lease::{LeaseRequest, LeaseResponse};
 use super::load_report::LoadReport;
-use super::operator_orders::{PutAnswer, RetireBegin};
+use super::operator_orders::{PutAnswer, RetireOutcome};
 use super::session::{BeginTurn, CommitTurn, SessionCacheState, TurnBegun};
 use crate::error_code::Code;
 use crate::membership::Node;
@@ -53,7 +53,7 @@
         /// The sender's table; of a node that leaves, its own entry alone.
         nodes: Vec<Node>,
     },
-    /// A register request that names no disk, as programs before `WIRE_NAMED_DISKS` send it.
+    /// A register request that names no disk, as programs before `WIRE_VERSION_NAMED_DISKS` send it.
     /// Answered by `PeerResponse::UnnamedRegister`.
     #[serde(rename = "Reg")]
     #[strum(serialize = "Reg")]
@@ -111,7 +111,8 @@
         #[serde(rename = "seq")]
         version: u64,
         /// Ballot under which the version was decided; zero where the sender does not know it.
-        epoch: Ballot,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
         /// Names of the nodes that forward it, each to its share of the others; empty where nobody
         /// is asked to.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -128,7 +129,8 @@
         #[serde(rename = "seq")]
         version: u64,
         /// Ballot under which the version was decided.
-        epoch: Ballot,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
         /// Version that the delta applies to.
         base: u64,
         /// `hash::content_digest` of the base version; empty from nodes that don't tell it.
@@ -412,7 +414,7 @@
     PutAnswer(PutAnswer),
     /// The answer to `PeerRequest::ForwardRetire`.
     #[serde(rename = "Retire")]
-    RetireAnswer(RetireBegin),
+    RetireAnswer(RetireOutcome),
     /// A document; it is the payload.
     #[serde(rename = "Doc")]
     Document {
@@ -420,7 +422,8 @@
         #[serde(rename = "seq")]
         version: u64,
         /// Ballot under which the version was decided.
-        epoch: Ballot,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
     },
     /// The version that the sender holds now.
     #[serde(rename = "Adopted")]
@@ -479,7 +482,8 @@
         left: u64,
         /// Newest layout that the disk keeps; it rejects older ones.
         #[serde(default)]
-        kept: u64,
+        #[serde(rename = "kept")]
+        newest_layout: u64,
         /// Identity of the disk that answers; empty where an older program does.
         #[serde(default)]
         disk: String,
--- a/yewcross-common/src/register/replica_call.rs
+++ b/yewcross-common/src/register/replica_call.rs
@@ -4,7 +4,7 @@
 use super::proposer::Vote;
 use super::quorum::Seat;
 use super::replica::Replica;
-use crate::constants::{PEER_REQUEST_TIMEOUT, WIRE_DELTAS, WIRE_NAMED_DISKS};
+use crate::constants::{PEER_REQUEST_TIMEOUT, WIRE_VERSION_DELTAS, WIRE_VERSION_NAMED_DISKS};
 use crate::protocol::{PeerRequest, PeerResponse};
 use crate::transport::PeerClient;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
         disk: &str,
         peers: &Arc<PeerClient>,
     ) -> (RegisterReply, Vec<u8>) {
-        let reads_deltas = peers.version(address) >= WIRE_DELTAS;
+        let reads_deltas = peers.version(address) >= WIRE_VERSION_DELTAS;
         if let Some(delta) = self.delta.filter(|_| reads_deltas) {
             let request = self.request.as_delta();
             let (reply, value) = request_from_disk(peers, address, disk, request, &delta).await;
@@ -80,7 +80,7 @@
     request: RegisterRequest,
     blob: &[u8],
 ) -> (RegisterReply, Vec<u8>) {
-    let names_disks = peers.version(address) >= WIRE_NAMED_DISKS;
+    let names_disks = peers.version(address) >= WIRE_VERSION_NAMED_DISKS;
     let question = if names_disks {
         PeerRequest::Register {
             disk: disk.into(),
--- a/yewcross-common/src/transport/client.rs
+++ b/yewcross-common/src/transport/client.rs
@@ -3,7 +3,7 @@
 use super::connection::{PeerConnection, WRITE_QUEUE};
 use super::frame::{Envelope, pack};
 use super::metrics::TransportMetrics;
-use crate::constants::{CONNECT_TIMEOUT, LINK_SUSPECT_AFTER, PEER_SEND_TIMEOUT, WIRE_OLDEST};
+use crate::constants::{CONNECT_TIMEOUT, LINK_SUSPECT_AFTER, PEER_SEND_TIMEOUT, WIRE_VERSION_MIN};
 use crate::protocol::{PeerRequest, PeerResponse};
 use crate::runtime::{Connection, FrameFault, Runtime};
 use async_channel::{Receiver, Sender};
@@ -85,7 +85,7 @@
             .lock()
             .unwrap()
             .get(&peer)
-            .map_or(WIRE_OLDEST, |info| {
+            .map_or(WIRE_VERSION_MIN, |info| {
                 info.newest_version.min(self.newest_version)
             })
     }
--- a/yewcross-common/src/transport/frame.rs
+++ b/yewcross-common/src/transport/frame.rs
@@ -1,7 +1,7 @@
 //! The bytes of one message between processes: a Cap'n Proto `Frame`.
 
 use super::frame_capnp::frame;
-use crate::constants::{MAX_FRAME_BYTES, WIRE_OLDEST};
+use crate::constants::{MAX_FRAME_BYTES, WIRE_VERSION_MIN};
 use capnp::message::ReaderOptions;
 use futures_lite::io::AsyncRead;
 use serde::Deserialize;
@@ -97,7 +97,7 @@
         payload: frame.get_blob().ok()?.to_vec(),
         version: frame.get_version(),
     };
-    (WIRE_OLDEST..=newest_version)
+    (WIRE_VERSION_MIN..=newest_version)
         .contains(&frame.get_version())
         .then_some(DecodedFrame {
             id: frame.get_id(),
--- a/yewcross-common/tests/configuration.rs
+++ b/yewcross-common/tests/configuration.rs
@@ -10,12 +10,12 @@
         )
         .unwrap();
     let c = &t.families["chargeback"];
-    assert_eq!((c.eff.horizon_ms, c.eff.max_output), (4000, 200));
+    assert_eq!((c.settings.horizon_ms, c.settings.max_output), (4000, 200));
     assert_eq!(
         (
-            c.from["horizon_ms"].as_str(),
-            c.from["max_output"].as_str(),
-            c.from["class"].as_str()
+            c.origins["horizon_ms"].as_str(),
+            c.origins["max_output"].as_str(),
+            c.origins["class"].as_str()
         ),
         ("chat", "chargeback", "default")
     );
@@ -34,7 +34,7 @@
             "families/a/under/b/set/service"
         ]
     );
-    assert!(e[0].why.contains("10 to 600000"));
+    assert!(e[0].reason.contains("10 to 600000"));
     assert!(
         Configuration::read(b"{").is_err() && Configuration::read(br#"{"famili":{}}"#).is_err()
     );
--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::adapter::{ConfigurationFormat, NativeFormat, ServerCatalogue};
 use yewcross_common::process_settings::Role;
-pub use yewcross_common::protocol::operator_orders::{PutAnswer, RetireBegin};
+pub use yewcross_common::protocol::operator_orders::{PutAnswer, RetireOutcome};
 
 /// When a put is acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -83,7 +83,7 @@
     pub async fn put(self: &Arc<Self>, base: u64, text: Vec<u8>) -> PutAnswer {
         if !quorum_contact::reach_quorum(self).await {
             return if self.documents.layout.load().0 == 0 {
-                PutAnswer::NotFounded
+                PutAnswer::NotBootstrapped
             } else {
                 PutAnswer::NoMajority
             };
@@ -100,9 +100,9 @@
     }
 
     /// Orders a store machine to be emptied for good. Any core node may be asked, repeatedly.
-    pub async fn retire_begin(self: &Arc<Self>, node: &str) -> RetireBegin {
+    pub async fn retire_begin(self: &Arc<Self>, node: &str) -> RetireOutcome {
         if !quorum_contact::reach_quorum(self).await {
-            return RetireBegin::Away;
+            return RetireOutcome::Unavailable;
         }
         layout::retire(self, node).await
     }
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -222,7 +222,7 @@
     let request = PeerRequest::PublishDelta {
         name: name.into(),
         version,
-        epoch: Ballot::default(),
+        ballot: Ballot::default(),
         base: change.base,
         base_digest: change.base_digest.clone(),
         relays: relays.to_vec(),
@@ -253,7 +253,7 @@
     let request = PeerRequest::PublishDocument {
         name: name.into(),
         version: document.version,
-        epoch: Ballot::default(),
+        ballot: Ballot::default(),
         relays,
     };
     for _ in 0..FULL_SEND_ATTEMPTS {
--- a/yewcross-control/src/config/document_requests.rs
+++ b/yewcross-control/src/config/document_requests.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::PEER_REQUEST_TIMEOUT;
-use yewcross_common::documents::cache::DOCS;
+use yewcross_common::documents::cache::DOCUMENT_NAMES;
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::PeerResponse;
@@ -39,7 +39,7 @@
         serving_leases::grant(control, poll.from);
     }
     let mut newest = vec![];
-    for name in DOCS {
+    for name in DOCUMENT_NAMES {
         let on_disk = version_on_disk(control, name).await;
         let applied = control.documents.document(name).version;
         newest.push((name.to_string(), on_disk.max(applied)));
@@ -93,7 +93,7 @@
     if document.version > newer_than && (!control.options.tends || control.has_quorum_contact()) {
         let response = PeerResponse::Document {
             version: document.version,
-            epoch: document.epoch,
+            ballot: document.ballot,
         };
         return (response, document.content.to_vec());
     }
@@ -108,7 +108,7 @@
     control: &Arc<Control>,
     name: &str,
 ) -> (PeerResponse, Vec<u8>) {
-    if !DOCS.contains(&name) {
+    if !DOCUMENT_NAMES.contains(&name) {
         return rejected(Code::BadField);
     }
     if control.settings.role != Role::Core || control.documents.layout.load().0 == 0 {
@@ -128,7 +128,13 @@
             .documents
             .apply(name, version, epoch, content.to_vec());
     }
-    (PeerResponse::Document { version, epoch }, content.to_vec())
+    (
+        PeerResponse::Document {
+            version,
+            ballot: epoch,
+        },
+        content.to_vec(),
+    )
 }
 
 fn rejected(code: Code) -> (PeerResponse, Vec<u8>) {
--- a/yewcross-control/src/config/front_groups.rs
+++ b/yewcross-control/src/config/front_groups.rs
@@ -9,7 +9,7 @@
 /// or stands twice.
 pub fn front_groups(document: &ConfigDoc, in_force_version: u64) -> Vec<Vec<String>> {
     let mut groups = vec![fronts_of(&document.text)];
-    for (version, _, text) in &document.past {
+    for (version, _, text) in &document.superseded {
         groups.push(fronts_of(text));
         if *version <= in_force_version {
             break;
@@ -39,7 +39,7 @@
     })?;
     Some(InvalidSetting {
         path: "fronts".into(),
-        why: format!(
+        reason: format!(
             "a majority of {} must be up, so that none of them can serve by an older version",
             unavailable.join(", ")
         ),
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -6,7 +6,7 @@
 use yewcross_common::constants::{
     LATE_DOCUMENT_DELAY, LATE_DOCUMENT_DELAY_MAX, LATE_DOCUMENT_POLL_INTERVAL, PEER_REQUEST_TIMEOUT,
 };
-use yewcross_common::documents::cache::DOCS;
+use yewcross_common::documents::cache::DOCUMENT_NAMES;
 
 /// When a late document is fetched next.
 struct FetchSchedule {
@@ -17,7 +17,7 @@
 
 /// Whether this core knows of a newer version of a document than it has applied.
 pub(super) async fn is_behind(control: &Control) -> bool {
-    for name in DOCS {
+    for name in DOCUMENT_NAMES {
         if newest_known_version(control, name).await > control.documents.document(name).version {
             return true;
         }
@@ -31,7 +31,7 @@
     let mut schedules: BTreeMap<&str, FetchSchedule> = BTreeMap::new();
     loop {
         control.runtime.sleep(LATE_DOCUMENT_POLL_INTERVAL).await;
-        for name in DOCS {
+        for name in DOCUMENT_NAMES {
             let applied = control.documents.document(name).version;
             if newest_known_version(&control, name).await <= applied {
                 schedules.remove(name);
--- a/yewcross-control/src/config/order_decision.rs
+++ b/yewcross-control/src/config/order_decision.rs
@@ -9,7 +9,7 @@
 
 use super::taken_orders::{Earlier, find_taken, remembered_orders, supersede};
 use yewcross_common::configuration::InvalidSetting;
-use yewcross_common::protocol::{ConfigDoc, TakenOrder};
+use yewcross_common::protocol::{AcceptedOrder, ConfigDoc};
 use yewcross_common::register::Step;
 
 /// An operator's order, as it is decided.
@@ -84,7 +84,7 @@
     if number <= current {
         return Step::Keep(Decision::Invalid(vec![InvalidSetting {
             path: "number".into(),
-            why: format!("must be above {current}"),
+            reason: format!("must be above {current}"),
         }]));
     }
     let Ok(raw) = successor(&document, earlier, order).encode() else {
@@ -99,13 +99,13 @@
 }
 
 /// The document after an order on top of another.
-fn successor(document: &ConfigDoc, earlier: Vec<TakenOrder>, order: &Order) -> ConfigDoc {
+fn successor(document: &ConfigDoc, earlier: Vec<AcceptedOrder>, order: &Order) -> ConfigDoc {
     let memory = supersede(document, earlier, order);
     ConfigDoc {
         text: order.text.into(),
         put_id: order.attempt.into(),
         number: order.number.unwrap_or(0),
-        forgotten: memory.forgotten,
+        highest_dropped: memory.forgotten,
         orders: memory.orders,
         ..Default::default()
     }
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -34,19 +34,19 @@
 /// and publishes it. Answers within a quarter of `Bounds::ack`.
 pub async fn order(control: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
     let Ok(text) = String::from_utf8(text) else {
-        return PutAnswer::Bad(vec![InvalidSetting {
+        return PutAnswer::Invalid(vec![InvalidSetting {
             path: String::new(),
-            why: "not UTF-8".into(),
+            reason: "not UTF-8".into(),
         }]);
     };
     if control.options.rollout == Rollout::Proved {
         return order_under_leases(control, base, text).await;
     }
     if let Err(faults) = control.options.dialect.read(text.as_bytes()) {
-        return PutAnswer::Bad(faults);
+        return PutAnswer::Invalid(faults);
     }
     if control.documents.layout.load().0 == 0 {
-        return PutAnswer::NotFounded;
+        return PutAnswer::NotBootstrapped;
     }
     control.counters.puts.fetch_add(1, SeqCst);
     if let Some(answer) = answer_from_applied(control, base, &text) {
@@ -197,7 +197,7 @@
             PutAnswer::InForce(taken.number)
         }
         Ok(Decision::Conflict { current }) => PutAnswer::Conflict(current),
-        Ok(Decision::Invalid(faults)) => PutAnswer::Bad(faults),
+        Ok(Decision::Invalid(faults)) => PutAnswer::Invalid(faults),
         Ok(Decision::Forgotten) => PutAnswer::Forgotten,
         Ok(Decision::Unreadable) => {
             control
@@ -216,9 +216,9 @@
 async fn order_under_leases(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
     match put(control, base, text, String::new(), false).await {
         Ok(version) => PutAnswer::InForce(version),
-        Err(PutError::InvalidConfiguration { faults }) => PutAnswer::Bad(faults),
+        Err(PutError::InvalidConfiguration { faults }) => PutAnswer::Invalid(faults),
         Err(PutError::Conflict { .. }) => PutAnswer::Conflict(control.documents.config.load().0),
-        Err(PutError::NotBootstrapped) => PutAnswer::NotFounded,
+        Err(PutError::NotBootstrapped) => PutAnswer::NotBootstrapped,
         Err(PutError::FrontsUnavailable { .. } | PutError::NoMajority) => PutAnswer::NoMajority,
         Err(
             PutError::Unreadable { .. } | PutError::MaybeStored | PutError::NotYetInForce { .. },
--- a/yewcross-control/src/config/put.rs
+++ b/yewcross-control/src/config/put.rs
@@ -26,7 +26,7 @@
     NotBootstrapped,
     #[snafu(display("newest is {newest}"))]
     Conflict { newest: u64 },
-    #[snafu(display("{}", fault.why))]
+    #[snafu(display("{}", fault.reason))]
     FrontsUnavailable { fault: InvalidSetting },
     #[snafu(display("no majority of the core disks was reached; nothing is stored"))]
     NoMajority,
@@ -204,14 +204,14 @@
     if document.put_id == id {
         return Some(version);
     }
-    let mut past = document.past.iter();
+    let mut past = document.superseded.iter();
     past.find(|(_, past_id, _)| past_id == id)
         .map(|(past_version, _, _)| *past_version)
 }
 
 /// The document after a put on top of another.
 fn successor(document: &ConfigDoc, version: u64, attempt: &PutAttempt) -> ConfigDoc {
-    let mut past = document.past.clone();
+    let mut past = document.superseded.clone();
     if version > 0 {
         past.insert(0, (version, document.put_id.clone(), document.text.clone()));
         past.truncate(RETAINED_VERSIONS);
@@ -220,7 +220,7 @@
         text: attempt.text.into(),
         put_id: attempt.id.into(),
         note: attempt.note.into(),
-        past,
+        superseded: past,
         ..Default::default()
     }
 }
@@ -228,10 +228,10 @@
 /// The fault of a document whose past no longer reaches back to the version in force: the fronts of
 /// a version that it has dropped could not be asked any more.
 fn find_lost_version(document: &ConfigDoc, in_force_version: u64) -> Option<InvalidSetting> {
-    let (oldest, _, _) = document.past.last()?;
-    let is_lost = document.past.len() == RETAINED_VERSIONS && *oldest > in_force_version;
+    let (oldest, _, _) = document.superseded.last()?;
+    let is_lost = document.superseded.len() == RETAINED_VERSIONS && *oldest > in_force_version;
     is_lost.then(|| InvalidSetting {
         path: "fronts".into(),
-        why: format!("none of the last {RETAINED_VERSIONS} versions is proved in force"),
+        reason: format!("none of the last {RETAINED_VERSIONS} versions is proved in force"),
     })
 }
--- a/yewcross-control/src/config/rollout.rs
+++ b/yewcross-control/src/config/rollout.rs
@@ -121,7 +121,7 @@
         let request = PeerRequest::PublishDocument {
             name: self.name.clone(),
             version: self.version,
-            epoch: self.epoch,
+            ballot: self.epoch,
             relays: vec![],
         };
         while self.is_running() {
--- a/yewcross-control/src/config/taken_orders.rs
+++ b/yewcross-control/src/config/taken_orders.rs
@@ -2,10 +2,10 @@
 
 use super::order_decision::Order;
 use yewcross_common::constants::{
-    RETAINED_ORDERS_ACK_TIMES, RETAINED_ORDERS_MAX, RETAINED_ORDERS_MIN, RETAINED_ORDERS_MS,
+    RETAINED_ORDERS_ACK_TIMEOUTS, RETAINED_ORDERS_MAX, RETAINED_ORDERS_MIN, RETAINED_ORDERS_MS,
 };
 use yewcross_common::process_settings::Bounds;
-use yewcross_common::protocol::{ConfigDoc, TakenOrder};
+use yewcross_common::protocol::{AcceptedOrder, ConfigDoc};
 
 /// ms. The time of orders from documents written before `orders` was added.
 const AGE_UNRECORDED: u64 = 0;
@@ -44,7 +44,7 @@
 pub(super) fn find_taken(
     seq: u64,
     document: &ConfigDoc,
-    earlier: &[TakenOrder],
+    earlier: &[AcceptedOrder],
     order: &Order,
 ) -> Earlier {
     let Some(number) = order.number else {
@@ -60,7 +60,7 @@
         return Earlier::Taken { number };
     }
     // A taken order had a number above its base, and no forgotten one is above `forgotten`.
-    if order.base < number && number <= document.forgotten {
+    if order.base < number && number <= document.highest_dropped {
         return Earlier::Forgotten;
     }
     Earlier::NotTaken
@@ -77,28 +77,28 @@
 }
 
 /// What the document's own order was taken on.
-fn newest_taken_on(document: &ConfigDoc, earlier: &[TakenOrder]) -> TakenOn {
+fn newest_taken_on(document: &ConfigDoc, earlier: &[AcceptedOrder]) -> TakenOn {
     let before = earlier
         .first()
-        .map_or(document.forgotten, |taken| taken.number);
+        .map_or(document.highest_dropped, |taken| taken.number);
     TakenOn::Version(before)
 }
 
 /// What the order at an index of those before the document's own was taken on.
-fn earlier_taken_on(document: &ConfigDoc, earlier: &[TakenOrder], index: usize) -> TakenOn {
+fn earlier_taken_on(document: &ConfigDoc, earlier: &[AcceptedOrder], index: usize) -> TakenOn {
     match earlier.get(index + 1) {
         Some(before) => TakenOn::Version(before.number),
-        None if document.forgotten == 0 && earlier[index].taken_ms == AGE_UNRECORDED => {
+        None if document.highest_dropped == 0 && earlier[index].accepted_ms == AGE_UNRECORDED => {
             TakenOn::Unrecorded
         }
-        None => TakenOn::Version(document.forgotten),
+        None => TakenOn::Version(document.highest_dropped),
     }
 }
 
 /// What a document remembers of the orders before its own.
 pub(super) struct OrderMemory {
     /// Newest first.
-    pub(super) orders: Vec<TakenOrder>,
+    pub(super) orders: Vec<AcceptedOrder>,
     /// The highest number that is no longer among them.
     pub(super) forgotten: u64,
 }
@@ -106,23 +106,23 @@
 /// The memory after an order that takes the place of the document's own.
 pub(super) fn supersede(
     document: &ConfigDoc,
-    mut earlier: Vec<TakenOrder>,
+    mut earlier: Vec<AcceptedOrder>,
     order: &Order,
 ) -> OrderMemory {
-    let mut forgotten = document.forgotten;
+    let mut forgotten = document.highest_dropped;
     if document.text.is_empty() || order.number.is_none() {
         return OrderMemory {
             orders: earlier,
             forgotten,
         };
     }
-    let newest_ms = earlier.first().map_or(0, |taken| taken.taken_ms);
+    let newest_ms = earlier.first().map_or(0, |taken| taken.accepted_ms);
     // Ages never fall, whatever the clocks do.
     let now_ms = order.now_ms.max(newest_ms);
-    let superseded = TakenOrder {
+    let superseded = AcceptedOrder {
         number: document.number,
         digest: text_digest(&document.text),
-        taken_ms: now_ms,
+        accepted_ms: now_ms,
     };
     earlier.insert(0, superseded);
     let kept = count_kept(&earlier, now_ms, order.kept_ms);
@@ -137,10 +137,10 @@
 }
 
 /// How many of the digests, newest first, are kept.
-fn count_kept(orders: &[TakenOrder], now_ms: u64, kept_ms: u64) -> usize {
+fn count_kept(orders: &[AcceptedOrder], now_ms: u64, kept_ms: u64) -> usize {
     let young = orders
         .iter()
-        .take_while(|taken| taken.taken_ms + kept_ms >= now_ms)
+        .take_while(|taken| taken.accepted_ms + kept_ms >= now_ms)
         .count();
     young
         .clamp(RETAINED_ORDERS_MIN, RETAINED_ORDERS_MAX)
@@ -149,17 +149,17 @@
 
 /// The digests of taken orders, newest first. Documents written before `orders` was added hold them
 /// in `past`.
-pub(super) fn remembered_orders(document: &ConfigDoc) -> Vec<TakenOrder> {
+pub(super) fn remembered_orders(document: &ConfigDoc) -> Vec<AcceptedOrder> {
     if !document.orders.is_empty() || document.number == 0 {
         return document.orders.clone();
     }
     document
-        .past
+        .superseded
         .iter()
-        .map(|(number, digest, _)| TakenOrder {
+        .map(|(number, digest, _)| AcceptedOrder {
             number: *number,
             digest: digest.clone(),
-            taken_ms: AGE_UNRECORDED,
+            accepted_ms: AGE_UNRECORDED,
         })
         .collect()
 }
@@ -171,5 +171,5 @@
 /// ms that digests of taken orders are kept: an operator asks again for a few times the time for an
 /// answer.
 pub fn kept_ms(bounds: &Bounds) -> u64 {
-    RETAINED_ORDERS_MS.max(bounds.ack.saturating_mul(RETAINED_ORDERS_ACK_TIMES))
+    RETAINED_ORDERS_MS.max(bounds.ack.saturating_mul(RETAINED_ORDERS_ACK_TIMEOUTS))
 }
--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::{MS, PEER_REQUEST_TIMEOUT, SEC, SWEEP_INTERVAL, SWEEP_PAUSE};
-use yewcross_common::documents::cache::DOCS;
+use yewcross_common::documents::cache::DOCUMENT_NAMES;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 
 /// us. Pause after each key while a change is under way.
@@ -111,7 +111,7 @@
         control.replica.forget(key).await;
         return true;
     }
-    let is_document = DOCS.contains(&key);
+    let is_document = DOCUMENT_NAMES.contains(&key);
     if control.options.tends && is_document {
         return repair_document(control, key).await;
     }
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -12,7 +12,7 @@
     LAYOUT_STEP_TIMEOUT, PEER_REQUEST_TIMEOUT, READ_ATTEMPTS, READ_RETRY_DELAY, SEC,
     SWEEP_REPORT_TIMEOUT,
 };
-use yewcross_common::documents::cache::DOCS;
+use yewcross_common::documents::cache::DOCUMENT_NAMES;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{Layout, PeerRequest, ReplicaGroup};
 use yewcross_common::register::{Ballot, Step};
@@ -48,7 +48,7 @@
         publish_again(control, &reports, since);
         return false;
     }
-    for document in DOCS {
+    for document in DOCUMENT_NAMES {
         if is_settled_in_both(control, document, group, since, &reports).await {
             continue;
         }
@@ -127,7 +127,7 @@
         let request = PeerRequest::PublishDocument {
             name: LAYOUT.into(),
             version: document.version,
-            epoch: Ballot::default(),
+            ballot: Ballot::default(),
             relays: vec![],
         };
         control.runtime.spawn(async move {
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -153,9 +153,13 @@
         .request(peer, &request, &[], PEER_REQUEST_TIMEOUT)
         .await
     {
-        Ok((PeerResponse::Document { version, epoch }, content)) if version > known => {
-            control.documents.apply(LAYOUT, version, epoch, content)
-        }
+        Ok((
+            PeerResponse::Document {
+                version,
+                ballot: epoch,
+            },
+            content,
+        )) if version > known => control.documents.apply(LAYOUT, version, epoch, content),
         _ => false,
     }
 }
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -7,7 +7,7 @@
 use crate::Control;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::constants::WIRE_NAMED_DISKS;
+use yewcross_common::constants::WIRE_VERSION_NAMED_DISKS;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::runtime::BoxFuture;
 
@@ -25,7 +25,7 @@
     PeerResponse::SweepProgress {
         done: keys_swept && kept >= since && turns_swept,
         left: control.sweep_left.load(SeqCst) + turns_left,
-        kept,
+        newest_layout: kept,
         disk: control.storage.disk_id.clone(),
     }
 }
@@ -51,13 +51,13 @@
             .request(node.peer, &request, &[], timeout_us)
             .await
             .ok()?;
-        may_be_unnamed = control.peers.version(node.peer) < WIRE_NAMED_DISKS;
+        may_be_unnamed = control.peers.version(node.peer) < WIRE_VERSION_NAMED_DISKS;
         response
     };
     let PeerResponse::SweepProgress {
         done,
         left,
-        kept,
+        newest_layout: kept,
         disk: answering,
     } = response
     else {
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -4,7 +4,7 @@
 //! disk from the store group by an ordinary change.
 
 use super::{DecidedLayout, LAYOUT};
-use crate::api::{RetireBegin, RetireState};
+use crate::api::{RetireOutcome, RetireState};
 use crate::proposer::{self, NotAnswered};
 use crate::{Control, config};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use yewcross_common::register::Step;
 
 /// Has a store machine marked as retired, here or by the process that proposes.
-pub async fn retire(control: &Arc<Control>, node: &str) -> RetireBegin {
+pub async fn retire(control: &Arc<Control>, node: &str) -> RetireOutcome {
     let deadline = control.runtime.now() + PEER_REQUEST_TIMEOUT;
     while control.runtime.now() < deadline {
         if control.acting_term().is_some() {
@@ -26,10 +26,10 @@
         match proposer::forward(control, &request, &[], remaining).await {
             Ok((PeerResponse::RetireAnswer(answer), _)) => return answer,
             Err(NotAnswered::NoProposer) => proposer::wait_for_one(control).await,
-            _ => return RetireBegin::Away,
+            _ => return RetireOutcome::Unavailable,
         }
     }
-    RetireBegin::Away
+    RetireOutcome::Unavailable
 }
 
 /// Handles an order that another core forwarded.
@@ -43,14 +43,14 @@
 /// What became of an order when the register decided it.
 enum Marking {
     /// Nothing was written.
-    Unchanged(RetireBegin),
+    Unchanged(RetireOutcome),
     /// The machine is marked now.
     Marked(DecidedLayout),
 }
 
-async fn mark_retired(control: &Arc<Control>, node: &str) -> RetireBegin {
+async fn mark_retired(control: &Arc<Control>, node: &str) -> RetireOutcome {
     if control.documents.layout.load().0 == 0 {
-        return RetireBegin::Away;
+        return RetireOutcome::Unavailable;
     }
     let fewest_stores = 2 * control.settings.bounds.lost + 1;
     let is_known_store = control
@@ -62,7 +62,7 @@
         .registers
         .change(LAYOUT, SEC, |version, content| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
-                return Step::Keep(Marking::Unchanged(RetireBegin::Away));
+                return Step::Keep(Marking::Unchanged(RetireOutcome::Unavailable));
             };
             if let Some(answer) = answer_unchanged(&layout, node, is_known_store, fewest_stores) {
                 return Step::Keep(Marking::Unchanged(answer));
@@ -80,10 +80,10 @@
         Ok(Marking::Marked(decided)) => {
             control.runtime.log(&format!("{node} is to retire"));
             config::publish(control, LAYOUT, decided.version, decided.content);
-            RetireBegin::Begun
+            RetireOutcome::Begun
         }
         Ok(Marking::Unchanged(answer)) => answer,
-        Err(_) => RetireBegin::Away,
+        Err(_) => RetireOutcome::Unavailable,
     }
 }
 
@@ -93,19 +93,19 @@
     node: &str,
     is_known_store: bool,
     fewest_stores: usize,
-) -> Option<RetireBegin> {
+) -> Option<RetireOutcome> {
     if layout.retired.contains(node) {
-        return Some(RetireBegin::Begun);
+        return Some(RetireOutcome::Begun);
     }
     if !is_known_store && !is_store_replica(layout, node) {
-        return Some(RetireBegin::Unknown);
+        return Some(RetireOutcome::Unknown);
     }
     let machine_stays = |disk: &&String| match layout.names.get(*disk) {
         Some(machine) => machine != node && !layout.retired.contains(machine),
         None => true,
     };
     let staying = layout.store.current.iter().filter(machine_stays).count();
-    (staying < fewest_stores).then_some(RetireBegin::TooFew)
+    (staying < fewest_stores).then_some(RetireOutcome::TooFew)
 }
 
 /// Whether the machine's disk is a store replica, incoming or outgoing.
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -134,7 +134,7 @@
     /// held by nobody any more, so that nobody has to wait for it. Returns whether that frees the
     /// lease here.
     pub fn meet(&mut self, asker: &Candidate) -> bool {
-        let is_over = |holder: &Candidate| asker.succeeds(holder);
+        let is_over = |holder: &Candidate| asker.is_restart_of(holder);
         let remembered_is_over = self
             .remembered
             .as_ref()
@@ -187,11 +187,11 @@
         operation: LeaseOperation,
     ) -> LeaseVerdict {
         if voters != self.voters || voters == 0 {
-            return LeaseVerdict::Refused(LeaseDenial::OtherSeats);
+            return LeaseVerdict::Refused(LeaseDenial::OtherReplicas);
         }
         match operation {
-            LeaseOperation::Look if now < self.free_at() => LeaseVerdict::Held,
-            LeaseOperation::Look => LeaseVerdict::Free,
+            LeaseOperation::Check if now < self.free_at() => LeaseVerdict::Held,
+            LeaseOperation::Check => LeaseVerdict::Free,
             LeaseOperation::Request { term } => self.request(now, asker, term),
             LeaseOperation::Renew {
                 term,
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::SYNC_TIMEOUT;
-use yewcross_common::documents::cache::DOCS;
+use yewcross_common::documents::cache::DOCUMENT_NAMES;
 use yewcross_common::protocol::Layout;
 use yewcross_common::protocol::lease::{LeaseDenial, LeaseRequest, LeaseResponse, LeaseVerdict};
 use yewcross_common::runtime::Runtime;
@@ -124,11 +124,16 @@
         return LeaseVerdict::Refused(LeaseDenial::DiskFailed);
     }
     if !is_voter(&control.documents.layout.load().1, &control.storage.disk_id) {
-        return LeaseVerdict::Refused(LeaseDenial::OtherSeats);
+        return LeaseVerdict::Refused(LeaseDenial::OtherReplicas);
     }
     let (is_freed, verdict, to_keep) = with_granter(control, |granter, now| {
         let is_freed = granter.meet(&request.candidate);
-        let verdict = granter.answer(now, &request.candidate, request.seats, request.call);
+        let verdict = granter.answer(
+            now,
+            &request.candidate,
+            request.replicas_digest,
+            request.operation,
+        );
         (is_freed, verdict, granter.to_keep())
     });
     if is_freed {
@@ -176,7 +181,7 @@
 /// The newest version of each document that this disk holds, decided or not.
 async fn document_versions(control: &Control) -> Vec<(String, u64)> {
     let mut versions = vec![];
-    for document in DOCS {
+    for document in DOCUMENT_NAMES {
         let on_disk = control
             .replica
             .peek(document)
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -28,7 +28,7 @@
     CANDIDACY_PAUSE, FENCING_TIMEOUT, LEASE_RENEWAL_INTERVAL, LEASE_REQUEST_TIMEOUT,
     LEASE_RETRY_DELAY, LEASE_STAGGER, MS, SEC,
 };
-use yewcross_common::documents::cache::DOCS;
+use yewcross_common::documents::cache::DOCUMENT_NAMES;
 use yewcross_common::membership::MemberState;
 use yewcross_common::protocol::ReplicaGroup;
 use yewcross_common::protocol::lease::{LeaseOperation, LeaseResponse, LeaseVerdict};
@@ -171,7 +171,7 @@
 async fn highest_term_if_free(control: &Arc<Control>, voters: &ReplicaGroup) -> Option<u64> {
     let disks = all_voters(voters);
     let pending = disks.len();
-    let responses = ask_voters(control, disks, LeaseOperation::Look);
+    let responses = ask_voters(control, disks, LeaseOperation::Check);
     let mut free: Vec<String> = vec![];
     let mut highest_term = 0;
     for _ in 0..pending {
@@ -272,7 +272,7 @@
         return false;
     }
     let documents: &[&'static str] = if control.options.tends {
-        &DOCS
+        &DOCUMENT_NAMES
     } else {
         &FENCED
     };
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -59,5 +59,5 @@
 }
 
 fn rejected(code: Code, detail: &str) -> Response {
-    refuse(code, detail, code.back())
+    refuse(code, detail, code.retry_after_s())
 }
--- a/yewcross-control/src/operator/configuration.rs
+++ b/yewcross-control/src/operator/configuration.rs
@@ -27,7 +27,7 @@
     };
     let text: Value = serde_json::from_str(&document.text).unwrap_or(Value::Null);
     let past: Vec<Value> = document
-        .past
+        .superseded
         .iter()
         .map(|(version, put_id, _)| json!({"version": version, "put": put_id}))
         .collect();
@@ -133,7 +133,7 @@
             text: document.text,
         });
     }
-    let mut past = document.past.into_iter();
+    let mut past = document.superseded.into_iter();
     past.find(|(version, _, _)| *version == wanted)
         .map(|(version, put_id, text)| KnownVersion {
             version,
--- a/yewcross-control/src/persisted_documents.rs
+++ b/yewcross-control/src/persisted_documents.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::{MS, SEC};
-use yewcross_common::documents::cache::{DOCS, DocumentCache, DocumentVersion};
+use yewcross_common::documents::cache::{DOCUMENT_NAMES, DocumentCache, DocumentVersion};
 use yewcross_common::register::Ballot;
 use yewcross_common::storage::StoredFile;
 
@@ -38,7 +38,7 @@
 pub(crate) fn load(documents: &DocumentCache, folder: &[StoredFile]) -> PersistedDocuments {
     let mut persisted = PersistedDocuments::new();
     for file in folder {
-        let Some(name) = DOCS.into_iter().find(|name| *name == file.name) else {
+        let Some(name) = DOCUMENT_NAMES.into_iter().find(|name| *name == file.name) else {
             continue;
         };
         let stored = file
@@ -63,7 +63,10 @@
 pub(crate) async fn persist_changes(control: Arc<Control>, mut persisted: PersistedDocuments) {
     loop {
         let changed = control.documents.changed.listen();
-        for name in DOCS.into_iter().filter(|name| is_persisted(&control, name)) {
+        for name in DOCUMENT_NAMES
+            .into_iter()
+            .filter(|name| is_persisted(&control, name))
+        {
             let document = control.documents.document(name);
             let before = persisted.get(name).copied().unwrap_or_default();
             if document.version <= before.version {
@@ -108,7 +111,7 @@
 ) -> bool {
     let stored = (
         document.version,
-        document.epoch,
+        document.ballot,
         String::from_utf8_lossy(&document.content),
     );
     let body = serde_json::to_vec(&stored).expect("numbers and a string always serialise");
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -201,7 +201,7 @@
         control.duties.polls.fetch_add(1, SeqCst);
         let mut request = hyper::Request::new(Default::default());
         *request.uri_mut() = catalogue
-            .target(next_page.as_deref())
+            .page_target(next_page.as_deref())
             .parse()
             .map_err(|_| CATALOGUE_POLL_INTERVAL)?;
         let response = streaming_http::fetch(
@@ -217,7 +217,7 @@
             return Err(backoff(control, response.headers()));
         }
         let (mut page, following) = catalogue
-            .read(response.body())
+            .parse_page(response.body())
             .map_err(|_| CATALOGUE_POLL_INTERVAL)?;
         servers.append(&mut page);
         next_page = following;
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -78,7 +78,13 @@
             hops: 1,
         };
         match forward(control, &request, &[], left.min(READ_TIMEOUT)).await {
-            Ok((PeerResponse::Document { version, epoch }, content)) => {
+            Ok((
+                PeerResponse::Document {
+                    version,
+                    ballot: epoch,
+                },
+                content,
+            )) => {
                 return Ok((version, epoch, Arc::new(content)));
             }
             _ => wait_for_one(control).await,
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -39,8 +39,8 @@
     let request = LeaseRequest {
         granter: disk.into(),
         candidate: control.duties.candidate.clone(),
-        seats,
-        call: operation,
+        replicas_digest: seats,
+        operation,
         wants_holder,
     };
     let sent = control.runtime.now();
@@ -142,7 +142,7 @@
     }
     let voters = all_voters(&control.documents.layout.load().1.core);
     let pending = voters.len();
-    let responses = ask_voters(control, voters, LeaseOperation::Look);
+    let responses = ask_voters(control, voters, LeaseOperation::Check);
     let reached = async {
         for _ in 0..pending {
             if responses.recv().await.is_err() || control.has_quorum_contact() {
@@ -199,11 +199,11 @@
         control.runtime.now() < quorum_since(control, group) + interval * 3 / 2;
     let polled = voters_in_turn(group, others, own_disk, turn, last_round_sufficed);
     if is_voter(layout, own_disk) {
-        ask_voter(control, own_disk, LeaseOperation::Look).await;
+        ask_voter(control, own_disk, LeaseOperation::Check).await;
     }
     // The holder's renewals are its heartbeat.
     if control.lease_term().is_none() {
-        ask_voters(control, polled, LeaseOperation::Look);
+        ask_voters(control, polled, LeaseOperation::Check);
     }
 }
 
--- a/yewcross-control/src/request_handler.rs
+++ b/yewcross-control/src/request_handler.rs
@@ -85,7 +85,7 @@
             PeerRequest::PublishDocument {
                 name,
                 version,
-                epoch,
+                ballot: epoch,
                 relays,
             } => {
                 let publication = Publication {
@@ -99,7 +99,7 @@
             PeerRequest::PublishDelta {
                 name,
                 version,
-                epoch,
+                ballot: epoch,
                 base,
                 base_digest,
                 relays,
--- a/yewcross-control/src/singleton_tasks.rs
+++ b/yewcross-control/src/singleton_tasks.rs
@@ -98,7 +98,7 @@
             candidate: Candidate {
                 disk: storage.disk_id.clone(),
                 process,
-                life: incarnation,
+                incarnation,
             },
             granter: Mutex::new(granter),
             holder: Mutex::new(Holder::new(LEASE_TIMES)),
--- a/yewcross-control/src/start.rs
+++ b/yewcross-control/src/start.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, Weak};
 use yewcross_common::buffered_http;
 use yewcross_common::constants::MS;
-use yewcross_common::documents::cache::{DOCS, DocumentCache};
+use yewcross_common::documents::cache::{DOCUMENT_NAMES, DocumentCache};
 use yewcross_common::documents::watcher::DocumentWatcher;
 use yewcross_common::membership::Membership;
 use yewcross_common::process_settings::{ProcessSettings, Role};
@@ -100,7 +100,7 @@
     let peers = PeerClient::new(runtime, &settings.name, &settings.site, settings.wire);
     let members = Membership::new(runtime, &settings, &peers, &storage.disk_id);
     members.outranks_namesake.store(options.stays, SeqCst);
-    let documents = DocumentCache::of(runtime, options.dialect.clone());
+    let documents = DocumentCache::with_format(runtime, options.dialect.clone());
     let local = LocalState::load(&storage, &documents)
         .await
         .context(DiskSnafu)?;
@@ -219,7 +219,7 @@
     };
     control
         .registers
-        .restrict(move |key| !DOCS.contains(&key) || holds_lease());
+        .restrict(move |key| !DOCUMENT_NAMES.contains(&key) || holds_lease());
 }
 
 /// Serves the product's own operators' interface.
--- a/yewcross-control/tests/orders.rs
+++ b/yewcross-control/tests/orders.rs
@@ -136,7 +136,7 @@
 fn a_forgotten_text_on_another_base_is_refused() {
     let mut register = Register::at(1_700_000_000_000);
     register.take_all(1..=600, 1_000);
-    let forgotten = register.document().forgotten;
+    let forgotten = register.document().highest_dropped;
     assert!((400..600).contains(&forgotten), "{forgotten}");
     for number in 1..=600 {
         let text = format!("{number} text");
@@ -320,7 +320,7 @@
         .document()
         .orders
         .iter()
-        .map(|o| o.taken_ms)
+        .map(|o| o.accepted_ms)
         .collect();
     assert!(ages.windows(2).all(|w| w[0] >= w[1]), "{ages:?}");
     assert!((1..=64).all(|n| taken(register.order(n - 1, &format!("{n} text"))) == Some(n)));
@@ -333,7 +333,7 @@
     let older = ConfigDoc {
         text: "7 c".into(),
         number: 7,
-        past: vec![
+        superseded: vec![
             (6, digest("6 b"), String::new()),
             (5, digest("5 a"), String::new()),
         ],
--- a/yewcross-control/tests/put.rs
+++ b/yewcross-control/tests/put.rs
@@ -98,7 +98,7 @@
         );
     }
     assert_eq!(register.version, puts);
-    let past = register.document().past;
+    let past = register.document().superseded;
     let versions: Vec<u64> = past.iter().map(|(version, _, _)| *version).collect();
     let expected: Vec<u64> = (puts - RETAINED_VERSIONS as u64..puts).rev().collect();
     assert_eq!(versions, expected);
@@ -132,7 +132,7 @@
         panic!("{decision:?}")
     };
     assert_eq!(fault.path, "fronts");
-    assert!(fault.why.contains("f1, down1"), "{}", fault.why);
+    assert!(fault.reason.contains("f1, down1"), "{}", fault.reason);
     assert!(register.value.is_empty());
     let decision = register.put_as("a", 0, &with_fronts(&["f1", "f2", "down1"]));
     assert_eq!(decision, PutDecision::Stored { version: 1 });
@@ -144,7 +144,7 @@
     let past = |version: u64, fronts: &[&str]| (version, String::new(), with_fronts(fronts));
     let document = ConfigDoc {
         text: with_fronts(&["f4"]),
-        past: vec![past(3, &["f3"]), past(2, &["f2"]), past(1, &["f1"])],
+        superseded: vec![past(3, &["f3"]), past(2, &["f2"]), past(1, &["f1"])],
         ..Default::default()
     };
     let groups = |in_force: u64| -> Vec<String> {
--- a/yewcross-proxy/src/admission.rs
+++ b/yewcross-proxy/src/admission.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use yewcross_common::configuration::Class;
-use yewcross_common::constants::{DEFAULT_RETRY_AFTER_S, MS, PACE_MIN_SAMPLES, SEC};
+use yewcross_common::constants::{DEFAULT_RETRY_AFTER_S, MS, QUEUE_RATE_MIN_SAMPLES, SEC};
 use yewcross_common::error_code::Code;
 use yewcross_common::runtime::Runtime;
 
@@ -78,7 +78,7 @@
     fn expected_wait(&self, position: Position, slots: Slots) -> u64 {
         let ahead = self.waiting.range(..position).count() as u64 + 1;
         let by_slots = self.service_time / slots.all.max(1) as u64;
-        let each = if self.intervals_seen < PACE_MIN_SAMPLES {
+        let each = if self.intervals_seen < QUEUE_RATE_MIN_SAMPLES {
             by_slots
         } else {
             by_slots.max(self.interval)
--- a/yewcross-proxy/src/balance/cost.rs
+++ b/yewcross-proxy/src/balance/cost.rs
@@ -33,7 +33,7 @@
         if self.policies.has(Mechanism::LearnedReading) {
             self.observed.reading.value()
         } else {
-            ASSUMED_READING_US
+            ASSUMED_PREFILL_US_PER_TOKEN
         }
     }
 
@@ -42,7 +42,7 @@
         if self.policies.has(Mechanism::LearnedCrowding) {
             self.observed.neighbour_us()
         } else {
-            ASSUMED_NEIGHBOUR_US
+            ASSUMED_CONCURRENCY_COST_US
         }
     }
 
@@ -52,7 +52,7 @@
         match (is_near, self.need.engine.is_some()) {
             (true, _) => 0.0,
             (false, true) => ZONE_COST_MODEL,
-            (false, false) => ZONE_COST_PLAIN,
+            (false, false) => ZONE_COST_LOOKUP,
         }
     }
 
--- a/yewcross-proxy/src/balance/ejection.rs
+++ b/yewcross-proxy/src/balance/ejection.rs
@@ -58,6 +58,7 @@
 
     /// Whether it owes an answer for much longer than usual (us from dispatch to the head).
     pub(super) fn is_silent(&self, now: u64, usual: f64) -> bool {
-        self.unanswered > 0 && now > self.owed_since + (SILENCE_FACTOR * usual) as u64 + SILENCE_MIN
+        self.unanswered > 0
+            && now > self.owed_since + (UNRESPONSIVE_FACTOR * usual) as u64 + UNRESPONSIVE_MIN
     }
 }
--- a/yewcross-proxy/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -135,7 +135,7 @@
                 .is_ejected_by_others(now)
         };
         let well: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
-        if well.len() * 100 < servers.len() * (100 - EJECTED_MOST_PERCENT) {
+        if well.len() * 100 < servers.len() * (100 - EJECTED_MAX_PERCENT) {
             servers
         } else {
             well
--- a/yewcross-proxy/src/balance/observed.rs
+++ b/yewcross-proxy/src/balance/observed.rs
@@ -75,9 +75,9 @@
 impl Default for Observed {
     fn default() -> Self {
         Observed {
-            reading: Slope::new(ASSUMED_READING_US, READING_SPREAD),
-            crowding: Slope::new(ASSUMED_CROWDING_US, CROWDING_SPREAD),
-            events: ASSUMED_EVENTS,
+            reading: Slope::new(ASSUMED_PREFILL_US_PER_TOKEN, PREFILL_TOKENS_DEVIATION),
+            crowding: Slope::new(ASSUMED_EVENT_SLOWDOWN_US, CONCURRENCY_DEVIATION),
+            events: ASSUMED_EVENTS_PER_STREAM,
             pause: 0.0,
         }
     }
--- a/yewcross-proxy/src/judge.rs
+++ b/yewcross-proxy/src/judge.rs
@@ -50,7 +50,7 @@
 }
 
 pub fn import_takes(tokens: u64) -> u64 {
-    tokens.saturating_mul(KV_IMPORT_PER_K) / 1000
+    tokens.saturating_mul(KV_IMPORT_US_PER_1000_TOKENS) / 1000
 }
 
 fn prefill(s: &Server, tokens: u64) -> u64 {
--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -79,7 +79,7 @@
 
 impl Default for Spares {
     fn default() -> Spares {
-        let each = NonZeroUsize::new(KV_RECORDS / KV_SHARDS).unwrap_or(NonZeroUsize::MIN);
+        let each = NonZeroUsize::new(KV_TRANSFER_RECORDS / KV_SHARDS).unwrap_or(NonZeroUsize::MIN);
         Spares {
             shards: std::array::from_fn(|_| Mutex::new(LruCache::new(each))),
             fit: Default::default(),
@@ -198,9 +198,9 @@
     let Some(r) = pushed.or(kv.replica.clone()) else {
         // Nothing stands anywhere; yet the home before may still hold most of it.
         let most = |p: &&CachedPrefix| {
-            kv.home
-                .as_ref()
-                .is_some_and(|h| h.weights == p.weights && p.tokens * 100 >= h.tokens * KV_WARM)
+            kv.home.as_ref().is_some_and(|h| {
+                h.weights == p.weights && p.tokens * 100 >= h.tokens * KV_WARM_PERCENT
+            })
         };
         let before = placed.iter().filter(away).find(most).map(|p| CachedPrefix {
             digest: String::new(),
@@ -213,7 +213,7 @@
     };
     let covers = |p: &&CachedPrefix| {
         (&p.server, p.instance, &p.weights) == (&r.server, r.instance, &r.weights)
-            && p.tokens * 100 >= r.tokens * KV_WARM
+            && p.tokens * 100 >= r.tokens * KV_WARM_PERCENT
     };
     let p = Some(r.clone())
         .filter(|r| r.placed_tokens > 0)
@@ -428,13 +428,13 @@
             .1
             .families
             .get(&s.kv.program)
-            .filter(|p| p.eff.kv_share);
+            .filter(|p| p.settings.kv_share);
         replica.zip(fam).into_iter().for_each(|(replica, p)| {
             ahead(
                 front,
                 Due {
                     key: key.clone(),
-                    service: p.eff.service.clone(),
+                    service: p.settings.service.clone(),
                     replica,
                     tell: true,
                 },
@@ -450,7 +450,7 @@
     let servers = server_table::fit(f, &x.fam.service);
     let at = |n: &str| servers.iter().find(|s| s.at.server == n);
     let full = |s: &server_table::Server| {
-        s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL
+        s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL_PERCENT
     };
     let Some(to) = at(&replica.server) else {
         return;
@@ -488,8 +488,8 @@
     let pct = reused.saturating_mul(100) / prompt.max(1);
     let c = &f.counts;
     let (all, mv) = match pct {
-        p if p >= KV_WARM => (&c.warm, &c.moved_warm),
-        p if p >= KV_PARTLY_WARM => (&c.partly, &c.moved_partly),
+        p if p >= KV_WARM_PERCENT => (&c.warm, &c.moved_warm),
+        p if p >= KV_PARTLY_WARM_PERCENT => (&c.partly, &c.moved_partly),
         _ => (&c.cold, &c.moved_cold),
     };
     all.fetch_add(1, SeqCst);
@@ -569,7 +569,7 @@
 fn remember(f: &Front, key: &str, p: &CachedPrefix) {
     let mut g = f.replicas.lock().unwrap();
     g.insert(key.into(), p.clone());
-    while g.len() > KV_RECORDS {
+    while g.len() > KV_TRANSFER_RECORDS {
         g.pop_first();
     }
 }
@@ -678,7 +678,7 @@
 }
 
 pub async fn drop_at(front: &Arc<Front>, svc: &str, key: &str, server: &str) {
-    let list = front.documents.list.load_full();
+    let list = front.documents.server_list.load_full();
     if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
         let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
         front.counts.drops.fetch_add(1, SeqCst);
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -21,7 +21,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, OnceLock};
-use yewcross_common::adapter::{Caller, ConfigurationFormat, UpstreamProtocol};
+use yewcross_common::adapter::{CallerProtocol, ConfigurationFormat, UpstreamProtocol};
 use yewcross_common::buffered_http::{BufferedRequest, ConnectionTracker, refuse, reply};
 use yewcross_common::constants::*;
 use yewcross_common::documents::cache::{DocumentCache, replicas_by_preference};
@@ -116,7 +116,7 @@
 
 /// Another platform's ports. Chains of turns are refused where no stores are given.
 pub struct FrontOptions {
-    pub caller: Arc<dyn Caller>,
+    pub caller: Arc<dyn CallerProtocol>,
     pub back: Arc<dyn UpstreamProtocol>,
     pub chains: Option<Arc<dyn TurnLogService>>,
 }
@@ -358,7 +358,7 @@
                 (book, follow)
             }
             Some(d) => {
-                let book = DocumentCache::of(runtime, d);
+                let book = DocumentCache::with_format(runtime, d);
                 let follow = DocumentWatcher::without_leases(
                     &members,
                     &book,
@@ -423,7 +423,7 @@
             PeerRequest::PublishDelta {
                 name,
                 version: seq,
-                epoch,
+                ballot: epoch,
                 base,
                 base_digest,
                 ..
@@ -434,7 +434,7 @@
                     .is_ok()
                     && name != "list"
                 {
-                    self.watcher.reset();
+                    self.watcher.reset_confirmations();
                 }
                 PeerResponse::DocumentApplied {
                     version: self.documents.document(&name).version,
@@ -443,11 +443,11 @@
             PeerRequest::PublishDocument {
                 name,
                 version: seq,
-                epoch,
+                ballot: epoch,
                 ..
             } => {
                 if self.documents.apply(&name, seq, epoch, blob) && name != "list" {
-                    self.watcher.reset();
+                    self.watcher.reset_confirmations();
                 }
                 PeerResponse::DocumentApplied {
                     version: self.documents.document(&name).version,
@@ -548,7 +548,7 @@
             self.runtime.now() + (self.settings.bounds.grace * MS).saturating_sub(SHUTDOWN_RESERVE);
         self.web.last();
         self.runtime
-            .sleep(SHUTDOWN_NOTICE.min(self.settings.bounds.grace * MS / 3))
+            .sleep(SHUTDOWN_DRAIN_DELAY.min(self.settings.bounds.grace * MS / 3))
             .await;
         self.web.close();
         self.runtime
@@ -585,7 +585,7 @@
         self.pool.prune(t);
         self.told.lock().unwrap().retain(|n, _| {
             self.documents
-                .list
+                .server_list
                 .load()
                 .1
                 .servers
--- a/yewcross-proxy/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -171,7 +171,7 @@
 
     /// Load of the servers of our site, and of those of others as far as they were told.
     fn known(&self, collected: &Collected, now: u64) -> Vec<ServerLoad> {
-        let list = self.documents.list.load();
+        let list = self.documents.server_list.load();
         let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
         all.extend(collected.elsewhere.values().flatten());
         all
@@ -179,7 +179,7 @@
 
     /// Load of the servers of our site that another site would send requests to.
     fn least_loaded(&self, collected: &Collected, now: u64) -> Vec<ServerLoad> {
-        let list = self.documents.list.load();
+        let list = self.documents.server_list.load();
         let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
         all.sort_by_key(|l| l.load.in_flight);
         all.truncate(LOAD_SITE_SERVERS);
@@ -275,7 +275,7 @@
 
     async fn tell_site(self: Arc<Self>, node: Node) {
         let ours = {
-            let list = self.documents.list.load();
+            let list = self.documents.server_list.load();
             let there = list.1.servers.iter().filter(|s| s.site == node.site);
             self.collected
                 .lock()
--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -211,7 +211,7 @@
     };
     let outcome = json!({"code": Code::Done.number(), "value": answer.value, "stamp": stamp});
     if let Err(code) = commit(front, lookup, &outcome).await {
-        return Err(Rejection::new(code, code.back()));
+        return Err(Rejection::new(code, code.retry_after_s()));
     }
     front.counts.found.fetch_add(1, SeqCst);
     Ok(outcome)
--- a/yewcross-proxy/src/lookup/once.rs
+++ b/yewcross-proxy/src/lookup/once.rs
@@ -102,7 +102,7 @@
         Some((PeerResponse::Rejected(code), _))
             if !matches!(code, Code::Undecided | Code::StoreAway) =>
         {
-            Err(Rejection::new(code, code.back()))
+            Err(Rejection::new(code, code.retry_after_s()))
         }
         // It may have been registered.
         _ => {
--- a/yewcross-proxy/src/news.rs
+++ b/yewcross-proxy/src/news.rs
@@ -17,7 +17,7 @@
 pub async fn run(f: Arc<Front>) {
     loop {
         let t0 = f.runtime.now();
-        let list = f.documents.list.load_full();
+        let list = f.documents.server_list.load_full();
         let conf = f.documents.config.load_full();
         for svc in conf.1.services.keys() {
             let mine: Vec<ListedServer> = list
@@ -63,10 +63,10 @@
                 .await
                 .ok()?;
                 let r: LoadReport = serde_json::from_slice(&b).ok()?;
-                if !r.sane() {
+                if !r.is_plausible() {
                     f.counts.absurd.fetch_add(1, SeqCst);
                 }
-                (r.server == s.server && r.service == s.service && r.sane()).then_some(r)
+                (r.server == s.server && r.service == s.service && r.is_plausible()).then_some(r)
             });
             x
         })
@@ -100,7 +100,7 @@
         .map(|n| (n, false))
         .chain(homes.map(|n| (n, true)))
         .for_each(|(n, relay)| {
-            let by_difference = f.peers.version(n.peer) >= WIRE_DELTAS;
+            let by_difference = f.peers.version(n.peer) >= WIRE_VERSION_DELTAS;
             let (reports, same) = if by_difference {
                 (got.clone(), same.clone())
             } else {
@@ -156,7 +156,7 @@
             g.get_mut(n).into_iter().for_each(|h| h.at = t);
             front.sent.lock().unwrap().remove(n);
         });
-        reports.iter().filter(|r| r.sane()).for_each(|r| {
+        reports.iter().filter(|r| r.is_plausible()).for_each(|r| {
             let newer = g.get(&r.server).is_none_or(|h| {
                 (r.instance, r.sequence) > (h.report.instance, h.report.sequence)
                     || t > h.at + LOAD_REPORT_LOST_AFTER
--- a/yewcross-proxy/src/relay.rs
+++ b/yewcross-proxy/src/relay.rs
@@ -26,7 +26,7 @@
 pub use retry_budget::RetryBudget;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
-use yewcross_common::adapter::{Caller, RequestMeta, UpstreamProtocol};
+use yewcross_common::adapter::{CallerProtocol, RequestMeta, UpstreamProtocol};
 use yewcross_common::configuration::route::Route;
 use yewcross_common::documents::cache::DocumentCache;
 use yewcross_common::error_code::Code;
@@ -57,7 +57,7 @@
     pub runtime: Runtime,
     pub documents: Arc<DocumentCache>,
     pub site: String,
-    pub caller: Arc<dyn Caller>,
+    pub caller: Arc<dyn CallerProtocol>,
     pub back: Arc<dyn UpstreamProtocol>,
     pub chains: Option<Arc<dyn TurnLogService>>,
     /// Fronts that share the servers' connections, ourselves among them.
@@ -88,7 +88,7 @@
 impl Relay {
     fn refuse(&self, e: Rejection) -> Response<Body> {
         self.counts.refused.fetch_add(1, SeqCst);
-        self.caller.refuse(e.0, e.1, e.2).map(full)
+        self.caller.reject(e.0, e.1, e.2).map(full)
     }
 
     /// Answers one request. Dropped when its caller goes, and with it all that is under way for it.
@@ -130,7 +130,7 @@
     /// Drops idle connections and records of servers that are gone.
     pub fn tidy(&self, fronts: usize) {
         self.fronts.store(fronts, SeqCst);
-        let l = self.documents.list.load();
+        let l = self.documents.server_list.load();
         let listed = |s: &str| l.1.servers.iter().any(|x| x.server == s);
         self.pool.tidy(self.runtime.now(), listed);
         self.balance.tidy(listed);
--- a/yewcross-proxy/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -46,10 +46,10 @@
         }
         answer
             .claim
-            .read(&request.meta.parts, self.cache_tokens(service));
+            .read(&request.meta.prompt_segments, self.cache_tokens(service));
         let keep = route.retained.then(|| Turn {
             id: request.meta.attempt.clone(),
-            prev: request.meta.prev.clone(),
+            prev: request.meta.previous_turn.clone(),
             input,
             server: answer.claim.to.server.clone(),
             tokens: request.meta.prompt_tokens,
@@ -84,7 +84,7 @@
         let (mut head, body) = q.into_parts();
         let meta = self
             .caller
-            .request(&head.headers)
+            .parse_request(&head.headers)
             .map_err(|_| Rejection(Code::BadHead, "a field of the head is wrong", 0))?;
         let host =
             the_host(&head.headers).ok_or(Rejection(Code::BadHead, "one host is needed", 0))?;
@@ -191,7 +191,7 @@
 
     /// A configuration and a list are on hand.
     pub fn informed(&self) -> bool {
-        self.documents.config.load().0 > 0 && self.documents.list.load().0 > 0
+        self.documents.config.load().0 > 0 && self.documents.server_list.load().0 > 0
     }
 
     async fn news(&self) {
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body as _, Incoming};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::adapter::AnswerMeta;
+use yewcross_common::adapter::ResponseMeta;
 use yewcross_common::configuration::route::{Mode, Route};
 use yewcross_common::constants::*;
 use yewcross_common::protocol::ListedServer;
@@ -62,7 +62,7 @@
 pub(super) struct Answer {
     pub(super) head: response::Parts,
     pub(super) body: AnswerBody,
-    pub(super) meta: AnswerMeta,
+    pub(super) meta: ResponseMeta,
     pub(super) claim: Claim,
 }
 
@@ -92,7 +92,9 @@
             Err(failed) => return self.count_failure(failed, &claim),
         };
         let status = response.status();
-        let meta = self.back.answer(status.as_u16(), response.headers());
+        let meta = self
+            .back
+            .parse_response(status.as_u16(), response.headers());
         if !is_answer_to(request, &response, &meta, link.fresh) {
             self.counts.strangers.fetch_add(1, SeqCst);
             claim.failed();
@@ -100,7 +102,7 @@
         }
         claim.headed();
         meta.load.into_iter().for_each(|load| claim.told(load));
-        if meta.not_run || status == StatusCode::MISDIRECTED_REQUEST {
+        if meta.not_executed || status == StatusCode::MISDIRECTED_REQUEST {
             self.counts.not_run.fetch_add(1, SeqCst);
             match status {
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => claim.full(),
@@ -155,7 +157,7 @@
         request: &ClientRequest,
         response: Response<Incoming>,
         link: Link,
-        meta: &AnswerMeta,
+        meta: &ResponseMeta,
         claim: &Claim,
         is_streamed: bool,
     ) -> Option<(response::Parts, AnswerBody)> {
@@ -180,8 +182,8 @@
     }
 
     /// Reads the rest of an answer that is not passed on, so that its connection can be used again.
-    fn drain(self: &Arc<Self>, server: &str, body: Incoming, link: Link, meta: AnswerMeta) {
-        if meta.closes || !is_small(&body) {
+    fn drain(self: &Arc<Self>, server: &str, body: Incoming, link: Link, meta: ResponseMeta) {
+        if meta.closes_connection || !is_small(&body) {
             return;
         }
         let (relay, server) = (self.clone(), server.to_string());
@@ -192,8 +194,8 @@
         });
     }
 
-    pub(super) fn give_back(&self, server: &str, link: Link, meta: &AnswerMeta) {
-        if meta.closes {
+    pub(super) fn give_back(&self, server: &str, link: Link, meta: &ResponseMeta) {
+        if meta.closes_connection {
             return;
         }
         let fronts = self.fronts.load(SeqCst).max(1);
@@ -251,7 +253,15 @@
                 && newest.retained == route.retained
                 && newest.variants.iter().any(leads_there)
         });
-        is_routed && self.documents.list.load().1.servers.iter().any(|l| l == to)
+        is_routed
+            && self
+                .documents
+                .server_list
+                .load()
+                .1
+                .servers
+                .iter()
+                .any(|l| l == to)
     }
 
     /// The request as a server gets it.
@@ -269,7 +279,7 @@
             .and_then(|route| self.urgency(request, route, has_engine));
         let left_ms = request.until.saturating_sub(self.runtime.now()) / MS;
         self.back
-            .dress(upstream_request.headers_mut(), to, left_ms, urgency);
+            .add_headers(upstream_request.headers_mut(), to, left_ms, urgency);
         upstream_request
     }
 }
@@ -278,15 +288,15 @@
 fn is_answer_to(
     request: &ClientRequest,
     response: &Response<Incoming>,
-    meta: &AnswerMeta,
+    meta: &ResponseMeta,
     is_fresh_connection: bool,
 ) -> bool {
     let status = response.status();
     // On a connection of its own nothing late can arrive: there a "not run" needs no id.
     let is_ours = meta.attempt == request.meta.attempt
-        || (meta.attempt.is_empty() && meta.not_run && is_fresh_connection);
+        || (meta.attempt.is_empty() && meta.not_executed && is_fresh_connection);
     let is_coded_as_asked = coding_asked_for(&request.head.headers, response.headers());
-    let is_foreign = status.is_success() && (!meta.stamped || !is_coded_as_asked);
+    let is_foreign = status.is_success() && (!meta.from_server || !is_coded_as_asked);
     is_ours && !is_foreign && !status.is_informational()
 }
 
--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -181,7 +181,7 @@
     }
 
     fn pick(&self, need: &Need, tried: &[String]) -> Result<Claim, NoSeat> {
-        let list = self.documents.list.load();
+        let list = self.documents.server_list.load();
         let has_kept_connection = |server: &str| self.pool.has(server);
         self.balance.pick(
             &self.runtime,
@@ -201,11 +201,11 @@
     ) -> Need {
         let fronts = self.fronts.load(SeqCst).max(1) as u32;
         let meta = &request.meta;
-        let finish = request.began + meta.finish_ms.unwrap_or(route.timeout_ms) * MS;
+        let finish = request.began + meta.program_deadline_ms.unwrap_or(route.timeout_ms) * MS;
         Need {
             service: upstream.name.clone(),
             engine: upstream.engine.clone(),
-            parts: meta.parts.clone(),
+            parts: meta.prompt_segments.clone(),
             prompt: meta.prompt_tokens,
             output: meta.max_output_tokens,
             prev: previous.map(|turn| turn.server.clone()).unwrap_or_default(),
@@ -230,7 +230,7 @@
         has_engine: bool,
     ) -> Option<u8> {
         let is_in_hurry = |finish_ms: u64| finish_ms < 4 * route.target_ms.max(1);
-        let hurry = request.meta.finish_ms.is_some_and(is_in_hurry);
+        let hurry = request.meta.program_deadline_ms.is_some_and(is_in_hurry);
         has_engine.then(|| {
             (2 + 3 * route.rank.min(2))
                 .saturating_sub(hurry as u8)
--- a/yewcross-proxy/src/relay/turn.rs
+++ b/yewcross-proxy/src/relay/turn.rs
@@ -41,7 +41,7 @@
         turn: m.attempt.clone(),
         program: m.program.clone(),
         prev: if r.retained {
-            m.prev.clone()
+            m.previous_turn.clone()
         } else {
             String::new()
         },
@@ -71,9 +71,9 @@
 
 /// Where the caller names no parts of its prompt, the turns of its chain are the parts.
 pub(super) fn name_parts(m: &mut RequestMeta, chain: &[Arc<Turn>]) {
-    if m.parts.is_empty() {
+    if m.prompt_segments.is_empty() {
         let mut had = 0;
-        m.parts = chain
+        m.prompt_segments = chain
             .iter()
             .map(|t| {
                 (
@@ -83,7 +83,7 @@
                 )
             })
             .collect();
-        m.parts.push((
+        m.prompt_segments.push((
             rendezvous_weight(&m.attempt, "turn"),
             m.prompt_tokens.saturating_sub(had),
         ));
--- a/yewcross-proxy/src/relay/upstream_body.rs
+++ b/yewcross-proxy/src/relay/upstream_body.rs
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{Context, Poll};
-use yewcross_common::adapter::AnswerMeta;
+use yewcross_common::adapter::ResponseMeta;
 
 /// What comes next of a server's answer.
 pub(super) enum UpstreamPart {
@@ -42,7 +42,7 @@
     relay: Arc<Relay>,
     /// None once the answer is over or the server failed.
     connected: Option<Connected>,
-    meta: AnswerMeta,
+    meta: ResponseMeta,
     /// Reads the events of a stream, those of servers before this one included.
     scan: Option<Scan>,
     /// Of a stream that may be resumed only whole events are passed on.
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -72,7 +72,7 @@
     let slow = front.slow.lock().unwrap();
     front
         .documents
-        .list
+        .server_list
         .load()
         .1
         .servers
--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -55,7 +55,7 @@
 fn most_horizon_ms(front: &Front, program: &str) -> u64 {
     let configuration = front.documents.config.load();
     let program = configuration.1.families.get(program);
-    program.map_or(DEADLINE_MAX_MS, |program| program.eff.horizon_ms)
+    program.map_or(DEADLINE_MAX_MS, |program| program.settings.horizon_ms)
 }
 
 /// The events of a turn, until its end.
@@ -158,7 +158,7 @@
 }
 
 fn broken_line(rejection: &Rejection) -> Value {
-    let ran: &str = rejection.code.ran().into();
+    let ran: &str = rejection.code.execution().into();
     json!({
         "broken": true,
         "code": rejection.code.number(),
--- a/yewcross-proxy/src/turn/begin.rs
+++ b/yewcross-proxy/src/turn/begin.rs
@@ -51,7 +51,9 @@
             abort(front, &turn);
             Err(Rejection::new(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S))
         }
-        Some((PeerResponse::Rejected(code), _)) => Err(Rejection::new(code, "", code.back())),
+        Some((PeerResponse::Rejected(code), _)) => {
+            Err(Rejection::new(code, "", code.retry_after_s()))
+        }
         Some(_) => Err(Rejection::new(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S)),
     }
 }
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -64,7 +64,7 @@
     let Some(program) = configuration.1.families.get(&body.program) else {
         return Err(Rejection::new(Code::UnknownProgram, &body.program, 0));
     };
-    let class = program.eff.clone();
+    let class = program.settings.clone();
     if body.budget != class.budget {
         return Err(Rejection::new(Code::WrongBudget, &body.budget, 0));
     }
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -41,7 +41,7 @@
             drop_prefixes(&front, &service, &key, cache).await;
             reply(200, &json!({"code": Code::Done.number(), "ended": true}))
         }
-        Some((PeerResponse::Rejected(code), _)) => refuse(code, "", code.back()),
+        Some((PeerResponse::Rejected(code), _)) => refuse(code, "", code.retry_after_s()),
         _ => refuse(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S),
     }
 }
@@ -49,7 +49,7 @@
 fn service_of(front: &Front, program: &str) -> Option<String> {
     let configuration = front.documents.config.load();
     let program = configuration.1.families.get(program)?;
-    Some(program.eff.service.clone())
+    Some(program.settings.service.clone())
 }
 
 /// What this proxy knows of the session is forgotten, and its prefixes are dropped by the servers.
--- a/yewcross-state/src/records/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use yewcross_common::constants::{
-    REQUEST_IDS_PER_LINE, RETAINED_BARRED_ATTEMPTS, RETAINED_REQUEST_IDS, RETAINED_REQUEST_MARKS,
+    REQUEST_IDS_PER_LINE, RETAINED_BARRED_ATTEMPTS, RETAINED_REQUEST_DIGESTS, RETAINED_REQUEST_IDS,
 };
 use yewcross_common::error_code::Code;
 use yewcross_common::hash::rendezvous_weight;
@@ -147,7 +147,7 @@
             code,
             used,
         });
-        while self.head.marks.len() > RETAINED_REQUEST_MARKS {
+        while self.head.marks.len() > RETAINED_REQUEST_DIGESTS {
             if let Some(mark) = self.head.marks.pop_front() {
                 append_bare_id(&mut self.old, &bare_id(&mark.job));
             }
--- a/yewcross-state/tests/session_record.rs
+++ b/yewcross-state/tests/session_record.rs
@@ -1,7 +1,7 @@
 //! The record of a session survives being written and read, and forgets nothing that it must keep.
 
 use yewcross_common::configuration::Rule;
-use yewcross_common::constants::{RETAINED_REQUEST_IDS, RETAINED_REQUEST_MARKS};
+use yewcross_common::constants::{RETAINED_REQUEST_DIGESTS, RETAINED_REQUEST_IDS};
 use yewcross_common::error_code::Code;
 use yewcross_state::records::{Mark, Run, SessionRecord};
 
@@ -65,7 +65,7 @@
         max_out: 0,
         budget: None,
     };
-    (0..RETAINED_REQUEST_MARKS + 200).for_each(|i| {
+    (0..RETAINED_REQUEST_DIGESTS + 200).for_each(|i| {
         r.head.running = Some(run(i));
         r.close(Code::Done, 1);
     });
@@ -73,7 +73,7 @@
     let mut b = SessionRecord::read(&was);
     assert_eq!(
         (b.hist.as_slice(), b.head.marks.len(), b.old.len()),
-        (&b"one\ntwo\n"[..], RETAINED_REQUEST_MARKS, 200 * 16 + 4)
+        (&b"one\ntwo\n"[..], RETAINED_REQUEST_DIGESTS, 200 * 16 + 4)
     );
     assert!(
         (0..200).all(|i| b.ran_before(&format!("j{i}")))
--- a/yewcross-testkit/examples/relay_load.rs
+++ b/yewcross-testkit/examples/relay_load.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
-use yewcross_common::adapter::{AnswerMeta, Caller, RequestMeta, UpstreamProtocol};
+use yewcross_common::adapter::{CallerProtocol, RequestMeta, ResponseMeta, UpstreamProtocol};
 use yewcross_common::configuration::route::Limits;
 use yewcross_common::constants::*;
 use yewcross_common::documents::cache::DocumentCache;
@@ -26,8 +26,8 @@
     h.get(n).and_then(|v| v.to_str().ok()).unwrap_or_default()
 }
 
-impl Caller for Ports {
-    fn request(&self, h: &HeaderMap) -> Result<RequestMeta, String> {
+impl CallerProtocol for Ports {
+    fn parse_request(&self, h: &HeaderMap) -> Result<RequestMeta, String> {
         Ok(RequestMeta {
             attempt: text(h, "try").into(),
             prompt_tokens: 4_000,
@@ -35,7 +35,7 @@
             ..Default::default()
         })
     }
-    fn refuse(&self, c: Code, _: &str, _: u64) -> Response<Bytes> {
+    fn reject(&self, c: Code, _: &str, _: u64) -> Response<Bytes> {
         Response::builder()
             .status(c.http())
             .body(Bytes::new())
@@ -44,14 +44,14 @@
 }
 
 impl UpstreamProtocol for Ports {
-    fn dress(&self, h: &mut HeaderMap, _: &ListedServer, left: u64, _: Option<u8>) {
+    fn add_headers(&self, h: &mut HeaderMap, _: &ListedServer, left: u64, _: Option<u8>) {
         h.insert("patience", left.into());
     }
     fn resume_after(&self, _: &mut http::HeaderMap, _: &[u8]) {}
-    fn answer(&self, _: u16, h: &HeaderMap) -> AnswerMeta {
-        AnswerMeta {
+    fn parse_response(&self, _: u16, h: &HeaderMap) -> ResponseMeta {
+        ResponseMeta {
             attempt: text(h, "try").into(),
-            stamped: true,
+            from_server: true,
             load: Some((1, 0, 96)),
             idle_ms: Some(5_000),
             ..Default::default()
--- a/yewcross-testkit/src/proof/cluster/mod.rs
+++ b/yewcross-testkit/src/proof/cluster/mod.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
-use yewcross_common::constants::WIRE_OLDEST;
+use yewcross_common::constants::WIRE_VERSION_MIN;
 use yewcross_common::process_settings::{ProcessSettings, Role};
 use yewcross_common::runtime::Runtime;
 use yewcross_control::Control;
@@ -157,7 +157,7 @@
             nodes.find(|settings| settings.name == node).cloned()
         })?;
         if self.outdated.lock().unwrap().contains(node) {
-            settings.wire = WIRE_OLDEST;
+            settings.wire = WIRE_VERSION_MIN;
         }
         Some(settings)
     }
--- a/yewcross-testkit/src/routed/ports.rs
+++ b/yewcross-testkit/src/routed/ports.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, Response};
 use serde::{Deserialize, Serialize};
 use yewcross_common::adapter::{
-    AnswerMeta, Caller, RequestMeta, ServerCatalogue, UpstreamProtocol,
+    CallerProtocol, RequestMeta, ResponseMeta, ServerCatalogue, UpstreamProtocol,
 };
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ListedServer;
@@ -25,8 +25,8 @@
         .collect()
 }
 
-impl Caller for Ports {
-    fn request(&self, h: &HeaderMap) -> Result<RequestMeta, String> {
+impl CallerProtocol for Ports {
+    fn parse_request(&self, h: &HeaderMap) -> Result<RequestMeta, String> {
         let num = |n: &str| text(h, n).parse().ok();
         let attempt = text(h, "try").to_string();
         if attempt.is_empty() {
@@ -40,13 +40,13 @@
             budget: num("budget"),
             prompt_tokens: num("tokens").unwrap_or(0),
             max_output_tokens: num("most").unwrap_or(0),
-            parts: parts(text(h, "parts")).ok_or("parts")?,
-            prev: text(h, "after").into(),
+            prompt_segments: parts(text(h, "parts")).ok_or("parts")?,
+            previous_turn: text(h, "after").into(),
             affinity: text(h, "affinity").into(),
             ..Default::default()
         })
     }
-    fn refuse(&self, c: Code, why: &str, back: u64) -> Response<Bytes> {
+    fn reject(&self, c: Code, why: &str, back: u64) -> Response<Bytes> {
         let r = Response::builder()
             .status(c.http())
             .header("back-ms", back)
@@ -56,7 +56,7 @@
 }
 
 impl UpstreamProtocol for Ports {
-    fn dress(&self, h: &mut HeaderMap, to: &ListedServer, left: u64, urgency: Option<u8>) {
+    fn add_headers(&self, h: &mut HeaderMap, to: &ListedServer, left: u64, urgency: Option<u8>) {
         to.server.parse().into_iter().for_each(|v| {
             h.insert("for", v);
         });
@@ -72,18 +72,18 @@
                 h.insert("resume-after", v);
             });
     }
-    fn answer(&self, status: u16, h: &HeaderMap) -> AnswerMeta {
+    fn parse_response(&self, status: u16, h: &HeaderMap) -> ResponseMeta {
         let load: Vec<u32> = text(h, "load")
             .split(',')
             .filter_map(|x| x.parse().ok())
             .collect();
-        AnswerMeta {
+        ResponseMeta {
             attempt: text(h, "try").into(),
-            stamped: h.contains_key("stamp"),
-            not_run: h.contains_key("unrun") || status == 421,
+            from_server: h.contains_key("stamp"),
+            not_executed: h.contains_key("unrun") || status == 421,
             load: (load.len() == 3).then(|| (load[0], load[1], load[2])),
             idle_ms: text(h, "idle-ms").parse().ok(),
-            closes: text(h, "connection") == "close",
+            closes_connection: text(h, "connection") == "close",
             weights: String::new(),
         }
     }
@@ -96,10 +96,10 @@
 }
 
 impl ServerCatalogue for Ports {
-    fn target(&self, page: Option<&str>) -> String {
+    fn page_target(&self, page: Option<&str>) -> String {
         page.map_or("/roster".into(), |p| format!("/roster?page={p}"))
     }
-    fn read(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String> {
+    fn parse_page(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String> {
         let p: Page = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         Ok((p.servers, p.next))
     }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -334,7 +334,7 @@
             let got = self.op.timeout(5 * SEC, c.put(base, text.clone())).await;
             self.sim.note(&format!("put {n} on {base}: {got:?}"));
             let got = match got {
-                Some(PutAnswer::NotFounded) => {
+                Some(PutAnswer::NotBootstrapped) => {
                     let to = c.settings.http;
                     let h = [("if-match", format!("\"{}\"", base.max(1)))];
                     let r = yewcross_common::buffered_http::fetch(
@@ -370,7 +370,7 @@
                 }
                 Some(PutAnswer::Conflict(k)) if n == 0 => base = k,
                 Some(PutAnswer::Conflict(_)) => return,
-                Some(PutAnswer::Bad(b)) => {
+                Some(PutAnswer::Invalid(b)) => {
                     return self
                         .wrong
                         .lock()
--- a/yewcross-testkit/src/stub_server/kv_cache.rs
+++ b/yewcross-testkit/src/stub_server/kv_cache.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use yewcross_common::buffered_http::{fetch, reply};
-use yewcross_common::constants::{KV_IMPORT_PER_K, KV_PUSH_TIMEOUT, KV_TOKEN_BYTES, SEC};
+use yewcross_common::constants::{
+    KV_IMPORT_US_PER_1000_TOKENS, KV_PUSH_TIMEOUT, KV_TOKEN_BYTES, SEC,
+};
 use yewcross_common::hash::digest;
 
 /// Bytes that a save writes in one us.
@@ -248,7 +250,7 @@
         let Some(prefix) = replica else {
             return reply(200, &json!({"ok": false}));
         };
-        let duration = prefix.tokens * KV_IMPORT_PER_K / 1000 * self.import_slowdown();
+        let duration = prefix.tokens * KV_IMPORT_US_PER_1000_TOKENS / 1000 * self.import_slowdown();
         self.runtime.sleep(duration).await;
         if self.take_fault(|faults| &mut faults.failed_imports) {
             return reply(200, &json!({"ok": false}));
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -29,7 +29,7 @@
             Some(_) => Configuration::read(b"{}"),
             None => Err(vec![InvalidSetting {
                 path: "number".into(),
-                why: "none".into(),
+                reason: "none".into(),
             }]),
         }
     }
@@ -63,7 +63,7 @@
                 Some(PeerRequest::PublishDocument {
                     name,
                     version: seq,
-                    epoch,
+                    ballot: epoch,
                     ..
                 }) => {
                     self.book.apply(&name, seq, epoch, p.payload);
@@ -74,7 +74,7 @@
                 Some(PeerRequest::PublishDelta {
                     name,
                     version: seq,
-                    epoch,
+                    ballot: epoch,
                     base,
                     base_digest,
                     ..
@@ -246,7 +246,7 @@
             if st.role == Role::Front {
                 let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
                 let members = Membership::new(&w, &st, &peers, "");
-                let book = DocumentCache::of(&w, Arc::new(Numbered));
+                let book = DocumentCache::with_format(&w, Arc::new(Numbered));
                 let follow = DocumentWatcher::without_leases(
                     &members,
                     &book,
--- a/yewcross-testkit/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -120,7 +120,7 @@
                             Box::pin(async move { c.retire_begin("store1").await })
                         })
                         .await;
-                    assert_eq!(retired, Some(RetireBegin::Away));
+                    assert_eq!(retired, Some(RetireOutcome::Unavailable));
                     let c = t.at(&victim).unwrap();
                     assert!(!c.has_quorum_contact());
                     assert_eq!(
--- a/yewcross-testkit/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -118,10 +118,13 @@
             };
             assert_eq!(put("core2", 0, "5 a").await, PutAnswer::InForce(5));
             assert_eq!(put("core2", 0, "6 b").await, PutAnswer::Conflict(5));
-            assert!(matches!(put("core3", 5, "5 b").await, PutAnswer::Bad(_)));
+            assert!(matches!(
+                put("core3", 5, "5 b").await,
+                PutAnswer::Invalid(_)
+            ));
             assert!(matches!(
                 put("core3", 5, "no number").await,
-                PutAnswer::Bad(_)
+                PutAnswer::Invalid(_)
             ));
             assert_eq!(put("core3", 5, "9 b").await, PutAnswer::InForce(9));
             assert_eq!(put("core1", 9, "10 c").await, PutAnswer::InForce(10));
@@ -229,7 +232,7 @@
                                 Some(
                                     PutAnswer::InForce(_)
                                         | PutAnswer::Conflict(_)
-                                        | PutAnswer::Bad(_)
+                                        | PutAnswer::Invalid(_)
                                 )
                             ) {
                                 break;
@@ -302,7 +305,7 @@
             assert!(last[0].0 >= most, "{last:?} {most}");
             let refused: BTreeSet<&String> = told
                 .iter()
-                .filter(|x| matches!(x.2, PutAnswer::Conflict(_) | PutAnswer::Bad(_)))
+                .filter(|x| matches!(x.2, PutAnswer::Conflict(_) | PutAnswer::Invalid(_)))
                 .map(|x| &x.0)
                 .collect();
             assert!(refused.iter().all(|r| !acks.contains_key(*r)), "both told");
@@ -478,12 +481,12 @@
                         .unwrap()
                 }
             };
-            assert_eq!(begin("core1", "store77").await, RetireBegin::Unknown);
-            assert_eq!(begin("core1", "core2").await, RetireBegin::Unknown);
+            assert_eq!(begin("core1", "store77").await, RetireOutcome::Unknown);
+            assert_eq!(begin("core1", "core2").await, RetireOutcome::Unknown);
             assert_eq!(state("core1", "store2").await, RetireState::Unknown);
-            assert_eq!(begin("core2", "store2").await, RetireBegin::Begun);
-            assert_eq!(begin("core3", "store2").await, RetireBegin::Begun);
-            assert_eq!(begin("core4", "store1").await, RetireBegin::TooFew);
+            assert_eq!(begin("core2", "store2").await, RetireOutcome::Begun);
+            assert_eq!(begin("core3", "store2").await, RetireOutcome::Begun);
+            assert_eq!(begin("core4", "store1").await, RetireOutcome::TooFew);
             let t0 = t.op.now();
             while state("core3", "store2").await != RetireState::Finished {
                 t.op.sleep(20 * MS).await;
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -194,7 +194,7 @@
             Box::pin(async move {
                 let c = lab.control("store1").unwrap();
                 let (key, mut done) = ("session/p/s", 0);
-                for i in 0..RETAINED_REQUEST_MARKS as u64 + 3 {
+                for i in 0..RETAINED_REQUEST_DIGESTS as u64 + 3 {
                     let PeerResponse::TurnBegun(g) = ask(
                         &c,
                         PeerRequest::BeginTurn(begin(key, &format!("j{i}"), i, None)),
@@ -228,7 +228,7 @@
             })
         },
     );
-    assert_eq!(done, RETAINED_REQUEST_MARKS as u64 + 3);
+    assert_eq!(done, RETAINED_REQUEST_DIGESTS as u64 + 3);
     assert!(
         matches!(old, PeerResponse::Rejected(Code::Forgotten)),
         "{old:?}"
--- a/yewcross-testkit/tests/documents.rs
+++ b/yewcross-testkit/tests/documents.rs
@@ -124,7 +124,7 @@
 }
 
 fn leaving(book: &DocumentCache) -> Vec<String> {
-    let list = book.list.load();
+    let list = book.server_list.load();
     list.1
         .servers
         .iter()
--- a/yewcross-testkit/tests/doors.rs
+++ b/yewcross-testkit/tests/doors.rs
@@ -215,7 +215,7 @@
         };
         if let Ok(t) = Configuration::read(conf(key, v).as_bytes()) {
             let mut h = b"one\ntwo\nthree\n".to_vec();
-            t.families["a"].eff.history.trim(&mut h);
+            t.families["a"].settings.history.trim(&mut h);
             assert!(h.ends_with(b"three\n"));
         }
         let any: Vec<u8> = u.arbitrary()?;
--- a/yewcross-testkit/tests/duty.rs
+++ b/yewcross-testkit/tests/duty.rs
@@ -65,7 +65,7 @@
         let mut longest = self.longest_gap.lock().unwrap();
         *longest = gap.max(*longest);
         for c in t.control.lock().unwrap().values() {
-            let (layout, list) = (c.documents.layout.load(), c.documents.list.load());
+            let (layout, list) = (c.documents.layout.load(), c.documents.server_list.load());
             for (written, (version, term)) in terms
                 .iter_mut()
                 .zip([(layout.0, layout.1.term), (list.0, list.1.term)])
@@ -102,7 +102,7 @@
     while t.op.now() < t0 + us {
         let knows = |b: &Arc<Bare>| {
             b.book
-                .list
+                .server_list
                 .load()
                 .1
                 .servers
@@ -269,7 +269,15 @@
                     t.op.sleep(2 * SEC).await;
                     assert_ne!(t.at(&holder).unwrap().acting_term(), Some(term));
                     for name in t.names(Role::Front) {
-                        let held = t.front(&name).unwrap().book.list.load().1.servers.clone();
+                        let held = t
+                            .front(&name)
+                            .unwrap()
+                            .book
+                            .server_list
+                            .load()
+                            .1
+                            .servers
+                            .clone();
                         assert_eq!(held, platform.list(), "{name}\n{}", tell(&t));
                     }
                 }
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -128,8 +128,8 @@
         let answer = got.and_then(|a| match a {
             PutAnswer::InForce(number) => Some(ConfigAnswer::Taken { number }),
             PutAnswer::Conflict(current) => Some(ConfigAnswer::Conflict { current }),
-            PutAnswer::Bad(_) => Some(ConfigAnswer::Invalid),
-            PutAnswer::NotFounded
+            PutAnswer::Invalid(_) => Some(ConfigAnswer::Invalid),
+            PutAnswer::NotBootstrapped
             | PutAnswer::NoMajority
             | PutAnswer::Busy
             | PutAnswer::Forgotten => Some(ConfigAnswer::NotDone),
@@ -174,7 +174,7 @@
                                     PutAnswer::InForce(order.number),
                                 )
                             } else if base_fits {
-                                Step::Keep(PutAnswer::Bad(vec![]))
+                                Step::Keep(PutAnswer::Invalid(vec![]))
                             } else {
                                 Step::Keep(PutAnswer::Conflict(document.number))
                             }
@@ -526,10 +526,10 @@
                 })
                 .await?;
             match got {
-                RetireBegin::Begun => Some(RetireAnswer::Begun),
-                RetireBegin::TooFew => Some(RetireAnswer::TooFew),
-                RetireBegin::Unknown => Some(RetireAnswer::Unknown),
-                RetireBegin::Away => None,
+                RetireOutcome::Begun => Some(RetireAnswer::Begun),
+                RetireOutcome::TooFew => Some(RetireAnswer::TooFew),
+                RetireOutcome::Unknown => Some(RetireAnswer::Unknown),
+                RetireOutcome::Unavailable => None,
             }
         }
         RetireCall::Read => {
--- a/yewcross-testkit/tests/kv_share.rs
+++ b/yewcross-testkit/tests/kv_share.rs
@@ -130,7 +130,7 @@
         );
         assert_eq!((spare, &s.heard), (vec![s.server.clone()], &Heard::Done));
         assert!(
-            100 * s.reused >= KV_WARM * s.prompt && s.took < 300 * MS,
+            100 * s.reused >= KV_WARM_PERCENT * s.prompt && s.took < 300 * MS,
             "{s:?}"
         );
     }
--- a/yewcross-testkit/tests/links.rs
+++ b/yewcross-testkit/tests/links.rs
@@ -32,7 +32,7 @@
 
 fn answer(id: u64, text: &str) -> Vec<u8> {
     pack(
-        WIRE_OLDEST,
+        WIRE_VERSION_MIN,
         id,
         true,
         "asked",
@@ -117,7 +117,7 @@
     }));
     let w2 = w.clone();
     let said = play(&sim, &w, async move {
-        let p = PeerClient::new(&w2, "asker", "z", WIRE_OLDEST);
+        let p = PeerClient::new(&w2, "asker", "z", WIRE_VERSION_MIN);
         let mut v = vec![];
         for i in 1..=7 {
             v.push(ask(&p, &format!("question {i}"), 300 * MS).await);
@@ -168,7 +168,7 @@
         name,
         asked: AtomicUsize::new(0),
     });
-    PeerClient::new(&runtime, name, "z", WIRE_OLDEST)
+    PeerClient::new(&runtime, name, "z", WIRE_VERSION_MIN)
         .serve(door, slow)
         .await;
 }
@@ -188,7 +188,7 @@
         sim.run(10 * MS, || false);
         let w2 = w.clone();
         w.spawn(async move {
-            let p = PeerClient::new(&w2, "asker", "z", WIRE_OLDEST);
+            let p = PeerClient::new(&w2, "asker", "z", WIRE_VERSION_MIN);
             let _ = ask(&p, "the old question", 2 * SEC).await;
         });
         sim.run(200 * MS, || false);
@@ -197,7 +197,7 @@
         let w = sim.boot(a);
         let w2 = w.clone();
         let said = play(&sim, &w, async move {
-            let p = PeerClient::new(&w2, "asker", "z", WIRE_OLDEST);
+            let p = PeerClient::new(&w2, "asker", "z", WIRE_VERSION_MIN);
             ask(&p, "the new question", 2 * SEC).await
         });
         assert_eq!(
@@ -220,7 +220,7 @@
         let (w, wb) = (sim.boot(a), sim.boot(b));
         wb.spawn(listen(wb.clone(), "first"));
         sim.run(10 * MS, || false);
-        let p = PeerClient::new(&w, "asker", "z", WIRE_OLDEST);
+        let p = PeerClient::new(&w, "asker", "z", WIRE_VERSION_MIN);
         let said: Arc<Mutex<Vec<Said>>> = Default::default();
         let (p2, s2) = (p.clone(), said.clone());
         w.spawn(async move {
--- a/yewcross-testkit/tests/models/lease.rs
+++ b/yewcross-testkit/tests/models/lease.rs
@@ -146,7 +146,7 @@
             candidate: Candidate {
                 disk: GRANTERS[number as usize].into(),
                 process: number,
-                life: 1,
+                incarnation: 1,
             },
             requests: self.requests[number as usize],
             renewals: self.renewals,
@@ -241,10 +241,10 @@
                 let life = if is_any {
                     u64::MAX
                 } else {
-                    sent.candidate.life
+                    sent.candidate.incarnation
                 };
                 next.granters[granter].meet(&Candidate {
-                    life,
+                    incarnation: life,
                     ..sent.candidate.clone()
                 });
                 let verdict =
@@ -270,7 +270,7 @@
                 next.restarts -= 1;
                 next.processes[index].holder = Holder::new(TIMES);
                 next.processes[index].candidate.process += 2;
-                next.processes[index].candidate.life += 1;
+                next.processes[index].candidate.incarnation += 1;
             }
         }
         Some(next)
--- a/yewcross-testkit/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -225,7 +225,7 @@
                 let knows = |front: &Arc<Bare>| {
                     front
                         .book
-                        .list
+                        .server_list
                         .load()
                         .1
                         .servers
--- a/yewcross-testkit/tests/orders.rs
+++ b/yewcross-testkit/tests/orders.rs
@@ -59,7 +59,7 @@
 
 /// The orders `5 a` on 0, `9 b` on 5 and `12 c` on 9 have been taken, and nothing else.
 async fn check_taken_orders(tier: &Arc<Tier>, when: &str) {
-    let is_invalid = |answer: &Option<PutAnswer>| matches!(answer, Some(PutAnswer::Bad(_)));
+    let is_invalid = |answer: &Option<PutAnswer>| matches!(answer, Some(PutAnswer::Invalid(_)));
     for (base, text, number) in [(0, "5 a", 5), (5, "9 b", 9), (9, "12 c", 12)] {
         let again = put_everywhere(tier, base, text).await;
         let expected = Some(PutAnswer::InForce(number));
@@ -134,7 +134,7 @@
                 assert!(
                     on_newest
                         .iter()
-                        .all(|answer| matches!(answer, Some(PutAnswer::Bad(_)))),
+                        .all(|answer| matches!(answer, Some(PutAnswer::Invalid(_)))),
                     "{text}: {on_newest:?}"
                 );
                 let again = put_everywhere(&tier, number - 1, &text).await;
@@ -223,7 +223,7 @@
                 assert!(store.documents.apply(
                     "layout",
                     layout.version + 10 * nth,
-                    layout.epoch,
+                    layout.ballot,
                     layout.content.to_vec()
                 ));
                 tier.op.sleep(50 * MS).await;
--- a/yewcross-testkit/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -440,7 +440,7 @@
 fn a_frame_too_new_is_refused_and_counted() {
     use std::sync::Arc;
     use std::sync::atomic::Ordering::SeqCst;
-    use yewcross_common::constants::{SEC, WIRE_OLDEST, WIRE_VERSION};
+    use yewcross_common::constants::{SEC, WIRE_VERSION, WIRE_VERSION_MIN};
     use yewcross_common::protocol::{PeerRequest, PeerResponse};
     use yewcross_common::runtime::BoxFuture;
     use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler};
@@ -463,7 +463,7 @@
     );
     let (pa, pb) = (
         PeerClient::new(&a, "a", "z1", WIRE_VERSION),
-        PeerClient::new(&b, "b", "z2", WIRE_OLDEST),
+        PeerClient::new(&b, "b", "z2", WIRE_VERSION_MIN),
     );
     let got = Arc::new(std::sync::Mutex::new(vec![]));
     let (g, pa2, pb2, b2) = (got.clone(), pa.clone(), pb.clone(), b.clone());
@@ -473,7 +473,7 @@
     });
     a.clone().spawn(async move {
         a.sleep(SEC).await;
-        for wire in [WIRE_OLDEST, WIRE_VERSION] {
+        for wire in [WIRE_VERSION_MIN, WIRE_VERSION] {
             pa2.record_peer(at(2), "z2", wire);
             let r = pa2.request(at(2), &PeerRequest::Bootstrap, &[], SEC).await;
             g.lock().unwrap().push(r.is_ok());
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -10,7 +10,7 @@
 use yewcross_common::protocol::{Layout, ReplicaGroup};
 use yewcross_common::turn_log::Turn;
 use yewcross_common::turn_log::{LedgerEntry, LedgerRecord, StoredTurn, TurnLogResponse};
-use yewcross_control::api::{ReadAnswer, RetireBegin, RetireState};
+use yewcross_control::api::{ReadAnswer, RetireOutcome, RetireState};
 use yewcross_control::layout::planning::{self, ClusterView, ReplicaReport};
 use yewcross_testkit::routed::tier::Plan;
 use yewcross_testkit::sim::MachineCosts;
@@ -389,7 +389,7 @@
                         Box::pin(async move { c.retire_begin("store2").await })
                     })
                     .await;
-                assert_eq!(begun, Some(RetireBegin::Begun));
+                assert_eq!(begun, Some(RetireOutcome::Begun));
                 let t0 = t.op.now();
                 while t
                     .on("core2", |c| {
--- a/yewcross-testkit/tests/second_loss.rs
+++ b/yewcross-testkit/tests/second_loss.rs
@@ -62,7 +62,7 @@
             Box::pin(async move { c.retire_begin("store2").await })
         })
         .await;
-    assert_eq!(begun, Some(RetireBegin::Begun));
+    assert_eq!(begun, Some(RetireOutcome::Begun));
     tier.op.sleep(wipe_after).await;
     tier.kill("store3", true);
     tier.sim.wipe(tier.sim.find("store3"));
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -242,7 +242,7 @@
     let orders: Vec<String> = document
         .orders
         .iter()
-        .map(|o| format!("{} {} {}", o.number, o.digest, o.taken_ms))
+        .map(|o| format!("{} {} {}", o.number, o.digest, o.accepted_ms))
         .collect();
     let head = format!(
         "number {} text {} put {} note {}",
@@ -250,7 +250,7 @@
     );
     format!(
         "{head} past {:?} forgotten {} orders {orders:?}",
-        document.past, document.forgotten
+        document.superseded, document.highest_dropped
     )
 }
 
@@ -810,7 +810,7 @@
         granters += (is_granted
             && grant
                 .holder
-                .is_some_and(|c| c.disk == holder && c.life > 0 && c.process > 0))
+                .is_some_and(|c| c.disk == holder && c.incarnation > 0 && c.process > 0))
             as usize;
     }
     assert!(granters >= 3, "{granters} of 4 remember the grant");
@@ -831,15 +831,16 @@
             let candidate = Candidate {
                 disk: "other".into(),
                 process: 1,
-                life: 1,
+                incarnation: 1,
             };
-            let seats = yewcross_control::lease::voters_digest(&core.documents.layout.load().1);
-            let call = LeaseOperation::Request { term };
+            let replicas_digest =
+                yewcross_control::lease::voters_digest(&core.documents.layout.load().1);
+            let operation = LeaseOperation::Request { term };
             let ask = LeaseRequest {
                 granter: core.storage.disk_id.clone(),
                 candidate,
-                seats,
-                call,
+                replicas_digest,
+                operation,
                 wants_holder: false,
             };
             let (PeerResponse::Lease(lease), _) =
@@ -1050,11 +1051,11 @@
     }
 }
 
-fn taken_order() -> TakenOrder {
-    TakenOrder {
+fn taken_order() -> AcceptedOrder {
+    AcceptedOrder {
         number: 21,
         digest: "mark".into(),
-        taken_ms: 22,
+        accepted_ms: 22,
     }
 }
 
@@ -1063,12 +1064,12 @@
         text: "31 text".into(),
         put_id: "attempt".into(),
         note: "why".into(),
-        past: vec![(32, "earlier".into(), "30 text".into())],
+        superseded: vec![(32, "earlier".into(), "30 text".into())],
         number: 31,
-        forgotten: 33,
+        highest_dropped: 33,
         orders: vec![
             taken_order(),
-            TakenOrder {
+            AcceptedOrder {
                 number: 20,
                 ..taken_order()
             },
@@ -1088,7 +1089,7 @@
     Candidate {
         disk: "d1".into(),
         process: 51,
-        life: 52,
+        incarnation: 52,
     }
 }
 
@@ -1399,7 +1400,7 @@
             ("orders", json!([])),
         ],
     );
-    check_fields::<TakenOrder>(&taken_order(), &[]);
+    check_fields::<AcceptedOrder>(&taken_order(), &[]);
     check_fields::<ServerList>(&list(), &[("term", json!(0))]);
     check_fields::<ListedServer>(&listed()[1], &[("leaving", json!(false))]);
 }
@@ -1483,7 +1484,7 @@
         .find(|family| family.path.ends_with('b'))
         .unwrap();
     assert_eq!(
-        (family.eff.max_output, family.eff.history),
+        (family.settings.max_output, family.settings.history),
         (7, Rule::Turns(3))
     );
     assert_eq!(
--- a/yewcross-testkit/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -84,7 +84,7 @@
                         lab.control("store3").unwrap().peers.record_peer(
                             node.peer,
                             &node.site,
-                            WIRE_OLDEST,
+                            WIRE_VERSION_MIN,
                         );
                     }
                     if let Ok((_, _, value)) = stale.read(KEY, 20 * MS).await
--- a/yewcross-testkit/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -486,7 +486,7 @@
 const FRAME_ID: u64 = 0x0102_0304_0506_0708;
 
 fn versions() -> std::ops::RangeInclusive<u16> {
-    WIRE_OLDEST..=WIRE_VERSION
+    WIRE_VERSION_MIN..=WIRE_VERSION
 }
 
 fn question_frame(version: u16) -> Vec<u8> {
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -9,7 +9,7 @@
 use yewcross_common::membership::{MemberState, Node};
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::lease::*;
-use yewcross_common::protocol::operator_orders::{PutAnswer, RetireBegin};
+use yewcross_common::protocol::operator_orders::{PutAnswer, RetireOutcome};
 use yewcross_common::protocol::*;
 use yewcross_common::register::{Ballot, RegisterReply, RegisterRequest};
 use yewcross_common::turn_log::Turn;
@@ -152,7 +152,7 @@
 
 pub fn lease_calls() -> Vec<LeaseOperation> {
     vec![
-        LeaseOperation::Look,
+        LeaseOperation::Check,
         LeaseOperation::Request { term: 21 },
         LeaseOperation::Renew {
             term: 21,
@@ -166,7 +166,7 @@
 pub fn refusals() -> Vec<LeaseDenial> {
     vec![
         LeaseDenial::OtherDisk,
-        LeaseDenial::OtherSeats,
+        LeaseDenial::OtherReplicas,
         LeaseDenial::OldTerm,
         LeaseDenial::NotFree,
         LeaseDenial::Unconfirmed,
@@ -188,7 +188,7 @@
     Candidate {
         disk: text("candidate disk"),
         process: 31,
-        life: 32,
+        incarnation: 32,
     }
 }
 
@@ -196,8 +196,8 @@
     LeaseRequest {
         granter: text("granter disk"),
         candidate: candidate(),
-        seats: 33,
-        call,
+        replicas_digest: 33,
+        operation: call,
         wants_holder: true,
     }
 }
@@ -217,11 +217,11 @@
     vec![
         PutAnswer::InForce(41),
         PutAnswer::Conflict(42),
-        PutAnswer::Bad(vec![InvalidSetting {
+        PutAnswer::Invalid(vec![InvalidSetting {
             path: text("bad path"),
-            why: text("bad why"),
+            reason: text("bad why"),
         }]),
-        PutAnswer::NotFounded,
+        PutAnswer::NotBootstrapped,
         PutAnswer::NoMajority,
         PutAnswer::Busy,
         PutAnswer::Undecided,
@@ -229,12 +229,12 @@
     ]
 }
 
-pub fn retire_answers() -> Vec<RetireBegin> {
+pub fn retire_answers() -> Vec<RetireOutcome> {
     vec![
-        RetireBegin::Begun,
-        RetireBegin::Unknown,
-        RetireBegin::TooFew,
-        RetireBegin::Away,
+        RetireOutcome::Begun,
+        RetireOutcome::Unknown,
+        RetireOutcome::TooFew,
+        RetireOutcome::Unavailable,
     ]
 }
 
@@ -312,13 +312,13 @@
         PeerRequest::PublishDocument {
             name: text("document"),
             version: 107,
-            epoch,
+            ballot: epoch,
             relays: texts("relay"),
         },
         PeerRequest::PublishDelta {
             name: text("document"),
             version: 107,
-            epoch,
+            ballot: epoch,
             base: 108,
             base_digest: text("base digest"),
             relays: texts("relay"),
@@ -427,7 +427,7 @@
         },
         PeerResponse::Document {
             version: 204,
-            epoch: ballot(),
+            ballot: ballot(),
         },
         PeerResponse::DocumentApplied { version: 205 },
         PeerResponse::ServingLeases {
@@ -453,7 +453,7 @@
         PeerResponse::SweepProgress {
             done: true,
             left: 214,
-            kept: 215,
+            newest_layout: 215,
             disk: text("swept disk"),
         },
         PeerResponse::TurnLog,
@@ -517,18 +517,18 @@
 }
 
 pub fn configuration() -> ConfigDoc {
-    let order = |number: u64| TakenOrder {
+    let order = |number: u64| AcceptedOrder {
         number,
         digest: format!("digest {number}"),
-        taken_ms: number + 100,
+        accepted_ms: number + 100,
     };
     ConfigDoc {
         text: text("configuration text"),
         put_id: text("put id"),
         note: text("note"),
-        past: vec![(321, text("past put"), text("past text"))],
+        superseded: vec![(321, text("past put"), text("past text"))],
         number: 322,
-        forgotten: 323,
+        highest_dropped: 323,
         orders: vec![order(324), order(325)],
     }
 }
