--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -76,7 +76,7 @@
     let slow = front.slow.lock().unwrap();
     front
         .documents
-        .list
+        .server_list
         .load()
         .1
         .servers
