--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -19,7 +19,7 @@
 use yewcross_common::register::ReplicaSet;
 use yewcross_common::runtime::Runtime;
 use yewcross_control::layout::{Move, propose};
-use yewcross_proxy::judge::{self, Home, Weights};
+use yewcross_proxy::scoring::{self, HomeServer, ScoreWeights};
 use yewcross_proxy::server_table::{Server, home_of};
 
 /// Why the tier's state could not be read.
@@ -260,12 +260,14 @@
 ) -> Option<String> {
     let home = kv.home.as_ref()?;
     let at = servers.iter().find(|s| s.at.server == home.server)?;
-    let h = Home {
+    let h = HomeServer {
         server: home.server.clone(),
         site: at.at.site.clone(),
     };
-    (home.tokens >= fam.kv_min_tokens && fam.kv_share)
-        .then(|| judge::spill(servers, key, &h, &Weights::from(fam)).map(|s| s.at.server.clone()))?
+    (home.tokens >= fam.kv_min_tokens && fam.kv_share).then(|| {
+        scoring::spill_target(servers, key, &h, &ScoreWeights::from(fam))
+            .map(|s| s.at.server.clone())
+    })?
 }
 
 fn allowed(t: &Configuration, servers: &BTreeMap<String, Vec<Server>>, svc: &str) -> Vec<Server> {
--- a/yewcross-proxy/src/admission.rs
+++ b/yewcross-proxy/src/admission.rs
@@ -31,9 +31,9 @@
     /// When its answer is due.
     pub deadline: u64,
     /// When it must be told, if it is not to be served.
-    pub patience: u64,
+    pub queueing_deadline: u64,
     /// us. The least time a server needs for it.
-    pub needs: u64,
+    pub min_service_us: u64,
     /// How many requests may wait, whatever their class.
     pub capacity: u64,
     /// Percent of the capacity that only urgent requests may use.
@@ -46,12 +46,12 @@
     /// Slots without a request.
     pub free: u32,
     /// All slots.
-    pub all: u32,
+    pub total: u32,
 }
 
 /// Why a request is not admitted, and after how many seconds it may come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// The reason, as callers are told.
     pub code: Code,
     /// Seconds until a repetition makes sense.
@@ -77,7 +77,7 @@
     /// us that a request at this position must expect to wait.
     fn expected_wait(&self, position: Position, slots: Slots) -> u64 {
         let ahead = self.waiting.range(..position).count() as u64 + 1;
-        let by_slots = self.service_time / slots.all.max(1) as u64;
+        let by_slots = self.service_time / slots.total.max(1) as u64;
         let each = if self.intervals_seen < PACE_MIN_SAMPLES {
             by_slots
         } else {
@@ -99,9 +99,9 @@
         slots: Slots,
         now: u64,
         wake: async_channel::Sender<()>,
-    ) -> Result<Position, Refused> {
-        if slots.all == 0 {
-            return Err(Refused {
+    ) -> Result<Position, Refusal> {
+        if slots.total == 0 {
+            return Err(Refusal {
                 code: Code::NoServer,
                 retry_after: DEFAULT_RETRY_AFTER_S,
             });
@@ -112,7 +112,7 @@
         );
         let wait = self.expected_wait(position, slots);
         if self.waiting.len() as u64 >= request.room() {
-            return Err(Refused {
+            return Err(Refusal {
                 code: Code::LineFull,
                 retry_after: seconds(wait),
             });
@@ -151,11 +151,11 @@
         }
     }
 
-    fn check_in_time(&self, now: u64, wait: u64) -> Result<(), Refused> {
-        let too_late = now + wait + self.needs > self.deadline;
-        let too_patient = now + wait > self.patience;
+    fn check_in_time(&self, now: u64, wait: u64) -> Result<(), Refusal> {
+        let too_late = now + wait + self.min_service_us > self.deadline;
+        let too_patient = now + wait > self.queueing_deadline;
         if too_late || too_patient {
-            return Err(Refused {
+            return Err(Refusal {
                 code: Code::TooLate,
                 retry_after: seconds(wait),
             });
@@ -165,7 +165,8 @@
 
     /// The last moment at which it may still be admitted.
     fn give_up_at(&self) -> u64 {
-        self.patience.min(self.deadline.saturating_sub(self.needs))
+        self.queueing_deadline
+            .min(self.deadline.saturating_sub(self.min_service_us))
     }
 }
 
@@ -233,7 +234,7 @@
     }
 
     /// A request of the service held its slot for so many us.
-    pub fn served_in(&self, service: &str, us: u64) {
+    pub fn record_service_time(&self, service: &str, us: u64) {
         self.with(service, |queue| {
             queue.service_time = if queue.service_time == 0 {
                 us
@@ -244,7 +245,7 @@
     }
 
     /// Requests that wait, by service.
-    pub fn depth(&self) -> BTreeMap<String, usize> {
+    pub fn queue_depths(&self) -> BTreeMap<String, usize> {
         self.0
             .lock()
             .unwrap()
@@ -259,7 +260,7 @@
         world: &Runtime,
         request: Request<'_>,
         slots: impl Fn() -> Slots,
-    ) -> Result<Permit<'_>, Refused> {
+    ) -> Result<Permit<'_>, Refusal> {
         let (wake, woken) = async_channel::bounded(1);
         let position = self.with(request.service, |queue| {
             queue.join(&request, slots(), world.now(), wake)
@@ -281,7 +282,7 @@
             let now = world.now();
             let end = request.give_up_at();
             if now > end {
-                return Err(Refused {
+                return Err(Refusal {
                     code: Code::TooLate,
                     retry_after: DEFAULT_RETRY_AFTER_S,
                 });
@@ -300,7 +301,7 @@
         request: &Request,
         position: Position,
         slots: impl Fn() -> Slots,
-    ) -> Result<bool, Refused> {
+    ) -> Result<bool, Refusal> {
         self.with(request.service, |queue| {
             // Read under the queue's lock: a request that reaches its server leaves the one count
             // only after it is in the other.
@@ -309,7 +310,7 @@
                 queue.admit(position, world.now());
                 return Ok(true);
             }
-            let wait = if slots.all == 0 {
+            let wait = if slots.total == 0 {
                 0
             } else {
                 queue.expected_wait(position, slots)
--- a/yewcross-proxy/src/balance/claim.rs
+++ b/yewcross-proxy/src/balance/claim.rs
@@ -13,7 +13,7 @@
     pub(super) service: Arc<Mutex<ServiceState>>,
     pub(super) w: Runtime,
     pub(super) policies: Policies,
-    pub to: ListedServer,
+    pub target: ListedServer,
     /// us. When it was taken.
     pub(super) at: u64,
     /// Tokens that the server has to read before the first event, the request's own and all.
@@ -29,7 +29,7 @@
 
 impl Claim {
     /// The head of the answer is here.
-    pub fn headed(&mut self) {
+    pub fn record_response_head(&mut self) {
         let now = self.w.now();
         if self.headed_at > 0 {
             return;
@@ -44,29 +44,29 @@
         };
         if self.had_slot && self.tokens > 0 {
             g.observed
-                .reading
+                .prefill
                 .add((self.missing + self.reading_ahead) as f64, took);
         }
-        if let Some(s) = g.servers.get_mut(&self.to.server) {
+        if let Some(s) = g.servers.get_mut(&self.target.server) {
             s.reading = s.reading.saturating_sub(self.missing);
             s.ejection.answered(now);
         }
     }
 
     /// us that the server takes to read the prompt and what it reads before it, as far as is known.
-    pub fn reading_us(&self) -> u64 {
-        let token_us = self.service.lock().unwrap().observed.reading.value();
+    pub fn expected_prefill_us(&self) -> u64 {
+        let token_us = self.service.lock().unwrap().observed.prefill.value();
         ((self.missing + self.reading_ahead) as f64 * token_us) as u64
     }
 
     /// us of silence after which a stream is stalled, where a pause of `gap_ms` is still in time.
-    pub fn stalled_after(&self, gap_ms: u64) -> u64 {
-        let usual = self.service.lock().unwrap().observed.pause_us();
+    pub fn stall_timeout_us(&self, gap_ms: u64) -> u64 {
+        let usual = self.service.lock().unwrap().observed.mean_event_gap_us();
         (gap_ms * MS * STALL_GAP_PERCENT / 100).max((STALL_FACTOR * usual) as u64)
     }
 
     /// A stream of so many events came to its end.
-    pub fn streamed(&self, events: u64) {
+    pub fn record_stream_end(&self, events: u64) {
         let took = self.w.now() - self.headed_at;
         if events > 1 && self.headed_at > 0 {
             let gap_us = took as f64 / (events - 1) as f64;
@@ -74,43 +74,43 @@
                 .lock()
                 .unwrap()
                 .observed
-                .streamed(events, gap_us, self.load);
+                .record_stream_end(events, gap_us, self.load);
         }
     }
 
     /// The server told its load: requests running and waiting, and its slots.
-    pub fn told(&self, (running, waiting, slots): (u32, u32, u32)) {
+    pub fn record_reported_load(&self, (running, waiting, slots): (u32, u32, u32)) {
         let now = self.w.now();
         if self.policies.has(Mechanism::ToldLoad) {
             let mut g = self.service.lock().unwrap();
             g.told_at = now;
             g.servers
-                .entry(self.to.server.clone())
+                .entry(self.target.server.clone())
                 .or_default()
                 .told(running, waiting, slots, now);
         }
     }
 
     /// It turned a request away for want of room.
-    pub fn full(&self) {
+    pub fn record_overload(&self) {
         let now = self.w.now();
         let mut g = self.service.lock().unwrap();
         let pause = (g.usual / 4.0)
             .clamp(FULL_SERVER_PAUSE_MIN as f64, FULL_SERVER_PAUSE_MAX as f64)
             as u64;
         g.servers
-            .entry(self.to.server.clone())
+            .entry(self.target.server.clone())
             .or_default()
             .full_until = now + pause;
     }
 
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         let now = self.w.now();
         self.server(|s| s.ejection.failed(now));
     }
 
     /// It has read these parts and may hold them.
-    pub fn read(&self, parts: &[(u64, u64)], room: u64) {
+    pub fn record_prefill(&self, parts: &[(u64, u64)], room: u64) {
         self.server(|s| s.read(parts, room));
     }
 
@@ -120,7 +120,7 @@
                 .lock()
                 .unwrap()
                 .servers
-                .entry(self.to.server.clone())
+                .entry(self.target.server.clone())
                 .or_default(),
         )
     }
@@ -129,7 +129,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         let mut g = self.service.lock().unwrap();
-        if let Some(s) = g.servers.get_mut(&self.to.server) {
+        if let Some(s) = g.servers.get_mut(&self.target.server) {
             s.in_flight = s.in_flight.saturating_sub(1);
             s.tokens = s.tokens.saturating_sub(self.tokens);
             if self.headed_at == 0 {
--- a/yewcross-proxy/src/balance/cost.rs
+++ b/yewcross-proxy/src/balance/cost.rs
@@ -1,7 +1,7 @@
 //! The price of sending a request to a server, in us until its answer is whole.
 
-use super::Need;
-use super::observed::Observed;
+use super::Requirements;
+use super::observed::ObservedCosts;
 use super::server::ServerState;
 use crate::policy::{Mechanism, Policies};
 
@@ -9,8 +9,8 @@
 
 /// What the choice knows of the service and the moment.
 pub(super) struct Pricing<'a> {
-    pub(super) need: &'a Need,
-    pub(super) observed: &'a Observed,
+    pub(super) need: &'a Requirements,
+    pub(super) observed: &'a ObservedCosts,
     /// us from dispatch to the head.
     pub(super) usual: f64,
     pub(super) now: u64,
@@ -26,21 +26,21 @@
                 / state.slots(self.need).max(1) as f64;
         }
         let tokens = (state.missing(self.need, server, self.policies) + state.reading) as f64;
-        tokens * self.token_us() + load * self.neighbour_us()
+        tokens * self.token_us() + load * self.contention_us()
     }
 
     fn token_us(&self) -> f64 {
         if self.policies.has(Mechanism::LearnedReading) {
-            self.observed.reading.value()
+            self.observed.prefill.value()
         } else {
             ASSUMED_READING_US
         }
     }
 
     /// us that each request under way beside it adds.
-    pub(super) fn neighbour_us(&self) -> f64 {
+    pub(super) fn contention_us(&self) -> f64 {
         if self.policies.has(Mechanism::LearnedCrowding) {
-            self.observed.neighbour_us()
+            self.observed.contention_us()
         } else {
             ASSUMED_NEIGHBOUR_US
         }
--- a/yewcross-proxy/src/balance/load.rs
+++ b/yewcross-proxy/src/balance/load.rs
@@ -14,7 +14,7 @@
 
 impl Load {
     /// What is left of a sum without one of its parts.
-    pub fn less(self, part: Load) -> Load {
+    pub fn minus(self, part: Load) -> Load {
         Load {
             in_flight: self.in_flight.saturating_sub(part.in_flight),
             ejected_by: self.ejected_by.saturating_sub(part.ejected_by),
--- a/yewcross-proxy/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -14,7 +14,7 @@
 
 pub use claim::Claim;
 pub use load::Load;
-pub use observed::{Observed, Slope};
+pub use observed::{ObservedCosts, SlopeEstimator};
 
 use crate::policy::{Mechanism, Policies};
 use cost::Pricing;
@@ -35,53 +35,53 @@
     queue: Queue,
     /// us from dispatch to the head.
     usual: f64,
-    observed: Observed,
+    observed: ObservedCosts,
     /// us. When one of its servers last told its load in an answer; 0 before.
     told_at: u64,
 }
 
 /// What a request needs of a server.
 #[derive(Clone, Default)]
-pub struct Need {
+pub struct Requirements {
     pub service: String,
     pub engine: Option<Engine>,
     /// Parts of its prompt in order, with their tokens.
     pub parts: Vec<(u64, u64)>,
     /// Tokens of the prompt and of the output.
-    pub prompt: u64,
-    pub output: u64,
+    pub prompt_tokens: u64,
+    pub max_output_tokens: u64,
     /// The server that ran the turn before, and the tokens that it may still hold of it.
-    pub prev: String,
-    pub prev_tokens: u64,
+    pub previous_server: String,
+    pub previous_tokens: u64,
     pub site: String,
     pub target_us: u64,
     /// Place in the queue: rank, then us of the world's clock by which it should be over.
     pub rank: (u8, u64),
     /// Names the thing that it concerns, where a server that saw it lately does the work faster;
     /// else empty.
-    pub affinity: String,
+    pub affinity_key: String,
     /// Connections that we may have to one server.
-    pub conns: u32,
+    pub max_connections: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NoSeat {
+pub enum PickError {
     /// The list names no server that may take it.
     None,
     /// All places are taken; one is due in so many us.
-    Full(u64),
+    AtCapacity(u64),
 }
 
 /// The choice of servers, over all services.
 #[derive(Default)]
-pub struct Balance {
+pub struct LoadBalancer {
     pub policies: Policies,
     services: RwLock<HashMap<String, Arc<Mutex<ServiceState>>>>,
 }
 
 impl ServiceState {
     /// us until a place is due.
-    fn due(&self, need: &Need, servers: usize, now: u64) -> u64 {
+    fn due(&self, need: &Requirements, servers: usize, now: u64) -> u64 {
         let most = self
             .servers
             .values()
@@ -146,7 +146,7 @@
 /// Fronts that all saw the same load must not all choose the same server. One of the two is near.
 fn two_at_random<'a>(
     runtime: &Runtime,
-    need: &Need,
+    need: &Requirements,
     free: Vec<&'a ListedServer>,
 ) -> Vec<&'a ListedServer> {
     if free.len() < 3 {
@@ -166,23 +166,23 @@
 /// The one for the request's affinity key, of those that are free: the same at all fronts, by
 /// rendezvous hashing.
 fn affine<'a>(
-    need: &Need,
+    need: &Requirements,
     free: &[&'a ListedServer],
     policies: Policies,
 ) -> Option<&'a ListedServer> {
     let is_asked =
-        !need.affinity.is_empty() && need.engine.is_none() && policies.has(Mechanism::Affinity);
+        !need.affinity_key.is_empty() && need.engine.is_none() && policies.has(Mechanism::Affinity);
     free.iter()
         .copied()
         .filter(|_| is_asked)
-        .max_by_key(|server| rendezvous_weight(&need.affinity, &server.server))
+        .max_by_key(|server| rendezvous_weight(&need.affinity_key, &server.server))
 }
 
-impl Balance {
-    pub fn with(policies: Policies) -> Balance {
-        Balance {
+impl LoadBalancer {
+    pub fn with_policies(policies: Policies) -> LoadBalancer {
+        LoadBalancer {
             policies,
-            ..Balance::default()
+            ..LoadBalancer::default()
         }
     }
 
@@ -199,17 +199,17 @@
     }
 
     /// us from dispatch to the head at this service; 0 while unknown.
-    pub fn usual(&self, service: &str) -> u64 {
+    pub fn usual_head_us(&self, service: &str) -> u64 {
         self.service(service).lock().unwrap().usual as u64
     }
 
     /// What the answers of a service have taught so far.
-    pub fn observed(&self, service: &str) -> Observed {
+    pub fn observed(&self, service: &str) -> ObservedCosts {
         self.service(service).lock().unwrap().observed.clone()
     }
 
     /// Requests that wait for a place.
-    pub fn waiting(&self, service: &str) -> usize {
+    pub fn queue_len(&self, service: &str) -> usize {
         self.service(service).lock().unwrap().queue.len()
     }
 
@@ -217,11 +217,11 @@
     pub fn pick(
         &self,
         runtime: &Runtime,
-        n: &Need,
+        n: &Requirements,
         servers: &[ListedServer],
         tried: &[String],
         kept: impl Fn(&str) -> bool,
-    ) -> Result<Claim, NoSeat> {
+    ) -> Result<Claim, PickError> {
         let (service, now, policies) = (self.service(&n.service), runtime.now(), self.policies);
         let mut g = service.lock().unwrap();
         let may: Vec<&ListedServer> = servers
@@ -233,7 +233,7 @@
         }
         let sound = g.sound(may, now, policies);
         if sound.is_empty() {
-            return Err(NoSeat::None);
+            return Err(PickError::None);
         }
         let is_free = |server: &&&ListedServer| {
             !g.servers[&server.server].full(n, &server.server, now, g.usual, policies)
@@ -255,7 +255,7 @@
         // Those that cost about the same take turns: what is known of the load is a little old, and
         // the same at all fronts.
         let jitter = if n.engine.is_some() {
-            pricing.neighbour_us().max(1.0) as usize
+            pricing.contention_us().max(1.0) as usize
         } else {
             1
         };
@@ -265,7 +265,7 @@
                 + runtime.random_index(jitter) as u64
         };
         let Some(best) = candidates.iter().min_by_key(price).copied() else {
-            return Err(NoSeat::Full(g.due(n, sound.len(), now)));
+            return Err(PickError::AtCapacity(g.due(n, sound.len(), now)));
         };
         let to = by_affinity
             .filter(|server| work(server) <= work(best) * AFFINITY_BOUND)
@@ -281,7 +281,7 @@
             0
         };
         let tokens = if n.engine.is_some() {
-            missing + n.output
+            missing + n.max_output_tokens
         } else {
             0
         };
@@ -297,7 +297,7 @@
             service,
             w: runtime.clone(),
             policies,
-            to,
+            target: to,
             at: now,
             missing,
             reading_ahead,
@@ -309,7 +309,7 @@
     }
 
     /// Waits for a place to come free, until `until`; false if none did.
-    pub async fn wait(&self, runtime: &Runtime, n: &Need, until: u64) -> bool {
+    pub async fn wait_for_capacity(&self, runtime: &Runtime, n: &Requirements, until: u64) -> bool {
         let rank = self.policies.has(Mechanism::WaitingOrder).then_some(n.rank);
         let rx = self.service(&n.service).lock().unwrap().queue.join(rank);
         runtime
@@ -335,7 +335,7 @@
 
     /// Whether all services at which we have requests under way have servers that tell their load
     /// themselves.
-    pub fn is_told_load(&self, now: u64) -> bool {
+    pub fn servers_report_load(&self, now: u64) -> bool {
         let services = self.services.read().unwrap();
         services.values().all(|service| {
             let g = service.lock().unwrap();
@@ -345,7 +345,7 @@
     }
 
     /// Takes what other fronts have under way at each server; none where they are not known.
-    pub fn learn_load(&self, now: u64, others: impl Fn(&str) -> Option<Load>) {
+    pub fn update_peer_loads(&self, now: u64, others: impl Fn(&str) -> Option<Load>) {
         for service in self.services.read().unwrap().values() {
             let mut g = service.lock().unwrap();
             for (server, state) in &mut g.servers {
@@ -357,7 +357,7 @@
     }
 
     /// Forgets servers no longer listed, and waiters that left.
-    pub fn tidy(&self, listed: impl Fn(&str) -> bool) {
+    pub fn prune(&self, listed: impl Fn(&str) -> bool) {
         for service in self.services.read().unwrap().values() {
             let mut g = service.lock().unwrap();
             g.servers
--- a/yewcross-proxy/src/balance/observed.rs
+++ b/yewcross-proxy/src/balance/observed.rs
@@ -6,7 +6,7 @@
 /// Least squares of `y` over `x`, in which older samples count less, drawn towards a slope that is
 /// assumed at first.
 #[derive(Clone, Debug)]
-pub struct Slope {
+pub struct SlopeEstimator {
     assumed: f64,
     /// Weight of the assumed slope, as a sum of squared deviations of `x`.
     stiffness: f64,
@@ -17,11 +17,11 @@
     xy: f64,
 }
 
-impl Slope {
+impl SlopeEstimator {
     /// `spread` is the usual deviation of `x`; the assumed slope weighs as much as `SLOPE_PRIOR`
     /// samples of it.
-    pub fn new(assumed: f64, spread: f64) -> Slope {
-        Slope {
+    pub fn new(assumed: f64, spread: f64) -> SlopeEstimator {
+        SlopeEstimator {
             assumed,
             stiffness: SLOPE_PRIOR * spread * spread,
             n: 0.0,
@@ -62,46 +62,46 @@
 
 /// What is learned of one service.
 #[derive(Clone, Debug)]
-pub struct Observed {
+pub struct ObservedCosts {
     /// us a token that is read before the first event.
-    pub reading: Slope,
+    pub prefill: SlopeEstimator,
     /// us between two events for each request beside it.
-    pub crowding: Slope,
+    pub contention: SlopeEstimator,
     /// Events of a stream, and us between two of them, the means.
     events: f64,
     pause: f64,
 }
 
-impl Default for Observed {
+impl Default for ObservedCosts {
     fn default() -> Self {
-        Observed {
-            reading: Slope::new(ASSUMED_READING_US, READING_SPREAD),
-            crowding: Slope::new(ASSUMED_CROWDING_US, CROWDING_SPREAD),
+        ObservedCosts {
+            prefill: SlopeEstimator::new(ASSUMED_READING_US, READING_SPREAD),
+            contention: SlopeEstimator::new(ASSUMED_CROWDING_US, CROWDING_SPREAD),
             events: ASSUMED_EVENTS,
             pause: 0.0,
         }
     }
 }
 
-impl Observed {
+impl ObservedCosts {
     /// A stream of so many events came to its end, `gap_us` apart, beside `load` others.
-    pub fn streamed(&mut self, events: u64, gap_us: f64, load: f64) {
+    pub fn record_stream_end(&mut self, events: u64, gap_us: f64, load: f64) {
         self.events = self.events * SLOPE_DECAY + events as f64 * (1.0 - SLOPE_DECAY);
         self.pause = if self.pause == 0.0 {
             gap_us
         } else {
             self.pause * SLOPE_DECAY + gap_us * (1.0 - SLOPE_DECAY)
         };
-        self.crowding.add(load, gap_us);
+        self.contention.add(load, gap_us);
     }
 
     /// us between two events of a stream, the mean.
-    pub fn pause_us(&self) -> f64 {
+    pub fn mean_event_gap_us(&self) -> f64 {
         self.pause
     }
 
     /// us that one more request beside it adds to a stream.
-    pub fn neighbour_us(&self) -> f64 {
-        self.crowding.value() * self.events
+    pub fn contention_us(&self) -> f64 {
+        self.contention.value() * self.events
     }
 }
--- a/yewcross-proxy/src/balance/server.rs
+++ b/yewcross-proxy/src/balance/server.rs
@@ -1,7 +1,7 @@
 //! What a front knows of one server: what is under way there, what it holds, how it stood.
 
 use super::ejection::Ejection;
-use super::{Load, Need};
+use super::{Load, Requirements};
 use crate::policy::{Mechanism, Policies};
 use lru::LruCache;
 use yewcross_common::constants::*;
@@ -82,7 +82,7 @@
         self.in_flight as f64 + self.others.at(now)
     }
 
-    pub(super) fn slots(&self, need: &Need) -> u32 {
+    pub(super) fn slots(&self, need: &Requirements) -> u32 {
         if self.slots > 0 {
             self.slots
         } else {
@@ -91,7 +91,7 @@
     }
 
     /// Tokens of the prompt that it would have to read.
-    pub(super) fn missing(&self, need: &Need, server: &str, policies: Policies) -> u64 {
+    pub(super) fn missing(&self, need: &Requirements, server: &str, policies: Policies) -> u64 {
         let is_held = |part: &&(u64, u64)| self.held.as_ref().is_some_and(|h| h.contains(&part.0));
         let by_parts: u64 = match policies.has(Mechanism::PrefixPlacement) {
             true => need
@@ -102,12 +102,12 @@
                 .sum(),
             false => 0,
         };
-        let by_turn = if need.prev == server && policies.has(Mechanism::PreviousServer) {
-            need.prev_tokens
+        let by_turn = if need.previous_server == server && policies.has(Mechanism::PreviousServer) {
+            need.previous_tokens
         } else {
             0
         };
-        need.prompt.saturating_sub(by_parts.max(by_turn))
+        need.prompt_tokens.saturating_sub(by_parts.max(by_turn))
     }
 
     /// It has read these parts and may hold them; what was unused for longest gives way.
@@ -127,7 +127,7 @@
     /// head (us).
     pub(super) fn full(
         &self,
-        need: &Need,
+        need: &Requirements,
         server: &str,
         now: u64,
         usual: f64,
@@ -135,13 +135,14 @@
     ) -> bool {
         let crowded = policies.has(Mechanism::FullServers)
             && (now < self.full_until || self.slots_taken(need, now, usual));
-        let linked = policies.has(Mechanism::ConnectionBound) && self.in_flight >= need.conns;
+        let linked =
+            policies.has(Mechanism::ConnectionBound) && self.in_flight >= need.max_connections;
         let no_memory =
             policies.has(Mechanism::MemoryBound) && self.memory_taken(need, server, now, policies);
         crowded || linked || no_memory
     }
 
-    fn slots_taken(&self, need: &Need, now: u64, usual: f64) -> bool {
+    fn slots_taken(&self, need: &Requirements, now: u64, usual: f64) -> bool {
         let slots = self.slots(need) as f64;
         let beyond = match &need.engine {
             Some(_) => 0.0,
@@ -152,13 +153,19 @@
         slots > 0.0 && self.load(now) >= slots + beyond
     }
 
-    fn memory_taken(&self, need: &Need, server: &str, now: u64, policies: Policies) -> bool {
+    fn memory_taken(
+        &self,
+        need: &Requirements,
+        server: &str,
+        now: u64,
+        policies: Policies,
+    ) -> bool {
         let Some(engine) = need.engine.as_ref().filter(|_| self.in_flight > 0) else {
             return false;
         };
         let each = self.tokens as f64 / self.in_flight as f64;
         let taken = self.tokens as f64 + self.others.at(now) * each;
-        taken + (self.missing(need, server, policies) + need.output) as f64
+        taken + (self.missing(need, server, policies) + need.max_output_tokens) as f64
             > engine.cache_tokens as f64
     }
 }
--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -1,7 +1,7 @@
 //! kv_share: one replica of a session's cache, at the server it would spill to.
 
 use crate::back;
-use crate::judge::{self, Weights};
+use crate::scoring::{self, ScoreWeights};
 use crate::{Front, server_table};
 use lru::LruCache;
 use serde::{Deserialize, Serialize};
@@ -30,7 +30,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-pub struct Imported {
+pub struct ImportResponse {
     pub ok: bool,
     #[serde(default)]
     pub tokens: u64,
@@ -42,21 +42,21 @@
 /// A session whose last turn this front ran: it holds the session's transfer state until a turn
 /// begins elsewhere.
 #[derive(Clone, Debug)]
-pub struct Spare {
+pub struct SessionTransfer {
     pub epoch: u64,
-    pub kv: SessionCacheState,
+    pub cache: SessionCacheState,
     /// Prefixes that turns and imports seen here have placed, newest first, one a server.
     pub placed: Vec<CachedPrefix>,
 }
 
 /// A replica that is to be brought into its server's cache.
 #[derive(Clone, Debug)]
-pub struct Due {
+pub struct PrefetchJob {
     pub key: String,
     pub service: String,
     pub replica: CachedPrefix,
     /// The record is told of it. A turn under way carries it into its own commit instead.
-    pub tell: bool,
+    pub update_record: bool,
 }
 
 /// Tokens that a server places in its cache: counted from `since` (us), and the last full window's.
@@ -69,18 +69,18 @@
 }
 
 /// Transfer state by session, and the imports under way by server.
-pub struct Spares {
-    shards: [Mutex<LruCache<String, Spare>>; KV_SHARDS],
+pub struct SessionTransfers {
+    shards: [Mutex<LruCache<String, SessionTransfer>>; KV_SHARDS],
     fit: Mutex<BTreeSet<String>>,
     /// How fast each server's cache turns over.
     flow: Mutex<BTreeMap<String, Flow>>,
-    due: Mutex<BTreeMap<String, VecDeque<Due>>>,
+    due: Mutex<BTreeMap<String, VecDeque<PrefetchJob>>>,
 }
 
-impl Default for Spares {
-    fn default() -> Spares {
+impl Default for SessionTransfers {
+    fn default() -> SessionTransfers {
         let each = NonZeroUsize::new(KV_RECORDS / KV_SHARDS).unwrap_or(NonZeroUsize::MIN);
-        Spares {
+        SessionTransfers {
             shards: std::array::from_fn(|_| Mutex::new(LruCache::new(each))),
             fit: Default::default(),
             flow: Default::default(),
@@ -89,24 +89,24 @@
     }
 }
 
-impl Spares {
-    fn shard(&self, key: &str) -> &Mutex<LruCache<String, Spare>> {
+impl SessionTransfers {
+    fn shard(&self, key: &str) -> &Mutex<LruCache<String, SessionTransfer>> {
         &self.shards[yewcross_common::hash::rendezvous_weight(key, "") as usize % KV_SHARDS]
     }
 
-    pub fn get(&self, key: &str) -> Option<Spare> {
+    pub fn get(&self, key: &str) -> Option<SessionTransfer> {
         self.shard(key).lock().unwrap().peek(key).cloned()
     }
 
     /// A turn that ended here.
-    pub fn ran(&self, key: &str, epoch: u64, kv: &SessionCacheState) {
+    pub fn record_turn(&self, key: &str, epoch: u64, kv: &SessionCacheState) {
         let mut g = self.shard(key).lock().unwrap();
-        let s = g.get_or_insert_mut(key.to_string(), || Spare {
+        let s = g.get_or_insert_mut(key.to_string(), || SessionTransfer {
             epoch,
-            kv: kv.clone(),
+            cache: kv.clone(),
             placed: vec![],
         });
-        (s.epoch, s.kv) = (epoch, kv.clone());
+        (s.epoch, s.cache) = (epoch, kv.clone());
         kv.home.iter().for_each(|h| place(&mut s.placed, h));
     }
 
@@ -119,7 +119,7 @@
             .for_each(|s| place(&mut s.placed, p));
     }
 
-    pub fn forget(&self, key: &str) {
+    pub fn remove(&self, key: &str) {
         self.shard(key).lock().unwrap().pop(key);
     }
 
@@ -167,9 +167,14 @@
     }
 
     /// Sessions whose home is one of these, the latest used of each shard first.
-    fn homed(&self, at: &BTreeSet<String>) -> Vec<(String, Spare)> {
-        let mine = |s: &Spare| s.kv.home.as_ref().is_some_and(|h| at.contains(&h.server));
-        let of = |m: &Mutex<LruCache<String, Spare>>| {
+    fn homed(&self, at: &BTreeSet<String>) -> Vec<(String, SessionTransfer)> {
+        let mine = |s: &SessionTransfer| {
+            s.cache
+                .home
+                .as_ref()
+                .is_some_and(|h| at.contains(&h.server))
+        };
+        let of = |m: &Mutex<LruCache<String, SessionTransfer>>| {
             m.lock()
                 .unwrap()
                 .iter()
@@ -191,7 +196,7 @@
 /// or an import placed at the replica's server and that covers most of it. Whether it is still held
 /// is for the judges. A place without a digest is a held prefix alone: nothing stands there that
 /// could be imported.
-pub fn known(f: &Front, key: &str, kv: &SessionCacheState) -> SessionCacheState {
+pub fn effective_cache_state(f: &Front, key: &str, kv: &SessionCacheState) -> SessionCacheState {
     let away = |p: &&CachedPrefix| kv.home.as_ref().is_none_or(|h| h.server != p.server);
     let pushed = f.replicas.lock().unwrap().get(key).filter(away).cloned();
     let placed = f.spares.get(key).map(|s| s.placed).unwrap_or_default();
@@ -232,16 +237,16 @@
 
 /// A turn begins here under this epoch: what was known of the session is void if other turns began
 /// elsewhere since.
-pub fn begins(front: &Front, key: &str, epoch: u64) {
+pub fn begin_turn(front: &Front, key: &str, epoch: u64) {
     if front.spares.get(key).is_some_and(|s| s.epoch + 1 < epoch) {
-        front.spares.forget(key);
+        front.spares.remove(key);
         front.replicas.lock().unwrap().remove(key);
     }
 }
 
 /// Has a replica brought into its server's cache ahead of need, one at a time at each server.
 /// Nobody waits for it.
-pub fn ahead(front: &Arc<Front>, x: Due, first: bool) {
+pub fn prefetch(front: &Arc<Front>, x: PrefetchJob, first: bool) {
     let to = x.replica.server.clone();
     let mut g = front.spares.due.lock().unwrap();
     let idle = !g.contains_key(&to);
@@ -273,12 +278,12 @@
 }
 
 /// Whatever goes wrong, the session's next turn there is served cold.
-async fn bring(front: &Arc<Front>, x: Due) {
-    let Due {
+async fn bring(front: &Arc<Front>, x: PrefetchJob) {
+    let PrefetchJob {
         key,
         service,
         replica,
-        tell,
+        update_record: tell,
     } = x;
     let newer = front
         .replicas
@@ -294,7 +299,7 @@
     else {
         return;
     };
-    let kv = known(
+    let kv = effective_cache_state(
         front,
         &key,
         &SessionCacheState {
@@ -306,7 +311,7 @@
         front.counts.imports_skipped.fetch_add(1, SeqCst);
         return stands(front, &key, p, tell).await;
     }
-    if s.report.weights != replica.weights || !judge::pays(s, &replica) {
+    if s.report.weights != replica.weights || !scoring::is_import_faster(s, &replica) {
         return;
     }
     let body =
@@ -329,7 +334,7 @@
         .import_us
         .fetch_add(front.runtime.now() - t0, SeqCst);
     let Some(i) = got
-        .and_then(|b| serde_json::from_slice::<Imported>(&b).ok())
+        .and_then(|b| serde_json::from_slice::<ImportResponse>(&b).ok())
         .filter(|i| i.ok)
     else {
         front.counts.imports_failed.fetch_add(1, SeqCst);
@@ -364,7 +369,7 @@
     if let Some(s) = front
         .spares
         .get(key)
-        .filter(|s| tell && s.kv.replica.as_ref() != Some(&p))
+        .filter(|s| tell && s.cache.replica.as_ref() != Some(&p))
     {
         note(
             front,
@@ -372,7 +377,7 @@
             s.epoch,
             SessionCacheState {
                 replica: Some(p),
-                ..s.kv
+                ..s.cache
             },
         )
         .await;
@@ -401,7 +406,7 @@
 
 /// Sessions whose home has begun to leave or has fallen silent since the last look: their replicas
 /// are brought in.
-pub fn watch(front: &Arc<Front>) {
+pub fn prefetch_for_lost_homes(front: &Arc<Front>) {
     let conf = front.documents.config.load_full();
     let servers: Vec<server_table::Server> = conf
         .1
@@ -423,20 +428,20 @@
             .unwrap()
             .get(&key)
             .cloned()
-            .or(s.kv.replica);
+            .or(s.cache.replica);
         let fam = conf
             .1
             .families
-            .get(&s.kv.program)
+            .get(&s.cache.program)
             .filter(|p| p.eff.kv_share);
         replica.zip(fam).into_iter().for_each(|(replica, p)| {
-            ahead(
+            prefetch(
                 front,
-                Due {
+                PrefetchJob {
                     key: key.clone(),
                     service: p.eff.service.clone(),
                     replica,
-                    tell: true,
+                    update_record: true,
                 },
                 false,
             );
@@ -446,8 +451,8 @@
 
 /// A replica has just arrived: it is brought in at once where the target's cache turns over slowly,
 /// and else where the home is nearly full, or no longer takes turns, and the target has places.
-fn after(f: &Arc<Front>, x: &Fresh, replica: CachedPrefix) {
-    let servers = server_table::fit(f, &x.fam.service);
+fn after(f: &Arc<Front>, x: &FinishedTurn, replica: CachedPrefix) {
+    let servers = server_table::fit(f, &x.class.service);
     let at = |n: &str| servers.iter().find(|s| s.at.server == n);
     let full = |s: &server_table::Server| {
         s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL
@@ -455,20 +460,21 @@
     let Some(to) = at(&replica.server) else {
         return;
     };
-    let press =
-        x.kv.home
-            .as_ref()
-            .and_then(|h| at(&h.server))
-            .is_none_or(full)
-            && !full(to);
+    let press = x
+        .cache
+        .home
+        .as_ref()
+        .and_then(|h| at(&h.server))
+        .is_none_or(full)
+        && !full(to);
     if press || f.spares.roomy(to, replica.tokens) {
-        ahead(
+        prefetch(
             f,
-            Due {
+            PrefetchJob {
                 key: x.key.clone(),
-                service: x.fam.service.clone(),
+                service: x.class.service.clone(),
                 replica,
-                tell: press,
+                update_record: press,
             },
             false,
         );
@@ -476,7 +482,7 @@
 }
 
 /// How a finished turn began: counted for all turns and for those that changed server.
-pub fn count(
+pub fn count_turn(
     f: &Front,
     fam: &ProgramClass,
     kv: &SessionCacheState,
@@ -505,23 +511,23 @@
 
 /// A finished turn whose cache may be worth a replica.
 #[derive(Clone)]
-pub struct Fresh {
+pub struct FinishedTurn {
     pub key: String,
     pub epoch: u64,
-    pub kv: SessionCacheState,
-    pub fam: ProgramClass,
+    pub cache: SessionCacheState,
+    pub class: ProgramClass,
 }
 
 /// One push a session at a time; a turn that ends meanwhile waits, and only the newest of those is
 /// pushed.
-pub async fn share(f: Arc<Front>, x: Fresh) {
-    if x.fam.kv_share
-        && x.kv
+pub async fn replicate(f: Arc<Front>, x: FinishedTurn) {
+    if x.class.kv_share
+        && x.cache
             .home
             .as_ref()
-            .is_some_and(|h| h.tokens >= x.fam.kv_min_tokens)
+            .is_some_and(|h| h.tokens >= x.class.kv_min_tokens)
     {
-        f.spares.ran(&x.key, x.epoch, &x.kv);
+        f.spares.record_turn(&x.key, x.epoch, &x.cache);
     }
     {
         let mut g = f.pushing.lock().unwrap();
@@ -536,7 +542,7 @@
     while let Some(mut x) = now {
         // What was pushed since may be newer than the record that this turn began from.
         let known = f.replicas.lock().unwrap().get(&key).cloned();
-        x.kv.replica = known.or(x.kv.replica);
+        x.cache.replica = known.or(x.cache.replica);
         if let Some(p) = push(&f, &x).await {
             remember(&f, &key, &p);
             if f.pushing
@@ -551,7 +557,7 @@
                     x.epoch,
                     SessionCacheState {
                         replica: Some(p.clone()),
-                        ..x.kv.clone()
+                        ..x.cache.clone()
                     },
                 )
                 .await;
@@ -576,8 +582,13 @@
 
 /// Save at the turn's server, send what is new to exactly one spill target; gives the replica that
 /// stands there.
-async fn push(f: &Arc<Front>, x: &Fresh) -> Option<CachedPrefix> {
-    let Fresh { key, kv, fam, .. } = x;
+async fn push(f: &Arc<Front>, x: &FinishedTurn) -> Option<CachedPrefix> {
+    let FinishedTurn {
+        key,
+        cache: kv,
+        class: fam,
+        ..
+    } = x;
     let home = kv.home.clone()?;
     let big =
         home.tokens >= fam.kv_min_tokens && home.tokens * KV_TOKEN_BYTES <= fam.kv_session_bytes;
@@ -589,17 +600,17 @@
         .iter()
         .find(|s| s.at.server == home.server)
         .cloned()?;
-    let here = judge::Home {
+    let here = scoring::HomeServer {
         server: home.server.clone(),
         site: at.at.site.clone(),
     };
-    let to = judge::spill(&servers, key, &here, &Weights::from(fam)).cloned()?;
+    let to = scoring::spill_target(&servers, key, &here, &ScoreWeights::from(fam)).cloned()?;
     let old = kv.replica.clone().filter(|r| {
         r.server == to.at.server && r.instance == to.report.instance && r.weights == home.weights
     });
     if let Some(gone) = kv.replica.clone().filter(|r| r.server != to.at.server) {
         f.replicas.lock().unwrap().remove(key);
-        drop_at(f, &fam.service, key, &gone.server).await;
+        drop_prefix(f, &fam.service, key, &gone.server).await;
     }
     let Some(_line) = f.links.take(&f.runtime, &home.server, &to.at.server).await else {
         f.counts.push_skipped.fetch_add(1, SeqCst);
@@ -677,7 +688,7 @@
     })
 }
 
-pub async fn drop_at(front: &Arc<Front>, svc: &str, key: &str, server: &str) {
+pub async fn drop_prefix(front: &Arc<Front>, svc: &str, key: &str, server: &str) {
     let list = front.documents.list.load_full();
     if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
         let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -1,7 +1,6 @@
 pub mod admission;
 pub mod back;
 pub mod balance;
-pub mod judge;
 pub mod kv;
 pub mod load_exchange;
 pub mod lookup;
@@ -10,6 +9,7 @@
 pub mod pool;
 pub mod relay;
 pub mod scan;
+pub mod scoring;
 pub mod server_table;
 pub mod turn;
 
@@ -102,10 +102,10 @@
     /// Histories on hand, so that the store need not send them again.
     pub hand: Mutex<BTreeMap<String, Vec<u8>>>,
     /// Sessions with a push under way, each with the newest turn that ended meanwhile.
-    pub pushing: Mutex<BTreeMap<String, Option<kv::Fresh>>>,
+    pub pushing: Mutex<BTreeMap<String, Option<kv::FinishedTurn>>>,
     /// Replicas this front has pushed.
     pub replicas: Mutex<BTreeMap<String, CachedPrefix>>,
-    pub spares: kv::Spares,
+    pub spares: kv::SessionTransfers,
     pub counts: Counts,
     /// Where routed requests are served instead of the product's own paths.
     pub relay: OnceLock<Arc<relay::Relay>>,
@@ -402,7 +402,7 @@
         match self
             .load_exchange
             .get()
-            .and_then(|exchange| exchange.answer(from, by_site, &report.payload))
+            .and_then(|exchange| exchange.handle_report(from, by_site, &report.payload))
         {
             Some(loads) => (PeerResponse::Loads, loads),
             None => (PeerResponse::Rejected(Code::BadField), vec![]),
@@ -632,7 +632,7 @@
             reply(
                 200,
                 &json!({"counts": front.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": front.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst),
-                    "bytes_across": t.bytes_across.load(SeqCst), "lines": front.admission.depth(), "open": front.connections.open.load(SeqCst),
+                    "bytes_across": t.bytes_across.load(SeqCst), "lines": front.admission.queue_depths(), "open": front.connections.open.load(SeqCst),
                     "busy": front.connections.busy.load(SeqCst)}),
             )
         }
--- a/yewcross-proxy/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -6,7 +6,7 @@
 //! load of the servers there. Nothing rests on it but the quality of a choice: what is not heard in
 //! time fades, and a collector that cannot be reached is replaced as soon as membership says so.
 
-use crate::balance::{Balance, Load};
+use crate::balance::{Load, LoadBalancer};
 use crate::relay::Relay;
 use crate::server_table::home_of;
 use serde::{Deserialize, Serialize};
@@ -48,15 +48,15 @@
 
 /// The collector's side: the newest report of each front of its site, and of each other site.
 #[derive(Default)]
-pub struct Collected {
+pub struct LoadCollector {
     fronts: HashMap<String, Report>,
     sites: HashMap<String, Report>,
     /// Load of the servers of other sites, as their collectors told it.
     elsewhere: HashMap<String, Vec<ServerLoad>>,
 }
 
-impl Collected {
-    pub fn report(&mut self, from: &str, by_site: bool, loads: &[ServerLoad], now: u64) {
+impl LoadCollector {
+    pub fn add_report(&mut self, from: &str, by_site: bool, loads: &[ServerLoad], now: u64) {
         let report = Report {
             at: now,
             loads: loads.iter().map(|l| (l.server, l.load)).collect(),
@@ -135,7 +135,7 @@
     site: String,
     members: Arc<Membership>,
     documents: Arc<DocumentCache>,
-    collected: Mutex<Collected>,
+    collected: Mutex<LoadCollector>,
 }
 
 impl LoadExchange {
@@ -156,11 +156,11 @@
     }
 
     /// Answers a report with the load of all servers known here.
-    pub fn answer(&self, from: &str, by_site: bool, blob: &[u8]) -> Option<Vec<u8>> {
+    pub fn handle_report(&self, from: &str, by_site: bool, blob: &[u8]) -> Option<Vec<u8>> {
         let loads: Vec<ServerLoad> = postcard::from_bytes(blob).ok()?;
         let now = self.runtime.now();
         let mut collected = self.collected.lock().unwrap();
-        collected.report(from, by_site, &loads, now);
+        collected.add_report(from, by_site, &loads, now);
         let told = if by_site {
             self.least_loaded(&collected, now)
         } else {
@@ -170,7 +170,7 @@
     }
 
     /// Load of the servers of our site, and of those of others as far as they were told.
-    fn known(&self, collected: &Collected, now: u64) -> Vec<ServerLoad> {
+    fn known(&self, collected: &LoadCollector, now: u64) -> Vec<ServerLoad> {
         let list = self.documents.list.load();
         let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
         all.extend(collected.elsewhere.values().flatten());
@@ -178,7 +178,7 @@
     }
 
     /// Load of the servers of our site that another site would send requests to.
-    fn least_loaded(&self, collected: &Collected, now: u64) -> Vec<ServerLoad> {
+    fn least_loaded(&self, collected: &LoadCollector, now: u64) -> Vec<ServerLoad> {
         let list = self.documents.list.load();
         let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
         all.sort_by_key(|l| l.load.in_flight);
@@ -200,7 +200,7 @@
             let loads = own_loads(&relay.balance, now);
             // A front without requests has nothing to tell and nothing to choose, and servers that
             // tell their load say more.
-            let is_needless = loads.is_empty() || relay.balance.is_told_load(now);
+            let is_needless = loads.is_empty() || relay.balance.servers_report_load(now);
             if is_needless && now < idle_since + LOAD_EXCHANGE_IDLE_INTERVAL {
                 continue;
             }
@@ -222,17 +222,17 @@
     }
 
     /// The collector's own report.
-    fn collect(&self, loads: &[ServerLoad], balance: &Balance) {
+    fn collect(&self, loads: &[ServerLoad], balance: &LoadBalancer) {
         let now = self.runtime.now();
         let mut collected = self.collected.lock().unwrap();
         collected.tidy(now);
-        collected.report(&self.name, false, loads, now);
+        collected.add_report(&self.name, false, loads, now);
         let known = self.known(&collected, now);
         drop(collected);
         apply(balance, &known, loads, now);
     }
 
-    async fn report_to(&self, collector: &Node, loads: &[ServerLoad], balance: &Balance) {
+    async fn report_to(&self, collector: &Node, loads: &[ServerLoad], balance: &LoadBalancer) {
         let Ok(blob) = postcard::to_allocvec(loads) else {
             return;
         };
@@ -307,7 +307,7 @@
     }
 }
 
-fn own_loads(balance: &Balance, now: u64) -> Vec<ServerLoad> {
+fn own_loads(balance: &LoadBalancer, now: u64) -> Vec<ServerLoad> {
     balance
         .own_loads(now)
         .into_iter()
@@ -320,12 +320,12 @@
 
 /// Hands the balance what others have under way: all that is known, less what we reported
 /// ourselves.
-fn apply(balance: &Balance, known: &[ServerLoad], reported: &[ServerLoad], now: u64) {
+fn apply(balance: &LoadBalancer, known: &[ServerLoad], reported: &[ServerLoad], now: u64) {
     let mut others: HashMap<ServerKey, Load> = known.iter().map(|l| (l.server, l.load)).collect();
     for own in reported {
         others
             .entry(own.server)
-            .and_modify(|load| *load = load.less(own.load));
+            .and_modify(|load| *load = load.minus(own.load));
     }
-    balance.learn_load(now, |server| others.get(&ServerKey::of(server)).copied());
+    balance.update_peer_loads(now, |server| others.get(&ServerKey::of(server)).copied());
 }
--- a/yewcross-proxy/src/lookup/attempt.rs
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -49,7 +49,7 @@
             let elapsed = front.runtime.now() - started;
             front
                 .admission
-                .served_in(&lookup.request.body.service, elapsed);
+                .record_service_time(&lookup.request.body.service, elapsed);
             front.calm(server);
             front.pool.put(&front.runtime, connection);
             AttemptOutcome::Answered(reply.value)
--- a/yewcross-proxy/src/lookup/selection.rs
+++ b/yewcross-proxy/src/lookup/selection.rs
@@ -2,7 +2,7 @@
 
 use super::once::RegisteredLookup;
 use crate::back::{Back, Verified};
-use crate::judge::{self, Case, Weights};
+use crate::scoring::{self, ScoreWeights, ScoringInput};
 use crate::{Front, server_table};
 use std::io;
 use yewcross_common::configuration::ProgramClass;
@@ -30,21 +30,21 @@
     excluded: &[String],
 ) -> Result<SelectedServer, Code> {
     let request = &lookup.request;
-    let weights = Weights::from(&ProgramClass::default());
+    let weights = ScoreWeights::from(&ProgramClass::default());
     let no_cache = SessionCacheState::default();
     loop {
         let end = front.runtime.now() + COMMIT_RESERVE / 2;
         let time_left = request.deadline.saturating_sub(end);
         let servers = server_table::fit(front, &request.body.service);
-        let case = Case {
+        let case = ScoringInput {
             key: &request.body.key,
             site: &front.settings.site,
-            tokens: 0,
-            max_out: 0,
-            kv: &no_cache,
-            left: time_left,
+            prompt_tokens: 0,
+            max_output_tokens: 0,
+            cache: &no_cache,
+            time_left,
         };
-        let pick = judge::pick(&servers, &case, &weights, excluded);
+        let pick = scoring::select_best(&servers, &case, &weights, excluded);
         if let Some(pick) = pick.filter(|_| time_left > 0 && front.watcher.may_serve()) {
             return Ok(SelectedServer {
                 server: pick.server.at,
--- a/yewcross-proxy/src/news.rs
+++ b/yewcross-proxy/src/news.rs
@@ -36,7 +36,7 @@
                     .spawn(async move { poll(f, svc, mine).await });
             }
         }
-        crate::kv::watch(&f);
+        crate::kv::prefetch_for_lost_homes(&f);
         f.tidy();
         f.runtime
             .sleep(LOAD_REPORT_INTERVAL.saturating_sub(f.runtime.now() - t0))
@@ -182,7 +182,7 @@
     }
     front.admission.wake(svc);
     if left {
-        crate::kv::watch(front);
+        crate::kv::prefetch_for_lost_homes(front);
     }
     if relay {
         front
--- a/yewcross-proxy/src/relay.rs
+++ b/yewcross-proxy/src/relay.rs
@@ -18,7 +18,7 @@
 mod turn;
 mod upstream_body;
 
-use crate::balance::Balance;
+use crate::balance::LoadBalancer;
 use crate::pool::Pool;
 use bytes::Bytes;
 use http::{Request, Response, request};
@@ -63,7 +63,7 @@
     /// Fronts that share the servers' connections, ourselves among them.
     pub fronts: AtomicUsize,
     pub pool: Pool,
-    pub balance: Balance,
+    pub balance: LoadBalancer,
     pub retries: RetryBudget,
     pub counts: Counts,
 }
@@ -133,6 +133,6 @@
         let l = self.documents.list.load();
         let listed = |s: &str| l.1.servers.iter().any(|x| x.server == s);
         self.pool.tidy(self.runtime.now(), listed);
-        self.balance.tidy(listed);
+        self.balance.prune(listed);
     }
 }
--- a/yewcross-proxy/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -40,18 +40,18 @@
         let request = Arc::new(request);
         let dispatched = self.dispatch(&request, &route, previous.as_deref()).await?;
         let (route, answer) = (&dispatched.route, &dispatched.answer);
-        let service = &answer.claim.to.service;
+        let service = &answer.claim.target.service;
         if let (Some(opened), Some(tokens)) = (&mut turn, self.tokens_per_event(service)) {
             opened.tokens_per_event = tokens;
         }
         answer
             .claim
-            .read(&request.meta.parts, self.cache_tokens(service));
+            .record_prefill(&request.meta.parts, self.cache_tokens(service));
         let keep = route.retained.then(|| Turn {
             id: request.meta.attempt.clone(),
             prev: request.meta.prev.clone(),
             input,
-            server: answer.claim.to.server.clone(),
+            server: answer.claim.target.server.clone(),
             tokens: request.meta.prompt_tokens,
             retain_ms: route.retain_ms,
             ..Turn::default()
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -95,28 +95,32 @@
         let meta = self.back.answer(status.as_u16(), response.headers());
         if !is_answer_to(request, &response, &meta, link.fresh) {
             self.counts.strangers.fetch_add(1, SeqCst);
-            claim.failed();
+            claim.record_failure();
             return Outcome::Lost;
         }
-        claim.headed();
-        meta.load.into_iter().for_each(|load| claim.told(load));
+        claim.record_response_head();
+        meta.load
+            .into_iter()
+            .for_each(|load| claim.record_reported_load(load));
         if meta.not_run || status == StatusCode::MISDIRECTED_REQUEST {
             self.counts.not_run.fetch_add(1, SeqCst);
             match status {
-                StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => claim.full(),
-                _ => claim.failed(),
+                StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
+                    claim.record_overload()
+                }
+                _ => claim.record_failure(),
             }
-            self.drain(&claim.to.server, response.into_body(), link, meta);
+            self.drain(&claim.target.server, response.into_body(), link, meta);
             return Outcome::NotRun;
         }
         // The promise of these is not the server's to make: only `not_run` says that.
         if matches!(status.as_u16(), 408 | 429 | 503) {
-            claim.failed();
-            self.drain(&claim.to.server, response.into_body(), link, meta);
+            claim.record_failure();
+            self.drain(&claim.target.server, response.into_body(), link, meta);
             return Outcome::Lost;
         }
         if status.is_server_error() {
-            claim.failed();
+            claim.record_failure();
         }
         let is_streamed = route.mode == Mode::Stream;
         let read = self.read_small(request, response, link, &meta, &claim, is_streamed);
@@ -129,7 +133,7 @@
             })),
             None => {
                 self.counts.broken.fetch_add(1, SeqCst);
-                claim.failed();
+                claim.record_failure();
                 Outcome::Lost
             }
         }
@@ -144,7 +148,7 @@
         };
         count.fetch_add(1, SeqCst);
         if !matches!(outcome, Outcome::Withdrawn) {
-            claim.failed();
+            claim.record_failure();
         }
         outcome
     }
@@ -175,7 +179,7 @@
             .await?
             .ok()?
             .to_bytes();
-        self.give_back(&claim.to.server, link, meta);
+        self.give_back(&claim.target.server, link, meta);
         Some((head, AnswerBody::Whole(bytes)))
     }
 
@@ -210,7 +214,7 @@
         claim: &Claim,
         route: &Route,
     ) -> Result<(Response<Incoming>, Link), Failed> {
-        let to = &claim.to;
+        let to = &claim.target;
         let mut stale = 0;
         loop {
             let kept = self.pool.take(&to.server, self.runtime.now(), stale > 0);
--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Answer, Outcome};
 use super::{ClientRequest, Rejection, Relay};
-use crate::balance::{Claim, Need, NoSeat};
+use crate::balance::{Claim, PickError, Requirements};
 use crate::policy::Mechanism;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -77,7 +77,7 @@
                 Err(_) if progress.is_lost => return progress.end(first, self.gave_up(request)),
                 Err(rejection) => return progress.end(first, rejection),
             };
-            let server = claim.to.server.clone();
+            let server = claim.target.server.clone();
             progress.tried.push(server.clone());
             let outcome = self
                 .attempt_once(request, &route, claim, &mut progress)
@@ -165,22 +165,27 @@
             let need = self.need(request, &route, &upstream, previous);
             let due = match self.pick(&need, tried) {
                 Ok(claim) => return Ok((route, claim)),
-                Err(NoSeat::None) => {
+                Err(PickError::None) => {
                     let back = self.soon(&route);
                     let none = "no server of the service may take it now";
                     return Err(Rejection(Code::NoServer, none, back));
                 }
-                Err(NoSeat::Full(due)) => due,
+                Err(PickError::AtCapacity(due)) => due,
             };
             let end = patience.min(request.until);
-            if now + due >= end || !self.balance.wait(&self.runtime, &need, end).await {
+            if now + due >= end
+                || !self
+                    .balance
+                    .wait_for_capacity(&self.runtime, &need, end)
+                    .await
+            {
                 let back = (due / MS).clamp(self.soon(&route) / 2, (route.target_ms / 2).max(20));
                 return Err(Rejection(Code::LineFull, "all places are taken", back));
             }
         }
     }
 
-    fn pick(&self, need: &Need, tried: &[String]) -> Result<Claim, NoSeat> {
+    fn pick(&self, need: &Requirements, tried: &[String]) -> Result<Claim, PickError> {
         let list = self.documents.list.load();
         let has_kept_connection = |server: &str| self.pool.has(server);
         self.balance.pick(
@@ -198,27 +203,27 @@
         route: &Route,
         upstream: &Upstream,
         previous: Option<&Turn>,
-    ) -> Need {
+    ) -> Requirements {
         let fronts = self.fronts.load(SeqCst).max(1) as u32;
         let meta = &request.meta;
         let finish = request.began + meta.finish_ms.unwrap_or(route.timeout_ms) * MS;
-        Need {
+        Requirements {
             service: upstream.name.clone(),
             engine: upstream.engine.clone(),
             parts: meta.parts.clone(),
-            prompt: meta.prompt_tokens,
-            output: meta.max_output_tokens,
-            prev: previous.map(|turn| turn.server.clone()).unwrap_or_default(),
-            prev_tokens: previous.map_or(0, |turn| turn.tokens),
+            prompt_tokens: meta.prompt_tokens,
+            max_output_tokens: meta.max_output_tokens,
+            previous_server: previous.map(|turn| turn.server.clone()).unwrap_or_default(),
+            previous_tokens: previous.map_or(0, |turn| turn.tokens),
             site: self.site.clone(),
             target_us: route.target_ms.max(1) * MS,
             rank: (route.rank, finish),
-            affinity: if route.pinned {
+            affinity_key: if route.pinned {
                 meta.affinity.clone()
             } else {
                 String::new()
             },
-            conns: (upstream.max_conns * 3 / 2 / fronts).max(2),
+            max_connections: (upstream.max_conns * 3 / 2 / fronts).max(2),
         }
     }
 
--- a/yewcross-proxy/src/relay/hedge.rs
+++ b/yewcross-proxy/src/relay/hedge.rs
@@ -14,7 +14,8 @@
     /// us of silence after which a second server is asked: longer than the first would take if it
     /// were well.
     fn hedge_after(&self, route: &Route, claim: &Claim) -> u64 {
-        let usual = HEDGE_FACTOR * self.balance.usual(&claim.to.service) + claim.reading_us();
+        let usual = HEDGE_FACTOR * self.balance.usual_head_us(&claim.target.service)
+            + claim.expected_prefill_us();
         usual
             .max(route.target_ms * MS * HEDGE_TARGET_PERCENT / 100)
             .max(HEDGE_DELAY_MIN)
@@ -48,7 +49,7 @@
             Raced::Second(Ok(place)) => place,
         };
         self.counts.second.fetch_add(1, SeqCst);
-        let server = claim.to.server.clone();
+        let server = claim.target.server.clone();
         tried.push(server.clone());
         *sent += 1;
         permit.spend();
--- a/yewcross-proxy/src/relay/resume.rs
+++ b/yewcross-proxy/src/relay/resume.rs
@@ -84,7 +84,7 @@
     /// us of silence after which the stream is stalled; none where that is not looked for.
     pub(super) fn stalled_after(&self, relay: &Relay, answer: &Answer) -> Option<u64> {
         let may = self.route.gap_ms > 0 && relay.balance.policies.has(Mechanism::StallDetection);
-        may.then(|| answer.claim.stalled_after(self.route.gap_ms))
+        may.then(|| answer.claim.stall_timeout_us(self.route.gap_ms))
     }
 
     /// Begins to take the stream up behind the last whole event that was read; none where no
@@ -130,7 +130,7 @@
                 .seat(&self.request, &self.route, None, &tried)
                 .await
                 .map_err(|_| TakeUpError::NotSent)?;
-            let server = claim.to.server.clone();
+            let server = claim.target.server.clone();
             self.attempts.lock().unwrap().begin(&server);
             relay.counts.resumed.fetch_add(1, SeqCst);
             permit.spend();
--- a/yewcross-proxy/src/relay/upstream_body.rs
+++ b/yewcross-proxy/src/relay/upstream_body.rs
@@ -186,8 +186,8 @@
     pub(super) fn finish(&mut self) {
         let events = self.events();
         if let Some(Connected { link, claim, .. }) = self.connected.take() {
-            claim.streamed(events);
-            self.relay.give_back(&claim.to.server, link, &self.meta);
+            claim.record_stream_end(events);
+            self.relay.give_back(&claim.target.server, link, &self.meta);
         }
     }
 
@@ -200,7 +200,7 @@
     /// while.
     pub(super) fn fail(&mut self) {
         if let Some(connected) = self.connected.take() {
-            connected.claim.failed();
+            connected.claim.record_failure();
         }
     }
 }
--- a/yewcross-proxy/src/judge.rs
+++ b/yewcross-proxy/src/scoring.rs
@@ -6,50 +6,50 @@
 use yewcross_common::protocol::{CachedPrefix, SessionCacheState};
 
 /// What the judges know of a job.
-pub struct Case<'a> {
+pub struct ScoringInput<'a> {
     pub key: &'a str,
     pub site: &'a str,
-    pub tokens: u64,
-    pub max_out: u64,
-    pub kv: &'a SessionCacheState,
+    pub prompt_tokens: u64,
+    pub max_output_tokens: u64,
+    pub cache: &'a SessionCacheState,
     /// us left for the server's part.
-    pub left: u64,
+    pub time_left: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Warmth {
-    Held(u64),
+pub enum CacheWarmth {
+    Cached(u64),
     /// A replica stands there, not yet in its cache: a turn that comes now is served cold.
-    Import(CachedPrefix),
+    Importable(CachedPrefix),
     Cold,
 }
 
 #[derive(Clone, Debug)]
-pub struct Pick {
+pub struct Selection {
     pub server: Server,
-    pub warmth: Warmth,
-    pub takes: u64,
+    pub warmth: CacheWarmth,
+    pub estimated_us: u64,
 }
 
-pub struct Weights {
+pub struct ScoreWeights {
     pub load: u64,
-    pub standing: u64,
+    pub reliability: u64,
     pub prefix: u64,
     pub site: u64,
 }
 
-impl From<&ProgramClass> for Weights {
-    fn from(f: &ProgramClass) -> Weights {
-        Weights {
+impl From<&ProgramClass> for ScoreWeights {
+    fn from(f: &ProgramClass) -> ScoreWeights {
+        ScoreWeights {
             load: f.judge_load,
-            standing: f.judge_standing,
+            reliability: f.judge_standing,
             prefix: f.judge_prefix,
             site: f.judge_site,
         }
     }
 }
 
-pub fn import_takes(tokens: u64) -> u64 {
+pub fn import_us(tokens: u64) -> u64 {
     tokens.saturating_mul(KV_IMPORT_PER_K) / 1000
 }
 
@@ -58,38 +58,39 @@
 }
 
 /// Whether importing a replica is quicker than reading its tokens anew.
-pub fn pays(s: &Server, p: &CachedPrefix) -> bool {
-    import_takes(p.tokens) < prefill(s, p.tokens)
+pub fn is_import_faster(s: &Server, p: &CachedPrefix) -> bool {
+    import_us(p.tokens) < prefill(s, p.tokens)
 }
 
 /// What of the prompt the server would not have to read again, and how it would come by it.
-pub fn warmth(s: &Server, c: &Case) -> Warmth {
-    let placed =
-        c.kv.home
-            .iter()
-            .chain(c.kv.replica.iter().filter(|p| p.placed_tokens > 0));
+pub fn cache_warmth(s: &Server, c: &ScoringInput) -> CacheWarmth {
+    let placed = c
+        .cache
+        .home
+        .iter()
+        .chain(c.cache.replica.iter().filter(|p| p.placed_tokens > 0));
     let held = placed.filter(|p| s.holds(p)).map(|p| p.tokens).max();
-    let stored = c.kv.replica.as_ref().filter(|p| {
+    let stored = c.cache.replica.as_ref().filter(|p| {
         !p.digest.is_empty()
             && p.server == s.at.server
             && p.instance == s.report.instance
             && p.weights == s.report.weights
     });
     match (held, stored) {
-        (Some(t), _) => Warmth::Held(t.min(c.tokens)),
-        (None, Some(p)) if pays(s, p) => Warmth::Import(p.clone()),
-        _ => Warmth::Cold,
+        (Some(t), _) => CacheWarmth::Cached(t.min(c.prompt_tokens)),
+        (None, Some(p)) if is_import_faster(s, p) => CacheWarmth::Importable(p.clone()),
+        _ => CacheWarmth::Cold,
     }
 }
 
 /// No turn waits for an import, so a replica that is not yet in the cache saves nothing.
-pub fn takes(s: &Server, c: &Case, w: &Warmth) -> u64 {
+pub fn estimated_us(s: &Server, c: &ScoringInput, w: &CacheWarmth) -> u64 {
     let saved = match w {
-        Warmth::Held(t) => *t,
-        Warmth::Import(_) | Warmth::Cold => 0,
+        CacheWarmth::Cached(t) => *t,
+        CacheWarmth::Importable(_) | CacheWarmth::Cold => 0,
     };
-    prefill(s, c.tokens.saturating_sub(saved))
-        .saturating_add(c.max_out * s.report.decode_us_per_token)
+    prefill(s, c.prompt_tokens.saturating_sub(saved))
+        .saturating_add(c.max_output_tokens * s.report.decode_us_per_token)
 }
 
 fn load(s: &Server) -> u64 {
@@ -102,23 +103,23 @@
     1000 / (1 + s.slow as u64)
 }
 
-fn prefix(c: &Case, w: &Warmth) -> u64 {
-    let part = |t: u64| 1000 * t.min(c.tokens) / c.tokens.max(1);
+fn prefix(c: &ScoringInput, w: &CacheWarmth) -> u64 {
+    let part = |t: u64| 1000 * t.min(c.prompt_tokens) / c.prompt_tokens.max(1);
     match w {
-        Warmth::Held(t) => part(*t),
-        Warmth::Import(p) => part(p.tokens) / 2,
-        Warmth::Cold => 0,
+        CacheWarmth::Cached(t) => part(*t),
+        CacheWarmth::Importable(p) => part(p.tokens) / 2,
+        CacheWarmth::Cold => 0,
     }
 }
 
-fn site(s: &Server, c: &Case) -> u64 {
+fn site(s: &Server, c: &ScoringInput) -> u64 {
     if s.at.site == c.site { 1000 } else { 0 }
 }
 
-pub fn vote(s: &Server, c: &Case, w: &Weights) -> (u64, Warmth) {
-    let m = warmth(s, c);
+pub fn score(s: &Server, c: &ScoringInput, w: &ScoreWeights) -> (u64, CacheWarmth) {
+    let m = cache_warmth(s, c);
     let v = w.load * load(s)
-        + w.standing * standing(s)
+        + w.reliability * standing(s)
         + w.prefix * prefix(c, &m)
         + w.site * site(s, c);
     (v, m)
@@ -126,21 +127,26 @@
 
 /// The best server with room that can finish in time. Near-equal votes fall to the rendezvous hash,
 /// so fronts do not herd.
-pub fn pick(servers: &[Server], c: &Case, w: &Weights, not: &[String]) -> Option<Pick> {
+pub fn select_best(
+    servers: &[Server],
+    c: &ScoringInput,
+    w: &ScoreWeights,
+    not: &[String],
+) -> Option<Selection> {
     servers
         .iter()
         .filter(|s| s.free() > 0 && !not.contains(&s.at.server))
         .filter_map(|s| {
-            let (v, m) = vote(s, c, w);
-            let t = takes(s, c, &m);
-            (t <= c.left).then(|| {
+            let (v, m) = score(s, c, w);
+            let t = estimated_us(s, c, &m);
+            (t <= c.time_left).then(|| {
                 (
                     v / 4096,
                     yewcross_common::hash::rendezvous_weight(c.key, &s.at.server),
-                    Pick {
+                    Selection {
                         server: s.clone(),
                         warmth: m,
-                        takes: t,
+                        estimated_us: t,
                     },
                 )
             })
@@ -151,21 +157,26 @@
 
 /// Where the session would go were its home away: the judges' own pick without it, occupancy left
 /// out so that it stays put.
-pub fn spill<'a>(servers: &'a [Server], key: &str, home: &Home, w: &Weights) -> Option<&'a Server> {
+pub fn spill_target<'a>(
+    servers: &'a [Server],
+    key: &str,
+    home: &HomeServer,
+    w: &ScoreWeights,
+) -> Option<&'a Server> {
     servers
         .iter()
         .filter(|s| s.at.server != home.server && s.report.cache_tokens > 0)
         .max_by_key(|s| {
             let near = (s.at.site == home.site) as u64;
             (
-                w.standing * standing(s) / 4096,
+                w.reliability * standing(s) / 4096,
                 near * w.site,
                 yewcross_common::hash::rendezvous_weight(key, &s.at.server),
             )
         })
 }
 
-pub struct Home {
+pub struct HomeServer {
     pub server: String,
     pub site: String,
 }
@@ -217,45 +228,45 @@
             replica: Some(place("m2")),
             program: "p".into(),
         };
-        let c = Case {
+        let c = ScoringInput {
             key: "k",
             site: "a",
-            tokens: 11_000,
-            max_out: 50,
-            kv: &kv,
-            left: 6_000_000,
+            prompt_tokens: 11_000,
+            max_output_tokens: 50,
+            cache: &kv,
+            time_left: 6_000_000,
         };
-        let w = Weights::from(&ProgramClass::default());
+        let w = ScoreWeights::from(&ProgramClass::default());
         let mut v = vec![
             server("m1", "a", 1),
             server("m2", "a", 0),
             server("m3", "a", 0),
         ];
-        let p = pick(&v, &c, &w, &[]).unwrap();
+        let p = select_best(&v, &c, &w, &[]).unwrap();
         assert_eq!(
             (p.server.at.server.as_str(), p.warmth),
-            ("m1", Warmth::Held(10_000))
+            ("m1", CacheWarmth::Cached(10_000))
         );
         v[0].report.running = 4;
-        let p = pick(&v, &c, &w, &[]).unwrap();
+        let p = select_best(&v, &c, &w, &[]).unwrap();
         assert_eq!(
             (p.server.at.server.as_str(), p.warmth),
-            ("m2", Warmth::Import(place("m2")))
+            ("m2", CacheWarmth::Importable(place("m2")))
         );
         v[1].report.instance = 2;
-        let p = pick(&v, &c, &w, &[]).unwrap();
-        assert_eq!(p.warmth, Warmth::Cold);
+        let p = select_best(&v, &c, &w, &[]).unwrap();
+        assert_eq!(p.warmth, CacheWarmth::Cold);
         v[0].report.running = 1;
         v[0].report.placed_tokens = 95_000;
         assert_eq!(
-            pick(&v, &c, &w, &[]).unwrap().warmth,
-            Warmth::Cold,
+            select_best(&v, &c, &w, &[]).unwrap().warmth,
+            CacheWarmth::Cold,
             "evicted by what was placed since"
         );
-        let short = Case {
-            left: 1_000_000,
+        let short = ScoringInput {
+            time_left: 1_000_000,
             ..c
         };
-        assert!(pick(&v, &short, &w, &[]).is_none());
+        assert!(select_best(&v, &short, &w, &[]).is_none());
     }
 }
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -114,6 +114,6 @@
     let servers = fit(front, service);
     Slots {
         free: servers.iter().map(|s| s.free()).sum(),
-        all: servers.iter().map(|s| s.report.slots).sum(),
+        total: servers.iter().map(|s| s.report.slots).sum(),
     }
 }
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -119,9 +119,9 @@
     }
     let elapsed = front.runtime.now() - started;
     let class = &turn.request.class;
-    front.admission.served_in(&class.service, elapsed);
+    front.admission.record_service_time(&class.service, elapsed);
     let (ran_at, cache) = (&end.stamp.server, &turn.cache);
-    kv::count(front, class, cache, ran_at, end.prompt, end.reused);
+    kv::count_turn(front, class, cache, ran_at, end.prompt, end.reused);
     AttemptOutcome::Finished(Box::new(finished(turn, end, text, chunks)))
 }
 
--- a/yewcross-proxy/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -60,13 +60,13 @@
         is_replayed: false,
     };
     send_end(events, end).await;
-    let fresh = kv::Fresh {
+    let fresh = kv::FinishedTurn {
         key: turn.request.key,
         epoch: turn.epoch,
-        kv: cache,
-        fam: turn.request.class,
+        cache,
+        class: turn.request.class,
     };
-    kv::share(front.clone(), fresh).await;
+    kv::replicate(front.clone(), fresh).await;
     Ok(())
 }
 
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -47,7 +47,7 @@
             return Ok(());
         }
     };
-    kv::begins(front, &turn.request.key, turn.epoch);
+    kv::begin_turn(front, &turn.request.key, turn.epoch);
     let Some(finished) = run(front, &mut turn, permit, events).await? else {
         return Ok(());
     };
@@ -92,8 +92,8 @@
         service: &turn.class.service,
         class: turn.class.class,
         deadline: turn.deadline,
-        patience: turn.queueing_deadline,
-        needs: least_service_time(front, turn),
+        queueing_deadline: turn.queueing_deadline,
+        min_service_us: least_service_time(front, turn),
         capacity,
         urgent_share,
     };
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -55,10 +55,10 @@
 /// What this proxy knows of the session is forgotten, and its prefixes are dropped by the servers.
 async fn drop_prefixes(front: &Arc<Front>, service: &str, key: &str, cache: SessionCacheState) {
     let pushed = front.replicas.lock().unwrap().remove(key);
-    front.spares.forget(key);
+    front.spares.remove(key);
     front.hand.lock().unwrap().remove(key);
     let prefixes = cache.replica.into_iter().chain(pushed).chain(cache.home);
     for prefix in prefixes {
-        kv::drop_at(front, service, key, &prefix.server).await;
+        kv::drop_prefix(front, service, key, &prefix.server).await;
     }
 }
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -4,10 +4,10 @@
 use super::state::BegunTurn;
 use crate::admission::Permit;
 use crate::back::{Back, Verified};
-use crate::judge::{Case, Pick, Warmth, Weights};
-use crate::kv::Due;
+use crate::kv::PrefetchJob;
+use crate::scoring::{CacheWarmth, ScoreWeights, ScoringInput, Selection};
 use crate::server_table::Server;
-use crate::{Front, judge, kv, server_table};
+use crate::{Front, kv, scoring, server_table};
 use std::io::ErrorKind;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -19,13 +19,13 @@
 
 /// The server picked, with a verified connection to it.
 pub(super) struct SelectedServer {
-    pub(super) pick: Pick,
+    pub(super) pick: Selection,
     pub(super) connection: Back<Verified>,
 }
 
 /// What to do next.
 enum Decision {
-    Dispatch(Box<Pick>),
+    Dispatch(Box<Selection>),
     /// No server has room.
     WaitForRoom,
     /// The session's home has no room, and waiting for it costs less than another server.
@@ -65,7 +65,7 @@
         if servers.iter().all(|s| excluded.contains(&s.at.server)) {
             return None;
         }
-        let cache = kv::known(front, &turn.request.key, &turn.cache);
+        let cache = kv::effective_cache_state(front, &turn.request.key, &turn.cache);
         let candidates = Candidates {
             servers: &servers,
             cache: &cache,
@@ -94,24 +94,25 @@
 
 fn decide(front: &Front, turn: &BegunTurn, candidates: &Candidates) -> Decision {
     let request = &turn.request;
-    let case = Case {
+    let case = ScoringInput {
         key: &request.key,
         site: &front.settings.site,
-        tokens: tokens(turn.history.len() + turn.open_line.len()),
-        max_out: request.max_output_tokens,
-        kv: candidates.cache,
-        left: candidates.time_left,
+        prompt_tokens: tokens(turn.history.len() + turn.open_line.len()),
+        max_output_tokens: request.max_output_tokens,
+        cache: candidates.cache,
+        time_left: candidates.time_left,
     };
-    let weights = Weights::from(&request.class);
+    let weights = ScoreWeights::from(&request.class);
     let now = front.runtime.now();
     let excluded = candidates.excluded;
-    let Some(pick) = judge::pick(candidates.servers, &case, &weights, excluded) else {
+    let Some(pick) = scoring::select_best(candidates.servers, &case, &weights, excluded) else {
         let mut allowed = candidates
             .servers
             .iter()
             .filter(|server| !excluded.contains(&server.at.server));
         let is_too_late = allowed.all(|server| {
-            judge::takes(server, &case, &judge::warmth(server, &case)) > candidates.time_left
+            scoring::estimated_us(server, &case, &scoring::cache_warmth(server, &case))
+                > candidates.time_left
         });
         return if is_too_late || now > request.queueing_deadline {
             Decision::GiveUp
@@ -133,8 +134,8 @@
 fn home_wait_end(
     turn: &BegunTurn,
     candidates: &Candidates,
-    case: &Case,
-    pick: &Pick,
+    case: &ScoringInput,
+    pick: &Selection,
 ) -> Option<u64> {
     let home_name = &turn.cache.home.as_ref()?.server;
     if candidates.excluded.contains(home_name) || pick.server.at.server == *home_name {
@@ -142,12 +143,14 @@
     }
     let mut servers = candidates.servers.iter();
     let home = servers.find(|server| server.at.server == *home_name)?;
-    let warmth = judge::warmth(home, case);
-    if !matches!(warmth, Warmth::Held(_)) {
+    let warmth = scoring::cache_warmth(home, case);
+    if !matches!(warmth, CacheWarmth::Cached(_)) {
         return None;
     }
-    let saved = pick.takes.saturating_sub(judge::takes(home, case, &warmth));
-    let slack = candidates.time_left.saturating_sub(pick.takes);
+    let saved = pick
+        .estimated_us
+        .saturating_sub(scoring::estimated_us(home, case, &warmth));
+    let slack = candidates.time_left.saturating_sub(pick.estimated_us);
     let end = candidates.started + saved.min(slack);
     Some(end.min(turn.request.queueing_deadline))
 }
@@ -169,18 +172,18 @@
     let Some(replica) = cache.replica.as_ref().filter(has_room) else {
         return false;
     };
-    let due = Due {
+    let due = PrefetchJob {
         key: turn.request.key.clone(),
         service: turn.request.class.service.clone(),
         replica: replica.clone(),
-        tell: false,
+        update_record: false,
     };
-    kv::ahead(front, due, true);
+    kv::prefetch(front, due, true);
     true
 }
 
 /// A verified connection to the server picked.
-async fn connect(front: &Front, turn: &BegunTurn, pick: &Pick) -> Option<Back<Verified>> {
+async fn connect(front: &Front, turn: &BegunTurn, pick: &Selection) -> Option<Back<Verified>> {
     let server = &pick.server.at;
     let service = &turn.request.class.service;
     let connection = front
@@ -196,8 +199,8 @@
     connection.ok()
 }
 
-fn selected(front: &Front, pick: Pick, connection: Back<Verified>) -> SelectedServer {
-    if matches!(pick.warmth, Warmth::Import(_)) {
+fn selected(front: &Front, pick: Selection, connection: Back<Verified>) -> SelectedServer {
+    if matches!(pick.warmth, CacheWarmth::Importable(_)) {
         front.counts.unready.fetch_add(1, SeqCst);
     }
     SelectedServer { pick, connection }
--- a/yewcross-proxy/tests/kv.rs
+++ b/yewcross-proxy/tests/kv.rs
@@ -3,7 +3,10 @@
 use yewcross_common::configuration::ProgramClass;
 use yewcross_common::constants::{KV_MIN_TOKENS, SEC};
 use yewcross_common::protocol::{CachedPrefix, ListedServer, LoadReport, SessionCacheState};
-use yewcross_proxy::judge::{Case, Home, Warmth, Weights, pick, spill, takes, warmth};
+use yewcross_proxy::scoring::{
+    CacheWarmth, HomeServer, ScoreWeights, ScoringInput, cache_warmth, estimated_us, select_best,
+    spill_target,
+};
 use yewcross_proxy::server_table::Server;
 
 fn server(n: &str, running: u32) -> Server {
@@ -45,14 +48,14 @@
     }
 }
 
-fn case(kv: &SessionCacheState) -> Case<'_> {
-    Case {
+fn case(kv: &SessionCacheState) -> ScoringInput<'_> {
+    ScoringInput {
         key: "k",
         site: "a",
-        tokens: 11_000,
-        max_out: 50,
-        kv,
-        left: 6 * SEC,
+        prompt_tokens: 11_000,
+        max_output_tokens: 50,
+        cache: kv,
+        time_left: 6 * SEC,
     }
 }
 
@@ -65,21 +68,21 @@
     };
     let m2 = server("m2", 0);
     let (stored, ready) = (of(0), of(9_000));
-    let cold = takes(&m2, &case(&stored), &Warmth::Cold);
-    let w = warmth(&m2, &case(&stored));
+    let cold = estimated_us(&m2, &case(&stored), &CacheWarmth::Cold);
+    let w = cache_warmth(&m2, &case(&stored));
     assert_eq!(
-        (w.clone(), takes(&m2, &case(&stored), &w)),
-        (Warmth::Import(place("m2", 9_000, 0)), cold)
+        (w.clone(), estimated_us(&m2, &case(&stored), &w)),
+        (CacheWarmth::Importable(place("m2", 9_000, 0)), cold)
     );
-    let w = warmth(&m2, &case(&ready));
-    assert_eq!(w, Warmth::Held(9_000));
-    assert!(takes(&m2, &case(&ready), &w) * 4 < cold);
+    let w = cache_warmth(&m2, &case(&ready));
+    assert_eq!(w, CacheWarmth::Cached(9_000));
+    assert!(estimated_us(&m2, &case(&ready), &w) * 4 < cold);
     // Everything placed there since may have pushed it out.
     let mut full = m2.clone();
     full.report.placed_tokens = 101_000;
     assert_eq!(
-        warmth(&full, &case(&ready)),
-        Warmth::Import(place("m2", 9_000, 9_000))
+        cache_warmth(&full, &case(&ready)),
+        CacheWarmth::Importable(place("m2", 9_000, 9_000))
     );
 }
 
@@ -95,8 +98,8 @@
         other.report.weights = "w2".into();
         next.report.instance = 2;
         assert_eq!(
-            [other, next].map(|s| warmth(&s, &case(&kv))),
-            [Warmth::Cold, Warmth::Cold]
+            [other, next].map(|s| cache_warmth(&s, &case(&kv))),
+            [CacheWarmth::Cold, CacheWarmth::Cold]
         );
     }
 }
@@ -109,13 +112,13 @@
         (true, 8_192, 8_192)
     );
     // Occupancy does not move the target, so that it stays the one server where the replica stands.
-    let home = Home {
+    let home = HomeServer {
         server: "m1".into(),
         site: "a".into(),
     };
     let mut v = ["m1", "m2", "m3", "m4"].map(|n| server(n, 0)).to_vec();
     let to = |v: &[Server]| {
-        spill(v, "k", &home, &Weights::from(&f))
+        spill_target(v, "k", &home, &ScoreWeights::from(&f))
             .unwrap()
             .at
             .server
@@ -136,7 +139,11 @@
         .filter(|s| s.at.server == "m1")
         .for_each(|s| s.report.running = 4);
     assert!(
-        pick(&v, &case(&kv), &Weights::from(&f), &[])
-            .is_some_and(|p| p.server.at.server != "m1" && p.warmth == Warmth::Cold)
+        select_best(&v, &case(&kv), &ScoreWeights::from(&f), &[]).is_some_and(|p| p
+            .server
+            .at
+            .server
+            != "m1"
+            && p.warmth == CacheWarmth::Cold)
     );
 }
--- a/yewcross-testkit/tests/placement.rs
+++ b/yewcross-testkit/tests/placement.rs
@@ -9,12 +9,12 @@
 use yewcross_common::constants::*;
 use yewcross_common::protocol::ListedServer;
 use yewcross_common::runtime::*;
-use yewcross_proxy::balance::{Balance, Claim, Load, Need, Slope};
-use yewcross_proxy::load_exchange::{Collected, ServerKey, ServerLoad};
+use yewcross_proxy::balance::{Claim, Load, LoadBalancer, Requirements, SlopeEstimator};
+use yewcross_proxy::load_exchange::{LoadCollector, ServerKey, ServerLoad};
 use yewcross_proxy::policy::{Mechanism, Policies};
 use yewcross_testkit::sim::Sim;
 
-fn model(parts: &[(u64, u64)]) -> Need {
+fn model(parts: &[(u64, u64)]) -> Requirements {
     let engine = Some(Engine {
         slots: 12,
         cache_tokens: 1_000_000,
@@ -22,23 +22,23 @@
         tokens_per_event: 2,
     });
     let prompt = parts.iter().map(|p| p.1).sum();
-    let plain = Need {
+    let plain = Requirements {
         service: "x".into(),
         site: "z0".into(),
         target_us: 250 * MS,
-        conns: 100,
-        ..Need::default()
+        max_connections: 100,
+        ..Requirements::default()
     };
-    Need {
+    Requirements {
         engine,
         parts: parts.to_vec(),
-        prompt,
-        output: 100,
+        prompt_tokens: prompt,
+        max_output_tokens: 100,
         ..plain
     }
 }
 
-fn pick(b: &Balance, w: &Runtime, n: &Need, v: &[ListedServer]) -> Claim {
+fn pick(b: &LoadBalancer, w: &Runtime, n: &Requirements, v: &[ListedServer]) -> Claim {
     b.pick(w, n, v, &[], |_| true).expect("a place is free")
 }
 
@@ -47,7 +47,7 @@
 fn run(
     sim: &Sim,
     w: &Runtime,
-    b: &Balance,
+    b: &LoadBalancer,
     v: &[ListedServer],
     tokens: u64,
     token_us: f64,
@@ -55,13 +55,13 @@
 ) {
     let mut c = pick(b, w, &model(&[(sim.rand(), tokens)]), &v[..1]);
     advance(sim, w, 10 * MS + (tokens as f64 * token_us) as u64);
-    c.headed();
+    c.record_response_head();
     advance(sim, w, 7 * gap_us);
-    c.streamed(8);
+    c.record_stream_end(8);
 }
 
-fn others(b: &Balance, w: &Runtime, at: &str, in_flight: u32, ejected_by: u32) {
-    b.learn_load(w.now(), |server| {
+fn others(b: &LoadBalancer, w: &Runtime, at: &str, in_flight: u32, ejected_by: u32) {
+    b.update_peer_loads(w.now(), |server| {
         Some(if server == at {
             Load {
                 in_flight,
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_slope_is_found_whatever_is_added_to_all_and_follows_what_changes() {
-    let mut slope = Slope::new(33.0, 1_000.0);
+    let mut slope = SlopeEstimator::new(33.0, 1_000.0);
     assert_eq!(slope.value(), 33.0, "nothing was seen yet");
     (0..60u64).for_each(|i| {
         slope.add(
@@ -91,7 +91,7 @@
         )
     });
     assert!((28.0..32.0).contains(&slope.value()), "{}", slope.value());
-    let mut falling = Slope::new(500.0, 2.0);
+    let mut falling = SlopeEstimator::new(500.0, 2.0);
     (0..2_000u64).for_each(|i| falling.add((i % 9) as f64, 900.0 - (i % 9) as f64 * 50.0));
     assert_eq!(falling.value(), 0.0, "more work makes nothing faster");
 }
@@ -103,18 +103,22 @@
         (Policies::all(), true),
         (Policies::all().without(Mechanism::LearnedReading), false),
     ] {
-        let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(2, 1));
+        let ((sim, w), b, v) = (
+            front_runtime(),
+            LoadBalancer::with_policies(policies),
+            servers(2, 1),
+        );
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
         let prompt = [(7, 4_000)];
-        pick(&b, &w, &model(&prompt), &v[..1]).read(&prompt, 1_000_000);
+        pick(&b, &w, &model(&prompt), &v[..1]).record_prefill(&prompt, 1_000_000);
         let _ = pick(&b, &w, &model(&[]), &v[1..]);
         others(&b, &w, "s0", 11, 0);
-        let taken = pick(&b, &w, &model(&prompt), &v).to.server.clone();
+        let taken = pick(&b, &w, &model(&prompt), &v).target.server.clone();
         assert_eq!(
             taken == "s1",
             cold_is_taken,
             "reads {} us a token",
-            b.observed("x").reading.value()
+            b.observed("x").prefill.value()
         );
     }
 }
@@ -126,37 +130,41 @@
         (Policies::all(), true),
         (Policies::all().without(Mechanism::LearnedCrowding), false),
     ] {
-        let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(2, 1));
+        let ((sim, w), b, v) = (
+            front_runtime(),
+            LoadBalancer::with_policies(policies),
+            servers(2, 1),
+        );
         (0..40).for_each(|i| run(&sim, &w, &b, &v, 1_000 + i * 300, 7.0, 30 * MS));
         for i in 0..300u32 {
             others(&b, &w, "s0", i % 10, 0);
             let mut c = pick(&b, &w, &model(&[]), &v[..1]);
-            c.headed();
+            c.record_response_head();
             advance(&sim, &w, 7 * (30 + 5 * (i as u64 % 10)) * MS);
-            c.streamed(8);
+            c.record_stream_end(8);
         }
         let prompt = [(7, 4_000)];
-        pick(&b, &w, &model(&prompt), &v[..1]).read(&prompt, 1_000_000);
+        pick(&b, &w, &model(&prompt), &v[..1]).record_prefill(&prompt, 1_000_000);
         let _ = pick(&b, &w, &model(&[]), &v[1..]);
         others(&b, &w, "s0", 4, 0);
-        let taken = pick(&b, &w, &model(&prompt), &v).to.server.clone();
+        let taken = pick(&b, &w, &model(&prompt), &v).target.server.clone();
         assert_eq!(
             taken == "s1",
             idle_is_taken,
             "a neighbour costs {} us",
-            b.observed("x").neighbour_us()
+            b.observed("x").contention_us()
         );
     }
 }
 
 #[test]
 fn what_other_fronts_have_under_way_keeps_requests_off_a_hot_server() {
-    let ((sim, w), b, v) = (front_runtime(), Balance::default(), servers(3, 1));
+    let ((sim, w), b, v) = (front_runtime(), LoadBalancer::default(), servers(3, 1));
     v.iter()
         .for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
-    let hits = |b: &Balance| {
+    let hits = |b: &LoadBalancer| {
         (0..60)
-            .filter(|_| pick(b, &w, &model(&[]), &v).to.server == "s1")
+            .filter(|_| pick(b, &w, &model(&[]), &v).target.server == "s1")
             .count()
     };
     assert!(
@@ -178,12 +186,16 @@
         (Policies::all(), true),
         (Policies::all().without(Mechanism::SharedEjection), false),
     ] {
-        let ((sim, w), b, v) = (front_runtime(), Balance::with(policies), servers(4, 1));
+        let ((sim, w), b, v) = (
+            front_runtime(),
+            LoadBalancer::with_policies(policies),
+            servers(4, 1),
+        );
         v.iter()
             .for_each(|s| drop(pick(&b, &w, &model(&[]), std::slice::from_ref(s))));
         let hits = || {
             (0..80)
-                .filter(|_| pick(&b, &w, &model(&[]), &v).to.server == "s2")
+                .filter(|_| pick(&b, &w, &model(&[]), &v).target.server == "s2")
                 .count()
         };
         others(&b, &w, "s2", 0, EJECTION_QUORUM - 1);
@@ -192,7 +204,7 @@
         assert_eq!(hits() == 0, left_alone);
         advance(&sim, &w, EJECTION_TIME);
         assert!(hits() > 5, "what was heard is old");
-        b.learn_load(w.now(), |server| {
+        b.update_peer_loads(w.now(), |server| {
             Some(Load {
                 in_flight: 0,
                 ejected_by: if server == "s0" { 0 } else { 9 },
@@ -208,30 +220,31 @@
 #[test]
 fn what_concerns_the_same_thing_goes_to_one_server_until_that_costs_too_much() {
     let ((_sim, w), v) = (front_runtime(), servers(6, 1));
-    let plain = |key: &str| Need {
+    let plain = |key: &str| Requirements {
         engine: None,
-        affinity: key.into(),
+        affinity_key: key.into(),
         ..model(&[])
     };
-    let slots = |b: &Balance| {
-        v.iter()
-            .for_each(|s| pick(b, &w, &plain(""), std::slice::from_ref(s)).told((1, 0, 4)))
+    let slots = |b: &LoadBalancer| {
+        v.iter().for_each(|s| {
+            pick(b, &w, &plain(""), std::slice::from_ref(s)).record_reported_load((1, 0, 4))
+        })
     };
-    let places = |b: &Balance, key: &str| {
+    let places = |b: &LoadBalancer, key: &str| {
         let all: std::collections::BTreeSet<String> = (0..40)
-            .map(|_| pick(b, &w, &plain(key), &v).to.server.clone())
+            .map(|_| pick(b, &w, &plain(key), &v).target.server.clone())
             .collect();
         all.into_iter().collect::<Vec<_>>()
     };
     let (on, off) = (
-        Balance::default(),
-        Balance::with(Policies::all().without(Mechanism::Affinity)),
+        LoadBalancer::default(),
+        LoadBalancer::with_policies(Policies::all().without(Mechanism::Affinity)),
     );
     slots(&on);
     slots(&off);
     let home = places(&on, "17");
     assert_eq!(
-        (home.len(), places(&Balance::default(), "17")),
+        (home.len(), places(&LoadBalancer::default(), "17")),
         (1, home.clone()),
         "the same at every front"
     );
@@ -246,7 +259,7 @@
     );
     let held: Vec<Claim> = (0..3).map(|_| pick(&on, &w, &plain("17"), &v)).collect();
     assert!(
-        held.iter().any(|c| c.to.server != home[0]),
+        held.iter().any(|c| c.target.server != home[0]),
         "it is not flooded for it"
     );
 }
@@ -261,10 +274,10 @@
             ejected_by,
         },
     };
-    let mut c = Collected::default();
-    c.report("f1", false, &[load("s0", 3, 0), load("s1", 1, 1)], 1_000);
-    c.report("f2", false, &[load("s0", 2, 1)], 1_000);
-    c.report("z9", true, &[load("s1", 4, 1)], 500_000);
+    let mut c = LoadCollector::default();
+    c.add_report("f1", false, &[load("s0", 3, 0), load("s1", 1, 1)], 1_000);
+    c.add_report("f2", false, &[load("s0", 2, 1)], 1_000);
+    c.add_report("z9", true, &[load("s1", 4, 1)], 500_000);
     let total = |now: u64| {
         c.total(v.iter(), now)
             .into_iter()
@@ -277,7 +290,7 @@
         [(0, 0), (4, 1)],
         "fronts that fell silent count for nothing"
     );
-    c.report("f1", false, &[], 2_000);
+    c.add_report("f1", false, &[], 2_000);
     let again = c.total(v.iter(), 2_000);
     assert_eq!(
         again[0].load,
--- a/yewcross-testkit/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -16,7 +16,7 @@
 use yewcross_common::register::Ballot;
 use yewcross_common::runtime::*;
 use yewcross_common::turn_log::{OpenTurn, OpenTurnError, OpenedTurn, Turn, TurnLogService};
-use yewcross_proxy::balance::Balance;
+use yewcross_proxy::balance::LoadBalancer;
 use yewcross_proxy::policy::Policies;
 use yewcross_proxy::relay::{Relay, RetryBudget};
 use yewcross_testkit::routed::ports::Ports;
@@ -152,7 +152,7 @@
             chains: Some(memory.clone()),
             fronts: AtomicUsize::new(1),
             pool: Default::default(),
-            balance: Balance::with(policies),
+            balance: LoadBalancer::with_policies(policies),
             retries: RetryBudget::new(policies),
             counts: Default::default(),
         });
