--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -118,6 +118,6 @@
     let servers = eligible_servers(front, service);
     Slots {
         free: servers.iter().map(|s| s.free()).sum(),
-        all: servers.iter().map(|s| s.report.slots).sum(),
+        total: servers.iter().map(|s| s.report.slots).sum(),
     }
 }
