--- a/yewcross-proxy/src/back.rs
+++ b/yewcross-proxy/src/backend.rs
@@ -26,14 +26,17 @@
 pub struct Unverified;
 pub struct Verified;
 
-pub struct Back<S> {
+pub struct BackendConnection<S> {
     conn: Connection,
     who: Stamp,
     _s: PhantomData<S>,
 }
 
-impl Back<Unverified> {
-    pub async fn dial(runtime: &Runtime, to: SocketAddr) -> io::Result<Back<Unverified>> {
+impl BackendConnection<Unverified> {
+    pub async fn dial(
+        runtime: &Runtime,
+        to: SocketAddr,
+    ) -> io::Result<BackendConnection<Unverified>> {
         let conn = runtime.connect_within(to, CONNECT_TIMEOUT).await?;
         let who = Stamp {
             service: String::new(),
@@ -42,7 +45,7 @@
             weights: String::new(),
             job: String::new(),
         };
-        Ok(Back {
+        Ok(BackendConnection {
             conn,
             who,
             _s: PhantomData,
@@ -55,7 +58,7 @@
         runtime: &Runtime,
         service: &str,
         server: &str,
-    ) -> io::Result<Back<Verified>> {
+    ) -> io::Result<BackendConnection<Verified>> {
         let got = runtime
             .timeout(UPSTREAM_REPORT_TIMEOUT, async {
                 let mut r =
@@ -73,7 +76,7 @@
                 "another identity",
             ));
         }
-        Ok(Back {
+        Ok(BackendConnection {
             conn: self.conn,
             who,
             _s: PhantomData,
@@ -82,25 +85,25 @@
 }
 
 #[allow(clippy::large_enum_variant)]
-pub enum Sent {
+pub enum SendResult {
     Answered(Response),
-    Lost,
+    OutcomeUnknown,
 }
 
-impl Back<Verified> {
-    pub fn who(&self) -> &Stamp {
+impl BackendConnection<Verified> {
+    pub fn identity(&self) -> &Stamp {
         &self.who
     }
 
     /// True if the stamp is this server's, in this life, for this job.
-    pub fn stamped(&self, s: &Stamp, job: &str) -> bool {
+    pub fn matches_stamp(&self, s: &Stamp, job: &str) -> bool {
         s.service == self.who.service
             && s.server == self.who.server
             && s.inst == self.who.inst
             && s.job == job
     }
 
-    pub async fn send(&self, runtime: &Runtime, path: &str, body: Vec<u8>, us: u64) -> Sent {
+    pub async fn send(&self, runtime: &Runtime, path: &str, body: Vec<u8>, us: u64) -> SendResult {
         match runtime
             .timeout(
                 us,
@@ -108,14 +111,14 @@
             )
             .await
         {
-            Some(Ok(r)) => Sent::Answered(r),
-            _ => Sent::Lost,
+            Some(Ok(r)) => SendResult::Answered(r),
+            _ => SendResult::OutcomeUnknown,
         }
     }
 }
 
 /// Since when a connection lies idle.
-type Idle = (u64, Back<Verified>);
+type Idle = (u64, BackendConnection<Verified>);
 
 #[derive(Default)]
 pub struct Pool {
@@ -132,7 +135,7 @@
         service: &str,
         server: &str,
         to: SocketAddr,
-    ) -> io::Result<Back<Verified>> {
+    ) -> io::Result<BackendConnection<Verified>> {
         let t = runtime.now();
         let kept = {
             let mut g = self.idle.lock().unwrap();
@@ -144,7 +147,7 @@
             // An idle connection may have died unseen; asking who is there again costs less than a
             // lost job.
             Some((_, b)) if b.who.service == service => {
-                let fresh = Back {
+                let fresh = BackendConnection {
                     conn: b.conn,
                     who: b.who,
                     _s: PhantomData::<Unverified>,
@@ -152,7 +155,7 @@
                 match fresh.verify(runtime, service, server).await {
                     Ok(b) => Ok(b),
                     Err(_) => {
-                        Back::dial(runtime, to)
+                        BackendConnection::dial(runtime, to)
                             .await?
                             .verify(runtime, service, server)
                             .await
@@ -160,7 +163,7 @@
                 }
             }
             _ => {
-                Back::dial(runtime, to)
+                BackendConnection::dial(runtime, to)
                     .await?
                     .verify(runtime, service, server)
                     .await
@@ -168,7 +171,7 @@
         }
     }
 
-    pub fn put(&self, runtime: &Runtime, b: Back<Verified>) {
+    pub fn put(&self, runtime: &Runtime, b: BackendConnection<Verified>) {
         let mut g = self.idle.lock().unwrap();
         let v = g.entry((b.who.server.clone(), b.conn.peer)).or_default();
         if v.len() < IDLE_EACH {
@@ -183,11 +186,11 @@
     }
 }
 
-pub struct Lines(Box<dyn futures_lite::AsyncBufRead + Send + Unpin>);
+pub struct ResponseLines(Box<dyn futures_lite::AsyncBufRead + Send + Unpin>);
 
-impl Lines {
-    pub fn of(r: &mut Response) -> Lines {
-        Lines(Box::new(r.take_body()))
+impl ResponseLines {
+    pub fn from_response(r: &mut Response) -> ResponseLines {
+        ResponseLines(Box::new(r.take_body()))
     }
 
     /// One whole line, or nothing if the stream ended, broke, or went silent.
@@ -200,7 +203,7 @@
         (n > 0 && v.pop() == Some(b'\n')).then_some(v)
     }
 
-    pub async fn drained(&mut self, runtime: &Runtime) -> bool {
+    pub async fn reached_end(&mut self, runtime: &Runtime) -> bool {
         let mut v = vec![];
         matches!(
             runtime
@@ -212,7 +215,7 @@
 }
 
 #[allow(clippy::too_many_arguments)]
-pub async fn ask_once(
+pub async fn request_once(
     runtime: &Runtime,
     p: &Pool,
     service: &str,
@@ -223,7 +226,7 @@
     us: u64,
 ) -> Option<Vec<u8>> {
     let b = p.get(runtime, service, server, to).await.ok()?;
-    let Sent::Answered(mut r) = b.send(runtime, path, body, us).await else {
+    let SendResult::Answered(mut r) = b.send(runtime, path, body, us).await else {
         return None;
     };
     let ok = r.status().is_success();
--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -1,6 +1,6 @@
 //! kv_share: one replica of a session's cache, at the server it would spill to.
 
-use crate::back;
+use crate::backend;
 use crate::judge::{self, Weights};
 use crate::{Front, server_table};
 use lru::LruCache;
@@ -194,7 +194,11 @@
 pub fn known(f: &Front, key: &str, kv: &SessionCacheState) -> SessionCacheState {
     let away = |p: &&CachedPrefix| kv.home.as_ref().is_none_or(|h| h.server != p.server);
     let pushed = f.replicas.lock().unwrap().get(key).filter(away).cloned();
-    let placed = f.spares.get(key).map(|s| s.placed).unwrap_or_default();
+    let placed = f
+        .kv_transfers
+        .get(key)
+        .map(|s| s.placed)
+        .unwrap_or_default();
     let Some(r) = pushed.or(kv.replica.clone()) else {
         // Nothing stands anywhere; yet the home before may still hold most of it.
         let most = |p: &&CachedPrefix| {
@@ -233,8 +237,12 @@
 /// A turn begins here under this epoch: what was known of the session is void if other turns began
 /// elsewhere since.
 pub fn begins(front: &Front, key: &str, epoch: u64) {
-    if front.spares.get(key).is_some_and(|s| s.epoch + 1 < epoch) {
-        front.spares.forget(key);
+    if front
+        .kv_transfers
+        .get(key)
+        .is_some_and(|s| s.epoch + 1 < epoch)
+    {
+        front.kv_transfers.forget(key);
         front.replicas.lock().unwrap().remove(key);
     }
 }
@@ -243,7 +251,7 @@
 /// Nobody waits for it.
 pub fn ahead(front: &Arc<Front>, x: Due, first: bool) {
     let to = x.replica.server.clone();
-    let mut g = front.spares.due.lock().unwrap();
+    let mut g = front.kv_transfers.due.lock().unwrap();
     let idle = !g.contains_key(&to);
     let line = g.entry(to.clone()).or_default();
     if line.iter().any(|d| d.key == x.key) {
@@ -258,7 +266,7 @@
         let me = front.clone();
         front.runtime.spawn(async move {
             let next = || {
-                let mut g = me.spares.due.lock().unwrap();
+                let mut g = me.kv_transfers.due.lock().unwrap();
                 let x = g.get_mut(&to).and_then(|l| l.pop_front());
                 if x.is_none() {
                     g.remove(&to);
@@ -313,7 +321,7 @@
         serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
     front.counts.imports.fetch_add(1, SeqCst);
     let t0 = front.runtime.now();
-    let got = back::ask_once(
+    let got = backend::request_once(
         &front.runtime,
         &front.pool,
         &service,
@@ -344,7 +352,7 @@
         },
         ..replica
     };
-    front.spares.imported(&key, &p);
+    front.kv_transfers.imported(&key, &p);
     stands(front, &key, p, tell).await;
 }
 
@@ -362,7 +370,7 @@
     }
     remember(front, key, &p);
     if let Some(s) = front
-        .spares
+        .kv_transfers
         .get(key)
         .filter(|s| tell && s.kv.replica.as_ref() != Some(&p))
     {
@@ -383,7 +391,7 @@
 /// front holds it.
 async fn note(front: &Arc<Front>, key: &str, epoch: u64, kv: SessionCacheState) {
     let told = front
-        .store(
+        .call_store(
             key,
             &PeerRequest::RecordCacheState {
                 key: key.into(),
@@ -409,39 +417,43 @@
         .keys()
         .flat_map(|s| server_table::fit(front, s))
         .collect();
-    front.spares.flows(front.runtime.now(), &servers);
+    front.kv_transfers.flows(front.runtime.now(), &servers);
     let fit: BTreeSet<String> = servers.into_iter().map(|s| s.at.server).collect();
-    let was = std::mem::replace(&mut *front.spares.fit.lock().unwrap(), fit.clone());
+    let was = std::mem::replace(&mut *front.kv_transfers.fit.lock().unwrap(), fit.clone());
     let gone: BTreeSet<String> = was.difference(&fit).cloned().collect();
     if gone.is_empty() {
         return;
     }
-    front.spares.homed(&gone).into_iter().for_each(|(key, s)| {
-        let replica = front
-            .replicas
-            .lock()
-            .unwrap()
-            .get(&key)
-            .cloned()
-            .or(s.kv.replica);
-        let fam = conf
-            .1
-            .families
-            .get(&s.kv.program)
-            .filter(|p| p.eff.kv_share);
-        replica.zip(fam).into_iter().for_each(|(replica, p)| {
-            ahead(
-                front,
-                Due {
-                    key: key.clone(),
-                    service: p.eff.service.clone(),
-                    replica,
-                    tell: true,
-                },
-                false,
-            );
+    front
+        .kv_transfers
+        .homed(&gone)
+        .into_iter()
+        .for_each(|(key, s)| {
+            let replica = front
+                .replicas
+                .lock()
+                .unwrap()
+                .get(&key)
+                .cloned()
+                .or(s.kv.replica);
+            let fam = conf
+                .1
+                .families
+                .get(&s.kv.program)
+                .filter(|p| p.eff.kv_share);
+            replica.zip(fam).into_iter().for_each(|(replica, p)| {
+                ahead(
+                    front,
+                    Due {
+                        key: key.clone(),
+                        service: p.eff.service.clone(),
+                        replica,
+                        tell: true,
+                    },
+                    false,
+                );
+            });
         });
-    });
 }
 
 /// A replica has just arrived: it is brought in at once where the target's cache turns over slowly,
@@ -461,7 +473,7 @@
             .and_then(|h| at(&h.server))
             .is_none_or(full)
             && !full(to);
-    if press || f.spares.roomy(to, replica.tokens) {
+    if press || f.kv_transfers.roomy(to, replica.tokens) {
         ahead(
             f,
             Due {
@@ -521,10 +533,10 @@
             .as_ref()
             .is_some_and(|h| h.tokens >= x.fam.kv_min_tokens)
     {
-        f.spares.ran(&x.key, x.epoch, &x.kv);
+        f.kv_transfers.ran(&x.key, x.epoch, &x.kv);
     }
     {
-        let mut g = f.pushing.lock().unwrap();
+        let mut g = f.pushes_in_progress.lock().unwrap();
         if let Some(next) = g.get_mut(&x.key) {
             *next = Some(x);
             return;
@@ -539,7 +551,7 @@
         x.kv.replica = known.or(x.kv.replica);
         if let Some(p) = push(&f, &x).await {
             remember(&f, &key, &p);
-            if f.pushing
+            if f.pushes_in_progress
                 .lock()
                 .unwrap()
                 .get(&key)
@@ -558,7 +570,7 @@
             }
             after(&f, &x, p);
         }
-        let mut g = f.pushing.lock().unwrap();
+        let mut g = f.pushes_in_progress.lock().unwrap();
         now = g.get_mut(&key).and_then(|n| n.take());
         if now.is_none() {
             g.remove(&key);
@@ -601,7 +613,11 @@
         f.replicas.lock().unwrap().remove(key);
         drop_at(f, &fam.service, key, &gone.server).await;
     }
-    let Some(_line) = f.links.take(&f.runtime, &home.server, &to.at.server).await else {
+    let Some(_line) = f
+        .push_pacer
+        .acquire(&f.runtime, &home.server, &to.at.server)
+        .await
+    else {
         f.counts.push_skipped.fetch_add(1, SeqCst);
         return None;
     };
@@ -610,7 +626,7 @@
         let (f, svc, at) = (f.clone(), fam.service.clone(), at.at.clone());
         async move {
             let b = serde_json::to_vec(&v).unwrap_or_default();
-            back::ask_once(
+            backend::request_once(
                 &f.runtime,
                 &f.pool,
                 &svc,
@@ -644,7 +660,8 @@
         .get(&fam.service)
         .map(|s| s.link_bytes)
         .unwrap_or(u64::MAX);
-    f.links.spend(f.runtime.now(), &home.server, s.bytes, limit);
+    f.push_pacer
+        .charge_link(f.runtime.now(), &home.server, s.bytes, limit);
     let v = json!({"session": key, "digest": s.digest, "base": base, "to": to.at.addr, "target": to.at.server, "service": fam.service});
     let sent = ask("/kv/send", v)
         .await
@@ -682,7 +699,7 @@
     if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
         let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
         front.counts.drops.fetch_add(1, SeqCst);
-        back::ask_once(
+        backend::request_once(
             &front.runtime,
             &front.pool,
             svc,
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -1,5 +1,5 @@
 pub mod admission;
-pub mod back;
+pub mod backend;
 pub mod balance;
 pub mod judge;
 pub mod kv;
@@ -88,24 +88,24 @@
     pub documents: Arc<DocumentCache>,
     pub watcher: Arc<DocumentWatcher>,
     pub connections: Arc<ConnectionTracker>,
-    pub pool: back::Pool,
+    pub pool: backend::Pool,
     /// Requests that wait for a server with room.
     pub admission: admission::Admission,
-    pub links: Links,
-    pub heard: Mutex<BTreeMap<String, server_table::Heard>>,
+    pub push_pacer: PushPacer,
+    pub received_reports: Mutex<BTreeMap<String, server_table::Heard>>,
     /// What this node last told of each server as its home.
-    pub told: Mutex<BTreeMap<String, LoadReport>>,
+    pub announced_reports: Mutex<BTreeMap<String, LoadReport>>,
     /// Jobs sent to a server since its last report.
-    pub sent: Mutex<BTreeMap<String, u32>>,
+    pub dispatched_since_report: Mutex<BTreeMap<String, u32>>,
     /// Breakdowns in a row, and until when they count.
-    pub slow: Mutex<BTreeMap<String, (u32, u64)>>,
+    pub recent_failures: Mutex<BTreeMap<String, (u32, u64)>>,
     /// Histories on hand, so that the store need not send them again.
-    pub hand: Mutex<BTreeMap<String, Vec<u8>>>,
+    pub cached_histories: Mutex<BTreeMap<String, Vec<u8>>>,
     /// Sessions with a push under way, each with the newest turn that ended meanwhile.
-    pub pushing: Mutex<BTreeMap<String, Option<kv::Fresh>>>,
+    pub pushes_in_progress: Mutex<BTreeMap<String, Option<kv::Fresh>>>,
     /// Replicas this front has pushed.
     pub replicas: Mutex<BTreeMap<String, CachedPrefix>>,
-    pub spares: kv::Spares,
+    pub kv_transfers: kv::Spares,
     pub counts: Counts,
     /// Where routed requests are served instead of the product's own paths.
     pub relay: OnceLock<Arc<relay::Relay>>,
@@ -117,27 +117,27 @@
 /// Another platform's ports. Chains of turns are refused where no stores are given.
 pub struct FrontOptions {
     pub caller: Arc<dyn Caller>,
-    pub back: Arc<dyn UpstreamProtocol>,
-    pub chains: Option<Arc<dyn TurnLogService>>,
+    pub upstream_protocol: Arc<dyn UpstreamProtocol>,
+    pub turn_log: Option<Arc<dyn TurnLogService>>,
 }
 
 #[derive(Debug, Snafu)]
 #[snafu(display("bind {at}: {source}"))]
-pub struct BindFault {
+pub struct BindError {
     at: String,
     source: std::io::Error,
 }
 
 /// Paces replica pushes: few at once towards a server, and half a link's bytes at most.
 #[derive(Default)]
-pub struct Links {
+pub struct PushPacer {
     to: Mutex<BTreeMap<String, usize>>,
     free_at: Mutex<BTreeMap<String, u64>>,
 }
 
-pub struct LinkPass<'a>(&'a Links, String);
+pub struct PushPermit<'a>(&'a PushPacer, String);
 
-impl Drop for LinkPass<'_> {
+impl Drop for PushPermit<'_> {
     fn drop(&mut self) {
         self.0
             .to
@@ -149,8 +149,8 @@
     }
 }
 
-impl Links {
-    pub async fn take(&self, runtime: &Runtime, from: &str, to: &str) -> Option<LinkPass<'_>> {
+impl PushPacer {
+    pub async fn acquire(&self, runtime: &Runtime, from: &str, to: &str) -> Option<PushPermit<'_>> {
         let end = runtime.now() + KV_PUSH_TIMEOUT;
         loop {
             let at = self.free_at.lock().unwrap().get(from).cloned().unwrap_or(0);
@@ -162,7 +162,7 @@
                 let n = g.entry(to.into()).or_default();
                 if *n < KV_PUSHES_PER_SERVER {
                     *n += 1;
-                    return Some(LinkPass(self, to.into()));
+                    return Some(PushPermit(self, to.into()));
                 }
             }
             if runtime.now() > end {
@@ -174,7 +174,7 @@
         }
     }
 
-    pub fn spend(&self, t: u64, from: &str, bytes: u64, per_s: u64) {
+    pub fn charge_link(&self, t: u64, from: &str, bytes: u64, per_s: u64) {
         let mut g = self.free_at.lock().unwrap();
         let e = g.entry(from.into()).or_default();
         *e = (*e)
@@ -183,12 +183,12 @@
     }
 }
 
-pub struct Claim<'a>(&'a Front, String);
+pub struct DispatchGuard<'a>(&'a Front, String);
 
-impl Drop for Claim<'_> {
+impl Drop for DispatchGuard<'_> {
     fn drop(&mut self) {
         self.0
-            .sent
+            .dispatched_since_report
             .lock()
             .unwrap()
             .get_mut(&self.1)
@@ -217,7 +217,7 @@
 
 impl Front {
     /// A front with the product's own doors.
-    pub async fn start(w: &Runtime, settings: ProcessSettings) -> Result<Arc<Front>, BindFault> {
+    pub async fn start(w: &Runtime, settings: ProcessSettings) -> Result<Arc<Front>, BindError> {
         let f = Front::open(w, settings);
         let http = f.listen().await?;
         let me = f.clone();
@@ -239,14 +239,14 @@
         w: &Runtime,
         settings: ProcessSettings,
         o: FrontOptions,
-    ) -> Result<Arc<Front>, BindFault> {
+    ) -> Result<Arc<Front>, BindError> {
         let f = Front::open(w, settings);
         f.serve_routes(o).await?;
         Ok(f)
     }
 
     /// The same in two steps, for ports that need the front's peers, members and book first.
-    pub async fn serve_routes(self: &Arc<Self>, o: FrontOptions) -> Result<(), BindFault> {
+    pub async fn serve_routes(self: &Arc<Self>, o: FrontOptions) -> Result<(), BindError> {
         let (f, w) = (self, &self.runtime);
         let http = f.listen().await?;
         let m = f.members.clone();
@@ -255,8 +255,8 @@
             documents: f.documents.clone(),
             site: f.settings.site.clone(),
             caller: o.caller,
-            back: o.back,
-            chains: o.chains,
+            back: o.upstream_protocol,
+            chains: o.turn_log,
             fronts: Default::default(),
             pool: Default::default(),
             balance: Default::default(),
@@ -307,9 +307,9 @@
         self.runtime.spawn(self.watcher.clone().run());
     }
 
-    async fn listen(self: &Arc<Self>) -> Result<Box<dyn Listener>, BindFault> {
+    async fn listen(self: &Arc<Self>) -> Result<Box<dyn Listener>, BindError> {
         let bind = |at: std::net::SocketAddr| {
-            move |source| BindFault {
+            move |source| BindError {
                 at: at.to_string(),
                 source,
             }
@@ -336,7 +336,7 @@
 
     /// The same, where configurations are written in another dialect and fronts serve without
     /// leases, by what they hold.
-    pub fn open_unleased(
+    pub fn open_without_leases(
         runtime: &Runtime,
         settings: ProcessSettings,
         dialect: Arc<dyn ConfigurationFormat>,
@@ -378,15 +378,15 @@
             connections: Default::default(),
             pool: Default::default(),
             admission: Default::default(),
-            links: Default::default(),
-            heard: Default::default(),
-            told: Default::default(),
-            sent: Default::default(),
-            slow: Default::default(),
-            hand: Default::default(),
-            pushing: Default::default(),
+            push_pacer: Default::default(),
+            received_reports: Default::default(),
+            announced_reports: Default::default(),
+            dispatched_since_report: Default::default(),
+            recent_failures: Default::default(),
+            cached_histories: Default::default(),
+            pushes_in_progress: Default::default(),
             replicas: Default::default(),
-            spares: Default::default(),
+            kv_transfers: Default::default(),
             counts: Default::default(),
             relay: Default::default(),
             load_exchange: Default::default(),
@@ -467,18 +467,18 @@
     }
 
     /// Asks the key's owner, and the next in rank where it cannot be reached.
-    pub async fn store(
+    pub async fn call_store(
         self: &Arc<Self>,
         key: &str,
         a: &PeerRequest,
         blob: &[u8],
         rounds: usize,
     ) -> Option<(PeerResponse, Vec<u8>)> {
-        self.store_until(key, a, blob, rounds, u64::MAX).await
+        self.call_store_until(key, a, blob, rounds, u64::MAX).await
     }
 
     /// The same, beginning no new try after the given time.
-    pub async fn store_until(
+    pub async fn call_store_until(
         self: &Arc<Self>,
         key: &str,
         a: &PeerRequest,
@@ -509,7 +509,7 @@
     }
 
     /// Tells the store that a shot will not be dispatched.
-    pub fn abort(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) {
+    pub fn abort_turn(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) {
         let (me, key, job) = (self.clone(), key.to_string(), job.to_string());
         self.runtime.spawn(async move {
             let a = PeerRequest::AbortTurn {
@@ -520,7 +520,7 @@
             };
             for i in 0..4u64 {
                 if let Some((PeerResponse::Ok | PeerResponse::Rejected(Code::Conflict), _)) =
-                    me.store(&key, &a, &[], 1).await
+                    me.call_store(&key, &a, &[], 1).await
                 {
                     return;
                 }
@@ -557,33 +557,38 @@
         self.members.announce_leaving().await;
     }
 
-    pub fn claim(&self, server: &str) -> Claim<'_> {
-        *self.sent.lock().unwrap().entry(server.into()).or_default() += 1;
-        Claim(self, server.into())
+    pub fn count_dispatch(&self, server: &str) -> DispatchGuard<'_> {
+        *self
+            .dispatched_since_report
+            .lock()
+            .unwrap()
+            .entry(server.into())
+            .or_default() += 1;
+        DispatchGuard(self, server.into())
     }
 
-    pub fn slowed(&self, server: &str) {
-        let mut g = self.slow.lock().unwrap();
+    pub fn record_failure(&self, server: &str) {
+        let mut g = self.recent_failures.lock().unwrap();
         let e = g.entry(server.into()).or_default();
         *e = ((e.0 + 1).min(16), self.runtime.now() + 5 * SEC);
     }
 
-    pub fn calm(&self, server: &str) {
-        self.slow.lock().unwrap().remove(server);
+    pub fn clear_failures(&self, server: &str) {
+        self.recent_failures.lock().unwrap().remove(server);
     }
 
-    pub fn remember(&self, key: &str, hist: Vec<u8>) {
-        let mut g = self.hand.lock().unwrap();
+    pub fn cache_history(&self, key: &str, hist: Vec<u8>) {
+        let mut g = self.cached_histories.lock().unwrap();
         g.insert(key.into(), hist);
         while g.len() > CACHED_SESSION_HISTORIES {
             g.pop_first();
         }
     }
 
-    pub fn tidy(&self) {
+    pub fn remove_expired(&self) {
         let t = self.runtime.now();
         self.pool.prune(t);
-        self.told.lock().unwrap().retain(|n, _| {
+        self.announced_reports.lock().unwrap().retain(|n, _| {
             self.documents
                 .list
                 .load()
@@ -592,11 +597,11 @@
                 .iter()
                 .any(|s| s.server == *n)
         });
-        self.heard
+        self.received_reports
             .lock()
             .unwrap()
             .retain(|_, h| t < h.at + 60 * SEC);
-        self.slow.lock().unwrap().retain(|_, s| t < s.1);
+        self.recent_failures.lock().unwrap().retain(|_, s| t < s.1);
     }
 }
 
@@ -616,7 +621,7 @@
 async fn route(front: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
     match (j.verb, j.path.as_str()) {
         (Method::Post, "/v1/turn") => turn::answer(front, j, nonce).await,
-        (Method::Post, "/v1/session/end") => turn::end(front, j).await,
+        (Method::Post, "/v1/session/end") => turn::end_session(front, j).await,
         (Method::Post, "/v1/lookup") => lookup::answer(front, j, nonce).await,
         (Method::Get, "/v1/servers") => reply(200, &server_table::table(&front)),
         (Method::Get, "/health") => {
--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -10,7 +10,7 @@
 pub use validation::LookupBody;
 
 use crate::admission::{self, Permit};
-use crate::back::Stamp;
+use crate::backend::Stamp;
 use crate::{Front, server_table};
 use attempt::{AttemptOutcome, attempt};
 use http_types::Response;
@@ -152,7 +152,7 @@
         };
         let name = &selected.server.server;
         let Ok(connection) = connect(front, lookup, &selected.server).await else {
-            front.slowed(name);
+            front.record_failure(name);
             excluded.push(name.clone());
             continue;
         };
@@ -163,7 +163,7 @@
             AttemptOutcome::Answered(answer) => return Ok(answer),
             AttemptOutcome::Rejected => excluded.push(name.clone()),
             AttemptOutcome::Unknown => {
-                front.slowed(name);
+                front.record_failure(name);
                 excluded.push(name.clone());
                 is_outcome_unknown = true;
                 if lookup.is_once() {
--- a/yewcross-proxy/src/lookup/attempt.rs
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -3,7 +3,7 @@
 use super::once::RegisteredLookup;
 use super::selection::SelectedServer;
 use crate::Front;
-use crate::back::{Back, Sent, Stamp, Verified};
+use crate::backend::{BackendConnection, SendResult, Stamp, Verified};
 use serde_json::{Value, json};
 use yewcross_common::buffered_http::body;
 use yewcross_common::constants::{MAX_BODY_BYTES, MS};
@@ -32,17 +32,17 @@
     front: &Front,
     lookup: &RegisteredLookup,
     selected: &SelectedServer,
-    connection: Back<Verified>,
+    connection: BackendConnection<Verified>,
 ) -> AttemptOutcome {
     let server = &selected.server.server;
-    let _claim = front.claim(server);
+    let _claim = front.count_dispatch(server);
     let job = lookup.server_job();
     let started = front.runtime.now();
     let wait = attempt_timeout(lookup, selected.time_left);
     let reply = exchange(front, lookup, selected, &connection, wait).await;
     let is_stamped = |value: &Value| {
         serde_json::from_value::<Stamp>(value["stamp"].clone())
-            .is_ok_and(|stamp| connection.stamped(&stamp, &job))
+            .is_ok_and(|stamp| connection.matches_stamp(&stamp, &job))
     };
     match reply {
         Some(reply) if reply.is_success && is_stamped(&reply.value) => {
@@ -50,7 +50,7 @@
             front
                 .admission
                 .served_in(&lookup.request.body.service, elapsed);
-            front.calm(server);
+            front.clear_failures(server);
             front.pool.put(&front.runtime, connection);
             AttemptOutcome::Answered(reply.value)
         }
@@ -79,7 +79,7 @@
     front: &Front,
     lookup: &RegisteredLookup,
     selected: &SelectedServer,
-    connection: &Back<Verified>,
+    connection: &BackendConnection<Verified>,
     wait: u64,
 ) -> Option<Reply> {
     let request = json!({
@@ -90,7 +90,7 @@
     });
     let request = serde_json::to_vec(&request).unwrap_or_default();
     let sent = connection.send(&front.runtime, "/lookup", request, wait);
-    let Sent::Answered(mut response) = sent.await else {
+    let SendResult::Answered(mut response) = sent.await else {
         return None;
     };
     let is_success = response.status().is_success();
--- a/yewcross-proxy/src/lookup/once.rs
+++ b/yewcross-proxy/src/lookup/once.rs
@@ -86,7 +86,7 @@
     let key = format!("once/{}/{}", request.body.service, request.body.job);
     let begin = PeerRequest::BeginTurn(begin_turn(front, &request, &key));
     let until = request.queueing_deadline;
-    let answer = front.store_until(&key, &begin, &[], REGISTRATION_ROUNDS, until);
+    let answer = front.call_store_until(&key, &begin, &[], REGISTRATION_ROUNDS, until);
     match answer.await {
         Some((PeerResponse::TurnBegun(begun), _)) => {
             let epoch = begun.epoch;
@@ -106,7 +106,7 @@
         }
         // It may have been registered.
         _ => {
-            front.abort(&key, &request.body.job, request.nonce, None);
+            front.abort_turn(&key, &request.body.job, request.nonce, None);
             Err(Rejection::new(Code::StoreAway, DEFAULT_RETRY_AFTER_S))
         }
     }
@@ -161,7 +161,7 @@
 pub(super) fn abort(front: &Arc<Front>, lookup: &RegisteredLookup) {
     if let Some(record) = &lookup.record {
         let request = &lookup.request;
-        front.abort(&record.key, &request.body.job, request.nonce, None);
+        front.abort_turn(&record.key, &request.body.job, request.nonce, None);
     }
 }
 
@@ -174,7 +174,7 @@
     let key = turn.key.clone();
     let request = PeerRequest::CommitTurn(turn);
     loop {
-        match front.store(&key, &request, outcome, 1).await {
+        match front.call_store(&key, &request, outcome, 1).await {
             Some((PeerResponse::Committed, _)) => return Ok(()),
             Some((PeerResponse::Rejected(Code::MayHaveRun), _)) => return Err(Code::MayHaveRun),
             _ if front.runtime.now() > until => return Err(Code::Undecided),
--- a/yewcross-proxy/src/lookup/selection.rs
+++ b/yewcross-proxy/src/lookup/selection.rs
@@ -1,7 +1,7 @@
 //! Which server a lookup goes to.
 
 use super::once::RegisteredLookup;
-use crate::back::{Back, Verified};
+use crate::backend::{BackendConnection, Verified};
 use crate::judge::{self, Case, Weights};
 use crate::{Front, server_table};
 use std::io;
@@ -70,7 +70,7 @@
     front: &Front,
     lookup: &RegisteredLookup,
     server: &ListedServer,
-) -> io::Result<Back<Verified>> {
+) -> io::Result<BackendConnection<Verified>> {
     let service = &lookup.request.body.service;
     front
         .pool
--- a/yewcross-proxy/src/news.rs
+++ b/yewcross-proxy/src/news.rs
@@ -37,7 +37,7 @@
             }
         }
         crate::kv::watch(&f);
-        f.tidy();
+        f.remove_expired();
         f.runtime
             .sleep(LOAD_REPORT_INTERVAL.saturating_sub(f.runtime.now() - t0))
             .await;
@@ -127,7 +127,7 @@
     fn fresh(&self, got: Vec<LoadReport>) -> (Vec<LoadReport>, Vec<String>) {
         let whole =
             (self.runtime.now() / LOAD_REPORT_INTERVAL).is_multiple_of(FULL_REPORT_EVERY_POLLS);
-        let mut told = self.told.lock().unwrap();
+        let mut told = self.announced_reports.lock().unwrap();
         let (new, old): (Vec<LoadReport>, Vec<LoadReport>) = got.into_iter().partition(|r| {
             let plain = LoadReport {
                 sequence: 0,
@@ -151,10 +151,10 @@
     let t = front.runtime.now();
     let mut left = false;
     {
-        let mut g = front.heard.lock().unwrap();
+        let mut g = front.received_reports.lock().unwrap();
         same.iter().for_each(|n| {
             g.get_mut(n).into_iter().for_each(|h| h.at = t);
-            front.sent.lock().unwrap().remove(n);
+            front.dispatched_since_report.lock().unwrap().remove(n);
         });
         reports.iter().filter(|r| r.sane()).for_each(|r| {
             let newer = g.get(&r.server).is_none_or(|h| {
@@ -176,7 +176,11 @@
                         at: t.saturating_sub(r.age_us),
                     },
                 );
-                front.sent.lock().unwrap().remove(&r.server);
+                front
+                    .dispatched_since_report
+                    .lock()
+                    .unwrap()
+                    .remove(&r.server);
             }
         });
     }
--- a/yewcross-proxy/src/pool.rs
+++ b/yewcross-proxy/src/pool.rs
@@ -84,31 +84,31 @@
     }
 }
 
-pub struct Link {
+pub struct UpstreamConnection {
     send: SendRequest<Full<Bytes>>,
     departure: Arc<Departure>,
     pub used_at: u64,
     until: u64,
-    pub fresh: bool,
+    pub is_new: bool,
 }
 
-pub enum Failed {
+pub enum SendFailure {
     /// No byte of the request left.
-    Unsent,
+    NotSent,
     /// No byte of it left, since what it was chosen by has changed or may have.
-    Withdrawn,
+    Expired,
     /// It may have run.
-    Lost,
+    OutcomeUnknown,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// Sends a request whose first byte leaves by `latest` (us of the world's clock) or not at all.
-    pub async fn ask(
+    pub async fn send_request(
         &mut self,
         runtime: &Runtime,
         q: Request<Full<Bytes>>,
         latest: u64,
-    ) -> Result<Response<Incoming>, Failed> {
+    ) -> Result<Response<Incoming>, SendFailure> {
         self.departure.begin(latest);
         let failed = match self.send.try_send_request(q).await {
             Ok(r) => return Ok(r),
@@ -116,9 +116,9 @@
         };
         let unsent = failed.message().is_some() || self.departure.nothing_left();
         match (unsent, runtime.now() > latest) {
-            (true, true) => Err(Failed::Withdrawn),
-            (true, false) => Err(Failed::Unsent),
-            (false, _) => Err(Failed::Lost),
+            (true, true) => Err(SendFailure::Expired),
+            (true, false) => Err(SendFailure::NotSent),
+            (false, _) => Err(SendFailure::OutcomeUnknown),
         }
     }
 }
@@ -126,14 +126,14 @@
 #[derive(Default)]
 pub struct Pool {
     /// By instance: another life at the same address gets connections of its own.
-    idle: Mutex<HashMap<String, Vec<Link>>>,
+    idle: Mutex<HashMap<String, Vec<UpstreamConnection>>>,
     pub dials: AtomicU64,
 }
 
 impl Pool {
     /// An idle connection, the last used first; those used long ago are left alone where `recent`
     /// is asked for.
-    pub fn take(&self, server: &str, now: u64, recent: bool) -> Option<Link> {
+    pub fn take(&self, server: &str, now: u64, recent: bool) -> Option<UpstreamConnection> {
         let mut g = self.idle.lock().unwrap();
         let v = g.get_mut(server)?;
         v.retain(|l| !l.send.is_closed() && now < l.until);
@@ -141,7 +141,7 @@
         (!recent || now < v[i].used_at + UPSTREAM_RECENT_USE).then(|| v.remove(i))
     }
 
-    pub fn has(&self, server: &str) -> bool {
+    pub fn has_idle(&self, server: &str) -> bool {
         self.idle
             .lock()
             .unwrap()
@@ -149,7 +149,12 @@
             .is_some_and(|v| !v.is_empty())
     }
 
-    pub async fn dial(&self, runtime: &Runtime, to: &ListedServer, us: u64) -> io::Result<Link> {
+    pub async fn dial(
+        &self,
+        runtime: &Runtime,
+        to: &ListedServer,
+        us: u64,
+    ) -> io::Result<UpstreamConnection> {
         self.dials.fetch_add(1, SeqCst);
         let c = runtime.connect_within(to.addr, us).await?;
         let departure = Arc::new(Departure::default());
@@ -166,17 +171,24 @@
         runtime.spawn(async move {
             let _ = conn.await;
         });
-        Ok(Link {
+        Ok(UpstreamConnection {
             send,
             departure,
             used_at: runtime.now(),
             until: u64::MAX,
-            fresh: true,
+            is_new: true,
         })
     }
 
     /// Keeps a connection whose answer was read whole; `idle_ms` is the time that the server names.
-    pub fn keep(&self, server: &str, mut l: Link, now: u64, idle_ms: Option<u64>, most: usize) {
+    pub fn put_idle(
+        &self,
+        server: &str,
+        mut l: UpstreamConnection,
+        now: u64,
+        idle_ms: Option<u64>,
+        most: usize,
+    ) {
         let told = idle_ms.unwrap_or(UPSTREAM_IDLE_TIMEOUT / MS) * MS;
         l.used_at = now;
         l.until = now
@@ -185,7 +197,7 @@
             } else {
                 told / 2
             };
-        l.fresh = false;
+        l.is_new = false;
         let mut g = self.idle.lock().unwrap();
         let v = g.entry(server.into()).or_default();
         if v.len() >= most.max(1) {
@@ -195,7 +207,7 @@
     }
 
     /// Drops what is over its time and what belongs to servers no longer listed.
-    pub fn tidy(&self, now: u64, listed: impl Fn(&str) -> bool) {
+    pub fn remove_expired(&self, now: u64, listed: impl Fn(&str) -> bool) {
         let mut g = self.idle.lock().unwrap();
         g.retain(|s, v| {
             v.retain(|l| !l.send.is_closed() && now < l.until);
--- a/yewcross-proxy/src/relay.rs
+++ b/yewcross-proxy/src/relay.rs
@@ -132,7 +132,7 @@
         self.fronts.store(fronts, SeqCst);
         let l = self.documents.list.load();
         let listed = |s: &str| l.1.servers.iter().any(|x| x.server == s);
-        self.pool.tidy(self.runtime.now(), listed);
+        self.pool.remove_expired(self.runtime.now(), listed);
         self.balance.tidy(listed);
     }
 }
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -3,7 +3,7 @@
 use super::headers::{coding_asked_for, tells_its_end};
 use super::{ClientRequest, Relay};
 use crate::balance::Claim;
-use crate::pool::{Failed, Link};
+use crate::pool::{SendFailure, UpstreamConnection};
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode, response};
 use http_body_util::{BodyExt, Full};
@@ -69,7 +69,7 @@
 /// What of an answer is still to come.
 pub(super) enum AnswerBody {
     Whole(Bytes),
-    Coming(Incoming, Link),
+    Coming(Incoming, UpstreamConnection),
 }
 
 impl Relay {
@@ -86,14 +86,14 @@
             .runtime
             .timeout(left, self.exchange(request, &claim, route))
             .await
-            .unwrap_or(Err(Failed::Lost));
+            .unwrap_or(Err(SendFailure::OutcomeUnknown));
         let (response, link) = match exchanged {
             Ok(exchanged) => exchanged,
             Err(failed) => return self.count_failure(failed, &claim),
         };
         let status = response.status();
         let meta = self.back.answer(status.as_u16(), response.headers());
-        if !is_answer_to(request, &response, &meta, link.fresh) {
+        if !is_answer_to(request, &response, &meta, link.is_new) {
             self.counts.strangers.fetch_add(1, SeqCst);
             claim.failed();
             return Outcome::Lost;
@@ -136,11 +136,11 @@
     }
 
     /// What an attempt without any answer came to.
-    fn count_failure(&self, failed: Failed, claim: &Claim) -> Outcome {
+    fn count_failure(&self, failed: SendFailure, claim: &Claim) -> Outcome {
         let (count, outcome) = match failed {
-            Failed::Withdrawn => (&self.counts.withdrawn, Outcome::Withdrawn),
-            Failed::Unsent => (&self.counts.unsent, Outcome::Unsent),
-            Failed::Lost => (&self.counts.lost, Outcome::Lost),
+            SendFailure::Expired => (&self.counts.withdrawn, Outcome::Withdrawn),
+            SendFailure::NotSent => (&self.counts.unsent, Outcome::Unsent),
+            SendFailure::OutcomeUnknown => (&self.counts.lost, Outcome::Lost),
         };
         count.fetch_add(1, SeqCst);
         if !matches!(outcome, Outcome::Withdrawn) {
@@ -154,7 +154,7 @@
         &self,
         request: &ClientRequest,
         response: Response<Incoming>,
-        link: Link,
+        link: UpstreamConnection,
         meta: &AnswerMeta,
         claim: &Claim,
         is_streamed: bool,
@@ -180,7 +180,13 @@
     }
 
     /// Reads the rest of an answer that is not passed on, so that its connection can be used again.
-    fn drain(self: &Arc<Self>, server: &str, body: Incoming, link: Link, meta: AnswerMeta) {
+    fn drain(
+        self: &Arc<Self>,
+        server: &str,
+        body: Incoming,
+        link: UpstreamConnection,
+        meta: AnswerMeta,
+    ) {
         if meta.closes || !is_small(&body) {
             return;
         }
@@ -192,14 +198,14 @@
         });
     }
 
-    pub(super) fn give_back(&self, server: &str, link: Link, meta: &AnswerMeta) {
+    pub(super) fn give_back(&self, server: &str, link: UpstreamConnection, meta: &AnswerMeta) {
         if meta.closes {
             return;
         }
         let fronts = self.fronts.load(SeqCst).max(1);
         let most = (IDLE_UPSTREAM_CONNECTIONS / fronts).max(IDLE_CONNECTIONS_MIN);
         self.pool
-            .keep(server, link, self.runtime.now(), meta.idle_ms, most);
+            .put_idle(server, link, self.runtime.now(), meta.idle_ms, most);
     }
 
     /// Sends it over a kept connection, or else over a new one; only what has not left is sent
@@ -209,7 +215,7 @@
         request: &ClientRequest,
         claim: &Claim,
         route: &Route,
-    ) -> Result<(Response<Incoming>, Link), Failed> {
+    ) -> Result<(Response<Incoming>, UpstreamConnection), SendFailure> {
         let to = &claim.to;
         let mut stale = 0;
         loop {
@@ -220,19 +226,24 @@
                     .pool
                     .dial(&self.runtime, to, CONNECT_TIMEOUT)
                     .await
-                    .map_err(|_| Failed::Unsent)?,
+                    .map_err(|_| SendFailure::NotSent)?,
             };
             let now = self.runtime.now();
             if now >= request.until || !self.still_holds(request, to, route) {
-                return Err(Failed::Withdrawn);
+                return Err(SendFailure::Expired);
             }
-            let is_fresh = link.fresh;
+            let is_fresh = link.is_new;
             self.counts.sent.fetch_add(1, SeqCst);
             let latest = request.until.min(now + SELECTION_LIFETIME);
             let upstream_request = self.upstream_request(request, to);
-            match link.ask(&self.runtime, upstream_request, latest).await {
+            match link
+                .send_request(&self.runtime, upstream_request, latest)
+                .await
+            {
                 Ok(response) => return Ok((response, link)),
-                Err(Failed::Unsent) if !is_fresh && stale < STALE_CONNECTIONS_MAX => stale += 1,
+                Err(SendFailure::NotSent) if !is_fresh && stale < STALE_CONNECTIONS_MAX => {
+                    stale += 1
+                }
                 Err(failed) => return Err(failed),
             }
         }
--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -182,7 +182,7 @@
 
     fn pick(&self, need: &Need, tried: &[String]) -> Result<Claim, NoSeat> {
         let list = self.documents.list.load();
-        let has_kept_connection = |server: &str| self.pool.has(server);
+        let has_kept_connection = |server: &str| self.pool.has_idle(server);
         self.balance.pick(
             &self.runtime,
             need,
--- a/yewcross-proxy/src/relay/resume.rs
+++ b/yewcross-proxy/src/relay/resume.rs
@@ -10,7 +10,7 @@
 use super::upstream_body::{UpstreamBody, UpstreamPart};
 use super::{ClientRequest, Relay};
 use crate::policy::Mechanism;
-use crate::scan::Scan;
+use crate::scan::EventScanner;
 use bytes::{Bytes, BytesMut};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
@@ -89,7 +89,7 @@
 
     /// Begins to take the stream up behind the last whole event that was read; none where no
     /// further attempt may be made.
-    pub(super) fn begin(&self, relay: &Arc<Relay>, read: &Scan) -> Option<Successor> {
+    pub(super) fn begin(&self, relay: &Arc<Relay>, read: &EventScanner) -> Option<Successor> {
         let last_id = read.last_id()?;
         if self.attempts.lock().unwrap().sent >= self.route.max_tries
             || relay.runtime.now() >= self.request.until
@@ -160,7 +160,7 @@
     asking: Option<Mutex<BoxFuture<'static, Result<Answer, TakeUpError>>>>,
     reading: Option<Box<UpstreamBody>>,
     /// What was read of the stream before; the body goes on with it.
-    scan: Option<Scan>,
+    scan: Option<EventScanner>,
     events_before: u64,
     /// Bytes that came before its first event was whole.
     ready: BytesMut,
@@ -174,13 +174,18 @@
 }
 
 impl Successor {
-    fn new(relay: &Arc<Relay>, attempt: TakeUpAttempt, permit: RetryPermit, read: &Scan) -> Self {
+    fn new(
+        relay: &Arc<Relay>,
+        attempt: TakeUpAttempt,
+        permit: RetryPermit,
+        read: &EventScanner,
+    ) -> Self {
         Successor {
             relay: relay.clone(),
             asking: Some(Mutex::new(Box::pin(attempt.run(permit)))),
             reading: None,
-            scan: Some(read.behind_last_event()),
-            events_before: read.whole_events(),
+            scan: Some(read.truncated_to_last_event()),
+            events_before: read.complete_events(),
             ready: BytesMut::new(),
         }
     }
--- a/yewcross-proxy/src/relay/streaming.rs
+++ b/yewcross-proxy/src/relay/streaming.rs
@@ -7,7 +7,7 @@
 use super::stall::StallTimer;
 use super::turn::OpenedTurn;
 use super::upstream_body::{UpstreamBody, UpstreamFailure, UpstreamPart};
-use crate::scan::Scan;
+use crate::scan::EventScanner;
 use bytes::Bytes;
 use http::{Response, Version, header};
 use http_body_util::BodyExt;
@@ -51,7 +51,7 @@
         if let AnswerBody::Whole(body) = answer.body {
             return Response::from_parts(head, full(body));
         }
-        let scan = is_streamed.then(|| Scan::new(keep.is_some()));
+        let scan = is_streamed.then(|| EventScanner::new(keep.is_some()));
         let Some(upstream) = UpstreamBody::new(self, answer, scan, resumption.is_some()) else {
             return Response::from_parts(head, full(Bytes::new()));
         };
@@ -238,7 +238,7 @@
             (&self.turn, self.keep.take(), self.upstream.scan_mut())
         {
             let used_tokens = events * opened.tokens_per_event;
-            turn.output = scan.data().into();
+            turn.output = scan.take_data().into();
             turn.tokens += used_tokens;
             let (chains, open, until) = (opened.chains.clone(), opened.open.clone(), self.until);
             self.phase = Phase::Keeping(Mutex::new(Box::pin(async move {
--- a/yewcross-proxy/src/relay/upstream_body.rs
+++ b/yewcross-proxy/src/relay/upstream_body.rs
@@ -3,8 +3,8 @@
 use super::Relay;
 use super::attempt::{Answer, AnswerBody};
 use crate::balance::Claim;
-use crate::pool::Link;
-use crate::scan::Scan;
+use crate::pool::UpstreamConnection;
+use crate::scan::EventScanner;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body as _, Incoming, SizeHint};
 use std::pin::Pin;
@@ -33,7 +33,7 @@
 /// What an answer takes at its server until it is over.
 struct Connected {
     body: Incoming,
-    link: Link,
+    link: UpstreamConnection,
     claim: Claim,
 }
 
@@ -44,7 +44,7 @@
     connected: Option<Connected>,
     meta: AnswerMeta,
     /// Reads the events of a stream, those of servers before this one included.
-    scan: Option<Scan>,
+    scan: Option<EventScanner>,
     /// Of a stream that may be resumed only whole events are passed on.
     whole_events_only: bool,
     /// Bytes of an event that is not whole yet.
@@ -60,7 +60,7 @@
     pub(super) fn new(
         relay: &Arc<Relay>,
         answer: Answer,
-        scan: Option<Scan>,
+        scan: Option<EventScanner>,
         whole_events_only: bool,
     ) -> Option<UpstreamBody> {
         let AnswerBody::Coming(body, link) = answer.body else {
@@ -87,11 +87,11 @@
         self.heard_at
     }
 
-    pub(super) fn scan(&self) -> Option<&Scan> {
+    pub(super) fn scan(&self) -> Option<&EventScanner> {
         self.scan.as_ref()
     }
 
-    pub(super) fn scan_mut(&mut self) -> Option<&mut Scan> {
+    pub(super) fn scan_mut(&mut self) -> Option<&mut EventScanner> {
         self.scan.as_mut()
     }
 
@@ -100,12 +100,12 @@
     }
 
     pub(super) fn whole_events(&self) -> u64 {
-        self.scan.as_ref().map_or(0, |scan| scan.whole_events())
+        self.scan.as_ref().map_or(0, |scan| scan.complete_events())
     }
 
     /// No event is left half told.
     pub(super) fn ends_whole(&self) -> bool {
-        self.scan.as_ref().is_none_or(|scan| scan.whole())
+        self.scan.as_ref().is_none_or(|scan| scan.is_complete())
     }
 
     pub(super) fn size_hint(&self) -> SizeHint {
@@ -137,7 +137,9 @@
                     };
                     self.heard_at = self.relay.runtime.now();
                     let ready = self.ready_part(piece);
-                    if self.whole_events_only && self.scan().is_some_and(|scan| !scan.ids_rise()) {
+                    if self.whole_events_only
+                        && self.scan().is_some_and(|scan| !scan.ids_increase())
+                    {
                         return Poll::Ready(UpstreamPart::Failed(UpstreamFailure::WentBack));
                     }
                     if !ready.is_empty() {
@@ -168,7 +170,7 @@
         if !self.whole_events_only {
             return piece;
         }
-        let whole = scan.whole_bytes();
+        let whole = scan.complete_bytes();
         if whole == 0 {
             self.held.extend_from_slice(&piece);
             return Bytes::new();
--- a/yewcross-proxy/src/scan.rs
+++ b/yewcross-proxy/src/scan.rs
@@ -3,7 +3,7 @@
 
 /// Counts events and gathers their data, each line of it with a line feed behind.
 #[derive(Clone, Default)]
-pub struct Scan {
+pub struct EventScanner {
     line: Vec<u8>,
     /// The last byte was a carriage return; a line feed behind it ends no other line.
     cr: bool,
@@ -30,12 +30,12 @@
     std::str::from_utf8(id).ok()?.parse().ok()
 }
 
-impl Scan {
+impl EventScanner {
     /// With `keep` unset only the events are counted.
-    pub fn new(keep: bool) -> Scan {
-        Scan {
+    pub fn new(keep: bool) -> EventScanner {
+        EventScanner {
             keep,
-            ..Scan::default()
+            ..EventScanner::default()
         }
     }
 
@@ -104,18 +104,18 @@
     }
 
     /// No event is left half told.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         !self.open && self.line.is_empty()
     }
 
     /// Events that are whole.
-    pub fn whole_events(&self) -> u64 {
+    pub fn complete_events(&self) -> u64 {
         self.events
     }
 
     /// What was read up to the last whole event, for a server that goes on behind it: what was read
     /// of the next event never came.
-    pub fn behind_last_event(&self) -> Scan {
+    pub fn truncated_to_last_event(&self) -> EventScanner {
         let mut scan = self.clone();
         (scan.open, scan.cr, scan.id) = (false, false, None);
         scan.line.clear();
@@ -125,7 +125,7 @@
     }
 
     /// Bytes of the last piece that belong to whole events, or end one.
-    pub fn whole_bytes(&self) -> usize {
+    pub fn complete_bytes(&self) -> usize {
         self.whole_bytes
     }
 
@@ -135,11 +135,11 @@
     }
 
     /// The ids, as far as they are numbers, rose from event to event.
-    pub fn ids_rise(&self) -> bool {
+    pub fn ids_increase(&self) -> bool {
         !self.falling_ids
     }
 
-    pub fn data(&mut self) -> Vec<u8> {
+    pub fn take_data(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.data)
     }
 }
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -67,9 +67,9 @@
         return vec![];
     };
     let t = front.runtime.now();
-    let heard = front.heard.lock().unwrap();
-    let sent = front.sent.lock().unwrap();
-    let slow = front.slow.lock().unwrap();
+    let heard = front.received_reports.lock().unwrap();
+    let sent = front.dispatched_since_report.lock().unwrap();
+    let slow = front.recent_failures.lock().unwrap();
     front
         .documents
         .list
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -3,7 +3,7 @@
 use super::events::{Event, EventSender, TurnOutcome};
 use super::request::tokens;
 use super::state::{BegunTurn, FinishedAttempt};
-use crate::back::{Back, Lines, Sent, Stamp, Verified, ask_once};
+use crate::backend::{BackendConnection, ResponseLines, SendResult, Stamp, Verified, request_once};
 use crate::{Front, kv, server_table};
 use http_types::Response;
 use serde::Deserialize;
@@ -74,7 +74,7 @@
     front: &Arc<Front>,
     turn: &BegunTurn,
     server: &ListedServer,
-    connection: Back<Verified>,
+    connection: BackendConnection<Verified>,
     events: &EventSender,
 ) -> AttemptOutcome {
     let time_left = turn.request.deadline.saturating_sub(front.runtime.now());
@@ -92,7 +92,7 @@
             time_left + STREAM_IDLE_TIMEOUT,
         )
         .await;
-    let Sent::Answered(mut response) = sent else {
+    let SendResult::Answered(mut response) = sent else {
         return AttemptOutcome::Unknown { has_output: false };
     };
     if !response.status().is_success() {
@@ -104,7 +104,7 @@
         server,
         connection: &connection,
         job: &job,
-        lines: Lines::of(&mut response),
+        lines: ResponseLines::from_response(&mut response),
         text: String::new(),
         chunks: 0,
     };
@@ -112,7 +112,7 @@
         Ok(end) => end,
         Err(outcome) => return outcome,
     };
-    let is_drained = output.lines.drained(&front.runtime).await;
+    let is_drained = output.lines.reached_end(&front.runtime).await;
     let (text, chunks) = (output.text, output.chunks);
     if is_drained {
         front.pool.put(&front.runtime, connection);
@@ -153,7 +153,7 @@
 /// An answer other than 200: only a stamped rejection says that the turn did not run.
 async fn read_rejection(
     front: &Front,
-    connection: &Back<Verified>,
+    connection: &BackendConnection<Verified>,
     mut response: Response,
     job: &str,
 ) -> AttemptOutcome {
@@ -168,7 +168,7 @@
         .unwrap_or_default();
     let answer: Value = serde_json::from_slice(&bytes).unwrap_or_default();
     let is_stamped = serde_json::from_value::<Stamp>(answer["stamp"].clone())
-        .is_ok_and(|stamp| connection.stamped(&stamp, job));
+        .is_ok_and(|stamp| connection.matches_stamp(&stamp, job));
     if answer["refused"] == json!(true) && is_stamped {
         AttemptOutcome::NotRun
     } else {
@@ -201,9 +201,9 @@
     front: &'a Arc<Front>,
     turn: &'a BegunTurn,
     server: &'a ListedServer,
-    connection: &'a Back<Verified>,
+    connection: &'a BackendConnection<Verified>,
     job: &'a str,
-    lines: Lines,
+    lines: ResponseLines,
     text: String,
     chunks: u64,
 }
@@ -260,7 +260,7 @@
         // What was passed on is not all that it put out: only the server's own stamped word says
         // less than the most allowed.
         let used_tokens = cancelled
-            .filter(|answer| self.connection.stamped(&answer.stamp, self.job))
+            .filter(|answer| self.connection.matches_stamp(&answer.stamp, self.job))
             .and_then(|answer| answer.output)
             .unwrap_or(request.max_output_tokens)
             .min(request.max_output_tokens);
@@ -272,7 +272,7 @@
         let is_verified = end.end
             && end.chunks == self.chunks
             && end.digest == digest(self.text.as_bytes())
-            && self.connection.stamped(&end.stamp, self.job);
+            && self.connection.matches_stamp(&end.stamp, self.job);
         is_verified.then_some(end)
     }
 
@@ -296,7 +296,7 @@
     job: &str,
 ) -> Option<Cancelled> {
     let request = serde_json::to_vec(&json!({"job": job})).unwrap_or_default();
-    let answer = ask_once(
+    let answer = request_once(
         &front.runtime,
         &front.pool,
         service,
--- a/yewcross-proxy/src/turn/begin.rs
+++ b/yewcross-proxy/src/turn/begin.rs
@@ -25,10 +25,15 @@
 }
 
 pub(super) async fn begin(front: &Arc<Front>, turn: ValidTurn) -> Result<Beginning, Rejection> {
-    let known_history = front.hand.lock().unwrap().get(&turn.key).cloned();
+    let known_history = front
+        .cached_histories
+        .lock()
+        .unwrap()
+        .get(&turn.key)
+        .cloned();
     let request = PeerRequest::BeginTurn(begin_turn(front, &turn, known_history.as_deref()));
     let until = turn.queueing_deadline;
-    let answer = front.store_until(&turn.key, &request, &[], BEGIN_ROUNDS, until);
+    let answer = front.call_store_until(&turn.key, &request, &[], BEGIN_ROUNDS, until);
     match answer.await {
         Some((PeerResponse::TurnBegun(begun), blob)) => {
             let history = if begun.history_complete {
@@ -108,7 +113,7 @@
 /// The turn will not be dispatched.
 fn abort(front: &Arc<Front>, turn: &ValidTurn) {
     let budget = limited_budget(front, turn);
-    front.abort(&turn.key, &turn.body.job, turn.nonce, budget);
+    front.abort_turn(&turn.key, &turn.body.job, turn.nonce, budget);
 }
 
 /// The budget that a turn spends from, if the configuration limits it.
--- a/yewcross-proxy/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -53,7 +53,7 @@
     blob.extend(serde_json::to_vec(&outcome).unwrap_or_default());
     commit_by_deadline(front, &turn, request, &blob).await?;
     front.counts.done.fetch_add(1, SeqCst);
-    front.remember(&turn.request.key, history);
+    front.cache_history(&turn.request.key, history);
     let end = TurnEnd {
         outcome,
         chunks: finished.chunks,
@@ -96,7 +96,7 @@
 ) -> Result<(), Rejection> {
     let request = PeerRequest::CommitTurn(request);
     loop {
-        match front.store(&turn.request.key, &request, blob, 1).await {
+        match front.call_store(&turn.request.key, &request, blob, 1).await {
             Some((PeerResponse::Committed, _)) => return Ok(()),
             Some((PeerResponse::Rejected(Code::MayHaveRun), _)) => {
                 let reason = "the session went on without it";
@@ -133,7 +133,7 @@
     let request = PeerRequest::CommitTurn(commit_turn(turn, code, used_tokens, cache));
     // Where this is lost, the store closes the turn by itself after its deadline.
     let _ = front
-        .store(&turn.request.key, &request, &[], CLOSE_ROUNDS)
+        .call_store(&turn.request.key, &request, &[], CLOSE_ROUNDS)
         .await;
 }
 
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -105,7 +105,12 @@
 /// us. The least time that any server needs for the turn.
 fn least_service_time(front: &Front, turn: &ValidTurn) -> u64 {
     // A session not on hand may be new: then all of its prompt must be read.
-    let unread_tokens = if front.hand.lock().unwrap().contains_key(&turn.key) {
+    let unread_tokens = if front
+        .cached_histories
+        .lock()
+        .unwrap()
+        .contains_key(&turn.key)
+    {
         0
     } else {
         tokens(turn.body.messages.iter().map(|m| m.text.len()).sum())
@@ -137,12 +142,12 @@
             return Err(give_up(front, turn));
         };
         let server = selected.pick.server.at.clone();
-        let claim = front.claim(&server.server);
+        let claim = front.count_dispatch(&server.server);
         let outcome = attempt(front, turn, &server, selected.connection, events).await;
         drop(claim);
         match outcome {
             AttemptOutcome::Finished(finished) => {
-                front.calm(&server.server);
+                front.clear_failures(&server.server);
                 return Ok(Some(*finished));
             }
             AttemptOutcome::Abandoned { used_tokens } => {
@@ -151,7 +156,7 @@
             }
             AttemptOutcome::NotRun => excluded.push(server.server),
             AttemptOutcome::Unknown { has_output } => {
-                front.slowed(&server.server);
+                front.record_failure(&server.server);
                 turn.is_outcome_unknown = true;
                 if has_output || !prepare_retry(front, turn, &server).await {
                     close_unknown(front, turn, events).await;
@@ -167,7 +172,7 @@
 fn give_up(front: &Arc<Front>, turn: &BegunTurn) -> Rejection {
     let request = &turn.request;
     let budget = limited_budget(front, request);
-    front.abort(&request.key, &request.body.job, request.nonce, budget);
+    front.abort_turn(&request.key, &request.body.job, request.nonce, budget);
     let code = if server_table::fit(front, &request.class.service).is_empty() {
         Code::NoServer
     } else {
@@ -211,7 +216,7 @@
         retain_ms: 0,
     };
     let budget_key = format!("budget/{budget}");
-    let reserved = front.store(&budget_key, &reserve, &[], 1).await;
+    let reserved = front.call_store(&budget_key, &reserve, &[], 1).await;
     if !matches!(reserved, Some((PeerResponse::Ok, _))) {
         return false;
     }
@@ -221,7 +226,7 @@
         used: None,
     };
     // Where this is lost the store settles it in full by itself.
-    let _ = front.store(&budget_key, &settle, &[], 1).await;
+    let _ = front.call_store(&budget_key, &settle, &[], 1).await;
     true
 }
 
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -23,7 +23,7 @@
 }
 
 /// Ends a session.
-pub async fn end(front: Arc<Front>, request: BufferedRequest) -> Response {
+pub async fn end_session(front: Arc<Front>, request: BufferedRequest) -> Response {
     let body: EndBody = match serde_json::from_slice(&request.body) {
         Ok(body) => body,
         Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
@@ -36,7 +36,7 @@
     };
     let key = format!("session/{}/{}", body.program, body.session);
     let request = PeerRequest::EndSession { key: key.clone() };
-    match front.store(&key, &request, &[], END_ROUNDS).await {
+    match front.call_store(&key, &request, &[], END_ROUNDS).await {
         Some((PeerResponse::SessionEnded { cache }, _)) => {
             drop_prefixes(&front, &service, &key, cache).await;
             reply(200, &json!({"code": Code::Done.number(), "ended": true}))
@@ -55,8 +55,8 @@
 /// What this proxy knows of the session is forgotten, and its prefixes are dropped by the servers.
 async fn drop_prefixes(front: &Arc<Front>, service: &str, key: &str, cache: SessionCacheState) {
     let pushed = front.replicas.lock().unwrap().remove(key);
-    front.spares.forget(key);
-    front.hand.lock().unwrap().remove(key);
+    front.kv_transfers.forget(key);
+    front.cached_histories.lock().unwrap().remove(key);
     let prefixes = cache.replica.into_iter().chain(pushed).chain(cache.home);
     for prefix in prefixes {
         kv::drop_at(front, service, key, &prefix.server).await;
--- a/yewcross-proxy/src/turn/events.rs
+++ b/yewcross-proxy/src/turn/events.rs
@@ -1,6 +1,6 @@
 //! What a turn tells its caller while it goes on.
 
-use crate::back::Stamp;
+use crate::backend::Stamp;
 use serde::{Deserialize, Serialize};
 use yewcross_common::error_code::Code;
 
--- a/yewcross-proxy/src/turn/mod.rs
+++ b/yewcross-proxy/src/turn/mod.rs
@@ -16,7 +16,7 @@
 mod state;
 
 pub use answer::answer;
-pub use end_session::end;
+pub use end_session::end_session;
 pub use events::TurnOutcome;
 pub use request::tokens;
 
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -3,7 +3,7 @@
 use super::request::tokens;
 use super::state::BegunTurn;
 use crate::admission::Permit;
-use crate::back::{Back, Verified};
+use crate::backend::{BackendConnection, Verified};
 use crate::judge::{Case, Pick, Warmth, Weights};
 use crate::kv::Due;
 use crate::server_table::Server;
@@ -20,7 +20,7 @@
 /// The server picked, with a verified connection to it.
 pub(super) struct SelectedServer {
     pub(super) pick: Pick,
-    pub(super) connection: Back<Verified>,
+    pub(super) connection: BackendConnection<Verified>,
 }
 
 /// What to do next.
@@ -180,7 +180,11 @@
 }
 
 /// A verified connection to the server picked.
-async fn connect(front: &Front, turn: &BegunTurn, pick: &Pick) -> Option<Back<Verified>> {
+async fn connect(
+    front: &Front,
+    turn: &BegunTurn,
+    pick: &Pick,
+) -> Option<BackendConnection<Verified>> {
     let server = &pick.server.at;
     let service = &turn.request.class.service;
     let connection = front
@@ -191,12 +195,12 @@
         if error.kind() == ErrorKind::PermissionDenied {
             front.counts.strangers.fetch_add(1, SeqCst);
         }
-        front.slowed(&server.server);
+        front.record_failure(&server.server);
     }
     connection.ok()
 }
 
-fn selected(front: &Front, pick: Pick, connection: Back<Verified>) -> SelectedServer {
+fn selected(front: &Front, pick: Pick, connection: BackendConnection<Verified>) -> SelectedServer {
     if matches!(pick.warmth, Warmth::Import(_)) {
         front.counts.unready.fetch_add(1, SeqCst);
     }
--- a/yewcross-proxy/tests/scan.rs
+++ b/yewcross-proxy/tests/scan.rs
@@ -1,12 +1,16 @@
 //! Events are read the same however they are cut into pieces.
 
 use arbtest::arbtest;
-use yewcross_proxy::scan::Scan;
+use yewcross_proxy::scan::EventScanner;
 
 fn read(pieces: &[&[u8]]) -> (u64, bool, String) {
-    let mut s = Scan::new(true);
+    let mut s = EventScanner::new(true);
     pieces.iter().for_each(|p| s.push(p));
-    (s.events(), s.whole(), String::from_utf8(s.data()).unwrap())
+    (
+        s.events(),
+        s.is_complete(),
+        String::from_utf8(s.take_data()).unwrap(),
+    )
 }
 
 #[test]
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -175,12 +175,12 @@
         w.clone().spawn(async move {
             let p = match st.role {
                 Role::Front => {
-                    let f = Front::open_unleased(&w, st, Arc::new(NativeFormat));
+                    let f = Front::open_without_leases(&w, st, Arc::new(NativeFormat));
                     let chains = TurnLogClient::new(&f.members, &f.documents, &f.settings);
                     let o = FrontOptions {
                         caller: Arc::new(Ports),
-                        back: Arc::new(Ports),
-                        chains: Some(Arc::new(chains)),
+                        upstream_protocol: Arc::new(Ports),
+                        turn_log: Some(Arc::new(chains)),
                     };
                     f.serve_routes(o).await.ok().map(|_| Node::Front(f))
                 }
