--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -188,7 +188,7 @@
 
     fn pick(&self, need: &Requirements, tried: &[String]) -> Result<Claim, PickError> {
         let list = self.documents.server_list.load();
-        let has_kept_connection = |server: &str| self.pool.has(server);
+        let has_kept_connection = |server: &str| self.pool.has_idle(server);
         self.balance.pick(
             &self.runtime,
             need,
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -3,7 +3,7 @@
 use super::request::tokens;
 use super::state::BegunTurn;
 use crate::admission::Permit;
-use crate::back::{Back, Verified};
+use crate::back::{BackendConnection, Verified};
 use crate::kv::PrefetchJob;
 use crate::scoring::{CacheWarmth, ScoreWeights, ScoringInput, Selection};
 use crate::server_table::Server;
@@ -20,7 +20,7 @@
 /// The server picked, with a verified connection to it.
 pub(super) struct SelectedServer {
     pub(super) pick: Selection,
-    pub(super) connection: Back<Verified>,
+    pub(super) connection: BackendConnection<Verified>,
 }
 
 /// What to do next.
@@ -183,7 +183,11 @@
 }
 
 /// A verified connection to the server picked.
-async fn connect(front: &Front, turn: &BegunTurn, pick: &Selection) -> Option<Back<Verified>> {
+async fn connect(
+    front: &Front,
+    turn: &BegunTurn,
+    pick: &Selection,
+) -> Option<BackendConnection<Verified>> {
     let server = &pick.server.listed;
     let service = &turn.request.class.service;
     let connection = front
@@ -194,12 +198,16 @@
         if error.kind() == ErrorKind::PermissionDenied {
             front.counts.strangers.fetch_add(1, SeqCst);
         }
-        front.slowed(&server.server);
+        front.record_failure(&server.server);
     }
     connection.ok()
 }
 
-fn selected(front: &Front, pick: Selection, connection: Back<Verified>) -> SelectedServer {
+fn selected(
+    front: &Front,
+    pick: Selection,
+    connection: BackendConnection<Verified>,
+) -> SelectedServer {
     if matches!(pick.warmth, CacheWarmth::Importable(_)) {
         front.counts.unready.fetch_add(1, SeqCst);
     }
