--- a/yewcross-proxy/src/relay.rs
+++ b/yewcross-proxy/src/relay.rs
@@ -1,10 +1,14 @@
-//! The path of a routed request, from its head to the last byte of its answer.
+//! Handling of a routed request, from receiving it to sending the last byte of its response.
 //!
-//! `admission` reads it whole, finds its route and opens its turn; `dispatch` chooses servers and
-//! counts attempts, `hedge` asks a second one where the first is silent, `retry_budget` bounds
-//! both; `attempt` sends it to one server and judges what comes back; `upstream_body` reads what a
-//! server sends, `streaming` forwards it, `stall` notices that it is silent, `resume` takes a broken
-//! or stalled one up elsewhere; `turn` settles it.
+//! - `admission` reads the request, selects its route and opens its turn.
+//! - `dispatch` chooses servers and limits the number of attempts.
+//! - `hedge` sends the request to a second server when the first one does not respond in time.
+//! - `retry_budget` limits retries and hedged requests.
+//! - `attempt` sends the request to one server and classifies the response.
+//! - `upstream_body` reads the body of a server's response, and `streaming` forwards it.
+//! - `stall` detects streams that have stopped, and `resume` continues a broken or stalled stream
+//!   on another server.
+//! - `turn` settles the token usage of the request's turn.
 
 mod admission;
 mod attempt;
@@ -36,7 +40,8 @@
 
 macro_rules! counts {
     ($($f:ident),*) => {
-        /// What became of requests and of what was sent for them.
+        /// Counters of requests and of the attempts made for them. The names of the fields are the
+        /// names of the metrics.
         #[derive(Default)]
         pub struct Counts { $(pub $f: AtomicU64),* }
         impl Counts {
@@ -47,20 +52,32 @@
     };
 }
 
+// Requests: `taken` counts requests received, `refused` rejections by this front, `expired`
+// requests without an answer by their deadline, `passed` responses that began to be forwarded.
+// Attempts: `sent` counts requests handed to a connection, `not_run` servers that stated that they
+// did not execute the request, `unsent` attempts of which no byte was sent, `withdrawn` attempts
+// cancelled before the first byte because the selection was no longer current, `lost` attempts
+// without an answer that may have been executed, `strangers` responses that could not be identified
+// as the server's answer to the attempt, `second` hedged requests.
+// Streams: `stalled` counts detected stalls, `resumed` attempts to continue a stream on another
+// server, `recovered` stalled streams that the original server continued, `broken` answers that
+// ended before they were complete, `unkept` turns that could not be stored.
 counts!(
     taken, sent, passed, not_run, unsent, withdrawn, lost, strangers, refused, expired, second,
     stalled, resumed, recovered, broken, unkept
 );
 
-/// The data plane of a front: takes clients' requests and sends them on to servers.
+/// The data plane of a front: accepts requests of clients and forwards them to servers.
 pub struct Relay {
     pub runtime: Runtime,
     pub documents: Arc<DocumentCache>,
+    /// Site of this front.
     pub site: String,
     pub caller: Arc<dyn Caller>,
     pub upstream_protocol: Arc<dyn UpstreamProtocol>,
+    /// Absent where no turn log is configured; requests of retained routes are then rejected.
     pub turn_log: Option<Arc<dyn TurnLogService>>,
-    /// Fronts that share the servers' connections, ourselves among them.
+    /// Number of fronts that share the connections to the servers, this one included.
     pub front_count: AtomicUsize,
     pub pool: Pool,
     pub balance: Balance,
@@ -68,71 +85,83 @@
     pub counts: Counts,
 }
 
-/// One try of a caller, read whole.
+/// One attempt of a caller, with its complete body.
 #[derive(Clone)]
 struct ClientRequest {
     head: request::Parts,
     meta: RequestMeta,
+    /// The value of the `Host` header.
     host: String,
-    /// What is sent on.
+    /// The body that is sent to the server. On a retained route this is the prompt built from the
+    /// chain.
     body: Bytes,
-    /// us of the world's clock.
-    began: u64,
-    until: u64,
+    /// When the request was received, in us of the runtime's clock.
+    received_at: u64,
+    /// When the request expires, in us of the runtime's clock.
+    deadline: u64,
 }
 
-/// How a request ends without an answer of a server: the code, the reason, and ms after which
-/// coming back helps.
+/// A request that ends without a response of a server: the code, the reason, and the ms after which
+/// a retry may help (0 where none is suggested).
 struct Rejection(Code, &'static str, u64);
 
 impl Relay {
-    fn refuse(&self, e: Rejection) -> Response<Body> {
+    fn reject(&self, rejection: Rejection) -> Response<Body> {
         self.counts.refused.fetch_add(1, SeqCst);
-        self.caller.refuse(e.0, e.1, e.2).map(full)
+        self.caller
+            .refuse(rejection.0, rejection.1, rejection.2)
+            .map(full)
     }
 
-    /// Answers one request. Dropped when its caller goes, and with it all that is under way for it.
-    pub async fn serve(self: Arc<Self>, q: Request<Incoming>) -> Response<Body> {
+    /// Answers one request. The future is dropped when the caller disconnects, which cancels all
+    /// attempts in progress for it.
+    pub async fn serve(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         self.counts.taken.fetch_add(1, SeqCst);
-        match self.clone().handle(q).await {
-            Ok(r) => r,
-            Err(e) => self.refuse(e),
+        match self.clone().handle(request).await {
+            Ok(response) => response,
+            Err(rejection) => self.reject(rejection),
         }
     }
 
-    /// ms after which coming back helps, inside the route's aim.
-    fn soon(&self, r: &Route) -> u64 {
-        (r.target_ms / 4).clamp(20, 1_000)
+    /// ms after which a retry may help: a quarter of the route's target latency, within 20 to 1,000
+    /// ms.
+    fn retry_after_ms(&self, route: &Route) -> u64 {
+        (route.target_ms / 4).clamp(20, 1_000)
     }
 
-    /// None where the newest configuration does not name the service.
+    /// Tokens in each event of the service; none where the current configuration does not contain
+    /// the service.
     fn tokens_per_event(&self, service: &str) -> Option<u64> {
-        let c = self.documents.config.load();
-        let upstream = c.1.routing.upstreams.get(service)?;
+        let configuration = self.documents.config.load();
+        let upstream = configuration.1.routing.upstreams.get(service)?;
         Some(
             upstream
                 .engine
                 .as_ref()
-                .map_or(1, |e| e.tokens_per_event.max(1)),
+                .map_or(1, |engine| engine.tokens_per_event.max(1)),
         )
     }
 
-    /// Tokens that a server of the service holds in memory.
+    /// Tokens that the prefix cache of a server of the service holds; 0 where that is not
+    /// configured.
     fn cache_tokens(&self, service: &str) -> u64 {
-        let c = self.documents.config.load();
-        c.1.routing
+        let configuration = self.documents.config.load();
+        configuration
+            .1
+            .routing
             .upstreams
             .get(service)
-            .and_then(|u| u.engine.as_ref())
-            .map_or(0, |e| e.cache_tokens)
+            .and_then(|upstream| upstream.engine.as_ref())
+            .map_or(0, |engine| engine.cache_tokens)
     }
 
-    /// Drops idle connections and records of servers that are gone.
-    pub fn prune(&self, fronts: usize) {
-        self.front_count.store(fronts, SeqCst);
-        let l = self.documents.list.load();
-        let listed = |s: &str| l.1.servers.iter().any(|x| x.server == s);
-        self.pool.tidy(self.runtime.now(), listed);
-        self.balance.tidy(listed);
+    /// Drops expired idle connections, and the connections and statistics of servers that are no
+    /// longer listed.
+    pub fn prune(&self, front_count: usize) {
+        self.front_count.store(front_count, SeqCst);
+        let list = self.documents.list.load();
+        let is_listed = |name: &str| list.1.servers.iter().any(|server| server.server == name);
+        self.pool.tidy(self.runtime.now(), is_listed);
+        self.balance.tidy(is_listed);
     }
 }
--- a/yewcross-proxy/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -1,8 +1,9 @@
-//! What comes before a request is sent: reading it whole, its route, and the opening of its turn.
+//! Steps before a request is sent to a server: reading it, selecting its route and opening its
+//! turn.
 
 use super::headers::strip_hop_by_hop;
 use super::resume::Resumption;
-use super::turn::{OpenedTurn, is_accounted, name_parts, open_request, prompt};
+use super::turn::{OpenedTurn, build_prompt, needs_turn_log, open_turn_request, set_prompt_parts};
 use super::{ClientRequest, Rejection, Relay};
 use http::{HeaderMap, Request, Response, header, request};
 use hyper::body::Incoming;
@@ -15,39 +16,40 @@
 use yewcross_common::streaming_http::{Body, Unread, read_body};
 use yewcross_common::turn_log::{OpenTurnError, Turn};
 
-/// The one host that a head names.
-fn the_host(headers: &HeaderMap) -> Option<String> {
+/// The value of the `Host` header; none where the header is missing, repeated or not visible ASCII.
+fn single_host(headers: &HeaderMap) -> Option<String> {
     let mut hosts = headers.get_all(header::HOST).iter();
     let host = hosts.next()?.to_str().ok()?;
     hosts.next().is_none().then(|| host.to_string())
 }
 
 impl Relay {
+    /// Reads, routes and dispatches a request, and starts forwarding the answer.
     pub(super) async fn handle(
         self: Arc<Self>,
-        q: Request<Incoming>,
+        request: Request<Incoming>,
     ) -> Result<Response<Body>, Rejection> {
-        let began = self.runtime.now();
+        let received_at = self.runtime.now();
         if !self.has_documents() {
             self.runtime
-                .timeout(FIRST_CONFIGURATION_WAIT, self.news())
+                .timeout(FIRST_CONFIGURATION_WAIT, self.wait_for_documents())
                 .await;
         }
-        let (mut request, route, upstream) = self.read(q, began).await?;
+        let (mut request, route, upstream) = self.read_request(request, received_at).await?;
         let input = request.body.clone();
-        let (mut turn, previous) = self.open_turn(&mut request, &route, &upstream).await?;
+        let (mut opened_turn, previous) = self.open_turn(&mut request, &route, &upstream).await?;
 
         let request = Arc::new(request);
         let dispatched = self.dispatch(&request, &route, previous.as_deref()).await?;
         let (route, answer) = (&dispatched.route, &dispatched.answer);
         let service = &answer.claim.to.service;
-        if let (Some(opened), Some(tokens)) = (&mut turn, self.tokens_per_event(service)) {
+        if let (Some(opened), Some(tokens)) = (&mut opened_turn, self.tokens_per_event(service)) {
             opened.tokens_per_event = tokens;
         }
         answer
             .claim
             .read(&request.meta.parts, self.cache_tokens(service));
-        let keep = route.retained.then(|| Turn {
+        let turn_to_store = route.retained.then(|| Turn {
             id: request.meta.attempt.clone(),
             prev: request.meta.prev.clone(),
             input,
@@ -56,71 +58,79 @@
             retain_ms: route.retain_ms,
             ..Turn::default()
         });
-        let streamed = route.mode == Mode::Stream && answer.head.status.is_success();
-        if !streamed {
-            drop(turn.take());
+        let is_streamed = route.mode == Mode::Stream && answer.head.status.is_success();
+        if !is_streamed {
+            drop(opened_turn.take());
         }
-        let resumption = if streamed {
-            Resumption::of(&self, &request, &dispatched)
+        let resumption = if is_streamed {
+            Resumption::if_allowed(&self, &request, &dispatched)
         } else {
             None
         };
         Ok(self.forward(
             dispatched.answer,
-            turn,
-            keep,
-            request.until,
-            streamed,
+            opened_turn,
+            turn_to_store,
+            request.deadline,
+            is_streamed,
             resumption,
         ))
     }
 
-    /// Reads a request whole: no server hears of one that its caller has not finished.
-    async fn read(
+    /// Reads a request and its complete body: an incomplete request must not reach a server.
+    async fn read_request(
         &self,
-        q: Request<Incoming>,
-        began: u64,
+        request: Request<Incoming>,
+        received_at: u64,
     ) -> Result<(ClientRequest, Route, Upstream), Rejection> {
-        let (mut head, body) = q.into_parts();
+        let (mut head, body) = request.into_parts();
         let meta = self
             .caller
             .request(&head.headers)
             .map_err(|_| Rejection(Code::BadHead, "a field of the head is wrong", 0))?;
         let host =
-            the_host(&head.headers).ok_or(Rejection(Code::BadHead, "one host is needed", 0))?;
-        let (found, limit) = {
-            let c = self.documents.config.load();
+            single_host(&head.headers).ok_or(Rejection(Code::BadHead, "one host is needed", 0))?;
+        let (selected, body_limit) = {
+            let configuration = self.documents.config.load();
             (
-                self.route(&c.1.routing, c.0, &host, &head, &meta),
-                c.1.routing.limits.body_bytes,
+                self.select_route(
+                    &configuration.1.routing,
+                    configuration.0,
+                    &host,
+                    &head,
+                    &meta,
+                ),
+                configuration.1.routing.limits.body_bytes,
             )
         };
-        // A refused request is read whole too: what is left of a body would be taken for the next
-        // request's head.
-        let timeout_ms = found
+        // The body of a rejected request is read too: bytes that remain on the connection would be
+        // parsed as the head of the next request.
+        let timeout_ms = selected
             .as_ref()
             .map_or(BODY_TIMEOUT / MS, |(route, _)| route.timeout_ms);
-        let until = began
+        let deadline = received_at
             + meta
                 .deadline_ms
                 .unwrap_or(u64::MAX / MS / 2)
                 .min(timeout_ms)
                 * MS;
-        let left = until.saturating_sub(self.runtime.now());
+        let left_us = deadline.saturating_sub(self.runtime.now());
         let body = self
             .runtime
-            .timeout(left.min(BODY_TIMEOUT), read_body(body, limit))
+            .timeout(left_us.min(BODY_TIMEOUT), read_body(body, body_limit))
             .await;
-        let (route, upstream) = found?;
-        let body = body.unwrap_or(Err(Unread::Broken)).map_err(|e| match e {
-            Unread::TooLarge => Rejection(Code::TooLarge, "the body is too large", 0),
-            Unread::Broken => Rejection(Code::TooSlow, "the body did not come whole", 0),
-        })?;
+        let (route, upstream) = selected?;
+        let body = body
+            .unwrap_or(Err(Unread::Broken))
+            .map_err(|error| match error {
+                Unread::TooLarge => Rejection(Code::TooLarge, "the body is too large", 0),
+                Unread::Broken => Rejection(Code::TooSlow, "the body did not come whole", 0),
+            })?;
         strip_hop_by_hop(&mut head.headers);
         [header::CONTENT_LENGTH, header::EXPECT]
             .iter()
-            .for_each(|n| {
-                head.headers.remove(n);
+            .for_each(|name| {
+                head.headers.remove(name);
             });
         Ok((
             ClientRequest {
@@ -128,113 +138,118 @@
                 meta,
                 host,
                 body,
-                began,
-                until,
+                received_at,
+                deadline,
             },
             route,
             upstream,
         ))
     }
 
-    /// Asks the stores for the chain that a turn goes on from and for its share of the budget;
-    /// hands back the turn before.
+    /// Opens the turn in the turn log, which reserves its share of the token budget and returns the
+    /// chain that it continues. Returns the opened turn and the turn before it. Both are none where
+    /// the route needs no turn log.
     async fn open_turn(
         &self,
         request: &mut ClientRequest,
         route: &Route,
         upstream: &Upstream,
     ) -> Result<(Option<OpenedTurn>, Option<Arc<Turn>>), Rejection> {
-        let away = || {
+        let unavailable = || {
             Rejection(
                 Code::StoreAway,
                 "the stores cannot be asked",
-                self.soon(route),
+                self.retry_after_ms(route),
             )
         };
-        let Some(chains) = self
+        let Some(turn_log) = self
             .turn_log
             .clone()
-            .filter(|_| is_accounted(route, &request.meta))
+            .filter(|_| needs_turn_log(route, &request.meta))
         else {
             return if route.retained {
-                Err(away())
+                Err(unavailable())
             } else {
                 Ok((None, None))
             };
         };
-        let open = open_request(route, &request.meta);
-        let until = request.until.min(self.runtime.now() + TURN_OPEN_TIMEOUT);
-        let opened = chains
-            .open(open.clone(), until)
-            .await
-            .map_err(|r| match r {
-                OpenTurnError::BudgetSpent => {
-                    Rejection(Code::BudgetSpent, "the budget is spent", 0)
-                }
-                OpenTurnError::UnknownTurn => Rejection(Code::UnknownTurn, "no such turn", 0),
-                OpenTurnError::Unavailable => away(),
-            })?;
+        let open_turn = open_turn_request(route, &request.meta);
+        let deadline = request.deadline.min(self.runtime.now() + TURN_OPEN_TIMEOUT);
+        let opened =
+            turn_log
+                .open(open_turn.clone(), deadline)
+                .await
+                .map_err(|error| match error {
+                    OpenTurnError::BudgetSpent => {
+                        Rejection(Code::BudgetSpent, "the budget is spent", 0)
+                    }
+                    OpenTurnError::UnknownTurn => Rejection(Code::UnknownTurn, "no such turn", 0),
+                    OpenTurnError::Unavailable => unavailable(),
+                })?;
         if route.retained {
-            request.body = prompt(&opened.chain, &request.body);
-            name_parts(&mut request.meta, &opened.chain);
+            request.body = build_prompt(&opened.chain, &request.body);
+            set_prompt_parts(&mut request.meta, &opened.chain);
         }
         let tokens_per_event = self.tokens_per_event(&upstream.name).unwrap_or(1);
         let turn = OpenedTurn {
-            chains,
-            open,
+            turn_log,
+            open_turn,
             tokens_per_event,
-            done: false,
-            events: 0,
+            is_settled: false,
+            forwarded_events: 0,
         };
         Ok((Some(turn), opened.chain.last().cloned()))
     }
 
-    /// A configuration and a list are on hand.
+    /// Whether a configuration and a server list have been received.
     pub fn has_documents(&self) -> bool {
         self.documents.config.load().0 > 0 && self.documents.list.load().0 > 0
     }
 
-    async fn news(&self) {
+    /// Waits until a configuration and a server list have been received.
+    async fn wait_for_documents(&self) {
         loop {
-            let l = self.documents.changed.listen();
+            let changed = self.documents.changed.listen();
             if self.has_documents() {
                 return;
             }
-            l.await;
+            changed.await;
         }
     }
 
-    /// The route and the service, both of one configuration.
-    pub(super) fn route(
+    /// The route of a request and the service chosen among the route's variants by weight, both
+    /// from the given configuration.
+    pub(super) fn select_route(
         &self,
-        r: &Routes,
-        seq: u64,
+        routes: &Routes,
+        version: u64,
         host: &str,
         head: &request::Parts,
-        m: &RequestMeta,
+        meta: &RequestMeta,
     ) -> Result<(Route, Upstream), Rejection> {
-        if seq == 0 {
+        if version == 0 {
             return Err(Rejection(Code::NotServing, "no configuration yet", 300));
         }
-        let none = Rejection(Code::UnknownRoute, "no such route", 0);
-        let route = r.find(host, head.uri.path()).ok_or(none)?;
-        let all: u64 = route.variants.iter().map(|v| v.1).sum();
-        // A program stays with one variant, where its prompts are held.
-        let key = if m.program.is_empty() {
+        let unknown_route = Rejection(Code::UnknownRoute, "no such route", 0);
+        let route = routes.find(host, head.uri.path()).ok_or(unknown_route)?;
+        let total_weight: u64 = route.variants.iter().map(|variant| variant.1).sum();
+        // Requests of a program go to the same variant, whose servers hold its prompts in their
+        // prefix caches.
+        let key = if meta.program.is_empty() {
             self.runtime.random()
         } else {
-            rendezvous_weight(&m.program, &route.name)
+            rendezvous_weight(&meta.program, &route.name)
         };
-        let mut at = key % all.max(1);
-        let name = route.variants.iter().find(|v| {
-            let hit = at < v.1;
-            at = at.saturating_sub(v.1);
-            hit
+        let mut offset = key % total_weight.max(1);
+        let selected = route.variants.iter().find(|variant| {
+            let is_selected = offset < variant.1;
+            offset = offset.saturating_sub(variant.1);
+            is_selected
         });
-        let up = name
-            .and_then(|v| r.upstreams.get(&v.0))
+        let upstream = selected
+            .and_then(|variant| routes.upstreams.get(&variant.0))
             .cloned()
             .ok_or(Rejection(Code::NoServer, "no such service", 300))?;
-        Ok((route.clone(), up))
+        Ok((route.clone(), upstream))
     }
 }
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -1,6 +1,7 @@
-//! One attempt at one server: the connection, the request, and what counts as its answer.
+//! One attempt at one server: obtaining a connection, sending the request and classifying the
+//! response.
 
-use super::headers::{coding_asked_for, tells_its_end};
+use super::headers::{accepts_coding, has_message_framing};
 use super::{ClientRequest, Relay};
 use crate::balance::Claim;
 use crate::pool::{Failed, Link};
@@ -15,41 +16,47 @@
 use yewcross_common::constants::*;
 use yewcross_common::protocol::ListedServer;
 
-/// count. Kept connections to a server that may turn out to be closed before another one is dialled.
+/// count. Idle connections to a server that may prove to be closed before a new one is opened.
 const STALE_CONNECTIONS_MAX: u32 = 3;
-/// count. Idle connections to a server that each front keeps at least.
+/// count. Idle connections to a server that each front may keep, however many fronts share the
+/// limit.
 const IDLE_CONNECTIONS_MIN: usize = 4;
 
-/// What sending it to one server came to.
+/// The result of an attempt at one server.
 pub(super) enum Outcome {
+    /// A response that can be forwarded; its status may be an error.
     Answer(Box<Answer>),
-    /// It says that it did not run it.
+    /// The server stated that it did not execute the request.
     NotRun,
+    /// No byte of the request was sent, since the server could not be reached or the connection
+    /// failed.
     Unsent,
-    /// Nothing was sent, since the choice of the server no longer holds.
+    /// No byte of the request was sent, since the selection of the server was no longer current.
     Withdrawn,
+    /// The request may have been executed, but no usable answer arrived in time.
     Lost,
 }
 
 impl Outcome {
-    /// Not a byte of the request left for this server.
+    /// Whether no byte of the request was sent to this server.
     pub(super) fn nothing_sent(&self) -> bool {
         matches!(self, Outcome::Unsent | Outcome::Withdrawn)
     }
 
-    /// An answer, and none that tells of an error of the server.
-    pub(super) fn is_good(&self) -> bool {
+    /// Whether it is an answer without a server error (5xx).
+    pub(super) fn is_non_5xx_answer(&self) -> bool {
         matches!(self, Outcome::Answer(answer) if !answer.head.status.is_server_error())
     }
 
-    /// What two servers asked the same come to: a good answer of either, else any answer, else what
-    /// says least about a run.
-    pub(super) fn or(self, other: Outcome) -> Outcome {
-        if other.is_good() && !self.is_good() {
+    /// Combines the outcomes of the same request at two servers: prefers an answer that is no
+    /// server error, then any answer, then the outcome that leaves open most whether the request
+    /// was executed.
+    pub(super) fn better_of(self, other: Outcome) -> Outcome {
+        if other.is_non_5xx_answer() && !self.is_non_5xx_answer() {
             return other;
         }
         match (self, other) {
-            (Outcome::Answer(a), _) | (_, Outcome::Answer(a)) => Outcome::Answer(a),
+            (Outcome::Answer(answer), _) | (_, Outcome::Answer(answer)) => Outcome::Answer(answer),
             (Outcome::Lost, _) | (_, Outcome::Lost) => Outcome::Lost,
             (Outcome::NotRun, _) | (_, Outcome::NotRun) => Outcome::NotRun,
             (Outcome::Unsent, _) | (_, Outcome::Unsent) => Outcome::Unsent,
@@ -58,7 +65,7 @@
     }
 }
 
-/// A server's answer that goes to the caller.
+/// The answer of a server that is forwarded to the caller.
 pub(super) struct Answer {
     pub(super) head: response::Parts,
     pub(super) body: AnswerBody,
@@ -66,30 +73,32 @@
     pub(super) claim: Claim,
 }
 
-/// What of an answer is still to come.
+/// The body of an answer.
 pub(super) enum AnswerBody {
-    Whole(Bytes),
-    Coming(Incoming, Link),
+    /// Read completely; its connection has been returned to the pool.
+    Buffered(Bytes),
+    /// Still to be read from the connection.
+    Streaming(Incoming, Link),
 }
 
 impl Relay {
-    /// Sends a request to the server of a claim and takes what comes back for an answer only if it
-    /// plainly is one.
+    /// Sends a request to the claimed server. A response counts as the answer only if it can be
+    /// identified as the response to this attempt.
     pub(super) async fn attempt(
         self: &Arc<Self>,
         request: &ClientRequest,
         mut claim: Claim,
         route: &Route,
     ) -> Outcome {
-        let left = request.until.saturating_sub(self.runtime.now());
+        let left_us = request.deadline.saturating_sub(self.runtime.now());
         let exchanged = self
             .runtime
-            .timeout(left, self.exchange(request, &claim, route))
+            .timeout(left_us, self.exchange(request, &claim, route))
             .await
             .unwrap_or(Err(Failed::Lost));
         let (response, link) = match exchanged {
             Ok(exchanged) => exchanged,
-            Err(failed) => return self.count_failure(failed, &claim),
+            Err(failed) => return self.record_failure(failed, &claim),
         };
         let status = response.status();
         let meta = self
@@ -111,7 +120,8 @@
             self.drain(&claim.to.server, response.into_body(), link, meta);
             return Outcome::NotRun;
         }
-        // The promise of these is not the server's to make: only `not_run` says that.
+        // These statuses do not guarantee that the request was not executed: only `not_run` states
+        // that.
         if matches!(status.as_u16(), 408 | 429 | 503) {
             claim.failed();
             self.drain(&claim.to.server, response.into_body(), link, meta);
@@ -121,8 +131,8 @@
             claim.failed();
         }
         let is_streamed = route.mode == Mode::Stream;
-        let read = self.read_small(request, response, link, &meta, &claim, is_streamed);
-        match read.await {
+        let buffering = self.buffer_if_small(request, response, link, &meta, &claim, is_streamed);
+        match buffering.await {
             Some((head, body)) => Outcome::Answer(Box::new(Answer {
                 head,
                 body,
@@ -137,22 +147,24 @@
         }
     }
 
-    /// What an attempt without any answer came to.
-    fn count_failure(&self, failed: Failed, claim: &Claim) -> Outcome {
-        let (count, outcome) = match failed {
+    /// Counts an attempt that got no response, and returns its outcome.
+    fn record_failure(&self, failed: Failed, claim: &Claim) -> Outcome {
+        let (counter, outcome) = match failed {
             Failed::Withdrawn => (&self.counts.withdrawn, Outcome::Withdrawn),
             Failed::Unsent => (&self.counts.unsent, Outcome::Unsent),
             Failed::Lost => (&self.counts.lost, Outcome::Lost),
         };
-        count.fetch_add(1, SeqCst);
+        counter.fetch_add(1, SeqCst);
         if !matches!(outcome, Outcome::Withdrawn) {
             claim.failed();
         }
         outcome
     }
 
-    /// Reads a small answer to its end; one whose end could not be told from a break is none.
-    async fn read_small(
+    /// Reads a small answer to its end. None where the answer ended early, or where its head does
+    /// not delimit the body, so that a truncated body could not be distinguished from a complete
+    /// one.
+    async fn buffer_if_small(
         &self,
         request: &ClientRequest,
         response: Response<Incoming>,
@@ -162,26 +174,26 @@
         is_streamed: bool,
     ) -> Option<(response::Parts, AnswerBody)> {
         let (head, body) = response.into_parts();
-        let is_bare =
+        let is_bodiless =
             request.head.method == Method::HEAD || matches!(head.status.as_u16(), 204 | 304);
-        if !is_bare && !tells_its_end(&head.headers) {
+        if !is_bodiless && !has_message_framing(&head.headers) {
             return None;
         }
-        if !is_bare && !is_small(&body) || is_streamed && head.status.is_success() {
-            return Some((head, AnswerBody::Coming(body, link)));
+        if !is_bodiless && !is_small(&body) || is_streamed && head.status.is_success() {
+            return Some((head, AnswerBody::Streaming(body, link)));
         }
-        let left = request.until.saturating_sub(self.runtime.now());
+        let left_us = request.deadline.saturating_sub(self.runtime.now());
         let bytes = self
             .runtime
-            .timeout(left, body.collect())
+            .timeout(left_us, body.collect())
             .await?
             .ok()?
             .to_bytes();
-        self.give_back(&claim.to.server, link, meta);
-        Some((head, AnswerBody::Whole(bytes)))
+        self.return_connection(&claim.to.server, link, meta);
+        Some((head, AnswerBody::Buffered(bytes)))
     }
 
-    /// Reads the rest of an answer that is not passed on, so that its connection can be used again.
+    /// Reads the rest of a response that is not forwarded, so that its connection can be reused.
     fn drain(self: &Arc<Self>, server: &str, body: Incoming, link: Link, meta: AnswerMeta) {
         if meta.closes || !is_small(&body) {
             return;
@@ -189,23 +201,24 @@
         let (relay, server) = (self.clone(), server.to_string());
         self.runtime.spawn(async move {
             if let Some(Ok(_)) = relay.runtime.timeout(SEC, body.collect()).await {
-                relay.give_back(&server, link, &meta);
+                relay.return_connection(&server, link, &meta);
             }
         });
     }
 
-    pub(super) fn give_back(&self, server: &str, link: Link, meta: &AnswerMeta) {
+    /// Returns a connection to the pool, unless the server closes it.
+    pub(super) fn return_connection(&self, server: &str, link: Link, meta: &AnswerMeta) {
         if meta.closes {
             return;
         }
-        let fronts = self.front_count.load(SeqCst).max(1);
-        let most = (IDLE_UPSTREAM_CONNECTIONS / fronts).max(IDLE_CONNECTIONS_MIN);
+        let front_count = self.front_count.load(SeqCst).max(1);
+        let max_idle = (IDLE_UPSTREAM_CONNECTIONS / front_count).max(IDLE_CONNECTIONS_MIN);
         self.pool
-            .keep(server, link, self.runtime.now(), meta.idle_ms, most);
+            .keep(server, link, self.runtime.now(), meta.idle_ms, max_idle);
     }
 
-    /// Sends it over a kept connection, or else over a new one; only what has not left is sent
-    /// again.
+    /// Sends a request over an idle connection, or over a new one if none is usable. Sends again
+    /// only what has not been sent at all.
     async fn exchange(
         &self,
         request: &ClientRequest,
@@ -213,10 +226,12 @@
         route: &Route,
     ) -> Result<(Response<Incoming>, Link), Failed> {
         let to = &claim.to;
-        let mut stale = 0;
+        let mut stale_connections = 0;
         loop {
-            let kept = self.pool.take(&to.server, self.runtime.now(), stale > 0);
-            let mut link = match kept {
+            let idle_link = self
+                .pool
+                .take(&to.server, self.runtime.now(), stale_connections > 0);
+            let mut link = match idle_link {
                 Some(link) => link,
                 None => self
                     .pool
@@ -225,38 +240,57 @@
                     .map_err(|_| Failed::Unsent)?,
             };
             let now = self.runtime.now();
-            if now >= request.until || !self.still_holds(request, to, route) {
+            if now >= request.deadline || !self.is_selection_current(request, to, route) {
                 return Err(Failed::Withdrawn);
             }
             let is_fresh = link.fresh;
             self.counts.sent.fetch_add(1, SeqCst);
-            let latest = request.until.min(now + SELECTION_LIFETIME);
+            let send_deadline = request.deadline.min(now + SELECTION_LIFETIME);
             let upstream_request = self.upstream_request(request, to);
-            match link.ask(&self.runtime, upstream_request, latest).await {
+            match link
+                .ask(&self.runtime, upstream_request, send_deadline)
+                .await
+            {
                 Ok(response) => return Ok((response, link)),
-                Err(Failed::Unsent) if !is_fresh && stale < STALE_CONNECTIONS_MAX => stale += 1,
+                Err(Failed::Unsent) if !is_fresh && stale_connections < STALE_CONNECTIONS_MAX => {
+                    stale_connections += 1
+                }
                 Err(failed) => return Err(failed),
             }
         }
     }
 
-    /// Whether the newest configuration and list would still let the request go to this server: a
-    /// process may stand still, or wait for a connection, after it has chosen.
-    fn still_holds(&self, request: &ClientRequest, to: &ListedServer, route: &Route) -> bool {
+    /// Whether the current configuration and server list still allow this server for the request:
+    /// the process may have been suspended, or have waited for a connection, since the server was
+    /// selected.
+    fn is_selection_current(
+        &self,
+        request: &ClientRequest,
+        to: &ListedServer,
+        route: &Route,
+    ) -> bool {
         let configuration = self.documents.config.load();
         let path = request.head.uri.path();
-        let newest = configuration.1.routing.find(&request.host, path);
-        let is_routed = newest.is_some_and(|newest| {
-            let leads_there =
+        let current_route = configuration.1.routing.find(&request.host, path);
+        let is_service_selected = current_route.is_some_and(|current_route| {
+            let selects_service =
                 |(service, weight): &(String, u64)| *service == to.service && *weight > 0;
-            newest.mode == route.mode
-                && newest.retained == route.retained
-                && newest.variants.iter().any(leads_there)
+            current_route.mode == route.mode
+                && current_route.retained == route.retained
+                && current_route.variants.iter().any(selects_service)
         });
-        is_routed && self.documents.list.load().1.servers.iter().any(|l| l == to)
+        is_service_selected
+            && self
+                .documents
+                .list
+                .load()
+                .1
+                .servers
+                .iter()
+                .any(|listed| listed == to)
     }
 
-    /// The request as a server gets it.
+    /// The request as it is sent to a server.
     fn upstream_request(&self, request: &ClientRequest, to: &ListedServer) -> Request<Full<Bytes>> {
         let mut upstream_request = Request::new(Full::new(request.body.clone()));
         *upstream_request.method_mut() = request.head.method.clone();
@@ -269,14 +303,14 @@
         let urgency = routes
             .find(&request.host, request.head.uri.path())
             .and_then(|route| self.urgency(request, route, has_engine));
-        let left_ms = request.until.saturating_sub(self.runtime.now()) / MS;
+        let left_ms = request.deadline.saturating_sub(self.runtime.now()) / MS;
         self.upstream_protocol
             .dress(upstream_request.headers_mut(), to, left_ms, urgency);
         upstream_request
     }
 }
 
-/// Whether a response is the answer to this very request, as far as its head tells.
+/// Whether a response is the answer to this attempt, according to its head.
 fn is_answer_to(
     request: &ClientRequest,
     response: &Response<Incoming>,
@@ -284,15 +318,16 @@
     is_fresh_connection: bool,
 ) -> bool {
     let status = response.status();
-    // On a connection of its own nothing late can arrive: there a "not run" needs no id.
-    let is_ours = meta.attempt == request.meta.attempt
+    // On a new connection no late response to an earlier request can arrive, so a "not run"
+    // response needs no attempt id there.
+    let is_same_attempt = meta.attempt == request.meta.attempt
         || (meta.attempt.is_empty() && meta.not_run && is_fresh_connection);
-    let is_coded_as_asked = coding_asked_for(&request.head.headers, response.headers());
-    let is_foreign = status.is_success() && (!meta.stamped || !is_coded_as_asked);
-    is_ours && !is_foreign && !status.is_informational()
+    let is_coding_accepted = accepts_coding(&request.head.headers, response.headers());
+    let is_from_intermediary = status.is_success() && (!meta.stamped || !is_coding_accepted);
+    is_same_attempt && !is_from_intermediary && !status.is_informational()
 }
 
-/// Whether a body is read whole before it is passed on.
+/// Whether a body is small enough to be read completely before it is forwarded.
 fn is_small(body: &Incoming) -> bool {
     let length = body.size_hint().upper();
     length.is_some_and(|length| length <= BUFFERED_RESPONSE_BYTES)
--- a/yewcross-proxy/src/relay/dispatch.rs
+++ b/yewcross-proxy/src/relay/dispatch.rs
@@ -1,4 +1,4 @@
-//! The choice of servers for a request, and its attempts at them within `max_tries`.
+//! Selection of servers for a request, and its attempts at them, limited by `max_tries`.
 
 use super::attempt::{Answer, Outcome};
 use super::{ClientRequest, Rejection, Relay};
@@ -11,23 +11,26 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::turn_log::Turn;
 
-/// What became of a request that a server answered.
+/// A request that a server answered.
 pub(super) struct Dispatched {
     pub(super) route: Route,
     pub(super) answer: Answer,
-    /// Servers that were chosen, and how many of them a byte of it was sent to.
+    /// Servers that were selected, except those withdrawn before a byte was sent.
     pub(super) tried: Vec<String>,
+    /// Number of servers that bytes of the request were sent to.
     pub(super) sent: u32,
 }
 
-/// How far a request has come that is sent to one server after another.
+/// Progress of a request that is attempted at one server after another.
 #[derive(Default)]
 struct Progress {
+    /// Servers that are not selected again.
     tried: Vec<String>,
+    /// Number of servers that bytes of the request were sent to.
     sent: u32,
-    /// A server may have run it, and its answer was lost.
+    /// An answer was lost: a server may have executed the request.
     is_lost: bool,
-    /// The last answer that told of an error of its server: passed on where no better one comes.
+    /// The last answer with a server error: it is forwarded if no better one follows.
     error: Option<Answer>,
 }
 
@@ -41,7 +44,8 @@
         }
     }
 
-    /// No further attempt is made.
+    /// Ends the request without a further attempt: with the last error answer if there is one, else
+    /// with the rejection.
     fn end(mut self, route: &Route, rejection: Rejection) -> Result<Dispatched, Rejection> {
         match self.error.take() {
             Some(error) => Ok(self.done(route.clone(), error)),
@@ -51,8 +55,8 @@
 }
 
 impl Relay {
-    /// Whether a request may run more than once.
-    fn repeatable(&self, route: &Route) -> bool {
+    /// Whether a request of the route may be executed more than once.
+    fn is_repeatable(&self, route: &Route) -> bool {
         match route.mode {
             Mode::Pure => true,
             Mode::Stream => route.resumable && self.balance.policies.has(Mechanism::StreamRetry),
@@ -60,8 +64,8 @@
         }
     }
 
-    /// Sends it to one server after another until one answers; at most `max_tries` of them ever see
-    /// a byte of it.
+    /// Sends a request to one server after another until one answers. Bytes of it are sent to at
+    /// most `max_tries` servers. `first` is the route that was selected when the request was read.
     pub(super) async fn dispatch(
         self: &Arc<Self>,
         request: &ClientRequest,
@@ -71,10 +75,12 @@
         let mut progress = Progress::default();
         self.retry_budget.deposit();
         loop {
-            let place = self.seat(request, first, previous, &progress.tried).await;
-            let (route, claim) = match place {
-                Ok(place) => place,
-                Err(_) if progress.is_lost => return progress.end(first, self.gave_up(request)),
+            let claimed = self
+                .claim_server(request, first, previous, &progress.tried)
+                .await;
+            let (route, claim) = match claimed {
+                Ok(claimed) => claimed,
+                Err(_) if progress.is_lost => return progress.end(first, self.no_answer(request)),
                 Err(rejection) => return progress.end(first, rejection),
             };
             let server = claim.to.server.clone();
@@ -83,9 +89,10 @@
                 .attempt_once(request, &route, claim, &mut progress)
                 .await;
             progress.sent += !outcome.nothing_sent() as u32;
-            let may_go_on = progress.sent < route.max_tries && self.runtime.now() < request.until;
+            let may_continue =
+                progress.sent < route.max_tries && self.runtime.now() < request.deadline;
             let may_run_again =
-                || self.repeatable(&route) && may_go_on && self.retry_budget.withdraw();
+                || self.is_repeatable(&route) && may_continue && self.retry_budget.withdraw();
             match outcome {
                 Outcome::Answer(answer) => {
                     let is_error = answer.head.status.is_server_error();
@@ -94,26 +101,30 @@
                     }
                     progress.error = Some(*answer);
                 }
-                // It may be chosen again by what holds now; where no time is left, that is told
-                // there.
+                // The server may be selected again under the current configuration and list. If no
+                // time is left, the next selection rejects the request.
                 Outcome::Withdrawn => progress.tried.retain(|tried| *tried != server),
-                Outcome::NotRun | Outcome::Unsent if may_go_on => {}
+                Outcome::NotRun | Outcome::Unsent if may_continue => {}
                 Outcome::NotRun | Outcome::Unsent if progress.is_lost => {
-                    return Err(self.gave_up(request));
+                    return Err(self.no_answer(request));
                 }
                 Outcome::NotRun | Outcome::Unsent => {
-                    let back = self.soon(&route);
-                    let full = Rejection(Code::LineFull, "every server turned it away", back);
-                    return progress.end(&route, full);
+                    let retry_after_ms = self.retry_after_ms(&route);
+                    let all_refused = Rejection(
+                        Code::LineFull,
+                        "every server turned it away",
+                        retry_after_ms,
+                    );
+                    return progress.end(&route, all_refused);
                 }
                 Outcome::Lost if may_run_again() => progress.is_lost = true,
-                Outcome::Lost => return Err(self.gave_up(request)),
+                Outcome::Lost => return Err(self.no_answer(request)),
             }
         }
     }
 
-    /// Sends it to the server of a claim, and to a second one where that may be done and the first
-    /// is silent.
+    /// Sends the request to the claimed server, and also to a second one if the first does not
+    /// respond in time and the route and `max_tries` allow it.
     async fn attempt_once(
         self: &Arc<Self>,
         request: &ClientRequest,
@@ -121,7 +132,7 @@
         claim: Claim,
         progress: &mut Progress,
     ) -> Outcome {
-        if self.repeatable(route) && progress.sent + 1 < route.max_tries {
+        if self.is_repeatable(route) && progress.sent + 1 < route.max_tries {
             let Progress { tried, sent, .. } = progress;
             self.attempt_hedged(request, route, claim, tried, sent)
                 .await
@@ -130,58 +141,70 @@
         }
     }
 
-    fn gave_up(&self, request: &ClientRequest) -> Rejection {
-        if self.runtime.now() + MS >= request.until {
+    /// The rejection of a request that a server may have executed without answering it.
+    fn no_answer(&self, request: &ClientRequest) -> Rejection {
+        if self.runtime.now() + MS >= request.deadline {
             self.counts.expired.fetch_add(1, SeqCst);
             return Rejection(Code::Expired, "no answer by its deadline", 0);
         }
         Rejection(Code::MayHaveRun, "its answer was lost", 0)
     }
 
-    /// A place at a server, by the newest configuration and list at the moment it is taken.
-    pub(super) async fn seat(
+    /// Claims a server under the configuration and list that are current at that moment. Waits for
+    /// free capacity up to a share of the route's target latency.
+    pub(super) async fn claim_server(
         &self,
         request: &ClientRequest,
         first: &Route,
         previous: Option<&Turn>,
         tried: &[String],
     ) -> Result<(Route, Claim), Rejection> {
-        let patience =
+        let queue_deadline =
             self.runtime.now() + first.target_ms.max(40) * MS * QUEUEING_TARGET_PERCENT / 100;
         loop {
             let now = self.runtime.now();
             let (route, upstream) = {
                 let configuration = self.documents.config.load();
                 let (version, routes) = (configuration.0, &configuration.1.routing);
-                self.route(routes, version, &request.host, &request.head, &request.meta)?
+                self.select_route(routes, version, &request.host, &request.head, &request.meta)?
             };
-            // What was sent as repeatable, or opened as a turn, is not sent again as anything else.
+            // A request that was opened as a turn, or sent under one execution mode, must not be
+            // sent again under another.
             if route.retained != first.retained || route.mode != first.mode {
                 return Err(Rejection(Code::NotServing, "the route has changed", 20));
             }
-            if now >= request.until {
-                let back = self.soon(&route);
-                return Err(Rejection(Code::TooLate, "no time is left", back));
+            if now >= request.deadline {
+                let retry_after_ms = self.retry_after_ms(&route);
+                return Err(Rejection(Code::TooLate, "no time is left", retry_after_ms));
             }
             let need = self.need(request, &route, &upstream, previous);
-            let due = match self.pick(&need, tried) {
+            let free_in_us = match self.pick_server(&need, tried) {
                 Ok(claim) => return Ok((route, claim)),
                 Err(NoSeat::None) => {
-                    let back = self.soon(&route);
-                    let none = "no server of the service may take it now";
-                    return Err(Rejection(Code::NoServer, none, back));
+                    let retry_after_ms = self.retry_after_ms(&route);
+                    let reason = "no server of the service may take it now";
+                    return Err(Rejection(Code::NoServer, reason, retry_after_ms));
                 }
-                Err(NoSeat::Full(due)) => due,
+                Err(NoSeat::Full(free_in_us)) => free_in_us,
             };
-            let end = patience.min(request.until);
-            if now + due >= end || !self.balance.wait(&self.runtime, &need, end).await {
-                let back = (due / MS).clamp(self.soon(&route) / 2, (route.target_ms / 2).max(20));
-                return Err(Rejection(Code::LineFull, "all places are taken", back));
+            let wait_until = queue_deadline.min(request.deadline);
+            if now + free_in_us >= wait_until
+                || !self.balance.wait(&self.runtime, &need, wait_until).await
+            {
+                let retry_after_ms = (free_in_us / MS).clamp(
+                    self.retry_after_ms(&route) / 2,
+                    (route.target_ms / 2).max(20),
+                );
+                return Err(Rejection(
+                    Code::LineFull,
+                    "all places are taken",
+                    retry_after_ms,
+                ));
             }
         }
     }
 
-    fn pick(&self, need: &Need, tried: &[String]) -> Result<Claim, NoSeat> {
+    fn pick_server(&self, need: &Need, tried: &[String]) -> Result<Claim, NoSeat> {
         let list = self.documents.list.load();
         let has_kept_connection = |server: &str| self.pool.has(server);
         self.balance.pick(
@@ -193,6 +216,7 @@
         )
     }
 
+    /// What the request needs of a server, for the selection.
     fn need(
         &self,
         request: &ClientRequest,
@@ -200,9 +224,9 @@
         upstream: &Upstream,
         previous: Option<&Turn>,
     ) -> Need {
-        let fronts = self.front_count.load(SeqCst).max(1) as u32;
+        let front_count = self.front_count.load(SeqCst).max(1) as u32;
         let meta = &request.meta;
-        let finish = request.began + meta.finish_ms.unwrap_or(route.timeout_ms) * MS;
+        let finish_at = request.received_at + meta.finish_ms.unwrap_or(route.timeout_ms) * MS;
         Need {
             service: upstream.name.clone(),
             engine: upstream.engine.clone(),
@@ -213,28 +237,29 @@
             prev_tokens: previous.map_or(0, |turn| turn.tokens),
             site: self.site.clone(),
             target_us: route.target_ms.max(1) * MS,
-            rank: (route.rank, finish),
+            rank: (route.rank, finish_at),
             affinity: if route.pinned {
                 meta.affinity.clone()
             } else {
                 String::new()
             },
-            conns: (upstream.max_conns * 3 / 2 / fronts).max(2),
+            conns: (upstream.max_conns * 3 / 2 / front_count).max(2),
         }
     }
 
-    /// 0 for the most urgent: by the route's rank, and by the time that its program has left.
+    /// Urgency of a request for a model engine, from the route's rank and the time left for its
+    /// program; 0 is the most urgent. None where the service has no engine.
     pub(super) fn urgency(
         &self,
         request: &ClientRequest,
         route: &Route,
         has_engine: bool,
     ) -> Option<u8> {
-        let is_in_hurry = |finish_ms: u64| finish_ms < 4 * route.target_ms.max(1);
-        let hurry = request.meta.finish_ms.is_some_and(is_in_hurry);
+        let is_finish_near = |finish_ms: u64| finish_ms < 4 * route.target_ms.max(1);
+        let is_urgent = request.meta.finish_ms.is_some_and(is_finish_near);
         has_engine.then(|| {
             (2 + 3 * route.rank.min(2))
-                .saturating_sub(hurry as u8)
+                .saturating_sub(is_urgent as u8)
                 .min(9)
         })
     }
--- a/yewcross-proxy/src/relay/headers.rs
+++ b/yewcross-proxy/src/relay/headers.rs
@@ -1,7 +1,8 @@
-//! Rules of HTTP/1.1 heads that a proxy has to keep.
+//! Handling of HTTP/1.1 headers that a proxy must not forward or has to check.
 
 use http::{HeaderMap, HeaderName, HeaderValue, header};
 
+/// Headers that apply to a single connection and are never forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -14,52 +15,63 @@
     "upgrade",
 ];
 
-/// Removes the headers that concern one connection only, and those that `Connection` names.
-/// Source: RFC 9110, 7.6.1 "Connection".
-pub(super) fn strip_hop_by_hop(h: &mut HeaderMap) {
-    let named: Vec<HeaderName> = h
+/// Removes the headers that apply to a single connection, and those that `Connection` lists, other
+/// than `Host` and `Content-Length`. Source: RFC 9110, 7.6.1 "Connection".
+pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
-        .filter_map(|n| n.trim().parse().ok())
-        .filter(|n| *n != header::HOST && *n != header::CONTENT_LENGTH)
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .filter(|name| *name != header::HOST && *name != header::CONTENT_LENGTH)
         .collect();
-    named.iter().for_each(|n| {
-        h.remove(n);
+    connection_options.iter().for_each(|name| {
+        headers.remove(name);
     });
-    HOP_BY_HOP.iter().for_each(|n| {
-        h.remove(*n);
+    HOP_BY_HOP.iter().for_each(|name| {
+        headers.remove(*name);
     });
 }
 
-/// A body ends where its length or its last chunk says; one that ends with its connection may as
-/// well have been cut off. Source: RFC 9112, 6.3 "Message Body Length".
-pub(super) fn tells_its_end(h: &HeaderMap) -> bool {
-    let last_coding = |v: &HeaderValue| {
-        v.to_str()
-            .ok()
-            .and_then(|t| t.rsplit(',').next().map(|c| c.trim().to_ascii_lowercase()))
+/// Whether the head delimits the body, by its length or by chunks. A body that is delimited by the
+/// end of the connection cannot be distinguished from a truncated one. Source: RFC 9112, 6.3
+/// "Message Body Length".
+pub(super) fn has_message_framing(headers: &HeaderMap) -> bool {
+    let last_coding = |value: &HeaderValue| {
+        value.to_str().ok().and_then(|text| {
+            text.rsplit(',')
+                .next()
+                .map(|coding| coding.trim().to_ascii_lowercase())
+        })
     };
-    match h.get_all(header::TRANSFER_ENCODING).iter().next_back() {
-        Some(v) => last_coding(v).as_deref() == Some("chunked"),
-        None => h.contains_key(header::CONTENT_LENGTH),
+    match headers
+        .get_all(header::TRANSFER_ENCODING)
+        .iter()
+        .next_back()
+    {
+        Some(value) => last_coding(value).as_deref() == Some("chunked"),
+        None => headers.contains_key(header::CONTENT_LENGTH),
     }
 }
 
-/// A caller that names no content coding gets the server's bytes themselves.
-pub(super) fn coding_asked_for(request: &HeaderMap, answer: &HeaderMap) -> bool {
-    let names = |h: &HeaderMap, k: HeaderName| -> Vec<String> {
-        let texts = h.get_all(k).iter().filter_map(|v| v.to_str().ok());
-        let items = texts.flat_map(|t| t.split(','));
+/// Whether the request accepts the content codings of the response. A request that names no coding
+/// gets only unencoded responses.
+pub(super) fn accepts_coding(request: &HeaderMap, answer: &HeaderMap) -> bool {
+    let codings = |headers: &HeaderMap, name: HeaderName| -> Vec<String> {
+        let values = headers
+            .get_all(name)
+            .iter()
+            .filter_map(|value| value.to_str().ok());
+        let items = values.flat_map(|text| text.split(','));
         items
-            .filter_map(|i| i.split(';').next())
-            .map(|n| n.trim().to_ascii_lowercase())
-            .filter(|n| !n.is_empty())
+            .filter_map(|item| item.split(';').next())
+            .map(|coding| coding.trim().to_ascii_lowercase())
+            .filter(|coding| !coding.is_empty())
             .collect()
     };
-    let asked = names(request, header::ACCEPT_ENCODING);
-    names(answer, header::CONTENT_ENCODING)
+    let accepted = codings(request, header::ACCEPT_ENCODING);
+    codings(answer, header::CONTENT_ENCODING)
         .iter()
-        .all(|n| n == "identity" || asked.contains(n))
+        .all(|coding| coding == "identity" || accepted.contains(coding))
 }
--- a/yewcross-proxy/src/relay/hedge.rs
+++ b/yewcross-proxy/src/relay/hedge.rs
@@ -1,4 +1,5 @@
-//! Hedged requests: a second server is asked where the first one is silent.
+//! Hedged requests: a request is sent to a second server when the first one does not respond in
+//! time.
 
 use super::attempt::Outcome;
 use super::{ClientRequest, Relay};
@@ -11,17 +12,18 @@
 use yewcross_common::constants::*;
 
 impl Relay {
-    /// us of silence after which a second server is asked: longer than the first would take if it
-    /// were well.
-    fn hedge_after(&self, route: &Route, claim: &Claim) -> u64 {
-        let usual = HEDGE_FACTOR * self.balance.usual(&claim.to.service) + claim.reading_us();
-        usual
+    /// us without a response after which a second server is tried: longer than the first one takes
+    /// when it is healthy.
+    fn hedge_delay(&self, route: &Route, claim: &Claim) -> u64 {
+        let expected_us = HEDGE_FACTOR * self.balance.usual(&claim.to.service) + claim.reading_us();
+        expected_us
             .max(route.target_ms * MS * HEDGE_TARGET_PERCENT / 100)
             .max(HEDGE_DELAY_MIN)
     }
 
-    /// Sends a repeatable request to a server, and to a second one if the first is silent. The
-    /// first good answer counts; a bad one leaves the other to be waited for.
+    /// Sends a repeatable request to a server, and to a second one if the first does not respond in
+    /// time. The first answer that is no server error is returned; after any other outcome the
+    /// other attempt is awaited.
     pub(super) async fn attempt_hedged(
         self: &Arc<Self>,
         request: &ClientRequest,
@@ -33,53 +35,54 @@
         if !self.balance.policies.has(Mechanism::Hedging) {
             return self.attempt(request, claim, route).await;
         }
-        let pause = self.hedge_after(route, &claim);
+        let delay = self.hedge_delay(route, &claim);
         let mut first = std::pin::pin!(self.attempt(request, claim, route));
-        if let Some(outcome) = self.runtime.timeout(pause, first.as_mut()).await {
+        if let Some(outcome) = self.runtime.timeout(delay, first.as_mut()).await {
             return outcome;
         }
         let Some(mut permit) = self.retry_budget.reserve() else {
             return first.await;
         };
-        let place = async { Raced::Second(self.seat(request, route, None, tried).await) };
-        let (second_route, claim) = match finished(first.as_mut()).or(place).await {
+        let second_claim =
+            async { Raced::Second(self.claim_server(request, route, None, tried).await) };
+        let (second_route, claim) = match first_finished(first.as_mut()).or(second_claim).await {
             Raced::First(outcome) => return outcome,
             Raced::Second(Err(_)) => return first.await,
-            Raced::Second(Ok(place)) => place,
+            Raced::Second(Ok(claimed)) => claimed,
         };
         self.counts.second.fetch_add(1, SeqCst);
         let server = claim.to.server.clone();
         tried.push(server.clone());
         *sent += 1;
-        permit.spend();
+        permit.mark_spent();
         let mut second = std::pin::pin!(self.attempt(request, claim, &second_route));
-        let answered = async { Raced::Second(second.as_mut().await) };
-        match finished(first.as_mut()).or(answered).await {
-            Raced::First(outcome) if outcome.is_good() => outcome,
-            Raced::First(outcome) => outcome.or(second.await),
-            Raced::Second(outcome) if outcome.is_good() => outcome,
+        let second_finished = async { Raced::Second(second.as_mut().await) };
+        match first_finished(first.as_mut()).or(second_finished).await {
+            Raced::First(outcome) if outcome.is_non_5xx_answer() => outcome,
+            Raced::First(outcome) => outcome.better_of(second.await),
+            Raced::Second(outcome) if outcome.is_non_5xx_answer() => outcome,
             Raced::Second(outcome) => {
                 if matches!(outcome, Outcome::Withdrawn) {
                     tried.retain(|tried| *tried != server);
                 }
                 if outcome.nothing_sent() {
                     *sent -= 1;
-                    permit.give_back();
+                    permit.mark_unspent();
                 }
-                outcome.or(first.await)
+                outcome.better_of(first.await)
             }
         }
     }
 }
 
-/// Which of two that are under way is over.
+/// Which of two concurrent operations finished first.
 enum Raced<T> {
     /// The attempt at the first server.
     First(Outcome),
-    /// What is done for the second one.
+    /// The claim of the second server, or the attempt at it.
     Second(T),
 }
 
-async fn finished<T>(first: impl Future<Output = Outcome>) -> Raced<T> {
+async fn first_finished<T>(first: impl Future<Output = Outcome>) -> Raced<T> {
     Raced::First(first.await)
 }
--- a/yewcross-proxy/src/relay/resume.rs
+++ b/yewcross-proxy/src/relay/resume.rs
@@ -1,8 +1,8 @@
-//! Taking up a broken or stalled stream at another server, within the answer that its client
-//! already has.
+//! Resumption of a broken or stalled stream on another server, within the response that the client
+//! is already receiving.
 //!
-//! A stalled server is not given up before another one stands in for it: both are read, and
-//! whichever sends the next event goes on with the stream.
+//! A stalled server is not abandoned before another one replaces it: both are read, and the stream
+//! continues with the one that sends the next event first.
 
 use super::attempt::{Answer, AnswerBody, Outcome};
 use super::dispatch::Dispatched;
@@ -18,62 +18,65 @@
 use yewcross_common::configuration::route::{Mode, Route};
 use yewcross_common::runtime::*;
 
-/// What is needed to take a stream up again.
+/// What is needed to resume a stream.
 pub(super) struct Resumption {
     request: Arc<ClientRequest>,
     route: Route,
     attempts: Arc<Mutex<Attempts>>,
-    /// Weights that the first server answered with: a stream stays with them.
+    /// Version of the model weights that the first server used. The stream can be continued only
+    /// with the same weights.
     weights: String,
 }
 
-/// Servers that were asked for the stream so far.
+/// Servers that the stream was requested from so far.
 struct Attempts {
     tried: Vec<String>,
-    /// count. Those that a byte was sent to.
+    /// count. Servers that bytes of the request were sent to.
     sent: u32,
 }
 
 impl Attempts {
-    fn begin(&mut self, server: &str) {
+    /// Records an attempt at a server.
+    fn record_sent(&mut self, server: &str) {
         self.tried.push(server.into());
         self.sent += 1;
     }
 
-    /// Nothing was sent after all: the server could not be reached.
-    fn not_sent(&mut self) {
+    /// Takes back an attempt for which nothing was sent, as the server could not be reached.
+    fn record_unsent(&mut self) {
         self.sent -= 1;
     }
 
-    /// Nothing was sent after all, since the choice no longer held: the server may be chosen again.
-    fn withdraw(&mut self, server: &str) {
-        self.not_sent();
+    /// Takes back an attempt for which nothing was sent, as the selection was no longer current.
+    /// The server may be selected again.
+    fn record_withdrawn(&mut self, server: &str) {
+        self.record_unsent();
         self.tried.retain(|tried| tried != server);
     }
 }
 
-/// Why a server does not go on with a stream.
+/// Why a stream could not be resumed on another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TakeUpError {
-    /// No server was asked: no place was free at any that could be reached.
+pub(super) enum ResumeError {
+    /// No request was sent: no reachable server had free capacity.
     NotSent,
-    /// A server was asked, and turned it away or failed.
+    /// A request was sent, and the server rejected it or failed.
     Failed,
 }
 
 impl Resumption {
-    /// None where the route's streams may not be resumed.
-    pub(super) fn of(
+    /// None where streams of the route may not be resumed.
+    pub(super) fn if_allowed(
         relay: &Relay,
         request: &Arc<ClientRequest>,
         dispatched: &Dispatched,
     ) -> Option<Resumption> {
-        let may = dispatched.route.mode == Mode::Stream && dispatched.route.resumable;
+        let is_allowed = dispatched.route.mode == Mode::Stream && dispatched.route.resumable;
         let attempts = || Attempts {
             tried: dispatched.tried.clone(),
             sent: dispatched.sent,
         };
-        (may && relay.balance.policies.has(Mechanism::Resumption)).then(|| Resumption {
+        (is_allowed && relay.balance.policies.has(Mechanism::Resumption)).then(|| Resumption {
             request: request.clone(),
             route: dispatched.route.clone(),
             attempts: Arc::new(Mutex::new(attempts())),
@@ -81,18 +84,24 @@
         })
     }
 
-    /// us of silence after which the stream is stalled; none where that is not looked for.
-    pub(super) fn stalled_after(&self, relay: &Relay, answer: &Answer) -> Option<u64> {
-        let may = self.route.gap_ms > 0 && relay.balance.policies.has(Mechanism::StallDetection);
-        may.then(|| answer.claim.stalled_after(self.route.gap_ms))
+    /// us without bytes after which the stream is stalled; none where stalls are not detected.
+    pub(super) fn stall_limit_us(&self, relay: &Relay, answer: &Answer) -> Option<u64> {
+        let is_allowed =
+            self.route.gap_ms > 0 && relay.balance.policies.has(Mechanism::StallDetection);
+        is_allowed.then(|| answer.claim.stalled_after(self.route.gap_ms))
     }
 
-    /// Begins to take the stream up behind the last whole event that was read; none where no
-    /// further attempt may be made.
-    pub(super) fn begin(&self, relay: &Arc<Relay>, read: &Scan) -> Option<Successor> {
-        let last_id = read.last_id()?;
+    /// Starts to resume the stream after the last complete event that was read. None where no event
+    /// id is known, or where the route's attempts, its deadline or the retry budget allow no
+    /// further attempt.
+    pub(super) fn start_attempt(
+        &self,
+        relay: &Arc<Relay>,
+        scanned: &Scan,
+    ) -> Option<ResumeCandidate> {
+        let last_id = scanned.last_id()?;
         if self.attempts.lock().unwrap().sent >= self.route.max_tries
-            || relay.runtime.now() >= self.request.until
+            || relay.runtime.now() >= self.request.deadline
         {
             return None;
         }
@@ -101,19 +110,19 @@
         relay
             .upstream_protocol
             .resume_after(&mut request.head.headers, last_id);
-        let attempt = TakeUpAttempt {
+        let attempt = ResumeAttempt {
             relay: relay.clone(),
             request,
             route: self.route.clone(),
             attempts: self.attempts.clone(),
             weights: self.weights.clone(),
         };
-        Some(Successor::new(relay, attempt, permit, read))
+        Some(ResumeCandidate::new(relay, attempt, permit, scanned))
     }
 }
 
-/// One request for the rest of a stream.
-struct TakeUpAttempt {
+/// A request for the rest of a stream.
+struct ResumeAttempt {
     relay: Arc<Relay>,
     request: ClientRequest,
     route: Route,
@@ -121,114 +130,126 @@
     weights: String,
 }
 
-impl TakeUpAttempt {
-    /// Dropped once another server goes on. An attempt for which nothing was sent leaves the retry
-    /// budget and the route's attempts as they were.
-    async fn run(self, mut permit: RetryPermit) -> Result<Answer, TakeUpError> {
+impl ResumeAttempt {
+    /// Sends the request until a server answers it. The future is dropped once another server
+    /// continues the stream. An attempt for which nothing was sent does not count against the retry
+    /// budget or the route's `max_tries`.
+    async fn run(self, mut permit: RetryPermit) -> Result<Answer, ResumeError> {
         let relay = &self.relay;
         loop {
             let tried = self.attempts.lock().unwrap().tried.clone();
             let (route, claim) = relay
-                .seat(&self.request, &self.route, None, &tried)
+                .claim_server(&self.request, &self.route, None, &tried)
                 .await
-                .map_err(|_| TakeUpError::NotSent)?;
+                .map_err(|_| ResumeError::NotSent)?;
             let server = claim.to.server.clone();
-            self.attempts.lock().unwrap().begin(&server);
+            self.attempts.lock().unwrap().record_sent(&server);
             relay.counts.resumed.fetch_add(1, SeqCst);
-            permit.spend();
+            permit.mark_spent();
             match relay.attempt(&self.request, claim, &route).await {
-                Outcome::Answer(answer) if self.goes_on(&answer) => return Ok(*answer),
-                Outcome::Unsent => self.attempts.lock().unwrap().not_sent(),
-                Outcome::Withdrawn => self.attempts.lock().unwrap().withdraw(&server),
+                Outcome::Answer(answer) if self.can_continue(&answer) => return Ok(*answer),
+                Outcome::Unsent => self.attempts.lock().unwrap().record_unsent(),
+                Outcome::Withdrawn => self.attempts.lock().unwrap().record_withdrawn(&server),
                 Outcome::Answer(_) | Outcome::NotRun | Outcome::Lost => {
-                    return Err(TakeUpError::Failed);
+                    return Err(ResumeError::Failed);
                 }
             }
-            permit.give_back();
+            permit.mark_unspent();
         }
     }
 
-    fn goes_on(&self, answer: &Answer) -> bool {
+    /// Whether the answer is a stream with the same model weights.
+    fn can_continue(&self, answer: &Answer) -> bool {
         answer.head.status.is_success()
             && answer.meta.weights == self.weights
-            && matches!(answer.body, AnswerBody::Coming(..))
+            && matches!(answer.body, AnswerBody::Streaming(..))
     }
 }
 
-/// A server that may go on with a stream; it does once its first event, or the end, is here.
-pub(super) struct Successor {
+/// A server that may continue a stream. It does so once its first event, or the end of the stream,
+/// has arrived.
+pub(super) struct ResumeCandidate {
     relay: Arc<Relay>,
-    /// None once it was answered.
-    asking: Option<Mutex<BoxFuture<'static, Result<Answer, TakeUpError>>>>,
-    reading: Option<Box<UpstreamBody>>,
-    /// What was read of the stream before; the body goes on with it.
+    /// The attempt in progress; none once it has finished.
+    attempt_in_progress: Option<Mutex<BoxFuture<'static, Result<Answer, ResumeError>>>>,
+    /// The server's response; none before it begins and after it was handed over.
+    upstream_body: Option<Box<UpstreamBody>>,
+    /// State of the event parser at the last complete event; it is handed to the new response.
     scan: Option<Scan>,
+    /// Complete events that were read before this server.
     events_before: u64,
-    /// Bytes that came before its first event was whole.
-    ready: BytesMut,
+    /// Bytes received until the first event is complete.
+    first_bytes: BytesMut,
 }
 
-/// The rest of a stream at its new server.
-pub(super) struct TakenUp {
+/// A stream that continues on a new server.
+pub(super) struct ResumedStream {
     pub(super) upstream: Box<UpstreamBody>,
-    /// What of it may be passed on already; empty where the stream ends here.
-    pub(super) ready: Bytes,
+    /// The bytes that may be forwarded already; empty where the stream ends here.
+    pub(super) first_bytes: Bytes,
 }
 
-impl Successor {
-    fn new(relay: &Arc<Relay>, attempt: TakeUpAttempt, permit: RetryPermit, read: &Scan) -> Self {
-        Successor {
+impl ResumeCandidate {
+    fn new(
+        relay: &Arc<Relay>,
+        attempt: ResumeAttempt,
+        permit: RetryPermit,
+        scanned: &Scan,
+    ) -> Self {
+        ResumeCandidate {
             relay: relay.clone(),
-            asking: Some(Mutex::new(Box::pin(attempt.run(permit)))),
-            reading: None,
-            scan: Some(read.behind_last_event()),
-            events_before: read.whole_events(),
-            ready: BytesMut::new(),
+            attempt_in_progress: Some(Mutex::new(Box::pin(attempt.run(permit)))),
+            upstream_body: None,
+            scan: Some(scanned.behind_last_event()),
+            events_before: scanned.whole_events(),
+            first_bytes: BytesMut::new(),
         }
     }
 
-    /// Ready once it goes on with the stream, or does not.
-    pub(super) fn poll_taken_up(
+    /// Ready once the server continues the stream, or is known not to.
+    pub(super) fn poll_resumed(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Result<TakenUp, TakeUpError>> {
-        if let Some(asking) = &mut self.asking {
-            let answer = std::task::ready!(asking.get_mut().unwrap().as_mut().poll(cx));
-            self.asking = None;
+    ) -> Poll<Result<ResumedStream, ResumeError>> {
+        if let Some(attempt_in_progress) = &mut self.attempt_in_progress {
+            let answer =
+                std::task::ready!(attempt_in_progress.get_mut().unwrap().as_mut().poll(cx));
+            self.attempt_in_progress = None;
             match answer {
-                Ok(answer) => self.reading = self.read(answer),
+                Ok(answer) => self.upstream_body = self.open_upstream(answer),
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
-        let is_going_on = std::task::ready!(self.poll_first_event(cx));
-        match self.reading.take().filter(|_| is_going_on) {
-            Some(upstream) => Poll::Ready(Ok(TakenUp {
+        let is_continued = std::task::ready!(self.poll_first_event(cx));
+        match self.upstream_body.take().filter(|_| is_continued) {
+            Some(upstream) => Poll::Ready(Ok(ResumedStream {
                 upstream,
-                ready: std::mem::take(&mut self.ready).freeze(),
+                first_bytes: std::mem::take(&mut self.first_bytes).freeze(),
             })),
-            None => Poll::Ready(Err(TakeUpError::Failed)),
+            None => Poll::Ready(Err(ResumeError::Failed)),
         }
     }
 
-    fn read(&mut self, answer: Answer) -> Option<Box<UpstreamBody>> {
+    /// Starts to read the server's response as the continuation of the stream.
+    fn open_upstream(&mut self, answer: Answer) -> Option<Box<UpstreamBody>> {
         let scan = self.scan.take();
         UpstreamBody::new(&self.relay, answer, scan, true).map(Box::new)
     }
 
-    /// Whether an event, or the end of the stream, came.
+    /// Whether an event, or the end of the stream, has arrived.
     fn poll_first_event(&mut self, cx: &mut Context<'_>) -> Poll<bool> {
-        let Some(body) = &mut self.reading else {
+        let Some(body) = &mut self.upstream_body else {
             return Poll::Ready(false);
         };
         loop {
             match std::task::ready!(body.poll_part(cx)) {
                 UpstreamPart::Data(bytes) => {
-                    self.ready.extend_from_slice(&bytes);
-                    if body.whole_events() > self.events_before {
+                    self.first_bytes.extend_from_slice(&bytes);
+                    if body.complete_events() > self.events_before {
                         return Poll::Ready(true);
                     }
                 }
-                UpstreamPart::End if body.ends_whole() => return Poll::Ready(true),
+                UpstreamPart::End if body.ends_at_event_boundary() => return Poll::Ready(true),
                 UpstreamPart::End | UpstreamPart::Failed(_) => {
                     body.fail();
                     return Poll::Ready(false);
--- a/yewcross-proxy/src/relay/retry_budget.rs
+++ b/yewcross-proxy/src/relay/retry_budget.rs
@@ -1,14 +1,16 @@
-//! Bounds what is sent twice to a share of what is sent once, so that retries never become the
-//! load.
+//! Limits retries and hedged requests to a share of the requests, so that they cannot become the
+//! load themselves.
 
 use crate::policy::{Mechanism, Policies};
 use std::sync::{Arc, Mutex};
 use yewcross_common::constants::*;
 
-/// Tokens for second attempts: each request brings a share of one, each second attempt takes one.
+/// A token bucket for further attempts: each request adds `RETRY_SHARE` of a token, each further
+/// attempt takes one.
 pub struct RetryBudget {
     tokens: Arc<Tokens>,
-    is_bounded: bool,
+    /// Unset where tests and measurements run without the limit.
+    is_limited: bool,
 }
 
 struct Tokens(Mutex<f64>);
@@ -24,27 +26,27 @@
     pub fn new(policies: Policies) -> RetryBudget {
         RetryBudget {
             tokens: Arc::new(Tokens(Mutex::new(RETRY_BURST))),
-            is_bounded: policies.has(Mechanism::RetryBudget),
+            is_limited: policies.has(Mechanism::RetryBudget),
         }
     }
 
-    /// A request was sent for the first time.
+    /// Adds the share of a new request.
     pub fn deposit(&self) {
         self.tokens.add(RETRY_SHARE);
     }
 
-    /// Whether another attempt may be made now; it is counted if so.
+    /// Takes a token for a further attempt. False where the budget is exhausted.
     pub fn withdraw(&self) -> bool {
         let mut tokens = self.tokens.0.lock().unwrap();
-        if self.is_bounded && *tokens < 1.0 {
+        if self.is_limited && *tokens < 1.0 {
             return false;
         }
         *tokens -= 1.0;
         true
     }
 
-    /// A permit for another attempt, of which it is not known yet whether it can be made; none
-    /// where the budget is spent.
+    /// Reserves a token for an attempt that may turn out not to be possible; none where the budget
+    /// is exhausted.
     pub fn reserve(&self) -> Option<RetryPermit> {
         self.withdraw().then(|| RetryPermit {
             tokens: self.tokens.clone(),
@@ -59,20 +61,20 @@
     }
 }
 
-/// A token of the budget, which goes back when this is dropped unspent.
+/// A reserved token, which is returned to the budget if the permit is dropped unspent.
 pub struct RetryPermit {
     tokens: Arc<Tokens>,
     is_spent: bool,
 }
 
 impl RetryPermit {
-    /// The attempt is made.
-    pub fn spend(&mut self) {
+    /// Keeps the token when the permit is dropped, as the attempt is being made.
+    pub fn mark_spent(&mut self) {
         self.is_spent = true;
     }
 
-    /// Nothing was sent after all.
-    pub fn give_back(&mut self) {
+    /// Returns the token when the permit is dropped, as nothing was sent after all.
+    pub fn mark_unspent(&mut self) {
         self.is_spent = false;
     }
 }
--- a/yewcross-proxy/src/relay/stall.rs
+++ b/yewcross-proxy/src/relay/stall.rs
@@ -4,38 +4,41 @@
 use std::task::{Context, Poll};
 use yewcross_common::runtime::*;
 
-/// Watches a stream for silence. One timer runs at a time, whatever comes.
+/// Detects that no bytes of a stream arrive. Only one timer is pending at a time, however many
+/// bytes arrive.
 pub(super) struct StallTimer {
-    /// us of silence after which a stream is stalled.
-    limit: u64,
-    /// us of the world's clock. Silence counts from here, or from the last byte that came.
-    quiet_since: u64,
+    /// us without bytes after which a stream is stalled.
+    limit_us: u64,
+    /// Start of the current period without bytes, in us of the runtime's clock: the later of the
+    /// last byte and the last restart.
+    silent_since: u64,
     timer: Mutex<BoxFuture<'static, ()>>,
 }
 
 impl StallTimer {
-    pub(super) fn new(runtime: &Runtime, limit: u64) -> StallTimer {
+    pub(super) fn new(runtime: &Runtime, limit_us: u64) -> StallTimer {
         StallTimer {
-            limit,
-            quiet_since: runtime.now(),
-            timer: Mutex::new(runtime.sleep(limit)),
+            limit_us,
+            silent_since: runtime.now(),
+            timer: Mutex::new(runtime.sleep(limit_us)),
         }
     }
 
-    /// Ready once nothing came for too long since `heard_at`; silence counts anew from then on.
+    /// Ready once no byte has arrived for the limit since `last_byte_at`. A new period starts at
+    /// that moment.
     pub(super) fn poll_stalled(
         &mut self,
         runtime: &Runtime,
-        heard_at: u64,
+        last_byte_at: u64,
         cx: &mut Context<'_>,
     ) -> Poll<()> {
-        self.quiet_since = self.quiet_since.max(heard_at);
+        self.silent_since = self.silent_since.max(last_byte_at);
         let timer = self.timer.get_mut().unwrap();
         while timer.as_mut().poll(cx).is_ready() {
-            let (now, due) = (runtime.now(), self.quiet_since + self.limit);
+            let (now, due) = (runtime.now(), self.silent_since + self.limit_us);
             if now >= due {
-                self.quiet_since = now;
-                *timer = runtime.sleep(self.limit);
+                self.silent_since = now;
+                *timer = runtime.sleep(self.limit_us);
                 return Poll::Ready(());
             }
             *timer = runtime.sleep(due - now);
@@ -43,8 +46,8 @@
         Poll::Pending
     }
 
-    /// Silence counts from now on.
+    /// Starts a new period now.
     pub(super) fn restart(&mut self, runtime: &Runtime) {
-        self.quiet_since = runtime.now();
+        self.silent_since = runtime.now();
     }
 }
--- a/yewcross-proxy/src/relay/streaming.rs
+++ b/yewcross-proxy/src/relay/streaming.rs
@@ -1,9 +1,9 @@
-//! Forwarding of an answer to its client, as it comes, to its end or its breaking off.
+//! Forwards an answer to its client as it arrives, until it ends or fails.
 
 use super::Relay;
 use super::attempt::{Answer, AnswerBody};
 use super::headers::strip_hop_by_hop;
-use super::resume::{Resumption, Successor, TakeUpError, TakenUp};
+use super::resume::{ResumeCandidate, ResumeError, ResumedStream, Resumption};
 use super::stall::StallTimer;
 use super::turn::OpenedTurn;
 use super::upstream_body::{UpstreamBody, UpstreamFailure, UpstreamPart};
@@ -23,35 +23,35 @@
 use yewcross_common::turn_log::{OpenTurnError, Turn};
 
 impl Relay {
-    /// Passes an answer on. Its end is sent only once the turn is kept.
+    /// Forwards an answer. The end of a turn's answer is sent only once the turn is stored.
     pub(super) fn forward(
         self: &Arc<Self>,
         mut answer: Answer,
-        turn: Option<OpenedTurn>,
-        keep: Option<Turn>,
-        until: u64,
+        opened_turn: Option<OpenedTurn>,
+        turn_to_store: Option<Turn>,
+        deadline: u64,
         is_streamed: bool,
         resumption: Option<Resumption>,
     ) -> Response<Body> {
         self.counts.passed.fetch_add(1, SeqCst);
-        let stalled_after = resumption
+        let stall_limit_us = resumption
             .as_ref()
-            .and_then(|resumption| resumption.stalled_after(self, &answer));
+            .and_then(|resumption| resumption.stall_limit_us(self, &answer));
         let head = &mut answer.head;
         strip_hop_by_hop(&mut head.headers);
-        // The version is a connection's own: under an older one a body that breaks off would look
-        // complete.
+        // The HTTP version applies to a single connection: with an older one a truncated body would
+        // look complete.
         head.version = Version::HTTP_11;
-        if keep.is_some() {
-            // Whoever is told a length takes the last byte for the end, and the end waits until the
-            // turn is kept.
+        if turn_to_store.is_some() {
+            // A client that knows the length takes the last byte for the end of the answer. The end
+            // must not be visible before the turn is stored.
             head.headers.remove(header::CONTENT_LENGTH);
         }
         let head = head.clone();
-        if let AnswerBody::Whole(body) = answer.body {
+        if let AnswerBody::Buffered(body) = answer.body {
             return Response::from_parts(head, full(body));
         }
-        let scan = is_streamed.then(|| Scan::new(keep.is_some()));
+        let scan = is_streamed.then(|| Scan::new(turn_to_store.is_some()));
         let Some(upstream) = UpstreamBody::new(self, answer, scan, resumption.is_some()) else {
             return Response::from_parts(head, full(Bytes::new()));
         };
@@ -59,227 +59,252 @@
             relay: self.clone(),
             size_hint: upstream.size_hint(),
             upstream: Box::new(upstream),
-            turn,
-            keep,
-            until,
+            opened_turn,
+            turn_to_store,
+            deadline,
             resumption,
-            successors: vec![],
-            stall: stalled_after.map(|limit| StallTimer::new(&self.runtime, limit)),
+            candidates: vec![],
+            stall_timer: stall_limit_us.map(|limit_us| StallTimer::new(&self.runtime, limit_us)),
             phase: Phase::Forwarding,
-            deadline: Mutex::new(self.runtime.sleep(until.saturating_sub(self.runtime.now()))),
+            deadline_timer: Mutex::new(
+                self.runtime
+                    .sleep(deadline.saturating_sub(self.runtime.now())),
+            ),
         };
         Response::from_parts(head, body.boxed())
     }
 }
 
-/// Why an answer breaks off before its end.
+/// Why forwarding of an answer failed before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-enum BrokenOff {
-    #[snafu(display("its deadline is over"))]
-    Deadline,
-    #[snafu(display("the turn could not be kept"))]
-    TurnNotKept,
-    #[snafu(display("the server broke off"))]
-    Server,
-    #[snafu(display("the server broke off, and no other took the stream up"))]
-    NotTakenUp,
-    #[snafu(display("it goes back in its events"))]
-    WentBack,
-    #[snafu(display("it ends inside an event"))]
-    InsideEvent,
+enum ForwardError {
+    #[snafu(display("the request's deadline has passed"))]
+    DeadlineExceeded,
+    #[snafu(display("the turn could not be stored in the turn log"))]
+    TurnNotStored,
+    #[snafu(display("the server's response ended early"))]
+    ServerFailed,
+    #[snafu(display(
+        "the server's response ended early, and no other server could resume the stream"
+    ))]
+    NotResumed,
+    #[snafu(display("the event ids of the server's stream do not increase"))]
+    EventIdsNotIncreasing,
+    #[snafu(display("the server's response ended inside an event"))]
+    IncompleteEvent,
 }
 
-type Ending = BoxFuture<'static, Result<(), OpenTurnError>>;
+type StoreTurnFuture = BoxFuture<'static, Result<(), OpenTurnError>>;
 
-/// How far the answer is.
+/// Progress of an answer that is forwarded.
 enum Phase {
     Forwarding,
-    /// All of it was passed on, and its turn is being kept.
-    Keeping(Mutex<Ending>),
-    Over,
+    /// The complete answer was forwarded, and its turn is being stored.
+    StoringTurn(Mutex<StoreTurnFuture>),
+    Done,
 }
 
-/// The body of an answer on its way. It ends whole only if the server's did, and the turn is kept;
-/// else it breaks off.
+/// The body of an answer that is forwarded. It ends normally only if the server's response ended
+/// completely and the turn was stored; else it fails with an error, which aborts the client's
+/// connection.
 struct ForwardedBody {
     relay: Arc<Relay>,
     size_hint: SizeHint,
     upstream: Box<UpstreamBody>,
-    turn: Option<OpenedTurn>,
-    keep: Option<Turn>,
-    /// us of the world's clock.
-    until: u64,
+    opened_turn: Option<OpenedTurn>,
+    turn_to_store: Option<Turn>,
+    /// When the request expires, in us of the runtime's clock.
+    deadline: u64,
     resumption: Option<Resumption>,
-    /// Servers that may go on with the stream, in place of one that is silent or has failed.
-    successors: Vec<Successor>,
-    stall: Option<StallTimer>,
+    /// Servers that may continue the stream in place of one that is stalled or has failed.
+    candidates: Vec<ResumeCandidate>,
+    stall_timer: Option<StallTimer>,
     phase: Phase,
-    deadline: Mutex<BoxFuture<'static, ()>>,
+    deadline_timer: Mutex<BoxFuture<'static, ()>>,
 }
 
 impl ForwardedBody {
-    fn broken(&mut self, why: BrokenOff) -> io::Error {
+    /// Ends the answer with an error, which closes the connections to the servers.
+    fn abort(&mut self, error: ForwardError) -> io::Error {
         self.relay.counts.broken.fetch_add(1, SeqCst);
-        self.successors.clear();
+        self.candidates.clear();
         self.upstream.close();
-        self.phase = Phase::Over;
-        io::Error::new(io::ErrorKind::UnexpectedEof, why)
+        self.phase = Phase::Done;
+        io::Error::new(io::ErrorKind::UnexpectedEof, error)
     }
 
-    /// Begins to take the stream up at another server, where that may be done. The one that has it
-    /// goes on being read.
-    fn begin_take_up(&mut self) -> bool {
-        let successor = match (&self.resumption, self.upstream.scan()) {
-            (Some(resumption), Some(read)) => resumption.begin(&self.relay, read),
+    /// Starts to resume the stream on another server, where that is allowed. The current server
+    /// continues to be read.
+    fn start_resume(&mut self) -> bool {
+        let candidate = match (&self.resumption, self.upstream.scan()) {
+            (Some(resumption), Some(scanned)) => resumption.start_attempt(&self.relay, scanned),
             _ => None,
         };
-        let is_begun = successor.is_some();
-        self.successors.extend(successor);
-        is_begun
+        let is_started = candidate.is_some();
+        self.candidates.extend(candidate);
+        is_started
     }
 
-    /// The next bytes of the server that has the stream, or None at its end. Pending while that is
-    /// silent, or has failed and others may go on.
-    fn poll_upstream(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BrokenOff>> {
+    /// The next bytes of the current server, or none at its end. Pending while it sends nothing,
+    /// and after it has failed while other servers may continue the stream.
+    fn poll_upstream(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, ForwardError>> {
         match ready!(self.upstream.poll_part(cx)) {
             UpstreamPart::Data(bytes) => {
-                if !self.successors.is_empty() {
+                if !self.candidates.is_empty() {
                     self.relay.counts.recovered.fetch_add(1, SeqCst);
-                    self.successors.clear();
+                    self.candidates.clear();
                 }
                 Poll::Ready(Ok(Some(bytes)))
             }
             UpstreamPart::End => Poll::Ready(Ok(None)),
-            UpstreamPart::Failed(UpstreamFailure::WentBack) => {
-                Poll::Ready(Err(BrokenOff::WentBack))
+            UpstreamPart::Failed(UpstreamFailure::EventIdsNotIncreasing) => {
+                Poll::Ready(Err(ForwardError::EventIdsNotIncreasing))
             }
-            UpstreamPart::Failed(UpstreamFailure::BrokeOff) => {
+            UpstreamPart::Failed(UpstreamFailure::ReadFailed) => {
                 self.upstream.fail();
                 self.restart_stall_timer();
-                if !self.successors.is_empty() || self.begin_take_up() {
+                if !self.candidates.is_empty() || self.start_resume() {
                     Poll::Pending
                 } else {
-                    Poll::Ready(Err(BrokenOff::Server))
+                    Poll::Ready(Err(ForwardError::ServerFailed))
                 }
             }
         }
     }
 
-    /// Asks another server once all that have the stream, or were asked for it, are silent for too
-    /// long.
-    fn watch_for_stall(&mut self, cx: &mut Context<'_>) {
+    /// Tries a further server each time that neither the current server nor a candidate has sent
+    /// anything for the stall limit.
+    fn handle_stalls(&mut self, cx: &mut Context<'_>) {
         while self.poll_stalled(cx).is_ready() {
             self.relay.counts.stalled.fetch_add(1, SeqCst);
-            self.begin_take_up();
+            self.start_resume();
         }
     }
 
     fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        match &mut self.stall {
-            Some(stall) => stall.poll_stalled(&self.relay.runtime, self.upstream.heard_at(), cx),
+        match &mut self.stall_timer {
+            Some(stall_timer) => {
+                stall_timer.poll_stalled(&self.relay.runtime, self.upstream.last_byte_at(), cx)
+            }
             None => Poll::Pending,
         }
     }
 
     fn restart_stall_timer(&mut self) {
-        if let Some(stall) = &mut self.stall {
-            stall.restart(&self.relay.runtime);
+        if let Some(stall_timer) = &mut self.stall_timer {
+            stall_timer.restart(&self.relay.runtime);
         }
     }
 
-    /// The first bytes of a server that goes on with the stream.
-    fn poll_successors(&mut self, cx: &mut Context<'_>) -> Poll<Result<Bytes, BrokenOff>> {
+    /// The first bytes of a candidate that continues the stream.
+    fn poll_candidates(&mut self, cx: &mut Context<'_>) -> Poll<Result<Bytes, ForwardError>> {
         let mut index = 0;
-        while index < self.successors.len() {
-            match self.successors[index].poll_taken_up(cx) {
+        while index < self.candidates.len() {
+            match self.candidates[index].poll_resumed(cx) {
                 Poll::Pending => index += 1,
-                Poll::Ready(Ok(taken_up)) => return Poll::Ready(Ok(self.go_on_with(taken_up))),
+                Poll::Ready(Ok(resumed)) => return Poll::Ready(Ok(self.switch_to(resumed))),
                 Poll::Ready(Err(error)) => {
-                    drop(self.successors.remove(index));
-                    self.drop_out(error)?;
+                    drop(self.candidates.remove(index));
+                    self.handle_candidate_failure(error)?;
                 }
             }
         }
         Poll::Pending
     }
 
-    /// One server less may go on with the stream.
-    fn drop_out(&mut self, error: TakeUpError) -> Result<(), BrokenOff> {
+    /// Handles the failure of a candidate: an error once no server is left that may continue the
+    /// stream.
+    fn handle_candidate_failure(&mut self, error: ResumeError) -> Result<(), ForwardError> {
         self.restart_stall_timer();
-        if self.upstream.is_connected() || !self.successors.is_empty() {
+        if self.upstream.is_connected() || !self.candidates.is_empty() {
             return Ok(());
         }
-        // Another one is asked only where this one was: else there is none to ask.
+        // A further server is tried only if this one received the request. Otherwise none is
+        // available.
         match error {
-            TakeUpError::Failed if self.begin_take_up() => Ok(()),
-            _ => Err(BrokenOff::NotTakenUp),
+            ResumeError::Failed if self.start_resume() => Ok(()),
+            _ => Err(ForwardError::NotResumed),
         }
     }
 
-    /// From now on this server has the stream.
-    fn go_on_with(&mut self, taken_up: TakenUp) -> Bytes {
+    /// Makes a resumed stream the current one, and returns its first bytes.
+    fn switch_to(&mut self, resumed: ResumedStream) -> Bytes {
         self.upstream.fail();
-        self.upstream = taken_up.upstream;
-        self.successors.clear();
+        self.upstream = resumed.upstream;
+        self.candidates.clear();
         self.restart_stall_timer();
-        taken_up.ready
+        resumed.first_bytes
     }
 
-    /// The server's part is over: its place and connection are free, and the turn is kept.
-    fn finish(&mut self) -> Result<(), BrokenOff> {
-        self.successors.clear();
+    /// Handles the end of the server's response: releases the server and its connection, and starts
+    /// to store the turn.
+    fn finish(&mut self) -> Result<(), ForwardError> {
+        self.candidates.clear();
         self.upstream.finish();
-        self.phase = Phase::Over;
-        if !self.upstream.ends_whole() {
-            return Err(BrokenOff::InsideEvent);
+        self.phase = Phase::Done;
+        if !self.upstream.ends_at_event_boundary() {
+            return Err(ForwardError::IncompleteEvent);
         }
         let events = self.upstream.events();
-        if let (Some(opened), Some(mut turn), Some(scan)) =
-            (&self.turn, self.keep.take(), self.upstream.scan_mut())
-        {
+        if let (Some(opened), Some(mut turn), Some(scan)) = (
+            &self.opened_turn,
+            self.turn_to_store.take(),
+            self.upstream.scan_mut(),
+        ) {
             let used_tokens = events * opened.tokens_per_event;
             turn.output = scan.data().into();
             turn.tokens += used_tokens;
-            let (chains, open, until) = (opened.chains.clone(), opened.open.clone(), self.until);
-            self.phase = Phase::Keeping(Mutex::new(Box::pin(async move {
-                chains.finish(open, turn, used_tokens, until).await
+            let (turn_log, open_turn, deadline) = (
+                opened.turn_log.clone(),
+                opened.open_turn.clone(),
+                self.deadline,
+            );
+            self.phase = Phase::StoringTurn(Mutex::new(Box::pin(async move {
+                turn_log
+                    .finish(open_turn, turn, used_tokens, deadline)
+                    .await
             })));
         }
         Ok(())
     }
 
-    /// The next bytes to pass on; None once all of it was.
-    fn poll_bytes(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BrokenOff>> {
+    /// The next bytes to forward, of the current server or of a candidate; none at the end of the
+    /// stream.
+    fn poll_bytes(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, ForwardError>> {
         loop {
             if let Poll::Ready(next) = self.poll_upstream(cx) {
                 return Poll::Ready(next);
             }
-            self.watch_for_stall(cx);
-            let bytes = ready!(self.poll_successors(cx))?;
+            self.handle_stalls(cx);
+            let bytes = ready!(self.poll_candidates(cx))?;
             if !bytes.is_empty() {
                 return Poll::Ready(Ok(Some(bytes)));
             }
         }
     }
 
-    /// Passes it on, to the end that its client sees.
-    fn poll_forward(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BrokenOff>> {
+    /// The next bytes to forward; none once the answer is complete and its turn is stored.
+    fn poll_forward(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, ForwardError>> {
         loop {
             match &mut self.phase {
-                Phase::Over => return Poll::Ready(Ok(None)),
-                Phase::Keeping(ending) => {
-                    let kept = ready!(ending.get_mut().unwrap().as_mut().poll(cx));
-                    self.phase = Phase::Over;
-                    if kept.is_err() {
+                Phase::Done => return Poll::Ready(Ok(None)),
+                Phase::StoringTurn(storing) => {
+                    let stored = ready!(storing.get_mut().unwrap().as_mut().poll(cx));
+                    self.phase = Phase::Done;
+                    if stored.is_err() {
                         self.relay.counts.unkept.fetch_add(1, SeqCst);
-                        return Poll::Ready(Err(BrokenOff::TurnNotKept));
+                        return Poll::Ready(Err(ForwardError::TurnNotStored));
                     }
-                    self.turn.iter_mut().for_each(|turn| turn.done = true);
+                    self.opened_turn
+                        .iter_mut()
+                        .for_each(|turn| turn.is_settled = true);
                 }
                 Phase::Forwarding => {
                     let bytes = ready!(self.poll_bytes(cx))?;
                     let events = self.upstream.events();
-                    self.turn.iter_mut().for_each(|turn| turn.events = events);
+                    self.opened_turn
+                        .iter_mut()
+                        .for_each(|turn| turn.forwarded_events = events);
                     match bytes {
                         Some(bytes) => return Poll::Ready(Ok(Some(bytes))),
                         None => self.finish()?,
@@ -298,16 +323,16 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let deadline = self.deadline.get_mut().unwrap();
-        let is_late = deadline.as_mut().poll(cx).is_ready();
-        let bytes = if is_late && !matches!(self.phase, Phase::Over) {
-            Err(BrokenOff::Deadline)
+        let deadline_timer = self.deadline_timer.get_mut().unwrap();
+        let is_past_deadline = deadline_timer.as_mut().poll(cx).is_ready();
+        let bytes = if is_past_deadline && !matches!(self.phase, Phase::Done) {
+            Err(ForwardError::DeadlineExceeded)
         } else {
             ready!(self.poll_forward(cx))
         };
         Poll::Ready(match bytes {
             Ok(bytes) => bytes.map(|bytes| Ok(Frame::data(bytes))),
-            Err(why) => Some(Err(self.broken(why))),
+            Err(error) => Some(Err(self.abort(error))),
         })
     }
 
--- a/yewcross-proxy/src/relay/turn.rs
+++ b/yewcross-proxy/src/relay/turn.rs
@@ -1,5 +1,5 @@
-//! A turn's part in a request: what is opened at the stores before it is sent, and settled however
-//! it ends.
+//! The turn of a request: it is opened in the turn log before the request is sent, and settled
+//! however the request ends.
 
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
@@ -8,84 +8,89 @@
 use yewcross_common::hash::rendezvous_weight;
 use yewcross_common::turn_log::{OpenTurn, Turn, TurnLogService};
 
-/// The turn that is open at the stores; however it ends, they hear of it.
+/// A turn that is open in the turn log. Dropping it reports the tokens used to the turn log, unless
+/// the turn was stored.
 pub(super) struct OpenedTurn {
-    pub(super) chains: Arc<dyn TurnLogService>,
-    pub(super) open: OpenTurn,
-    /// Tokens in each event of the service that runs it.
+    pub(super) turn_log: Arc<dyn TurnLogService>,
+    /// The request that opened the turn.
+    pub(super) open_turn: OpenTurn,
+    /// Tokens in each event of the service that executes the request.
     pub(super) tokens_per_event: u64,
-    /// The stores have kept it; nothing is left to settle.
-    pub(super) done: bool,
-    /// Events passed on to the caller.
-    pub(super) events: u64,
+    /// The turn was stored, which also settled its tokens.
+    pub(super) is_settled: bool,
+    /// Events forwarded to the caller.
+    pub(super) forwarded_events: u64,
 }
 
 impl Drop for OpenedTurn {
     fn drop(&mut self) {
-        if !self.done {
-            self.chains
-                .settle(self.open.clone(), self.events * self.tokens_per_event);
+        if !self.is_settled {
+            self.turn_log.settle(
+                self.open_turn.clone(),
+                self.forwarded_events * self.tokens_per_event,
+            );
         }
     }
 }
 
-/// Whether the stores have to hear of the request: its turn is kept, or its tokens count against a
-/// budget.
-pub(super) fn is_accounted(r: &Route, m: &RequestMeta) -> bool {
-    r.retained || (r.mode == Mode::Stream && m.budget.is_some() && !m.program.is_empty())
+/// Whether the turn log is needed for the request: the route retains its turns, or its tokens count
+/// against a budget.
+pub(super) fn needs_turn_log(route: &Route, meta: &RequestMeta) -> bool {
+    route.retained
+        || (route.mode == Mode::Stream && meta.budget.is_some() && !meta.program.is_empty())
 }
 
-/// What the stores are asked before the request goes to a server.
-pub(super) fn open_request(r: &Route, m: &RequestMeta) -> OpenTurn {
+/// The request that opens the turn in the turn log.
+pub(super) fn open_turn_request(route: &Route, meta: &RequestMeta) -> OpenTurn {
     OpenTurn {
-        turn: m.attempt.clone(),
-        program: m.program.clone(),
-        prev: if r.retained {
-            m.prev.clone()
+        turn: meta.attempt.clone(),
+        program: meta.program.clone(),
+        prev: if route.retained {
+            meta.prev.clone()
         } else {
             String::new()
         },
-        max_output_tokens: m.max_output_tokens,
-        budget: m.budget,
+        max_output_tokens: meta.max_output_tokens,
+        budget: meta.budget,
     }
 }
 
-/// The chain's inputs and outputs in turn, and the new input last.
-pub(super) fn prompt(chain: &[Arc<Turn>], input: &Bytes) -> Bytes {
+/// The inputs and outputs of the chain's turns in order, followed by the new input.
+pub(super) fn build_prompt(chain: &[Arc<Turn>], input: &Bytes) -> Bytes {
     if chain.is_empty() {
         return input.clone();
     }
-    let n = chain
+    let length = chain
         .iter()
-        .map(|t| t.input.len() + t.output.len())
+        .map(|turn| turn.input.len() + turn.output.len())
         .sum::<usize>()
         + input.len();
-    let mut b = BytesMut::with_capacity(n);
-    chain.iter().for_each(|t| {
-        b.extend_from_slice(&t.input);
-        b.extend_from_slice(&t.output);
+    let mut prompt = BytesMut::with_capacity(length);
+    chain.iter().for_each(|turn| {
+        prompt.extend_from_slice(&turn.input);
+        prompt.extend_from_slice(&turn.output);
     });
-    b.extend_from_slice(input);
-    b.freeze()
+    prompt.extend_from_slice(input);
+    prompt.freeze()
 }
 
-/// Where the caller names no parts of its prompt, the turns of its chain are the parts.
-pub(super) fn name_parts(m: &mut RequestMeta, chain: &[Arc<Turn>]) {
-    if m.parts.is_empty() {
-        let mut had = 0;
-        m.parts = chain
+/// Where the caller states no segments of its prompt, each turn of the chain becomes one segment.
+pub(super) fn set_prompt_parts(meta: &mut RequestMeta, chain: &[Arc<Turn>]) {
+    if meta.parts.is_empty() {
+        let mut tokens_before = 0;
+        meta.parts = chain
             .iter()
-            .map(|t| {
+            .map(|turn| {
                 (
-                    rendezvous_weight(&t.id, "turn"),
-                    t.tokens
-                        .saturating_sub(std::mem::replace(&mut had, t.tokens)),
+                    rendezvous_weight(&turn.id, "turn"),
+                    turn.tokens
+                        .saturating_sub(std::mem::replace(&mut tokens_before, turn.tokens)),
                 )
             })
             .collect();
-        m.parts.push((
-            rendezvous_weight(&m.attempt, "turn"),
-            m.prompt_tokens.saturating_sub(had),
+        meta.parts.push((
+            rendezvous_weight(&meta.attempt, "turn"),
+            meta.prompt_tokens.saturating_sub(tokens_before),
         ));
     }
 }
--- a/yewcross-proxy/src/relay/upstream_body.rs
+++ b/yewcross-proxy/src/relay/upstream_body.rs
@@ -1,4 +1,4 @@
-//! The body of one server's answer, as far as it may be passed on.
+//! The body of one server's response, as far as it may be forwarded.
 
 use super::Relay;
 use super::attempt::{Answer, AnswerBody};
@@ -12,58 +12,59 @@
 use std::task::{Context, Poll};
 use yewcross_common::adapter::AnswerMeta;
 
-/// What comes next of a server's answer.
+/// The next part of a server's response.
 pub(super) enum UpstreamPart {
-    /// Bytes that may be passed on.
+    /// Bytes that may be forwarded.
     Data(Bytes),
-    /// The answer came to its end, which may lie inside an event.
+    /// The response has ended, possibly inside an event.
     End,
-    /// No more comes from this server, and what came is not the whole answer.
+    /// The response of this server ended before it was complete.
     Failed(UpstreamFailure),
 }
 
-/// Why a server's answer does not come to its end.
+/// Why a server's response is not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UpstreamFailure {
-    BrokeOff,
-    /// The ids of its events do not rise.
-    WentBack,
+    /// Reading the body failed, as when the connection breaks.
+    ReadFailed,
+    /// The ids of its events do not increase.
+    EventIdsNotIncreasing,
 }
 
-/// What an answer takes at its server until it is over.
+/// What a response occupies until it is complete: its connection, and its claim on the server.
 struct Connected {
     body: Incoming,
     link: Link,
     claim: Claim,
 }
 
-/// One server's answer on its way.
+/// A response of a server that is being read.
 pub(super) struct UpstreamBody {
     relay: Arc<Relay>,
-    /// None once the answer is over or the server failed.
+    /// None once the response is complete or the server has failed.
     connected: Option<Connected>,
     meta: AnswerMeta,
-    /// Reads the events of a stream, those of servers before this one included.
+    /// Parses the events of the stream, including those of earlier servers.
     scan: Option<Scan>,
-    /// Of a stream that may be resumed only whole events are passed on.
-    whole_events_only: bool,
-    /// Bytes of an event that is not whole yet.
-    held: BytesMut,
-    /// us of the world's clock when a byte last came.
-    heard_at: u64,
-    /// The server has sent all of it.
-    is_read: bool,
+    /// Whether only complete events are forwarded, as for a resumable stream.
+    complete_events_only: bool,
+    /// Bytes after the last complete event, which are not forwarded yet.
+    unforwarded: BytesMut,
+    /// When the last byte arrived, in us of the runtime's clock.
+    last_byte_at: u64,
+    /// Whether the response was read to its end.
+    is_read_to_end: bool,
 }
 
 impl UpstreamBody {
-    /// None where the answer was already read whole.
+    /// None where the answer was already read completely.
     pub(super) fn new(
         relay: &Arc<Relay>,
         answer: Answer,
         scan: Option<Scan>,
-        whole_events_only: bool,
+        complete_events_only: bool,
     ) -> Option<UpstreamBody> {
-        let AnswerBody::Coming(body, link) = answer.body else {
+        let AnswerBody::Streaming(body, link) = answer.body else {
             return None;
         };
         let claim = answer.claim;
@@ -72,10 +73,10 @@
             connected: Some(Connected { body, link, claim }),
             meta: answer.meta,
             scan,
-            whole_events_only,
-            held: BytesMut::new(),
-            heard_at: relay.runtime.now(),
-            is_read: false,
+            complete_events_only,
+            unforwarded: BytesMut::new(),
+            last_byte_at: relay.runtime.now(),
+            is_read_to_end: false,
         })
     }
 
@@ -83,8 +84,8 @@
         self.connected.is_some()
     }
 
-    pub(super) fn heard_at(&self) -> u64 {
-        self.heard_at
+    pub(super) fn last_byte_at(&self) -> u64 {
+        self.last_byte_at
     }
 
     pub(super) fn scan(&self) -> Option<&Scan> {
@@ -99,12 +100,12 @@
         self.scan.as_ref().map_or(0, |scan| scan.events())
     }
 
-    pub(super) fn whole_events(&self) -> u64 {
+    pub(super) fn complete_events(&self) -> u64 {
         self.scan.as_ref().map_or(0, |scan| scan.whole_events())
     }
 
-    /// No event is left half told.
-    pub(super) fn ends_whole(&self) -> bool {
+    /// Whether no event is incomplete; always true of a body that is no stream.
+    pub(super) fn ends_at_event_boundary(&self) -> bool {
         self.scan.as_ref().is_none_or(|scan| scan.whole())
     }
 
@@ -120,10 +121,10 @@
         self.scan.is_none() && self.connected.as_ref().is_some_and(at_end)
     }
 
-    /// The next part that may be passed on; pending for ever once the server has failed.
+    /// The next part that may be forwarded. Pending forever once the server has failed.
     pub(super) fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<UpstreamPart> {
         loop {
-            if self.is_read {
+            if self.is_read_to_end {
                 return Poll::Ready(UpstreamPart::End);
             }
             let Some(connected) = &mut self.connected else {
@@ -132,72 +133,75 @@
             let frame = std::task::ready!(Pin::new(&mut connected.body).poll_frame(cx));
             match frame {
                 Some(Ok(frame)) => {
-                    let Ok(piece) = frame.into_data() else {
+                    let Ok(chunk) = frame.into_data() else {
                         continue;
                     };
-                    self.heard_at = self.relay.runtime.now();
-                    let ready = self.ready_part(piece);
-                    if self.whole_events_only && self.scan().is_some_and(|scan| !scan.ids_rise()) {
-                        return Poll::Ready(UpstreamPart::Failed(UpstreamFailure::WentBack));
+                    self.last_byte_at = self.relay.runtime.now();
+                    let forwardable = self.forwardable_bytes(chunk);
+                    if self.complete_events_only && self.scan().is_some_and(|scan| !scan.ids_rise())
+                    {
+                        return Poll::Ready(UpstreamPart::Failed(
+                            UpstreamFailure::EventIdsNotIncreasing,
+                        ));
                     }
-                    if !ready.is_empty() {
-                        return Poll::Ready(UpstreamPart::Data(ready));
+                    if !forwardable.is_empty() {
+                        return Poll::Ready(UpstreamPart::Data(forwardable));
                     }
                 }
                 Some(Err(_)) => {
-                    return Poll::Ready(UpstreamPart::Failed(UpstreamFailure::BrokeOff));
+                    return Poll::Ready(UpstreamPart::Failed(UpstreamFailure::ReadFailed));
                 }
-                None if !self.held.is_empty() && self.ends_whole() => {
-                    let rest = std::mem::take(&mut self.held).freeze();
-                    return Poll::Ready(UpstreamPart::Data(rest));
+                None if !self.unforwarded.is_empty() && self.ends_at_event_boundary() => {
+                    let remainder = std::mem::take(&mut self.unforwarded).freeze();
+                    return Poll::Ready(UpstreamPart::Data(remainder));
                 }
                 None => {
-                    self.is_read = true;
+                    self.is_read_to_end = true;
                     return Poll::Ready(UpstreamPart::End);
                 }
             }
         }
     }
 
-    /// What may be passed on of a piece.
-    fn ready_part(&mut self, piece: Bytes) -> Bytes {
+    /// The bytes that may be forwarded after a chunk has arrived.
+    fn forwardable_bytes(&mut self, chunk: Bytes) -> Bytes {
         let Some(scan) = &mut self.scan else {
-            return piece;
+            return chunk;
         };
-        scan.push(&piece);
-        if !self.whole_events_only {
-            return piece;
+        scan.push(&chunk);
+        if !self.complete_events_only {
+            return chunk;
         }
-        let whole = scan.whole_bytes();
-        if whole == 0 {
-            self.held.extend_from_slice(&piece);
+        let complete_bytes = scan.whole_bytes();
+        if complete_bytes == 0 {
+            self.unforwarded.extend_from_slice(&chunk);
             return Bytes::new();
         }
-        let mut ready = std::mem::take(&mut self.held);
-        self.held.extend_from_slice(&piece[whole..]);
-        if ready.is_empty() {
-            return piece.slice(..whole);
+        let mut forwardable = std::mem::take(&mut self.unforwarded);
+        self.unforwarded.extend_from_slice(&chunk[complete_bytes..]);
+        if forwardable.is_empty() {
+            return chunk.slice(..complete_bytes);
         }
-        ready.extend_from_slice(&piece[..whole]);
-        ready.freeze()
+        forwardable.extend_from_slice(&chunk[..complete_bytes]);
+        forwardable.freeze()
     }
 
-    /// The answer is over: the server's place and connection are free.
+    /// Records the completed response, releases the claim on the server and returns the connection.
     pub(super) fn finish(&mut self) {
         let events = self.events();
         if let Some(Connected { link, claim, .. }) = self.connected.take() {
             claim.streamed(events);
-            self.relay.give_back(&claim.to.server, link, &self.meta);
+            self.relay
+                .return_connection(&claim.to.server, link, &self.meta);
         }
     }
 
-    /// Nothing more of it is wanted: the connection is closed, so that the server hears of it.
+    /// Closes the connection, so that the server notices that the rest is not wanted.
     pub(super) fn close(&mut self) {
         self.connected = None;
     }
 
-    /// The server did not do what it was asked: its connection is closed, and it is passed by for a
-    /// while.
+    /// Closes the connection and records a failure, so that the server is not selected for a while.
     pub(super) fn fail(&mut self) {
         if let Some(connected) = self.connected.take() {
             connected.claim.failed();
