--- a/yewcross-proxy/src/load_reports.rs
+++ b/yewcross-proxy/src/load_reports.rs
@@ -1,4 +1,6 @@
-//! What is known of the servers: home nodes poll and tell, everyone keeps a table.
+//! Collection and distribution of the servers' load reports. The designated front of each site
+//! polls the servers of a service there and sends their reports to the other fronts; every front
+//! keeps a table of them.
 
 use crate::Front;
 use crate::server_table::{ReceivedReport, designated_front};
@@ -10,50 +12,58 @@
 use yewcross_common::protocol::*;
 use yewcross_common::runtime::*;
 
-fn home(f: &Front, service: &str, site: &str) -> Option<String> {
-    designated_front(&f.members.nodes_of_role(Role::Front), service, site)
+/// The front that polls the servers of a service in a site.
+fn polling_front(front: &Front, service: &str, site: &str) -> Option<String> {
+    designated_front(&front.members.nodes_of_role(Role::Front), service, site)
 }
 
-pub async fn run(f: Arc<Front>) {
+/// Polls the servers that this front is designated for, every `LOAD_REPORT_INTERVAL`.
+pub async fn run(front: Arc<Front>) {
     loop {
-        let t0 = f.runtime.now();
-        let list = f.documents.list.load_full();
-        let conf = f.documents.config.load_full();
-        for svc in conf.1.services.keys() {
-            let mine: Vec<ListedServer> = list
+        let started_at = front.runtime.now();
+        let list = front.documents.list.load_full();
+        let configuration = front.documents.config.load_full();
+        for service in configuration.1.services.keys() {
+            let polled: Vec<ListedServer> = list
                 .1
                 .servers
                 .iter()
-                .filter(|s| {
-                    s.service == *svc && home(&f, svc, &s.site).as_deref() == Some(&f.settings.name)
+                .filter(|server| {
+                    server.service == *service
+                        && polling_front(&front, service, &server.site).as_deref()
+                            == Some(&front.settings.name)
                 })
                 .cloned()
                 .collect();
-            if !mine.is_empty() {
-                let (f, svc) = (f.clone(), svc.clone());
-                f.runtime
+            if !polled.is_empty() {
+                let (front, service) = (front.clone(), service.clone());
+                front
+                    .runtime
                     .clone()
-                    .spawn(async move { poll(f, svc, mine).await });
+                    .spawn(async move { poll(front, service, polled).await });
             }
         }
-        crate::kv::watch(&f);
-        f.tidy();
-        f.runtime
-            .sleep(LOAD_REPORT_INTERVAL.saturating_sub(f.runtime.now() - t0))
+        crate::kv::watch(&front);
+        front.tidy();
+        front
+            .runtime
+            .sleep(LOAD_REPORT_INTERVAL.saturating_sub(front.runtime.now() - started_at))
             .await;
     }
 }
 
-async fn poll(f: Arc<Front>, svc: String, servers: Vec<ListedServer>) {
-    let fs = servers
+/// Polls servers of a service, stores their reports and sends them to the other fronts of the site
+/// and to the designated fronts of other sites, which forward them there.
+async fn poll(front: Arc<Front>, service: String, servers: Vec<ListedServer>) {
+    let requests = servers
         .iter()
-        .map(|s| {
-            let (f, s) = (f.clone(), s.clone());
-            let x: BoxFuture<'static, _> = Box::pin(async move {
-                f.counts.polls.fetch_add(1, SeqCst);
-                let (_, _, b) = buffered_http::fetch(
-                    &f.runtime,
-                    s.addr,
+        .map(|server| {
+            let (front, server) = (front.clone(), server.clone());
+            let request: BoxFuture<'static, _> = Box::pin(async move {
+                front.counts.polls.fetch_add(1, SeqCst);
+                let (_, _, body) = buffered_http::fetch(
+                    &front.runtime,
+                    server.addr,
                     http_types::Method::Get,
                     "/report",
                     &[],
@@ -62,126 +72,148 @@
                 )
                 .await
                 .ok()?;
-                let r: LoadReport = serde_json::from_slice(&b).ok()?;
-                if !r.sane() {
-                    f.counts.absurd.fetch_add(1, SeqCst);
+                let report: LoadReport = serde_json::from_slice(&body).ok()?;
+                if !report.sane() {
+                    front.counts.absurd.fetch_add(1, SeqCst);
                 }
-                (r.server == s.server && r.service == s.service && r.sane()).then_some(r)
+                (report.server == server.server
+                    && report.service == server.service
+                    && report.sane())
+                .then_some(report)
             });
-            x
+            request
         })
         .collect::<Vec<_>>();
-    let (k, rx) = (fs.len(), f.runtime.spawn_all(fs));
-    let mut got = vec![];
-    for _ in 0..k {
-        if let Ok(Some(r)) = rx.recv().await {
-            got.push(r);
+    let (count, results) = (requests.len(), front.runtime.spawn_all(requests));
+    let mut reports = vec![];
+    for _ in 0..count {
+        if let Ok(Some(report)) = results.recv().await {
+            reports.push(report);
         }
     }
-    if got.is_empty() {
+    if reports.is_empty() {
         return;
     }
-    receive_reports(&f, &svc, got.clone(), vec![], false);
-    let all = got.clone();
-    let (got, same) = f.fresh(got);
-    let (near, far): (Vec<_>, Vec<_>) = f
+    receive_reports(&front, &service, reports.clone(), vec![], false);
+    let all = reports.clone();
+    let (changed, unchanged) = front.split_unchanged(reports);
+    let (local, remote): (Vec<_>, Vec<_>) = front
         .members
         .nodes_of_role(Role::Front)
         .into_iter()
-        .filter(|n| n.name != f.settings.name)
-        .partition(|n| n.site == f.settings.site);
-    let sites: std::collections::BTreeSet<String> = far.iter().map(|n| n.site.clone()).collect();
-    let homes = sites
+        .filter(|node| node.name != front.settings.name)
+        .partition(|node| node.site == front.settings.site);
+    let sites: std::collections::BTreeSet<String> =
+        remote.iter().map(|node| node.site.clone()).collect();
+    let remote_polling_fronts = sites
+        .iter()
+        .filter_map(|site| polling_front(&front, &service, site))
+        .filter_map(|name| remote.iter().find(|node| node.name == name).cloned());
+    local
         .iter()
-        .filter_map(|s| home(&f, &svc, s))
-        .filter_map(|h| far.iter().find(|n| n.name == h).cloned());
-    near.iter()
         .cloned()
-        .map(|n| (n, false))
-        .chain(homes.map(|n| (n, true)))
-        .for_each(|(n, relay)| {
-            let by_difference = f.peers.version(n.peer) >= WIRE_DELTAS;
-            let (reports, same) = if by_difference {
-                (got.clone(), same.clone())
+        .map(|node| (node, false))
+        .chain(remote_polling_fronts.map(|node| (node, true)))
+        .for_each(|(node, relay)| {
+            let accepts_deltas = front.peers.version(node.peer) >= WIRE_DELTAS;
+            let (reports, same) = if accepts_deltas {
+                (changed.clone(), unchanged.clone())
             } else {
                 (all.clone(), vec![])
             };
-            let (p, a) = (
-                f.peers.clone(),
+            let (peers, request) = (
+                front.peers.clone(),
                 PeerRequest::LoadReports {
-                    service: svc.clone(),
+                    service: service.clone(),
                     reports,
                     same,
                     relay,
                 },
             );
-            f.runtime.spawn(async move {
-                let _ = p.request(n.peer, &a, &[], PEER_REQUEST_TIMEOUT).await;
+            front.runtime.spawn(async move {
+                let _ = peers
+                    .request(node.peer, &request, &[], PEER_REQUEST_TIMEOUT)
+                    .await;
             });
         });
 }
 
 impl Front {
-    /// Parts reports into those that say something new and the names of the rest; now and then all
-    /// are told whole.
-    fn fresh(&self, got: Vec<LoadReport>) -> (Vec<LoadReport>, Vec<String>) {
-        let whole =
+    /// Separates reports that differ from the last one sent from the names of servers whose report
+    /// is unchanged. Every `FULL_REPORT_EVERY_POLLS` polls all reports are sent in full, for fronts
+    /// that have just started.
+    fn split_unchanged(&self, reports: Vec<LoadReport>) -> (Vec<LoadReport>, Vec<String>) {
+        let is_full =
             (self.runtime.now() / LOAD_REPORT_INTERVAL).is_multiple_of(FULL_REPORT_EVERY_POLLS);
-        let mut told = self.told.lock().unwrap();
-        let (new, old): (Vec<LoadReport>, Vec<LoadReport>) = got.into_iter().partition(|r| {
-            let plain = LoadReport {
-                sequence: 0,
-                age_us: 0,
-                ..r.clone()
-            };
-            whole || told.insert(r.server.clone(), plain.clone()) != Some(plain)
-        });
-        (new, old.into_iter().map(|r| r.server).collect())
+        let mut last_sent = self.told.lock().unwrap();
+        let (changed, unchanged): (Vec<LoadReport>, Vec<LoadReport>) =
+            reports.into_iter().partition(|report| {
+                let content = LoadReport {
+                    sequence: 0,
+                    age_us: 0,
+                    ..report.clone()
+                };
+                is_full || last_sent.insert(report.server.clone(), content.clone()) != Some(content)
+            });
+        (
+            changed,
+            unchanged.into_iter().map(|report| report.server).collect(),
+        )
     }
 }
 
-/// Takes news in; a home node passes on to its own site what came from another.
+/// Stores received reports. A designated front forwards those from another site to the fronts of
+/// its own site (`relay`).
 pub fn receive_reports(
     front: &Arc<Front>,
-    svc: &str,
+    service: &str,
     reports: Vec<LoadReport>,
     same: Vec<String>,
     relay: bool,
 ) {
-    let t = front.runtime.now();
-    let mut left = false;
+    let now = front.runtime.now();
+    let mut is_newly_leaving = false;
     {
-        let mut g = front.heard.lock().unwrap();
-        same.iter().for_each(|n| {
-            g.get_mut(n).into_iter().for_each(|h| h.as_of = t);
-            front.sent.lock().unwrap().remove(n);
+        let mut stored = front.heard.lock().unwrap();
+        same.iter().for_each(|name| {
+            stored
+                .get_mut(name)
+                .into_iter()
+                .for_each(|received| received.as_of = now);
+            front.sent.lock().unwrap().remove(name);
         });
-        reports.iter().filter(|r| r.sane()).for_each(|r| {
-            let newer = g.get(&r.server).is_none_or(|h| {
-                (r.instance, r.sequence) > (h.report.instance, h.report.sequence)
-                    || t > h.as_of + LOAD_REPORT_LOST_AFTER
-            });
-            if newer {
-                let was = g.get(&r.server).map(|h| h.report.leaving);
-                if r.leaving && was != Some(true) {
-                    front
-                        .runtime
-                        .log(&format!("server {} is leaving", r.server));
-                    left = true;
+        reports
+            .iter()
+            .filter(|report| report.sane())
+            .for_each(|report| {
+                let is_newer = stored.get(&report.server).is_none_or(|received| {
+                    (report.instance, report.sequence)
+                        > (received.report.instance, received.report.sequence)
+                        || now > received.as_of + LOAD_REPORT_LOST_AFTER
+                });
+                if is_newer {
+                    let was_leaving = stored
+                        .get(&report.server)
+                        .map(|received| received.report.leaving);
+                    if report.leaving && was_leaving != Some(true) {
+                        front
+                            .runtime
+                            .log(&format!("server {} is leaving", report.server));
+                        is_newly_leaving = true;
+                    }
+                    stored.insert(
+                        report.server.clone(),
+                        ReceivedReport {
+                            report: report.clone(),
+                            as_of: now.saturating_sub(report.age_us),
+                        },
+                    );
+                    front.sent.lock().unwrap().remove(&report.server);
                 }
-                g.insert(
-                    r.server.clone(),
-                    ReceivedReport {
-                        report: r.clone(),
-                        as_of: t.saturating_sub(r.age_us),
-                    },
-                );
-                front.sent.lock().unwrap().remove(&r.server);
-            }
-        });
+            });
     }
-    front.admission.wake(svc);
-    if left {
+    front.admission.wake(service);
+    if is_newly_leaving {
         crate::kv::watch(front);
     }
     if relay {
@@ -189,19 +221,21 @@
             .members
             .nodes_of_role(Role::Front)
             .into_iter()
-            .filter(|n| n.site == front.settings.site && n.name != front.settings.name)
-            .for_each(|n| {
-                let (p, a) = (
+            .filter(|node| node.site == front.settings.site && node.name != front.settings.name)
+            .for_each(|node| {
+                let (peers, request) = (
                     front.peers.clone(),
                     PeerRequest::LoadReports {
-                        service: svc.to_string(),
+                        service: service.to_string(),
                         reports: reports.clone(),
                         same: same.clone(),
                         relay: false,
                     },
                 );
                 front.runtime.spawn(async move {
-                    let _ = p.request(n.peer, &a, &[], PEER_REQUEST_TIMEOUT).await;
+                    let _ = peers
+                        .request(node.peer, &request, &[], PEER_REQUEST_TIMEOUT)
+                        .await;
                 });
             });
     }
--- a/yewcross-proxy/src/policy.rs
+++ b/yewcross-proxy/src/policy.rs
@@ -1,74 +1,75 @@
-//! Which mechanisms take part in placing requests. All do in a release; tests and measurements
-//! switch single ones off to see what each is worth.
+//! The mechanisms that take part in placing requests. All are enabled in a release; tests and
+//! measurements disable single ones to determine the effect of each.
 
 use strum::{EnumIter, EnumString, IntoEnumIterator};
 
-/// One mechanism that decides something about a request.
+/// A mechanism that influences how a request is placed or retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, EnumString, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Mechanism {
-    /// Prompts go where their parts are held.
+    /// Prompts are placed on servers whose prefix cache holds segments of them.
     PrefixPlacement,
-    /// A turn goes on at the server of the turn before it.
+    /// A turn is placed on the server of the turn before it.
     PreviousServer,
-    /// The price of a prompt's tokens is learned from first events.
+    /// The cost of a prompt's tokens is estimated from the time until responses begin.
     #[strum(serialize = "learned-reading")]
     LearnedPromptCost,
-    /// The price of requests under way beside it is learned from the pace of streams.
+    /// The cost of concurrent requests on a server is estimated from the event rate of streams.
     #[strum(serialize = "learned-crowding")]
     LearnedConcurrencyCost,
-    /// Fronts tell each other what they have under way.
+    /// Fronts exchange the number of requests that they have in progress.
     LoadExchange,
-    /// What a server says of its load in its answers counts.
+    /// The load that a server reports in its answers is taken into account.
     #[strum(serialize = "told-load")]
     ReportedLoad,
-    /// Two candidates at random, and the better one, where a service is no model.
+    /// The better of two random candidates is chosen, for services without a model engine.
     #[strum(serialize = "choice-of-two")]
     PowerOfTwoChoices,
-    /// Requests that concern the same thing go to the same server of a service that is no model.
+    /// Requests with the same affinity key go to the same server, for services without a model
+    /// engine.
     Affinity,
-    /// Servers of our own zone cost less.
+    /// Servers in the front's own zone have a lower cost.
     ZonePreference,
-    /// Servers with a kept connection cost less.
+    /// Servers with an idle connection have a lower cost.
     #[strum(serialize = "kept-connection")]
     KeptConnectionPreference,
-    /// A full server is passed by.
+    /// Servers that have no free slot are not selected.
     #[strum(serialize = "full-servers")]
     FullServerAvoidance,
-    /// The memory of a model server bounds what it is sent.
+    /// The cache memory of a model server limits what it is sent.
     #[strum(serialize = "memory-bound")]
     MemoryLimit,
-    /// Connections to one server are bounded.
+    /// The number of connections to one server is limited.
     #[strum(serialize = "connection-bound")]
     ConnectionLimit,
-    /// Those who wait for a place are let in by rank and time left.
+    /// Queued requests are admitted in the order of rank and time left.
     #[strum(serialize = "waiting-order")]
     QueuePriority,
-    /// A request waits a moment for a place before it is refused.
+    /// A request waits a short time for free capacity before it is rejected.
     #[strum(serialize = "patience")]
     QueueWait,
-    /// A server that failed is left alone for a while.
+    /// A server that failed is not selected for a while.
     Ejection,
-    /// So is one that several other fronts leave alone.
+    /// A server that several other fronts have ejected is not selected either.
     SharedEjection,
-    /// A server that owes answers for long is left alone.
+    /// A server that has left requests unanswered for a long time is not selected.
     #[strum(serialize = "silence")]
     UnansweredEjection,
-    /// A second server is asked where the first one is silent.
+    /// A request is also sent to a second server if the first one does not respond in time.
     Hedging,
-    /// Second attempts are bounded by a share of the first ones.
+    /// Retries and hedged requests are limited to a share of the requests.
     RetryBudget,
-    /// A stream that may be resumed counts as repeatable before its first event.
+    /// A resumable stream may be retried before its first event.
     StreamRetry,
-    /// A stream that broke off is taken up at another server.
+    /// A broken stream is resumed on another server.
     Resumption,
-    /// So is one that stalls.
+    /// A stalled stream is resumed on another server too.
     StallDetection,
-    /// Urgency is told to model servers.
+    /// Model servers are sent the urgency of requests.
     Urgency,
 }
 
-/// The mechanisms that take part.
+/// The set of enabled mechanisms.
 #[derive(Clone, Copy, Debug)]
 pub struct Policies(u64);
 
@@ -77,6 +78,7 @@
         Policies(u64::MAX)
     }
 
+    /// The same set without one mechanism.
     pub fn without(self, mechanism: Mechanism) -> Policies {
         Policies(self.0 & !(1 << mechanism as u64))
     }
@@ -87,13 +89,17 @@
 }
 
 impl Default for Policies {
-    /// All but those that the build was told to leave out: `YEWCROSS_ABLATE` holds their names,
-    /// joined by commas, while it is compiled. No setting of a running process changes them.
+    /// All mechanisms except those that the build excludes: `YEWCROSS_ABLATE` holds their names,
+    /// separated by commas, at compile time. No setting of a running process changes them.
     fn default() -> Policies {
-        let ablated = option_env!("YEWCROSS_ABLATE").unwrap_or_default();
-        let is_named = |m: &Mechanism| ablated.split(',').any(|name| name == m.to_string());
+        let excluded = option_env!("YEWCROSS_ABLATE").unwrap_or_default();
+        let is_excluded = |mechanism: &Mechanism| {
+            excluded
+                .split(',')
+                .any(|name| name == mechanism.to_string())
+        };
         Mechanism::iter()
-            .filter(is_named)
+            .filter(is_excluded)
             .fold(Policies::all(), Policies::without)
     }
 }
