--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -48,9 +48,10 @@
         matches!(self, Outcome::Answer(answer) if !answer.head.status.is_server_error())
     }
 
-    /// Combines the outcomes of the same request at two servers: prefers an answer that is no
-    /// server error, then any answer, then the outcome that leaves open most whether the request
-    /// was executed.
+    /// Combines the outcomes of the same request at two servers. Prefers an answer that is no
+    /// server error, then any answer. Without an answer, `Lost` takes precedence over `NotRun`, and
+    /// that over `Unsent` and `Withdrawn`, so that a request that may have been executed is never
+    /// reported as not executed.
     pub(super) fn better_of(self, other: Outcome) -> Outcome {
         if other.is_non_5xx_answer() && !self.is_non_5xx_answer() {
             return other;
@@ -225,28 +226,28 @@
         claim: &Claim,
         route: &Route,
     ) -> Result<(Response<Incoming>, Link), Failed> {
-        let to = &claim.to;
+        let server = &claim.to;
         let mut stale_connections = 0;
         loop {
-            let idle_link = self
-                .pool
-                .take(&to.server, self.runtime.now(), stale_connections > 0);
+            let idle_link =
+                self.pool
+                    .take(&server.server, self.runtime.now(), stale_connections > 0);
             let mut link = match idle_link {
                 Some(link) => link,
                 None => self
                     .pool
-                    .dial(&self.runtime, to, CONNECT_TIMEOUT)
+                    .dial(&self.runtime, server, CONNECT_TIMEOUT)
                     .await
                     .map_err(|_| Failed::Unsent)?,
             };
             let now = self.runtime.now();
-            if now >= request.deadline || !self.is_selection_current(request, to, route) {
+            if now >= request.deadline || !self.is_selection_current(request, server, route) {
                 return Err(Failed::Withdrawn);
             }
             let is_fresh = link.fresh;
             self.counts.sent.fetch_add(1, SeqCst);
             let send_deadline = request.deadline.min(now + SELECTION_LIFETIME);
-            let upstream_request = self.upstream_request(request, to);
+            let upstream_request = self.upstream_request(request, server);
             match link
                 .ask(&self.runtime, upstream_request, send_deadline)
                 .await
@@ -266,7 +267,7 @@
     fn is_selection_current(
         &self,
         request: &ClientRequest,
-        to: &ListedServer,
+        server: &ListedServer,
         route: &Route,
     ) -> bool {
         let configuration = self.documents.config.load();
@@ -274,7 +275,7 @@
         let current_route = configuration.1.routing.find(&request.host, path);
         let is_service_selected = current_route.is_some_and(|current_route| {
             let selects_service =
-                |(service, weight): &(String, u64)| *service == to.service && *weight > 0;
+                |(service, weight): &(String, u64)| *service == server.service && *weight > 0;
             current_route.mode == route.mode
                 && current_route.retained == route.retained
                 && current_route.variants.iter().any(selects_service)
@@ -287,25 +288,29 @@
                 .1
                 .servers
                 .iter()
-                .any(|listed| listed == to)
+                .any(|listed| listed == server)
     }
 
     /// The request as it is sent to a server.
-    fn upstream_request(&self, request: &ClientRequest, to: &ListedServer) -> Request<Full<Bytes>> {
+    fn upstream_request(
+        &self,
+        request: &ClientRequest,
+        server: &ListedServer,
+    ) -> Request<Full<Bytes>> {
         let mut upstream_request = Request::new(Full::new(request.body.clone()));
         *upstream_request.method_mut() = request.head.method.clone();
         *upstream_request.uri_mut() = request.head.uri.clone();
         *upstream_request.headers_mut() = request.head.headers.clone();
         let configuration = self.documents.config.load();
         let routes = &configuration.1.routing;
-        let service = routes.upstreams.get(&to.service);
+        let service = routes.upstreams.get(&server.service);
         let has_engine = service.is_some_and(|service| service.engine.is_some());
         let urgency = routes
             .find(&request.host, request.head.uri.path())
             .and_then(|route| self.urgency(request, route, has_engine));
         let left_ms = request.deadline.saturating_sub(self.runtime.now()) / MS;
         self.upstream_protocol
-            .dress(upstream_request.headers_mut(), to, left_ms, urgency);
+            .dress(upstream_request.headers_mut(), server, left_ms, urgency);
         upstream_request
     }
 }
--- a/yewcross-proxy/src/relay/hedge.rs
+++ b/yewcross-proxy/src/relay/hedge.rs
@@ -23,7 +23,7 @@
 
     /// Sends a repeatable request to a server, and to a second one if the first does not respond in
     /// time. The first answer that is no server error is returned; after any other outcome the
-    /// other attempt is awaited.
+    /// other attempt is awaited. The second server is added to `tried` and `sent`.
     pub(super) async fn attempt_hedged(
         self: &Arc<Self>,
         request: &ClientRequest,
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -30,7 +30,7 @@
     /// Jobs that this front has sent to it since the report.
     #[serde(rename = "mine")]
     pub sent_since_report: u32,
-    /// Recent failures in a row.
+    /// Consecutive failures, the last of which is recent enough to count.
     #[serde(rename = "slow")]
     pub recent_failures: u32,
 }
