--- a/yewcross-proxy/src/balance/cost.rs
+++ b/yewcross-proxy/src/balance/cost.rs
@@ -1,4 +1,4 @@
-//! The price of sending a request to a server, in us until its answer is whole.
+//! Cost of sending a request to a server: the estimated µs until its response is complete.
 
 use super::Requirements;
 use super::observed::ObservedCosts;
@@ -7,29 +7,31 @@
 
 use yewcross_common::constants::*;
 
-/// What the choice knows of the service and the moment.
-pub(super) struct Pricing<'a> {
-    pub(super) need: &'a Requirements,
+/// Inputs of the cost estimate that are the same for all servers of a service.
+pub(super) struct CostModel<'a> {
+    pub(super) requirements: &'a Requirements,
     pub(super) observed: &'a ObservedCosts,
-    /// us from dispatch to the head.
-    pub(super) usual: f64,
+    /// Usual µs from dispatch to the response head.
+    pub(super) usual_head_us: f64,
     pub(super) now: u64,
     pub(super) policies: Policies,
 }
 
-impl Pricing<'_> {
-    /// us that the request takes there, as far as it depends on the server.
-    pub(super) fn work(&self, state: &ServerState, server: &str) -> f64 {
+impl CostModel<'_> {
+    /// The part of the request's processing time that depends on the server, in µs.
+    pub(super) fn processing_us(&self, state: &ServerState, server: &str) -> f64 {
         let load = state.load(self.now);
-        if self.need.engine.is_none() {
-            return self.usual.max(MIN_USUAL_HEAD_US) * (load + 1.0)
-                / state.slots(self.need).max(1) as f64;
+        if self.requirements.engine.is_none() {
+            return self.usual_head_us.max(MIN_USUAL_HEAD_US) * (load + 1.0)
+                / state.slots(self.requirements).max(1) as f64;
         }
-        let tokens = (state.missing(self.need, server, self.policies) + state.reading) as f64;
-        tokens * self.token_us() + load * self.contention_us()
+        let tokens = (state.uncached_tokens(self.requirements, server, self.policies)
+            + state.prefill_backlog) as f64;
+        tokens * self.prefill_token_us() + load * self.contention_us()
     }
 
-    fn token_us(&self) -> f64 {
+    /// µs to prefill one token.
+    fn prefill_token_us(&self) -> f64 {
         if self.policies.has(Mechanism::LearnedReading) {
             self.observed.prefill.value()
         } else {
@@ -37,7 +39,7 @@
         }
     }
 
-    /// us that each request under way beside it adds.
+    /// µs that each concurrent request at the server adds.
     pub(super) fn contention_us(&self) -> f64 {
         if self.policies.has(Mechanism::LearnedCrowding) {
             self.observed.contention_us()
@@ -46,19 +48,20 @@
         }
     }
 
-    /// What a server of another zone costs more.
-    pub(super) fn distance(&self, site: &str) -> f64 {
-        let is_near = site == self.need.site || !self.policies.has(Mechanism::ZonePreference);
-        match (is_near, self.need.engine.is_some()) {
+    /// Extra cost of a server at another site, in µs.
+    pub(super) fn cross_site_us(&self, site: &str) -> f64 {
+        let is_local =
+            site == self.requirements.site || !self.policies.has(Mechanism::ZonePreference);
+        match (is_local, self.requirements.engine.is_some()) {
             (true, _) => 0.0,
             (false, true) => ZONE_COST_MODEL,
             (false, false) => ZONE_COST_PLAIN,
         }
     }
 
-    /// What a server costs more to which no connection is kept.
-    pub(super) fn dial(&self, is_kept: bool) -> f64 {
-        if is_kept || !self.policies.has(Mechanism::KeptConnection) {
+    /// Extra cost of a server without an idle pooled connection, in µs.
+    pub(super) fn connect_us(&self, has_connection: bool) -> f64 {
+        if has_connection || !self.policies.has(Mechanism::KeptConnection) {
             0.0
         } else {
             CONNECT_COST_US
--- a/yewcross-proxy/src/balance/ejection.rs
+++ b/yewcross-proxy/src/balance/ejection.rs
@@ -1,63 +1,70 @@
-//! Outlier ejection: a server that fails, or owes answers for long, is left alone for a while.
+//! Outlier ejection: a server that fails or does not answer receives no requests for a while.
 
 use yewcross_common::constants::*;
 
-/// How one server stood lately.
+/// Recent failures of one server.
 #[derive(Default)]
 pub(super) struct Ejection {
-    /// Failures in a row.
-    failures: u32,
-    /// us. It is left alone until then.
-    until: u64,
-    /// Requests of ours without a head yet, and since when one of them is owed.
+    consecutive_failures: u32,
+    /// Time until which the server is ejected, in µs.
+    ejected_until: u64,
+    /// Requests of this proxy that have no response head yet.
     unanswered: u32,
-    owed_since: u64,
-    /// Other fronts that leave it alone, and when that was heard.
-    others: u32,
-    heard_at: u64,
+    /// When the first of them was sent, or when the server last sent a response head if that was
+    /// later, in µs.
+    unanswered_since: u64,
+    /// Other proxies that have ejected the server.
+    ejecting_peers: u32,
+    /// When their number was received, in µs.
+    peers_updated_at: u64,
 }
 
 impl Ejection {
-    pub(super) fn sent(&mut self, now: u64) {
+    /// Records that a request was sent to the server.
+    pub(super) fn record_dispatch(&mut self, now: u64) {
         self.unanswered += 1;
         if self.unanswered == 1 {
-            self.owed_since = now;
+            self.unanswered_since = now;
         }
     }
 
-    /// A request that was sent is over without a head.
-    pub(super) fn dropped(&mut self) {
+    /// Records that a request ended without a response head.
+    pub(super) fn record_end_without_head(&mut self) {
         self.unanswered = self.unanswered.saturating_sub(1);
     }
 
-    pub(super) fn answered(&mut self, now: u64) {
-        self.dropped();
-        self.owed_since = now;
-        self.failures = 0;
-        self.until = 0;
+    /// Records a response head, which ends any ejection.
+    pub(super) fn record_response_head(&mut self, now: u64) {
+        self.record_end_without_head();
+        self.unanswered_since = now;
+        self.consecutive_failures = 0;
+        self.ejected_until = 0;
     }
 
-    pub(super) fn failed(&mut self, now: u64) {
-        self.failures = (self.failures + 1).min(EJECTION_DOUBLINGS + 1);
-        self.until = now + (EJECTION_TIME << (self.failures - 1));
+    /// Ejects the server; the time doubles with each consecutive failure, up to a limit.
+    pub(super) fn record_failure(&mut self, now: u64) {
+        self.consecutive_failures = (self.consecutive_failures + 1).min(EJECTION_DOUBLINGS + 1);
+        self.ejected_until = now + (EJECTION_TIME << (self.consecutive_failures - 1));
     }
 
     pub(super) fn is_ejected(&self, now: u64) -> bool {
-        now < self.until
+        now < self.ejected_until
     }
 
-    /// So many other fronts leave it alone.
-    pub(super) fn shared(&mut self, others: u32, now: u64) {
-        (self.others, self.heard_at) = (others, now);
+    /// Records how many other proxies have ejected the server.
+    pub(super) fn record_peer_ejections(&mut self, peers: u32, now: u64) {
+        (self.ejecting_peers, self.peers_updated_at) = (peers, now);
     }
 
-    /// Whether several other fronts found it ill just now. One alone may be cut off from it.
-    pub(super) fn is_ejected_by_others(&self, now: u64) -> bool {
-        self.others >= EJECTION_QUORUM && now < self.heard_at + EJECTION_TIME
+    /// Whether several other proxies have ejected the server recently. A single one may only have
+    /// lost its own connection to the server.
+    pub(super) fn is_ejected_by_peers(&self, now: u64) -> bool {
+        self.ejecting_peers >= EJECTION_QUORUM && now < self.peers_updated_at + EJECTION_TIME
     }
 
-    /// Whether it owes an answer for much longer than usual (us from dispatch to the head).
-    pub(super) fn is_silent(&self, now: u64, usual: f64) -> bool {
-        self.unanswered > 0 && now > self.owed_since + (SILENCE_FACTOR * usual) as u64 + SILENCE_MIN
+    /// Whether a response head is overdue by far, given the usual µs from dispatch to the head.
+    pub(super) fn is_unresponsive(&self, now: u64, usual_head_us: f64) -> bool {
+        self.unanswered > 0
+            && now > self.unanswered_since + (SILENCE_FACTOR * usual_head_us) as u64 + SILENCE_MIN
     }
 }
--- a/yewcross-proxy/src/balance/load.rs
+++ b/yewcross-proxy/src/balance/load.rs
@@ -1,19 +1,19 @@
-//! What fronts have under way at a server, and how many of them leave it alone.
+//! Load that proxies put on a server.
 
 use serde::{Deserialize, Serialize};
 use std::iter::Sum;
 
-/// Of one front, or of several together.
+/// Load of one server, as seen by one proxy or summed over several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Fronts that leave the server alone since it failed.
+    /// Proxies that have ejected the server after failures.
     pub ejected_by: u32,
 }
 
 impl Load {
-    /// What is left of a sum without one of its parts.
+    /// This sum without one of its parts.
     pub fn minus(self, part: Load) -> Load {
         Load {
             in_flight: self.in_flight.saturating_sub(part.in_flight),
@@ -24,9 +24,9 @@
 
 impl Sum for Load {
     fn sum<I: Iterator<Item = Load>>(parts: I) -> Load {
-        parts.fold(Load::default(), |a, b| Load {
-            in_flight: a.in_flight + b.in_flight,
-            ejected_by: a.ejected_by + b.ejected_by,
+        parts.fold(Load::default(), |total, part| Load {
+            in_flight: total.in_flight + part.in_flight,
+            ejected_by: total.ejected_by + part.ejected_by,
         })
     }
 }
--- a/yewcross-proxy/src/balance/mod.rs
+++ b/yewcross-proxy/src/balance/mod.rs
@@ -1,8 +1,11 @@
-//! Which server takes a request.
+//! Load balancing: which server receives a request.
 //!
-//! `server` holds what is known of one server, `observed` what a service's answers teach, `cost`
-//! ranks servers by it, `ejection` leaves ill ones out, `queue` orders those who wait, `claim` is a
-//! place that was taken.
+//! - `server`: the state that this proxy keeps of one server.
+//! - `observed`: costs estimated from a service's responses.
+//! - `cost`: the cost of a request at each server, from the two above.
+//! - `ejection`: excludes servers that fail or do not answer.
+//! - `queue`: the order of requests that wait for capacity.
+//! - `claim`: capacity reserved at a server for one request.
 
 mod claim;
 mod cost;
@@ -17,7 +20,7 @@
 pub use observed::{ObservedCosts, SlopeEstimator};
 
 use crate::policy::{Mechanism, Policies};
-use cost::Pricing;
+use cost::CostModel;
 use queue::Queue;
 use server::ServerState;
 use std::collections::HashMap;
@@ -28,51 +31,57 @@
 use yewcross_common::protocol::ListedServer;
 use yewcross_common::runtime::Runtime;
 
-/// What is known of one service.
+/// State of one service.
 #[derive(Default)]
 struct ServiceState {
     servers: HashMap<String, ServerState>,
     queue: Queue,
-    /// us from dispatch to the head.
-    usual: f64,
+    /// Moving average of the µs from dispatch to the response head; 0 before the first response.
+    usual_head_us: f64,
     observed: ObservedCosts,
-    /// us. When one of its servers last told its load in an answer; 0 before.
-    told_at: u64,
+    /// When one of its servers last reported its load in a response, in µs; 0 before that.
+    load_reported_at: u64,
 }
 
-/// What a request needs of a server.
+/// Properties of a request that decide which server it is sent to.
 #[derive(Clone, Default)]
 pub struct Requirements {
+    /// The service that the request is for.
     pub service: String,
+    /// Properties of the service's model servers; none where the service is no model.
     pub engine: Option<Engine>,
-    /// Parts of its prompt in order, with their tokens.
+    /// Parts of the prompt in order, each with its number of tokens.
     pub parts: Vec<(u64, u64)>,
-    /// Tokens of the prompt and of the output.
     pub prompt_tokens: u64,
     pub max_output_tokens: u64,
-    /// The server that ran the turn before, and the tokens that it may still hold of it.
+    /// The server that ran the previous turn; empty if there is none.
     pub previous_server: String,
+    /// Tokens of the previous turn that this server may still cache.
     pub previous_tokens: u64,
+    /// The site of this proxy.
     pub site: String,
+    /// Time within which a response is wanted, in µs.
     pub target_us: u64,
-    /// Place in the queue: rank, then us of the world's clock by which it should be over.
+    /// Position in the queue: the route's rank, then the time by which the request should be
+    /// finished, in µs of the runtime's clock.
     pub rank: (u8, u64),
-    /// Names the thing that it concerns, where a server that saw it lately does the work faster;
-    /// else empty.
+    /// Identifies what the request concerns, where a server that processed a request for it recently
+    /// is faster; else empty.
     pub affinity_key: String,
-    /// Connections that we may have to one server.
+    /// Connections that this proxy may open to one server.
     pub max_connections: u32,
 }
 
+/// Why no server was picked.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PickError {
-    /// The list names no server that may take it.
+    /// The list holds no server that may receive the request.
     None,
-    /// All places are taken; one is due in so many us.
+    /// All servers are at capacity; holds the µs until one is expected to have room.
     AtCapacity(u64),
 }
 
-/// The choice of servers, over all services.
+/// Picks servers for the requests of all services.
 #[derive(Default)]
 pub struct LoadBalancer {
     pub policies: Policies,
@@ -80,105 +89,112 @@
 }
 
 impl ServiceState {
-    /// us until a place is due.
-    fn due(&self, need: &Requirements, servers: usize, now: u64) -> u64 {
-        let most = self
+    /// µs until a further request can expect capacity.
+    fn expected_wait(&self, requirements: &Requirements, servers: usize, now: u64) -> u64 {
+        let max_slots = self
             .servers
             .values()
-            .map(|s| s.slots(need))
+            .map(|server| server.slots(requirements))
             .max()
             .unwrap_or(1)
             .max(1);
-        let slots = most as usize * servers.max(1);
-        let first_free = self
+        let slots = max_slots as usize * servers.max(1);
+        let overload_left = self
             .servers
             .values()
-            .map(|s| s.full_until.saturating_sub(now))
+            .map(|server| server.overloaded_until.saturating_sub(now))
             .min()
             .unwrap_or(0);
-        ((self.queue.len() + 1) as f64 * self.usual.max(MIN_USUAL_HEAD_US) / slots as f64) as u64
-            + first_free
+        ((self.queue.len() + 1) as f64 * self.usual_head_us.max(MIN_USUAL_HEAD_US) / slots as f64)
+            as u64
+            + overload_left
     }
 
-    /// Those that are neither ejected nor silent; all where none is well.
-    fn sound<'a>(
+    /// Servers that are neither ejected nor unresponsive; all servers if none is healthy.
+    fn healthy<'a>(
         &self,
         servers: Vec<&'a ListedServer>,
         now: u64,
         policies: Policies,
     ) -> Vec<&'a ListedServer> {
-        let is_well = |server: &&&ListedServer| {
+        let is_healthy = |server: &&&ListedServer| {
             let ejection = &self.servers[&server.server].ejection;
-            let ejected = policies.has(Mechanism::Ejection) && ejection.is_ejected(now);
-            let silent = policies.has(Mechanism::Silence) && ejection.is_silent(now, self.usual);
-            !ejected && !silent
+            let is_ejected = policies.has(Mechanism::Ejection) && ejection.is_ejected(now);
+            let is_unresponsive = policies.has(Mechanism::Silence)
+                && ejection.is_unresponsive(now, self.usual_head_us);
+            !is_ejected && !is_unresponsive
         };
-        let sound: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
-        let sound = if sound.is_empty() { servers } else { sound };
+        let healthy: Vec<&ListedServer> = servers.iter().filter(is_healthy).copied().collect();
+        let healthy = if healthy.is_empty() { servers } else { healthy };
         if policies.has(Mechanism::SharedEjection) {
-            self.well_by_others(sound, now)
+            self.healthy_for_peers(healthy, now)
         } else {
-            sound
+            healthy
         }
     }
 
-    /// Those that other fronts do not leave alone; all where that would be too few: what so many
-    /// fail at is no server's own.
-    fn well_by_others<'a>(
+    /// Servers that other proxies have not ejected. All servers if more than
+    /// `EJECTED_MOST_PERCENT` are ejected: failures of so many have a common cause, and are no
+    /// fault of single servers.
+    fn healthy_for_peers<'a>(
         &self,
         servers: Vec<&'a ListedServer>,
         now: u64,
     ) -> Vec<&'a ListedServer> {
-        let is_well = |server: &&&ListedServer| {
+        let is_healthy = |server: &&&ListedServer| {
             !self.servers[&server.server]
                 .ejection
-                .is_ejected_by_others(now)
+                .is_ejected_by_peers(now)
         };
-        let well: Vec<&ListedServer> = servers.iter().filter(is_well).copied().collect();
-        if well.len() * 100 < servers.len() * (100 - EJECTED_MOST_PERCENT) {
+        let healthy: Vec<&ListedServer> = servers.iter().filter(is_healthy).copied().collect();
+        if healthy.len() * 100 < servers.len() * (100 - EJECTED_MOST_PERCENT) {
             servers
         } else {
-            well
+            healthy
         }
     }
 }
 
-/// Fronts that all saw the same load must not all choose the same server. One of the two is near.
-fn two_at_random<'a>(
+/// Two random candidates, so that proxies with the same view of the load do not all pick the same
+/// server. The first one is at this proxy's site if any candidate is.
+fn two_random_choices<'a>(
     runtime: &Runtime,
-    need: &Requirements,
-    free: Vec<&'a ListedServer>,
+    requirements: &Requirements,
+    available: Vec<&'a ListedServer>,
 ) -> Vec<&'a ListedServer> {
-    if free.len() < 3 {
-        return free;
+    if available.len() < 3 {
+        return available;
     }
-    let near: Vec<usize> = (0..free.len())
-        .filter(|i| free[*i].site == need.site)
+    let local: Vec<usize> = (0..available.len())
+        .filter(|index| available[*index].site == requirements.site)
         .collect();
-    let first = near
-        .get(runtime.random_index(near.len()))
+    let first = local
+        .get(runtime.random_index(local.len()))
         .copied()
-        .unwrap_or_else(|| runtime.random_index(free.len()));
-    let second = (first + 1 + runtime.random_index(free.len() - 1)) % free.len();
-    vec![free[first], free[second]]
+        .unwrap_or_else(|| runtime.random_index(available.len()));
+    let second = (first + 1 + runtime.random_index(available.len() - 1)) % available.len();
+    vec![available[first], available[second]]
 }
 
-/// The one for the request's affinity key, of those that are free: the same at all fronts, by
-/// rendezvous hashing.
-fn affine<'a>(
-    need: &Requirements,
-    free: &[&'a ListedServer],
+/// The available server for the request's affinity key. Rendezvous hashing makes it the same at all
+/// proxies.
+fn affinity_choice<'a>(
+    requirements: &Requirements,
+    available: &[&'a ListedServer],
     policies: Policies,
 ) -> Option<&'a ListedServer> {
-    let is_asked =
-        !need.affinity_key.is_empty() && need.engine.is_none() && policies.has(Mechanism::Affinity);
-    free.iter()
+    let has_affinity = !requirements.affinity_key.is_empty()
+        && requirements.engine.is_none()
+        && policies.has(Mechanism::Affinity);
+    available
+        .iter()
         .copied()
-        .filter(|_| is_asked)
-        .max_by_key(|server| rendezvous_weight(&need.affinity_key, &server.server))
+        .filter(|_| has_affinity)
+        .max_by_key(|server| rendezvous_weight(&requirements.affinity_key, &server.server))
 }
 
 impl LoadBalancer {
+    /// A load balancer in which only these mechanisms take part.
     pub fn with_policies(policies: Policies) -> LoadBalancer {
         LoadBalancer {
             policies,
@@ -198,133 +214,174 @@
             .clone()
     }
 
-    /// us from dispatch to the head at this service; 0 while unknown.
+    /// Usual µs from dispatch to the response head at this service; 0 before the first response.
     pub fn usual_head_us(&self, service: &str) -> u64 {
-        self.service(service).lock().unwrap().usual as u64
+        self.service(service).lock().unwrap().usual_head_us as u64
     }
 
-    /// What the answers of a service have taught so far.
+    /// Costs estimated from the service's responses so far.
     pub fn observed(&self, service: &str) -> ObservedCosts {
         self.service(service).lock().unwrap().observed.clone()
     }
 
-    /// Requests that wait for a place.
+    /// Number of requests that wait for capacity at the service.
     pub fn queue_len(&self, service: &str) -> usize {
         self.service(service).lock().unwrap().queue.len()
     }
 
-    /// The best place at this moment, or why there is none.
+    /// Picks the cheapest server with capacity, except those already tried, and reserves capacity
+    /// there. `is_connected` says whether an idle connection to a server is pooled.
     pub fn pick(
         &self,
         runtime: &Runtime,
-        n: &Requirements,
+        requirements: &Requirements,
         servers: &[ListedServer],
         tried: &[String],
-        kept: impl Fn(&str) -> bool,
+        is_connected: impl Fn(&str) -> bool,
     ) -> Result<Claim, PickError> {
-        let (service, now, policies) = (self.service(&n.service), runtime.now(), self.policies);
-        let mut g = service.lock().unwrap();
-        let may: Vec<&ListedServer> = servers
+        let (service, now, policies) = (
+            self.service(&requirements.service),
+            runtime.now(),
+            self.policies,
+        );
+        let mut service_state = service.lock().unwrap();
+        let eligible: Vec<&ListedServer> = servers
             .iter()
-            .filter(|s| s.service == n.service && !s.leaving && !tried.contains(&s.server))
+            .filter(|server| {
+                server.service == requirements.service
+                    && !server.leaving
+                    && !tried.contains(&server.server)
+            })
             .collect();
-        for server in &may {
-            g.servers.entry(server.server.clone()).or_default();
+        for server in &eligible {
+            service_state
+                .servers
+                .entry(server.server.clone())
+                .or_default();
         }
-        let sound = g.sound(may, now, policies);
-        if sound.is_empty() {
+        let healthy = service_state.healthy(eligible, now, policies);
+        if healthy.is_empty() {
             return Err(PickError::None);
         }
-        let is_free = |server: &&&ListedServer| {
-            !g.servers[&server.server].full(n, &server.server, now, g.usual, policies)
+        let is_available = |server: &&&ListedServer| {
+            !service_state.servers[&server.server].is_full(
+                requirements,
+                &server.server,
+                now,
+                service_state.usual_head_us,
+                policies,
+            )
         };
-        let free: Vec<&ListedServer> = sound.iter().filter(is_free).copied().collect();
-        let pricing = Pricing {
-            need: n,
-            observed: &g.observed,
-            usual: g.usual,
+        let available: Vec<&ListedServer> = healthy.iter().filter(is_available).copied().collect();
+        let cost_model = CostModel {
+            requirements,
+            observed: &service_state.observed,
+            usual_head_us: service_state.usual_head_us,
             now,
             policies,
         };
-        let work = |server: &ListedServer| pricing.work(&g.servers[&server.server], &server.server);
-        let by_affinity = affine(n, &free, policies);
-        let candidates = match n.engine.is_none() && policies.has(Mechanism::ChoiceOfTwo) {
-            true => two_at_random(runtime, n, free),
-            false => free,
+        let processing_us = |server: &ListedServer| {
+            cost_model.processing_us(&service_state.servers[&server.server], &server.server)
+        };
+        let by_affinity = affinity_choice(requirements, &available, policies);
+        let candidates = match requirements.engine.is_none() && policies.has(Mechanism::ChoiceOfTwo)
+        {
+            true => two_random_choices(runtime, requirements, available),
+            false => available,
         };
-        // Those that cost about the same take turns: what is known of the load is a little old, and
-        // the same at all fronts.
-        let jitter = if n.engine.is_some() {
-            pricing.contention_us().max(1.0) as usize
+        // Random jitter spreads requests over servers of about the same cost: the load figures are
+        // slightly out of date, and the same at all proxies.
+        let jitter = if requirements.engine.is_some() {
+            cost_model.contention_us().max(1.0) as usize
         } else {
             1
         };
-        let price = |server: &&&ListedServer| {
-            (work(server) + pricing.distance(&server.site) + pricing.dial(kept(&server.server)))
-                as u64
+        let cost = |server: &&&ListedServer| {
+            (processing_us(server)
+                + cost_model.cross_site_us(&server.site)
+                + cost_model.connect_us(is_connected(&server.server))) as u64
                 + runtime.random_index(jitter) as u64
         };
-        let Some(best) = candidates.iter().min_by_key(price).copied() else {
-            return Err(PickError::AtCapacity(g.due(n, sound.len(), now)));
+        let Some(best) = candidates.iter().min_by_key(cost).copied() else {
+            return Err(PickError::AtCapacity(service_state.expected_wait(
+                requirements,
+                healthy.len(),
+                now,
+            )));
         };
-        let to = by_affinity
-            .filter(|server| work(server) <= work(best) * AFFINITY_BOUND)
+        let target = by_affinity
+            .filter(|server| processing_us(server) <= processing_us(best) * AFFINITY_BOUND)
             .unwrap_or(best)
             .clone();
-        let state = g
+        let state = service_state
             .servers
-            .get_mut(&to.server)
-            .expect("every server has a state");
-        let missing = if n.engine.is_some() {
-            state.missing(n, &to.server, policies)
+            .get_mut(&target.server)
+            .expect("every eligible server has an entry in the service's state");
+        let uncached_tokens = if requirements.engine.is_some() {
+            state.uncached_tokens(requirements, &target.server, policies)
         } else {
             0
         };
-        let tokens = if n.engine.is_some() {
-            missing + n.max_output_tokens
+        let reserved_tokens = if requirements.engine.is_some() {
+            uncached_tokens + requirements.max_output_tokens
         } else {
             0
         };
         let load = state.load(now);
-        let had_slot = load < state.slots(n) as f64;
-        let reading_ahead = state.reading;
+        let had_free_slot = load < state.slots(requirements) as f64;
+        let prefill_backlog = state.prefill_backlog;
         state.in_flight += 1;
-        state.reading += missing;
-        state.tokens += tokens;
-        state.ejection.sent(now);
-        drop(g);
+        state.prefill_backlog += uncached_tokens;
+        state.reserved_tokens += reserved_tokens;
+        state.ejection.record_dispatch(now);
+        drop(service_state);
         Ok(Claim {
             service,
-            w: runtime.clone(),
+            runtime: runtime.clone(),
             policies,
-            target: to,
-            at: now,
-            missing,
-            reading_ahead,
-            tokens,
+            target,
+            claimed_at: now,
+            uncached_tokens,
+            prefill_backlog,
+            reserved_tokens,
             load,
-            had_slot,
-            headed_at: 0,
+            had_free_slot,
+            head_at: 0,
         })
     }
 
-    /// Waits for a place to come free, until `until`; false if none did.
-    pub async fn wait_for_capacity(&self, runtime: &Runtime, n: &Requirements, until: u64) -> bool {
-        let rank = self.policies.has(Mechanism::WaitingOrder).then_some(n.rank);
-        let rx = self.service(&n.service).lock().unwrap().queue.join(rank);
+    /// Waits in the service's queue until it is notified of capacity. Returns false if that does not
+    /// happen by `until` (µs).
+    pub async fn wait_for_capacity(
+        &self,
+        runtime: &Runtime,
+        requirements: &Requirements,
+        until: u64,
+    ) -> bool {
+        let rank = self
+            .policies
+            .has(Mechanism::WaitingOrder)
+            .then_some(requirements.rank);
+        let woken = self
+            .service(&requirements.service)
+            .lock()
+            .unwrap()
+            .queue
+            .join(rank);
         runtime
-            .timeout(until.saturating_sub(runtime.now()), rx.recv())
+            .timeout(until.saturating_sub(runtime.now()), woken.recv())
             .await
             .is_some()
     }
 
-    /// What we have under way and whom we leave alone, by server.
+    /// The load that this proxy puts on each server, and whether it has ejected the server. Servers
+    /// with neither are left out.
     pub fn own_loads(&self, now: u64) -> Vec<(String, Load)> {
         let services = self.services.read().unwrap();
         let mut loads = vec![];
         for service in services.values() {
-            let g = service.lock().unwrap();
-            let all = g
+            let service_state = service.lock().unwrap();
+            let all = service_state
                 .servers
                 .iter()
                 .map(|(server, state)| (server.clone(), state.own_load(now)));
@@ -333,36 +390,43 @@
         loads
     }
 
-    /// Whether all services at which we have requests under way have servers that tell their load
-    /// themselves.
+    /// Whether the servers report their load themselves, at every service with requests of this
+    /// proxy in flight.
     pub fn servers_report_load(&self, now: u64) -> bool {
         let services = self.services.read().unwrap();
         services.values().all(|service| {
-            let g = service.lock().unwrap();
-            let is_told = g.told_at > 0 && now < g.told_at + REPORTED_LOAD_LIFETIME;
-            is_told || g.servers.values().all(|state| state.in_flight == 0)
+            let service_state = service.lock().unwrap();
+            let is_reported = service_state.load_reported_at > 0
+                && now < service_state.load_reported_at + REPORTED_LOAD_LIFETIME;
+            is_reported
+                || service_state
+                    .servers
+                    .values()
+                    .all(|state| state.in_flight == 0)
         })
     }
 
-    /// Takes what other fronts have under way at each server; none where they are not known.
-    pub fn update_peer_loads(&self, now: u64, others: impl Fn(&str) -> Option<Load>) {
+    /// Updates the load that other proxies put on each server. `peers` returns none for a server
+    /// whose load is unknown; its state does not change.
+    pub fn update_peer_loads(&self, now: u64, peers: impl Fn(&str) -> Option<Load>) {
         for service in self.services.read().unwrap().values() {
-            let mut g = service.lock().unwrap();
-            for (server, state) in &mut g.servers {
-                others(server)
+            let mut service_state = service.lock().unwrap();
+            for (server, state) in &mut service_state.servers {
+                peers(server)
                     .iter()
-                    .for_each(|load| state.shared(*load, now));
+                    .for_each(|load| state.record_peer_load(*load, now));
             }
         }
     }
 
-    /// Forgets servers no longer listed, and waiters that left.
-    pub fn prune(&self, listed: impl Fn(&str) -> bool) {
+    /// Removes the state of idle servers that are no longer listed, and requests that no longer wait.
+    pub fn prune(&self, is_listed: impl Fn(&str) -> bool) {
         for service in self.services.read().unwrap().values() {
-            let mut g = service.lock().unwrap();
-            g.servers
-                .retain(|server, state| state.in_flight > 0 || listed(server));
-            g.queue.tidy();
+            let mut service_state = service.lock().unwrap();
+            service_state
+                .servers
+                .retain(|server, state| state.in_flight > 0 || is_listed(server));
+            service_state.queue.prune();
         }
     }
 }
--- a/yewcross-proxy/src/balance/observed.rs
+++ b/yewcross-proxy/src/balance/observed.rs
@@ -1,75 +1,78 @@
-//! What a service's answers tell of its servers: the time that a token of a prompt takes to read,
-//! and by how much a request slows those beside it.
+//! Costs estimated from a service's responses: the time to prefill a prompt token, and by how much
+//! concurrent requests slow each other down.
 
 use yewcross_common::constants::*;
 
-/// Least squares of `y` over `x`, in which older samples count less, drawn towards a slope that is
-/// assumed at first.
+/// Slope of a linear regression of `y` on `x`. Older samples lose weight exponentially, and the
+/// estimate is regularised towards a prior slope.
 #[derive(Clone, Debug)]
 pub struct SlopeEstimator {
-    assumed: f64,
-    /// Weight of the assumed slope, as a sum of squared deviations of `x`.
-    stiffness: f64,
-    n: f64,
-    x: f64,
-    y: f64,
-    xx: f64,
-    xy: f64,
+    prior: f64,
+    /// Weight of the prior slope, as a sum of squared deviations of `x`.
+    prior_weight: f64,
+    /// Decayed number of samples, and decayed sums over them.
+    count: f64,
+    sum_x: f64,
+    sum_y: f64,
+    sum_xx: f64,
+    sum_xy: f64,
 }
 
 impl SlopeEstimator {
-    /// `spread` is the usual deviation of `x`; the assumed slope weighs as much as `SLOPE_PRIOR`
-    /// samples of it.
-    pub fn new(assumed: f64, spread: f64) -> SlopeEstimator {
+    /// `deviation` is the usual deviation of `x`; the prior slope weighs as much as `SLOPE_PRIOR`
+    /// samples with that deviation.
+    pub fn new(prior: f64, deviation: f64) -> SlopeEstimator {
         SlopeEstimator {
-            assumed,
-            stiffness: SLOPE_PRIOR * spread * spread,
-            n: 0.0,
-            x: 0.0,
-            y: 0.0,
-            xx: 0.0,
-            xy: 0.0,
+            prior,
+            prior_weight: SLOPE_PRIOR * deviation * deviation,
+            count: 0.0,
+            sum_x: 0.0,
+            sum_y: 0.0,
+            sum_xx: 0.0,
+            sum_xy: 0.0,
         }
     }
 
+    /// Adds a sample.
     pub fn add(&mut self, x: f64, y: f64) {
         [
-            &mut self.n,
-            &mut self.x,
-            &mut self.y,
-            &mut self.xx,
-            &mut self.xy,
+            &mut self.count,
+            &mut self.sum_x,
+            &mut self.sum_y,
+            &mut self.sum_xx,
+            &mut self.sum_xy,
         ]
         .into_iter()
         .for_each(|sum| *sum *= SLOPE_DECAY);
-        self.n += 1.0;
-        self.x += x;
-        self.y += y;
-        self.xx += x * x;
-        self.xy += x * y;
+        self.count += 1.0;
+        self.sum_x += x;
+        self.sum_y += y;
+        self.sum_xx += x * x;
+        self.sum_xy += x * y;
     }
 
-    /// Never below zero: no request is made faster by more work.
+    /// The estimated slope, at least 0: more work never makes a request faster.
     pub fn value(&self) -> f64 {
-        if self.n < 1.0 {
-            return self.assumed;
+        if self.count < 1.0 {
+            return self.prior;
         }
-        let variance = self.xx - self.x * self.x / self.n;
-        let covariance = self.xy - self.x * self.y / self.n;
-        ((covariance + self.stiffness * self.assumed) / (variance + self.stiffness)).max(0.0)
+        let variance = self.sum_xx - self.sum_x * self.sum_x / self.count;
+        let covariance = self.sum_xy - self.sum_x * self.sum_y / self.count;
+        ((covariance + self.prior_weight * self.prior) / (variance + self.prior_weight)).max(0.0)
     }
 }
 
-/// What is learned of one service.
+/// Cost estimates for one service.
 #[derive(Clone, Debug)]
 pub struct ObservedCosts {
-    /// us a token that is read before the first event.
+    /// µs per token that is prefilled before the first event.
     pub prefill: SlopeEstimator,
-    /// us between two events for each request beside it.
+    /// µs that each concurrent request adds between two events of a stream.
     pub contention: SlopeEstimator,
-    /// Events of a stream, and us between two of them, the means.
-    events: f64,
-    pause: f64,
+    /// Mean number of events of a stream.
+    mean_events: f64,
+    /// Mean µs between two events of a stream.
+    mean_event_gap: f64,
 }
 
 impl Default for ObservedCosts {
@@ -77,31 +80,32 @@
         ObservedCosts {
             prefill: SlopeEstimator::new(ASSUMED_READING_US, READING_SPREAD),
             contention: SlopeEstimator::new(ASSUMED_CROWDING_US, CROWDING_SPREAD),
-            events: ASSUMED_EVENTS,
-            pause: 0.0,
+            mean_events: ASSUMED_EVENTS,
+            mean_event_gap: 0.0,
         }
     }
 }
 
 impl ObservedCosts {
-    /// A stream of so many events came to its end, `gap_us` apart, beside `load` others.
+    /// Records a finished stream: its number of events, the µs between two of them, and the number
+    /// of requests that were in flight at the server when it was placed there.
     pub fn record_stream_end(&mut self, events: u64, gap_us: f64, load: f64) {
-        self.events = self.events * SLOPE_DECAY + events as f64 * (1.0 - SLOPE_DECAY);
-        self.pause = if self.pause == 0.0 {
+        self.mean_events = self.mean_events * SLOPE_DECAY + events as f64 * (1.0 - SLOPE_DECAY);
+        self.mean_event_gap = if self.mean_event_gap == 0.0 {
             gap_us
         } else {
-            self.pause * SLOPE_DECAY + gap_us * (1.0 - SLOPE_DECAY)
+            self.mean_event_gap * SLOPE_DECAY + gap_us * (1.0 - SLOPE_DECAY)
         };
         self.contention.add(load, gap_us);
     }
 
-    /// us between two events of a stream, the mean.
+    /// Mean µs between two events of a stream.
     pub fn mean_event_gap_us(&self) -> f64 {
-        self.pause
+        self.mean_event_gap
     }
 
-    /// us that one more request beside it adds to a stream.
+    /// µs by which one more concurrent request prolongs a stream.
     pub fn contention_us(&self) -> f64 {
-        self.contention.value() * self.events
+        self.contention.value() * self.mean_events
     }
 }
--- a/yewcross-proxy/src/balance/queue.rs
+++ b/yewcross-proxy/src/balance/queue.rs
@@ -1,19 +1,19 @@
-//! Requests that wait for a place at a service.
+//! Requests that wait for capacity at a service.
 
-/// Place in the order: the route's rank, the time by which it should be over, and the order of
-/// arrival.
-pub(super) type Order = (u8, u64, u64);
+/// Sort key of a waiting request: the route's rank, the time by which the request should be
+/// finished (µs), and the order of arrival.
+pub(super) type QueueKey = (u8, u64, u64);
 
 struct Waiter {
-    order: Order,
-    tx: async_channel::Sender<()>,
+    key: QueueKey,
+    wake: async_channel::Sender<()>,
 }
 
-/// Those who wait, let in one at a time.
+/// Waiting requests, woken one at a time in the order of their keys.
 #[derive(Default)]
 pub(super) struct Queue {
     waiters: Vec<Waiter>,
-    next: u64,
+    arrivals: u64,
 }
 
 impl Queue {
@@ -21,32 +21,32 @@
         self.waiters.len()
     }
 
-    /// Joins it; the receiver is told when a place may be free.
+    /// Adds a request; the receiver is notified when there may be capacity for it.
     pub(super) fn join(&mut self, rank: Option<(u8, u64)>) -> async_channel::Receiver<()> {
-        let (tx, rx) = async_channel::bounded(1);
-        self.next += 1;
-        let (first, second) = rank.unwrap_or_default();
+        let (wake, woken) = async_channel::bounded(1);
+        self.arrivals += 1;
+        let (rank, finish_by) = rank.unwrap_or_default();
         self.waiters.push(Waiter {
-            order: (first, second, self.next),
-            tx,
+            key: (rank, finish_by, self.arrivals),
+            wake,
         });
-        rx
+        woken
     }
 
-    /// Lets the first one in that is still there.
-    pub(super) fn wake(&mut self) {
+    /// Removes and wakes the first request that is still waiting.
+    pub(super) fn wake_next(&mut self) {
         while !self.waiters.is_empty() {
             let first = (0..self.waiters.len())
-                .min_by_key(|i| self.waiters[*i].order)
+                .min_by_key(|index| self.waiters[*index].key)
                 .unwrap_or(0);
-            if self.waiters.swap_remove(first).tx.try_send(()).is_ok() {
+            if self.waiters.swap_remove(first).wake.try_send(()).is_ok() {
                 return;
             }
         }
     }
 
-    /// Forgets those who have left.
-    pub(super) fn tidy(&mut self) {
-        self.waiters.retain(|x| !x.tx.is_closed());
+    /// Removes requests that no longer wait.
+    pub(super) fn prune(&mut self) {
+        self.waiters.retain(|waiter| !waiter.wake.is_closed());
     }
 }
