--- a/yewcross-proxy/tests/kv.rs
+++ b/yewcross-proxy/tests/kv.rs
@@ -1,4 +1,4 @@
-//! What a replica is worth to the judges.
+//! How cached prefixes and their replicas count when servers are scored.
 
 use yewcross_common::configuration::ProgramClass;
 use yewcross_common::constants::{KV_MIN_TOKENS, SEC};
@@ -9,16 +9,16 @@
 };
 use yewcross_proxy::server_table::Server;
 
-fn server(n: &str, running: u32) -> Server {
+fn server(name: &str, running: u32) -> Server {
     let at = ListedServer {
-        server: n.into(),
+        server: name.into(),
         service: "llm".into(),
         addr: ([127, 0, 0, 1], 1).into(),
         site: "a".into(),
         leaving: false,
     };
     let report = LoadReport {
-        server: n.into(),
+        server: name.into(),
         instance: 1,
         slots: 4,
         running,
@@ -37,113 +37,123 @@
     }
 }
 
-fn place(s: &str, tokens: u64, mark: u64) -> CachedPrefix {
+fn prefix(server: &str, tokens: u64, placed_tokens: u64) -> CachedPrefix {
     CachedPrefix {
-        server: s.into(),
+        server: server.into(),
         instance: 1,
         weights: "w1".into(),
         tokens,
         digest: "x".into(),
-        placed_tokens: mark,
+        placed_tokens,
     }
 }
 
-fn case(kv: &SessionCacheState) -> ScoringInput<'_> {
+fn scoring_input(cache: &SessionCacheState) -> ScoringInput<'_> {
     ScoringInput {
         key: "k",
         site: "a",
         prompt_tokens: 11_000,
         max_output_tokens: 50,
-        cache: kv,
+        cache,
         time_left: 6 * SEC,
     }
 }
 
 #[test]
 fn a_replica_saves_time_only_once_it_is_in_the_cache() {
-    let of = |mark| SessionCacheState {
-        home: Some(place("m1", 10_000, 10_000)),
-        replica: Some(place("m2", 9_000, mark)),
+    let state = |placed_tokens| SessionCacheState {
+        home: Some(prefix("m1", 10_000, 10_000)),
+        replica: Some(prefix("m2", 9_000, placed_tokens)),
         program: "p".into(),
     };
     let m2 = server("m2", 0);
-    let (stored, ready) = (of(0), of(9_000));
-    let cold = estimated_us(&m2, &case(&stored), &CacheWarmth::Cold);
-    let w = cache_warmth(&m2, &case(&stored));
+    let (stored, imported) = (state(0), state(9_000));
+    let cold = estimated_us(&m2, &scoring_input(&stored), &CacheWarmth::Cold);
+    let warmth = cache_warmth(&m2, &scoring_input(&stored));
     assert_eq!(
-        (w.clone(), estimated_us(&m2, &case(&stored), &w)),
-        (CacheWarmth::Importable(place("m2", 9_000, 0)), cold)
+        (
+            warmth.clone(),
+            estimated_us(&m2, &scoring_input(&stored), &warmth)
+        ),
+        (CacheWarmth::Importable(prefix("m2", 9_000, 0)), cold)
     );
-    let w = cache_warmth(&m2, &case(&ready));
-    assert_eq!(w, CacheWarmth::Cached(9_000));
-    assert!(estimated_us(&m2, &case(&ready), &w) * 4 < cold);
-    // Everything placed there since may have pushed it out.
+    let warmth = cache_warmth(&m2, &scoring_input(&imported));
+    assert_eq!(warmth, CacheWarmth::Cached(9_000));
+    assert!(estimated_us(&m2, &scoring_input(&imported), &warmth) * 4 < cold);
+    // So many tokens were placed after the replica that it may have been evicted.
     let mut full = m2.clone();
     full.report.placed_tokens = 101_000;
     assert_eq!(
-        cache_warmth(&full, &case(&ready)),
-        CacheWarmth::Importable(place("m2", 9_000, 9_000))
+        cache_warmth(&full, &scoring_input(&imported)),
+        CacheWarmth::Importable(prefix("m2", 9_000, 9_000))
     );
 }
 
 #[test]
-fn a_replica_of_other_weights_or_of_another_life_is_worth_nothing() {
-    for mark in [0, 9_000] {
-        let kv = SessionCacheState {
+fn a_replica_of_other_model_weights_or_of_an_earlier_instance_is_not_used() {
+    for placed_tokens in [0, 9_000] {
+        let cache = SessionCacheState {
             home: None,
-            replica: Some(place("m2", 9_000, mark)),
+            replica: Some(prefix("m2", 9_000, placed_tokens)),
             program: "p".into(),
         };
-        let (mut other, mut next) = (server("m2", 0), server("m2", 0));
-        other.report.weights = "w2".into();
-        next.report.instance = 2;
+        let (mut reweighted, mut restarted) = (server("m2", 0), server("m2", 0));
+        reweighted.report.weights = "w2".into();
+        restarted.report.instance = 2;
         assert_eq!(
-            [other, next].map(|s| cache_warmth(&s, &case(&kv))),
+            [reweighted, restarted].map(|server| cache_warmth(&server, &scoring_input(&cache))),
             [CacheWarmth::Cold, CacheWarmth::Cold]
         );
     }
 }
 
 #[test]
-fn the_ordinary_path_shares_from_8192_tokens_on_with_one_server() {
-    let f = ProgramClass::default();
+fn replication_is_on_by_default_from_8192_tokens_and_its_target_is_stable() {
+    let class = ProgramClass::default();
     assert_eq!(
-        (f.kv_share, f.kv_min_tokens, KV_MIN_TOKENS),
+        (class.kv_share, class.kv_min_tokens, KV_MIN_TOKENS),
         (true, 8_192, 8_192)
     );
-    // Occupancy does not move the target, so that it stays the one server where the replica stands.
+    // The target does not depend on the load, so that it remains the server with the replica.
     let home = HomeServer {
         server: "m1".into(),
         site: "a".into(),
     };
-    let mut v = ["m1", "m2", "m3", "m4"].map(|n| server(n, 0)).to_vec();
-    let to = |v: &[Server]| {
-        spill_target(v, "k", &home, &ScoreWeights::from(&f))
+    let mut servers = ["m1", "m2", "m3", "m4"]
+        .map(|name| server(name, 0))
+        .to_vec();
+    let target = |servers: &[Server]| {
+        spill_target(servers, "k", &home, &ScoreWeights::from(&class))
             .unwrap()
             .at
             .server
             .clone()
     };
-    let first = to(&v);
-    v.iter_mut()
-        .filter(|s| s.at.server == first)
-        .for_each(|s| s.report.running = 4);
-    assert_eq!(to(&v), first);
-    // Without a replica a full home's turn is picked another server, cold.
-    let kv = SessionCacheState {
-        home: Some(place("m1", 10_000, 0)),
+    let first = target(&servers);
+    servers
+        .iter_mut()
+        .filter(|server| server.at.server == first)
+        .for_each(|server| server.report.running = 4);
+    assert_eq!(target(&servers), first);
+    // Without a replica, a turn whose home is full is sent to another server and starts cold.
+    let cache = SessionCacheState {
+        home: Some(prefix("m1", 10_000, 0)),
         replica: None,
         program: "p".into(),
     };
-    v.iter_mut()
-        .filter(|s| s.at.server == "m1")
-        .for_each(|s| s.report.running = 4);
+    servers
+        .iter_mut()
+        .filter(|server| server.at.server == "m1")
+        .for_each(|server| server.report.running = 4);
     assert!(
-        select_best(&v, &case(&kv), &ScoreWeights::from(&f), &[]).is_some_and(|p| p
-            .server
-            .at
-            .server
-            != "m1"
-            && p.warmth == CacheWarmth::Cold)
+        select_best(
+            &servers,
+            &scoring_input(&cache),
+            &ScoreWeights::from(&class),
+            &[]
+        )
+        .is_some_and(
+            |selection| selection.server.at.server != "m1" && selection.warmth == CacheWarmth::Cold
+        )
     );
 }
