--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -1,4 +1,5 @@
-//! kv_share: one replica of a session's cache, at the server it would spill to.
+//! Replication of KV caches: keeps one replica of a session's cached prefix, at the server to which
+//! the session would move if its home were unavailable.
 
 use crate::back;
 use crate::scoring::{self, ScoreWeights};
@@ -14,77 +15,91 @@
 use yewcross_common::constants::*;
 use yewcross_common::protocol::*;
 
+/// A server's response to `/kv/save`.
 #[derive(Deserialize)]
-struct Saved {
+struct SaveResponse {
     tokens: u64,
     digest: String,
     bytes: u64,
 }
 
+/// A server's response to `/kv/send`.
 #[derive(Deserialize)]
-struct Pushed {
+struct SendResponse {
     ok: bool,
     bytes: u64,
+    /// Instance of the server that received the replica; 0 where it is not reported.
     #[serde(default)]
-    inst: u64,
+    #[serde(rename = "inst")]
+    instance: u64,
 }
 
+/// A server's response to `/kv/import`.
 #[derive(Serialize, Deserialize)]
 pub struct ImportResponse {
     pub ok: bool,
     #[serde(default)]
     pub tokens: u64,
-    /// The server's count of tokens placed in its cache after the import; 0 where it does not tell.
+    /// The server's count of tokens placed in its cache after the import; 0 where it is not reported.
     #[serde(default)]
-    pub placed: u64,
+    #[serde(rename = "placed")]
+    pub placed_tokens: u64,
 }
 
-/// A session whose last turn this front ran: it holds the session's transfer state until a turn
-/// begins elsewhere.
+/// Transfer state of a session whose last turn ran through this proxy; kept until a turn begins at
+/// another proxy.
 #[derive(Clone, Debug)]
 pub struct SessionTransfer {
     pub epoch: u64,
     pub cache: SessionCacheState,
-    /// Prefixes that turns and imports seen here have placed, newest first, one a server.
-    pub placed: Vec<CachedPrefix>,
+    /// Prefixes that turns and imports of this proxy have placed in caches: newest first, one for
+    /// each server.
+    pub placed_prefixes: Vec<CachedPrefix>,
 }
 
-/// A replica that is to be brought into its server's cache.
+/// A replica that is to be imported into its server's cache.
 #[derive(Clone, Debug)]
 pub struct PrefetchJob {
     pub key: String,
     pub service: String,
     pub replica: CachedPrefix,
-    /// The record is told of it. A turn under way carries it into its own commit instead.
+    /// Whether the import is written to the session's record. It is not where a turn in progress
+    /// writes it with its own commit.
     pub update_record: bool,
 }
 
-/// Tokens that a server places in its cache: counted from `since` (us), and the last full window's.
+/// Rate at which a server places tokens in its cache: measured over the current window, and over the
+/// last complete one.
 #[derive(Clone, Debug, Default)]
-struct Flow {
-    inst: u64,
-    since: u64,
-    from: u64,
-    last: Option<u64>,
+struct CacheTurnover {
+    instance: u64,
+    /// When the current window began, in µs.
+    window_start: u64,
+    /// The server's count of placed tokens at that time.
+    tokens_at_start: u64,
+    /// Tokens placed in the last complete window.
+    last_window_tokens: Option<u64>,
 }
 
-/// Transfer state by session, and the imports under way by server.
+/// Transfer state of sessions, and the queues of pending imports.
 pub struct SessionTransfers {
     shards: [Mutex<LruCache<String, SessionTransfer>>; KV_SHARDS],
-    fit: Mutex<BTreeSet<String>>,
-    /// How fast each server's cache turns over.
-    flow: Mutex<BTreeMap<String, Flow>>,
-    due: Mutex<BTreeMap<String, VecDeque<PrefetchJob>>>,
+    /// Servers that were available when `prefetch_for_lost_homes` ran last.
+    available: Mutex<BTreeSet<String>>,
+    /// Turnover of each server's cache.
+    turnover: Mutex<BTreeMap<String, CacheTurnover>>,
+    /// Pending imports by server; a server has an entry while a task imports replicas there.
+    prefetch_queues: Mutex<BTreeMap<String, VecDeque<PrefetchJob>>>,
 }
 
 impl Default for SessionTransfers {
     fn default() -> SessionTransfers {
-        let each = NonZeroUsize::new(KV_RECORDS / KV_SHARDS).unwrap_or(NonZeroUsize::MIN);
+        let shard_capacity = NonZeroUsize::new(KV_RECORDS / KV_SHARDS).unwrap_or(NonZeroUsize::MIN);
         SessionTransfers {
-            shards: std::array::from_fn(|_| Mutex::new(LruCache::new(each))),
-            fit: Default::default(),
-            flow: Default::default(),
-            due: Default::default(),
+            shards: std::array::from_fn(|_| Mutex::new(LruCache::new(shard_capacity))),
+            available: Default::default(),
+            turnover: Default::default(),
+            prefetch_queues: Default::default(),
         }
     }
 }
@@ -98,208 +113,253 @@
         self.shard(key).lock().unwrap().peek(key).cloned()
     }
 
-    /// A turn that ended here.
-    pub fn record_turn(&self, key: &str, epoch: u64, kv: &SessionCacheState) {
-        let mut g = self.shard(key).lock().unwrap();
-        let s = g.get_or_insert_mut(key.to_string(), || SessionTransfer {
+    /// Records where the session's prefix is cached after a turn that ended at this proxy.
+    pub fn record_turn(&self, key: &str, epoch: u64, cache: &SessionCacheState) {
+        let mut shard = self.shard(key).lock().unwrap();
+        let session = shard.get_or_insert_mut(key.to_string(), || SessionTransfer {
             epoch,
-            cache: kv.clone(),
-            placed: vec![],
+            cache: cache.clone(),
+            placed_prefixes: vec![],
         });
-        (s.epoch, s.cache) = (epoch, kv.clone());
-        kv.home.iter().for_each(|h| place(&mut s.placed, h));
+        (session.epoch, session.cache) = (epoch, cache.clone());
+        cache
+            .home
+            .iter()
+            .for_each(|home| add_prefix(&mut session.placed_prefixes, home));
     }
 
-    fn imported(&self, key: &str, p: &CachedPrefix) {
+    fn record_import(&self, key: &str, replica: &CachedPrefix) {
         self.shard(key)
             .lock()
             .unwrap()
             .peek_mut(key)
             .into_iter()
-            .for_each(|s| place(&mut s.placed, p));
+            .for_each(|session| add_prefix(&mut session.placed_prefixes, replica));
     }
 
     pub fn remove(&self, key: &str) {
         self.shard(key).lock().unwrap().pop(key);
     }
 
-    fn flows(&self, t: u64, servers: &[server_table::Server]) {
-        let mut g = self.flow.lock().unwrap();
-        g.retain(|n, _| servers.iter().any(|s| s.at.server == *n));
+    fn update_turnover(&self, now: u64, servers: &[server_table::Server]) {
+        let mut turnover = self.turnover.lock().unwrap();
+        turnover.retain(|name, _| servers.iter().any(|server| server.at.server == *name));
         servers
             .iter()
-            .filter(|s| s.report.cache_tokens > 0)
-            .for_each(|s| {
-                let (inst, placed) = (s.report.instance, s.report.placed_tokens);
-                let e = g.entry(s.at.server.clone()).or_default();
-                if e.inst != inst {
-                    *e = Flow {
-                        inst,
-                        since: t,
-                        from: placed,
-                        last: None,
+            .filter(|server| server.report.cache_tokens > 0)
+            .for_each(|server| {
+                let (instance, placed_tokens) =
+                    (server.report.instance, server.report.placed_tokens);
+                let entry = turnover.entry(server.at.server.clone()).or_default();
+                if entry.instance != instance {
+                    *entry = CacheTurnover {
+                        instance,
+                        window_start: now,
+                        tokens_at_start: placed_tokens,
+                        last_window_tokens: None,
                     };
-                } else if t >= e.since + KV_TURNOVER_WINDOW {
-                    *e = Flow {
-                        inst,
-                        since: t,
-                        from: placed,
-                        last: Some(placed.saturating_sub(e.from)),
+                } else if now >= entry.window_start + KV_TURNOVER_WINDOW {
+                    *entry = CacheTurnover {
+                        instance,
+                        window_start: now,
+                        tokens_at_start: placed_tokens,
+                        last_window_tokens: Some(
+                            placed_tokens.saturating_sub(entry.tokens_at_start),
+                        ),
                     };
                 }
             });
     }
 
-    /// Whether what is placed there now is likely to stand for `KV_PREFETCH_LIFETIME`.
-    fn roomy(&self, s: &server_table::Server, tokens: u64) -> bool {
-        let g = self.flow.lock().unwrap();
-        let Some(e) = g.get(&s.at.server).filter(|e| e.inst == s.report.instance) else {
+    /// Whether a prefix of this many tokens, placed in the server's cache now, is likely to remain
+    /// there for `KV_PREFETCH_LIFETIME`.
+    fn would_remain_cached(&self, server: &server_table::Server, tokens: u64) -> bool {
+        let turnover = self.turnover.lock().unwrap();
+        let Some(entry) = turnover
+            .get(&server.at.server)
+            .filter(|entry| entry.instance == server.report.instance)
+        else {
             return false;
         };
-        let fast = s
+        let window_tokens = server
             .report
             .placed_tokens
-            .saturating_sub(e.from)
-            .max(e.last.unwrap_or(0));
-        fast.saturating_mul(KV_PREFETCH_LIFETIME / KV_TURNOVER_WINDOW)
+            .saturating_sub(entry.tokens_at_start)
+            .max(entry.last_window_tokens.unwrap_or(0));
+        window_tokens
+            .saturating_mul(KV_PREFETCH_LIFETIME / KV_TURNOVER_WINDOW)
             .saturating_add(tokens)
-            <= s.report.cache_tokens
+            <= server.report.cache_tokens
     }
 
-    /// Sessions whose home is one of these, the latest used of each shard first.
-    fn homed(&self, at: &BTreeSet<String>) -> Vec<(String, SessionTransfer)> {
-        let mine = |s: &SessionTransfer| {
-            s.cache
+    /// Sessions whose home is one of these servers; within each shard the most recently used first.
+    fn with_home_at(&self, servers: &BTreeSet<String>) -> Vec<(String, SessionTransfer)> {
+        let has_home_there = |session: &SessionTransfer| {
+            session
+                .cache
                 .home
                 .as_ref()
-                .is_some_and(|h| at.contains(&h.server))
+                .is_some_and(|home| servers.contains(&home.server))
         };
-        let of = |m: &Mutex<LruCache<String, SessionTransfer>>| {
-            m.lock()
+        let in_shard = |shard: &Mutex<LruCache<String, SessionTransfer>>| {
+            shard
+                .lock()
                 .unwrap()
                 .iter()
-                .filter(|x| mine(x.1))
-                .map(|(k, s)| (k.clone(), s.clone()))
+                .filter(|entry| has_home_there(entry.1))
+                .map(|(key, session)| (key.clone(), session.clone()))
                 .collect::<Vec<_>>()
         };
-        self.shards.iter().flat_map(of).collect()
+        self.shards.iter().flat_map(in_shard).collect()
     }
 }
 
-fn place(v: &mut Vec<CachedPrefix>, p: &CachedPrefix) {
-    v.retain(|o| o.server != p.server);
-    v.insert(0, p.clone());
-    v.truncate(KV_PREFIXES_PER_SESSION);
+fn add_prefix(prefixes: &mut Vec<CachedPrefix>, prefix: &CachedPrefix) {
+    prefixes.retain(|other| other.server != prefix.server);
+    prefixes.insert(0, prefix.clone());
+    prefixes.truncate(KV_PREFIXES_PER_SESSION);
 }
 
-/// The record's state and what this front saw itself: an import made ahead, or a prefix that a turn
-/// or an import placed at the replica's server and that covers most of it. Whether it is still held
-/// is for the judges. A place without a digest is a held prefix alone: nothing stands there that
-/// could be imported.
-pub fn effective_cache_state(f: &Front, key: &str, kv: &SessionCacheState) -> SessionCacheState {
-    let away = |p: &&CachedPrefix| kv.home.as_ref().is_none_or(|h| h.server != p.server);
-    let pushed = f.replicas.lock().unwrap().get(key).filter(away).cloned();
-    let placed = f.spares.get(key).map(|s| s.placed).unwrap_or_default();
-    let Some(r) = pushed.or(kv.replica.clone()) else {
-        // Nothing stands anywhere; yet the home before may still hold most of it.
-        let most = |p: &&CachedPrefix| {
-            kv.home
-                .as_ref()
-                .is_some_and(|h| h.weights == p.weights && p.tokens * 100 >= h.tokens * KV_WARM)
+/// The cache state in the session's record, completed by what this proxy has seen: a replica that it
+/// pushed or imported, or a prefix that a turn or an import placed at the replica's server and that
+/// covers most of the replica. Whether the prefix is still cached is decided by
+/// `scoring::cache_warmth`. A replica without a digest is only a cached prefix: nothing is stored
+/// there that could be imported.
+pub fn effective_cache_state(
+    front: &Front,
+    key: &str,
+    recorded: &SessionCacheState,
+) -> SessionCacheState {
+    let is_not_home = |prefix: &&CachedPrefix| {
+        recorded
+            .home
+            .as_ref()
+            .is_none_or(|home| home.server != prefix.server)
+    };
+    let pushed = front
+        .replicas
+        .lock()
+        .unwrap()
+        .get(key)
+        .filter(is_not_home)
+        .cloned();
+    let placed_prefixes = front
+        .spares
+        .get(key)
+        .map(|session| session.placed_prefixes)
+        .unwrap_or_default();
+    let Some(replica) = pushed.or(recorded.replica.clone()) else {
+        // There is no replica, but the previous home may still cache most of the prefix.
+        let covers_home = |prefix: &&CachedPrefix| {
+            recorded.home.as_ref().is_some_and(|home| {
+                home.weights == prefix.weights && prefix.tokens * 100 >= home.tokens * KV_WARM
+            })
         };
-        let before = placed.iter().filter(away).find(most).map(|p| CachedPrefix {
-            digest: String::new(),
-            ..p.clone()
-        });
+        let at_previous_home = placed_prefixes
+            .iter()
+            .filter(is_not_home)
+            .find(covers_home)
+            .map(|prefix| CachedPrefix {
+                digest: String::new(),
+                ..prefix.clone()
+            });
         return SessionCacheState {
-            replica: before,
-            ..kv.clone()
+            replica: at_previous_home,
+            ..recorded.clone()
         };
     };
-    let covers = |p: &&CachedPrefix| {
-        (&p.server, p.instance, &p.weights) == (&r.server, r.instance, &r.weights)
-            && p.tokens * 100 >= r.tokens * KV_WARM
+    let covers_replica = |prefix: &&CachedPrefix| {
+        (&prefix.server, prefix.instance, &prefix.weights)
+            == (&replica.server, replica.instance, &replica.weights)
+            && prefix.tokens * 100 >= replica.tokens * KV_WARM
     };
-    let p = Some(r.clone())
-        .filter(|r| r.placed_tokens > 0)
-        .or_else(|| placed.iter().find(covers).cloned());
+    let placed = Some(replica.clone())
+        .filter(|replica| replica.placed_tokens > 0)
+        .or_else(|| placed_prefixes.iter().find(covers_replica).cloned());
     SessionCacheState {
-        replica: p
-            .map(|p| CachedPrefix {
-                tokens: p.tokens,
-                placed_tokens: p.placed_tokens,
-                ..r.clone()
+        replica: placed
+            .map(|prefix| CachedPrefix {
+                tokens: prefix.tokens,
+                placed_tokens: prefix.placed_tokens,
+                ..replica.clone()
             })
-            .or(Some(r)),
-        ..kv.clone()
+            .or(Some(replica)),
+        ..recorded.clone()
     }
 }
 
-/// A turn begins here under this epoch: what was known of the session is void if other turns began
-/// elsewhere since.
+/// Called when a turn begins at this proxy under this epoch. Discards what the proxy has kept of the
+/// session if other turns have begun elsewhere since.
 pub fn begin_turn(front: &Front, key: &str, epoch: u64) {
-    if front.spares.get(key).is_some_and(|s| s.epoch + 1 < epoch) {
+    if front
+        .spares
+        .get(key)
+        .is_some_and(|session| session.epoch + 1 < epoch)
+    {
         front.spares.remove(key);
         front.replicas.lock().unwrap().remove(key);
     }
 }
 
-/// Has a replica brought into its server's cache ahead of need, one at a time at each server.
-/// Nobody waits for it.
-pub fn prefetch(front: &Arc<Front>, x: PrefetchJob, first: bool) {
-    let to = x.replica.server.clone();
-    let mut g = front.spares.due.lock().unwrap();
-    let idle = !g.contains_key(&to);
-    let line = g.entry(to.clone()).or_default();
-    if line.iter().any(|d| d.key == x.key) {
+/// Queues a replica for import into its server's cache, at the head of the queue or at its end. Each
+/// server imports one replica at a time; no request waits for it.
+pub fn prefetch(front: &Arc<Front>, job: PrefetchJob, at_head: bool) {
+    let server = job.replica.server.clone();
+    let mut queues = front.spares.prefetch_queues.lock().unwrap();
+    let is_idle = !queues.contains_key(&server);
+    let queue = queues.entry(server.clone()).or_default();
+    if queue.iter().any(|queued| queued.key == job.key) {
         return;
     }
-    if first {
-        line.push_front(x)
+    if at_head {
+        queue.push_front(job)
     } else {
-        line.push_back(x)
+        queue.push_back(job)
     }
-    if idle {
-        let me = front.clone();
+    if is_idle {
+        let importer = front.clone();
         front.runtime.spawn(async move {
-            let next = || {
-                let mut g = me.spares.due.lock().unwrap();
-                let x = g.get_mut(&to).and_then(|l| l.pop_front());
-                if x.is_none() {
-                    g.remove(&to);
+            let next_job = || {
+                let mut queues = importer.spares.prefetch_queues.lock().unwrap();
+                let job = queues.get_mut(&server).and_then(|queue| queue.pop_front());
+                if job.is_none() {
+                    queues.remove(&server);
                 }
-                x
+                job
             };
-            while let Some(x) = next() {
-                bring(&me, x).await;
+            while let Some(job) = next_job() {
+                import_replica(&importer, job).await;
             }
         });
     }
 }
 
-/// Whatever goes wrong, the session's next turn there is served cold.
-async fn bring(front: &Arc<Front>, x: PrefetchJob) {
+/// Has a server import a replica into its cache. If that fails, the session's next turn there starts
+/// with a cold cache.
+async fn import_replica(front: &Arc<Front>, job: PrefetchJob) {
     let PrefetchJob {
         key,
         service,
         replica,
-        update_record: tell,
-    } = x;
-    let newer = front
+        update_record,
+    } = job;
+    let is_superseded = front
         .replicas
         .lock()
         .unwrap()
         .get(&key)
-        .is_some_and(|p| p.digest != replica.digest);
+        .is_some_and(|pushed| pushed.digest != replica.digest);
     let servers = server_table::fit(front, &service);
-    let Some(s) = servers
+    let Some(server) = servers
         .iter()
-        .find(|s| s.at.server == replica.server && s.report.instance == replica.instance)
-        .filter(|_| !newer)
+        .find(|server| {
+            server.at.server == replica.server && server.report.instance == replica.instance
+        })
+        .filter(|_| !is_superseded)
     else {
         return;
     };
-    let kv = effective_cache_state(
+    let cache = effective_cache_state(
         front,
         &key,
         &SessionCacheState {
@@ -307,23 +367,26 @@
             ..Default::default()
         },
     );
-    if let Some(p) = kv.replica.filter(|p| p.placed_tokens > 0 && s.holds(p)) {
+    if let Some(placed) = cache
+        .replica
+        .filter(|prefix| prefix.placed_tokens > 0 && server.holds(prefix))
+    {
         front.counts.imports_skipped.fetch_add(1, SeqCst);
-        return stands(front, &key, p, tell).await;
+        return record_cached_replica(front, &key, placed, update_record).await;
     }
-    if s.report.weights != replica.weights || !scoring::is_import_faster(s, &replica) {
+    if server.report.weights != replica.weights || !scoring::is_import_faster(server, &replica) {
         return;
     }
     let body =
         serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
     front.counts.imports.fetch_add(1, SeqCst);
-    let t0 = front.runtime.now();
-    let got = back::ask_once(
+    let started = front.runtime.now();
+    let response = back::ask_once(
         &front.runtime,
         &front.pool,
         &service,
         &replica.server,
-        s.at.addr,
+        server.at.addr,
         "/kv/import",
         body,
         KV_IMPORT_TIMEOUT,
@@ -332,375 +395,418 @@
     front
         .counts
         .import_us
-        .fetch_add(front.runtime.now() - t0, SeqCst);
-    let Some(i) = got
-        .and_then(|b| serde_json::from_slice::<ImportResponse>(&b).ok())
-        .filter(|i| i.ok)
+        .fetch_add(front.runtime.now() - started, SeqCst);
+    let Some(imported) = response
+        .and_then(|body| serde_json::from_slice::<ImportResponse>(&body).ok())
+        .filter(|imported| imported.ok)
     else {
         front.counts.imports_failed.fetch_add(1, SeqCst);
         return;
     };
-    // The count from before the import errs to the safe side.
-    let p = CachedPrefix {
-        placed_tokens: if i.placed > 0 {
-            i.placed
+    // Without a count in the response, the one from before the import is used: with it the replica
+    // counts as evicted too early rather than too late.
+    let placed = CachedPrefix {
+        placed_tokens: if imported.placed_tokens > 0 {
+            imported.placed_tokens
         } else {
-            s.report.placed_tokens.max(1)
+            server.report.placed_tokens.max(1)
         },
         ..replica
     };
-    front.spares.imported(&key, &p);
-    stands(front, &key, p, tell).await;
+    front.spares.record_import(&key, &placed);
+    record_cached_replica(front, &key, placed, update_record).await;
 }
 
-/// The replica is in its server's cache: kept in mind and, where others have to know, told to the
-/// record.
-async fn stands(front: &Arc<Front>, key: &str, p: CachedPrefix, tell: bool) {
+/// Records that a replica is in its server's cache: at this proxy and, with `update_record`, in the
+/// session's record, where other proxies find it. Does nothing if a newer replica was pushed.
+async fn record_cached_replica(
+    front: &Arc<Front>,
+    key: &str,
+    replica: CachedPrefix,
+    update_record: bool,
+) {
     if front
         .replicas
         .lock()
         .unwrap()
         .get(key)
-        .is_some_and(|o| o.digest != p.digest)
+        .is_some_and(|pushed| pushed.digest != replica.digest)
     {
         return;
     }
-    remember(front, key, &p);
-    if let Some(s) = front
+    keep_replica(front, key, &replica);
+    if let Some(session) = front
         .spares
         .get(key)
-        .filter(|s| tell && s.cache.replica.as_ref() != Some(&p))
+        .filter(|session| update_record && session.cache.replica.as_ref() != Some(&replica))
     {
-        note(
+        record_cache_state(
             front,
             key,
-            s.epoch,
+            session.epoch,
             SessionCacheState {
-                replica: Some(p),
-                ..s.cache
+                replica: Some(replica),
+                ..session.cache
             },
         )
         .await;
     }
 }
 
-/// Writes transfer state into the record. Refused once a later turn has begun; then that turn's
-/// front holds it.
-async fn note(front: &Arc<Front>, key: &str, epoch: u64, kv: SessionCacheState) {
-    let told = front
+/// Writes where the session's prefix is cached to the session's record. The store rejects this once
+/// a later turn has begun; the proxy of that turn then holds the transfer state.
+async fn record_cache_state(
+    front: &Arc<Front>,
+    key: &str,
+    epoch: u64,
+    cache_state: SessionCacheState,
+) {
+    let response = front
         .store(
             key,
             &PeerRequest::RecordCacheState {
                 key: key.into(),
                 epoch,
-                cache: kv,
+                cache: cache_state,
             },
             &[],
             2,
         )
         .await;
-    if !matches!(told, Some((PeerResponse::Ok, _))) {
+    if !matches!(response, Some((PeerResponse::Ok, _))) {
         front.counts.note_refused.fetch_add(1, SeqCst);
     }
 }
 
-/// Sessions whose home has begun to leave or has fallen silent since the last look: their replicas
-/// are brought in.
+/// Prefetches the replicas of sessions whose home has begun to drain or has stopped reporting since
+/// the last call. Also updates the turnover of the servers' caches.
 pub fn prefetch_for_lost_homes(front: &Arc<Front>) {
-    let conf = front.documents.config.load_full();
-    let servers: Vec<server_table::Server> = conf
+    let configuration = front.documents.config.load_full();
+    let servers: Vec<server_table::Server> = configuration
         .1
         .services
         .keys()
-        .flat_map(|s| server_table::fit(front, s))
+        .flat_map(|service| server_table::fit(front, service))
         .collect();
-    front.spares.flows(front.runtime.now(), &servers);
-    let fit: BTreeSet<String> = servers.into_iter().map(|s| s.at.server).collect();
-    let was = std::mem::replace(&mut *front.spares.fit.lock().unwrap(), fit.clone());
-    let gone: BTreeSet<String> = was.difference(&fit).cloned().collect();
-    if gone.is_empty() {
+    front.spares.update_turnover(front.runtime.now(), &servers);
+    let available: BTreeSet<String> = servers.into_iter().map(|server| server.at.server).collect();
+    let previous = std::mem::replace(
+        &mut *front.spares.available.lock().unwrap(),
+        available.clone(),
+    );
+    let lost: BTreeSet<String> = previous.difference(&available).cloned().collect();
+    if lost.is_empty() {
         return;
     }
-    front.spares.homed(&gone).into_iter().for_each(|(key, s)| {
-        let replica = front
-            .replicas
-            .lock()
-            .unwrap()
-            .get(&key)
-            .cloned()
-            .or(s.cache.replica);
-        let fam = conf
-            .1
-            .families
-            .get(&s.cache.program)
-            .filter(|p| p.eff.kv_share);
-        replica.zip(fam).into_iter().for_each(|(replica, p)| {
-            prefetch(
-                front,
-                PrefetchJob {
-                    key: key.clone(),
-                    service: p.eff.service.clone(),
-                    replica,
-                    update_record: true,
-                },
-                false,
-            );
+    front
+        .spares
+        .with_home_at(&lost)
+        .into_iter()
+        .for_each(|(key, session)| {
+            let replica = front
+                .replicas
+                .lock()
+                .unwrap()
+                .get(&key)
+                .cloned()
+                .or(session.cache.replica);
+            let program = configuration
+                .1
+                .families
+                .get(&session.cache.program)
+                .filter(|program| program.eff.kv_share);
+            replica
+                .zip(program)
+                .into_iter()
+                .for_each(|(replica, program)| {
+                    prefetch(
+                        front,
+                        PrefetchJob {
+                            key: key.clone(),
+                            service: program.eff.service.clone(),
+                            replica,
+                            update_record: true,
+                        },
+                        false,
+                    );
+                });
         });
-    });
 }
 
-/// A replica has just arrived: it is brought in at once where the target's cache turns over slowly,
-/// and else where the home is nearly full, or no longer takes turns, and the target has places.
-fn after(f: &Arc<Front>, x: &FinishedTurn, replica: CachedPrefix) {
-    let servers = server_table::fit(f, &x.class.service);
-    let at = |n: &str| servers.iter().find(|s| s.at.server == n);
-    let full = |s: &server_table::Server| {
-        s.occupied() as u64 * 100 >= s.report.slots as u64 * KV_NEAR_FULL
+/// Prefetches a replica that has just been pushed if the target's cache turns over slowly enough to
+/// retain it. Otherwise only if the home is nearly full or unavailable, and the target is not
+/// nearly full.
+fn prefetch_after_push(front: &Arc<Front>, turn: &FinishedTurn, replica: CachedPrefix) {
+    let servers = server_table::fit(front, &turn.class.service);
+    let find = |name: &str| servers.iter().find(|server| server.at.server == name);
+    let is_nearly_full = |server: &server_table::Server| {
+        server.occupied() as u64 * 100 >= server.report.slots as u64 * KV_NEAR_FULL
     };
-    let Some(to) = at(&replica.server) else {
+    let Some(target) = find(&replica.server) else {
         return;
     };
-    let press = x
+    let is_needed_soon = turn
         .cache
         .home
         .as_ref()
-        .and_then(|h| at(&h.server))
-        .is_none_or(full)
-        && !full(to);
-    if press || f.spares.roomy(to, replica.tokens) {
+        .and_then(|home| find(&home.server))
+        .is_none_or(is_nearly_full)
+        && !is_nearly_full(target);
+    if is_needed_soon || front.spares.would_remain_cached(target, replica.tokens) {
         prefetch(
-            f,
+            front,
             PrefetchJob {
-                key: x.key.clone(),
-                service: x.class.service.clone(),
+                key: turn.key.clone(),
+                service: turn.class.service.clone(),
                 replica,
-                update_record: press,
+                update_record: is_needed_soon,
             },
             false,
         );
     }
 }
 
-/// How a finished turn began: counted for all turns and for those that changed server.
+/// Counts a finished turn as warm, partly warm or cold by the share of its prompt that was reused
+/// from the cache. Turns that ran at another server than the session's home are also counted
+/// separately.
 pub fn count_turn(
-    f: &Front,
-    fam: &ProgramClass,
-    kv: &SessionCacheState,
+    front: &Front,
+    class: &ProgramClass,
+    cache: &SessionCacheState,
     server: &str,
-    prompt: u64,
-    reused: u64,
+    prompt_tokens: u64,
+    reused_tokens: u64,
 ) {
-    let moved = kv.home.as_ref().is_some_and(|h| h.server != server);
-    let pct = reused.saturating_mul(100) / prompt.max(1);
-    let c = &f.counts;
-    let (all, mv) = match pct {
-        p if p >= KV_WARM => (&c.warm, &c.moved_warm),
-        p if p >= KV_PARTLY_WARM => (&c.partly, &c.moved_partly),
-        _ => (&c.cold, &c.moved_cold),
+    let has_moved = cache
+        .home
+        .as_ref()
+        .is_some_and(|home| home.server != server);
+    let reused_percent = reused_tokens.saturating_mul(100) / prompt_tokens.max(1);
+    let counts = &front.counts;
+    let (all, moved) = match reused_percent {
+        percent if percent >= KV_WARM => (&counts.warm, &counts.moved_warm),
+        percent if percent >= KV_PARTLY_WARM => (&counts.partly, &counts.moved_partly),
+        _ => (&counts.cold, &counts.moved_cold),
     };
     all.fetch_add(1, SeqCst);
-    if moved {
-        // Short prompts have no replica by design.
-        let short = kv
+    if has_moved {
+        // Prompts shorter than `kv_min_tokens` are not replicated.
+        let is_short = cache
             .home
             .as_ref()
-            .is_some_and(|h| h.tokens < fam.kv_min_tokens);
-        if short { &c.moved_short } else { mv }.fetch_add(1, SeqCst);
+            .is_some_and(|home| home.tokens < class.kv_min_tokens);
+        if is_short { &counts.moved_short } else { moved }.fetch_add(1, SeqCst);
     }
 }
 
-/// A finished turn whose cache may be worth a replica.
+/// A finished turn whose cached prefix may be replicated.
 #[derive(Clone)]
 pub struct FinishedTurn {
     pub key: String,
     pub epoch: u64,
+    /// Where the session's prefix is cached after the turn.
     pub cache: SessionCacheState,
     pub class: ProgramClass,
 }
 
-/// One push a session at a time; a turn that ends meanwhile waits, and only the newest of those is
-/// pushed.
-pub async fn replicate(f: Arc<Front>, x: FinishedTurn) {
-    if x.class.kv_share
-        && x.cache
+/// Replicates the cached prefix of a finished turn. Each session has one push in progress at a time;
+/// of the turns that end meanwhile, only the newest is pushed next.
+pub async fn replicate(front: Arc<Front>, turn: FinishedTurn) {
+    if turn.class.kv_share
+        && turn
+            .cache
             .home
             .as_ref()
-            .is_some_and(|h| h.tokens >= x.class.kv_min_tokens)
+            .is_some_and(|home| home.tokens >= turn.class.kv_min_tokens)
     {
-        f.spares.record_turn(&x.key, x.epoch, &x.cache);
+        front.spares.record_turn(&turn.key, turn.epoch, &turn.cache);
     }
     {
-        let mut g = f.pushing.lock().unwrap();
-        if let Some(next) = g.get_mut(&x.key) {
-            *next = Some(x);
+        let mut pushing = front.pushing.lock().unwrap();
+        if let Some(pending) = pushing.get_mut(&turn.key) {
+            *pending = Some(turn);
             return;
         }
-        g.insert(x.key.clone(), None);
+        pushing.insert(turn.key.clone(), None);
     }
-    let key = x.key.clone();
-    let mut now = Some(x);
-    while let Some(mut x) = now {
-        // What was pushed since may be newer than the record that this turn began from.
-        let known = f.replicas.lock().unwrap().get(&key).cloned();
-        x.cache.replica = known.or(x.cache.replica);
-        if let Some(p) = push(&f, &x).await {
-            remember(&f, &key, &p);
-            if f.pushing
+    let key = turn.key.clone();
+    let mut next = Some(turn);
+    while let Some(mut turn) = next {
+        // A replica pushed since may be newer than the one in the record that this turn began from.
+        let pushed = front.replicas.lock().unwrap().get(&key).cloned();
+        turn.cache.replica = pushed.or(turn.cache.replica);
+        if let Some(pushed) = push_replica(&front, &turn).await {
+            keep_replica(&front, &key, &pushed);
+            if front
+                .pushing
                 .lock()
                 .unwrap()
                 .get(&key)
-                .is_some_and(|n| n.is_none())
+                .is_some_and(|pending| pending.is_none())
             {
-                note(
-                    &f,
+                record_cache_state(
+                    &front,
                     &key,
-                    x.epoch,
+                    turn.epoch,
                     SessionCacheState {
-                        replica: Some(p.clone()),
-                        ..x.cache.clone()
+                        replica: Some(pushed.clone()),
+                        ..turn.cache.clone()
                     },
                 )
                 .await;
             }
-            after(&f, &x, p);
+            prefetch_after_push(&front, &turn, pushed);
         }
-        let mut g = f.pushing.lock().unwrap();
-        now = g.get_mut(&key).and_then(|n| n.take());
-        if now.is_none() {
-            g.remove(&key);
+        let mut pushing = front.pushing.lock().unwrap();
+        next = pushing.get_mut(&key).and_then(|pending| pending.take());
+        if next.is_none() {
+            pushing.remove(&key);
         }
     }
 }
 
-fn remember(f: &Front, key: &str, p: &CachedPrefix) {
-    let mut g = f.replicas.lock().unwrap();
-    g.insert(key.into(), p.clone());
-    while g.len() > KV_RECORDS {
-        g.pop_first();
+/// Keeps a pushed replica in this proxy's memory, for at most `KV_RECORDS` sessions.
+fn keep_replica(front: &Front, key: &str, replica: &CachedPrefix) {
+    let mut replicas = front.replicas.lock().unwrap();
+    replicas.insert(key.into(), replica.clone());
+    while replicas.len() > KV_RECORDS {
+        replicas.pop_first();
     }
 }
 
-/// Save at the turn's server, send what is new to exactly one spill target; gives the replica that
-/// stands there.
-async fn push(f: &Arc<Front>, x: &FinishedTurn) -> Option<CachedPrefix> {
+/// Saves the prefix at the turn's server and has it sent to the session's spill target, as a delta
+/// where the target has an earlier replica. A replica at any other server is dropped, so that there
+/// is only one. Returns the replica that is now stored at the target.
+async fn push_replica(front: &Arc<Front>, turn: &FinishedTurn) -> Option<CachedPrefix> {
     let FinishedTurn {
-        key,
-        cache: kv,
-        class: fam,
-        ..
-    } = x;
-    let home = kv.home.clone()?;
-    let big =
-        home.tokens >= fam.kv_min_tokens && home.tokens * KV_TOKEN_BYTES <= fam.kv_session_bytes;
-    if !fam.kv_share || !big {
+        key, cache, class, ..
+    } = turn;
+    let home = cache.home.clone()?;
+    let is_eligible = home.tokens >= class.kv_min_tokens
+        && home.tokens * KV_TOKEN_BYTES <= class.kv_session_bytes;
+    if !class.kv_share || !is_eligible {
         return None;
     }
-    let servers = server_table::fit(f, &fam.service);
-    let at = servers
+    let servers = server_table::fit(front, &class.service);
+    let source = servers
         .iter()
-        .find(|s| s.at.server == home.server)
+        .find(|server| server.at.server == home.server)
         .cloned()?;
-    let here = scoring::HomeServer {
+    let home_server = scoring::HomeServer {
         server: home.server.clone(),
-        site: at.at.site.clone(),
+        site: source.at.site.clone(),
     };
-    let to = scoring::spill_target(&servers, key, &here, &ScoreWeights::from(fam)).cloned()?;
-    let old = kv.replica.clone().filter(|r| {
-        r.server == to.at.server && r.instance == to.report.instance && r.weights == home.weights
+    let target =
+        scoring::spill_target(&servers, key, &home_server, &ScoreWeights::from(class)).cloned()?;
+    let earlier = cache.replica.clone().filter(|replica| {
+        replica.server == target.at.server
+            && replica.instance == target.report.instance
+            && replica.weights == home.weights
     });
-    if let Some(gone) = kv.replica.clone().filter(|r| r.server != to.at.server) {
-        f.replicas.lock().unwrap().remove(key);
-        drop_prefix(f, &fam.service, key, &gone.server).await;
+    if let Some(misplaced) = cache
+        .replica
+        .clone()
+        .filter(|replica| replica.server != target.at.server)
+    {
+        front.replicas.lock().unwrap().remove(key);
+        drop_prefix(front, &class.service, key, &misplaced.server).await;
     }
-    let Some(_line) = f.links.take(&f.runtime, &home.server, &to.at.server).await else {
-        f.counts.push_skipped.fetch_add(1, SeqCst);
+    let Some(_link) = front
+        .links
+        .take(&front.runtime, &home.server, &target.at.server)
+        .await
+    else {
+        front.counts.push_skipped.fetch_add(1, SeqCst);
         return None;
     };
-    let base = old.as_ref().map(|r| r.digest.clone());
-    let ask = |path: &'static str, v: serde_json::Value| {
-        let (f, svc, at) = (f.clone(), fam.service.clone(), at.at.clone());
+    let base = earlier.as_ref().map(|replica| replica.digest.clone());
+    let request = |path: &'static str, parameters: serde_json::Value| {
+        let (front, service, server) = (front.clone(), class.service.clone(), source.at.clone());
         async move {
-            let b = serde_json::to_vec(&v).unwrap_or_default();
+            let body = serde_json::to_vec(&parameters).unwrap_or_default();
             back::ask_once(
-                &f.runtime,
-                &f.pool,
-                &svc,
-                &at.server,
-                at.addr,
+                &front.runtime,
+                &front.pool,
+                &service,
+                &server.server,
+                server.addr,
                 path,
-                b,
+                body,
                 KV_PUSH_TIMEOUT,
             )
             .await
         }
     };
-    let saved = ask(
+    let response = request(
         "/kv/save",
         json!({"session": key, "digest": home.digest, "base": base}),
     )
     .await;
-    let Some(s) = saved
-        .and_then(|b| serde_json::from_slice::<Saved>(&b).ok())
-        .filter(|s| s.digest == home.digest)
+    let Some(saved) = response
+        .and_then(|body| serde_json::from_slice::<SaveResponse>(&body).ok())
+        .filter(|saved| saved.digest == home.digest)
     else {
-        f.counts.push_failed.fetch_add(1, SeqCst);
+        front.counts.push_failed.fetch_add(1, SeqCst);
         return None;
     };
-    let limit = f
+    let link_bytes = front
         .documents
         .config
         .load()
         .1
         .services
-        .get(&fam.service)
-        .map(|s| s.link_bytes)
+        .get(&class.service)
+        .map(|service| service.link_bytes)
         .unwrap_or(u64::MAX);
-    f.links.spend(f.runtime.now(), &home.server, s.bytes, limit);
-    let v = json!({"session": key, "digest": s.digest, "base": base, "to": to.at.addr, "target": to.at.server, "service": fam.service});
-    let sent = ask("/kv/send", v)
+    front
+        .links
+        .spend(front.runtime.now(), &home.server, saved.bytes, link_bytes);
+    let parameters = json!({"session": key, "digest": saved.digest, "base": base, "to": target.at.addr, "target": target.at.server, "service": class.service});
+    let response = request("/kv/send", parameters)
         .await
-        .and_then(|b| serde_json::from_slice::<Pushed>(&b).ok())
-        .filter(|p| p.ok);
-    let Some(p) = sent else {
-        f.counts.push_failed.fetch_add(1, SeqCst);
+        .and_then(|body| serde_json::from_slice::<SendResponse>(&body).ok())
+        .filter(|sent| sent.ok);
+    let Some(sent) = response else {
+        front.counts.push_failed.fetch_add(1, SeqCst);
         return None;
     };
-    let c = &f.counts;
-    c.pushes.fetch_add(1, SeqCst);
-    if to.at.site == at.at.site {
-        &c.push_within
+    let counts = &front.counts;
+    counts.pushes.fetch_add(1, SeqCst);
+    if target.at.site == source.at.site {
+        &counts.push_within
     } else {
-        &c.push_across
+        &counts.push_across
     }
-    .fetch_add(p.bytes, SeqCst);
-    let inst = if p.inst > 0 {
-        p.inst
+    .fetch_add(sent.bytes, SeqCst);
+    let target_instance = if sent.instance > 0 {
+        sent.instance
     } else {
-        to.report.instance
+        target.report.instance
     };
     Some(CachedPrefix {
-        server: to.at.server.clone(),
-        instance: inst,
+        server: target.at.server.clone(),
+        instance: target_instance,
         weights: home.weights,
-        tokens: s.tokens,
-        digest: s.digest,
+        tokens: saved.tokens,
+        digest: saved.digest,
         placed_tokens: 0,
     })
 }
 
-pub async fn drop_prefix(front: &Arc<Front>, svc: &str, key: &str, server: &str) {
+/// Has a listed server drop the session's prefix. A failure is ignored.
+pub async fn drop_prefix(front: &Arc<Front>, service: &str, key: &str, server: &str) {
     let list = front.documents.list.load_full();
-    if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
-        let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
+    if let Some(listed) = list.1.servers.iter().find(|listed| listed.server == server) {
+        let body = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
         front.counts.drops.fetch_add(1, SeqCst);
         back::ask_once(
             &front.runtime,
             &front.pool,
-            svc,
+            service,
             server,
-            l.addr,
+            listed.addr,
             "/kv/drop",
-            b,
+            body,
             UPSTREAM_REPORT_TIMEOUT,
         )
         .await;
