--- a/yewcross-proxy/src/admission.rs
+++ b/yewcross-proxy/src/admission.rs
@@ -1,8 +1,8 @@
-//! Admission queues, one a service: bounded, urgent requests first within reason, then by earliest
-//! deadline.
+//! Admission control: a bounded queue for each service, ordered by deadline, in which the priority
+//! of a request shifts its deadline.
 //!
-//! A request waits here until a server has a free slot. It is refused at once when its expected
-//! wait passes what its deadline allows, and asked again of itself each time it wakes.
+//! A request waits here until a server has a free slot. It is refused as soon as its expected wait
+//! exceeds what its deadline allows; this is checked on arrival and each time the request wakes.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,79 +11,80 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::runtime::Runtime;
 
-/// us. The longest a waiting request sleeps before it looks again.
-const LOOK_AGAIN: u64 = 100 * MS;
-/// us. How much later than its deadline a request of class `Normal` sorts, and one of class `Idle`;
-/// finite, so that nobody starves.
+/// µs. Longest time for which a waiting request sleeps before it checks again.
+const RECHECK_INTERVAL: u64 = 100 * MS;
+/// µs. Added to the deadline of requests of class `Normal` and `Idle` to order the queue; finite, so
+/// that no request starves.
 const NORMAL_OFFSET: u64 = 3 * SEC;
 const IDLE_OFFSET: u64 = 6 * SEC;
 
-/// Order in a queue: the deadline with its class's offset, then arrival.
+/// Position in a queue: the deadline with the offset of its class, then the order of arrival.
 type Position = (u64, u64);
 
-/// What a request asks of its queue. Times are in us of the node's clock.
+/// A request for admission. Times are in µs of the node's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The service whose slots it needs.
+    /// The service whose slots the request needs.
     pub service: &'a str,
-    /// Its priority.
+    /// Priority of the request.
     pub class: Class,
-    /// When its answer is due.
+    /// When the response is due.
     pub deadline: u64,
-    /// When it must be told, if it is not to be served.
+    /// When the request must have been refused, if it is not served.
     pub queueing_deadline: u64,
-    /// us. The least time a server needs for it.
+    /// µs. Least time that a server needs for the request.
     pub min_service_us: u64,
-    /// How many requests may wait, whatever their class.
+    /// How many requests of all classes may wait.
     pub capacity: u64,
-    /// Percent of the capacity that only urgent requests may use.
+    /// Percentage of the capacity that is reserved for urgent requests.
     pub urgent_share: u64,
 }
 
 /// Slots of a service's servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Slots {
-    /// Slots without a request.
+    /// Slots that are not in use.
     pub free: u32,
     /// All slots.
     pub total: u32,
 }
 
-/// Why a request is not admitted, and after how many seconds it may come back.
+/// Why a request is not admitted, and after how many seconds it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The reason, as callers are told.
+    /// The reason, as returned to callers.
     pub code: Code,
-    /// Seconds until a repetition makes sense.
+    /// Seconds after which a retry may succeed.
     pub retry_after: u64,
 }
 
 #[derive(Default)]
 struct Queue {
     waiting: BTreeMap<Position, async_channel::Sender<()>>,
-    /// Admitted, not yet at a server.
+    /// Requests that were admitted and have not reached a server yet.
     admitted: u32,
-    /// us a request holds a slot, smoothed.
+    /// µs for which a request holds a slot, smoothed.
     service_time: u64,
-    /// us between two admissions while others wait, smoothed: what other fronts take is in it.
+    /// µs between two admissions while other requests wait, smoothed. It reflects the slots that
+    /// other proxies take.
     interval: u64,
     intervals_seen: u64,
-    /// When the last request was admitted while others waited; 0: none waited.
+    /// When the last request was admitted while others waited, in µs; 0 if none waited.
     last_admission: u64,
     arrivals: u64,
 }
 
 impl Queue {
-    /// us that a request at this position must expect to wait.
+    /// µs for which a request at this position can expect to wait.
     fn expected_wait(&self, position: Position, slots: Slots) -> u64 {
         let ahead = self.waiting.range(..position).count() as u64 + 1;
-        let by_slots = self.service_time / slots.total.max(1) as u64;
-        let each = if self.intervals_seen < PACE_MIN_SAMPLES {
-            by_slots
+        let interval_by_slots = self.service_time / slots.total.max(1) as u64;
+        let interval = if self.intervals_seen < PACE_MIN_SAMPLES {
+            interval_by_slots
         } else {
-            by_slots.max(self.interval)
+            interval_by_slots.max(self.interval)
         };
-        (ahead + self.admitted as u64).saturating_sub(slots.free as u64) * each
+        (ahead + self.admitted as u64).saturating_sub(slots.free as u64) * interval
     }
 
     fn is_first(&self, position: Position) -> bool {
@@ -92,7 +93,7 @@
             .is_some_and(|(first, _)| *first == position)
     }
 
-    /// Puts a request into the queue, unless it is bound to be refused later.
+    /// Adds a request, unless the queue is full or the request cannot be served in time.
     fn join(
         &mut self,
         request: &Request,
@@ -110,20 +111,20 @@
             request.deadline + class_offset(request.class),
             self.arrivals,
         );
-        let wait = self.expected_wait(position, slots);
-        if self.waiting.len() as u64 >= request.room() {
+        let expected_wait = self.expected_wait(position, slots);
+        if self.waiting.len() as u64 >= request.queue_limit() {
             return Err(Refusal {
                 code: Code::LineFull,
-                retry_after: seconds(wait),
+                retry_after: retry_after_seconds(expected_wait),
             });
         }
-        request.check_in_time(now, wait)?;
+        request.check_in_time(now, expected_wait)?;
         self.arrivals += 1;
         self.waiting.insert(position, wake);
         Ok(position)
     }
 
-    /// Takes the request at this position out, on its way to a server.
+    /// Removes the request at this position and counts it as admitted.
     fn admit(&mut self, position: Position, now: u64) {
         self.admitted += 1;
         self.waiting.remove(&position);
@@ -131,20 +132,20 @@
             self.last_admission = 0;
             return;
         }
-        let gap = if self.last_admission == 0 {
+        let elapsed = if self.last_admission == 0 {
             self.interval
         } else {
             now - self.last_admission
         };
-        self.interval = (7 * self.interval + gap) / 8;
+        self.interval = (7 * self.interval + elapsed) / 8;
         self.intervals_seen += 1;
         self.last_admission = now;
     }
 }
 
 impl Request<'_> {
-    /// How many requests may stand before this one is refused.
-    fn room(&self) -> u64 {
+    /// Number of waiting requests at which this one is refused.
+    fn queue_limit(&self) -> u64 {
         match self.class {
             Class::Urgent => self.capacity,
             Class::Normal | Class::Idle => self.capacity - self.capacity * self.urgent_share / 100,
@@ -152,25 +153,25 @@
     }
 
     fn check_in_time(&self, now: u64, wait: u64) -> Result<(), Refusal> {
-        let too_late = now + wait + self.min_service_us > self.deadline;
-        let too_patient = now + wait > self.queueing_deadline;
-        if too_late || too_patient {
+        let misses_deadline = now + wait + self.min_service_us > self.deadline;
+        let misses_queueing_deadline = now + wait > self.queueing_deadline;
+        if misses_deadline || misses_queueing_deadline {
             return Err(Refusal {
                 code: Code::TooLate,
-                retry_after: seconds(wait),
+                retry_after: retry_after_seconds(wait),
             });
         }
         Ok(())
     }
 
-    /// The last moment at which it may still be admitted.
-    fn give_up_at(&self) -> u64 {
+    /// The latest time at which the request may still be admitted.
+    fn latest_admission(&self) -> u64 {
         self.queueing_deadline
             .min(self.deadline.saturating_sub(self.min_service_us))
     }
 }
 
-fn seconds(us: u64) -> u64 {
+fn retry_after_seconds(us: u64) -> u64 {
     us.div_ceil(SEC).max(DEFAULT_RETRY_AFTER_S)
 }
 
@@ -182,11 +183,11 @@
     }
 }
 
-/// The admission queues of a front, by service.
+/// The admission queues of a proxy, by service.
 #[derive(Default)]
 pub struct Admission(Mutex<BTreeMap<String, Queue>>);
 
-/// An admitted request on its way to a server; given back when dropped.
+/// Permission for an admitted request to be sent to a server; released when dropped.
 pub struct Permit<'a> {
     admission: &'a Admission,
     service: String,
@@ -194,14 +195,14 @@
 
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        self.admission.with(&self.service, |queue| {
+        self.admission.with_queue(&self.service, |queue| {
             queue.admitted = queue.admitted.saturating_sub(1)
         });
         self.admission.wake(&self.service);
     }
 }
 
-/// A request in its queue; leaves it when dropped.
+/// A request in its queue; removed from the queue when dropped.
 struct Waiter<'a> {
     admission: &'a Admission,
     service: &'a str,
@@ -211,18 +212,18 @@
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         self.admission
-            .with(self.service, |queue| queue.waiting.remove(&self.position));
+            .with_queue(self.service, |queue| queue.waiting.remove(&self.position));
         self.admission.wake(self.service);
     }
 }
 
 impl Admission {
-    fn with<R>(&self, service: &str, act: impl FnOnce(&mut Queue) -> R) -> R {
+    fn with_queue<R>(&self, service: &str, act: impl FnOnce(&mut Queue) -> R) -> R {
         let mut queues = self.0.lock().unwrap();
         act(queues.entry(service.into()).or_default())
     }
 
-    /// Has the first request of a service look again.
+    /// Wakes the first request in a service's queue, so that it checks for a free slot.
     pub fn wake(&self, service: &str) {
         let queues = self.0.lock().unwrap();
         let first = queues
@@ -233,9 +234,9 @@
         }
     }
 
-    /// A request of the service held its slot for so many us.
+    /// Records that a request of the service held its slot for this many µs.
     pub fn record_service_time(&self, service: &str, us: u64) {
-        self.with(service, |queue| {
+        self.with_queue(service, |queue| {
             queue.service_time = if queue.service_time == 0 {
                 us
             } else {
@@ -244,7 +245,7 @@
         });
     }
 
-    /// Requests that wait, by service.
+    /// Number of waiting requests, by service.
     pub fn queue_depths(&self) -> BTreeMap<String, usize> {
         self.0
             .lock()
@@ -254,16 +255,16 @@
             .collect()
     }
 
-    /// Waits until a server has room. `slots` is asked again at each look.
+    /// Waits until a server has a free slot for the request. `slots` is called at each check.
     pub async fn admit(
         &self,
-        world: &Runtime,
+        runtime: &Runtime,
         request: Request<'_>,
         slots: impl Fn() -> Slots,
     ) -> Result<Permit<'_>, Refusal> {
         let (wake, woken) = async_channel::bounded(1);
-        let position = self.with(request.service, |queue| {
-            queue.join(&request, slots(), world.now(), wake)
+        let position = self.with_queue(request.service, |queue| {
+            queue.join(&request, slots(), runtime.now(), wake)
         })?;
         let waiter = Waiter {
             admission: self,
@@ -271,7 +272,7 @@
             position,
         };
         loop {
-            if self.try_admit(world, &request, position, &slots)? {
+            if self.try_admit(runtime, &request, position, &slots)? {
                 self.wake(request.service);
                 drop(waiter);
                 return Ok(Permit {
@@ -279,43 +280,44 @@
                     service: request.service.into(),
                 });
             }
-            let now = world.now();
-            let end = request.give_up_at();
+            let now = runtime.now();
+            let end = request.latest_admission();
             if now > end {
                 return Err(Refusal {
                     code: Code::TooLate,
                     retry_after: DEFAULT_RETRY_AFTER_S,
                 });
             }
-            world
-                .timeout((end - now).clamp(MS, LOOK_AGAIN), woken.recv())
+            runtime
+                .timeout((end - now).clamp(MS, RECHECK_INTERVAL), woken.recv())
                 .await;
         }
     }
 
-    /// Whether the request may go now; what has become hopeless is refused now, not when its time
-    /// is up.
+    /// Whether the request is admitted now. A request that can no longer be served in time is
+    /// refused at once rather than at its deadline.
     fn try_admit(
         &self,
-        world: &Runtime,
+        runtime: &Runtime,
         request: &Request,
         position: Position,
         slots: impl Fn() -> Slots,
     ) -> Result<bool, Refusal> {
-        self.with(request.service, |queue| {
-            // Read under the queue's lock: a request that reaches its server leaves the one count
-            // only after it is in the other.
+        self.with_queue(request.service, |queue| {
+            // The slots are read under the queue's lock: an admitted request that reaches its server
+            // occupies a slot before it stops counting as admitted, so it is never missing from
+            // both figures.
             let slots = slots();
             if queue.is_first(position) && slots.free > queue.admitted {
-                queue.admit(position, world.now());
+                queue.admit(position, runtime.now());
                 return Ok(true);
             }
-            let wait = if slots.total == 0 {
+            let expected_wait = if slots.total == 0 {
                 0
             } else {
                 queue.expected_wait(position, slots)
             };
-            request.check_in_time(world.now(), wait)?;
+            request.check_in_time(runtime.now(), expected_wait)?;
             Ok(false)
         })
     }
--- a/yewcross-proxy/src/load_exchange.rs
+++ b/yewcross-proxy/src/load_exchange.rs
@@ -1,10 +1,13 @@
-//! Fronts tell each other what they have under way at each server, so that each chooses by the load
-//! of all.
+//! Exchange of load between proxies: each proxy reports how many of its requests are in flight at
+//! each server, so that all of them balance by the total load.
 //!
-//! One front of each site collects what the fronts there report, and its answers tell them the
-//! sums. Collectors tell each other what their sites have under way in the other's, and hear the
-//! load of the servers there. Nothing rests on it but the quality of a choice: what is not heard in
-//! time fades, and a collector that cannot be reached is replaced as soon as membership says so.
+//! In each site one proxy is the collector. The other proxies of the site send it their reports, and
+//! its responses contain the sums. Collectors of different sites also exchange reports: each sends
+//! the load that its site puts on the other site's servers, and receives the total load of those
+//! servers.
+//!
+//! Only the quality of server selection depends on the exchange: reports that are not renewed
+//! expire, and an unreachable collector is replaced as soon as membership reports its failure.
 
 use crate::balance::{Load, LoadBalancer};
 use crate::relay::Relay;
@@ -20,101 +23,109 @@
 use yewcross_common::protocol::{ListedServer, PeerRequest, PeerResponse};
 use yewcross_common::runtime::Runtime;
 
-/// Names the front of a site that collects, among its fronts.
+/// Key by which rendezvous hashing selects the collector among the proxies of a site.
 const COLLECTOR: &str = "load collector";
 
-/// A server's name in few bytes. Two servers under one key would share a load, and nothing worse.
+/// Compact identifier of a server: a hash of its name. If two servers have the same key, their loads
+/// are added up; nothing else is affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerKey(u32);
 
 impl ServerKey {
+    /// The key of the server with this name.
     pub fn of(server: &str) -> ServerKey {
         ServerKey(rendezvous_weight(server, "") as u32)
     }
 }
 
-/// Requests under way at one server, and the fronts that leave it alone since it failed.
+/// The load of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerLoad {
     pub server: ServerKey,
     pub load: Load,
 }
 
-/// What one front, or the collector of another site, last reported.
+/// The newest report of a proxy, or of another site's collector.
 struct Report {
-    at: u64,
+    /// When the report was received, in µs.
+    received_at: u64,
     loads: HashMap<ServerKey, Load>,
 }
 
-/// The collector's side: the newest report of each front of its site, and of each other site.
+/// State of a collector: the newest report of each proxy of its site and of each other site.
 #[derive(Default)]
 pub struct LoadCollector {
-    fronts: HashMap<String, Report>,
+    proxies: HashMap<String, Report>,
     sites: HashMap<String, Report>,
-    /// Load of the servers of other sites, as their collectors told it.
-    elsewhere: HashMap<String, Vec<ServerLoad>>,
+    /// Load of the servers of other sites, as reported by their collectors.
+    remote_loads: HashMap<String, Vec<ServerLoad>>,
 }
 
 impl LoadCollector {
+    /// Replaces the report of a proxy or, with `by_site`, of another site.
     pub fn add_report(&mut self, from: &str, by_site: bool, loads: &[ServerLoad], now: u64) {
         let report = Report {
-            at: now,
-            loads: loads.iter().map(|l| (l.server, l.load)).collect(),
+            received_at: now,
+            loads: loads
+                .iter()
+                .map(|server_load| (server_load.server, server_load.load))
+                .collect(),
         };
         let reports = if by_site {
             &mut self.sites
         } else {
-            &mut self.fronts
+            &mut self.proxies
         };
         reports.insert(from.into(), report);
     }
 
-    /// Load at these servers by all reports that still count.
+    /// Load of these servers, summed over all current reports.
     pub fn total<'a>(
         &self,
         servers: impl Iterator<Item = &'a ListedServer>,
         now: u64,
     ) -> Vec<ServerLoad> {
-        sums(
-            self.fronts.values().chain(self.sites.values()),
+        sum_loads(
+            self.proxies.values().chain(self.sites.values()),
             servers,
             now,
         )
     }
 
-    /// What the fronts of this site alone have under way at these servers.
-    fn ours<'a>(
+    /// Load that the proxies of this site put on these servers; servers without any are left out.
+    fn own_site_loads<'a>(
         &self,
         servers: impl Iterator<Item = &'a ListedServer>,
         now: u64,
     ) -> Vec<ServerLoad> {
-        let mut ours = sums(self.fronts.values(), servers, now);
-        ours.retain(|l| l.load != Load::default());
-        ours
+        let mut loads = sum_loads(self.proxies.values(), servers, now);
+        loads.retain(|server_load| server_load.load != Load::default());
+        loads
     }
 
-    fn tidy(&mut self, now: u64) {
-        self.fronts.retain(|_, r| r.counts(now));
-        self.sites.retain(|_, r| r.counts(now));
+    /// Removes expired reports.
+    fn prune(&mut self, now: u64) {
+        self.proxies.retain(|_, report| report.is_current(now));
+        self.sites.retain(|_, report| report.is_current(now));
     }
 }
 
-/// What the reports that still count come to, for each of these servers.
-fn sums<'r, 's>(
+/// Sums the current reports for each of these servers.
+fn sum_loads<'r, 's>(
     reports: impl Iterator<Item = &'r Report>,
     servers: impl Iterator<Item = &'s ListedServer>,
     now: u64,
 ) -> Vec<ServerLoad> {
-    let counting: Vec<&Report> = reports.filter(|r| r.counts(now)).collect();
+    let current: Vec<&Report> = reports.filter(|report| report.is_current(now)).collect();
     let sum = |server: ServerKey| {
-        counting
+        current
             .iter()
-            .filter_map(|r| r.loads.get(&server))
+            .filter_map(|report| report.loads.get(&server))
             .copied()
             .sum()
     };
     servers
-        .map(|s| ServerKey::of(&s.server))
+        .map(|listed| ServerKey::of(&listed.server))
         .map(|server| ServerLoad {
             server,
             load: sum(server),
@@ -123,19 +134,20 @@
 }
 
 impl Report {
-    fn counts(&self, now: u64) -> bool {
-        now < self.at + LOAD_REPORT_LIFETIME
+    fn is_current(&self, now: u64) -> bool {
+        now < self.received_at + LOAD_REPORT_LIFETIME
     }
 }
 
-/// A front's part in the exchange.
+/// The load exchange as one proxy takes part in it.
 pub struct LoadExchange {
     runtime: Runtime,
     name: String,
     site: String,
     members: Arc<Membership>,
     documents: Arc<DocumentCache>,
-    collected: Mutex<LoadCollector>,
+    /// In use while this proxy is its site's collector.
+    collector: Mutex<LoadCollector>,
 }
 
 impl LoadExchange {
@@ -151,44 +163,60 @@
             site: site.into(),
             members: members.clone(),
             documents: documents.clone(),
-            collected: Default::default(),
+            collector: Default::default(),
         })
     }
 
-    /// Answers a report with the load of all servers known here.
-    pub fn handle_report(&self, from: &str, by_site: bool, blob: &[u8]) -> Option<Vec<u8>> {
-        let loads: Vec<ServerLoad> = postcard::from_bytes(blob).ok()?;
+    /// Adds a report and returns the encoded response: to a proxy the load of all known servers, to
+    /// another site's collector the load of this site's servers. None if the report cannot be
+    /// decoded.
+    pub fn handle_report(&self, from: &str, by_site: bool, report: &[u8]) -> Option<Vec<u8>> {
+        let loads: Vec<ServerLoad> = postcard::from_bytes(report).ok()?;
         let now = self.runtime.now();
-        let mut collected = self.collected.lock().unwrap();
-        collected.add_report(from, by_site, &loads, now);
-        let told = if by_site {
-            self.least_loaded(&collected, now)
+        let mut collector = self.collector.lock().unwrap();
+        collector.add_report(from, by_site, &loads, now);
+        let response = if by_site {
+            self.least_loaded(&collector, now)
         } else {
-            self.known(&collected, now)
+            self.known_loads(&collector, now)
         };
-        postcard::to_allocvec(&told).ok()
+        postcard::to_allocvec(&response).ok()
     }
 
-    /// Load of the servers of our site, and of those of others as far as they were told.
-    fn known(&self, collected: &LoadCollector, now: u64) -> Vec<ServerLoad> {
+    /// Load of this site's servers, and of other sites' servers as far as their collectors have
+    /// reported it.
+    fn known_loads(&self, collector: &LoadCollector, now: u64) -> Vec<ServerLoad> {
         let list = self.documents.list.load();
-        let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
-        all.extend(collected.elsewhere.values().flatten());
-        all
+        let mut loads = collector.total(
+            list.1
+                .servers
+                .iter()
+                .filter(|server| server.site == self.site),
+            now,
+        );
+        loads.extend(collector.remote_loads.values().flatten());
+        loads
     }
 
-    /// Load of the servers of our site that another site would send requests to.
-    fn least_loaded(&self, collected: &LoadCollector, now: u64) -> Vec<ServerLoad> {
+    /// Load of this site's least loaded servers: the ones to which another site would send requests.
+    fn least_loaded(&self, collector: &LoadCollector, now: u64) -> Vec<ServerLoad> {
         let list = self.documents.list.load();
-        let mut all = collected.total(list.1.servers.iter().filter(|s| s.site == self.site), now);
-        all.sort_by_key(|l| l.load.in_flight);
-        all.truncate(LOAD_SITE_SERVERS);
-        all
+        let mut loads = collector.total(
+            list.1
+                .servers
+                .iter()
+                .filter(|server| server.site == self.site),
+            now,
+        );
+        loads.sort_by_key(|server_load| server_load.load.in_flight);
+        loads.truncate(LOAD_SITE_SERVERS);
+        loads
     }
 
-    /// Reports and hears, again and again.
+    /// Exchanges load at random intervals of about `LOAD_EXCHANGE_INTERVAL`, for the lifetime of the
+    /// process.
     pub async fn run(self: Arc<Self>, relay: Arc<Relay>) {
-        let (mut idle_since, mut next_sites) = (0, 0);
+        let (mut last_exchange, mut next_site_exchange) = (0, 0);
         loop {
             self.runtime
                 .sleep(
@@ -198,117 +226,132 @@
                 .await;
             let now = self.runtime.now();
             let loads = own_loads(&relay.balance, now);
-            // A front without requests has nothing to tell and nothing to choose, and servers that
-            // tell their load say more.
-            let is_needless = loads.is_empty() || relay.balance.servers_report_load(now);
-            if is_needless && now < idle_since + LOAD_EXCHANGE_IDLE_INTERVAL {
+            // Without requests in flight a proxy has neither load to report nor servers to pick, and
+            // servers that report their load themselves give better figures.
+            let is_optional = loads.is_empty() || relay.balance.servers_report_load(now);
+            if is_optional && now < last_exchange + LOAD_EXCHANGE_IDLE_INTERVAL {
                 continue;
             }
-            idle_since = now;
-            let fronts = self.members.nodes_of_role(Role::Front);
-            let collector = home_of(&fronts, COLLECTOR, &self.site);
+            last_exchange = now;
+            let proxies = self.members.nodes_of_role(Role::Front);
+            let collector = home_of(&proxies, COLLECTOR, &self.site);
             if collector.as_deref() == Some(self.name.as_str()) {
-                self.collect(&loads, &relay.balance);
-                if now >= next_sites {
-                    next_sites = now + LOAD_SITE_EXCHANGE_INTERVAL;
-                    self.tell_sites(&fronts);
+                self.collect_own_loads(&loads, &relay.balance);
+                if now >= next_site_exchange {
+                    next_site_exchange = now + LOAD_SITE_EXCHANGE_INTERVAL;
+                    self.exchange_with_sites(&proxies);
                 }
             } else if let Some(node) =
-                collector.and_then(|name| fronts.into_iter().find(|n| n.name == name))
+                collector.and_then(|name| proxies.into_iter().find(|node| node.name == name))
             {
-                self.report_to(&node, &loads, &relay.balance).await;
+                self.exchange_with_collector(&node, &loads, &relay.balance)
+                    .await;
             }
         }
     }
 
-    /// The collector's own report.
-    fn collect(&self, loads: &[ServerLoad], balance: &LoadBalancer) {
+    /// Adds the collector's own report and updates its load balancer.
+    fn collect_own_loads(&self, loads: &[ServerLoad], balancer: &LoadBalancer) {
         let now = self.runtime.now();
-        let mut collected = self.collected.lock().unwrap();
-        collected.tidy(now);
-        collected.add_report(&self.name, false, loads, now);
-        let known = self.known(&collected, now);
-        drop(collected);
-        apply(balance, &known, loads, now);
+        let mut collector = self.collector.lock().unwrap();
+        collector.prune(now);
+        collector.add_report(&self.name, false, loads, now);
+        let known = self.known_loads(&collector, now);
+        drop(collector);
+        update_peer_loads(balancer, &known, loads, now);
     }
 
-    async fn report_to(&self, collector: &Node, loads: &[ServerLoad], balance: &LoadBalancer) {
-        let Ok(blob) = postcard::to_allocvec(loads) else {
+    /// Sends this proxy's loads to its collector and updates the load balancer from the response.
+    async fn exchange_with_collector(
+        &self,
+        collector: &Node,
+        loads: &[ServerLoad],
+        balancer: &LoadBalancer,
+    ) {
+        let Ok(report) = postcard::to_allocvec(loads) else {
             return;
         };
-        let answer = self
+        let response = self
             .members
             .peers
             .request(
                 collector.peer,
                 &PeerRequest::ExchangeLoads { by_site: false },
-                &blob,
+                &report,
                 LOAD_EXCHANGE_TIMEOUT,
             )
             .await;
-        let Ok((PeerResponse::Loads, blob)) = answer else {
+        let Ok((PeerResponse::Loads, encoded)) = response else {
             return;
         };
-        if let Ok(known) = postcard::from_bytes::<Vec<ServerLoad>>(&blob) {
-            apply(balance, &known, loads, self.runtime.now());
+        if let Ok(known) = postcard::from_bytes::<Vec<ServerLoad>>(&encoded) {
+            update_peer_loads(balancer, &known, loads, self.runtime.now());
         }
     }
 
-    /// Tells the collector of each other site what this one has under way there, and takes what it
-    /// tells.
-    fn tell_sites(self: &Arc<Self>, fronts: &[Node]) {
-        let sites: BTreeSet<&str> = fronts
+    /// Starts an exchange with the collector of each other site.
+    fn exchange_with_sites(self: &Arc<Self>, proxies: &[Node]) {
+        let sites: BTreeSet<&str> = proxies
             .iter()
-            .map(|n| n.site.as_str())
-            .filter(|s| *s != self.site)
+            .map(|node| node.site.as_str())
+            .filter(|site| *site != self.site)
             .collect();
         for site in sites {
-            let Some(node) = home_of(fronts, COLLECTOR, site)
-                .and_then(|name| fronts.iter().find(|n| n.name == name))
+            let Some(node) = home_of(proxies, COLLECTOR, site)
+                .and_then(|name| proxies.iter().find(|node| node.name == name))
             else {
                 continue;
             };
-            let (me, node) = (self.clone(), node.clone());
-            self.runtime.spawn(async move { me.tell_site(node).await });
+            let (exchange, node) = (self.clone(), node.clone());
+            self.runtime
+                .spawn(async move { exchange.exchange_with_site(node).await });
         }
     }
 
-    async fn tell_site(self: Arc<Self>, node: Node) {
-        let ours = {
+    /// Sends another site's collector the load that this site puts on that site's servers, and keeps
+    /// the load that it returns. If the exchange fails, the load of that site's servers is unknown.
+    async fn exchange_with_site(self: Arc<Self>, node: Node) {
+        let loads = {
             let list = self.documents.list.load();
-            let there = list.1.servers.iter().filter(|s| s.site == node.site);
-            self.collected
+            let remote = list
+                .1
+                .servers
+                .iter()
+                .filter(|server| server.site == node.site);
+            self.collector
                 .lock()
                 .unwrap()
-                .ours(there, self.runtime.now())
+                .own_site_loads(remote, self.runtime.now())
         };
-        let Ok(blob) = postcard::to_allocvec(&ours) else {
+        let Ok(report) = postcard::to_allocvec(&loads) else {
             return;
         };
-        let answer = self
+        let response = self
             .members
             .peers
             .request(
                 node.peer,
                 &PeerRequest::ExchangeLoads { by_site: true },
-                &blob,
+                &report,
                 LOAD_EXCHANGE_TIMEOUT,
             )
             .await;
-        let told = match answer {
-            Ok((PeerResponse::Loads, blob)) => postcard::from_bytes(&blob).unwrap_or_default(),
+        let remote_loads = match response {
+            Ok((PeerResponse::Loads, encoded)) => {
+                postcard::from_bytes(&encoded).unwrap_or_default()
+            }
             _ => vec![],
         };
-        self.collected
+        self.collector
             .lock()
             .unwrap()
-            .elsewhere
-            .insert(node.site, told);
+            .remote_loads
+            .insert(node.site, remote_loads);
     }
 }
 
-fn own_loads(balance: &LoadBalancer, now: u64) -> Vec<ServerLoad> {
-    balance
+fn own_loads(balancer: &LoadBalancer, now: u64) -> Vec<ServerLoad> {
+    balancer
         .own_loads(now)
         .into_iter()
         .map(|(server, load)| ServerLoad {
@@ -318,14 +361,24 @@
         .collect()
 }
 
-/// Hands the balance what others have under way: all that is known, less what we reported
-/// ourselves.
-fn apply(balance: &LoadBalancer, known: &[ServerLoad], reported: &[ServerLoad], now: u64) {
-    let mut others: HashMap<ServerKey, Load> = known.iter().map(|l| (l.server, l.load)).collect();
+/// Updates the load balancer with the load of other proxies: all known load without the part that
+/// this proxy reported.
+fn update_peer_loads(
+    balancer: &LoadBalancer,
+    known: &[ServerLoad],
+    reported: &[ServerLoad],
+    now: u64,
+) {
+    let mut peer_loads: HashMap<ServerKey, Load> = known
+        .iter()
+        .map(|server_load| (server_load.server, server_load.load))
+        .collect();
     for own in reported {
-        others
+        peer_loads
             .entry(own.server)
             .and_modify(|load| *load = load.minus(own.load));
     }
-    balance.update_peer_loads(now, |server| others.get(&ServerKey::of(server)).copied());
+    balancer.update_peer_loads(now, |server| {
+        peer_loads.get(&ServerKey::of(server)).copied()
+    });
 }
