--- a/yewcross-common/src/register/acceptor.rs
+++ b/yewcross-common/src/register/acceptor.rs
@@ -1,42 +1,42 @@
-//! The acceptor: what a replica does with a request, as a pure function of its record.
+//! The acceptor: a replica's reply to a request and the change of its record, as a pure function.
 
 use super::message::{Ballot, RegisterReply, RegisterRequest};
 use std::sync::Arc;
 
-/// What a replica has recorded of one key. A key without a record has the default one.
+/// A replica's record of one key. A key that has no record is treated as having the default one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Record {
-    /// The ballot promised last. A value is accepted under this one only.
+    /// The ballot promised last. A value is accepted under this ballot only.
     pub promised: Ballot,
     /// The ballot under which the value was accepted.
     pub accepted: Ballot,
-    /// Version of the value; 0 where there never was one.
+    /// Version of the value; 0 if no value was ever accepted.
     pub seq: u64,
-    /// The value; empty where the key was erased or never written.
+    /// The value; empty if the key was erased or never written.
     pub value: Arc<Vec<u8>>,
-    /// The record cannot be read: the replica may not vote on this key.
+    /// The record cannot be read from disk: the replica may not vote on this key.
     pub damaged: bool,
 }
 
-/// What has to be on disk before the reply may be sent.
+/// The change that must be on disk before the reply may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// No change.
     None,
-    /// The new record of the key.
+    /// Write the new record of the key.
     Write(Record),
-    /// The removal of the key's record.
+    /// Remove the key's record.
     Erase,
 }
 
-/// The outcome of one request.
+/// The result of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
-    /// Done first.
+    /// Persisted before the reply is sent.
     pub effect: Effect,
     /// Sent once the effect is on disk.
     pub reply: RegisterReply,
-    /// The value that is sent with the reply.
+    /// The payload of the reply.
     pub value: Option<Arc<Vec<u8>>>,
 }
 
@@ -49,8 +49,8 @@
         }
     }
 
-    fn refused(record: &Record) -> Transition {
-        Transition::reply(RegisterReply::Refused {
+    fn rejected(record: &Record) -> Transition {
+        Transition::reply(RegisterReply::Rejected {
             promised: record.promised,
         })
     }
@@ -64,26 +64,26 @@
     }
 }
 
-/// Handles one request against the record of its key. `layout` is the newest layout that the
-/// replica knows.
+/// Handles one request against the record of its key. `layout_version` is the newest layout version
+/// that the replica has received; `payload` is the value or delta sent with the request.
 pub fn handle(
     record: &Record,
-    layout: u64,
+    layout_version: u64,
     request: &RegisterRequest,
-    blob: Vec<u8>,
+    payload: Vec<u8>,
 ) -> Transition {
-    if request.layout() < layout {
-        return Transition::reply(RegisterReply::OldLayout);
+    if request.layout_version() < layout_version {
+        return Transition::reply(RegisterReply::StaleLayout);
     }
     match *request {
-        RegisterRequest::Promise { epoch, .. } => promise(record, epoch),
+        RegisterRequest::Promise { ballot, .. } => promise(record, ballot),
         RegisterRequest::Accept {
-            epoch, seq, delta, ..
-        } => accept(record, epoch, seq, delta, blob),
-        RegisterRequest::Fill { epoch, seq, .. } => fill(record, epoch, seq, blob),
-        RegisterRequest::Confirm { epoch, .. } => confirm(record, epoch),
-        RegisterRequest::Look { have, .. } => look(record, have),
-        RegisterRequest::Drop { epoch, seq, .. } => erase(record, epoch, seq),
+            ballot, seq, delta, ..
+        } => accept(record, ballot, seq, delta, payload),
+        RegisterRequest::Fill { ballot, seq, .. } => fill(record, ballot, seq, payload),
+        RegisterRequest::Confirm { ballot, .. } => confirm(record, ballot),
+        RegisterRequest::Report { have, .. } => report(record, have),
+        RegisterRequest::Erase { ballot, seq, .. } => erase(record, ballot, seq),
     }
 }
 
@@ -92,39 +92,40 @@
         return Transition::reply(RegisterReply::Damaged);
     }
     if ballot <= record.promised {
-        return Transition::refused(record);
+        return Transition::rejected(record);
     }
     let reply = RegisterReply::Promised {
         accepted: record.accepted,
         seq: record.seq,
     };
-    let next = Record {
+    let new_record = Record {
         promised: ballot,
         ..record.clone()
     };
     Transition {
-        effect: Effect::Write(next),
+        effect: Effect::Write(new_record),
         reply,
         value: Some(record.value.clone()),
     }
 }
 
-/// Accepts under the promised ballot only: a replica that dropped the key, or began it anew since,
-/// has promised nothing to a proposer from before, however high that one's ballot.
-fn accept(record: &Record, ballot: Ballot, seq: u64, delta: bool, blob: Vec<u8>) -> Transition {
+/// Accepts under exactly the promised ballot. A replica that has erased the key since, or created a
+/// new record for it, holds no promise to an earlier proposer, so that even a higher ballot than the
+/// promised one must be rejected.
+fn accept(record: &Record, ballot: Ballot, seq: u64, delta: bool, payload: Vec<u8>) -> Transition {
     if record.damaged {
         return Transition::reply(RegisterReply::Damaged);
     }
     if ballot != record.promised {
-        return Transition::refused(record);
+        return Transition::rejected(record);
     }
     if ballot == record.accepted && seq <= record.seq {
         return Transition::reply(RegisterReply::Accepted);
     }
     let value = if delta {
-        patched(record, ballot, seq, &blob)
+        apply_delta(record, ballot, seq, &payload)
     } else {
-        Some(blob)
+        Some(payload)
     };
     match value {
         Some(value) => Transition::accepted(Record {
@@ -134,11 +135,12 @@
             value: Arc::new(value),
             damaged: false,
         }),
-        None => Transition::reply(RegisterReply::NeedWhole),
+        None => Transition::reply(RegisterReply::NeedsFullValue),
     }
 }
 
-fn patched(record: &Record, ballot: Ballot, seq: u64, delta: &[u8]) -> Option<Vec<u8>> {
+/// The new value, if the record holds the version directly before `seq` under the same ballot.
+fn apply_delta(record: &Record, ballot: Ballot, seq: u64, delta: &[u8]) -> Option<Vec<u8>> {
     let is_at_previous_version = (record.accepted, record.seq + 1) == (ballot, seq);
     if is_at_previous_version {
         crate::documents::delta::apply(&record.value, delta)
@@ -160,26 +162,26 @@
     if (ballot, seq) == (record.accepted, record.seq) {
         return Transition::reply(RegisterReply::Accepted);
     }
-    Transition::refused(record)
+    Transition::rejected(record)
 }
 
 fn confirm(record: &Record, ballot: Ballot) -> Transition {
     if record.damaged || record.promised != ballot {
-        return Transition::refused(record);
+        return Transition::rejected(record);
     }
     Transition::reply(RegisterReply::Accepted)
 }
 
-fn look(record: &Record, have: (Ballot, u64)) -> Transition {
+fn report(record: &Record, have: (Ballot, u64)) -> Transition {
     if record.damaged {
         return Transition::reply(RegisterReply::Damaged);
     }
-    let reply = RegisterReply::Looked {
+    let reply = RegisterReply::Reported {
         accepted: record.accepted,
         seq: record.seq,
     };
-    let known = have == (record.accepted, record.seq);
-    let value = if known {
+    let has_current_version = have == (record.accepted, record.seq);
+    let value = if has_current_version {
         None
     } else {
         Some(record.value.clone())
@@ -192,9 +194,9 @@
 }
 
 fn erase(record: &Record, ballot: Ballot, seq: u64) -> Transition {
-    let emptied = record.value.is_empty() && !record.damaged;
-    let same_version = record.promised == ballot && record.seq == seq;
-    let effect = if emptied && same_version {
+    let is_empty = record.value.is_empty() && !record.damaged;
+    let is_same_version = record.promised == ballot && record.seq == seq;
+    let effect = if is_empty && is_same_version {
         Effect::Erase
     } else {
         Effect::None
--- a/yewcross-common/src/register/client.rs
+++ b/yewcross-common/src/register/client.rs
@@ -1,11 +1,10 @@
-//! The client of the registers: proposes changes to a key, reads its newest value and repairs its
-//! replicas.
+//! The register client: proposes changes to a key, reads its newest value and repairs its replicas.
 //!
-//! - this module: the public face, and the change of a key;
-//! - `proposer_cache`: what this process keeps of each key that it used lately;
-//! - `rounds`: one prepare, accept or confirm request to all replicas, until a quorum grants it;
-//! - `read`: reads that prove their value without preparing a ballot where they can;
-//! - `repair`: brings every replica to the newest value, and erases keys.
+//! - this module: the public interface, and changes to a key;
+//! - `proposer_cache`: the proposers of recently used keys;
+//! - `rounds`: sends one prepare, accept or confirm request to all replicas until a quorum grants it;
+//! - `read`: reads the newest value, without preparing a ballot where possible;
+//! - `repair`: copies the newest value to every replica, and erases keys.
 
 mod proposer_cache;
 mod read;
@@ -23,38 +22,39 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, OnceLock};
 
-/// us. Least span from which the backoff before the next attempt of a change is drawn. Where
-/// another proposer's ballot was higher, it doubles with each attempt and is never shorter than the
-/// attempt itself took: proposers on slow machines would otherwise preempt each other for ever.
+/// Lower bound, in us, of the span from which the random backoff between two attempts of a change is
+/// drawn. After an attempt that another proposer's higher ballot preempted, the span doubles and is
+/// at least the duration of that attempt: proposers on slow machines would otherwise preempt each
+/// other indefinitely.
 const BACKOFF_SPAN_MIN: u64 = 20 * MS;
-/// us. The most that the span grows to.
+/// Upper bound, in us, of the backoff span.
 const BACKOFF_SPAN_MAX: u64 = 640 * MS;
 
-/// What a change makes of the value that it finds.
+/// The result of a change's decision function for the current value.
 pub enum ValueUpdate<R> {
-    /// Nothing is written; the value found is proved to be the newest.
+    /// Write nothing. The change succeeds once the current value is confirmed to be the newest.
     Keep(R),
-    /// The next version.
+    /// Write this value as the next version.
     Write(Vec<u8>, R),
 }
 
-/// A decided value: its version, the ballot under which it was accepted, its bytes.
+/// A decided value: its version, the ballot under which it was accepted, and its bytes.
 pub type DecidedValue = (u64, Ballot, Arc<Vec<u8>>);
 
-/// Finds the replicas of a key under the layout in force at the time of the call.
+/// Returns the replicas of a key under the layout in force at the time of the call.
 type ReplicaSetLookup = Arc<dyn Fn(&str) -> ReplicaSet + Send + Sync>;
-/// Whether this process may propose for a key at this moment.
+/// Whether this process may propose for a key at the time of the call.
 type ProposalPermit = Box<dyn Fn(&str) -> bool + Send + Sync>;
 
 /// Why one attempt of a change failed.
 struct AttemptError {
     error: ChangeError,
-    /// Another proposer has a higher ballot prepared.
+    /// A replica has promised a higher ballot to another proposer.
     is_preempted: bool,
 }
 
 impl AttemptError {
-    fn after_round(round: &Round, error: ChangeError) -> AttemptError {
+    fn from_round(round: &Round, error: ChangeError) -> AttemptError {
         AttemptError {
             error,
             is_preempted: round.highest_promised > 0,
@@ -75,31 +75,32 @@
 pub struct RegisterClient {
     runtime: Runtime,
     peers: Arc<PeerClient>,
-    /// Drawn anew by each process; no two proposers of a tier share it.
+    /// Base of this process's ballot proposer ids. Drawn at random at the start, so that no two
+    /// processes of a tier share it.
     pub proposer_id: u64,
-    /// The replica of this process: requests to its disk do not go over the network.
-    own_replica: Arc<Replica>,
+    /// The replica of this process; requests to its disk bypass the network.
+    local_replica: Arc<Replica>,
     replicas_of: ReplicaSetLookup,
-    /// `None`: any process may propose for any key.
+    /// If not set, this process may propose for any key.
     permit: OnceLock<ProposalPermit>,
     cache: ProposerCache,
-    /// Ballots prepared so far.
+    /// Number of ballots that this process has started to prepare.
     pub prepared_ballots: AtomicU64,
 }
 
 impl RegisterClient {
-    /// A client that keeps nothing of any key yet.
+    /// Creates a client with an empty proposer cache.
     pub fn new(
         runtime: &Runtime,
         peers: &Arc<PeerClient>,
-        own_replica: &Arc<Replica>,
+        local_replica: &Arc<Replica>,
         replicas_of: ReplicaSetLookup,
     ) -> Arc<RegisterClient> {
         Arc::new(RegisterClient {
             runtime: runtime.clone(),
             peers: peers.clone(),
             proposer_id: runtime.random() | 1,
-            own_replica: own_replica.clone(),
+            local_replica: local_replica.clone(),
             replicas_of,
             permit: OnceLock::new(),
             cache: ProposerCache::default(),
@@ -107,11 +108,11 @@
         })
     }
 
-    /// From now on this process proposes for a key only while `permit` says so. Safety does not
-    /// rest on it: ballots keep two proposers from deciding against each other. A permit that one
-    /// process has at a time keeps them from preempting each other.
+    /// Restricts this process to propose for a key only while `permit` returns true. Safety does not
+    /// depend on the permit: ballots prevent two proposers from deciding different values. A permit
+    /// held by one process at a time prevents proposers from preempting each other.
     pub fn set_proposal_permit(&self, permit: impl Fn(&str) -> bool + Send + Sync + 'static) {
-        // Set once, at start: a second permit would be ignored.
+        // The permit is set once, at the start of the process; a second one would be ignored.
         let _ = self.permit.set(Box::new(permit));
     }
 
@@ -119,8 +120,8 @@
         self.permit.get().is_none_or(|permit| permit(key))
     }
 
-    /// Changes a key within `timeout_us`. `decide` gets the version and the value; it must give the
-    /// same result when it is run again on a value that already has its change.
+    /// Changes a key within `timeout_us`. `decide` receives the current version and value. It must be
+    /// idempotent: run again on a value that already contains its change, it returns the same result.
     pub async fn change<R>(
         &self,
         key: &str,
@@ -143,12 +144,13 @@
                 is_preempted,
             } = match attempt.await {
                 Ok(result) => return Ok(result),
-                Err(failed) => failed,
+                Err(error) => error,
             };
             may_be_written |= error == ChangeError::Undecided;
             let now = self.runtime.now();
             if error == ChangeError::NotProposer || now >= deadline {
-                // An earlier attempt may still be decided, whatever became of the last one.
+                // The write of an earlier attempt may still be decided, whatever the result of the
+                // last attempt was.
                 return Err(if may_be_written {
                     ChangeError::Undecided
                 } else {
@@ -174,24 +176,24 @@
         if !self.may_propose(key) {
             return Err(ChangeError::NotProposer.into());
         }
-        let must_prepare = proposer
+        let needs_prepare = proposer
             .ballot_prepared_at(&(self.replicas_of)(key))
             .is_none();
-        if must_prepare {
+        if needs_prepare {
             self.prepare(key, proposer)
                 .await
-                .map_err(|round| AttemptError::after_round(&round, ChangeError::NotApplied))?;
+                .map_err(|round| AttemptError::from_round(&round, ChangeError::NotApplied))?;
         }
         let replicas = (self.replicas_of)(key);
-        // The layout may have changed while the ballot was prepared: it counts only where it was
-        // promised.
+        // The layout may have changed while the ballot was prepared: the ballot is valid only for
+        // the disks that promised it.
         let Some(ballot) = proposer.ballot_prepared_at(&replicas) else {
             return Err(ChangeError::NotApplied.into());
         };
         match decide(proposer.seq(), proposer.value()) {
             ValueUpdate::Keep(result) => {
-                // A ballot prepared in this attempt has just proved the value to be the newest.
-                if must_prepare || self.confirm(key, &replicas, ballot).await {
+                // Preparing a ballot in this attempt has already confirmed that the value is the newest.
+                if needs_prepare || self.confirm(key, &replicas, ballot).await {
                     return Ok(result);
                 }
                 proposer.abandon_ballot();
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Has the next version accepted under the proposer's ballot.
+    /// Proposes the next version under the proposer's ballot.
     async fn propose(
         &self,
         key: &str,
@@ -215,10 +217,10 @@
         value: Arc<Vec<u8>>,
     ) -> Result<(), AttemptError> {
         let delta = crate::documents::delta::encode(proposer.value(), &value);
-        let saves_half = 2 * delta.len() < value.len();
-        let delta = saves_half.then(|| Arc::new(delta));
-        // Whoever drops this future halfway leaves no ballot behind under which the value may be
-        // accepted at some replicas only.
+        let is_under_half_size = 2 * delta.len() < value.len();
+        let delta = is_under_half_size.then(|| Arc::new(delta));
+        // If this future is dropped before a quorum has accepted the value, the ballot under which
+        // some replicas may have accepted it must not be used again.
         proposer.abandon_ballot();
         let next_version = proposer.seq() + 1;
         match self
@@ -231,22 +233,24 @@
             }
             Err(round) => {
                 proposer.observe_ballot_number(round.highest_promised);
-                Err(AttemptError::after_round(&round, round.failure()))
+                Err(AttemptError::from_round(&round, round.failure()))
             }
         }
     }
 
-    /// The value last known here, without proof that it is the newest.
+    /// The cached value of a key, which may be outdated. `None` if no ballot is prepared for the key
+    /// or a change of it is in progress.
     pub fn cached_value(&self, key: &str) -> Option<Arc<Vec<u8>>> {
-        self.cache.hint(key)
+        self.cache.value(key)
     }
 
-    /// Keys with the prefix that this process used lately.
+    /// The keys with the prefix that are in the proposer cache.
     pub fn cached_keys(&self, prefix: &str) -> Vec<String> {
         self.cache.keys_with_prefix(prefix)
     }
 
-    /// Drops keys unused for a while, so that memory stays bounded; returns how many remain.
+    /// Evicts idle keys from the proposer cache to bound its memory; returns the number of remaining
+    /// keys.
     pub fn prune(&self) -> usize {
         self.cache.prune(self.runtime.now())
     }
--- a/yewcross-common/src/register/client/proposer_cache.rs
+++ b/yewcross-common/src/register/client/proposer_cache.rs
@@ -1,25 +1,26 @@
-//! What a client keeps of the keys that it used lately: the proposer of each, which spares the
-//! prepare round of the next change.
+//! The proposers of the keys that this process used recently. A cached proposer with a prepared ballot
+//! saves the prepare round of the next change.
 
 use super::super::proposer::Proposer;
-use super::super::{SHARDS, locate};
+use super::super::{SHARDS, hash_and_shard};
 use crate::constants::OWNED_VALUE_IDLE_TIMEOUT;
 use futures_util::lock::Mutex as AsyncMutex;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// One key's proposer. Whoever locks it is the only one in this process to propose for the key.
+/// One key's proposer. The holder of the lock is the only task of this process that may propose for
+/// the key.
 pub(super) type CacheEntry = Arc<AsyncMutex<CachedProposer>>;
 
-/// A key's proposer, and when it was used last.
+/// A key's proposer and the time of its last use.
 #[derive(Default)]
 pub(super) struct CachedProposer {
     pub(super) proposer: Proposer,
-    /// us. Start of the last attempt of a change.
+    /// Start of the last attempt of a change, in us.
     pub(super) last_used: u64,
 }
 
-/// The cached proposers by key, in shards that lock independently.
+/// The cached proposers by key, in independently locked shards.
 pub(super) struct ProposerCache {
     shards: Vec<Mutex<BTreeMap<String, CacheEntry>>>,
 }
@@ -33,7 +34,7 @@
 }
 
 impl ProposerCache {
-    /// The entry of a key; a new one where there is none.
+    /// The entry of a key; created if it does not exist.
     pub(super) fn entry(&self, key: &str) -> CacheEntry {
         self.shard(key)
             .lock()
@@ -43,9 +44,8 @@
             .clone()
     }
 
-    /// The value last known of a key; `None` where no ballot is prepared for it, or its entry is
-    /// locked.
-    pub(super) fn hint(&self, key: &str) -> Option<Arc<Vec<u8>>> {
+    /// The cached value of a key. `None` if no ballot is prepared for the key or its entry is locked.
+    pub(super) fn value(&self, key: &str) -> Option<Arc<Vec<u8>>> {
         let entry = self.shard(key).lock().unwrap().get(key).cloned()?;
         let cached = entry.try_lock()?;
         cached
@@ -54,7 +54,7 @@
             .map(|_| cached.proposer.value().clone())
     }
 
-    /// All cached keys that begin with the prefix.
+    /// All cached keys with the prefix.
     pub(super) fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
         let mut keys = vec![];
         for shard in &self.shards {
@@ -65,7 +65,8 @@
         keys
     }
 
-    /// Drops entries that are idle and in nobody's hands; returns how many remain.
+    /// Evicts the entries that are idle and not in use by any task; returns the number of remaining
+    /// entries.
     pub(super) fn prune(&self, now: u64) -> usize {
         let is_idle = |entry: &CacheEntry| {
             entry
@@ -82,6 +83,6 @@
     }
 
     fn shard(&self, key: &str) -> &Mutex<BTreeMap<String, CacheEntry>> {
-        &self.shards[locate(key).1]
+        &self.shards[hash_and_shard(key).1]
     }
 }
--- a/yewcross-common/src/register/client/read.rs
+++ b/yewcross-common/src/register/client/read.rs
@@ -1,4 +1,5 @@
-//! Reads of a key: proved by a ballot, or by a majority that reports the same version.
+//! Reads of a key, confirmed either by a prepared ballot or by a majority that reports the same
+//! version.
 
 use super::super::acceptor::Record;
 use super::super::message::{RegisterReply, RegisterRequest};
@@ -10,16 +11,16 @@
 use crate::constants::{READ_ATTEMPTS, READ_RETRY_DELAY};
 use std::sync::Arc;
 
-/// A survey under way: all replicas of a key were asked what they have.
-struct PendingSurvey {
+/// A read in progress: a report request was sent to all replicas of a key.
+struct PendingRead {
     replicas: ReplicaSet,
-    /// What the replica of this process has. Replicas with the same version send no value.
-    own_record: Record,
+    /// The record of this process's replica. Replicas that have the same version omit the value.
+    local_record: Record,
     votes: Votes,
 }
 
 impl RegisterClient {
-    /// The newest decided value, proved by a majority under this client's ballot.
+    /// The newest decided value, confirmed by a majority under this client's ballot.
     pub async fn read_with_ballot(
         &self,
         key: &str,
@@ -39,49 +40,52 @@
         Ok((seq, ballot, value))
     }
 
-    /// The newest decided value, by the cheapest way that proves it: where a majority reports the
-    /// same version, no ballot is prepared. Replicas differ for a moment while a proposer writes;
-    /// they are surveyed again first, so that readers do not preempt it. A process that may not
-    /// propose for the key never prepares a ballot.
+    /// The newest decided value, read as cheaply as possible: if a majority reports the same version,
+    /// no ballot is prepared. Replicas briefly differ while a proposer writes, so the read is first
+    /// retried without a ballot in order not to preempt that proposer. A process that may not propose
+    /// for the key never prepares a ballot.
     pub async fn read_newest(
         &self,
         key: &str,
         timeout_us: u64,
     ) -> Result<DecidedValue, ChangeError> {
-        // An answer that is lost must not use up the time of the next survey.
-        let survey_timeout = timeout_us / 4;
-        let surveys_end = self.runtime.now() + timeout_us / 2;
+        // A lost reply must not use up the time for the next attempt.
+        let attempt_timeout = timeout_us / 4;
+        let retry_deadline = self.runtime.now() + timeout_us / 2;
         for attempt in 0..READ_ATTEMPTS {
             if attempt > 0 {
                 let backoff = READ_RETRY_DELAY + self.runtime.random() % READ_RETRY_DELAY;
                 self.runtime.sleep(backoff).await;
             }
-            let survey = self.runtime.timeout(survey_timeout, self.survey(key)).await;
-            if let Some(found) = survey.flatten() {
-                return Ok(found);
+            let result = self
+                .runtime
+                .timeout(attempt_timeout, self.read_without_ballot(key))
+                .await;
+            if let Some(decided) = result.flatten() {
+                return Ok(decided);
             }
-            if self.runtime.now() >= surveys_end {
+            if self.runtime.now() >= retry_deadline {
                 break;
             }
         }
         self.read_with_ballot(key, timeout_us).await
     }
 
-    /// The version that a majority of the replicas reports, if none reports a newer one before
-    /// that. Nothing is prepared or written.
-    async fn survey(&self, key: &str) -> Option<DecidedValue> {
-        let PendingSurvey {
+    /// The version that a majority of the replicas reports, if no replica has reported a newer one by
+    /// then. No ballot is prepared and nothing is written.
+    async fn read_without_ballot(&self, key: &str) -> Option<DecidedValue> {
+        let PendingRead {
             replicas,
-            own_record,
+            local_record,
             votes,
-        } = self.start_survey(key).await;
-        let mut survey = ReadRound::default();
+        } = self.start_read(key).await;
+        let mut round = ReadRound::default();
         while let Ok(vote) = votes.recv().await {
-            survey.record(vote);
-            if let Some((accepted, seq, value)) = survey.decided(&replicas) {
-                let is_own = (accepted, seq) == (own_record.accepted, own_record.seq);
-                let value = if is_own {
-                    own_record.value.clone()
+            round.record(vote);
+            if let Some((accepted, seq, value)) = round.decided(&replicas) {
+                let is_local_version = (accepted, seq) == (local_record.accepted, local_record.seq);
+                let value = if is_local_version {
+                    local_record.value.clone()
                 } else {
                     Arc::new(value.clone())
                 };
@@ -91,47 +95,51 @@
         None
     }
 
-    /// Asks all replicas what they have.
-    async fn start_survey(&self, key: &str) -> PendingSurvey {
+    /// Sends a report request to all replicas.
+    async fn start_read(&self, key: &str) -> PendingRead {
         let replicas = (self.replicas_of)(key);
-        let own_record = self.own_replica.read_record(key).await.unwrap_or_default();
-        let request = RegisterRequest::Look {
+        let local_record = self
+            .local_replica
+            .read_record(key)
+            .await
+            .unwrap_or_default();
+        let request = RegisterRequest::Report {
             key: key.into(),
-            lay: replicas.layout_version,
-            have: (own_record.accepted, own_record.seq),
+            layout_version: replicas.layout_version,
+            have: (local_record.accepted, local_record.seq),
         };
         let votes = self.broadcast(&replicas, &ReplicaCall::without_value(request));
-        PendingSurvey {
+        PendingRead {
             replicas,
-            own_record,
+            local_record,
             votes,
         }
     }
 
-    /// Whether a majority of each set reports the same version, counting only disks that may vote.
-    /// Nothing is prepared: the proposer of the key is not preempted.
+    /// Whether a majority of each set in force reports the same version, counting only disks for which
+    /// `may_vote` returns true. No ballot is prepared, so the proposer of the key is not preempted.
     pub async fn majority_agrees(&self, key: &str, may_vote: impl Fn(&str) -> bool) -> bool {
-        let PendingSurvey {
+        let PendingRead {
             replicas, votes, ..
-        } = self.start_survey(key).await;
-        let mut survey = ReadRound::default();
+        } = self.start_read(key).await;
+        let mut round = ReadRound::default();
         while let Ok(vote) = votes.recv().await {
             if may_vote(&vote.disk) {
-                survey.record(vote);
+                round.record(vote);
             }
-            if survey.decided(&replicas).is_some() {
+            if round.decided(&replicas).is_some() {
                 return true;
             }
         }
         false
     }
 
-    /// Whether all replicas, current and previous, answer and report the same version.
+    /// Whether all replicas of the current and previous sets report the same version.
     pub async fn all_replicas_agree(&self, key: &str) -> bool {
-        let PendingSurvey { votes, .. } = self.start_survey(key).await;
+        let PendingRead { votes, .. } = self.start_read(key).await;
         let mut versions = vec![];
         while let Ok(vote) = votes.recv().await {
-            let RegisterReply::Looked { accepted, seq } = vote.reply else {
+            let RegisterReply::Reported { accepted, seq } = vote.reply else {
                 return false;
             };
             versions.push((accepted, seq));
--- a/yewcross-common/src/register/client/repair.rs
+++ b/yewcross-common/src/register/client/repair.rs
@@ -1,4 +1,4 @@
-//! Repair of a key's replicas, and erasure of keys.
+//! Repair of a key's replicas and erasure of keys.
 
 use super::super::message::{Ballot, RegisterReply, RegisterRequest};
 use super::super::proposer::{ChangeError, Proposer, Round};
@@ -9,10 +9,11 @@
 use std::sync::Arc;
 
 impl RegisterClient {
-    /// Empties a key for good: first at all replicas, and only then do they drop its record.
-    /// `may_erase` says whether a value may go. Returns whether a quorum has dropped the key.
+    /// Erases a key permanently. The empty value is written to all replicas first, and only then do
+    /// they remove its record. `may_erase` decides whether the current value may be erased. Returns
+    /// whether a quorum has removed the record.
     pub async fn erase(&self, key: &str, may_erase: impl Fn(&[u8]) -> bool) -> bool {
-        if self.empty(key, may_erase).await != Ok(true) || !self.repair(key).await {
+        if self.write_empty_value(key, may_erase).await != Ok(true) || !self.repair(key).await {
             return false;
         }
         let entry = self.cache.entry(key);
@@ -25,19 +26,19 @@
             return false;
         };
         let replicas = (self.replicas_of)(key);
-        let request = RegisterRequest::Drop {
+        let request = RegisterRequest::Erase {
             key: key.into(),
-            epoch: ballot,
+            ballot,
             seq: cached.proposer.seq(),
-            lay: replicas.layout_version,
+            layout_version: replicas.layout_version,
         };
         self.reach_quorum(&replicas, ReplicaCall::without_value(request))
             .await
             .is_ok()
     }
 
-    /// Writes the empty value where the present one may go; whether the key is empty now.
-    async fn empty(
+    /// Writes the empty value if the current one may be erased; returns whether the key is empty now.
+    async fn write_empty_value(
         &self,
         key: &str,
         may_erase: impl Fn(&[u8]) -> bool,
@@ -52,8 +53,8 @@
         .await
     }
 
-    /// Brings every replica of the key to the newest value; true if all current replicas have it on
-    /// disk. A replica of the previous set need not: it may be gone for good.
+    /// Copies the newest value to every replica of the key; returns whether all current replicas have
+    /// it on disk. Replicas of the previous set are not required to: they may be lost permanently.
     pub async fn repair(&self, key: &str) -> bool {
         let entry = self.cache.entry(key);
         let mut cached = entry.lock().await;
@@ -72,7 +73,7 @@
             return true;
         }
         let Some(round) = self
-            .accept_everywhere(key, &replicas, ballot, proposer)
+            .accept_at_all_replicas(key, &replicas, ballot, proposer)
             .await
         else {
             return false;
@@ -83,11 +84,12 @@
         replicas
             .current
             .iter()
-            .all(|seat| round.has_granted(&seat.disk) || filled.contains(&seat.disk))
+            .all(|replica| round.has_granted(&replica.disk) || filled.contains(&replica.disk))
     }
 
-    /// Waits for the votes of all replicas, not only of a quorum; `None` where there is no quorum.
-    async fn accept_everywhere(
+    /// Sends the accept request and waits for the votes of all replicas, not only of a quorum; `None`
+    /// if there is no quorum.
+    async fn accept_at_all_replicas(
         &self,
         key: &str,
         replicas: &ReplicaSet,
@@ -96,13 +98,13 @@
     ) -> Option<Round> {
         let request = RegisterRequest::Accept {
             key: key.into(),
-            epoch: ballot,
+            ballot,
             seq: proposer.seq(),
-            lay: replicas.layout_version,
+            layout_version: replicas.layout_version,
             delta: false,
         };
-        // An empty delta: a replica that already has the version says so, any other asks for the
-        // complete value.
+        // The empty delta avoids sending the value to replicas that already have the version: those
+        // accept it, and any other replica requests the complete value.
         let call = ReplicaCall {
             request,
             value: proposer.value().clone(),
@@ -111,7 +113,7 @@
         let votes = self.broadcast(replicas, &call);
         let mut round = Round::default();
         while let Ok(vote) = votes.recv().await {
-            let is_rejected = matches!(vote.reply, RegisterReply::Refused { .. });
+            let is_rejected = matches!(vote.reply, RegisterReply::Rejected { .. });
             round.record(vote);
             if is_rejected {
                 proposer.observe_ballot_number(round.highest_promised);
@@ -125,8 +127,8 @@
         Some(round)
     }
 
-    /// Fills damaged records with the value that a quorum has accepted; returns the disks that may
-    /// vote on the key again.
+    /// Writes the value that a quorum has accepted to the replicas with damaged records; returns the
+    /// disks that may vote on the key again.
     async fn fill_damaged(
         &self,
         key: &str,
@@ -138,21 +140,21 @@
         if damaged.is_empty() {
             return vec![];
         }
-        let damaged_seats = replicas
+        let damaged_replicas = replicas
             .all()
             .into_iter()
-            .filter(|seat| damaged.contains(&seat.disk))
+            .filter(|replica| damaged.contains(&replica.disk))
             .collect();
         let targets = ReplicaSet {
             layout_version: replicas.layout_version,
-            current: damaged_seats,
+            current: damaged_replicas,
             previous: vec![],
         };
         let request = RegisterRequest::Fill {
             key: key.into(),
-            epoch: ballot,
+            ballot,
             seq: proposer.seq(),
-            lay: replicas.layout_version,
+            layout_version: replicas.layout_version,
         };
         let call = ReplicaCall {
             request,
--- a/yewcross-common/src/register/client/rounds.rs
+++ b/yewcross-common/src/register/client/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of the protocol: one request to all replicas of a key, and their votes.
+//! Protocol rounds: one request to all replicas of a key, and their votes.
 
 use super::super::message::{Ballot, RegisterRequest};
 use super::super::proposer::{Proposer, Round, Vote};
@@ -9,24 +9,25 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 
-/// The votes of the replicas, in the order of their arrival; closed after the last one.
+/// The votes of the replicas in order of arrival; closed after the last one.
 pub(super) type Votes = async_channel::Receiver<Vote>;
 
 impl RegisterClient {
-    /// Sends the call to all replicas at once.
+    /// Sends the request to all replicas concurrently.
     pub(super) fn broadcast(&self, replicas: &ReplicaSet, call: &ReplicaCall) -> Votes {
         let calls = replicas
             .all()
             .into_iter()
-            .map(|seat| -> BoxFuture<'static, Vote> {
-                let (peers, own_replica) = (self.peers.clone(), self.own_replica.clone());
-                Box::pin(call.clone().send_to(seat, peers, own_replica))
+            .map(|replica| -> BoxFuture<'static, Vote> {
+                let (peers, local_replica) = (self.peers.clone(), self.local_replica.clone());
+                Box::pin(call.clone().send_to(replica, peers, local_replica))
             });
         self.runtime.spawn_all(calls.collect())
     }
 
-    /// Sends one call to all replicas; `Ok` as soon as a quorum grants it. A call that writes no
-    /// value ends at once when no quorum can grant it any more: silent replicas are not awaited.
+    /// Sends one request to all replicas; returns `Ok` as soon as a quorum grants it. A request that
+    /// writes no value fails as soon as a quorum has become impossible, without waiting for replicas
+    /// that have not replied.
     pub(super) async fn reach_quorum(
         &self,
         replicas: &ReplicaSet,
@@ -50,26 +51,27 @@
         Err(round)
     }
 
-    /// Prepares a new ballot and has the newest value accepted under it.
+    /// Prepares a new ballot and gets the newest value accepted under it.
     pub(super) async fn prepare(&self, key: &str, proposer: &mut Proposer) -> Result<(), Round> {
         let prepared_before = self.prepared_ballots.fetch_add(1, SeqCst);
         let replicas = (self.replicas_of)(key);
-        // No two ballots are alike, even if a pruned or erased key begins anew between them.
+        // Every ballot gets a distinct proposer id, because a key that was evicted or erased and
+        // created again starts without a record of earlier ballot numbers.
         let ballot = proposer.prepare(
             self.proposer_id.wrapping_add(2 * prepared_before),
             self.runtime.wall_clock_ms(),
         );
         let request = RegisterRequest::Promise {
             key: key.into(),
-            epoch: ballot,
-            lay: replicas.layout_version,
+            ballot,
+            layout_version: replicas.layout_version,
         };
         let promises = self
             .reach_quorum(&replicas, ReplicaCall::without_value(request))
             .await
             .inspect_err(|round| proposer.observe_ballot_number(round.highest_promised))?;
-        // A value that any of the promises reports may have been decided: it must be accepted under
-        // the new ballot before another one is proposed.
+        // A value reported by any of the promises may be decided already: it must be accepted under
+        // the new ballot before another value is proposed.
         if proposer.record_promises(&replicas, &promises) {
             let (seq, value) = (proposer.seq(), proposer.value().clone());
             self.accept(key, &replicas, ballot, seq, &value, None)
@@ -80,8 +82,8 @@
         Ok(())
     }
 
-    /// Has a version accepted by a quorum. With `delta`, replicas that may have the version before
-    /// get only that.
+    /// Gets a version accepted by a quorum. If `delta` is given, replicas that may have the previous
+    /// version are sent the delta only.
     pub(super) async fn accept(
         &self,
         key: &str,
@@ -93,9 +95,9 @@
     ) -> Result<(), Round> {
         let request = RegisterRequest::Accept {
             key: key.into(),
-            epoch: ballot,
+            ballot,
             seq,
-            lay: replicas.layout_version,
+            layout_version: replicas.layout_version,
             delta: false,
         };
         let call = ReplicaCall {
@@ -106,12 +108,13 @@
         self.reach_quorum(replicas, call).await.map(|_| ())
     }
 
-    /// Whether a quorum has promised no ballot after this one: the value under it is the newest.
+    /// Whether a quorum still has this ballot promised, so that the value accepted under it is the
+    /// newest.
     pub(super) async fn confirm(&self, key: &str, replicas: &ReplicaSet, ballot: Ballot) -> bool {
         let request = RegisterRequest::Confirm {
             key: key.into(),
-            epoch: ballot,
-            lay: replicas.layout_version,
+            ballot,
+            layout_version: replicas.layout_version,
         };
         self.reach_quorum(replicas, ReplicaCall::without_value(request))
             .await
--- a/yewcross-common/src/register/message.rs
+++ b/yewcross-common/src/register/message.rs
@@ -1,4 +1,4 @@
-//! The messages between proposers and replicas. Field names are those on the wire.
+//! The messages between proposers and replicas, encoded by the names that they have on the wire.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,89 +7,105 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Rises with each prepare.
-    pub n: u64,
-    /// Drawn anew by each process and each prepare; breaks ties between proposers.
-    pub by: u64,
+    /// Increases with each prepare round.
+    #[serde(rename = "n")]
+    pub number: u64,
+    /// Drawn at random by each process and changed with each prepare round; breaks ties between
+    /// proposers.
+    #[serde(rename = "by")]
+    pub proposer_id: u64,
 }
 
-/// A request to one replica of a key. `epoch` is the proposer's ballot, `lay` the version of the
-/// layout that it goes by.
+/// A request to one replica of a key. `ballot` is the proposer's ballot, and `layout_version` the
+/// version of the layout that the proposer uses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RegisterRequest {
-    /// Prepare: accept nothing under a lower ballot from now on, and report what was accepted.
+    /// Prepare: promise to accept nothing under a lower ballot, and report the accepted value.
     Promise {
         key: String,
-        epoch: Ballot,
-        lay: u64,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
+        #[serde(rename = "lay")]
+        layout_version: u64,
     },
-    /// Accept version `seq`, whose value is the blob. With `delta` the blob only says what changed
-    /// since the version before.
+    /// Accept version `seq`, whose value is the payload. With `delta` the payload holds only the
+    /// difference from the previous version.
     Accept {
         key: String,
-        epoch: Ballot,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
         seq: u64,
-        lay: u64,
+        #[serde(rename = "lay")]
+        layout_version: u64,
         #[serde(default)]
         delta: bool,
     },
-    /// A value that a majority has accepted already, for a replica whose record is damaged and which
-    /// therefore may not vote.
+    /// Store a value that a majority has already accepted. Sent to a replica whose record is damaged
+    /// and which therefore may not vote.
     Fill {
         key: String,
-        epoch: Ballot,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
         seq: u64,
-        lay: u64,
+        #[serde(rename = "lay")]
+        layout_version: u64,
     },
-    /// Whether the ballot is still the one promised: a majority that says so has promised nothing
-    /// newer.
+    /// Check that the ballot is still the promised one. If a majority confirms it, no majority has
+    /// promised a newer ballot.
     Confirm {
         key: String,
-        epoch: Ballot,
-        lay: u64,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
+        #[serde(rename = "lay")]
+        layout_version: u64,
     },
-    /// Report the record; the value is sent with the reply unless it is the version that the asker
-    /// has. Nothing is written.
-    Look {
+    /// Report the record. The reply carries the value unless its version is `have`, the version that
+    /// the sender already has. Nothing is written.
+    #[serde(rename = "Look")]
+    Report {
         key: String,
-        lay: u64,
+        #[serde(rename = "lay")]
+        layout_version: u64,
         have: (Ballot, u64),
     },
-    /// Drop the record of a key whose empty value all replicas have accepted.
-    Drop {
+    /// Erase the record of a key whose empty value all replicas have accepted.
+    #[serde(rename = "Drop")]
+    Erase {
         key: String,
-        epoch: Ballot,
+        #[serde(rename = "epoch")]
+        ballot: Ballot,
         seq: u64,
-        lay: u64,
+        #[serde(rename = "lay")]
+        layout_version: u64,
     },
 }
 
 impl RegisterRequest {
-    /// The key that the request is about.
+    /// The key of the register that the request addresses.
     pub fn key(&self) -> &str {
         match self {
             RegisterRequest::Promise { key, .. }
             | RegisterRequest::Accept { key, .. }
             | RegisterRequest::Fill { key, .. }
             | RegisterRequest::Confirm { key, .. }
-            | RegisterRequest::Look { key, .. }
-            | RegisterRequest::Drop { key, .. } => key,
+            | RegisterRequest::Report { key, .. }
+            | RegisterRequest::Erase { key, .. } => key,
         }
     }
 
-    /// The version of the layout that the proposer goes by.
-    pub fn layout(&self) -> u64 {
+    /// The version of the layout that the proposer uses.
+    pub fn layout_version(&self) -> u64 {
         match self {
-            RegisterRequest::Promise { lay, .. }
-            | RegisterRequest::Accept { lay, .. }
-            | RegisterRequest::Fill { lay, .. }
-            | RegisterRequest::Confirm { lay, .. }
-            | RegisterRequest::Look { lay, .. }
-            | RegisterRequest::Drop { lay, .. } => *lay,
+            RegisterRequest::Promise { layout_version, .. }
+            | RegisterRequest::Accept { layout_version, .. }
+            | RegisterRequest::Fill { layout_version, .. }
+            | RegisterRequest::Confirm { layout_version, .. }
+            | RegisterRequest::Report { layout_version, .. }
+            | RegisterRequest::Erase { layout_version, .. } => *layout_version,
         }
     }
 
-    /// The same request, to be sent with a delta as its blob.
+    /// The same request with `delta` set, to be sent with a delta as its payload.
     pub fn as_delta(&self) -> RegisterRequest {
         let mut request = self.clone();
         if let RegisterRequest::Accept { delta, .. } = &mut request {
@@ -99,35 +115,43 @@
     }
 }
 
-/// A replica's answer.
+/// A replica's reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RegisterReply {
-    /// The ballot is promised. The value accepted last is sent as the blob.
+    /// The ballot is promised. The payload is the value accepted last.
     Promised { accepted: Ballot, seq: u64 },
-    /// The value is on disk, or what was asked for is so already.
+    /// The request is carried out and on disk, or had already been carried out.
     Accepted,
-    /// What the replica has accepted, without a promise.
-    Looked { accepted: Ballot, seq: u64 },
-    /// Another ballot is promised; nothing was done.
-    Refused { promised: Ballot },
-    /// The replica knows a newer layout than the proposer goes by; nothing was done.
-    OldLayout,
-    /// The record is damaged: the replica cannot vote on this key until it is filled.
+    /// The accepted ballot and version; nothing is promised.
+    #[serde(rename = "Looked")]
+    Reported { accepted: Ballot, seq: u64 },
+    /// Another ballot is promised; nothing was changed.
+    #[serde(rename = "Refused")]
+    Rejected { promised: Ballot },
+    /// The replica has a newer layout than the proposer; nothing was changed.
+    #[serde(rename = "OldLayout")]
+    StaleLayout,
+    /// The record is damaged: the replica cannot vote on this key until the record is filled.
     Damaged,
-    /// No answer, or no disk to answer from: it is unknown what the replica did with the request.
-    Away,
-    /// Another disk is at the address of the one that was asked; nothing was done.
+    /// No reply arrived, or the replica's disk is unavailable. Whether the request took effect is
+    /// unknown.
+    #[serde(rename = "Away")]
+    Unavailable,
+    /// The address belongs to another disk than the addressed one; nothing was changed.
     OtherDisk,
-    /// The replica has not the version that the delta was made against.
-    NeedWhole,
+    /// The replica does not have the version that the delta is based on.
+    #[serde(rename = "NeedWhole")]
+    NeedsFullValue,
 }
 
 impl RegisterReply {
-    /// Whether it counts towards a quorum.
+    /// Whether the reply counts towards a quorum.
     pub fn is_grant(&self) -> bool {
         matches!(
             self,
-            RegisterReply::Promised { .. } | RegisterReply::Accepted | RegisterReply::Looked { .. }
+            RegisterReply::Promised { .. }
+                | RegisterReply::Accepted
+                | RegisterReply::Reported { .. }
         )
     }
 }
--- a/yewcross-common/src/register/placement.rs
+++ b/yewcross-common/src/register/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which disks replicate a key.
+//! Placement: the choice of the disks that replicate a key.
 
 use super::quorum::{ReplicaLocation, ReplicaSet};
 use crate::constants::RECORD_REPLICAS;
@@ -12,8 +12,7 @@
 }
 
 impl Layout {
-    /// Whether the disk is in a set that is in force, which includes the previous sets of a change
-    /// under way.
+    /// Whether the disk is in any set in force; during a change that includes the previous sets.
     pub fn includes_disk(&self, disk: &str) -> bool {
         let sets = [
             &self.core.current,
@@ -21,11 +20,12 @@
             &self.store.current,
             &self.store.previous,
         ];
-        sets.iter().any(|set| set.iter().any(|seat| seat == disk))
+        sets.iter()
+            .any(|set| set.iter().any(|member| member == disk))
     }
 
-    /// The group whose disks replicate a key: the core disks for the documents, the store disks for
-    /// all other keys.
+    /// The group whose disks replicate a key: the core disks for documents, the store disks for all
+    /// other keys.
     pub fn group(&self, key: &str) -> &ReplicaGroup {
         if is_document(key) {
             &self.core
@@ -35,8 +35,8 @@
     }
 
     /// The disks out of `disks` that replicate a key, most preferred first: all of them for a
-    /// document, [`RECORD_REPLICAS`] for any other key. No site has two replicas while another has
-    /// none; a disk of no known site counts as a site of its own.
+    /// document, [`RECORD_REPLICAS`] for any other key. No site gets a second replica while another
+    /// site has none; a disk whose site is unknown counts as a separate site.
     pub fn replicas_for<'a>(&self, key: &str, disks: &'a [String]) -> Vec<&'a str> {
         let ranked = crate::hash::ranked(key, disks.iter().map(|disk| disk.as_str()));
         if is_document(key) {
@@ -56,7 +56,8 @@
 }
 
 impl ReplicaSet {
-    /// The replicas of a key under a layout. `address_of` finds the machine of a disk.
+    /// The replicas of a key under a layout. `address_of` returns the address of the node that has a
+    /// disk.
     pub fn of(
         key: &str,
         layout: &Layout,
@@ -64,9 +65,9 @@
         address_of: impl Fn(&str) -> Option<SocketAddr>,
     ) -> ReplicaSet {
         let group = layout.group(key);
-        let seats = |disks: &[String]| -> Vec<ReplicaLocation> {
-            let chosen = layout.replicas_for(key, disks);
-            chosen
+        let locations = |disks: &[String]| -> Vec<ReplicaLocation> {
+            let selected = layout.replicas_for(key, disks);
+            selected
                 .into_iter()
                 .map(|disk| ReplicaLocation {
                     disk: disk.into(),
@@ -76,8 +77,8 @@
         };
         ReplicaSet {
             layout_version,
-            current: seats(&group.current),
-            previous: seats(&group.previous),
+            current: locations(&group.current),
+            previous: locations(&group.previous),
         }
     }
 }
--- a/yewcross-common/src/register/proposer.rs
+++ b/yewcross-common/src/register/proposer.rs
@@ -1,48 +1,50 @@
-//! The proposer: what follows from the replies of the replicas. Pure: no input, output or waiting.
+//! The proposer: the state transitions that the replies of the replicas cause. Pure functions without
+//! I/O or waiting.
 
 use super::message::{Ballot, RegisterReply};
 use super::quorum::ReplicaSet;
 use std::sync::Arc;
 
-/// Why a change did not get through.
+/// Why a change is not known to be decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ChangeError {
-    /// Nothing of the change can be on any disk.
+    /// The change is certainly not on any disk.
     NotApplied,
-    /// Some disk may have it: it may be decided later, or never.
+    /// Some disk may have accepted the change: it may be decided later, or never.
     Undecided,
-    /// Another process proposes for this key; nothing was done here.
+    /// This process may not propose for the key at the moment; nothing was changed.
     NotProposer,
 }
 
-/// The reply of one disk.
+/// The reply from one disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Vote {
     /// Identity of the disk.
     pub disk: String,
-    /// Its reply.
+    /// The disk's reply.
     pub reply: RegisterReply,
-    /// The value that came with the reply.
+    /// The payload of the reply.
     pub value: Vec<u8>,
 }
 
-/// The replies to one request that is sent to all replicas of a key.
+/// The replies to one request that was sent to all replicas of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Round {
-    /// Replies that grant the request, one a disk.
+    /// Replies that grant the request, at most one per disk.
     pub granted: Vec<Vote>,
-    /// Highest ballot number that a rejection reported.
+    /// The highest ballot number reported by a rejection; 0 if there was none.
     pub highest_promised: u64,
-    /// Disks of which it is not known what they did.
+    /// Number of disks for which it is unknown whether the request took effect.
     pub unknown_outcomes: usize,
-    /// Disks whose record is damaged.
+    /// Disks that need the complete value: their record is damaged, or they lack the version that a
+    /// delta is based on.
     pub damaged: Vec<String>,
-    /// Disks that replied anything else than a grant.
+    /// Disks whose reply is not a grant.
     pub denied: Vec<String>,
 }
 
 impl Round {
-    /// Counts one reply.
+    /// Adds one reply.
     pub fn record(&mut self, vote: Vote) {
         if !vote.reply.is_grant() {
             self.denied.push(vote.disk.clone());
@@ -50,13 +52,13 @@
         match vote.reply {
             RegisterReply::Promised { .. }
             | RegisterReply::Accepted
-            | RegisterReply::Looked { .. } => self.grant(vote),
-            RegisterReply::Refused { promised } => {
-                self.highest_promised = self.highest_promised.max(promised.n)
+            | RegisterReply::Reported { .. } => self.grant(vote),
+            RegisterReply::Rejected { promised } => {
+                self.highest_promised = self.highest_promised.max(promised.number)
             }
-            RegisterReply::OldLayout | RegisterReply::OtherDisk => {}
-            RegisterReply::Away => self.unknown_outcomes += 1,
-            RegisterReply::Damaged | RegisterReply::NeedWhole => self.damaged.push(vote.disk),
+            RegisterReply::StaleLayout | RegisterReply::OtherDisk => {}
+            RegisterReply::Unavailable => self.unknown_outcomes += 1,
+            RegisterReply::Damaged | RegisterReply::NeedsFullValue => self.damaged.push(vote.disk),
         }
     }
 
@@ -76,13 +78,12 @@
         replicas.is_quorum(|disk| self.has_granted(disk))
     }
 
-    /// Whether no quorum can come of it any more, whatever the replicas say that have not replied
-    /// yet.
+    /// Whether a quorum has become impossible, whatever the outstanding replies are.
     pub fn cannot_reach_quorum(&self, replicas: &ReplicaSet) -> bool {
         !replicas.is_quorum(|disk| !self.denied.iter().any(|denied| denied == disk))
     }
 
-    /// What a round without a quorum leaves behind.
+    /// The error for a round that ended without a quorum.
     pub fn failure(&self) -> ChangeError {
         if self.granted.is_empty() && self.unknown_outcomes == 0 {
             ChangeError::NotApplied
@@ -91,7 +92,8 @@
         }
     }
 
-    /// The newest value that the promises report; the default where no replica ever accepted one.
+    /// The newest value among those that the promises report; the default if no replica has accepted
+    /// any.
     fn newest(&self) -> Accepted {
         let promises = self.granted.iter().filter_map(|vote| match vote.reply {
             RegisterReply::Promised { accepted, seq } => Some((accepted, seq, &vote.value)),
@@ -108,7 +110,7 @@
     }
 }
 
-/// A value as a replica accepted it.
+/// A value, and the ballot and version under which a replica accepted it.
 #[derive(Default)]
 struct Accepted {
     ballot: Ballot,
@@ -116,7 +118,8 @@
     value: Vec<u8>,
 }
 
-/// What the replicas report of their records, without having promised anything.
+/// The replies to one read request, for which replicas report their records without promising a
+/// ballot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReadRound {
     reports: Vec<Report>,
@@ -131,9 +134,9 @@
 }
 
 impl ReadRound {
-    /// Takes in one reply; anything but a report is ignored.
+    /// Adds one reply; any reply other than a report is ignored.
     pub fn record(&mut self, vote: Vote) {
-        if let RegisterReply::Looked { accepted, seq } = vote.reply {
+        if let RegisterReply::Reported { accepted, seq } = vote.reply {
             self.reports.push(Report {
                 disk: vote.disk,
                 accepted,
@@ -143,60 +146,60 @@
         }
     }
 
-    /// The newest version reported so far, once a quorum reports just that one: it was decided,
-    /// under a ballot that the quorum accepted, and nothing newer was decided before the replicas
-    /// were asked.
+    /// The newest version reported so far, once a quorum reports exactly that version. It is decided,
+    /// because a quorum accepted it under one ballot, and no newer version was decided before the
+    /// request was sent.
     pub fn decided(&self, replicas: &ReplicaSet) -> Option<(Ballot, u64, &Vec<u8>)> {
         let newest = self
             .reports
             .iter()
             .max_by_key(|report| (report.accepted, report.seq))?;
-        let is_newest =
+        let has_newest_version =
             |report: &&Report| (report.accepted, report.seq) == (newest.accepted, newest.seq);
         let has_quorum = replicas.is_quorum(|disk| {
             self.reports
                 .iter()
-                .filter(is_newest)
+                .filter(has_newest_version)
                 .any(|report| report.disk == disk)
         });
-        // A replica sends no value if the asker has the same version: the asker then uses its own.
-        let fullest = self
+        // A replica omits the value if the sender of the request has the same version. The longest
+        // value is the one that was sent; the caller uses its own if none was.
+        let longest = self
             .reports
             .iter()
-            .filter(is_newest)
+            .filter(has_newest_version)
             .max_by_key(|report| report.value.len())?;
-        has_quorum.then_some((newest.accepted, newest.seq, &fullest.value))
+        has_quorum.then_some((newest.accepted, newest.seq, &longest.value))
     }
 }
 
 /// The state of a proposer for one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    /// The ballot that it leads with; none while it does not lead, or while a write under it is
-    /// undecided.
+    /// The prepared ballot. `None` if no ballot is prepared, or while a write under it is undecided.
     ballot: Option<Ballot>,
-    /// Highest ballot number seen anywhere.
-    highest: u64,
-    /// The replicas that promised the ballot.
+    /// Highest ballot number used here or reported by a replica.
+    highest_number: u64,
+    /// The replica set at which the ballot was prepared.
     replicas: ReplicaSet,
-    /// The version decided last, as far as it is known.
+    /// The last version known to be decided.
     seq: u64,
     value: Arc<Vec<u8>>,
 }
 
 impl Proposer {
-    /// The ballot to continue with, where it was prepared at these replicas.
+    /// The prepared ballot, if it was prepared at the same disks as those of `replicas`.
     pub fn ballot_prepared_at(&self, replicas: &ReplicaSet) -> Option<Ballot> {
         self.ballot
             .filter(|_| self.replicas.has_same_disks(replicas))
     }
 
-    /// The ballot that it leads with.
+    /// The prepared ballot, whatever replicas it was prepared at.
     pub fn ballot(&self) -> Option<Ballot> {
         self.ballot
     }
 
-    /// The version decided last, as far as it is known.
+    /// The last version known to be decided.
     pub fn seq(&self) -> u64 {
         self.seq
     }
@@ -206,20 +209,21 @@
         &self.value
     }
 
-    /// Begins to prepare a ballot above all that were seen. `proposer` is never used twice. `clock`
-    /// is the wall clock, ms: a key that was erased begins anew with nothing promised, and whatever
-    /// is left of its earlier incarnation must rank below.
-    pub fn prepare(&mut self, proposer: u64, clock: u64) -> Ballot {
-        self.highest = clock.max(self.highest + 1);
+    /// Returns a new ballot above all observed ones, to be prepared. `proposer_id` must never be used
+    /// twice. The number is at least the wall clock: an erased key has no record of earlier promises,
+    /// and messages or records left from before the erasure must have a lower ballot.
+    pub fn prepare(&mut self, proposer_id: u64, wall_clock_ms: u64) -> Ballot {
+        self.highest_number = wall_clock_ms.max(self.highest_number + 1);
         self.ballot = None;
         Ballot {
-            n: self.highest,
-            by: proposer,
+            number: self.highest_number,
+            proposer_id,
         }
     }
 
-    /// A quorum promised: the newest value that it reports has to be accepted anew under the
-    /// ballot before anything else happens. Returns whether there is one.
+    /// Takes over the newest value that a quorum of promises reports. It must be accepted under the
+    /// new ballot before any other value is proposed. Returns whether any replica had accepted a
+    /// value.
     pub fn record_promises(&mut self, replicas: &ReplicaSet, round: &Round) -> bool {
         let newest = round.newest();
         self.seq = newest.seq;
@@ -228,27 +232,27 @@
         newest.ballot != Ballot::default()
     }
 
-    /// The ballot is prepared, and the newest value is accepted under it.
+    /// Records that the ballot is prepared and the newest value is accepted under it.
     pub fn set_prepared(&mut self, ballot: Ballot) {
         self.ballot = Some(ballot);
     }
 
-    /// Gives the ballot up: the next change prepares a new one. This is done before each write and
-    /// undone when the write is decided: a caller that stops waiting leaves no ballot behind under
-    /// which some replicas may have accepted the write.
+    /// Abandons the prepared ballot and returns it; the next change prepares a new one. This is done
+    /// before each write and reverted by `record_decided`: if the caller is cancelled in between, no
+    /// ballot remains in use under which some replicas may have accepted the write.
     pub fn abandon_ballot(&mut self) -> Option<Ballot> {
         self.ballot.take()
     }
 
-    /// A quorum accepted the next version.
+    /// Records that a quorum accepted the next version under the ballot.
     pub fn record_decided(&mut self, ballot: Ballot, value: Arc<Vec<u8>>) {
         self.ballot = Some(ballot);
         self.seq += 1;
         self.value = value;
     }
 
-    /// Another proposer was promised this much.
+    /// Records a ballot number that was promised to another proposer.
     pub fn observe_ballot_number(&mut self, number: u64) {
-        self.highest = self.highest.max(number);
+        self.highest_number = self.highest_number.max(number);
     }
 }
--- a/yewcross-common/src/register/quorum.rs
+++ b/yewcross-common/src/register/quorum.rs
@@ -1,55 +1,58 @@
-//! The replicas of a key, and which of them make a quorum.
+//! The replicas of a key, and the rule for which of them form a quorum.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// A replica: its disk, and the address where the disk's machine was last seen.
+/// Where a replica is: its disk, and the last known address of the node that has the disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReplicaLocation {
-    /// Identity of the disk; votes are counted by it.
+    /// Identity of the disk; votes are counted per disk.
     pub disk: String,
-    /// `None` while no machine is known to have the disk.
+    /// `None` while no member of the tier is known to have the disk.
     pub addr: Option<SocketAddr>,
 }
 
-/// The replicas of a key under one layout. While they change, the previous set is in force beside
-/// the current one.
+/// The replicas of a key under one layout. During a change of the replica set, the previous set and
+/// the current one are both in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReplicaSet {
     /// Version of the layout.
     pub layout_version: u64,
-    /// The set that remains after a change.
+    /// The set that stays in force once a change is complete.
     pub current: Vec<ReplicaLocation>,
-    /// Empty unless a change is under way.
+    /// The set before the change; empty unless a change is in progress.
     pub previous: Vec<ReplicaLocation>,
 }
 
-/// The fewest of `count` members such that any two sets of as many share one.
+/// The smallest number out of `count` members such that any two sets of that size share a member.
 pub fn majority(count: usize) -> usize {
     count / 2 + 1
 }
 
 impl ReplicaSet {
-    /// Every replica once, the current set first.
+    /// Each replica of either set once, the current set first.
     pub fn all(&self) -> Vec<ReplicaLocation> {
         let previous_only = self
             .previous
             .iter()
-            .filter(|seat| !self.current.contains(seat));
+            .filter(|replica| !self.current.contains(replica));
         self.current.iter().chain(previous_only).cloned().collect()
     }
 
-    /// Whether both sets have the same disks: a ballot prepared at the one is prepared at the
-    /// other, whatever the version of the layout.
+    /// Whether both replica sets consist of the same disks. If so, a ballot prepared at one set is
+    /// prepared at the other, even if the layout versions differ.
     pub fn has_same_disks(&self, other: &ReplicaSet) -> bool {
         disks(&self.current) == disks(&other.current)
             && disks(&self.previous) == disks(&other.previous)
     }
 
-    /// Whether the disks that `granted` accepts are a majority of each set in force.
-    pub fn is_quorum(&self, granted: impl Fn(&str) -> bool) -> bool {
+    /// Whether the disks for which `is_granted` is true are a majority of each set in force.
+    pub fn is_quorum(&self, is_granted: impl Fn(&str) -> bool) -> bool {
         let has_majority = |set: &[ReplicaLocation]| {
-            set.iter().filter(|seat| granted(&seat.disk)).count() >= majority(set.len())
+            set.iter()
+                .filter(|replica| is_granted(&replica.disk))
+                .count()
+                >= majority(set.len())
         };
         !self.current.is_empty()
             && has_majority(&self.current)
@@ -57,6 +60,9 @@
     }
 }
 
-fn disks(seats: &[ReplicaLocation]) -> BTreeSet<&str> {
-    seats.iter().map(|seat| seat.disk.as_str()).collect()
+fn disks(replicas: &[ReplicaLocation]) -> BTreeSet<&str> {
+    replicas
+        .iter()
+        .map(|replica| replica.disk.as_str())
+        .collect()
 }
--- a/yewcross-common/src/register/replica.rs
+++ b/yewcross-common/src/register/replica.rs
@@ -1,12 +1,11 @@
-//! A replica: the acceptor's records of many keys, each in a file of its own that is synced before
-//! the reply is sent.
+//! A replica: the acceptor's records, each in its own file, which is synced before the reply is sent.
 //!
-//! Requests to keys of one shard are handled one after the other: a record is read, changed and
-//! written under the lock of its shard.
+//! Requests for keys of the same shard are handled sequentially: a record is read, changed and written
+//! under the lock of its shard.
 
 use super::acceptor::{self, Effect, Record, Transition};
 use super::message::{Ballot, RegisterReply, RegisterRequest};
-use super::{SHARDS, locate};
+use super::{SHARDS, hash_and_shard};
 use crate::constants::SYNC_TIMEOUT;
 use crate::runtime::Runtime;
 use crate::storage::{DurableStorage, shard_folder};
@@ -17,10 +16,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 
-/// bytes. The length of the header, a little-endian u32, precedes it.
+/// Size, in bytes, of the little-endian u32 that precedes the header and holds its length.
 const HEADER_LENGTH_BYTES: usize = 4;
 
-/// What precedes the value in a record's file.
+/// The header that precedes the value in a record's file.
 #[derive(Serialize, Deserialize)]
 struct RecordHeader {
     key: String,
@@ -37,25 +36,25 @@
     pub(super) file_version: u64,
 }
 
-/// The records of one shard, by the hash of their key.
+/// The records of one shard by the hash of their keys.
 pub(super) type Shard = BTreeMap<u128, StoredRecord>;
 
 /// The replica of this process.
 pub struct Replica {
     pub(super) runtime: Runtime,
-    /// The disk that the records are on.
+    /// The disk that holds the records.
     pub storage: Arc<DurableStorage>,
     pub(super) shards: Vec<Mutex<Shard>>,
-    /// Proposers that go by an older layout are rejected.
+    /// The newest layout version received; requests of proposers that use an older one are rejected.
     pub layout_version: AtomicU64,
 }
 
-/// The name of the file of a key, by the hash of the key.
+/// The file name for the hash of a key.
 pub(super) fn file_name(hash: u128) -> String {
     format!("{hash:032x}")
 }
 
-/// The hash that a file is named by; `None` for a file of any other name.
+/// The key hash that a file name encodes; `None` for any other file name.
 pub(super) fn hash_of_file(name: &str) -> Option<u128> {
     u128::from_str_radix(name, 16).ok()
 }
@@ -70,8 +69,7 @@
             accepted: record.accepted,
             seq: record.seq,
         };
-        let header =
-            serde_json::to_vec(&header).expect("a header of strings and numbers is always JSON");
+        let header = serde_json::to_vec(&header).expect("record header cannot be encoded as JSON");
         let mut bytes = (header.len() as u32).to_le_bytes().to_vec();
         bytes.extend(header);
         bytes.extend(record.value.iter());
@@ -98,7 +96,8 @@
         })
     }
 
-    /// A file that cannot be read. Its key is not known until another replica fills it.
+    /// The record for a file that cannot be read. Its key is unknown until the value of another
+    /// replica is filled in.
     fn damaged(file_version: u64) -> StoredRecord {
         StoredRecord {
             key: String::new(),
@@ -112,12 +111,12 @@
 }
 
 impl Replica {
-    /// Reads the records that the disk holds.
+    /// Reads all records from the disk.
     pub async fn open(storage: &Arc<DurableStorage>) -> io::Result<Arc<Replica>> {
         let mut shards = vec![];
-        for number in 0..SHARDS {
+        for shard_number in 0..SHARDS {
             let mut shard = Shard::new();
-            for file in storage.scan(&shard_folder(number)).await? {
+            for file in storage.scan(&shard_folder(shard_number)).await? {
                 let Some(hash) = hash_of_file(&file.name) else {
                     continue;
                 };
@@ -137,9 +136,9 @@
         }))
     }
 
-    /// The record of a key, unless it is unknown or damaged.
+    /// The record of a key; `None` if there is none or it is damaged.
     pub async fn read_record(&self, key: &str) -> Option<Record> {
-        let (hash, shard) = locate(key);
+        let (hash, shard) = hash_and_shard(key);
         let shard = self.shards[shard].lock().await;
         shard
             .get(&hash)
@@ -147,7 +146,7 @@
             .filter(|record| !record.damaged)
     }
 
-    /// Keys that this disk has a readable record of, and the number of damaged records.
+    /// The keys with a readable record on this disk, and the number of damaged records.
     pub async fn keys(&self) -> (Vec<String>, u64) {
         let (mut keys, mut damaged) = (vec![], 0);
         for shard in &self.shards {
@@ -163,22 +162,22 @@
         (keys, damaged)
     }
 
-    /// Drops the record of a key that this disk is no replica of any more.
+    /// Removes the record of a key that this disk no longer replicates.
     pub async fn remove_record(&self, key: &str) {
-        let (hash, number) = locate(key);
-        let mut shard = self.shards[number].lock().await;
-        self.remove(&mut shard, hash, number).await;
+        let (hash, shard_number) = hash_and_shard(key);
+        let mut shard = self.shards[shard_number].lock().await;
+        self.erase_record(&mut shard, hash, shard_number).await;
     }
 
-    /// Removes a record; whether its files are gone for good. A file that came back would bring an
-    /// erased value back.
-    async fn remove(&self, shard: &mut Shard, hash: u128, number: usize) -> bool {
+    /// Removes a record; returns whether its files are permanently removed. A file that reappeared
+    /// after a restart would restore an erased value.
+    async fn erase_record(&self, shard: &mut Shard, hash: u128, shard_number: usize) -> bool {
         if !shard.contains_key(&hash) {
             return true;
         }
         let erased = self
             .storage
-            .erase(&shard_folder(number), &file_name(hash))
+            .erase(&shard_folder(shard_number), &file_name(hash))
             .await;
         let erased = erased
             .inspect_err(|error| self.storage.mark_failed(error))
@@ -189,35 +188,35 @@
         erased
     }
 
-    /// Handles one request. A write under way is never abandoned halfway: it runs as a task of its
-    /// own, and a slow disk only loses its vote.
+    /// Handles one request. The write runs in a separate task, so that it is never cancelled halfway:
+    /// if the disk is slow the reply times out and only the vote is lost.
     pub async fn handle(
         self: &Arc<Self>,
         request: RegisterRequest,
-        blob: Vec<u8>,
+        payload: Vec<u8>,
     ) -> (RegisterReply, Vec<u8>) {
         if self.storage.failed.load(SeqCst) {
-            return (RegisterReply::Away, vec![]);
+            return (RegisterReply::Unavailable, vec![]);
         }
         let (sender, receiver) = async_channel::bounded(1);
         let replica = self.clone();
         self.runtime.spawn(async move {
-            // Nobody receives the answer if it came too late.
-            let _ = sender.try_send(replica.handle_exclusively(request, blob).await);
+            // The receiver is closed if the handler has timed out.
+            let _ = sender.try_send(replica.handle_exclusively(request, payload).await);
         });
         match self.runtime.timeout(SYNC_TIMEOUT, receiver.recv()).await {
-            Some(Ok(answer)) => answer,
-            _ => (RegisterReply::Away, vec![]),
+            Some(Ok(reply)) => reply,
+            _ => (RegisterReply::Unavailable, vec![]),
         }
     }
 
     async fn handle_exclusively(
         &self,
         request: RegisterRequest,
-        blob: Vec<u8>,
+        payload: Vec<u8>,
     ) -> (RegisterReply, Vec<u8>) {
-        let (hash, number) = locate(request.key());
-        let mut shard = self.shards[number].lock().await;
+        let (hash, shard_number) = hash_and_shard(request.key());
+        let mut shard = self.shards[shard_number].lock().await;
         let stored = shard.get(&hash).cloned().unwrap_or_default();
         let Transition {
             effect,
@@ -227,25 +226,25 @@
             &stored.record,
             self.layout_version.load(SeqCst),
             &request,
-            blob,
+            payload,
         );
         match effect {
             Effect::None => {}
             Effect::Erase => {
-                if !self.remove(&mut shard, hash, number).await {
-                    return (RegisterReply::Away, vec![]);
+                if !self.erase_record(&mut shard, hash, shard_number).await {
+                    return (RegisterReply::Unavailable, vec![]);
                 }
             }
             Effect::Write(record) => {
-                let next = StoredRecord {
+                let updated = StoredRecord {
                     key: request.key().into(),
                     record,
                     file_version: stored.file_version + 1,
                 };
-                if self.persist(number, hash, &next).await.is_err() {
-                    return (RegisterReply::Away, vec![]);
+                if self.persist(shard_number, hash, &updated).await.is_err() {
+                    return (RegisterReply::Unavailable, vec![]);
                 }
-                shard.insert(hash, next);
+                shard.insert(hash, updated);
             }
         }
         (reply, value.map(|value| value.to_vec()).unwrap_or_default())
--- a/yewcross-common/src/register/replica_call.rs
+++ b/yewcross-common/src/register/replica_call.rs
@@ -1,4 +1,5 @@
-//! One request to one replica of a key: to the own disk directly, to any other over the network.
+//! One request to one replica of a key: handled locally for this process's disk, sent over the
+//! network for any other.
 
 use super::message::{RegisterReply, RegisterRequest};
 use super::proposer::Vote;
@@ -10,17 +11,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A request and the value that goes with it, as it is sent to every replica.
+/// A request and its payload, sent identically to every replica of a key.
 #[derive(Clone)]
 pub(super) struct ReplicaCall {
     pub(super) request: RegisterRequest,
     pub(super) value: Arc<Vec<u8>>,
-    /// Sent in place of the value to replicas that may have the version before.
+    /// Sent instead of the value to replicas that may have the previous version.
     pub(super) delta: Option<Arc<Vec<u8>>>,
 }
 
 impl ReplicaCall {
-    /// A request that carries no value.
+    /// A request without a payload.
     pub(super) fn without_value(request: RegisterRequest) -> ReplicaCall {
         ReplicaCall {
             request,
@@ -29,40 +30,42 @@
         }
     }
 
-    /// Sends the call to one replica. A replica without a known address counts as unreachable.
+    /// Sends the request to one replica. A replica whose address is unknown counts as unavailable.
     pub(super) async fn send_to(
         self,
-        seat: ReplicaLocation,
+        replica: ReplicaLocation,
         peers: Arc<PeerClient>,
-        own_replica: Arc<Replica>,
+        local_replica: Arc<Replica>,
     ) -> Vote {
-        let (reply, value) = if seat.disk == own_replica.storage.disk_id {
-            own_replica.handle(self.request, self.value.to_vec()).await
-        } else if let Some(address) = seat.addr {
-            self.send_to_peer(address, &seat.disk, &peers).await
+        let (reply, value) = if replica.disk == local_replica.storage.disk_id {
+            local_replica
+                .handle(self.request, self.value.to_vec())
+                .await
+        } else if let Some(address) = replica.addr {
+            self.send_to_peer(address, &replica.disk, &peers).await
         } else {
-            (RegisterReply::Away, vec![])
+            (RegisterReply::Unavailable, vec![])
         };
         Vote {
-            disk: seat.disk,
+            disk: replica.disk,
             reply,
             value,
         }
     }
 
-    /// Sends the delta where there is one that the peer can read, and the complete value if the
-    /// peer has not the version that the delta builds on.
+    /// Sends the delta if there is one and the peer's wire version supports deltas. Sends the
+    /// complete value otherwise, or if the peer lacks the version that the delta is based on.
     async fn send_to_peer(
         self,
         address: SocketAddr,
         disk: &str,
         peers: &Arc<PeerClient>,
     ) -> (RegisterReply, Vec<u8>) {
-        let reads_deltas = peers.version(address) >= WIRE_DELTAS;
-        if let Some(delta) = self.delta.filter(|_| reads_deltas) {
+        let supports_deltas = peers.version(address) >= WIRE_DELTAS;
+        if let Some(delta) = self.delta.filter(|_| supports_deltas) {
             let request = self.request.as_delta();
             let (reply, value) = request_from_disk(peers, address, disk, request, &delta).await;
-            if reply != RegisterReply::NeedWhole {
+            if reply != RegisterReply::NeedsFullValue {
                 return (reply, value);
             }
         }
@@ -70,18 +73,18 @@
     }
 }
 
-/// Sends a request to the disk that is believed to be at the address. The answer of any other disk
-/// is no vote: a disk that came back empty promises anything, and remembers nothing of what the
-/// lost one accepted.
+/// Sends a request to the disk that is expected at the address. A reply from any other disk does not
+/// count as a vote: an empty replacement disk grants any promise, because it has no record of what
+/// the lost disk accepted.
 async fn request_from_disk(
     peers: &Arc<PeerClient>,
     address: SocketAddr,
     disk: &str,
     request: RegisterRequest,
-    blob: &[u8],
+    payload: &[u8],
 ) -> (RegisterReply, Vec<u8>) {
-    let names_disks = peers.version(address) >= WIRE_NAMED_DISKS;
-    let question = if names_disks {
+    let supports_named_disks = peers.version(address) >= WIRE_NAMED_DISKS;
+    let peer_request = if supports_named_disks {
         PeerRequest::Register {
             disk: disk.into(),
             request,
@@ -90,14 +93,22 @@
         PeerRequest::UnnamedRegister(request)
     };
     match peers
-        .request(address, &question, blob, PEER_REQUEST_TIMEOUT)
+        .request(address, &peer_request, payload, PEER_REQUEST_TIMEOUT)
         .await
     {
-        Ok((PeerResponse::Register { disk: from, reply }, value)) if from == disk => (reply, value),
+        Ok((
+            PeerResponse::Register {
+                disk: sender,
+                reply,
+            },
+            value,
+        )) if sender == disk => (reply, value),
         Ok((PeerResponse::Register { .. } | PeerResponse::OtherDisk { .. }, _)) => {
             (RegisterReply::OtherDisk, vec![])
         }
-        Ok((PeerResponse::UnnamedRegister(reply), value)) if !names_disks => (reply, value),
-        _ => (RegisterReply::Away, vec![]),
+        Ok((PeerResponse::UnnamedRegister(reply), value)) if !supports_named_disks => {
+            (reply, value)
+        }
+        _ => (RegisterReply::Unavailable, vec![]),
     }
 }
--- a/yewcross-common/src/register/restore.rs
+++ b/yewcross-common/src/register/restore.rs
@@ -1,4 +1,4 @@
-//! Brings the files of a replica back to what it has answered, after a write of unknown outcome.
+//! Restores a replica's files to the acknowledged state after a write with an unknown outcome.
 
 use super::SHARDS;
 use super::replica::{Replica, Shard, StoredRecord, file_name, hash_of_file};
@@ -10,32 +10,32 @@
 type FilesOnDisk = BTreeMap<u128, StoredFile>;
 
 impl Replica {
-    /// Reads all records from the disk again. Memory has what was answered: a file that differs is
-    /// written anew above every version on the disk, and a file of which nothing was answered is
-    /// erased. Returns how many files were wrong.
+    /// Re-reads all records from disk. The records in memory are the acknowledged state: a file that
+    /// differs is rewritten with a version above every one on disk, and a file whose record was never
+    /// acknowledged is erased. Returns the number of corrected files.
     pub async fn restore(&self) -> io::Result<usize> {
-        let mut wrong = 0;
+        let mut corrected = 0;
         for shard in 0..SHARDS {
-            wrong += self.restore_shard(shard).await?;
+            corrected += self.restore_shard(shard).await?;
         }
-        Ok(wrong)
+        Ok(corrected)
     }
 
-    /// Waits for a write under way, which has the shard locked.
+    /// Waits for a write in progress, which holds the lock of the shard.
     async fn restore_shard(&self, shard: usize) -> io::Result<usize> {
         let mut records = self.shards[shard].lock().await;
         let files = self.files_of_shard(shard).await?;
-        let rewritten = self.rewrite_changed(shard, &mut records, &files).await?;
-        let unanswered: Vec<u128> = files
+        let rewritten = self.rewrite_different(shard, &mut records, &files).await?;
+        let unacknowledged: Vec<u128> = files
             .into_keys()
             .filter(|hash| !records.contains_key(hash))
             .collect();
-        for hash in &unanswered {
+        for hash in &unacknowledged {
             self.storage
                 .erase(&shard_folder(shard), &file_name(*hash))
                 .await?;
         }
-        Ok(rewritten + unanswered.len())
+        Ok(rewritten + unacknowledged.len())
     }
 
     async fn files_of_shard(&self, shard: usize) -> io::Result<FilesOnDisk> {
@@ -46,7 +46,7 @@
         Ok(by_hash.collect())
     }
 
-    async fn rewrite_changed(
+    async fn rewrite_different(
         &self,
         shard: usize,
         records: &mut Shard,
@@ -58,7 +58,7 @@
                 continue;
             }
             if self
-                .rewrite_if_changed(shard, *hash, record, files.get(hash))
+                .rewrite_if_different(shard, *hash, record, files.get(hash))
                 .await?
             {
                 rewritten += 1;
@@ -67,8 +67,8 @@
         Ok(rewritten)
     }
 
-    /// Whether the file differed from the record, and was written anew.
-    async fn rewrite_if_changed(
+    /// Rewrites the file if it differs from the record; returns whether it did.
+    async fn rewrite_if_different(
         &self,
         shard: usize,
         hash: u128,
@@ -78,21 +78,23 @@
         let folder = shard_folder(shard);
         let name = file_name(hash);
         let body = record.encode();
-        let answered_version = record.file_version;
+        let acknowledged_version = record.file_version;
         if file.is_some_and(|file| {
-            file.version == answered_version && file.body.as_ref() == Some(&body)
+            file.version == acknowledged_version && file.body.as_ref() == Some(&body)
         }) {
             return Ok(false);
         }
-        let newest_version =
-            file.map_or(answered_version, |file| file.version.max(answered_version));
+        let newest_version = file.map_or(acknowledged_version, |file| {
+            file.version.max(acknowledged_version)
+        });
         let version = newest_version + 1;
         self.storage.write(&folder, &name, version, &body).await?;
         record.file_version = version;
-        // It may be gone already: a file found damaged on the way was taken for lost.
+        // The file may already have been removed: a file found damaged during the scan is treated as
+        // lost.
         let _ = self
             .runtime
-            .remove(&version_path(&folder, &name, answered_version))
+            .remove(&version_path(&folder, &name, acknowledged_version))
             .await;
         Ok(true)
     }
--- a/yewcross-common/src/turn_log/client/write.rs
+++ b/yewcross-common/src/turn_log/client/write.rs
@@ -211,7 +211,7 @@
         let inner = self.clone();
         let mut write = write.clone();
         if let Some(ledger) = &mut write.ledger {
-            ledger.epoch.by = owner.map_or(0, epoch_owner_id);
+            ledger.epoch.proposer_id = owner.map_or(0, epoch_owner_id);
         }
         move |disk: &str| -> BoxFuture<'static, TurnLogResponse> {
             let inner = inner.clone();
--- a/yewcross-common/src/turn_log/epoch.rs
+++ b/yewcross-common/src/turn_log/epoch.rs
@@ -16,5 +16,5 @@
 
 /// What stands for the disk whose store acquired an epoch, as [`epoch_owner_id`] gives it.
 pub fn owner_of(epoch: Ballot) -> u64 {
-    epoch.by & !INCARNATION_MASK
+    epoch.proposer_id & !INCARNATION_MASK
 }
--- a/yewcross-control/src/request_handler.rs
+++ b/yewcross-control/src/request_handler.rs
@@ -179,7 +179,7 @@
             .1
             .includes_disk(&self.storage.disk_id);
         if !has_seat {
-            return without_payload(PeerResponse::UnnamedRegister(RegisterReply::Away));
+            return without_payload(PeerResponse::UnnamedRegister(RegisterReply::Unavailable));
         }
         let (reply, value) = self.replica.handle(request, value).await;
         (PeerResponse::UnnamedRegister(reply), value)
--- a/yewcross-state/src/turn_store/open_turn.rs
+++ b/yewcross-state/src/turn_store/open_turn.rs
@@ -79,8 +79,10 @@
             .all()
             .into_iter()
             .find(|disk| epoch_owner_id(disk) == owner)?;
-        let is_live =
-            !take_over && promised.n > 0 && disk != self.own_disk && self.stores.is_alive(&disk);
+        let is_live = !take_over
+            && promised.number > 0
+            && disk != self.own_disk
+            && self.stores.is_alive(&disk);
         is_live.then_some(disk)
     }
 
--- a/yewcross-state/src/turn_store/ownership.rs
+++ b/yewcross-state/src/turn_store/ownership.rs
@@ -84,8 +84,8 @@
             let mut index = self.index.lock().unwrap();
             let ledger = index.ledgers.entry(record.program.clone()).or_default();
             record.epoch = Ballot {
-                n: ledger.promised.n.max(owned.highest_number) + 1,
-                by: self.owner_id,
+                number: ledger.promised.number.max(owned.highest_number) + 1,
+                proposer_id: self.owner_id,
             };
             ledger.promised = record.epoch;
             ledger.merge(&record.entries, now_ms, record.retain_ms);
@@ -116,7 +116,7 @@
             return Acquisition::NewerLayout(promises.newer_layout);
         }
         if promises.highest_rejected > Ballot::default() {
-            owned.highest_number = owned.highest_number.max(promises.highest_rejected.n);
+            owned.highest_number = owned.highest_number.max(promises.highest_rejected.number);
             return Acquisition::Rejected;
         }
         let is_durable_here = match written {
--- a/yewcross-state/src/turn_store/replication.rs
+++ b/yewcross-state/src/turn_store/replication.rs
@@ -126,7 +126,7 @@
         self.counters.forwarded.fetch_add(1, Relaxed);
         let store = self.clone();
         let mut record = record.clone();
-        record.epoch.by = owner;
+        record.epoch.proposer_id = owner;
         self.runtime.spawn(async move {
             let operation = TurnLogOperation::StoreTurns {
                 rows: vec![],
--- a/yewcross-state/src/turn_store/reservation.rs
+++ b/yewcross-state/src/turn_store/reservation.rs
@@ -306,7 +306,7 @@
         let mut owned = ownership.lock().await;
         if owned.epoch == Some(epoch) {
             owned.epoch = None;
-            owned.highest_number = owned.highest_number.max(highest_rejected.n);
+            owned.highest_number = owned.highest_number.max(highest_rejected.number);
         }
         drop(owned);
         if highest_rejected == Ballot::default() {
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -949,13 +949,19 @@
     let d = t.disk("store1");
     let ledger = |n, e: &[(&str, LedgerEntry)]| LedgerRecord {
         program: "p".into(),
-        epoch: Ballot { n, by: 7 },
+        epoch: Ballot {
+            number: n,
+            proposer_id: 7,
+        },
         entries: e.iter().map(|(k, e)| (k.to_string(), *e)).collect(),
         retain_ms: 1000,
     };
     let ask = |what| told(&t, "store1", &d, 1, what);
     let (open, done) = (("a", LedgerEntry::Open(5)), ("a", LedgerEntry::Done(2)));
-    let e = |n| Ballot { n, by: 7 };
+    let e = |n| Ballot {
+        number: n,
+        proposer_id: 7,
+    };
     assert_eq!(
         ask(TurnLogOperation::AppendEntries {
             ledger: ledger(1, &[open])
@@ -1213,7 +1219,10 @@
     for seed in 900..908 {
         let t = Town::new(seed, 4, 2, 1);
         let d = t.disk("store1");
-        let epoch = Ballot { n: 5, by: 7 };
+        let epoch = Ballot {
+            number: 5,
+            proposer_id: 7,
+        };
         let ledger = |e: &[(&str, LedgerEntry)]| LedgerRecord {
             program: "p".into(),
             epoch,
@@ -1589,7 +1598,10 @@
         );
         let ledger = LedgerRecord {
             program: "p0".into(),
-            epoch: Ballot { n: 99, by: 1 },
+            epoch: Ballot {
+                number: 99,
+                proposer_id: 1,
+            },
             ..Default::default()
         };
         assert_eq!(
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -65,23 +65,26 @@
 }
 
 fn epoch(n: u64) -> Ballot {
-    Ballot { n, by: 1 }
+    Ballot {
+        number: n,
+        proposer_id: 1,
+    }
 }
 
 fn promise(n: u64) -> RegisterRequest {
     RegisterRequest::Promise {
         key: KEY.into(),
-        epoch: epoch(n),
-        lay: 0,
+        ballot: epoch(n),
+        layout_version: 0,
     }
 }
 
 fn accept(n: u64, seq: u64) -> RegisterRequest {
     RegisterRequest::Accept {
         key: KEY.into(),
-        epoch: epoch(n),
+        ballot: epoch(n),
         seq,
-        lay: 0,
+        layout_version: 0,
         delta: false,
     }
 }
@@ -117,7 +120,7 @@
                     replica
                         .read_record(KEY)
                         .await
-                        .map_or(0, |slot| slot.promised.n),
+                        .map_or(0, |slot| slot.promised.number),
                 )
             })
         };
@@ -156,7 +159,7 @@
                     let known = replica
                         .read_record(KEY)
                         .await
-                        .map_or(0, |slot| slot.promised.n);
+                        .map_or(0, |slot| slot.promised.number);
                     let vouched = told
                         .lock()
                         .unwrap()
@@ -208,7 +211,7 @@
                     .await
                     .read_record(KEY)
                     .await
-                    .map_or(0, |slot| slot.promised.n)
+                    .map_or(0, |slot| slot.promised.number)
             })
         };
         let read = bench.run(SEC, known).unwrap();
@@ -242,11 +245,11 @@
                     );
                 }
                 if dropped {
-                    let drop = RegisterRequest::Drop {
+                    let drop = RegisterRequest::Erase {
                         key: KEY.into(),
-                        epoch: epoch(3),
+                        ballot: epoch(3),
                         seq: 3,
-                        lay: 0,
+                        layout_version: 0,
                     };
                     assert_eq!(
                         replica.handle(drop, vec![]).await.0,
--- a/yewcross-testkit/tests/documents.rs
+++ b/yewcross-testkit/tests/documents.rs
@@ -29,12 +29,28 @@
     let epoch = Ballot::default();
     assert_eq!(book.try_apply("list", 5, epoch, list(5)), Ok(()));
     assert_eq!(
-        book.try_apply("list", 4, Ballot { n: 9, by: 1 }, list(4)),
+        book.try_apply(
+            "list",
+            4,
+            Ballot {
+                number: 9,
+                proposer_id: 1
+            },
+            list(4)
+        ),
         Err(DocumentRejected::NotNewer { current: 5 })
     );
     // The same document under a later epoch is the same document.
     assert_eq!(
-        book.try_apply("list", 5, Ballot { n: 9, by: 1 }, list(5)),
+        book.try_apply(
+            "list",
+            5,
+            Ballot {
+                number: 9,
+                proposer_id: 1
+            },
+            list(5)
+        ),
         Err(DocumentRejected::NotNewer { current: 5 })
     );
     assert_eq!(
--- a/yewcross-testkit/tests/models/register/conclusion.rs
+++ b/yewcross-testkit/tests/models/register/conclusion.rs
@@ -143,7 +143,7 @@
             if !pending.answered.contains(address) {
                 pending.round.record(Vote {
                     disk: seat.disk.clone(),
-                    reply: RegisterReply::Away,
+                    reply: RegisterReply::Unavailable,
                     value: vec![],
                 });
             }
--- a/yewcross-testkit/tests/models/register/delivery.rs
+++ b/yewcross-testkit/tests/models/register/delivery.rs
@@ -50,7 +50,7 @@
                 has_kept,
             };
         }
-        if let (Fault::AcceptAnyBallot, RegisterRequest::Accept { epoch, .. }) =
+        if let (Fault::AcceptAnyBallot, RegisterRequest::Accept { ballot: epoch, .. }) =
             (self.model.fault, &sent.request)
         {
             machine.record.promised = *epoch;
@@ -120,8 +120,10 @@
         }
         let record = &machine.record;
         match &sent.request {
-            RegisterRequest::Promise { epoch, .. } => *epoch > record.promised,
-            RegisterRequest::Accept { epoch, seq, .. } => {
+            RegisterRequest::Promise { ballot, .. } => *ballot > record.promised,
+            RegisterRequest::Accept {
+                ballot: epoch, seq, ..
+            } => {
                 let is_done = *epoch == record.accepted && *seq <= record.seq;
                 let may_be_promised =
                     *epoch >= record.promised || self.model.fault == Fault::AcceptAnyBallot;
--- a/yewcross-testkit/tests/models/register/mod.rs
+++ b/yewcross-testkit/tests/models/register/mod.rs
@@ -42,7 +42,10 @@
 const CLOCK: u64 = 10;
 
 /// A ballot of an earlier life, and what it left behind.
-const EARLIER: Ballot = Ballot { n: 3, by: 7 };
+const EARLIER: Ballot = Ballot {
+    number: 3,
+    proposer_id: 7,
+};
 
 /// A rule that is left out, to see that the properties can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/yewcross-testkit/tests/models/register/sending.rs
+++ b/yewcross-testkit/tests/models/register/sending.rs
@@ -11,26 +11,53 @@
 fn request(
     process: &Process,
     intent: &Intent,
-    epoch: Ballot,
-    lay: u64,
+    ballot: Ballot,
+    layout_version: u64,
 ) -> (RegisterRequest, Arc<Vec<u8>>) {
     let key = String::new();
     let seq = process.proposer.seq();
     let accept = |key, seq| RegisterRequest::Accept {
         key,
-        epoch,
+        ballot,
         seq,
-        lay,
+        layout_version,
         delta: false,
     };
     match intent {
-        Intent::Prepare => (RegisterRequest::Promise { key, epoch, lay }, Arc::default()),
+        Intent::Prepare => (
+            RegisterRequest::Promise {
+                key,
+                ballot,
+                layout_version,
+            },
+            Arc::default(),
+        ),
         Intent::Recover => (accept(key, seq), process.proposer.value().clone()),
         Intent::Write { value, .. } => (accept(key, seq + 1), value.clone()),
-        Intent::Confirm => (RegisterRequest::Confirm { key, epoch, lay }, Arc::default()),
+        Intent::Confirm => (
+            RegisterRequest::Confirm {
+                key,
+                ballot,
+                layout_version,
+            },
+            Arc::default(),
+        ),
         Intent::Look => {
-            let have = (Ballot { n: u64::MAX, by: 0 }, 0);
-            (RegisterRequest::Look { key, lay, have }, Arc::default())
+            let have = (
+                Ballot {
+                    number: u64::MAX,
+                    proposer_id: 0,
+                },
+                0,
+            );
+            (
+                RegisterRequest::Report {
+                    key,
+                    layout_version,
+                    have,
+                },
+                Arc::default(),
+            )
         }
     }
 }
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -365,7 +365,7 @@
         entries.sort();
         lines.push(format!(
             "ledger {program} {} {} keep {} spent {} {entries:?}",
-            row.epoch.n, row.epoch.by, row.retain_ms, ledger.spent
+            row.epoch.number, row.epoch.proposer_id, row.retain_ms, ledger.spent
         ));
     }
     lines.sort();
@@ -499,7 +499,10 @@
 }
 
 fn ledger(program: &str, entry: (&str, LedgerEntry)) -> LogRecord {
-    let epoch = Ballot { n: 4, by: 6 };
+    let epoch = Ballot {
+        number: 4,
+        proposer_id: 6,
+    };
     let row = LedgerRecord {
         program: program.into(),
         epoch,
@@ -1162,7 +1165,10 @@
     ];
     let ledger = LedgerRecord {
         program: "p".into(),
-        epoch: Ballot { n: 83, by: 84 },
+        epoch: Ballot {
+            number: 83,
+            proposer_id: 84,
+        },
         entries,
         retain_ms: 85,
     };
@@ -1181,7 +1187,14 @@
 
 /// Number, epoch and text of a document on a node's own disk.
 fn page() -> (u64, Ballot, String) {
-    (91, Ballot { n: 92, by: 93 }, "document".into())
+    (
+        91,
+        Ballot {
+            number: 92,
+            proposer_id: 93,
+        },
+        "document".into(),
+    )
 }
 
 fn json_of(value: &impl Serialize) -> Vec<u8> {
@@ -1197,22 +1210,31 @@
                 .await
                 .unwrap();
             let (key, lay) = ("session/a".to_string(), 0);
-            let (first, second) = (Ballot { n: 3, by: 4 }, Ballot { n: 5, by: 6 });
+            let (first, second) = (
+                Ballot {
+                    number: 3,
+                    proposer_id: 4,
+                },
+                Ballot {
+                    number: 5,
+                    proposer_id: 6,
+                },
+            );
             replica
                 .handle(
                     RegisterRequest::Promise {
                         key: key.clone(),
-                        epoch: first,
-                        lay,
+                        ballot: first,
+                        layout_version: lay,
                     },
                     vec![],
                 )
                 .await;
             let accept = RegisterRequest::Accept {
                 key: key.clone(),
-                epoch: first,
+                ballot: first,
                 seq: 7,
-                lay,
+                layout_version: lay,
                 delta: false,
             };
             assert_eq!(
@@ -1223,8 +1245,8 @@
                 .handle(
                     RegisterRequest::Promise {
                         key,
-                        epoch: second,
-                        lay,
+                        ballot: second,
+                        layout_version: lay,
                     },
                     vec![],
                 )
@@ -1427,7 +1449,13 @@
     );
     check_fields::<CachedPrefix>(&place("s1", 10), &[]);
     check_fields::<Reservation>(&reservation(), &[("keep", json!(0))]);
-    check_fields::<Ballot>(&Ballot { n: 1, by: 2 }, &[]);
+    check_fields::<Ballot>(
+        &Ballot {
+            number: 1,
+            proposer_id: 2,
+        },
+        &[],
+    );
 }
 
 /// The head of a register's file has no defaults: without one of its fields the record counts as
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -33,7 +33,10 @@
 }
 
 fn ballot() -> Ballot {
-    Ballot { n: 501, by: 502 }
+    Ballot {
+        number: 501,
+        proposer_id: 502,
+    }
 }
 
 fn nodes() -> Vec<Node> {
@@ -95,37 +98,37 @@
     vec![
         RegisterRequest::Promise {
             key: key(),
-            epoch,
-            lay: 11,
+            ballot: epoch,
+            layout_version: 11,
         },
         RegisterRequest::Accept {
             key: key(),
-            epoch,
+            ballot: epoch,
             seq: 12,
-            lay: 11,
+            layout_version: 11,
             delta: true,
         },
         RegisterRequest::Fill {
             key: key(),
-            epoch,
+            ballot: epoch,
             seq: 12,
-            lay: 11,
+            layout_version: 11,
         },
         RegisterRequest::Confirm {
             key: key(),
-            epoch,
-            lay: 11,
+            ballot: epoch,
+            layout_version: 11,
         },
-        RegisterRequest::Look {
+        RegisterRequest::Report {
             key: key(),
-            lay: 11,
+            layout_version: 11,
             have: (epoch, 13),
         },
-        RegisterRequest::Drop {
+        RegisterRequest::Erase {
             key: key(),
-            epoch,
+            ballot: epoch,
             seq: 12,
-            lay: 11,
+            layout_version: 11,
         },
     ]
 }
@@ -137,16 +140,16 @@
             seq: 14,
         },
         RegisterReply::Accepted,
-        RegisterReply::Looked {
+        RegisterReply::Reported {
             accepted: ballot(),
             seq: 14,
         },
-        RegisterReply::Refused { promised: ballot() },
-        RegisterReply::OldLayout,
+        RegisterReply::Rejected { promised: ballot() },
+        RegisterReply::StaleLayout,
         RegisterReply::Damaged,
-        RegisterReply::Away,
+        RegisterReply::Unavailable,
         RegisterReply::OtherDisk,
-        RegisterReply::NeedWhole,
+        RegisterReply::NeedsFullValue,
     ]
 }
 
