--- a/yewcross-common/src/turn_log/client/cache.rs
+++ b/yewcross-common/src/turn_log/client/cache.rs
@@ -1,52 +1,52 @@
-//! What a proxy remembers of turns and owners, so that it need not ask the stores.
+//! A proxy's cache of turns and ledger owners, which saves requests to stores.
 
 use crate::constants::CACHED_LEDGER_OWNERS;
 use crate::turn_log::messages::StoredTurn;
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Turns, owners of ledgers, and the chains of turns that are open. It only saves requests:
-/// whatever it has lost, the stores know.
+/// Cached turns, ledger owners, and the chains before open turns. The cache only saves requests: the
+/// stores have every entry that was evicted.
 pub(super) struct TurnCache {
-    /// By id.
+    /// Turns by id.
     turns: LruCache<String, CachedTurn>,
-    /// Bytes of the turns.
+    /// Estimated size of the cached turns in bytes.
     turn_bytes: usize,
     turn_bytes_limit: usize,
     /// The disk whose store owns a program's ledger, by program.
     pub(super) owners: LruCache<String, String>,
-    /// The chains before the turns that are open now, oldest first, by turn.
+    /// The chain before each open turn, oldest first, by the id of the open turn.
     pub(super) open_chains: LruCache<String, Vec<StoredTurn>>,
 }
 
 struct CachedTurn {
     stored: StoredTurn,
-    /// Disks known to hold it.
+    /// Disks that are known to store the turn.
     holders: Vec<String>,
 }
 
-/// The end of a chain, as far as it is cached.
+/// The cached part of a chain, up to its end.
 pub(super) struct CachedHistory {
-    /// Newest first.
+    /// The turns, newest first.
     pub(super) turns: Vec<StoredTurn>,
-    /// The first turn that is not cached; empty where the chain is complete.
+    /// Id of the newest turn that is not cached; empty if the chain is complete.
     pub(super) missing: String,
 }
 
 impl TurnCache {
     pub(super) fn new(turn_bytes_limit: usize) -> TurnCache {
-        let programs = NonZeroUsize::new(CACHED_LEDGER_OWNERS).unwrap_or(NonZeroUsize::MIN);
+        let max_entries = NonZeroUsize::new(CACHED_LEDGER_OWNERS).unwrap_or(NonZeroUsize::MIN);
         TurnCache {
             turns: LruCache::unbounded(),
             turn_bytes: 0,
             turn_bytes_limit,
-            owners: LruCache::new(programs),
-            open_chains: LruCache::new(programs),
+            owners: LruCache::new(max_entries),
+            open_chains: LruCache::new(max_entries),
         }
     }
 
-    /// Adds a turn, in the place of those used least recently. The newest stays even if it alone is
-    /// above the limit.
+    /// Adds a turn and evicts the least recently used ones above the size limit. The added turn is kept
+    /// even if it exceeds the limit alone.
     pub(super) fn put(&mut self, stored: StoredTurn, holders: Vec<String>) {
         self.turn_bytes += stored.bytes();
         let id = stored.turn.id.clone();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The chain that ends in `id`, back to the first turn that is not cached.
+    /// The cached part of the chain that ends in `id`, back to the first turn that is not cached.
     pub(super) fn history(&mut self, id: &str) -> CachedHistory {
         let mut turns = vec![];
         let mut missing = id.to_string();
@@ -69,7 +69,7 @@
         CachedHistory { turns, missing }
     }
 
-    /// Disks known to hold a turn. This is no use of the turn.
+    /// Disks that are known to store a turn. Does not count as a use of the turn for eviction.
     pub(super) fn holders(&self, id: &str) -> Vec<String> {
         self.turns
             .peek(id)
--- a/yewcross-common/src/turn_log/client/mod.rs
+++ b/yewcross-common/src/turn_log/client/mod.rs
@@ -1,10 +1,10 @@
-//! The proxy's side of the turn log: one request to a program's owner opens a turn, one to each of
-//! a write quorum of disks stores it.
+//! The proxy's client of the turn log: a turn is opened by one request to the owner of the program's
+//! ledger, and stored by one request to each disk of a write quorum.
 //!
-//! - `open` asks a store to open a turn;
-//! - `write` stores turns and ledger entries on enough disks;
-//! - `settlement` counts what turns used that end otherwise, in the background;
-//! - `cache` remembers turns and owners.
+//! - `open`: requests a store to open a turn;
+//! - `write`: stores turns and ledger entries on a write quorum of disks;
+//! - `settlement`: charges, in the background, the tokens of turns that end without being stored;
+//! - `cache`: caches turns and ledger owners.
 
 mod cache;
 mod open;
@@ -23,7 +23,8 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 
-/// Cached turns may take an eighth of a process's memory, in powers of two of bytes per MB.
+/// Binary logarithm of the cache's size in bytes per MB of the process's memory: cached turns may use
+/// an eighth of the memory.
 const CACHE_BYTES_PER_MB_SHIFT: u32 = 17;
 
 /// A proxy's client of the turn log.
@@ -31,7 +32,7 @@
 
 struct Inner {
     stores: Arc<StoreClient>,
-    /// The site of this node.
+    /// Site of this node.
     site: String,
     cache: Mutex<TurnCache>,
     counters: ClientCounters,
@@ -41,24 +42,24 @@
 #[derive(Default, Debug)]
 struct ClientCounters {
     opens: AtomicU64,
-    /// Opened with the complete chain from the cache.
+    /// Turns whose complete chain was found in the cache.
     cache_hits: AtomicU64,
     budget_spent: AtomicU64,
     unknown_turns: AtomicU64,
     unavailable: AtomicU64,
-    /// Times that another store was asked because the one before did not open the turn.
+    /// Stores that failed to open a turn, so that the request was sent to another one.
     failovers: AtomicU64,
     finishes: AtomicU64,
-    /// Finished turns that were not stored on enough disks.
+    /// Finished turns that were not stored on a write quorum of disks.
     not_stored: AtomicU64,
-    /// Turns settled without being stored.
+    /// Settlements started for turns whose charge was not confirmed by a stored turn.
     settlements: AtomicU64,
-    /// Settlements that were given up.
+    /// Settlements abandoned after the retry period.
     abandoned_settlements: AtomicU64,
 }
 
 impl TurnLogClient {
-    /// A client with nothing cached.
+    /// Creates a client with an empty cache.
     pub fn new(
         members: &Arc<Membership>,
         documents: &Arc<DocumentCache>,
@@ -72,7 +73,7 @@
         }))
     }
 
-    /// Metrics by name: what this proxy asked of the stores, and what it has cached.
+    /// Metrics by name: counts of this proxy's requests to stores, and the size of its cache.
     pub fn metrics(&self) -> BTreeMap<&'static str, u64> {
         let (turns, turn_bytes) = {
             let cache = self.0.cache.lock().unwrap();
@@ -101,8 +102,8 @@
     if settings.bounds.memory_mb == 0 {
         return TURN_CACHE_BYTES;
     }
-    let share = (settings.bounds.memory_mb as usize) << CACHE_BYTES_PER_MB_SHIFT;
-    share.min(TURN_CACHE_BYTES)
+    let limit_bytes = (settings.bounds.memory_mb as usize) << CACHE_BYTES_PER_MB_SHIFT;
+    limit_bytes.min(TURN_CACHE_BYTES)
 }
 
 impl TurnLogService for TurnLogClient {
@@ -138,19 +139,19 @@
 impl ClientCounters {
     fn count_open(&self, opened: &Result<OpenedTurn, OpenTurnError>) {
         self.opens.fetch_add(1, Relaxed);
-        let failures = match opened {
+        let counter = match opened {
             Ok(_) => return,
             Err(OpenTurnError::BudgetSpent) => &self.budget_spent,
             Err(OpenTurnError::UnknownTurn) => &self.unknown_turns,
             Err(OpenTurnError::Unavailable) => &self.unavailable,
         };
-        failures.fetch_add(1, Relaxed);
+        counter.fetch_add(1, Relaxed);
     }
 }
 
 impl Inner {
-    /// The disk whose store was last known to own a program's ledger.
-    fn known_owner(&self, program: &str) -> Option<String> {
+    /// The disk whose store owns a program's ledger, according to the cache.
+    fn cached_owner(&self, program: &str) -> Option<String> {
         self.cache.lock().unwrap().owners.get(program).cloned()
     }
 }
--- a/yewcross-common/src/turn_log/client/open.rs
+++ b/yewcross-common/src/turn_log/client/open.rs
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// The attempts to open a turn so far.
+/// State of the attempts to open a turn.
 #[derive(Default)]
 struct OpenAttempts {
-    /// Disks that did not open it.
+    /// Disks that did not open the turn.
     tried: BTreeSet<String>,
-    /// The next store is to become the owner even though another one is.
+    /// Whether the next store is requested to take over the ownership of the ledger.
     take_over: bool,
-    /// The owner, as the last store answered.
+    /// The owner reported by the last response.
     redirected_to: Option<String>,
 }
 
@@ -46,7 +46,8 @@
         Ok(OpenedTurn { chain: turns })
     }
 
-    /// What may have been reserved is released, unless the answer is certain.
+    /// Opens the turn at a store. If the outcome is unknown, or this future is dropped, a settlement is
+    /// started that releases the possible reservation.
     async fn open_or_settle(
         self: &Arc<Self>,
         open: &OpenTurn,
@@ -61,8 +62,8 @@
         rows
     }
 
-    /// Asks one store after the other until one gives a certain answer. Returns the chain that ends
-    /// in `missing`, newest first.
+    /// Sends the request to one store after another until a response is conclusive. Returns the chain
+    /// that ends in `missing`, newest first.
     async fn request_open(
         self: &Arc<Self>,
         open: &OpenTurn,
@@ -89,7 +90,7 @@
                 take_over: attempts.take_over,
             };
             let response = self
-                .request_patiently(&disk, replicas.layout_version, &operation, deadline_us)
+                .request_until_unresponsive(&disk, replicas.layout_version, &operation, deadline_us)
                 .await;
             match response {
                 Some(TurnLogResponse::Opened { rows }) => {
@@ -102,7 +103,7 @@
                     self.stores.catch_up(version).await;
                 }
                 Some(TurnLogResponse::Owner(owner)) => {
-                    self.follow_owner(owner, &replicas, &mut attempts);
+                    self.follow_redirect(owner, &replicas, &mut attempts);
                 }
                 _ => self.fail_over(open, disk, &mut attempts),
             }
@@ -110,7 +111,7 @@
         Err(OpenTurnError::Unavailable)
     }
 
-    /// The owner if it is known and responsive, else the first in order that was not tried yet.
+    /// The owner if it is known, responsive and not tried yet; otherwise the first untried disk in order.
     fn next_store(
         &self,
         open: &OpenTurn,
@@ -122,7 +123,7 @@
             .order_by_site(open.rank_key(), replicas, &self.site);
         let redirected_to = attempts.redirected_to.take();
         let owner = redirected_to
-            .or_else(|| self.known_owner(&open.program))
+            .or_else(|| self.cached_owner(&open.program))
             .filter(|disk| replicas.contains(disk));
         let tried = &attempts.tried;
         owner
@@ -140,9 +141,14 @@
         }
     }
 
-    /// A store rejects in favour of an owner that it takes for alive. Where this node cannot reach
-    /// the owner, the store is asked to take over.
-    fn follow_owner(&self, owner: String, replicas: &StoreReplicas, attempts: &mut OpenAttempts) {
+    /// Handles a redirect to an owner that the responding store considers alive. If this node cannot
+    /// reach that owner, the next request asks the store to take over the ownership.
+    fn follow_redirect(
+        &self,
+        owner: String,
+        replicas: &StoreReplicas,
+        attempts: &mut OpenAttempts,
+    ) {
         let is_reachable = replicas.contains(&owner)
             && self.stores.is_responsive(&owner)
             && !attempts.tried.contains(&owner);
@@ -160,9 +166,9 @@
         attempts.take_over = true;
     }
 
-    /// Waits for one store as long as it is not suspected and answers anything at all: one that is
-    /// merely slow is not passed over.
-    async fn request_patiently(
+    /// Waits for the response of one store until its node is no longer alive or has become
+    /// unresponsive. A store that is merely slow is waited for until the deadline.
+    async fn request_until_unresponsive(
         &self,
         disk: &str,
         layout_version: u64,
@@ -179,13 +185,13 @@
                 .ok()
         };
         let watch = async {
-            for waits in 1.. {
+            for wait_count in 1.. {
                 runtime.sleep(STORE_HEDGE_DELAY).await;
                 self.stores.mark_slow(disk);
-                let is_gone = !self.stores.is_alive(disk)
-                    || (waits >= STORE_UNRESPONSIVE_HEDGES
+                let has_failed = !self.stores.is_alive(disk)
+                    || (wait_count >= STORE_UNRESPONSIVE_HEDGES
                         && self.stores.has_not_answered_since(disk, sent_us));
-                if is_gone {
+                if has_failed {
                     break;
                 }
             }
--- a/yewcross-common/src/turn_log/client/settlement.rs
+++ b/yewcross-common/src/turn_log/client/settlement.rs
@@ -1,21 +1,22 @@
-//! Counts what a turn used that was not stored, in the background.
+//! Settlement: charges, in the background, the tokens used by a turn that was not stored.
 
 use crate::constants::{SEC, SETTLEMENT_RETRY_PERIOD, STORE_RETRY_DELAY};
 use crate::turn_log::OpenTurn;
 use crate::turn_log::client::Inner;
-use crate::turn_log::client::write::{TurnWrite, end_of_turn};
+use crate::turn_log::client::write::{TurnWrite, final_ledger_entry};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// Longest wait for a write quorum before all is considered anew, us.
+/// Longest wait, in us, for a write quorum before the attempt is repeated with the current owner and
+/// layout.
 const ATTEMPT_TIMEOUT_US: u64 = SEC;
 
-/// Longest backoff between attempts, us, before its random part.
+/// Upper bound, in us, of the backoff between attempts, without its random part.
 const MAX_BACKOFF_US: u64 = 2 * SEC;
 
-/// Settles a turn unless disarmed: whatever becomes of the request, what was reserved for it does
-/// not stay at its maximum.
+/// Settles a turn when dropped, unless disarmed. This also covers a cancelled request, so that the
+/// turn's reservation does not stay charged at its maximum.
 pub(super) struct SettleOnDrop {
     inner: Arc<Inner>,
     open: Option<OpenTurn>,
@@ -61,20 +62,20 @@
 
     async fn run_settlement(self: &Arc<Self>, open: OpenTurn, used_tokens: u64) {
         let runtime = &self.stores.runtime;
-        let end_us = runtime.now() + SETTLEMENT_RETRY_PERIOD;
+        let retry_until_us = runtime.now() + SETTLEMENT_RETRY_PERIOD;
         let mut backoff_us = STORE_RETRY_DELAY;
         let mut written = BTreeSet::new();
-        while runtime.now() < end_us {
+        while runtime.now() < retry_until_us {
             let write = TurnWrite {
                 turn: None,
-                ledger: Some(end_of_turn(&open, used_tokens, 0)),
-                deadline_us: (runtime.now() + ATTEMPT_TIMEOUT_US).min(end_us),
+                ledger: Some(final_ledger_entry(&open, used_tokens, 0)),
+                deadline_us: (runtime.now() + ATTEMPT_TIMEOUT_US).min(retry_until_us),
             };
             let is_written = !self.write(&open, write, &mut written).await.is_empty();
-            // The owner is notified, too, unless it is gone: until then it counts the turn at its
-            // maximum.
+            // The owner must receive the entry, too, unless its node has failed: until then it charges
+            // the turn at its maximum.
             let owner = self
-                .known_owner(&open.program)
+                .cached_owner(&open.program)
                 .filter(|disk| self.stores.is_alive(disk));
             if is_written && owner.is_none_or(|disk| written.contains(&disk)) {
                 return;
--- a/yewcross-common/src/turn_log/client/write.rs
+++ b/yewcross-common/src/turn_log/client/write.rs
@@ -1,4 +1,4 @@
-//! Stores an answered turn, and the tokens that it used, on a write quorum of disks.
+//! Stores a completed turn and the ledger entry for its tokens on a write quorum of disks.
 
 use crate::constants::{
     LEDGER_RETENTION_MS, PEER_REQUEST_TIMEOUT, STORE_HEDGE_DELAY, STORE_RETRY_DELAY,
@@ -17,23 +17,24 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// Longest wait for one disk, us: it may have to be sent the chain before the turn, too.
+/// Longest wait, in us, for the response of one disk, which may also have to store the chain before
+/// the turn.
 const WRITE_TIMEOUT_US: u64 = if PEER_REQUEST_TIMEOUT > 4 * STORE_HEDGE_DELAY {
     PEER_REQUEST_TIMEOUT
 } else {
     4 * STORE_HEDGE_DELAY
 };
 
-/// Requests to one disk: the turn alone, then with the chain before it.
+/// Number of requests to one disk: the turn alone, then the turn with the chain before it.
 const REQUESTS_PER_DISK: usize = 2;
 
-/// A turn to store, and the chain before it, oldest first.
+/// A turn to store and the chain before it, oldest first.
 pub(super) struct TurnWithChain {
     stored: StoredTurn,
     chain: Vec<StoredTurn>,
 }
 
-/// What is to be written.
+/// The turn and ledger entry to write, and the deadline.
 #[derive(Clone)]
 pub(super) struct TurnWrite {
     pub(super) turn: Option<Arc<TurnWithChain>>,
@@ -57,8 +58,12 @@
     }
 }
 
-/// The ledger's entry of a turn that ended.
-pub(super) fn end_of_turn(open: &OpenTurn, used_tokens: u64, retain_ms: u64) -> LedgerRecord {
+/// The ledger record with the final entry of a turn that has ended.
+pub(super) fn final_ledger_entry(
+    open: &OpenTurn,
+    used_tokens: u64,
+    retain_ms: u64,
+) -> LedgerRecord {
     LedgerRecord {
         program: open.program.clone(),
         entries: vec![(open.turn.clone(), LedgerEntry::Done(used_tokens))],
@@ -83,7 +88,7 @@
         let chain = self.take_open_chain(&open);
         let ledger = open
             .is_budgeted()
-            .then(|| end_of_turn(&open, used_tokens, stored.turn.retain_ms));
+            .then(|| final_ledger_entry(&open, used_tokens, stored.turn.retain_ms));
         self.counters.finishes.fetch_add(1, Relaxed);
         let mut guard = SettleOnDrop::new(self, &open, used_tokens);
         let write = TurnWrite {
@@ -96,7 +101,7 @@
         };
         let holders = self.write(&open, write, &mut BTreeSet::new()).await;
         let is_owner_notified = self
-            .known_owner(&open.program)
+            .cached_owner(&open.program)
             .is_none_or(|disk| holders.contains(&disk));
         if holders.is_empty() {
             self.counters.not_stored.fetch_add(1, Relaxed);
@@ -122,8 +127,9 @@
         })
     }
 
-    /// Writes to disks until a write quorum has it; returns that, or none if time ran out. Disks
-    /// in `written` have it already, and are added to.
+    /// Writes to disks until a write quorum has the record. Returns the disks that have it, or an empty
+    /// set if the deadline passed first. The disks in `written` already have the record; each further
+    /// disk that stores it is added.
     pub(super) async fn write(
         self: &Arc<Self>,
         open: &OpenTurn,
@@ -135,7 +141,7 @@
             let replicas = self.stores.replicas();
             let layout_version = replicas.layout_version;
             let owner = self
-                .known_owner(&open.program)
+                .cached_owner(&open.program)
                 .filter(|disk| replicas.contains(disk));
             let gather = Gather {
                 order: self.write_order(open, &replicas, owner.as_deref(), written),
@@ -175,8 +181,9 @@
         BTreeSet::new()
     }
 
-    /// Disks still to be written to: the owner first, then those that hold the turn before, which
-    /// need not be sent the chain; both only while they are prompt.
+    /// The disks that still need the write, in the order of the requests: the owner first, then the
+    /// disks that store the previous turn and therefore do not need the chain, both only if they are
+    /// prompt, and then the others.
     fn write_order(
         &self,
         open: &OpenTurn,
@@ -186,13 +193,13 @@
     ) -> Vec<String> {
         let holders = self.cache.lock().unwrap().holders(&open.prev);
         let ranked = self.stores.order(open.rank_key(), replicas, owner);
-        let likely = owner
+        let preferred = owner
             .map(str::to_string)
             .into_iter()
             .chain(holders)
             .filter(|disk| self.stores.is_prompt(disk) && replicas.contains(disk));
         let mut order: Vec<String> = vec![];
-        for disk in likely.chain(ranked) {
+        for disk in preferred.chain(ranked) {
             if !order.contains(&disk) && !written.contains(&disk) {
                 order.push(disk);
             }
@@ -200,8 +207,8 @@
         order
     }
 
-    /// A function that writes to a disk. The ledger's epoch names the owner as known here: a store
-    /// that knows of another one forwards the entries to it.
+    /// Returns a function that writes to a disk. The ledger's epoch names the cached owner: a store
+    /// that has recorded another owner forwards the entries to that one.
     fn write_requester(
         self: &Arc<Self>,
         write: &TurnWrite,
@@ -221,7 +228,8 @@
         }
     }
 
-    /// Writes to one disk; with the chain before the turn where the disk lacks some of it.
+    /// Writes to one disk; repeats the write with the chain before the turn if the disk lacks a part
+    /// of the chain.
     async fn write_to(&self, disk: &str, layout_version: u64, write: TurnWrite) -> TurnLogResponse {
         let mut operation = write.operation(false);
         for _ in 0..REQUESTS_PER_DISK {
--- a/yewcross-common/src/turn_log/epoch.rs
+++ b/yewcross-common/src/turn_log/epoch.rs
@@ -1,20 +1,20 @@
-//! Names the owner of a ledger in its epochs.
+//! Identifies the owner of a ledger by the proposer id of the ledger's epochs.
 //!
-//! The proposer of an epoch is a number: its high bits stand for the owner's disk, its low bits
-//! differ from one incarnation of the owner's process to the next.
+//! The high bits of the proposer id identify the owner's disk; the low bits differ between incarnations
+//! of the owner's process.
 
 use crate::hash::rendezvous_weight;
 use crate::register::Ballot;
 
-/// The bits of an epoch's proposer that differ between incarnations of a process.
+/// The bits of an epoch's proposer id that differ between incarnations of a process.
 pub const INCARNATION_MASK: u64 = 0xffff;
 
-/// What stands for a disk in the epochs that its store acquires.
+/// The high bits of the proposer id in the epochs that the store of a disk acquires.
 pub fn epoch_owner_id(disk: &str) -> u64 {
     rendezvous_weight(disk, "owner") & !INCARNATION_MASK
 }
 
-/// What stands for the disk whose store acquired an epoch, as [`epoch_owner_id`] gives it.
+/// The [`epoch_owner_id`] of the disk whose store acquired an epoch.
 pub fn owner_of(epoch: Ballot) -> u64 {
     epoch.proposer_id & !INCARNATION_MASK
 }
--- a/yewcross-common/src/turn_log/gather.rs
+++ b/yewcross-common/src/turn_log/gather.rs
@@ -1,4 +1,4 @@
-//! Asks stores for the same thing until enough of them have answered.
+//! Sends the same request to several stores until enough of them have responded.
 
 use crate::constants::STORE_HEDGE_DELAY;
 use crate::runtime::BoxFuture;
@@ -8,50 +8,51 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Whom to ask, and until when.
+/// The disks to send a request to, and the deadline.
 pub struct Gather {
-    /// Disks in the order in which they are asked.
+    /// Disks in the order in which the request is sent.
     pub order: Vec<String>,
-    /// Ask all disks at once, instead of as many as would be enough.
+    /// Whether to send the request to all disks at once, instead of only as many as are enough.
     pub is_broadcast: bool,
-    /// The layout that is counted by.
+    /// The layout version by which the caller counts quorums.
     pub layout_version: u64,
-    /// us.
+    /// Deadline in us of the runtime's clock.
     pub deadline_us: u64,
 }
 
-/// What an answer means to whom gathers.
+/// The caller's verdict on a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GatherStep {
-    /// The disk counts.
+    /// The disk counts as accepted.
     Accept,
-    /// The disk does not count, and another may be asked in its place.
+    /// The disk does not count; the request may be sent to another disk instead.
     Reject,
-    /// No further answer matters.
+    /// No further response is needed.
     Stop,
 }
 
-/// How it ended.
+/// The result of gathering responses.
 #[derive(Default, Debug)]
 pub struct GatherOutcome {
     /// Whether the accepted disks are enough.
     pub is_enough: bool,
-    /// Disks whose answer was accepted.
+    /// Disks whose response was accepted.
     pub accepted: BTreeSet<String>,
-    /// The newest layout that a store answered to know, where it is newer than the one counted by.
+    /// The newest layout version reported by a store, at least that of the request; 0 if no store
+    /// reported a newer layout.
     pub newer_layout: u64,
 }
 
-/// The state of a gathering.
+/// The progress of a gather.
 struct Progress {
     remaining: std::vec::IntoIter<String>,
-    /// Disks asked, without those whose answer was rejected.
-    asked: BTreeSet<String>,
-    /// Disks that answered.
-    answered: BTreeSet<String>,
+    /// Disks that the request was sent to, without those whose response was rejected.
+    requested: BTreeSet<String>,
+    /// Disks that responded.
+    responded: BTreeSet<String>,
     in_flight: usize,
-    /// Another disk is to be asked beside those that are slow.
-    needs_standby: bool,
+    /// Whether to send the request to one more disk because the others are slow.
+    needs_hedge: bool,
     outcome: GatherOutcome,
 }
 
@@ -59,24 +60,24 @@
     fn new(order: Vec<String>) -> Progress {
         Progress {
             remaining: order.into_iter(),
-            asked: BTreeSet::new(),
-            answered: BTreeSet::new(),
+            requested: BTreeSet::new(),
+            responded: BTreeSet::new(),
             in_flight: 0,
-            needs_standby: false,
+            needs_hedge: false,
             outcome: GatherOutcome::default(),
         }
     }
 
-    /// The next disk to ask, counted as asked.
+    /// The next disk to send the request to; recorded as requested.
     fn next_disk(&mut self) -> Option<String> {
         let disk = self.remaining.next()?;
-        self.asked.insert(disk.clone());
-        self.needs_standby = false;
+        self.requested.insert(disk.clone());
+        self.needs_hedge = false;
         self.in_flight += 1;
         Some(disk)
     }
 
-    /// How long to wait for an answer before another disk is asked, if there is one.
+    /// How long to wait for a response before the request is sent to another disk, if one is left.
     fn wait_us(&self, remaining_us: u64) -> u64 {
         if self.remaining.len() == 0 {
             remaining_us
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Counts an answered disk; whether nothing more is to be waited for.
-    fn is_finished_by(
+    /// Applies the verdict on a disk's response; returns whether the gather is finished.
+    fn apply_response(
         &mut self,
         disk: String,
         step: GatherStep,
@@ -99,17 +100,17 @@
                 self.outcome.is_enough
             }
             GatherStep::Reject => {
-                self.asked.remove(&disk);
+                self.requested.remove(&disk);
                 false
             }
             GatherStep::Stop => true,
         }
     }
 
-    /// An answer arrived, whatever it says.
-    fn record_answer(&mut self, disk: &str, response: &TurnLogResponse, layout_version: u64) {
+    /// Records the arrival of a response, and the layout version if it reports a newer one.
+    fn record_response(&mut self, disk: &str, response: &TurnLogResponse, layout_version: u64) {
         self.in_flight -= 1;
-        self.answered.insert(disk.to_string());
+        self.responded.insert(disk.to_string());
         if let TurnLogResponse::NewerLayout(version) = response {
             let outcome = &mut self.outcome;
             outcome.newer_layout = outcome.newer_layout.max(*version).max(layout_version);
@@ -118,9 +119,9 @@
 }
 
 impl StoreClient {
-    /// Asks disks in order, and the next one when an answer is rejected or slow. Ends once enough
-    /// answers have been accepted, no disk is left, the deadline has passed, or a store knows a
-    /// newer layout.
+    /// Sends the request to the disks in order, and to one more disk whenever a response is rejected
+    /// or slow. Ends when enough responses have been accepted, no disk is left, the deadline has
+    /// passed, or a store reports a newer layout.
     pub async fn gather(
         self: &Arc<Self>,
         gather: Gather,
@@ -130,13 +131,13 @@
     ) -> GatherOutcome {
         let (sender, responses) = async_channel::unbounded();
         let mut progress = Progress::new(gather.order);
-        // Nothing may be needed at all.
+        // The caller may already have enough disks without any request.
         if is_enough(&progress.outcome.accepted) {
             progress.outcome.is_enough = true;
             return progress.outcome;
         }
         loop {
-            while gather.is_broadcast || progress.needs_standby || !is_enough(&progress.asked) {
+            while gather.is_broadcast || progress.needs_hedge || !is_enough(&progress.requested) {
                 let Some(disk) = progress.next_disk() else {
                     break;
                 };
@@ -149,14 +150,14 @@
             let wait_us = progress.wait_us(remaining_us);
             let received = self.runtime.timeout(wait_us, responses.recv()).await;
             let Some(Ok((disk, response))) = received else {
-                progress.needs_standby = true;
-                let silent = progress.asked.difference(&progress.answered);
-                silent.for_each(|disk| self.mark_slow(disk));
+                progress.needs_hedge = true;
+                let unanswered = progress.requested.difference(&progress.responded);
+                unanswered.for_each(|disk| self.mark_slow(disk));
                 continue;
             };
-            progress.record_answer(&disk, &response, gather.layout_version);
+            progress.record_response(&disk, &response, gather.layout_version);
             let step = on_response(&disk, response);
-            if progress.is_finished_by(disk, step, &is_enough)
+            if progress.apply_response(disk, step, &is_enough)
                 || progress.outcome.newer_layout > gather.layout_version
             {
                 return progress.outcome;
@@ -171,7 +172,7 @@
         sender: Sender<(String, TurnLogResponse)>,
     ) {
         self.runtime.spawn(async move {
-            // The gathering may have ended meanwhile.
+            // The receiver is closed if the gather has already ended.
             let _ = sender.try_send((disk, response.await));
         });
     }
--- a/yewcross-common/src/turn_log/messages.rs
+++ b/yewcross-common/src/turn_log/messages.rs
@@ -1,35 +1,35 @@
-//! Requests to a store about turns and ledgers, and its answers.
+//! Requests to a store about turns and ledgers, and the store's responses.
 //!
-//! The encoding is postcard, which goes by position: the order of variants and of fields is part of
-//! the protocol, and that of what is stored, too.
+//! The encoding is postcard, which is positional: the order of variants and of fields is part of the
+//! protocol, and of the format of stored data.
 
 use crate::register::Ballot;
 use crate::turn_log::Turn;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Bytes of a stored turn beside its texts, estimated.
+/// Estimated size, in bytes, of a stored turn without its texts.
 const STORED_TURN_BYTES: usize = 200;
 
-/// What a turn counts in its program's ledger, tokens. `Done` supersedes `Open`.
+/// The tokens charged for a turn in its program's ledger. `Done` supersedes `Open`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerEntry {
-    /// Reserved, at its maximum.
+    /// The turn is open: its maximum number of output tokens is reserved.
     Open(u64),
-    /// Ended, after this many.
+    /// The turn has ended after this many output tokens.
     Done(u64),
 }
 
 impl LedgerEntry {
-    /// The tokens that it counts.
+    /// The charged tokens.
     pub fn amount(self) -> u64 {
         match self {
             LedgerEntry::Open(tokens) | LedgerEntry::Done(tokens) => tokens,
         }
     }
 
-    /// Commutative, associative and idempotent, so that replicas agree whatever the order in which
-    /// entries reach them.
+    /// Merges two entries of the same turn. The operation is commutative, associative and idempotent,
+    /// so that replicas converge whatever the order in which they receive entries.
     pub fn merge(self, other: LedgerEntry) -> LedgerEntry {
         match (self, other) {
             (LedgerEntry::Open(a), LedgerEntry::Open(b)) => LedgerEntry::Open(a.max(b)),
@@ -39,19 +39,19 @@
     }
 }
 
-/// A turn as stores keep it.
+/// A turn as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredTurn {
-    /// The turn.
+    /// The stored turn.
     pub turn: Arc<Turn>,
-    /// Its program; may be empty.
+    /// The program that the turn belongs to; empty if none.
     pub program: String,
-    /// The end of its answer, in ms of the cluster's median clock.
+    /// When the response ended, in ms of the tier's median wall clock.
     pub ended_at_ms: u64,
 }
 
 impl StoredTurn {
-    /// Its size, estimated.
+    /// Estimated size in bytes.
     pub fn bytes(&self) -> usize {
         let turn = &self.turn;
         turn.input.len()
@@ -64,130 +64,130 @@
     }
 }
 
-/// Part of a program's ledger, or all of it.
+/// All or some of the entries of a program's ledger.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LedgerRecord {
-    /// The program.
+    /// The program that the ledger belongs to.
     pub program: String,
-    /// The epoch that the entries are added under; zero where they need none.
+    /// The epoch under which the entries are added; zero if they need none.
     pub epoch: Ballot,
-    /// By turn.
+    /// Ids of turns and their entries.
     pub entries: Vec<(String, LedgerEntry)>,
-    /// How long the ledger is kept after its last change, ms.
+    /// Retention period of the ledger after its last change, in ms.
     pub retain_ms: u64,
 }
 
 /// A request to one store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TurnLogRequest {
-    /// The layout that the sender counts disks by.
+    /// The layout version by which the sender counts quorums.
     pub layout_version: u64,
-    /// The disk that is meant: an address may have passed to another.
+    /// The disk that is addressed: the address may have been reassigned to a node with another disk.
     pub disk: String,
-    /// How long the sender waits, us.
+    /// How long the sender waits for the response, in us.
     pub timeout_us: u64,
-    /// What is requested.
+    /// The requested operation.
     pub operation: TurnLogOperation,
 }
 
-/// What a store is requested to do.
+/// An operation that a store is requested to carry out.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum TurnLogOperation {
-    /// Reserve a turn's tokens, where there is a budget, and return the chain that ends in
-    /// `parent`, where one is named.
+    /// Reserve a turn's tokens if there is a budget, and return the chain that ends in `parent` if
+    /// that is not empty.
     OpenTurn {
-        /// The program whose budget it is.
+        /// The program that the budget belongs to.
         program: String,
-        /// The turn.
+        /// Id of the turn to open.
         turn: String,
-        /// Tokens to reserve.
+        /// Number of output tokens to reserve.
         max_output_tokens: u64,
-        /// Tokens that the program's turns together may put out.
+        /// Limit on the output tokens of all turns of the program together; `None` for no limit.
         budget: Option<u64>,
-        /// The end of the chain; empty for none.
+        /// Id of the last turn of the chain; empty for none.
         parent: String,
-        /// Become the ledger's owner even though another store owns it.
+        /// Whether the store takes over the ownership of the ledger if another store has it.
         take_over: bool,
     },
-    /// Return the chain that ends in this turn, as far as this disk holds it.
+    /// Return the part that this disk stores of the chain that ends in this turn.
     FindHistory {
-        /// The turn.
+        /// Id of the turn.
         id: String,
     },
-    /// Promise the ledger's epoch, add its entries, return all entries.
+    /// Promise the ledger's epoch, add the given entries, and return all entries.
     AcquireLedger {
-        /// The ledger.
+        /// The ledger's epoch and the entries to add.
         ledger: LedgerRecord,
     },
-    /// Add entries under the very epoch that was promised.
+    /// Add entries under the epoch, which must be the promised one.
     AppendEntries {
-        /// The ledger.
+        /// The ledger's epoch and the entries to add.
         ledger: LedgerRecord,
     },
-    /// Store turns, and count what they used. The epoch is no promise: it names whom the sender
-    /// takes for the owner.
+    /// Store turns and add the entries for the tokens that they used. The ledger's epoch need not be
+    /// promised: its proposer id only names the owner that the sender has cached.
     StoreTurns {
-        /// Oldest first.
+        /// The turns, oldest first.
         rows: Vec<StoredTurn>,
-        /// The ledger.
+        /// The entries to add to the ledger, if any.
         ledger: Option<LedgerRecord>,
     },
-    /// Which of these turns does the disk hold durably?
+    /// Report which of these turns the disk has stored durably.
     ContainsTurns {
         /// Hashes of the turns' ids.
         ids: Vec<u128>,
     },
-    /// Store the turns and ledgers of another disk.
+    /// Store turns and ledgers transferred from another disk.
     TransferRecords {
-        /// Each after those before it.
+        /// The turns, each after its predecessors in the chain.
         rows: Vec<StoredTurn>,
-        /// The ledgers.
+        /// The ledgers with their entries.
         ledgers: Vec<LedgerRecord>,
     },
-    /// The sender's disk was damaged: transfer what it lacks.
+    /// Transfer the records that the sender's damaged disk is missing.
     Repair,
 }
 
-/// A store's answer.
+/// A store's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TurnLogResponse {
-    /// Done, and durable.
+    /// The operation is carried out and durable.
     Ok,
-    /// It cannot now; nothing was done, or it is not known.
+    /// The store cannot carry out the operation now. It had no effect, or the outcome is unknown.
     Unavailable,
-    /// The sender's layout is older than this one.
+    /// The store has this layout version, which is newer than the sender's.
     NewerLayout(u64),
     /// The turn is open.
     Opened {
-        /// The chain before it, newest first.
+        /// The turns before it in the chain, newest first.
         rows: Vec<StoredTurn>,
     },
-    /// The budget does not hold the reservation.
+    /// The remaining budget is smaller than the reservation.
     BudgetSpent,
-    /// Certain: no such turn was answered, or its retention has ended.
+    /// The turn certainly does not exist: it never finished, or its retention period has ended.
     UnknownTurn,
     /// The store of this disk owns the program's ledger.
     Owner(String),
-    /// The chain, newest first, as far as this disk holds it.
+    /// The part of the chain that this disk stores, newest first.
     History(Vec<StoredTurn>),
-    /// Certain: this disk does not hold it.
+    /// The turn is certainly not stored on this disk.
     NotStored,
-    /// The epoch is promised; all entries.
+    /// The epoch is promised; carries all entries of the ledger.
     LedgerAcquired(Vec<(String, LedgerEntry)>),
-    /// This other epoch is the one that is promised.
+    /// Another epoch, given here, is promised.
     StaleEpoch(Ballot),
-    /// This turn, which comes before one of the turns, is not here, so none was stored.
+    /// None of the turns was stored, because this predecessor of one of them is not on the disk.
     MissingParent(String),
-    /// For each turn, in the order of the request.
+    /// Whether each turn is stored, in the order of the request.
     Contains(Vec<bool>),
 }
 
-/// Encodes a message, or a batch of the log; empty if it cannot be.
+/// Encodes a message or a log batch; empty if the encoding fails.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     postcard::to_allocvec(message).unwrap_or_default()
 }
 
-/// Decodes a message, or a batch of the log; `None` if it is malformed.
+/// Decodes a message or a log batch; `None` if it is malformed.
 pub fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
     postcard::from_bytes(body).ok()
 }
--- a/yewcross-common/src/turn_log/mod.rs
+++ b/yewcross-common/src/turn_log/mod.rs
@@ -1,13 +1,15 @@
-//! The turn log: chains of turns and programs' budgets, as a proxy uses them through the stores.
+//! The turn log: the interface through which proxies use the chains of turns and the program budgets
+//! that stores hold.
 //!
-//! A turn is written once under its own id and never changes. A program's ledger is a set of
-//! entries, one a turn; one store at a time, its owner, reserves in the program's budget.
+//! A turn is written once under its own id and is immutable. A program's ledger is a set of entries,
+//! one per turn. One store at a time, the ledger's owner, reserves tokens of the program's budget.
 //!
-//! - [`messages`] are the requests to stores and their answers, and what these carry;
-//! - [`epoch`] names the owner of a ledger;
-//! - [`replicas`] says which disks hold the log, and how many of them are a quorum;
-//! - [`store_client`] sends one request to one store, [`gather`] asks many until enough answered;
-//! - [`client`] is the proxy's side, as a [`TurnLogService`].
+//! - [`messages`]: the requests to stores, their responses, and the records that these carry;
+//! - [`epoch`]: how an epoch identifies the owner of a ledger;
+//! - [`replicas`]: the disks that store the log, and the sizes of their quorums;
+//! - [`store_client`] sends one request to one store, and [`gather`] sends it to several until enough
+//!   have responded;
+//! - [`client`]: the proxy's client, which implements [`TurnLogService`].
 
 pub mod client;
 pub mod epoch;
@@ -28,47 +30,47 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A turn whose answer is complete.
+/// A turn whose response is complete.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Turn {
-    /// Its own id, unique in the tier.
+    /// Id of the turn, unique in the tier.
     pub id: String,
-    /// The turn it continues; empty at the start of a chain.
+    /// Id of the turn that this one continues; empty at the start of a chain.
     pub prev: String,
-    /// What the caller sent.
+    /// The input sent by the caller.
     pub input: Bytes,
-    /// The data of its events, each with a line feed behind.
+    /// The data of the response's events, each followed by a line feed.
     pub output: Bytes,
-    /// The server that ran it, and so may still hold its prefix.
+    /// The server that ran the turn, and may therefore still have its prefix cached.
     pub server: String,
-    /// Tokens of the whole prompt and of the output.
+    /// Number of tokens of the complete prompt and the output.
     pub tokens: u64,
-    /// How long it is kept, with its chain, from the end of its answer on, ms.
+    /// Retention period of the turn and its chain, in ms from the end of the response.
     pub retain_ms: u64,
 }
 
-/// What must hold before a turn may be sent to a server.
+/// A turn to be opened, which must succeed before the turn may be sent to a server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenTurn {
-    /// The id of the turn.
+    /// Id of the turn.
     pub turn: String,
-    /// Empty where the caller names none: then nothing is reserved.
+    /// The program; empty if the caller gave none, in which case nothing is reserved.
     pub program: String,
-    /// The turn it continues; empty for none.
+    /// Id of the turn that this one continues; empty for none.
     pub prev: String,
-    /// Tokens that this turn may put out at most.
+    /// Maximum number of output tokens of this turn.
     pub max_output_tokens: u64,
-    /// Tokens that the program's turns together may put out; `None` for no bound.
+    /// Limit on the output tokens of all turns of the program together; `None` for no limit.
     pub budget: Option<u64>,
 }
 
 impl OpenTurn {
-    /// Whether tokens are reserved for it.
+    /// Whether tokens are reserved for the turn.
     fn is_budgeted(&self) -> bool {
         !self.program.is_empty() && self.budget.is_some()
     }
 
-    /// The key that ranks the stores for it.
+    /// The key by which the stores are ranked for the turn.
     fn rank_key(&self) -> &str {
         [&self.program, &self.prev, &self.turn]
             .into_iter()
@@ -77,36 +79,37 @@
     }
 }
 
-/// What a turn continues.
+/// The result of opening a turn.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenedTurn {
-    /// The chain before the turn, oldest first.
+    /// The turns before it in the chain, oldest first.
     pub chain: Vec<Arc<Turn>>,
 }
 
-/// Why a turn was not opened; or, with `Unavailable` alone, not known to be stored.
+/// Why a turn was not opened. `Unavailable` is also returned if a turn is not known to be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenTurnError {
-    /// The budget does not hold another such turn. It will not run.
+    /// The remaining budget is smaller than the turn's maximum output. The turn will not run.
     BudgetSpent,
-    /// Certain: no such turn was answered, or its retention has ended.
+    /// The turn to continue certainly does not exist: it never finished, or its retention period has
+    /// ended.
     UnknownTurn,
-    /// The stores could not be asked, or cannot be sure. It will not run.
+    /// The stores could not be reached or could not decide. A turn to be opened will not run.
     Unavailable,
 }
 
-/// What a proxy asks of the turn log. Deadlines are in us of the runtime's clock.
+/// The operations of the turn log that a proxy uses. Deadlines are in us of the runtime's clock.
 pub trait TurnLogService: Send + Sync {
-    /// Reserves the turn's tokens and returns the chain before it. After an error nothing of it
-    /// counts.
+    /// Reserves the turn's tokens and returns the chain before it. If it fails, the reservation is
+    /// not charged or is released in the background.
     fn open(
         &self,
         open: OpenTurn,
         deadline_us: u64,
     ) -> BoxFuture<'_, Result<OpenedTurn, OpenTurnError>>;
 
-    /// Stores an answered turn on enough disks, and counts the tokens that it put out. After an
-    /// error it may or may not be stored.
+    /// Stores a completed turn on a write quorum of disks and charges its output tokens. If it fails,
+    /// the turn may or may not be stored.
     fn finish(
         &self,
         open: OpenTurn,
@@ -115,7 +118,7 @@
         deadline_us: u64,
     ) -> BoxFuture<'_, Result<(), OpenTurnError>>;
 
-    /// The turn ended otherwise, after this many tokens were passed on. Returns at once, and is
-    /// retried in the background.
+    /// Charges the tokens passed on to the caller for a turn that ended without being stored. Returns
+    /// immediately; the write is retried in the background.
     fn settle(&self, open: OpenTurn, used_tokens: u64);
 }
--- a/yewcross-common/src/turn_log/replicas.rs
+++ b/yewcross-common/src/turn_log/replicas.rs
@@ -1,28 +1,29 @@
-//! The disks that hold the turn log, and how many of them are a quorum.
+//! The disks that store the turn log, and the sizes of their quorums.
 //!
-//! Of n disks t losses are tolerated: t + 1 are a write quorum, n - t a read quorum, so any two of
-//! them meet. While the set changes, a quorum of the old and of the new set is needed.
+//! With n disks of which t may be lost, t + 1 disks are a write quorum and n - t a read quorum, so that
+//! any write quorum and any read quorum share a disk. During a change of the set, a quorum of both the
+//! old and the new set is required.
 
 use crate::protocol::Layout;
 
 /// The disks of the store group under one layout.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreReplicas {
-    /// The layout.
+    /// Version of the layout.
     pub layout_version: u64,
-    /// The layout that wrote these sets; `layout_version` may be newer by a change of other
-    /// groups.
+    /// The layout version in which these sets were last changed. `layout_version` may be newer because
+    /// of changes to other groups.
     pub group_version: u64,
-    /// The present set.
+    /// The set in force, or the new set during a change.
     pub current: Vec<String>,
-    /// The set before, while a change is in progress; else empty.
+    /// The old set during a change; otherwise empty.
     pub previous: Vec<String>,
-    /// Disks that may be lost at the same time.
+    /// The configured number of disks that may be lost at the same time.
     tolerated_losses: usize,
 }
 
 impl StoreReplicas {
-    /// The sets of a layout.
+    /// The replica sets of a layout.
     pub fn of(layout_version: u64, layout: &Layout, tolerated_losses: usize) -> StoreReplicas {
         StoreReplicas {
             layout_version,
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Fewer losses are tolerated where there are too few disks for two quorums to meet.
+    /// The losses that a set tolerates: fewer than configured if the set is too small for a read and
+    /// a write quorum to share a disk otherwise.
     fn tolerated_losses_of(&self, set: &[String]) -> usize {
         self.tolerated_losses.min(set.len().saturating_sub(1) / 2)
     }
@@ -51,38 +53,40 @@
     /// Whether a disk is in either set.
     pub fn contains(&self, disk: &str) -> bool {
         let mut disks = self.current.iter().chain(&self.previous);
-        disks.any(|known| known == disk)
+        disks.any(|member| member == disk)
     }
 
-    /// Whether each set has as many chosen disks as it needs.
+    /// Whether each set has the required number of disks for which `is_selected` is true.
     fn is_quorum(
         &self,
-        needed: impl Fn(&[String]) -> usize,
-        is_chosen: impl Fn(&str) -> bool,
+        required_count: impl Fn(&[String]) -> usize,
+        is_selected: impl Fn(&str) -> bool,
     ) -> bool {
-        let is_enough =
-            |set: &[String]| set.iter().filter(|disk| is_chosen(disk)).count() >= needed(set);
+        let has_required_count = |set: &[String]| {
+            set.iter().filter(|disk| is_selected(disk)).count() >= required_count(set)
+        };
         !self.current.is_empty()
-            && is_enough(&self.current)
-            && (self.previous.is_empty() || is_enough(&self.previous))
+            && has_required_count(&self.current)
+            && (self.previous.is_empty() || has_required_count(&self.previous))
     }
 
-    /// Whether the chosen disks are enough to outlast the tolerated losses.
-    pub fn is_write_quorum(&self, is_chosen: impl Fn(&str) -> bool) -> bool {
-        self.is_quorum(|set| self.tolerated_losses_of(set) + 1, is_chosen)
+    /// Whether the selected disks are a write quorum, of which one disk survives the tolerated losses.
+    pub fn is_write_quorum(&self, is_selected: impl Fn(&str) -> bool) -> bool {
+        self.is_quorum(|set| self.tolerated_losses_of(set) + 1, is_selected)
     }
 
-    /// Whether the chosen disks are enough to meet every write quorum.
-    pub fn is_read_quorum(&self, is_chosen: impl Fn(&str) -> bool) -> bool {
-        self.is_quorum(|set| set.len() - self.tolerated_losses_of(set), is_chosen)
+    /// Whether the selected disks are a read quorum, which shares a disk with every write quorum.
+    pub fn is_read_quorum(&self, is_selected: impl Fn(&str) -> bool) -> bool {
+        self.is_quorum(|set| set.len() - self.tolerated_losses_of(set), is_selected)
     }
 
-    /// How many disks of the present set may be missed by what all of them were to hold.
+    /// The number of disks of the current set that may lack a record that is to be on all of them.
     pub fn max_missing_disks(&self) -> usize {
         self.tolerated_losses_of(&self.current)
     }
 
-    /// How many disks of the present set hold a turn, to outlast the tolerated losses.
+    /// The number of disks of the current set that store a turn, so that it survives the tolerated
+    /// losses.
     pub fn replica_count(&self) -> usize {
         self.tolerated_losses_of(&self.current) + 1
     }
--- a/yewcross-common/src/turn_log/store_client.rs
+++ b/yewcross-common/src/turn_log/store_client.rs
@@ -1,5 +1,5 @@
-//! Sends requests to stores, and remembers which of them are slow. Used by proxies, and by stores
-//! among themselves.
+//! Sends requests to stores and records which of them are slow or unresponsive. Used by proxies, and by
+//! stores for requests to each other.
 
 use crate::constants::{STORE_RETRY_DELAY, STORE_SLOW_PERIOD};
 use crate::documents::cache::DocumentCache;
@@ -18,25 +18,25 @@
 
 /// The client of all stores.
 pub struct StoreClient {
-    /// The clock and the tasks of this process.
+    /// The runtime of this process.
     pub runtime: Runtime,
-    /// Where the stores are, and which of them are alive.
+    /// The membership, which has the addresses and states of the stores.
     pub members: Arc<Membership>,
-    /// Holds the present layout.
+    /// The document cache, which has the current layout.
     pub documents: Arc<DocumentCache>,
     /// Fetches newer layouts.
     watcher: Arc<DocumentWatcher>,
     tolerated_losses: usize,
-    /// Disks that kept a request waiting, and until when they are asked last, us.
+    /// Disks that were slow to respond, and the time, in us, until which they rank last.
     slow_until_us: Mutex<BTreeMap<String, u64>>,
-    /// When each disk last answered, us.
-    last_answer_us: Mutex<BTreeMap<String, u64>>,
-    /// Disks that do not answer at all, and until when they count as gone, us.
+    /// Time of the last response from each disk, in us.
+    last_response_us: Mutex<BTreeMap<String, u64>>,
+    /// Disks that stopped responding, and the time, in us, until which they count as unresponsive.
     unresponsive_until_us: Mutex<BTreeMap<String, u64>>,
 }
 
 impl StoreClient {
-    /// A client that knows nothing of any store yet. `name` is this node's.
+    /// Creates a client without any record of slow or unresponsive stores. `name` is this node's name.
     pub fn new(
         members: &Arc<Membership>,
         documents: &Arc<DocumentCache>,
@@ -50,23 +50,23 @@
             watcher: DocumentWatcher::new(members, documents, name, false),
             tolerated_losses,
             slow_until_us: Default::default(),
-            last_answer_us: Default::default(),
+            last_response_us: Default::default(),
             unresponsive_until_us: Default::default(),
         })
     }
 
-    /// The stores' disks under the present layout.
+    /// The disks of the stores under the current layout.
     pub fn replicas(&self) -> StoreReplicas {
         let layout = self.documents.layout.load();
         StoreReplicas::of(layout.0, &layout.1, self.tolerated_losses)
     }
 
-    /// The node that a disk is in.
+    /// The member that has the disk.
     pub fn node(&self, disk: &str) -> Option<Node> {
         self.members.node_with_disk(disk)
     }
 
-    /// Whether the disk's node is a member, and not suspected.
+    /// Whether the disk's node is a member and not suspected of having failed.
     pub fn is_alive(&self, disk: &str) -> bool {
         self.members
             .view
@@ -75,12 +75,12 @@
             .any(|node| node.disk == disk && node.state == MemberState::Alive)
     }
 
-    /// Whether the disk's node is alive, and has not been found without any answer lately.
+    /// Whether the disk's node is alive and is not currently marked as unresponsive.
     pub fn is_responsive(&self, disk: &str) -> bool {
         self.is_alive(disk) && self.is_past(&self.unresponsive_until_us, disk)
     }
 
-    /// Whether the disk's node is responsive, and has not been slow lately.
+    /// Whether the disk's node is responsive and is not currently marked as slow.
     pub fn is_prompt(&self, disk: &str) -> bool {
         self.is_responsive(disk) && self.is_past(&self.slow_until_us, disk)
     }
@@ -93,26 +93,26 @@
             .is_none_or(|until_us| *until_us < self.runtime.now())
     }
 
-    /// Whether a store has answered nothing since then; it counts as gone for a while. A store that
-    /// is merely slow answers something.
+    /// Whether a store has sent no response at all since `since_us`; if so, it is marked as unresponsive
+    /// for `STORE_SLOW_PERIOD`. A store that is merely slow still responds to some requests.
     pub fn has_not_answered_since(&self, disk: &str, since_us: u64) -> bool {
-        let is_silent = self
-            .last_answer_us
+        let has_no_response = self
+            .last_response_us
             .lock()
             .unwrap()
             .get(disk)
-            .is_none_or(|answered_us| *answered_us < since_us);
-        if is_silent {
+            .is_none_or(|responded_us| *responded_us < since_us);
+        if has_no_response {
             self.unresponsive_until_us
                 .lock()
                 .unwrap()
                 .insert(disk.into(), self.runtime.now() + STORE_SLOW_PERIOD);
         }
-        is_silent
+        has_no_response
     }
 
-    /// A store kept a request waiting: it is asked last for a while, and membership probes it now,
-    /// not when its turn comes.
+    /// Marks a store as slow: it ranks last for `STORE_SLOW_PERIOD`, and its node is probed immediately
+    /// instead of in the next regular probe.
     pub fn mark_slow(&self, disk: &str) {
         let now_us = self.runtime.now();
         let earlier_until_us = self
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Disks in the order in which they are asked for a key: prompt ones first, then those of other
-    /// sites than that of the disk `beside`.
-    pub fn order(&self, key: &str, replicas: &StoreReplicas, beside: Option<&str>) -> Vec<String> {
+    /// Disks in the order in which requests for a key are sent to them: prompt disks first, and among
+    /// these the disks of other sites than that of the disk `avoided`, which ranks last.
+    pub fn order(&self, key: &str, replicas: &StoreReplicas, avoided: Option<&str>) -> Vec<String> {
         let layout = self.documents.layout.load();
         let site_of = |disk: &str| layout.1.sites.get(disk).cloned();
         let all = replicas.all();
@@ -138,24 +138,28 @@
             .into_iter()
             .map(|disk| disk.to_string())
             .collect();
-        let site_beside = beside.and_then(&site_of);
+        let avoided_site = avoided.and_then(&site_of);
         order.sort_by_cached_key(|disk| {
             (
                 !self.is_prompt(disk),
-                beside == Some(disk),
-                site_beside.is_some() && site_of(disk) == site_beside,
+                avoided == Some(disk),
+                avoided_site.is_some() && site_of(disk) == avoided_site,
             )
         });
         order
     }
 
-    /// Disks in the order in which they are asked for a key: prompt ones first, of these the ones
-    /// of a site.
+    /// Disks in the order in which requests for a key are sent to them: prompt disks first, and among
+    /// these the disks of the given site.
     pub fn order_by_site(&self, key: &str, replicas: &StoreReplicas, site: &str) -> Vec<String> {
         let layout = self.documents.layout.load();
         let mut order = self.order(key, replicas, None);
         order.sort_by_cached_key(|disk| {
-            let is_elsewhere = layout.1.sites.get(disk).is_none_or(|known| known != site);
+            let is_elsewhere = layout
+                .1
+                .sites
+                .get(disk)
+                .is_none_or(|disk_site| disk_site != site);
             (!self.is_prompt(disk), is_elsewhere)
         });
         order
@@ -183,23 +187,23 @@
             .await?;
         match response {
             (PeerResponse::TurnLog, body) => {
-                self.record_answer(disk);
+                self.record_response(disk);
                 decode(&body).ok_or(SendError::OutcomeUnknown)
             }
             _ => Err(SendError::OutcomeUnknown),
         }
     }
 
-    fn record_answer(&self, disk: &str) {
-        self.last_answer_us
+    fn record_response(&self, disk: &str) {
+        self.last_response_us
             .lock()
             .unwrap()
             .insert(disk.into(), self.runtime.now());
         self.unresponsive_until_us.lock().unwrap().remove(disk);
     }
 
-    /// Fetches a layout that another node is known to have. Where that fails, pauses before the
-    /// caller tries again.
+    /// Fetches a layout version that another node has reported. If that fails, waits before the caller
+    /// retries.
     pub async fn catch_up(&self, layout_version: u64) {
         if self.documents.layout.load().0 < layout_version {
             self.watcher.fetch("layout", layout_version - 1).await;
