--- a/yewcross-common/src/lib.rs
+++ b/yewcross-common/src/lib.rs
@@ -1,6 +1,6 @@
-//! What all nodes of the tier share: the runtime they run on, the transport between them,
-//! membership, replicated registers, the documents that every node holds, durable storage, and the
-//! messages that they exchange.
+//! Code shared by all nodes of the tier: the runtime, the transport between nodes, membership,
+//! replicated registers and the turn log, the documents that every node caches, durable storage, and
+//! the messages that nodes exchange.
 
 pub mod adapter;
 pub mod buffered_http;
--- a/yewcross-common/src/membership/clock.rs
+++ b/yewcross-common/src/membership/clock.rs
@@ -1,26 +1,28 @@
-//! The tier's time: the median of the wall clocks of the nodes that answered probes lately.
+//! The tier's time: the median of the wall clocks of the nodes that recently responded to probes.
 //!
-//! A single clock that is wrong, or jumps, does not move the median of three or more.
+//! With three or more clocks, a single one that is wrong or jumps does not move the median beyond the
+//! others.
 
 use crate::constants::{CLOCK_QUORUM, CLOCK_SAMPLE_LIFETIME, MS};
 use std::collections::BTreeMap;
 
 /// The wall clock of another node, as measured by a probe.
 struct ClockSample {
-    /// ms that the node's wall clock is ahead of this process's monotonic clock.
+    /// Difference, in ms, between the node's wall clock and this process's monotonic clock.
     offset_ms: i64,
-    /// µs on this process's monotonic clock.
+    /// Time of the measurement in µs of this process's monotonic clock.
     measured_at: u64,
 }
 
-/// The latest sample of each node that was probed, by its address.
+/// The latest sample of each probed node by the node's address.
 #[derive(Default)]
 pub(super) struct ClockSamples {
     samples: BTreeMap<String, ClockSample>,
 }
 
 impl ClockSamples {
-    /// Records a wall clock that was read somewhere between `sent` and `received` (µs, monotonic).
+    /// Records a wall clock that was read at some time between `sent` and `received` (µs, monotonic),
+    /// assumed to be the midpoint.
     pub(super) fn record(&mut self, peer: String, wall_clock_ms: u64, sent: u64, received: u64) {
         let midpoint_ms = (sent + received) / 2 / MS;
         let sample = ClockSample {
@@ -30,8 +32,8 @@
         self.samples.insert(peer, sample);
     }
 
-    /// The median wall clock in ms at `now` (µs, monotonic), the own one counted in, and whether
-    /// enough clocks are known to rely on it. Drops the samples that are too old.
+    /// The median wall clock in ms at `now` (µs, monotonic), including this process's own, and whether
+    /// there are enough clocks for it to be reliable. Removes expired samples.
     pub(super) fn median(&mut self, now: u64, own_wall_clock_ms: u64) -> (u64, bool) {
         self.samples
             .retain(|_, sample| now < sample.measured_at + CLOCK_SAMPLE_LIFETIME);
--- a/yewcross-common/src/membership/mod.rs
+++ b/yewcross-common/src/membership/mod.rs
@@ -1,21 +1,21 @@
-//! Membership of the tier, after SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
+//! Membership of the tier, based on SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
 //! Infection-style Process Group Membership Protocol", 2002).
 //!
-//! - **Failure detection** (`prober`): each node probes the others in rounds of random order. A
-//!   node that does not answer is probed indirectly, through `INDIRECT_PROBES` other members.
-//! - **Suspicion**: a node that no probe reaches is suspect first and removed `SUSPICION_TIMEOUT` later.
-//!   It refutes the suspicion by a higher refutation count, which only the node itself raises.
-//! - **Dissemination** (`table`): recent changes are piggybacked on probes and their answers,
-//!   together with a digest of the table; where the digests differ, whole tables are exchanged
-//!   (anti-entropy). Changes to nodes with disks are besides sent to all nodes with disks at once,
-//!   since replicas and singleton tasks depend on them.
-//! - **Incarnation**: a process draws its incarnation at its start. Of two processes of one name
-//!   the younger one stays, and the other one sees [`Membership::replaced`] set.
-//! - **Time** (`clock`): probes also measure the wall clocks of the others; their median is the
-//!   tier's time.
+//! - **Failure detection** (`prober`): each node probes the others in rounds of random order. A node
+//!   that does not respond is probed indirectly, through `INDIRECT_PROBES` other members.
+//! - **Suspicion**: a node that responds to no probe becomes suspect and is removed
+//!   `SUSPICION_TIMEOUT` later, unless it refutes the suspicion by a higher refutation count, which
+//!   only the node itself increases.
+//! - **Dissemination** (`table`): recent changes are piggybacked on probes and their responses,
+//!   together with a digest of the table; where the digests differ, complete tables are
+//!   exchanged (anti-entropy). Changes to nodes with disks are also sent to all nodes with disks
+//!   immediately, because replicas and singleton tasks depend on them.
+//! - **Incarnation**: a process chooses its incarnation when it starts. Of two processes with the same
+//!   name, the newer one remains a member, and [`Membership::replaced`] is set in the older one.
+//! - **Time** (`clock`): probes also measure the wall clocks of other nodes; the median is the tier's
+//!   time.
 //!
-//! Unlike SWIM, the interval between probes of nodes with disks may be shorter than that of the
-//! others.
+//! Unlike in SWIM, nodes with disks may be probed at a shorter interval than the others.
 
 mod clock;
 mod node;
@@ -40,49 +40,50 @@
 use std::sync::{Arc, Mutex};
 use table::{AcceptedNode, MembershipTable, MergeContext};
 
-/// ms. The shortest probe interval that the settings can ask for.
+/// Lower bound, in ms, of the probe interval from the settings.
 const PROBE_INTERVAL_MIN_MS: u64 = 50;
 
-/// Nodes that a leaving node tells of it, at least.
+/// Minimum number of nodes to which a leaving node announces that it stops.
 const LEAVING_ANNOUNCEMENTS: usize = 4;
 
-/// The membership of one process: what it knows of the others, and what it tells them of itself.
+/// The membership of one process: its view of the other nodes, and its own entry as sent to them.
 ///
-/// Locks are taken in the order `own_node`, `table`.
+/// Lock order: `own_node`, then `table`.
 pub struct Membership {
-    /// What this process runs on.
+    /// The runtime of this process.
     pub runtime: Runtime,
-    /// Connections to the other nodes.
+    /// Client for requests to the other nodes.
     pub peers: Arc<PeerClient>,
-    /// This process's own entry.
+    /// This process's own table entry.
     pub own_node: Mutex<Node>,
-    /// Addresses from the settings at which other nodes may be met; without the own one.
+    /// Addresses from the settings at which other nodes may be reached, without this node's own.
     pub seeds: Mutex<Vec<SocketAddr>>,
-    /// Peer addresses that an earlier process has left on this machine's disk.
+    /// Peer addresses that an earlier process stored on this node's disk.
     pub persisted_peers: Mutex<Vec<SocketAddr>>,
     table: Mutex<MembershipTable>,
-    /// Read-copy-update view of all nodes that are not removed, by name.
+    /// Read-copy-update snapshot of all nodes that are not removed, by name.
     pub view: ArcSwap<BTreeMap<String, Node>>,
     clocks: Mutex<ClockSamples>,
-    /// µs: when this process started.
+    /// Start of this process in µs of the monotonic clock.
     started: u64,
-    /// µs between two probes of this process.
+    /// Interval between two probes of this process in µs.
     probe_interval: u64,
-    /// µs that a probe may take.
+    /// Timeout of a probe in µs.
     probe_timeout: u64,
-    /// Digest of `table` as it was published last.
+    /// Digest of `table` at its last publication.
     table_digest: AtomicU64,
-    /// Set when a younger process carries this node's name.
+    /// Set when a newer process has the same name as this node and this process must stop.
     pub replaced: Latch,
-    /// Outbid a younger process of this node's name instead of giving way to it.
+    /// Whether this process raises its incarnation above that of a newer process with the same name,
+    /// instead of being replaced by it.
     pub supersedes_newer_process: AtomicBool,
-    /// Notified when the view changed.
+    /// Notified when `view` changes.
     pub changed: Event,
 }
 
 impl Membership {
-    /// The membership of a process that knows only itself. `disk` is the identity of its disk;
-    /// empty where it has none.
+    /// Creates a membership whose table contains only this process. `disk` is the identity of the
+    /// process's disk; empty if it has none.
     pub fn new(
         runtime: &Runtime,
         settings: &ProcessSettings,
@@ -128,7 +129,7 @@
         })
     }
 
-    /// The members of a role.
+    /// The members that have a role.
     pub fn nodes_of_role(&self, role: Role) -> Vec<Node> {
         self.view
             .load()
@@ -138,7 +139,7 @@
             .collect()
     }
 
-    /// The member that runs on a disk.
+    /// The member that has the disk.
     pub fn node_with_disk(&self, disk: &str) -> Option<Node> {
         self.view
             .load()
@@ -147,13 +148,13 @@
             .cloned()
     }
 
-    /// All nodes known, the removed ones among them.
+    /// All nodes in the table, including the removed ones.
     pub fn all_nodes(&self) -> Vec<Node> {
         self.table.lock().unwrap().nodes().cloned().collect()
     }
 
-    /// The median of the known wall clocks in ms since 1970, and whether enough of them are known
-    /// to rely on it.
+    /// The median of the measured wall clocks, in ms since 1970, and whether there are enough clocks
+    /// for it to be reliable.
     pub fn clock(&self) -> (u64, bool) {
         let now = self.runtime.now();
         let own_wall_clock_ms = self.runtime.wall_clock_ms();
@@ -173,7 +174,7 @@
         self.table.lock().unwrap().recent_changes(now)
     }
 
-    /// Merges statements about nodes and announces what changed.
+    /// Merges updates about nodes into the table and publishes the changes.
     pub fn merge(&self, nodes: Vec<Node>) {
         let mut own_node = self.own_node.lock().unwrap();
         let mut table = self.table.lock().unwrap();
@@ -195,7 +196,7 @@
     }
 
     fn record_accepted(&self, node: &AcceptedNode) {
-        if node.is_announced {
+        if node.is_logged {
             self.runtime
                 .log(&format!("member {} {:?}", node.name, node.state));
         }
@@ -203,18 +204,19 @@
             .record_peer(node.peer, &node.site, node.wire_version);
     }
 
-    /// Makes the table's state visible. The caller holds the table's lock, so that views are
-    /// published in the order of the changes.
+    /// Publishes the table's state as the new view and digest. The caller must hold the lock of the
+    /// table, so that views are published in the order of the changes.
     fn publish(&self, table: &MembershipTable) {
         self.view.store(Arc::new(table.members()));
         self.table_digest.store(table.digest(), SeqCst);
         self.changed.notify(usize::MAX);
     }
 
-    /// Moves a process on to a later state, unless it was replaced or is as far already.
+    /// Changes the state of a process to one of higher precedence, unless the process was replaced or
+    /// already has such a state.
     fn set_state(&self, name: &str, incarnation: u64, state: MemberState) {
-        let known = self.table.lock().unwrap().get(name).cloned();
-        let Some(mut node) = known else { return };
+        let entry = self.table.lock().unwrap().get(name).cloned();
+        let Some(mut node) = entry else { return };
         if node.incarnation != incarnation || node.state >= state {
             return;
         }
@@ -225,10 +227,10 @@
         }
     }
 
-    /// Answers the requests of this module.
+    /// Handles a membership request from another node.
     pub async fn handle(&self, request: PeerRequest) -> PeerResponse {
         match request {
-            PeerRequest::Probe { digest, nodes } => self.answer_probe(digest, nodes),
+            PeerRequest::Probe { digest, nodes } => self.handle_probe(digest, nodes),
             PeerRequest::MembershipUpdate { nodes } => {
                 self.merge(nodes);
                 PeerResponse::Ok
@@ -246,12 +248,12 @@
         }
     }
 
-    fn answer_probe(&self, their_digest: u64, nodes: Vec<Node>) -> PeerResponse {
-        if their_digest != self.digest() {
+    fn handle_probe(&self, sender_digest: u64, nodes: Vec<Node>) -> PeerResponse {
+        if sender_digest != self.digest() {
             self.merge(nodes);
         }
         let digest = self.digest();
-        let nodes = if digest == their_digest {
+        let nodes = if digest == sender_digest {
             vec![]
         } else {
             self.recent_changes()
@@ -263,8 +265,8 @@
         }
     }
 
-    /// Replicas and singleton tasks depend on the nodes with disks: a change to one of them is sent
-    /// to all the others without waiting for a probe.
+    /// Sends a change of a node with a disk to all other nodes with disks immediately, without waiting
+    /// for a probe, because replicas and singleton tasks depend on these nodes.
     fn notify_disk_nodes(&self, changed: Node) {
         let own_name = self.own_node.lock().unwrap().name.clone();
         let recipients: Vec<SocketAddr> = self
@@ -280,7 +282,7 @@
                 nodes: vec![changed.clone()],
             };
             self.runtime.spawn(async move {
-                // A lost update is made good by the next probe.
+                // If the update is lost, the next probe delivers the change.
                 let _ = peers
                     .request(recipient, &update, &[], PEER_REQUEST_TIMEOUT)
                     .await;
@@ -288,7 +290,8 @@
         }
     }
 
-    /// One line for all members that a starting node has met, in place of one for each.
+    /// Logs one line with the number of members discovered during the start, instead of one line per
+    /// member.
     async fn log_members_at_start(self: Arc<Self>) {
         let until = self.started + MEMBER_LOG_DELAY;
         self.runtime
@@ -301,8 +304,7 @@
         ));
     }
 
-    /// Announces a planned stop to other nodes, those with disks first, and
-    /// waits for the answers.
+    /// Announces a planned stop to other nodes, those with disks first, and waits for the responses.
     pub async fn announce_leaving(&self) {
         let own_node = {
             let mut own_node = self.own_node.lock().unwrap();
@@ -318,13 +320,13 @@
         let announcement_count = announcements.len();
         let answers = self.runtime.spawn_all(announcements);
         for _ in 0..announcement_count {
-            // An error only says that a task was dropped; there is nothing more to wait for.
+            // An error means that a task was dropped, so that its response will not arrive.
             let _ = answers.recv().await;
         }
     }
 
-    /// A node with a disk tells all others with disks, any other node just a few; gossip does the
-    /// rest.
+    /// The recipients of the announcement: all nodes with disks if this node has a disk, otherwise only
+    /// a few nodes. Gossip notifies the remaining nodes.
     fn leaving_recipients(&self, own_node: &Node) -> Vec<SocketAddr> {
         let mut others: Vec<Node> = self
             .view
@@ -350,7 +352,7 @@
             let request = PeerRequest::ExchangeMembership {
                 nodes: vec![own_node],
             };
-            // Whoever misses the announcement notices the stop by its probes.
+            // A node that misses the announcement detects the stop by its probes.
             let _ = peers.request(to, &request, &[], PROBE_TIMEOUT).await;
         })
     }
--- a/yewcross-common/src/membership/node.rs
+++ b/yewcross-common/src/membership/node.rs
@@ -1,25 +1,25 @@
-//! A member of the tier as the others know it.
+//! A node's entry in the membership table and the precedence between two versions of it.
 
 use crate::constants::WIRE_OLDEST;
 use crate::process_settings::Role;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What is believed of a node. The order is that of precedence: at equal incarnation and
-/// refutation count the later state overrides the earlier one.
+/// The state of a node. The order of the variants is the precedence: at equal incarnation and
+/// refutation count, a later state overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The node responds to probes.
     Alive,
-    /// It answered neither a direct nor an indirect probe; it still counts as a member.
+    /// The node responded neither to a direct nor to an indirect probe; it still counts as a member.
     Suspect,
-    /// It stopped, or stayed suspect for `SUSPICION_TIMEOUT`; it is no member any more.
+    /// The node stopped, or was suspect for `SUSPICION_TIMEOUT`; it is no longer a member.
     #[serde(rename = "Gone")]
     Removed,
 }
 
 impl MemberState {
-    /// The state's name in the table digest, which nodes of all versions must compute alike.
+    /// The state's name in the table digest, which must be the same in all program versions.
     fn digest_name(self) -> &'static str {
         match self {
             MemberState::Alive => "Alive",
@@ -29,31 +29,31 @@
     }
 }
 
-/// A node's entry in the membership table, as nodes exchange it.
+/// A node's entry in the membership table, in the form that nodes exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
     /// Name from the settings, unique in the tier.
     pub name: String,
-    /// Drawn when the process starts: wall clock in ms, shifted left by eight bits, and eight
-    /// random bits. A later process of the same name has a higher one.
+    /// Chosen when the process starts: the wall clock in ms, shifted left by eight bits, plus eight
+    /// random bits. A later process of the same name has a higher incarnation.
     #[serde(rename = "born")]
     pub incarnation: u64,
-    /// How often the node itself has refuted a suspicion. Only the node raises it.
+    /// Number of times that the node has refuted a suspicion. Only the node itself increases it.
     #[serde(rename = "inc")]
     pub refutations: u32,
-    /// What is believed of it.
+    /// State of the node.
     pub state: MemberState,
-    /// What kind of process it is.
+    /// Role of the process.
     pub role: Role,
-    /// Site (failure domain) that it runs in.
+    /// Site (failure domain) of the node.
     pub site: String,
-    /// Address for requests of other nodes.
+    /// Address for requests from other nodes.
     pub peer: SocketAddr,
-    /// Address of its HTTP interface.
+    /// Address of the HTTP interface.
     pub http: SocketAddr,
-    /// Identity of its disk; empty where it has none.
+    /// Identity of the node's disk; empty if it has none.
     pub disk: String,
-    /// Newest frame version that it speaks.
+    /// Newest frame version that the node supports.
     #[serde(default = "oldest_wire_version")]
     #[serde(rename = "wire")]
     pub wire_version: u16,
@@ -63,7 +63,7 @@
     WIRE_OLDEST
 }
 
-/// Precedence of a statement about a node. Compared field by field, in this order.
+/// Precedence of an update about a node. Compared field by field, in this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Precedence {
     incarnation: u64,
@@ -72,7 +72,7 @@
 }
 
 impl Node {
-    /// Of two statements about a node, the one of higher precedence is believed.
+    /// The precedence of this entry: of two updates about a node, the higher one is applied.
     pub(super) fn precedence(&self) -> Precedence {
         Precedence {
             incarnation: self.incarnation,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether the node runs on a disk that the tier's state lives on.
+    /// Whether the node has a disk that stores replicated state of the tier.
     pub(super) fn has_disk(&self) -> bool {
         !self.disk.is_empty()
     }
@@ -97,8 +97,8 @@
     }
 }
 
-/// Digest by which two nodes tell whether their tables are alike. `nodes` come in order of their
-/// names.
+/// Digest of a membership table, by which two nodes detect that their tables differ. `nodes` must be in
+/// the order of their names.
 pub(super) fn table_digest<'a>(nodes: impl Iterator<Item = &'a Node>) -> u64 {
     let entries: String = nodes.map(Node::digest_entry).collect();
     crate::hash::rendezvous_weight(&entries, "")
--- a/yewcross-common/src/membership/prober.rs
+++ b/yewcross-common/src/membership/prober.rs
@@ -1,5 +1,5 @@
-//! The failure detector: probe rounds, indirect probes, suspicion, expiry, and the search for nodes
-//! that are missing from the view.
+//! The failure detector: probe rounds, indirect probes, suspicion, expiry, and attempts to contact
+//! nodes that are missing from the view.
 
 use super::Membership;
 use super::node::{MemberState, Node};
@@ -12,14 +12,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// µs between two attempts to reach a node that is missing from the view, at least.
+/// Minimum interval, in µs, between two attempts to contact nodes that are missing from the view.
 const REJOIN_INTERVAL: u64 = REJOIN_PROBE_INTERVALS * PROBE_INTERVAL;
 
-/// The nodes that are still to be probed in the current round, in random order. Each node of the
-/// view is probed once a round, which bounds the time until a failure is noticed.
+/// The nodes still to be probed in the current round, in random order. Each node of the view is probed
+/// once per round, which bounds the time until a failure is detected.
 struct ProbeRound {
     own_name: String,
-    /// Only the nodes with disks are probed.
+    /// Whether only nodes with disks are probed.
     disks_only: bool,
     pending: Vec<String>,
 }
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The next node to probe, if it is still in the view; starts a new round after the last one.
+    /// The next node to probe, if it is still in the view; starts a new round after the last node.
     fn next(&mut self, membership: &Membership) -> Option<Node> {
         if self.pending.is_empty() {
             self.pending = self.shuffled_names(membership);
@@ -57,21 +57,21 @@
     }
 }
 
-/// What the probe loop does next, and when (µs, monotonic).
+/// The state of the probe loop and the times of its next actions (µs, monotonic).
 struct ProbeSchedule {
     all: ProbeRound,
     next_all: u64,
     disks: ProbeRound,
     next_disk: u64,
     next_rejoin: u64,
-    /// Whether nodes with disks are probed more often than the others: this node has a disk, and
-    /// the probe interval set by the operator is longer than `PROBE_INTERVAL`.
-    probes_disks_apart: bool,
+    /// Whether nodes with disks are also probed in separate, more frequent rounds: this node has a
+    /// disk, and the configured probe interval is longer than `PROBE_INTERVAL`.
+    probes_disks_separately: bool,
 }
 
 impl ProbeSchedule {
     fn next_probe(&self) -> u64 {
-        if self.probes_disks_apart {
+        if self.probes_disks_separately {
             self.next_disk.min(self.next_all)
         } else {
             self.next_all
@@ -90,7 +90,7 @@
             disks: ProbeRound::new(&own_node.name, true),
             next_disk: 0,
             next_rejoin: self.runtime.now() + REJOIN_INTERVAL,
-            probes_disks_apart: own_node.has_disk() && self.probe_interval > PROBE_INTERVAL,
+            probes_disks_separately: own_node.has_disk() && self.probe_interval > PROBE_INTERVAL,
         };
         let mut is_announced = false;
         loop {
@@ -113,23 +113,24 @@
         }
     }
 
-    /// Starts what is due at `now`.
+    /// Starts the actions that are due at `now`.
     fn run_due(self: &Arc<Self>, schedule: &mut ProbeSchedule, now: u64) {
         if now >= schedule.next_rejoin {
             schedule.next_rejoin = now + self.probe_interval.max(REJOIN_INTERVAL);
-            self.rejoin_one();
+            self.contact_missing_node();
         }
         if now >= schedule.next_all {
             schedule.next_all = now + self.probe_interval;
             self.probe_next(&mut schedule.all);
         }
-        if schedule.probes_disks_apart && now >= schedule.next_disk {
+        if schedule.probes_disks_separately && now >= schedule.next_disk {
             schedule.next_disk = now + PROBE_INTERVAL;
             self.probe_next(&mut schedule.disks);
         }
     }
 
-    /// No other node is known: asks a few known addresses for their tables and waits for a change.
+    /// Called while no other node is in the view: exchanges tables with a few candidate addresses and
+    /// waits for a change of the view.
     async fn join(self: &Arc<Self>) {
         for address in self.join_candidates() {
             self.clone().start_table_exchange(address);
@@ -138,11 +139,12 @@
         self.runtime.timeout(SEED_CONTACT_INTERVAL, changed).await;
     }
 
-    /// After a partition each side has removed the other, and neither probes it: one of the missing
-    /// nodes is asked now and then, the seeds among them.
-    fn rejoin_one(self: &Arc<Self>) {
+    /// Exchanges tables with one random address that is missing from the view, including the seeds. This
+    /// is needed after a partition: each side has removed the nodes of the other and does not probe
+    /// them.
+    fn contact_missing_node(self: &Arc<Self>) {
         let members: Vec<SocketAddr> = self.view.load().values().map(|node| node.peer).collect();
-        let mut missing = self.known_addresses();
+        let mut missing = self.candidate_addresses();
         missing.retain(|address| !members.contains(address));
         if !missing.is_empty() {
             let chosen = missing.swap_remove(self.runtime.random_index(missing.len()));
@@ -150,18 +152,18 @@
         }
     }
 
-    /// A few of the addresses at which a node may answer, drawn at random.
+    /// A random selection of a few addresses at which a node may respond.
     fn join_candidates(&self) -> Vec<SocketAddr> {
-        let mut candidates = self.known_addresses();
+        let mut candidates = self.candidate_addresses();
         while candidates.len() > SEEDS_CONTACTED_AT_ONCE {
             candidates.swap_remove(self.runtime.random_index(candidates.len()));
         }
         candidates
     }
 
-    /// Addresses at which nodes ought to answer besides those of the view: the seeds, the peers
-    /// that this machine's disk remembers, and the removed nodes.
-    fn known_addresses(&self) -> Vec<SocketAddr> {
+    /// Addresses at which nodes may respond in addition to those of the view: the seeds, the peers
+    /// stored on this node's disk, and the removed nodes.
+    fn candidate_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses = self.seeds.lock().unwrap().clone();
         addresses.extend(self.persisted_peers.lock().unwrap().iter().cloned());
         addresses.extend(
@@ -190,8 +192,8 @@
         }
     }
 
-    /// Probes a node now, directly and then through others, and suspects it where no probe reaches
-    /// it.
+    /// Probes a node immediately, first directly and then through other members, and marks it as suspect
+    /// if it responds to no probe.
     pub async fn probe_or_suspect(self: Arc<Self>, node: Node) {
         if self.probe(node.peer).await || self.probe_indirectly(&node).await {
             return;
@@ -199,7 +201,7 @@
         self.set_state(&node.name, node.incarnation, MemberState::Suspect);
     }
 
-    /// Probes a node once and merges what it answers; whether it answered.
+    /// Probes a node once and merges the updates in its response; returns whether it responded.
     pub(super) async fn probe(&self, to: SocketAddr) -> bool {
         let sent = self.runtime.now();
         let request = PeerRequest::Probe {
@@ -221,7 +223,7 @@
         else {
             return false;
         };
-        // 0: the node does not tell its clock.
+        // 0 means that the response does not contain the node's clock.
         if wall_clock_ms > 0 {
             let received = self.runtime.now();
             self.clocks
@@ -236,7 +238,7 @@
         true
     }
 
-    /// Asks some members, drawn at random, to probe the node; whether it answered one of them.
+    /// Requests randomly chosen members to probe the node; returns whether it responded to any of them.
     async fn probe_indirectly(&self, node: &Node) -> bool {
         let own_name = self.own_node.lock().unwrap().name.clone();
         let mut candidates: Vec<Node> = self
@@ -250,8 +252,8 @@
         let mut probes: Vec<BoxFuture<'static, bool>> = vec![];
         while !candidates.is_empty() && probes.len() < INDIRECT_PROBES {
             let index = self.runtime.random_index(candidates.len());
-            let helper = candidates.swap_remove(index);
-            probes.push(self.indirect_probe(helper.peer, node.peer));
+            let relay = candidates.swap_remove(index);
+            probes.push(self.indirect_probe(relay.peer, node.peer));
         }
         let probe_count = probes.len();
         let results = self.runtime.spawn_all(probes);
@@ -263,13 +265,13 @@
         false
     }
 
-    fn indirect_probe(&self, helper: SocketAddr, target: SocketAddr) -> BoxFuture<'static, bool> {
+    fn indirect_probe(&self, relay: SocketAddr, target: SocketAddr) -> BoxFuture<'static, bool> {
         let peers = self.peers.clone();
-        // The helper's own probe takes up to one timeout, its answer to us the other.
+        // The relay's own probe takes up to one timeout, and its response to this node another.
         let timeout = 2 * self.probe_timeout;
         Box::pin(async move {
             let request = PeerRequest::ProbeOnBehalf { target };
-            let response = peers.request(helper, &request, &[], timeout).await;
+            let response = peers.request(relay, &request, &[], timeout).await;
             matches!(
                 response,
                 Ok((PeerResponse::ProbeOnBehalf { reachable: true }, _))
@@ -277,8 +279,8 @@
         })
     }
 
-    /// Full anti-entropy: both sides merge all that the other one knows. Nothing is done where the
-    /// other one does not answer; later probes try again.
+    /// Full anti-entropy: both sides merge the other's complete table. If the other node does not
+    /// respond, nothing is done; later probes trigger the exchange again.
     async fn exchange_tables(&self, with: SocketAddr) {
         let request = PeerRequest::ExchangeMembership {
             nodes: self.all_nodes(),
@@ -292,16 +294,16 @@
         }
     }
 
-    /// Removes the suspects that did not refute the suspicion in time, and forgets nodes that were
-    /// removed long ago.
+    /// Marks suspect nodes that did not refute the suspicion in time as removed, and deletes the entries
+    /// of removed nodes after their retention period.
     fn expire(&self) {
         let now = self.runtime.now();
         let expired = self.table.lock().unwrap().expired(now);
         for suspect in expired.suspects {
             self.set_state(&suspect.name, suspect.incarnation, MemberState::Removed);
         }
-        for name in expired.forgotten {
-            self.table.lock().unwrap().forget(&name);
+        for name in expired.removed {
+            self.table.lock().unwrap().remove(&name);
         }
     }
 }
--- a/yewcross-common/src/membership/table.rs
+++ b/yewcross-common/src/membership/table.rs
@@ -1,12 +1,12 @@
-//! The membership table and the rules by which statements about nodes are merged into it.
+//! The membership table and the rules by which updates about nodes are merged into it.
 //!
-//! Nothing here does I/O or reads a clock: a merge takes nodes and the time, changes the table, and
-//! returns what the caller has to announce.
+//! This module does no I/O and reads no clock: a merge receives updates and the current time, changes
+//! the table, and returns the changes that the caller has to publish.
 //!
 //! Invariants:
-//! - A node's entry only ever gains precedence (incarnation, then refutations, then state), so that
-//!   merging is commutative and idempotent and the tables of all nodes converge.
-//! - Only the node itself raises its incarnation and its refutation count.
+//! - The precedence of a node's entry (incarnation, then refutations, then state) never decreases, so
+//!   that merging is commutative and idempotent and the tables of all nodes converge.
+//! - Only the node itself increases its incarnation and its refutation count.
 
 use super::node::{MemberState, Node, table_digest};
 use crate::constants::{
@@ -17,29 +17,30 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A node and when its entry last changed.
+/// A node and the time of the last change of its entry.
 struct TableEntry {
     node: Node,
-    /// µs on this process's monotonic clock.
+    /// Time of the last change in µs of this process's monotonic clock.
     changed_at: u64,
 }
 
-/// All nodes known, this one and the removed ones among them, by name.
+/// The entries of all known nodes by name, including this node and removed ones.
 pub(super) struct MembershipTable {
     entries: BTreeMap<String, TableEntry>,
 }
 
-/// What the rules of a merge depend on besides the table.
+/// Inputs of a merge besides the table and the updates.
 pub(super) struct MergeContext {
-    /// µs on this process's monotonic clock.
+    /// Current time in µs of this process's monotonic clock.
     pub(super) now: u64,
-    /// µs: when this process started.
+    /// Start of this process in µs of the same clock.
     pub(super) started: u64,
-    /// Outbid a younger process of this node's name instead of giving way to it.
+    /// Whether this process raises its incarnation above that of a newer process with the same name,
+    /// instead of being replaced by it.
     pub(super) supersedes_newer_process: bool,
 }
 
-/// A statement about another node that a merge took into the table.
+/// An update about another node that a merge applied to the table.
 #[derive(Debug)]
 pub(super) struct AcceptedNode {
     pub(super) name: String,
@@ -47,33 +48,33 @@
     pub(super) peer: SocketAddr,
     pub(super) site: String,
     pub(super) wire_version: u16,
-    /// Whether the change of state is worth a log line of its own.
-    pub(super) is_announced: bool,
+    /// Whether to log the change of state in a separate line.
+    pub(super) is_logged: bool,
 }
 
-/// What a merge did.
+/// The result of a merge.
 #[derive(Debug, Default)]
 pub(super) struct MergeOutcome {
     /// Whether the table changed.
     pub(super) is_changed: bool,
-    /// Whether a younger process carries this node's name and this one has to give way.
+    /// Whether a newer process has this node's name, so that this process is replaced.
     pub(super) is_replaced: bool,
-    /// The other nodes whose entries changed, in the order of the statements.
+    /// The updates applied to other nodes, in the order in which they were given.
     pub(super) accepted: Vec<AcceptedNode>,
 }
 
-/// A process of a node, told apart from later ones of the same name.
+/// A process of a node, identified by its incarnation among the processes of the same name.
 pub(super) struct ProcessId {
     pub(super) name: String,
     pub(super) incarnation: u64,
 }
 
-/// Entries whose time has run out.
+/// Entries whose suspicion or retention period has ended.
 pub(super) struct ExpiredEntries {
-    /// Suspects that have not refuted the suspicion in time.
+    /// Suspect nodes that have not refuted the suspicion in time.
     pub(super) suspects: Vec<ProcessId>,
-    /// Names of removed nodes that need not be remembered any longer.
-    pub(super) forgotten: Vec<String>,
+    /// Names of removed nodes whose entries need not be retained any longer.
+    pub(super) removed: Vec<String>,
 }
 
 impl MembershipTable {
@@ -93,7 +94,7 @@
         self.entries.values().map(|entry| &entry.node)
     }
 
-    /// The nodes that count as members: all but the removed ones.
+    /// The nodes that count as members: all except the removed ones.
     pub(super) fn members(&self) -> BTreeMap<String, Node> {
         self.nodes()
             .filter(|node| node.state != MemberState::Removed)
@@ -120,7 +121,7 @@
             .collect()
     }
 
-    /// Merges statements about nodes, one after the other.
+    /// Merges updates about nodes in the given order.
     pub(super) fn merge(
         &mut self,
         own_node: &mut Node,
@@ -138,27 +139,29 @@
         outcome
     }
 
-    /// A statement about this node itself, or about another process of its name.
+    /// Merges an update about this node itself or about another process with the same name.
     fn merge_own(
         &mut self,
         own_node: &mut Node,
-        statement: &Node,
+        update: &Node,
         context: &MergeContext,
         outcome: &mut MergeOutcome,
     ) {
-        if statement.incarnation > own_node.incarnation {
-            // Under a clock that was ahead, an earlier process of this very node drew a higher
-            // incarnation: at the same address, or just after the start, it is outbid.
-            let is_earlier_process = statement.peer == own_node.peer
+        if update.incarnation > own_node.incarnation {
+            // An earlier process of this node may have a higher incarnation if the wall clock was
+            // ahead at its start. An update that has the same address, or that arrives shortly after
+            // the start, is taken to be about such a process, and this process raises its
+            // incarnation above it.
+            let is_earlier_process = update.peer == own_node.peer
                 || context.now < context.started + NEW_INCARNATION_PERIOD
                 || context.supersedes_newer_process;
             if !is_earlier_process || own_node.state != MemberState::Alive {
                 outcome.is_replaced = true;
                 return;
             }
-            own_node.incarnation = statement.incarnation + 1;
-        } else if is_refutable(own_node, statement) {
-            own_node.refutations = statement.refutations + 1;
+            own_node.incarnation = update.incarnation + 1;
+        } else if is_refutable(own_node, update) {
+            own_node.refutations = update.refutations + 1;
         } else {
             return;
         }
@@ -166,53 +169,55 @@
         outcome.is_changed = true;
     }
 
-    /// A statement about another node: taken where it has precedence over what is known.
+    /// Merges an update about another node: applied if it has precedence over the current entry.
     fn merge_other(
         &mut self,
-        mut statement: Node,
+        mut update: Node,
         context: &MergeContext,
         outcome: &mut MergeOutcome,
     ) {
-        self.weaken_foreign_removal(&mut statement);
-        let known = self.get(&statement.name);
-        if known.is_some_and(|known| statement.precedence() <= known.precedence()) {
+        self.downgrade_unconfirmed_removal(&mut update);
+        let current = self.get(&update.name);
+        if current.is_some_and(|current| update.precedence() <= current.precedence()) {
             return;
         }
-        let known_state = known.map(|known| known.state);
-        // The nodes met while this process starts are logged in one line.
-        let is_met_at_start = known_state.is_none()
-            && statement.state == MemberState::Alive
+        let previous_state = current.map(|current| current.state);
+        // The nodes discovered while this process starts are logged together in one line.
+        let is_discovered_at_start = previous_state.is_none()
+            && update.state == MemberState::Alive
             && context.now < context.started + MEMBER_LOG_DELAY;
         outcome.accepted.push(AcceptedNode {
-            name: statement.name.clone(),
-            state: statement.state,
-            peer: statement.peer,
-            site: statement.site.clone(),
-            wire_version: statement.wire_version,
-            is_announced: known_state != Some(statement.state) && !is_met_at_start,
+            name: update.name.clone(),
+            state: update.state,
+            peer: update.peer,
+            site: update.site.clone(),
+            wire_version: update.wire_version,
+            is_logged: previous_state != Some(update.state) && !is_discovered_at_start,
         });
         outcome.is_changed = true;
-        if statement.state == MemberState::Alive {
-            self.remove_predecessors(&statement, context.now);
+        if update.state == MemberState::Alive {
+            self.remove_predecessors(&update, context.now);
         }
-        self.insert(statement, context.now);
+        self.insert(update, context.now);
     }
 
-    /// Another's removal of a node that is alive here is suspicion at most: after a partition each
-    /// side has removed the other. A node's own announcement that it leaves carries a higher
-    /// refutation count, which only the node itself raises, and is left as it is.
-    fn weaken_foreign_removal(&self, statement: &mut Node) {
-        let is_alive_here = self.get(&statement.name).is_some_and(|known| {
-            known.state == MemberState::Alive
-                && known.incarnation == statement.incarnation
-                && known.refutations == statement.refutations
+    /// Downgrades the removal of a node that is alive in this table to a suspicion, unless the node
+    /// announced it itself: after a partition each side has removed the nodes of the other. A node's own
+    /// announcement that it leaves has a higher refutation count, which only the node itself increases,
+    /// and is not changed.
+    fn downgrade_unconfirmed_removal(&self, update: &mut Node) {
+        let is_alive_in_table = self.get(&update.name).is_some_and(|current| {
+            current.state == MemberState::Alive
+                && current.incarnation == update.incarnation
+                && current.refutations == update.refutations
         });
-        if is_alive_here && statement.state == MemberState::Removed {
-            statement.state = MemberState::Suspect;
+        if is_alive_in_table && update.state == MemberState::Removed {
+            update.state = MemberState::Suspect;
         }
     }
 
-    /// An address has one process: where a younger one listens at it, the older ones have ended.
+    /// Removes the entries of older processes at the successor's address: only one process can listen
+    /// at an address, so the older ones have ended.
     fn remove_predecessors(&mut self, successor: &Node, now: u64) {
         for entry in self.entries.values_mut() {
             let is_predecessor = entry.node.peer == successor.peer
@@ -233,37 +238,37 @@
         self.entries.insert(entry.node.name.clone(), entry);
     }
 
-    /// The entries whose suspicion or remembrance ends at `now`.
+    /// The entries whose suspicion or retention period has ended at `now`.
     pub(super) fn expired(&self, now: u64) -> ExpiredEntries {
-        let older_than = |state: MemberState, age: u64| {
+        let in_state_longer_than = |state: MemberState, age: u64| {
             self.entries
                 .values()
                 .filter(move |entry| entry.node.state == state && now > entry.changed_at + age)
                 .map(|entry| &entry.node)
         };
         ExpiredEntries {
-            suspects: older_than(MemberState::Suspect, SUSPICION_TIMEOUT)
+            suspects: in_state_longer_than(MemberState::Suspect, SUSPICION_TIMEOUT)
                 .map(|node| ProcessId {
                     name: node.name.clone(),
                     incarnation: node.incarnation,
                 })
                 .collect(),
-            forgotten: older_than(MemberState::Removed, REMOVED_NODE_RETENTION)
+            removed: in_state_longer_than(MemberState::Removed, REMOVED_NODE_RETENTION)
                 .map(|node| node.name.clone())
                 .collect(),
         }
     }
 
-    pub(super) fn forget(&mut self, name: &str) {
+    pub(super) fn remove(&mut self, name: &str) {
         self.entries.remove(name);
     }
 }
 
-/// Whether `statement` says of this process that it is not alive, and is not yet refuted. A node
-/// that leaves does not contradict.
-fn is_refutable(own_node: &Node, statement: &Node) -> bool {
-    statement.incarnation == own_node.incarnation
-        && statement.state != MemberState::Alive
-        && statement.refutations >= own_node.refutations
+/// Whether `update` claims that this process is not alive and is not refuted yet. A node that is leaving
+/// does not refute it.
+fn is_refutable(own_node: &Node, update: &Node) -> bool {
+    update.incarnation == own_node.incarnation
+        && update.state != MemberState::Alive
+        && update.refutations >= own_node.refutations
         && own_node.state == MemberState::Alive
 }
--- a/yewcross-common/src/transport/client.rs
+++ b/yewcross-common/src/transport/client.rs
@@ -1,6 +1,6 @@
-//! The client's side: sends requests to peers, over one connection for each.
+//! The client side: sends requests to peers, over one connection per peer.
 
-use super::connection::{PeerConnection, WRITE_QUEUE};
+use super::connection::{PeerConnection, WRITE_QUEUE_FRAMES};
 use super::frame::{Envelope, encode_frame};
 use super::metrics::TransportMetrics;
 use crate::constants::{CONNECT_TIMEOUT, LINK_SUSPECT_AFTER, PEER_SEND_TIMEOUT, WIRE_OLDEST};
@@ -12,25 +12,25 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 
-/// Why a request has no response.
+/// Why a request failed without a response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SendError {
-    /// Nothing left this process.
+    /// The request was not sent.
     NotSent,
-    /// It may have arrived and been acted on.
+    /// The peer may have received and handled the request.
     OutcomeUnknown,
 }
 
-/// What is known of a peer besides its address.
+/// A peer's site and supported frame version.
 struct PeerInfo {
     site: String,
-    /// Newest frame version that it speaks.
+    /// Newest frame version that the peer supports.
     newest_version: u16,
 }
 
-/// Sends requests to peers and counts what is sent.
+/// Sends requests to peers and counts the messages and bytes sent.
 pub struct PeerClient {
-    /// What this process runs on.
+    /// The runtime of this process.
     pub runtime: Runtime,
     /// Name of this node.
     pub own_name: String,
@@ -39,17 +39,17 @@
     next_request_id: AtomicU64,
     connections: Mutex<BTreeMap<SocketAddr, Arc<PeerConnection>>>,
     known_peers: Mutex<BTreeMap<SocketAddr, PeerInfo>>,
-    /// Newest frame version that this process speaks.
+    /// Newest frame version that this process supports.
     pub(super) newest_version: u16,
-    /// Frames received and rejected: malformed, of a version that this process does not speak, or
-    /// responses where requests are due.
+    /// Number of received frames that were rejected: malformed, of an unsupported version, or responses
+    /// where only requests are expected.
     pub rejected_frames: AtomicU64,
-    /// Counts of what was sent.
+    /// Counters of messages and bytes sent.
     pub metrics: TransportMetrics,
 }
 
 impl PeerClient {
-    /// A client without connections. `newest_version` is the newest frame version that it speaks.
+    /// Creates a client without connections. `newest_version` is the newest supported frame version.
     pub fn new(
         runtime: &Runtime,
         own_name: &str,
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Records a peer's site and the newest frame version that it speaks.
+    /// Records a peer's site and the newest frame version that it supports.
     pub fn record_peer(&self, peer: SocketAddr, site: &str, newest_version: u16) {
         let info = PeerInfo {
             site: site.into(),
@@ -78,8 +78,8 @@
         self.known_peers.lock().unwrap().insert(peer, info);
     }
 
-    /// The frame version used with a peer: the newest that both speak, and the oldest until the
-    /// peer is known.
+    /// The frame version used with a peer: the newest that both support, or the oldest until the peer's
+    /// version has been recorded.
     pub fn version(&self, peer: SocketAddr) -> u16 {
         self.known_peers
             .lock()
@@ -90,7 +90,8 @@
             })
     }
 
-    /// A peer that is not known yet counts as one of the own site.
+    /// Whether the peer is at the same site as this node. A peer whose site has not been recorded yet
+    /// counts as being at the same site.
     fn is_same_site(&self, peer: SocketAddr) -> bool {
         self.known_peers
             .lock()
@@ -107,7 +108,7 @@
         payload: &[u8],
         timeout: u64,
     ) -> Result<(PeerResponse, Vec<u8>), SendError> {
-        // Requests are plain data, which always has a JSON form.
+        // Requests are plain data that can always be encoded as JSON.
         let message = serde_json::to_vec(request).unwrap_or_default();
         let envelope = self
             .exchange(to, request.into(), message, payload, timeout)
@@ -118,7 +119,7 @@
             .ok_or(SendError::OutcomeUnknown)
     }
 
-    /// Sends a message and waits for its answer. The timeout includes the time to connect.
+    /// Sends a message and waits for its response. The timeout includes the time to connect.
     async fn exchange(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -156,7 +157,7 @@
             .unwrap_or(Err(SendError::OutcomeUnknown));
         connection.deregister(id);
         if matches!(result, Err(SendError::OutcomeUnknown)) {
-            self.replace_if_silent(to, &connection, started);
+            self.replace_if_unresponsive(to, &connection, started);
         }
         let response_bytes = result.as_ref().map_or(0, |envelope| {
             envelope.message.len() + envelope.payload.len()
@@ -166,7 +167,7 @@
         result
     }
 
-    /// Queues a frame, or does to it what the runtime's simulated network asks for.
+    /// Queues a frame for writing, or applies the fault injected by the runtime's simulated network.
     async fn send_frame(
         &self,
         outgoing: &Sender<Vec<u8>>,
@@ -177,7 +178,7 @@
             FrameFault::Drop => Ok(()),
             FrameFault::Deliver => outgoing.send(frame).await,
             FrameFault::Duplicate => {
-                // Where the first one fails the second one does, and its error is returned.
+                // If the first send fails, the second one fails too, and its error is returned.
                 let _ = outgoing.send(frame.clone()).await;
                 outgoing.send(frame).await
             }
@@ -189,7 +190,7 @@
         sent.map_err(|_| SendError::NotSent)
     }
 
-    /// The connection to a peer; opened where there is none.
+    /// The connection to a peer; opened if there is none.
     async fn connection(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -203,9 +204,10 @@
             .await
             .map_err(|_| SendError::NotSent)?;
         stream.set_send_timeout(PEER_SEND_TIMEOUT);
-        let (sender, outgoing) = async_channel::bounded::<Vec<u8>>(WRITE_QUEUE);
+        let (sender, outgoing) = async_channel::bounded::<Vec<u8>>(WRITE_QUEUE_FRAMES);
         let opened = Arc::new(PeerConnection::new(sender, self.runtime.now()));
-        // Another request may have connected meanwhile: its connection is used, and this one ends.
+        // Another request may have connected concurrently: its connection is used, and this one is
+        // dropped.
         let connection = self
             .connections
             .lock()
@@ -235,7 +237,7 @@
         connection.close();
     }
 
-    /// Takes a connection out of use for new requests; whether it was in use.
+    /// Detaches a connection so that new requests do not use it; returns whether it was still in use.
     fn detach(&self, to: SocketAddr, connection: &Arc<PeerConnection>) -> bool {
         let mut connections = self.connections.lock().unwrap();
         let is_current = connections
@@ -247,17 +249,18 @@
         is_current
     }
 
-    /// A machine that lost power sends nothing, and TCP's retransmission on the old connection
-    /// could come seconds after its return: where nothing was received since the request began, the
-    /// next request opens a new connection. What is in flight on the old one may still be answered.
-    fn replace_if_silent(
+    /// Detaches a connection on which nothing was received since the request started, so that the next
+    /// request opens a new one. A machine that lost power sends nothing, and TCP may retransmit on the
+    /// old connection only seconds after the machine is back. Requests in flight on the old connection
+    /// may still receive responses until it is closed.
+    fn replace_if_unresponsive(
         self: &Arc<Self>,
         to: SocketAddr,
         connection: &Arc<PeerConnection>,
-        request_started: u64,
+        request_start: u64,
     ) {
-        let is_in_doubt = self.runtime.now() >= request_started + LINK_SUSPECT_AFTER;
-        if !is_in_doubt || !connection.is_silent_since(request_started) {
+        let has_exceeded_delay = self.runtime.now() >= request_start + LINK_SUSPECT_AFTER;
+        if !has_exceeded_delay || !connection.has_received_nothing_since(request_start) {
             return;
         }
         if self.detach(to, connection) {
--- a/yewcross-common/src/transport/connection.rs
+++ b/yewcross-common/src/transport/connection.rs
@@ -10,16 +10,17 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Frames that may wait to be written to a connection; more make their senders wait.
-pub(super) const WRITE_QUEUE: usize = 1024;
+/// Capacity, in frames, of the write queue of a connection; senders wait while it is full.
+pub(super) const WRITE_QUEUE_FRAMES: usize = 1024;
 
-/// The client's end of a connection. Responses find their requests by number, in any order.
+/// The client's side of a connection. Responses may arrive in any order and are matched to requests by
+/// id.
 pub(super) struct PeerConnection {
     /// Frames to be written.
     pub(super) outgoing: Sender<Vec<u8>>,
-    /// Requests in flight, by number.
+    /// Requests in flight by id, each with the channel for its response.
     in_flight: Mutex<BTreeMap<u64, Sender<Envelope>>>,
-    /// µs (monotonic): when anything was last received on it.
+    /// Time of the last frame received (µs, monotonic).
     last_received: AtomicU64,
 }
 
@@ -32,25 +33,25 @@
         }
     }
 
-    /// Where the response to a request will arrive. It is closed without one when the connection
-    /// ends.
+    /// Registers a request in flight and returns the channel for its response. The channel is closed
+    /// without a response if the connection ends.
     pub(super) fn register(&self, id: u64) -> Receiver<Envelope> {
         let (response, receiver) = async_channel::bounded(1);
         self.in_flight.lock().unwrap().insert(id, response);
         receiver
     }
 
-    /// Nobody waits for the response of this request any longer.
+    /// Removes a request whose response is no longer awaited.
     pub(super) fn deregister(&self, id: u64) {
         self.in_flight.lock().unwrap().remove(&id);
     }
 
-    /// Whether nothing has been received since `time` (µs, monotonic).
-    pub(super) fn is_silent_since(&self, time: u64) -> bool {
+    /// Whether no frame has been received since `time` (µs, monotonic).
+    pub(super) fn has_received_nothing_since(&self, time: u64) -> bool {
         self.last_received.load(Relaxed) < time
     }
 
-    /// Transfers frames in both directions until either ends.
+    /// Reads responses and writes queued frames until either direction ends.
     pub(super) async fn transfer(
         &self,
         runtime: &Runtime,
@@ -84,13 +85,13 @@
 
     fn complete(&self, id: u64, response: Envelope) {
         if let Some(request) = self.in_flight.lock().unwrap().remove(&id) {
-            // The requester may have given up just now.
+            // The channel is closed if the request has timed out concurrently.
             let _ = request.try_send(response);
         }
     }
 
-    /// Ends the connection's use: no further frame is taken, and each request in flight ends with
-    /// an unknown outcome.
+    /// Closes the connection: no further frame is queued, and each request in flight fails with an
+    /// unknown outcome.
     pub(super) fn close(&self) {
         self.outgoing.close();
         self.in_flight.lock().unwrap().clear();
--- a/yewcross-common/src/transport/frame.rs
+++ b/yewcross-common/src/transport/frame.rs
@@ -1,4 +1,4 @@
-//! The bytes of one message between processes: a Cap'n Proto `Frame`.
+//! The encoding of one message between processes: a Cap'n Proto `Frame`.
 
 use super::frame_capnp::frame;
 use crate::constants::{MAX_FRAME_BYTES, WIRE_OLDEST};
@@ -6,73 +6,73 @@
 use futures_lite::io::AsyncRead;
 use serde::Deserialize;
 
-/// Bytes of a Cap'n Proto word.
+/// Size of a Cap'n Proto word in bytes.
 const WORD_BYTES: usize = 8;
 
-/// Words reserved for the frame's own fields and pointers.
+/// Words reserved for the fixed fields and the pointers of a frame.
 const FRAME_OVERHEAD_WORDS: usize = 24;
 
 type FrameReader = capnp::message::Reader<capnp::serialize::OwnedSegments>;
 
-/// A message as it was received, and who sent it.
+/// A received message and its sender.
 #[derive(Clone, Debug)]
 pub struct Envelope {
-    /// Name of the node that sent it.
+    /// Name of the sending node.
     pub from: String,
-    /// Site of that node.
+    /// Site of the sending node.
     pub site: String,
     /// The request or response, as JSON.
     pub message: Vec<u8>,
-    /// Bytes that go with it; empty where the message needs none.
+    /// Binary data sent with the message; empty if there is none.
     pub payload: Vec<u8>,
     /// Frame version that the sender used.
     pub version: u16,
 }
 
 impl Envelope {
-    /// The message as a value of `T`; none where it is not one.
+    /// The message decoded as a `T`; `None` if it is not a valid one.
     pub fn decode<T: for<'a> Deserialize<'a>>(&self) -> Option<T> {
         serde_json::from_slice(&self.message).ok()
     }
 }
 
-/// A frame whose version this process speaks.
+/// A frame of a version that this process supports.
 pub(super) struct DecodedFrame {
-    /// Number of the request, unique among those of the connection's client.
+    /// Request id, unique among the requests of the connection's client.
     pub(super) id: u64,
-    /// Whether it answers a request.
+    /// Whether the frame is a response.
     pub(super) is_reply: bool,
     pub(super) envelope: Envelope,
 }
 
-/// Encodes a frame. `id` numbers the request, and its response carries the same; `me` and `site`
-/// name the sending node and its site.
+/// Encodes a frame. `id` is the request id, which the response repeats; `sender` and `site` are the names
+/// of the sending node and its site.
 pub fn encode_frame(
     version: u16,
     id: u64,
-    reply: bool,
-    me: &str,
+    is_reply: bool,
+    sender: &str,
     site: &str,
     message: &[u8],
     payload: &[u8],
 ) -> Vec<u8> {
-    let content_bytes = message.len() + payload.len() + me.len() + site.len();
+    let content_bytes = message.len() + payload.len() + sender.len() + site.len();
     let words = content_bytes / WORD_BYTES + FRAME_OVERHEAD_WORDS;
     let allocator = capnp::message::HeapAllocator::new().first_segment_words(words as u32);
     let mut builder = capnp::message::Builder::new(allocator);
     let mut frame = builder.init_root::<frame::Builder>();
     frame.set_version(version);
     frame.set_id(id);
-    frame.set_reply(reply);
-    frame.set_from(me);
+    frame.set_reply(is_reply);
+    frame.set_from(sender);
     frame.set_site(site);
     frame.set_body(message);
     frame.set_blob(payload);
     capnp::serialize::write_message_to_words(&builder)
 }
 
-/// Reads the next frame; none at the end of the connection, or where the bytes are no message of
-/// permitted size.
+/// Reads the next frame; `None` at the end of the connection, or if the bytes are not a Cap'n Proto
+/// message of permitted size.
 pub(super) async fn read_frame<R: AsyncRead + Unpin>(reader: &mut R) -> Option<FrameReader> {
     capnp_futures::serialize::try_read_message(reader, reader_options())
         .await
@@ -86,8 +86,8 @@
     options
 }
 
-/// Decodes a frame; none where it is malformed, or its version is newer than `newest_version` or
-/// older than this program speaks.
+/// Decodes a frame; `None` if it is malformed, or if its version is newer than `newest_version` or older
+/// than the oldest supported one.
 pub(super) fn decode_frame(reader: &FrameReader, newest_version: u16) -> Option<DecodedFrame> {
     let frame = reader.get_root::<frame::Reader>().ok()?;
     let envelope = Envelope {
--- a/yewcross-common/src/transport/metrics.rs
+++ b/yewcross-common/src/transport/metrics.rs
@@ -1,20 +1,20 @@
-//! Counts of the messages and bytes that a process sends.
+//! Counters of the messages and bytes that a process sends.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// What a process has sent since its start. Requests and responses both count.
+/// Counters since the start of the process. Both requests and responses are counted.
 #[derive(Default)]
 pub struct TransportMetrics {
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages_sent: AtomicU64,
-    /// Bytes of the frames sent to nodes of the own site.
+    /// Bytes of the frames sent to nodes of the same site.
     pub same_site_bytes: AtomicU64,
     /// Bytes of the frames sent to other sites.
     pub cross_site_bytes: AtomicU64,
-    /// By kind of request: how many were sent, bytes of their frames, and bytes of the responses
-    /// without their frames. The operators' figures hold the three as an array.
+    /// For each kind of request: the number sent, the bytes of their frames, and the bytes of the
+    /// responses without the frame's other fields. The operators' status reports them as an array.
     pub kinds: Mutex<BTreeMap<&'static str, (u64, u64, u64)>>,
 }
 
--- a/yewcross-common/src/transport/mod.rs
+++ b/yewcross-common/src/transport/mod.rs
@@ -1,17 +1,17 @@
 //! Requests and responses between the processes of the tier.
 //!
 //! - `frame`: the bytes of one message, a Cap'n Proto `Frame`.
-//! - `connection`: one TCP connection of a client, shared by its concurrent requests.
-//! - `client`: `PeerClient` sends requests and keeps one connection for each peer.
-//! - `server`: accepts connections and answers requests by a `RequestHandler`.
-//! - `metrics`: counts of messages and bytes.
+//! - `connection`: one TCP connection of a client, shared by concurrent requests.
+//! - `client`: `PeerClient` sends requests over one connection per peer.
+//! - `server`: accepts connections and passes requests to a `RequestHandler`.
+//! - `metrics`: counters of messages and bytes.
 //!
-//! A request is sent once at most; whether to retry is for the caller to decide, by `SendError`.
+//! A request is sent at most once; the caller decides by the `SendError` whether to retry it.
 
 /// The accessors of `Frame`, generated from `schema/frame.capnp` by the Cap'n Proto compiler with
-/// its Rust plugin (`capnp compile -orust schema/frame.capnp`; the versions used stand at the top
-/// of the file). It is checked in so that a build needs no compiler of that schema; a change of the
-/// schema needs the file to be generated again, and must keep to the schema's numbered fields.
+/// its Rust plugin (`capnp compile -orust schema/frame.capnp`; the header of the file names the
+/// versions used). The file is checked in so that a build does not need the schema compiler. After a
+/// change of the schema it must be generated again; the numbers of existing fields must not change.
 #[allow(clippy::all, dead_code, unused)]
 #[rustfmt::skip]
 mod frame_capnp;
--- a/yewcross-common/src/transport/server.rs
+++ b/yewcross-common/src/transport/server.rs
@@ -1,7 +1,7 @@
-//! The server's side: accepts connections and answers the requests that arrive on them.
+//! The server side: accepts connections and handles the requests received on them.
 
 use super::client::PeerClient;
-use super::connection::{WRITE_QUEUE, write_frames};
+use super::connection::{WRITE_QUEUE_FRAMES, write_frames};
 use super::frame::{DecodedFrame, Envelope, decode_frame, encode_frame, read_frame};
 use crate::constants::{MS, PEER_READ_BUFFER_BYTES, PEER_SEND_TIMEOUT};
 use crate::runtime::{BoxFuture, Connection, Listener};
@@ -10,26 +10,27 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// µs until the next attempt after a failure to accept, such as a lack of file descriptors.
+/// Delay, in µs, before the next attempt after accepting a connection failed, for example for lack of
+/// file descriptors.
 const ACCEPT_BACKOFF: u64 = 10 * MS;
 
-/// The answer to a request.
+/// The response to a request.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
     /// The response, as JSON.
     pub message: Vec<u8>,
-    /// Bytes that go with it; empty where the response needs none.
+    /// Binary data sent with the response; empty if there is none.
     pub payload: Vec<u8>,
 }
 
-/// Answers the requests that other nodes send.
+/// Handles the requests of other nodes.
 pub trait RequestHandler: Send + Sync {
-    /// Answers one request. Requests of one connection are handled concurrently.
+    /// Handles one request. Requests on the same connection are handled concurrently.
     fn handle(self: Arc<Self>, request: Envelope) -> BoxFuture<'static, Reply>;
 }
 
 impl PeerClient {
-    /// Accepts connections and answers their requests until the process ends.
+    /// Accepts connections and handles their requests until the process ends.
     pub async fn serve(
         self: Arc<Self>,
         listener: Box<dyn Listener>,
@@ -51,7 +52,7 @@
         connection: Connection,
         handler: Arc<dyn RequestHandler>,
     ) {
-        let (replies, outgoing) = async_channel::bounded::<Vec<u8>>(WRITE_QUEUE);
+        let (replies, outgoing) = async_channel::bounded::<Vec<u8>>(WRITE_QUEUE_FRAMES);
         connection.set_send_timeout(PEER_SEND_TIMEOUT);
         let mut reader = BufReader::with_capacity(PEER_READ_BUFFER_BYTES, connection.clone());
         let mut writer = connection;
@@ -69,10 +70,10 @@
         while let Some(frame) = read_frame(reader).await {
             match decode_frame(&frame, self.newest_version) {
                 Some(request) if !request.is_reply => {
-                    let answer =
+                    let response =
                         self.clone()
-                            .answer_request(request, handler.clone(), replies.clone());
-                    self.runtime.spawn(answer);
+                            .handle_request(request, handler.clone(), replies.clone());
+                    self.runtime.spawn(response);
                 }
                 _ => {
                     self.rejected_frames.fetch_add(1, Relaxed);
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Answers in the frame version that the request came in.
-    async fn answer_request(
+    /// Handles a request and queues the response, in the frame version of the request.
+    async fn handle_request(
         self: Arc<Self>,
         request: DecodedFrame,
         handler: Arc<dyn RequestHandler>,
@@ -102,7 +103,8 @@
             &reply.payload,
         );
         self.metrics.record_frame(is_same_site, frame.len());
-        // The connection may have ended meanwhile; the requester then knows no outcome.
+        // The connection may have ended meanwhile; the request's outcome is then unknown to its
+        // sender.
         let _ = replies.send(frame).await;
     }
 }
