--- a/yewcross-common/src/membership/mod.rs
+++ b/yewcross-common/src/membership/mod.rs
@@ -7,8 +7,8 @@
 //!   `SUSPICION_TIMEOUT` later, unless it refutes the suspicion by a higher refutation count, which
 //!   only the node itself increases.
 //! - **Dissemination** (`table`): recent changes are piggybacked on probes and their responses,
-//!   together with a digest of the table; where the digests differ, complete tables are
-//!   exchanged (anti-entropy). Changes to nodes with disks are also sent to all nodes with disks
+//!   together with a digest of the table; if the digests differ, complete tables are exchanged
+//!   (anti-entropy). Changes to nodes with disks are also sent to all nodes with disks
 //!   immediately, because replicas and singleton tasks depend on them.
 //! - **Incarnation**: a process chooses its incarnation when it starts. Of two processes with the same
 //!   name, the newer one remains a member, and [`Membership::replaced`] is set in the older one.
--- a/yewcross-common/src/register/acceptor.rs
+++ b/yewcross-common/src/register/acceptor.rs
@@ -110,8 +110,8 @@
 }
 
 /// Accepts under exactly the promised ballot. A replica that has erased the key since, or created a
-/// new record for it, holds no promise to an earlier proposer, so that even a higher ballot than the
-/// promised one must be rejected.
+/// new record for it, has lost its promises to earlier proposers: their ballots must be rejected even
+/// if they are higher than the promised one.
 fn accept(record: &Record, ballot: Ballot, seq: u64, delta: bool, payload: Vec<u8>) -> Transition {
     if record.damaged {
         return Transition::reply(RegisterReply::Damaged);
--- a/yewcross-common/src/register/message.rs
+++ b/yewcross-common/src/register/message.rs
@@ -28,7 +28,7 @@
         #[serde(rename = "lay")]
         layout_version: u64,
     },
-    /// Accept version `seq`, whose value is the payload. With `delta` the payload holds only the
+    /// Accept version `seq`, whose value is the payload. With `delta` the payload contains only the
     /// difference from the previous version.
     Accept {
         key: String,
--- a/yewcross-common/src/register/replica.rs
+++ b/yewcross-common/src/register/replica.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 
-/// Size, in bytes, of the little-endian u32 that precedes the header and holds its length.
+/// Size, in bytes, of the little-endian u32 that precedes the header and specifies its length.
 const HEADER_LENGTH_BYTES: usize = 4;
 
 /// The header that precedes the value in a record's file.
--- a/yewcross-common/src/turn_log/client/mod.rs
+++ b/yewcross-common/src/turn_log/client/mod.rs
@@ -47,7 +47,7 @@
     budget_spent: AtomicU64,
     unknown_turns: AtomicU64,
     unavailable: AtomicU64,
-    /// Stores that failed to open a turn, so that the request was sent to another one.
+    /// Requests to open a turn that failed at one store and were then sent to another.
     failovers: AtomicU64,
     finishes: AtomicU64,
     /// Finished turns that were not stored on a write quorum of disks.
--- a/yewcross-common/src/turn_log/client/open.rs
+++ b/yewcross-common/src/turn_log/client/open.rs
@@ -111,7 +111,8 @@
         Err(OpenTurnError::Unavailable)
     }
 
-    /// The owner if it is known, responsive and not tried yet; otherwise the first untried disk in order.
+    /// The reported or cached owner, if it is responsive and not tried yet; otherwise the first untried
+    /// disk in order.
     fn next_store(
         &self,
         open: &OpenTurn,
--- a/yewcross-common/src/turn_log/store_client.rs
+++ b/yewcross-common/src/turn_log/store_client.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// The client of all stores.
+/// Client for requests to the stores.
 pub struct StoreClient {
     /// The runtime of this process.
     pub runtime: Runtime,
@@ -129,7 +129,7 @@
     }
 
     /// Disks in the order in which requests for a key are sent to them: prompt disks first, and among
-    /// these the disks of other sites than that of the disk `avoided`, which ranks last.
+    /// these the disks of other sites than that of the disk `avoided`, which comes last among them.
     pub fn order(&self, key: &str, replicas: &StoreReplicas, avoided: Option<&str>) -> Vec<String> {
         let layout = self.documents.layout.load();
         let site_of = |disk: &str| layout.1.sites.get(disk).cloned();
