--- a/yewcross-common/src/constants.rs
+++ b/yewcross-common/src/constants.rs
@@ -1,4 +1,4 @@
-//! Every constant of the tier, with its unit and its reason, by subsystem.
+//! All constants of the tier by subsystem, each with its unit and the reason for its value.
 
 mod control;
 mod http;
@@ -24,15 +24,21 @@
 pub use transport::*;
 pub use turn_log::*;
 
+/// One millisecond. Durations are in µs unless the name ends in `_MS` or `_S`.
 pub const MS: u64 = 1_000;
+/// One second in µs.
 pub const SEC: u64 = 1_000_000;
 
-/// Versions of the frames between processes. Two speak the older of their newest, so that a tier
-/// can be upgraded node by node. 2 added deltas of register changes and news by difference, 3
-/// register requests and answers that name the disk they are meant for and come from.
+/// Newest version of the frames between processes. Two processes use the older of their newest
+/// versions, so that a tier can be upgraded node by node. Version 2 added deltas of register
+/// changes and load reports sent as differences; version 3 added the identity of the disk that a
+/// register request is meant for and that a response comes from.
 pub const WIRE_VERSION: u16 = 3;
+/// Oldest frame version that is still accepted.
 pub const WIRE_VERSION_MIN: u16 = 1;
+/// First frame version with deltas.
 pub const WIRE_VERSION_DELTAS: u16 = 2;
+/// First frame version whose register messages name their disk.
 pub const WIRE_VERSION_NAMED_DISKS: u16 = 3;
-/// Version of the files under the data folder.
+/// Format version of the files in the data directory.
 pub const DISK_FORMAT: u32 = 1;
--- a/yewcross-common/src/constants/membership.rs
+++ b/yewcross-common/src/constants/membership.rs
@@ -2,36 +2,42 @@
 
 use super::{MS, SEC};
 
-/// us. One probe per node per beat keeps detection near two seconds with few messages.
+/// Interval between a node's probes, in µs. One probe per node and interval keeps failure detection
+/// near two seconds with few messages.
 pub const PROBE_INTERVAL: u64 = 400 * MS;
-/// beats. How often one address that is missed, a seed's or a removed node's, is asked again.
+/// Number of probe intervals after which a missing address, that of a seed or of a removed node, is
+/// contacted again.
 pub const REJOIN_PROBE_INTERVALS: u64 = 3;
-/// count. Addresses that a node which knows nobody asks at once.
+/// Number of addresses that a node without known members contacts at once.
 pub const SEEDS_CONTACTED_AT_ONCE: usize = 6;
-/// us. Addresses of known nodes are written to disk no more often.
+/// Shortest interval at which the addresses of known nodes are written to disk, in µs.
 pub const PEERS_PERSIST_INTERVAL: u64 = 3 * SEC;
-/// us. A node that knows nobody asks its seeds this often.
+/// Interval at which a node without known members contacts its seeds, in µs.
 pub const SEED_CONTACT_INTERVAL: u64 = 150 * MS;
-/// us. Changes this young are told along with a probe.
+/// Changes younger than this are sent along with a probe, in µs.
 pub const GOSSIP_MAX_AGE: u64 = 8 * SEC;
-/// count. And so many at most: more than that, and whole tables are swapped.
+/// Upper limit on the changes sent along with a probe; with more of them, complete tables are
+/// exchanged.
 pub const GOSSIP_MAX_NODES: usize = 12;
-/// us. Sites sit about 1 ms apart; a scheduling hiccup must not look like a breakdown.
+/// Longest wait for the response to a probe, in µs. Sites are about 1 ms apart; a short scheduling
+/// delay must not look like a failure.
 pub const PROBE_TIMEOUT: u64 = 250 * MS;
-/// count. Third parties asked when a direct probe is lost.
+/// Number of other nodes that are asked for an indirect probe when a direct one fails.
 pub const INDIRECT_PROBES: usize = 3;
-/// us. Suspicion lasts this long before removal, so that a short freeze can be refuted.
+/// Time for which a node is suspected before it is removed, in µs, so that a node that was paused
+/// briefly can refute the suspicion.
 pub const SUSPICION_TIMEOUT: u64 = 1_500 * MS;
-/// us. What was heard of another's clock counts this long.
+/// Time for which a sample of another node's clock is used, in µs.
 pub const CLOCK_SAMPLE_LIFETIME: u64 = 60 * SEC;
-/// count. Clocks, our own among them, that must be known before anything is erased: one alone can
-/// then not say when.
+/// Number of clocks, the local one included, that must be known before anything is deleted by age:
+/// a single clock that is wrong cannot decide then when that is.
 pub const CLOCK_QUORUM: usize = 3;
-/// us. A process this young outbids a node of its name that seems younger: that is its own last
-/// life, under a clock that was ahead.
+/// For this long after its start, in µs, a process takes a higher incarnation than a node of its
+/// name that appears to be newer: that is its own previous process, whose clock was ahead.
 pub const NEW_INCARNATION_PERIOD: u64 = 10 * SEC;
-/// us. A node that starts does not log each member that it meets this long; it then logs how many
-/// it knows.
+/// For this long after its start, in µs, a node does not log each member that it discovers; it then
+/// logs how many it has found.
 pub const MEMBER_LOG_DELAY: u64 = 3 * SEC;
-/// us. A removed or departed node is remembered this long, so that old gossip cannot revive it.
+/// Time for which a removed or departed node is remembered, in µs, so that old gossip cannot add it
+/// again.
 pub const REMOVED_NODE_RETENTION: u64 = 120 * SEC;
--- a/yewcross-common/src/constants/servers.rs
+++ b/yewcross-common/src/constants/servers.rs
@@ -1,28 +1,32 @@
-//! What is read of servers: load reports, and the platform's list.
+//! Polling of servers: load reports, and the platform's server list.
 
 use super::{MS, SEC};
 
-/// us. Poll of a back end's load report by its site's home node.
+/// Interval at which the home node of a site polls the load reports of its servers, in µs.
 pub const LOAD_REPORT_INTERVAL: u64 = 250 * MS;
-/// count. Every so many polls a home tells all reports whole, for fronts that are new.
+/// A home node sends all reports in full on one poll of this many, for fronts that have just
+/// joined.
 pub const FULL_REPORT_EVERY_POLLS: u64 = 4;
-/// us. A report older than this counts for nothing in the occupancy judge.
+/// Age from which the occupancy judge ignores a report, in µs.
 pub const LOAD_REPORT_STALE_AFTER: u64 = 2 * SEC;
-/// us. A server unheard for this long has no standing.
+/// A server without a report for this long, in µs, is not eligible.
 pub const LOAD_REPORT_LOST_AFTER: u64 = 1_500 * MS;
-/// us. Poll of the platform list, unless the platform asks for more patience.
+/// Interval at which the platform's server list is polled, in µs, unless the platform asks for a
+/// longer one.
 pub const SERVER_LIST_POLL_INTERVAL: u64 = 500 * MS;
-/// us. Poll of a platform's list in its own words: each page is a call that has its price.
+/// Interval at which a server list in the platform's own format is polled, in µs: each page is a
+/// call that is charged for.
 pub const CATALOGUE_POLL_INTERVAL: u64 = SEC;
-/// us. A list that was read before its reader may decide is read again after this.
+/// Delay before a list that was read before its reader was allowed to decide it is read again, in
+/// µs.
 pub const CATALOGUE_REREAD_DELAY: u64 = 250 * MS;
-/// us. The longest that a refused poll of it backs off to.
+/// Longest back-off after a rejected poll of the list, in µs.
 pub const CATALOGUE_BACKOFF_MAX: u64 = 8 * SEC;
-/// us. Waiting for one page.
+/// Longest wait for one page, in µs.
 pub const CATALOGUE_PAGE_TIMEOUT: u64 = 1_500 * MS;
-/// count. Pages of the platform's list read in one poll; a list without end is no list.
+/// Upper limit on the pages read in one poll; a longer list is treated as invalid.
 pub const CATALOGUE_MAX_PAGES: usize = 256;
-/// us. Waiting for a back end's identity or report.
+/// Longest wait for the identity or the load report of a server, in µs.
 pub const UPSTREAM_REPORT_TIMEOUT: u64 = 400 * MS;
-/// us. Longest silence inside a stream before the shot is given up.
+/// Longest time without data inside a stream before the attempt is given up, in µs.
 pub const STREAM_IDLE_TIMEOUT: u64 = 3 * SEC;
--- a/yewcross-common/src/constants/sessions.rs
+++ b/yewcross-common/src/constants/sessions.rs
@@ -2,26 +2,29 @@
 
 use super::SEC;
 
-/// count. Outcomes kept whole per session; older ones keep only their mark.
+/// Number of complete outcomes retained per session; of older ones only the request digest is
+/// retained.
 pub const RETAINED_OUTCOMES: usize = 16;
-/// count. Marks (job id and body digest) kept per session.
+/// Number of request digests (job id and digest of the body) retained per session.
 pub const RETAINED_REQUEST_DIGESTS: usize = 1024;
-/// count. Bare ids kept beyond the marks, and how many stand in one line of the record; a session
-/// that has used all is full. A turn a second for 18 hours.
+/// Number of request ids retained in addition to the digests; a session that has used all of them
+/// accepts no more turns. They last for one turn a second over 18 hours.
 pub const RETAINED_REQUEST_IDS: usize = 65_536;
+/// Number of request ids in one line of a session record.
 pub const REQUEST_IDS_PER_LINE: usize = 64;
-/// count. Barred shots remembered per session; they come only from begins that failed.
+/// Number of barred attempts retained per session; they come only from failed requests to begin a
+/// turn.
 pub const RETAINED_BARRED_ATTEMPTS: usize = 64;
-/// ms. A record that holds nothing but barred shots is kept this long: no frame is under way
+/// Retention of a record that holds nothing but barred attempts, in ms: no frame is in flight for
 /// longer.
 pub const BARRED_ATTEMPT_RETENTION_MS: u64 = 600_000;
-/// ms. A reservation this old is looked into.
+/// Age from which a reservation is audited, in ms.
 pub const RESERVATION_AUDIT_AGE_MS: u64 = 30_000;
-/// us. A running job whose front is silent for this long past its horizon is closed as "may have
-/// run".
+/// A running job whose front has not reported for this long after the deadline, in µs, is closed as
+/// "may have run".
 pub const RUN_GRACE: u64 = 2 * SEC;
-/// count. Session histories kept on hand per front to save bytes between sites.
+/// Number of session histories that a front caches to save traffic between sites.
 pub const CACHED_SESSION_HISTORIES: usize = 4096;
 
-/// seconds. Come-back time when nothing better is known.
+/// Default `Retry-After` where no better value is known, in seconds.
 pub const DEFAULT_RETRY_AFTER_S: u64 = 1;
--- a/yewcross-common/src/constants/transport.rs
+++ b/yewcross-common/src/constants/transport.rs
@@ -1,27 +1,29 @@
-//! Connections between nodes, and the disk threads.
+//! Connections between nodes, and disk threads.
 
 use super::{MS, SEC};
 
-/// us. Cap on one exchange between our processes on the serving path.
+/// Longest duration of one request between processes of the tier on the serving path, in µs.
 pub const PEER_REQUEST_TIMEOUT: u64 = 700 * MS;
-/// us. A connection on which nothing came for this long after a question is left for a new one.
+/// A connection on which nothing was received for this long after a request, in µs, is replaced by
+/// a new one.
 pub const LINK_SUSPECT_AFTER: u64 = 200 * MS;
-/// us. Opening a connection inside the tier.
+/// Longest time to open a connection inside the tier, in µs.
 pub const CONNECT_TIMEOUT: u64 = 300 * MS;
-/// us. A link of our own whose bytes are not acknowledged is given up: sooner than the usual 3 s in
-/// which a machine counts as in touch again.
+/// A connection inside the tier whose data is not acknowledged for this long, in µs, is closed:
+/// sooner than the usual 3 s within which a node must be in contact again.
 pub const PEER_SEND_TIMEOUT: u64 = 2 * SEC;
-/// us. Any other connection: it may outlive a short cut, but not the time in which another server
-/// would answer.
+/// The same timeout for all other connections, in µs: they survive a short network interruption,
+/// but not the time in which another server would respond.
 pub const SEND_TIMEOUT: u64 = 5 * SEC;
-/// us. A connection we opened is asked for life after this long without a byte, and again as often.
+/// A keep-alive probe is sent on an outgoing connection after this long without data, in µs, and
+/// repeated at the same interval.
 pub const KEEPALIVE_INTERVAL: u64 = SEC;
-/// count. New connections that may wait to be accepted: a burst of all callers of a front while a
-/// turn is computed.
+/// Upper limit on new connections that wait to be accepted: a burst from all callers of a front
+/// while a turn is computed.
 pub const ACCEPT_BACKLOG: i32 = 1024;
-/// count. Threads that may wait for the disk at once.
+/// Number of threads that may wait for the disk at once.
 pub const DISK_THREADS: usize = 4;
-/// bytes. Read from a link at once: several frames of usual size.
+/// Bytes read from a connection at once: several frames of the usual size.
 pub const PEER_READ_BUFFER_BYTES: usize = 16 << 10;
-/// bytes. Largest frame accepted from a peer.
+/// Largest frame that is accepted from a peer, in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
