--- a/yewcross-common/src/error_code.rs
+++ b/yewcross-common/src/error_code.rs
@@ -3,23 +3,23 @@
 use serde::{Deserialize, Serialize};
 use strum::{EnumIter, IntoEnumIterator, IntoStaticStr};
 
-/// What a code says of the execution of the request that it answers.
+/// What a result code states about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionStatus {
-    /// It was executed; the answer is its outcome.
+    /// The request was executed; the response is its outcome.
     Done,
-    /// It was not executed, and this request never will be.
+    /// The request was not executed and never will be.
     NotRun,
-    /// It may have been executed, or still be.
+    /// The request may have been executed, or may still be running.
     MayHaveRun,
-    /// A change that may yet be decided.
+    /// The request is a change that may still be decided.
     Undecided,
 }
 
-/// One line for each code: name, number, HTTP status, what it says of the execution, seconds for
-/// `Retry-After` (0: no header), meaning.
+/// One line for each code: name, number, HTTP status, execution status, seconds for `Retry-After`
+/// (0: no header), meaning.
 macro_rules! codes {
     ($($name:ident = $number:literal, $http:literal, $status:ident, $retry_after:literal, $text:literal;)*) => {
         /// A result code. Its number and name are part of the interface.
@@ -27,16 +27,16 @@
         pub enum Code { $(#[doc = $text] $name = $number),* }
 
         impl Code {
-            /// The HTTP status of an answer with this code.
+            /// The HTTP status of a response with this code.
             pub fn http(self) -> u16 { match self { $(Code::$name => $http),* } }
 
-            /// What the code says of the execution of the request.
+            /// What the code states about the execution of the request.
             pub fn execution(self) -> ExecutionStatus { match self { $(Code::$name => ExecutionStatus::$status),* } }
 
-            /// Seconds after which a retry may help; 0 where none does.
+            /// Seconds after which a retry may succeed; 0 if a retry does not help.
             pub fn retry_after_s(self) -> u64 { match self { $(Code::$name => $retry_after),* } }
 
-            /// The meaning in words, as callers read it.
+            /// The description of the code in responses to callers.
             pub fn text(self) -> &'static str { match self { $(Code::$name => $text),* } }
         }
     };
