--- a/yewcross-common/src/configuration/history.rs
+++ b/yewcross-common/src/configuration/history.rs
@@ -1,23 +1,23 @@
-//! How much of a session's history is kept.
+//! The retention of a session's history.
 
 use crate::constants::BYTES_PER_TOKEN;
 use serde::{Deserialize, Serialize};
 
-/// Which earlier turns of a session are kept.
+/// Which earlier turns of a session are retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// All of them.
+    /// All turns.
     All,
-    /// The latest ones, so many.
+    /// The given number of latest turns.
     Turns(usize),
-    /// The latest ones, as many as fit in so many tokens.
+    /// The latest turns that fit into the given number of tokens.
     Tokens(u64),
 }
 
 impl Rule {
-    /// Removes the earliest lines of the history that the rule no longer keeps; each turn is a
-    /// line, and the latest one always stays.
+    /// Removes the earliest lines of the history that the rule does not retain. Each turn is a
+    /// line; the latest one is always retained.
     pub fn trim(self, history: &mut Vec<u8>) {
         let start = match self {
             Rule::All => 0,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Offsets behind the end of each line.
+/// Offsets of the byte after each line.
 fn line_ends(history: &[u8]) -> Vec<usize> {
     history
         .iter()
@@ -42,7 +42,7 @@
         .collect()
 }
 
-/// Offset of the latest `turns` lines.
+/// Offset at which the latest `turns` lines start.
 fn start_of_latest(turns: usize, line_ends: &[usize]) -> usize {
     line_ends
         .len()
@@ -50,7 +50,8 @@
         .map_or(0, |index| line_ends[index])
 }
 
-/// Offset of the first line behind at least `excess_bytes`; of the last line where there is none.
+/// Offset of the first line that starts after at least `excess_bytes`, or of the last line if there
+/// is none.
 fn start_without(excess_bytes: usize, line_ends: &[usize]) -> usize {
     if excess_bytes == 0 {
         return 0;
--- a/yewcross-common/src/configuration/route.rs
+++ b/yewcross-common/src/configuration/route.rs
@@ -1,5 +1,5 @@
-//! Routes: which service, or weighted variants, takes a request by its host and the longest prefix
-//! of its path.
+//! Routes: selection of a service, or of weighted variants, by the host of a request and the
+//! longest matching prefix of its path.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -7,60 +7,60 @@
 
 const MAX_TRIES_DEFAULT: u32 = 1;
 
-/// Connections to a server.
+/// Default limit on the connections to a server.
 const MAX_CONNECTIONS_DEFAULT: u32 = 64;
 
 /// How a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// May be executed more than once.
+    /// The request may be executed more than once.
     Pure,
-    /// Executed at most once in an attempt.
+    /// The request is executed at most once per attempt.
     Effectful,
-    /// Answered by a stream of events; executed at most once in an attempt.
+    /// The response is a stream of events; the request is executed at most once per attempt.
     Stream,
 }
 
-/// A route: which requests it takes, and how they are served.
+/// A route: the requests that it matches, and how they are served.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Name of the route.
     pub name: String,
-    /// Host of the requests, without a port.
+    /// Host of the matching requests, without a port.
     pub host: String,
-    /// Prefix of the requests' paths; it begins and ends with a slash.
+    /// Prefix of the matching paths; it begins and ends with a slash.
     pub prefix: String,
     /// How a request may be executed.
     pub mode: Mode,
-    /// Names of the services that may take it, with their weights.
+    /// Names of the services that serve the route, with their weights.
     pub variants: Vec<(String, u64)>,
-    /// ms until the answer, at most.
+    /// Longest time until the response, in ms.
     pub timeout_ms: u64,
-    /// ms within which an answer is wanted; 0 where that is not stated.
+    /// Target time for the response, in ms; 0 if it is not stated.
     #[serde(default)]
     pub target_ms: u64,
-    /// Servers that one attempt of a caller may be sent to.
+    /// Limit on the servers that one attempt of a caller may be sent to.
     #[serde(default = "default_max_tries")]
     pub max_tries: u32,
     /// Priority; 0 is the highest.
     #[serde(default)]
     pub rank: u8,
-    /// Whether the tier keeps the conversation: a turn then brings only its new input.
+    /// Whether the tier stores the conversation, so that a turn contains only its new input.
     #[serde(default)]
     pub retained: bool,
-    /// ms for which it is kept after its last turn.
+    /// Time for which the conversation is retained after its last turn, in ms.
     #[serde(default)]
     pub retain_ms: u64,
-    /// Whether a server is faster that lately saw segments of the request's prompt, or its affinity
-    /// key.
+    /// Whether a server that has recently processed segments of the request's prompt, or its
+    /// affinity key, is faster.
     #[serde(default)]
     pub pinned: bool,
     /// Whether a stream can be resumed on another server. Needs `max_tries` above 1.
     #[serde(default)]
     pub resumable: bool,
-    /// ms between two events of a stream, at most; 0 where that is not stated.
+    /// Longest time between two events of a stream, in ms; 0 if it is not stated.
     #[serde(default)]
     pub gap_ms: u64,
 }
@@ -73,13 +73,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Jobs that a server runs at once.
+    /// Number of jobs that a server runs concurrently.
     pub slots: u32,
-    /// Tokens that a server's cache holds.
+    /// Size of a server's cache in tokens.
     pub cache_tokens: u64,
-    /// Bytes of KV cache for each token.
+    /// Bytes of KV cache per token.
     pub token_bytes: u64,
-    /// Tokens in each event of a stream.
+    /// Number of tokens in each event of a stream.
     pub tokens_per_event: u64,
 }
 
@@ -89,10 +89,10 @@
 pub struct Upstream {
     /// Name of the service.
     pub name: String,
-    /// Connections that a server takes from all fronts together.
+    /// Limit on the connections from all fronts together to one server.
     #[serde(default = "default_max_connections")]
     pub max_conns: u32,
-    /// Its servers' model engine; none where it has none.
+    /// The model engine of its servers; `None` if they have none.
     #[serde(default)]
     pub engine: Option<Engine>,
 }
@@ -101,17 +101,17 @@
     MAX_CONNECTIONS_DEFAULT
 }
 
-/// Bounds on what a caller may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Bytes of a request's head, at most.
+    /// Largest request head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body, at most.
+    /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// ms in which a head must be received.
+    /// Time within which a head must be received, in ms.
     pub head_ms: u64,
-    /// ms for which an idle connection is kept.
+    /// Time for which an idle connection is kept open, in ms.
     pub idle_ms: u64,
 }
 
@@ -134,9 +134,9 @@
     pub routes: Vec<Route>,
     /// The services by name.
     pub upstreams: BTreeMap<String, Upstream>,
-    /// Bounds on what a caller may send.
+    /// Limits on the requests and connections of callers.
     pub limits: Limits,
-    /// Indices of each host's routes, longest prefix first; hosts in lower case.
+    /// Indices of each host's routes, longest prefix first. Hosts are in lower case.
     by_host: HashMap<String, Vec<usize>>,
 }
 
@@ -169,7 +169,7 @@
 }
 
 impl Routes {
-    /// Indexes routes. They are not validated, see [`Routes::faults`].
+    /// Indexes routes without validating them; see [`Routes::validation_errors`].
     pub fn new(routes: Vec<Route>, upstreams: Vec<Upstream>, limits: Limits) -> Routes {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
@@ -190,8 +190,8 @@
         }
     }
 
-    /// The route of a request: of those of its host, the one with the longest prefix of the path.
-    /// The path is compared byte by byte as it was sent; a port behind the host does not count.
+    /// The route of a request: among the routes of its host, the one with the longest matching
+    /// prefix. The path is compared byte by byte as it was sent; a port after the host is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = without_port(host).to_ascii_lowercase();
         self.by_host
@@ -201,7 +201,7 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// All that is invalid: paths in the routing, and reasons.
+    /// The invalid settings: their paths in the routing, and the reasons.
     pub fn validation_errors(&self) -> Vec<(String, String)> {
         let mut seen = BTreeSet::new();
         self.routes
@@ -238,7 +238,7 @@
         checks
             .into_iter()
             .filter(|(is_valid, _, _)| !is_valid)
-            .map(|(_, key, why)| (format!("routes/{}/{key}", route.name), why.to_string()))
+            .map(|(_, key, reason)| (format!("routes/{}/{key}", route.name), reason.to_string()))
             .collect()
     }
 }
--- a/yewcross-common/src/configuration/settings.rs
+++ b/yewcross-common/src/configuration/settings.rs
@@ -5,19 +5,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What is told of a setting in the operators' documentation.
+/// The description of a setting in the operators' documentation.
 pub struct SettingDefinition {
     /// Name of the setting.
     pub key: &'static str,
-    /// Its type, as in Rust.
+    /// Its Rust type.
     pub kind: &'static str,
-    /// Its range in words.
+    /// Its range, as text.
     pub range: &'static str,
     /// Its meaning.
     pub doc: &'static str,
 }
 
-/// Declares a struct of settings with one line for each: name, type, default, check, range in words,
+/// Declares a struct of settings with one line for each: name, type, default, check, range as text,
 /// meaning.
 macro_rules! settings {
     ($(#[$attribute:meta])* $name:ident {
@@ -42,7 +42,8 @@
                 doc: $doc,
             },)*];
 
-            /// Sets one setting by its name; `Err` says why the name or the value is invalid.
+            /// Sets one setting by its name; `Err` contains the reason why the name or the value is
+            /// invalid.
             pub fn set(&mut self, key: &str, value: &Value) -> Result<(), String> {
                 match key {
                     $(stringify!($field) => {
--- a/yewcross-common/src/configuration/validation.rs
+++ b/yewcross-common/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' text and validates it: all errors are reported, not just the first.
+//! Parses and validates the operators' text. All errors are reported, not only the first one.
 
 use super::route::Routes;
 use super::{
@@ -8,14 +8,14 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// Bytes of a name, at most.
+/// Largest length of a name in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// A family as the operators write it.
+/// A family as written by the operators.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawFamily {
-    /// Settings that differ from those of the family above.
+    /// Settings that differ from those of the parent family.
     #[serde(default)]
     #[serde(rename = "set")]
     settings: Map<String, Value>,
@@ -25,7 +25,7 @@
     children: BTreeMap<String, RawFamily>,
 }
 
-/// A configuration as the operators write it.
+/// A configuration as written by the operators.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawConfiguration {
@@ -41,7 +41,7 @@
     routing: Routes,
 }
 
-/// Settings of a family and, for each of them, the family it comes from.
+/// Settings of a family and, for each of them, the name of the family that it is inherited from.
 #[derive(Clone)]
 struct Inherited {
     settings: ProgramClass,
@@ -60,14 +60,14 @@
     }
 }
 
-/// The configuration as far as it is read, and what is invalid in it.
+/// The configuration parsed so far, and the errors found in it.
 #[derive(Default)]
 struct Validation {
     configuration: Configuration,
     errors: Vec<InvalidSetting>,
 }
 
-/// Reads and validates a configuration.
+/// Parses and validates a configuration.
 pub(super) fn read(text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
     let raw: RawConfiguration = serde_json::from_slice(text).map_err(|error| {
         vec![InvalidSetting {
@@ -94,10 +94,10 @@
 }
 
 impl Validation {
-    fn reject(&mut self, path: impl Into<String>, why: impl Into<String>) {
+    fn reject(&mut self, path: impl Into<String>, reason: impl Into<String>) {
         self.errors.push(InvalidSetting {
             path: path.into(),
-            reason: why.into(),
+            reason: reason.into(),
         });
     }
 
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Adds a family and all those that inherit from it.
-    fn add_family(&mut self, parent: &str, name: &str, family: &RawFamily, above: &Inherited) {
+    /// Adds a family and all families that inherit from it.
+    fn add_family(&mut self, parent: &str, name: &str, family: &RawFamily, inherited: &Inherited) {
         let path = format!("{parent}/{name}");
         if !is_name(name) {
             self.reject(&path, "not a name: letters, digits, - _ . up to 64");
@@ -118,13 +118,13 @@
         if self.configuration.families.contains_key(name) {
             self.reject(&path, "a family of this name stands elsewhere in the tree");
         }
-        let mut own = above.clone();
+        let mut own = inherited.clone();
         for (key, value) in &family.settings {
             match own.settings.set(key, value) {
                 Ok(()) => {
                     own.origins.insert(key.clone(), name.to_string());
                 }
-                Err(why) => self.reject(format!("{path}/set/{key}"), why),
+                Err(reason) => self.reject(format!("{path}/set/{key}"), reason),
             }
         }
         let resolved = ResolvedProgramClass {
@@ -145,8 +145,8 @@
             self.reject(&path, "not a name");
         }
         for (key, value) in settings {
-            if let Err(why) = service.set(key, value) {
-                self.reject(format!("{path}/{key}"), why);
+            if let Err(reason) = service.set(key, value) {
+                self.reject(format!("{path}/{key}"), reason);
             }
         }
         if service.allow.is_empty() {
@@ -166,14 +166,14 @@
     fn add_budget(&mut self, name: &str, settings: &Map<String, Value>) {
         let mut budget = Budget::default();
         for (key, value) in settings {
-            if let Err(why) = budget.set(key, value) {
-                self.reject(format!("budgets/{name}/{key}"), why);
+            if let Err(reason) = budget.set(key, value) {
+                self.reject(format!("budgets/{name}/{key}"), reason);
             }
         }
         self.configuration.budgets.insert(name.into(), budget);
     }
 
-    /// The services and budgets that families name must exist.
+    /// Checks that the services and budgets referenced by families exist.
     fn check_references(&mut self) {
         let Configuration {
             families,
@@ -202,14 +202,14 @@
                 ));
             }
         }
-        for (path, why) in errors {
-            self.reject(path, why);
+        for (path, reason) in errors {
+            self.reject(path, reason);
         }
     }
 
     fn check_routes(&mut self) {
-        for (path, why) in self.configuration.routing.validation_errors() {
-            self.reject(format!("routing/{path}"), why);
+        for (path, reason) in self.configuration.routing.validation_errors() {
+            self.reject(format!("routing/{path}"), reason);
         }
     }
 }
