--- a/yewcross-common/src/documents/cache.rs
+++ b/yewcross-common/src/documents/cache.rs
@@ -1,4 +1,4 @@
-//! The newest decided version of each document that this node has.
+//! The newest decided version of each document on this node.
 
 use super::delta;
 use super::departures::Departures;
@@ -24,60 +24,61 @@
     DocumentName::ServerList.as_str(),
 ];
 
-/// One version of a document. Version 0 is the empty one of a node that has none yet.
+/// One version of a document. Version 0 is the empty document of a node that has not received any.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentVersion {
-    /// The version of the register that the document was decided in.
+    /// The register version in which the document was decided.
     pub version: u64,
-    /// The ballot under which it was decided, as far as the sender knew.
+    /// The ballot under which it was decided; zero if the sender did not have it.
     pub ballot: Ballot,
     /// The document's bytes.
     pub content: Arc<Vec<u8>>,
 }
 
-/// Why a document that was received has not become the current one.
+/// The reason why a received document has not become the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum DocumentRejected {
     /// A name that is not in [`DOCUMENT_NAMES`].
-    #[snafu(display("no document of this name is kept"))]
+    #[snafu(display("unknown document name"))]
     UnknownName,
-    /// The current version is the same or a newer one.
-    #[snafu(display("version {current} is on hand"))]
+    /// The current version is the same or newer.
+    #[snafu(display("current version {current} is the same or newer"))]
     NotNewer { current: u64 },
-    /// Two contents under one version: only decided documents are sent, so one of the two was never
-    /// decided.
-    #[snafu(display("version {seq} is on hand with other content"))]
-    Conflicting { seq: u64 },
+    /// The current version is the same with different content. Only decided documents are sent, so
+    /// one of the two was never decided.
+    #[snafu(display("current version {current} has different content"))]
+    Conflicting { current: u64 },
     /// The content cannot be parsed.
-    #[snafu(display("it cannot be read"))]
+    #[snafu(display("the content cannot be parsed"))]
     Unreadable,
-    /// The delta was made against another version or another content than the current one.
-    #[snafu(display("the change builds on another version than {current}"))]
+    /// The delta was made against another version or other content than the current one.
+    #[snafu(display("the delta was made against another base than the current version {current}"))]
     OtherBase { current: u64 },
     /// The delta is malformed, or its result fails the checksum.
-    #[snafu(display("the change does not give the content that it names"))]
+    #[snafu(display("the delta is malformed or its result fails the checksum"))]
     BadDelta,
 }
 
-/// The current version of each document, and what they say in parsed form.
+/// The current version of each document, with its content as sent and in parsed form.
 pub struct DocumentCache {
     runtime: Runtime,
-    /// Documents are applied one after the other.
+    /// Held while a document is applied, so that documents are applied one at a time.
     apply_lock: Mutex<()>,
     format: Arc<dyn ConfigurationFormat>,
-    /// Notified when a document has been applied or a server marked as leaving.
+    /// Notified when a document has been applied or a server has been marked as leaving.
     pub changed: Event,
-    /// Documents rejected as [`DocumentRejected::Conflicting`]; more than 0 is a fault of this
-    /// program.
+    /// Number of documents rejected as [`DocumentRejected::Conflicting`]; more than 0 is a defect
+    /// of this program.
     pub conflicts: AtomicU64,
-    /// By [`DocumentName`].
+    /// Current versions, indexed by [`DocumentName`].
     versions: [ArcSwap<DocumentVersion>; 3],
-    /// The configuration in force and its version; version 0 until an operator has put one.
+    /// The configuration in force and its version; version 0 until an operator has put a
+    /// configuration.
     pub config: ArcSwap<(u64, Configuration)>,
     /// The layout in force and its version.
     pub layout: ArcSwap<(u64, Layout)>,
-    /// The server list in force and its version. Every server that was ever reported as leaving is
-    /// marked so in it.
+    /// The server list in force and its version. Every server that was reported as leaving is
+    /// marked in it.
     pub server_list: ArcSwap<(u64, ServerList)>,
     departures: Mutex<Departures>,
 }
@@ -128,7 +129,7 @@
 
     /// Applies a decided document that was sent as a delta against the current version.
     /// `base_digest` is the [`content_digest`] of that version; it is empty from nodes that do not
-    /// send it, and then only the delta's own checksum is compared.
+    /// send it, in which case only the delta's own checksum is compared.
     pub fn apply_delta(
         &self,
         name: &str,
@@ -155,14 +156,15 @@
         self.try_apply(name, version, ballot, content)
     }
 
-    /// Whether the document has become the current one; see [`DocumentCache::try_apply`].
+    /// Applies a document and returns whether it has become the current one; see
+    /// [`DocumentCache::try_apply`].
     pub fn apply(&self, name: &str, version: u64, ballot: Ballot, content: Vec<u8>) -> bool {
         self.try_apply(name, version, ballot, content).is_ok()
     }
 
-    /// Makes a decided document the current one, unless it is older. The version alone identifies
-    /// the content: a version is decided once, though the ballot under which it stands may rise. So
-    /// the ballots are not compared.
+    /// Makes a decided document the current one unless it is older. The version alone identifies
+    /// the content: a version is decided once, although the ballot under which it is stored may
+    /// increase. Therefore the ballots are not compared.
     pub fn try_apply(
         &self,
         name: &str,
@@ -195,9 +197,9 @@
         if version > 0 && version == current.version && *current.content != content {
             self.conflicts.fetch_add(1, SeqCst);
             self.runtime.log(&format!(
-                "{name} {version} rejected: the current content of this version differs"
+                "document {name} version {version} rejected: its content differs from the current content of the same version"
             ));
-            return Err(DocumentRejected::Conflicting { seq: version });
+            return Err(DocumentRejected::Conflicting { current: version });
         }
         if version <= current.version {
             return Err(DocumentRejected::NotNewer {
@@ -207,12 +209,13 @@
         Ok(())
     }
 
-    /// Parses the document and puts what it says in force; `None` where it cannot be parsed.
+    /// Parses the document and puts it in force; `None` if it cannot be parsed.
     fn put_in_force(&self, name: DocumentName, version: u64, content: &[u8]) -> Option<()> {
         match name {
             DocumentName::Configuration => {
                 let document: ConfigDoc = serde_json::from_slice(content).ok()?;
-                // The document of the bootstrap has no text: no operator has put one yet.
+                // The document written by the bootstrap has no text: no operator has put a
+                // configuration yet.
                 if !document.text.is_empty() {
                     let configuration = self.format.read(document.text.as_bytes()).ok()?;
                     self.config.store(Arc::new((version, configuration)));
@@ -231,7 +234,7 @@
         Some(())
     }
 
-    /// The digest in the log is that of a configuration's text, as the operator sent it.
+    /// Logs the version and, for a configuration, the digest of the text as sent by the operator.
     fn log_applied(&self, name: DocumentName, version: u64) {
         let digest = match name {
             DocumentName::Configuration => {
@@ -260,8 +263,8 @@
         list
     }
 
-    /// Marks servers that the platform shows as leaving: none of them is used from now on,
-    /// whichever list names it. Returns whether any of them was not marked before.
+    /// Marks servers that the platform reports as leaving: they are not used any more, even if a
+    /// later list contains them. Returns whether any of them was not marked before.
     pub fn mark_leaving(&self, servers: &[String]) -> bool {
         let _applying = self.apply_lock.lock().unwrap();
         let now = self.runtime.now();
@@ -273,12 +276,13 @@
         self.server_list
             .store(Arc::new((list.0, self.with_departures(list.1.clone()))));
         self.runtime
-            .log(&format!("servers leaving: {}", servers.join(" ")));
+            .log(&format!("marked servers as leaving: {}", servers.join(" ")));
         self.changed.notify(usize::MAX);
         true
     }
 
-    /// The servers known to be leaving; none if `digest` shows that the asker knows just these.
+    /// The servers known to be leaving; empty if `digest` shows that the requester already has
+    /// exactly these.
     pub fn leaving_servers_unless(&self, digest: u64) -> Vec<String> {
         let departures = self.departures.lock().unwrap();
         if departures.digest() == digest {
@@ -289,7 +293,7 @@
     }
 }
 
-/// Addresses of the live machines that replicate a key, most preferred first.
+/// Addresses of the live nodes that replicate a key, most preferred first.
 pub fn replicas_by_preference(
     documents: &DocumentCache,
     members: &Membership,
--- a/yewcross-common/src/documents/delta.rs
+++ b/yewcross-common/src/documents/delta.rs
@@ -1,23 +1,24 @@
-//! What changed between two values, so that only that travels between sites.
+//! Encodes the difference between two values, so that only the changes are sent between sites.
 //!
-//! Values are cut into chunks behind each line feed and each closing brace: documents are JSON,
-//! which may stand in one line, and what changes in them is an object or two.
+//! Values are split into chunks after each line feed and each closing brace: documents are JSON,
+//! possibly in a single line, and usually only one or two objects in them change.
 //!
-//! A delta is a sequence of runs and a CRC-32 of the new value. A run is three little-endian u32,
-//! offset and length of a range of the old value and the length of a literal, and the bytes of the
-//! literal. The new value is the ranges and literals in their order.
+//! A delta is a sequence of runs, followed by a CRC-32 of the new value. A run consists of three
+//! little-endian u32 numbers (offset and length of a range of the old value, and length of a
+//! literal) and the bytes of the literal. The new value is the concatenation of the ranges and
+//! literals.
 
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// bytes. Width of a number in a run's header.
+/// Length of a number in a run's header, in bytes.
 const NUMBER_LENGTH: usize = 4;
-/// bytes. The header of a run. A chunk no longer than this is cheaper as a literal, unless it
-/// continues the range before it.
+/// Length of a run's header, in bytes. A chunk that is not longer than this is cheaper as a
+/// literal, unless it continues the preceding range.
 const RUN_HEADER_LENGTH: usize = 3 * NUMBER_LENGTH;
-/// bytes. The checksum at the end.
+/// Length of the checksum at the end, in bytes.
 const CHECKSUM_LENGTH: usize = 4;
-/// bytes. The common prefix of both values is skipped in blocks of this size.
+/// Size of the blocks in which the common prefix of both values is compared, in bytes.
 const PREFIX_BLOCK_LENGTH: usize = 256;
 
 fn ends_chunk(byte: &u8) -> bool {
@@ -28,7 +29,8 @@
     value.split_inclusive(ends_chunk)
 }
 
-/// Bytes that both values begin with, up to the end of a chunk. Most values grow at their end.
+/// Length of the common prefix of both values, up to the end of a chunk. Most values grow at their
+/// end.
 fn common_prefix_length(old: &[u8], new: &[u8]) -> usize {
     let equal_blocks = old
         .chunks(PREFIX_BLOCK_LENGTH)
@@ -44,7 +46,7 @@
         .map_or(0, |end| end + 1)
 }
 
-/// The old value's chunks behind the common prefix.
+/// Index of the old value's chunks after the common prefix.
 struct ChunkIndex<'a> {
     old: &'a [u8],
     /// Offset of the first chunk of each hash.
@@ -66,7 +68,7 @@
         self.old[offset..].starts_with(chunk)
     }
 
-    /// Where the old value has a chunk that is worth a run of its own.
+    /// Offset of an equal chunk in the old value; `None` if there is none or a literal is cheaper.
     fn find(&self, chunk: &[u8]) -> Option<usize> {
         if chunk.len() <= RUN_HEADER_LENGTH {
             return None;
@@ -78,7 +80,7 @@
     }
 }
 
-/// A range of the old value, and the bytes that follow it in the new one.
+/// A range of the old value, and the literal bytes that follow it in the new value.
 struct Run {
     offset: usize,
     length: usize,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Where the old value goes on after the range.
+    /// Offset of the byte after the range in the old value.
     fn end(&self) -> usize {
         self.offset + self.length
     }
@@ -112,7 +114,7 @@
     }
 }
 
-/// The delta that makes `new` of `old`.
+/// Encodes the delta from `old` to `new`.
 pub fn encode(old: &[u8], new: &[u8]) -> Vec<u8> {
     let prefix_length = common_prefix_length(old, new);
     let index = ChunkIndex::new(old, prefix_length);
@@ -133,7 +135,7 @@
     delta
 }
 
-/// The new value; `None` where the delta is malformed or was made from another old value.
+/// Returns the new value; `None` if the delta is malformed or was made against another old value.
 pub fn apply(old: &[u8], delta: &[u8]) -> Option<Vec<u8>> {
     let runs_length = delta.len().checked_sub(CHECKSUM_LENGTH)?;
     let (mut runs, checksum) = delta.split_at_checked(runs_length)?;
--- a/yewcross-common/src/documents/departures.rs
+++ b/yewcross-common/src/documents/departures.rs
@@ -1,28 +1,28 @@
-//! Servers that the platform showed as leaving.
+//! Servers that the platform reported as leaving.
 //!
-//! That a server leaves is final for its name, so it needs no agreement and no order: whoever reads
-//! the platform's list notifies all nodes at once, and every node passes it on. Only what is added
-//! to the list waits until it is decided.
+//! A server's departure is final for its name, so it needs no consensus and no ordering: the node
+//! that reads the platform's list notifies all nodes at once, and every node forwards it. Only
+//! additions to the list wait until they are decided.
 
 use crate::constants::SEC;
 use std::collections::BTreeMap;
 
-/// us. A mark is retained this long: longer than any list that still shows the server as ready is
+/// Retention of a mark, in µs: longer than any list that still contains the server as ready can be
 /// in flight.
 const MARK_RETENTION: u64 = 600 * SEC;
-/// count. Marks retained at most, the newest: a region's servers replaced at once, several times
-/// over.
+/// Limit on the number of marks, of which the newest are retained. It is sufficient for replacing
+/// all servers of a region at once several times.
 const MARKS_MAX: usize = 8_192;
 
 /// The servers marked as leaving.
 #[derive(Debug, Default)]
 pub struct Departures {
-    /// us. When each server was marked.
+    /// Time at which each server was marked, in µs.
     marked_at: BTreeMap<String, u64>,
     digest: u64,
 }
 
-/// Equal for equal sets of servers, in whatever order; 0 for the empty set.
+/// Digest of a set of servers, independent of their order; 0 for the empty set.
 pub fn digest<'a>(servers: impl IntoIterator<Item = &'a String>) -> u64 {
     servers.into_iter().fold(0, |digest, server| {
         digest ^ crate::hash::rendezvous_weight(server, "")
--- a/yewcross-common/src/documents/mod.rs
+++ b/yewcross-common/src/documents/mod.rs
@@ -1,9 +1,8 @@
-//! The documents that every node holds a copy of: configuration, layout of replicas, list of
-//! servers.
+//! The documents that are replicated to every node: configuration, replica layout, and server list.
 //!
-//! [`cache`] holds the newest decided version of each [`DocumentName`], [`watcher`] keeps it new by
-//! polling core nodes, [`delta`] encodes a version as what changed against another, and
-//! [`departures`] remembers servers that are leaving, which needs no agreement.
+//! [`cache`] holds the newest decided version of each [`DocumentName`], [`watcher`] keeps it up to
+//! date by polling core nodes, [`delta`] encodes the difference between two versions, and
+//! [`departures`] records servers that are leaving, which needs no consensus.
 
 pub mod cache;
 pub mod delta;
--- a/yewcross-common/src/documents/name.rs
+++ b/yewcross-common/src/documents/name.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// The name of a document. Its text form is the register key that the document is decided under,
+/// The name of a document. Its text form is the register key under which the document is decided,
 /// the name on the wire and the name of its file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DocumentName {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The document of this text form; `None` where there is none.
+    /// The document with this text form; `None` if there is none.
     pub fn parse(text: &str) -> Option<DocumentName> {
         DocumentName::ALL
             .into_iter()
--- a/yewcross-common/src/documents/watcher.rs
+++ b/yewcross-common/src/documents/watcher.rs
@@ -1,11 +1,11 @@
-//! Keeps a node's documents new.
+//! Keeps a node's documents up to date.
 //!
-//! There are two ways, by the setting of the tier:
+//! There are two modes, depending on the settings of the tier:
 //! - without serving leases ([`DocumentWatcher::without_leases`], `poll`): one core is polled at a
-//!   time, and a front serves by the configuration that it has;
+//!   time, and a front serves with its current configuration;
 //! - with serving leases ([`DocumentWatcher::new`], `serving_lease`): a front serves only while a
-//!   quorum of cores, or of fronts, has confirmed lately that no newer configuration or layout is in
-//!   force.
+//!   quorum of cores, or of fronts, has recently confirmed that no newer configuration or layout is
+//!   in force.
 
 mod poll;
 mod serving_lease;
@@ -22,41 +22,42 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 
-/// A document that is applied within a span is polled for this many times within it.
+/// Number of polls within the time in which a decided document must be applied.
 const POLLS_PER_APPLY_SPAN: u64 = 5;
-/// us. The shortest interval between two polls.
+/// Shortest interval between two polls, in µs.
 const POLL_INTERVAL_MIN: u64 = 50 * MS;
-/// The order in which cores are polled begins at one of this many, drawn by each process, so that
-/// nodes that start together do not all poll the same core.
+/// Number of different positions in the order of cores at which a process starts to poll. Each
+/// process selects one at random, so that nodes that start together do not all poll the same core.
 const POLL_START_SPREAD: u64 = 64;
 
-/// Keeps the documents of one node new, and proves them for a front.
+/// Keeps the documents of one node up to date and, for a front, confirms that they are in force.
 pub struct DocumentWatcher {
     runtime: Runtime,
     members: Arc<Membership>,
     documents: Arc<DocumentCache>,
     name: String,
     is_front: bool,
-    /// us. Between two polls where no lease is needed; 0: fronts serve under leases.
+    /// Interval between two polls without serving leases, in µs; 0 if fronts serve under leases.
     poll_interval: u64,
-    /// us. The end of the serving lease.
+    /// End of the serving lease, in µs.
     serving_until: AtomicU64,
-    /// Whether a core quorum has confirmed our configuration since this process started.
+    /// Whether a core quorum has confirmed the local configuration since this process started.
     is_confirmed: AtomicBool,
-    /// Rounds so far, from a start of its own: cores are polled in turn.
+    /// Number of rounds so far, from a random first value: cores are polled in rotation.
     rounds: AtomicU64,
-    /// us. When the poll was sent that each node confirmed last.
+    /// Time at which the last poll that each node confirmed was sent, in µs.
     confirmations: Mutex<BTreeMap<Confirmer, u64>>,
-    /// The digest of the leaving servers that each core reported last, by its name: a core reports
-    /// them again only if they differ.
+    /// Digest of the leaving servers that each core reported last, by the core's name: a core
+    /// reports them again only if they differ.
     leaving_digests: Mutex<BTreeMap<String, u64>>,
     was_serving: AtomicBool,
-    /// us. When the poll was sent that a core with a majority answered last; 0 before the first.
+    /// Time at which the last poll was sent that a core in contact with a majority answered, in µs;
+    /// 0 before the first.
     confirmed_at: AtomicU64,
 }
 
 impl DocumentWatcher {
-    /// With serving leases.
+    /// Creates a watcher with serving leases.
     pub fn new(
         members: &Arc<Membership>,
         documents: &Arc<DocumentCache>,
@@ -66,8 +67,8 @@
         DocumentWatcher::with_poll_interval(members, documents, name, is_front, 0)
     }
 
-    /// Without serving leases: a front serves by what it has, and one core is polled often enough
-    /// that a decided document is applied within `apply_within` (us).
+    /// Creates a watcher without serving leases: a front serves with its current documents, and one
+    /// core is polled often enough that a decided document is applied within `apply_within` (µs).
     pub fn without_leases(
         members: &Arc<Membership>,
         documents: &Arc<DocumentCache>,
@@ -105,7 +106,7 @@
         })
     }
 
-    /// Keeps the documents new for as long as the process runs.
+    /// Keeps the documents up to date for as long as the process runs.
     pub async fn run(self: Arc<Self>) {
         if self.uses_leases() {
             self.renew_in_rounds().await
@@ -118,7 +119,7 @@
         self.poll_interval == 0
     }
 
-    /// Whether this front may serve at this moment.
+    /// Whether this front may serve now.
     pub fn may_serve(&self) -> bool {
         if self.uses_leases() {
             self.runtime.now() < self.serving_until.load(SeqCst)
@@ -127,15 +128,15 @@
         }
     }
 
-    /// us since the poll that a core in contact with a majority answered last; `None` before the
-    /// first.
+    /// Time since the last poll that a core in contact with a majority answered, in µs; `None`
+    /// before the first.
     pub fn since_confirmation(&self) -> Option<u64> {
         let confirmed_at = self.confirmed_at.load(SeqCst);
         (confirmed_at > 0).then(|| self.runtime.now() - confirmed_at)
     }
 
-    /// What this front answers the polls of other fronts: its versions, and whether a core quorum
-    /// ever confirmed them.
+    /// The response of this front to polls of other fronts: its versions, and whether a core quorum
+    /// has ever confirmed them.
     pub fn poll_response(&self) -> PeerResponse {
         PeerResponse::DocumentVersions {
             newest: self.documents.versions(),
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Asks one core after the other for the decided version of a document, until one answers and
-    /// there is nothing newer than `known_version` or it has been applied.
+    /// Requests the decided version of a document from one core after the other, until one responds
+    /// and either the document is not newer than `known_version` or it has been applied.
     pub async fn fetch(&self, name: &str, known_version: u64) {
         for core in self.cores_by_preference(name) {
             let request = PeerRequest::ReadDecidedDocument {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The cores in the order in which this document is asked of them.
+    /// The cores in the order in which this document is requested from them.
     fn cores_by_preference(&self, name: &str) -> Vec<Node> {
         let cores = self.members.nodes_of_role(Role::Core);
         crate::hash::ranked(name, cores.iter().map(|core| core.name.as_str()))
@@ -172,7 +173,7 @@
             .collect()
     }
 
-    /// Applies the document that a peer answers with, unless it is the empty one; returns its
+    /// Requests a document from a peer and applies it unless it is the empty one; returns its
     /// version.
     async fn fetch_from(
         &self,
@@ -200,7 +201,7 @@
         Some(version)
     }
 
-    /// A newer document was received: what was confirmed of the old one no longer counts.
+    /// Discards the confirmations of the old document after a newer one was received.
     pub fn reset_confirmations(&self) {
         self.confirmations.lock().unwrap().clear();
     }
--- a/yewcross-common/src/documents/watcher/poll.rs
+++ b/yewcross-common/src/documents/watcher/poll.rs
@@ -1,4 +1,4 @@
-//! Without serving leases: polls one core at a time.
+//! Polling without serving leases: one core at a time.
 
 use super::super::departures;
 use super::DocumentWatcher;
@@ -9,29 +9,29 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 
-/// Cores polled in one round until one brings this node up to date.
+/// Largest number of cores polled in one round until one of them brings this node up to date.
 const CORES_PER_ROUND: usize = 3;
 
-/// A core's answer to a poll.
+/// A core's response to a poll.
 struct PollAnswer {
-    /// Name and newest version of each document that the core has.
+    /// Name and newest version of each document on the core.
     newest: Vec<(String, u64)>,
-    /// Whether a majority of core seats had answered the core lately. What any other core has may
-    /// be old.
+    /// Whether a majority of core replicas has recently responded to the core. The documents of any
+    /// other core may be outdated.
     is_authoritative: bool,
-    /// Whether the core has heard of a newer version than it has.
+    /// Whether the core was notified of a newer version than it holds.
     is_behind: bool,
-    /// The servers leaving; empty where they are the same as in the core's last answer.
+    /// The servers that are leaving; empty if they are the same as in the core's last response.
     leaving: Vec<String>,
 }
 
 impl DocumentWatcher {
-    /// Polls one core at a time, those of our site every other time; wakes at once when cores
-    /// become known.
+    /// Polls one core at a time, in every other round those of the local site first; starts
+    /// immediately when cores are discovered.
     pub(super) async fn poll_round_robin(self: &Arc<Self>) {
-        // Until the first documents are here, polls follow each other quickly. Cores that have just
-        // started know in a moment whether a majority answers them, so the interval grows only with
-        // rounds that succeed.
+        // Until the first documents have been received, the polling interval is short. Cores that
+        // have just started soon have contact with a majority, so the interval grows only after
+        // successful rounds.
         let mut bootstrap_interval = self.poll_interval / 4;
         loop {
             let members_changed = self.members.changed.listen();
@@ -84,9 +84,9 @@
         false
     }
 
-    /// Whether the core answered, and a majority of core seats had answered it lately, and this
-    /// node now has what it reported. From any other core nothing is taken over but the servers
-    /// leaving.
+    /// Returns whether the core responded, a majority of core replicas has recently responded to
+    /// it, and this node now holds the versions that it reported. From a core without a majority,
+    /// only the leaving servers are applied.
     async fn poll_core(&self, core: &Node) -> bool {
         let known = self.documents.versions();
         let request = PeerRequest::PollDocuments {
@@ -146,7 +146,8 @@
         digests.get(&core.name).copied().unwrap_or(0)
     }
 
-    /// Whoever reports that a server leaves is right: this takes no majority.
+    /// Records the leaving servers that a core reported. A departure is final, so this needs no
+    /// majority.
     fn record_leaving(&self, core: &Node, leaving: &[String]) {
         if leaving.is_empty() {
             return;
@@ -158,7 +159,7 @@
             .insert(core.name.clone(), departures::digest(leaving));
     }
 
-    /// Fetches a document from the core unless it is known, or its delta arrives in a moment.
+    /// Fetches a document from the core unless this node holds it, or its delta is about to arrive.
     async fn catch_up(&self, core: &Node, name: &str, known_version: u64, version: u64) {
         if version <= known_version {
             return;
@@ -173,8 +174,9 @@
         self.fetch_from(core.peer, name, &request).await;
     }
 
-    /// Whether the version arrives by itself in a moment: what was just decided is on its way to
-    /// every node as a delta, and the complete document need not be fetched.
+    /// Waits for the version to be published and returns whether it has been received: a version
+    /// that was just decided is sent to every node as a delta, so the complete document need not be
+    /// fetched.
     async fn wait_for_publication(&self, name: &str, version: u64) -> bool {
         let deadline = self.runtime.now() + self.poll_interval / 4;
         loop {
--- a/yewcross-common/src/documents/watcher/serving_lease.rs
+++ b/yewcross-common/src/documents/watcher/serving_lease.rs
@@ -1,9 +1,9 @@
-//! Serving leases: a front serves while a quorum has confirmed lately that no newer configuration
+//! Serving leases: a front serves while a quorum has recently confirmed that no newer configuration
 //! or layout is in force.
 //!
-//! The quorum of cores is one that any majority of cores shares a member with: no majority puts a
-//! newer configuration in force without a core that the lease rests on. While cores are out of
-//! reach, a majority of the fronts that the configuration names takes their place.
+//! The quorum of cores intersects any majority of cores: no majority puts a newer configuration in
+//! force without a core that the lease depends on. While cores are unreachable, a majority of the
+//! fronts named in the configuration is used instead.
 
 use super::DocumentWatcher;
 use crate::constants::{MS, SERVING_LEASE, SERVING_LEASE_RENEWAL};
@@ -17,15 +17,15 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 
-/// us. The shortest sleep between two rounds.
+/// Shortest sleep between two rounds, in µs.
 const ROUND_SLEEP_MIN: u64 = 10 * MS;
 
-/// A node that confirmed our documents.
+/// A node that confirmed the local documents.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Confirmer {
-    /// A core, by its disk: a core that lost its disk is another one.
+    /// A core, identified by its disk: a core that lost its disk is a different confirmer.
     CoreDisk(String),
-    /// Another front, by its name.
+    /// Another front, identified by its name.
     Front(String),
 }
 
@@ -39,16 +39,17 @@
     }
 }
 
-/// What a node answered to a poll.
+/// A node's response to a poll; `None` if it did not respond.
 struct PollAnswer {
     node: Node,
     response: Option<PeerResponse>,
 }
 
-/// The newest version that was reported of each document that is newer than ours.
+/// The newest reported version of each document that is newer than the local one.
 type NewerVersions = BTreeMap<String, u64>;
 
-/// Since when at least `count` of the nodes have confirmed; `None` if fewer have, or `count` is 0.
+/// Latest time since which at least `count` of the nodes have confirmed; `None` if fewer have, or
+/// `count` is 0.
 fn confirmed_since(
     confirmations: &BTreeMap<Confirmer, u64>,
     nodes: &[Confirmer],
@@ -62,13 +63,13 @@
     times.get(count.checked_sub(1)?).copied()
 }
 
-/// The fewest of `count` nodes that any majority of them shares a member with.
+/// Smallest number of nodes, out of `count`, that intersects any majority of them.
 fn majority_blocking(count: usize) -> usize {
     count - majority(count).min(count) + 1
 }
 
 impl DocumentWatcher {
-    /// Asks for confirmations in rounds, [`SERVING_LEASE_RENEWAL`] apart.
+    /// Requests confirmations in rounds, [`SERVING_LEASE_RENEWAL`] apart.
     pub(super) async fn renew_in_rounds(self: &Arc<Self>) {
         loop {
             let round_start = self.runtime.now();
@@ -97,9 +98,10 @@
         self.fetch_in_background(newer);
     }
 
-    /// The nodes that are asked in this round. A lease needs the confirmation of some cores only,
-    /// and a node without one needs but to hear of new versions: cores take turns, one more than
-    /// needed at a time. All cores, and the other fronts, are asked while a lease runs out.
+    /// The nodes that are polled in this round. A lease needs the confirmation of only some of the
+    /// cores, and a node without a lease only needs to be notified of new versions. Therefore cores
+    /// are polled in rotation, one more than necessary for a lease. While a lease is about to
+    /// expire, all cores and the other fronts are polled.
     fn round_targets(&self) -> Vec<Node> {
         let mut targets = self.members.nodes_of_role(Role::Core);
         if self.is_front && self.is_expiring() {
@@ -144,8 +146,8 @@
         })
     }
 
-    /// Records newer versions. A node that has no newer configuration or layout, and is sure of it,
-    /// confirms ours.
+    /// Records newer versions. A node that authoritatively has no newer configuration or layout
+    /// confirms the local ones.
     fn record_answer(
         &self,
         answer: PollAnswer,
@@ -161,7 +163,7 @@
         else {
             return;
         };
-        let mut is_ours_in_force = true;
+        let mut is_current_in_force = true;
         for (name, version) in newest {
             let is_newer = known
                 .iter()
@@ -173,12 +175,12 @@
                 DocumentName::parse(&name),
                 Some(DocumentName::Configuration | DocumentName::Layout)
             ) {
-                is_ours_in_force = false;
+                is_current_in_force = false;
             }
             let wanted = newer.entry(name).or_default();
             *wanted = (*wanted).max(version);
         }
-        if authoritative && is_ours_in_force && self.is_front {
+        if authoritative && is_current_in_force && self.is_front {
             self.confirmations
                 .lock()
                 .unwrap()
@@ -198,8 +200,9 @@
         }
     }
 
-    /// Extends the lease as far as the confirmations go. It runs from the moment when the poll was
-    /// sent that completed the quorum: what a node decides after its answer is unknown here.
+    /// Extends the lease according to the confirmations. It is measured from the time when the poll
+    /// that completed the quorum was sent, because this front has no information about what a node
+    /// decides after its response.
     fn renew(&self) {
         if self.documents.config.load().0 == 0 {
             return;
@@ -217,7 +220,7 @@
         self.log_serving();
     }
 
-    /// Since when so many cores have confirmed that any majority of cores has one of them.
+    /// Time since which enough cores have confirmed to intersect any majority of cores.
     fn confirmed_by_cores(&self, confirmations: &BTreeMap<Confirmer, u64>) -> Option<u64> {
         let layout = self.documents.layout.load();
         let disks = &layout.1.core.current;
@@ -228,8 +231,9 @@
         confirmed_since(confirmations, &cores, majority_blocking(cores.len()))
     }
 
-    /// Since when a majority of the fronts that the configuration names, this one among them, has
-    /// confirmed. Only a front whose own configuration was once confirmed by cores counts itself.
+    /// Time since which a majority of the fronts named in the configuration, including this one,
+    /// has confirmed. A front counts itself only if cores have once confirmed its own
+    /// configuration.
     fn confirmed_by_fronts(&self, confirmations: &BTreeMap<Confirmer, u64>) -> Option<u64> {
         let configuration = self.documents.config.load();
         let named = &configuration.1.fronts;
@@ -248,8 +252,11 @@
     fn log_serving(&self) {
         let may_serve = self.may_serve();
         if self.was_serving.swap(may_serve, SeqCst) != may_serve {
-            self.runtime
-                .log(if may_serve { "serving" } else { "not serving" });
+            self.runtime.log(if may_serve {
+                "serving lease confirmed: accepting requests"
+            } else {
+                "serving lease expired: rejecting requests"
+            });
         }
     }
 }
--- a/yewcross-testkit/tests/documents.rs
+++ b/yewcross-testkit/tests/documents.rs
@@ -49,7 +49,7 @@
     book.apply("list", 5, Ballot::default(), list(5));
     assert_eq!(
         book.try_apply("list", 5, Ballot::default(), list(6)),
-        Err(DocumentRejected::Conflicting { seq: 5 })
+        Err(DocumentRejected::Conflicting { current: 5 })
     );
     assert_eq!(
         (
