--- a/yewcross-control/src/config/taken_orders.rs
+++ b/yewcross-control/src/config/taken_orders.rs
@@ -59,7 +59,7 @@
     if same_text.is_some_and(|i| earlier_taken_on(document, earlier, i).is(order.base, number)) {
         return Earlier::Taken { number };
     }
-    // A taken order had a number above its base, and no forgotten one is above `forgotten`.
+    // A taken order had a number above its base, and no forgotten one is above `highest_dropped`.
     if order.base < number && number <= document.highest_dropped {
         return Earlier::Forgotten;
     }
@@ -148,7 +148,7 @@
 }
 
 /// The digests of taken orders, newest first. Documents written before `orders` was added hold them
-/// in `past`.
+/// in `superseded`.
 pub(super) fn remembered_orders(document: &ConfigDoc) -> Vec<AcceptedOrder> {
     if !document.orders.is_empty() || document.number == 0 {
         return document.orders.clone();
--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -111,7 +111,7 @@
             self.drain(&claim.to.server, response.into_body(), link, meta);
             return Outcome::NotRun;
         }
-        // The promise of these is not the server's to make: only `not_run` says that.
+        // The promise of these is not the server's to make: only `not_executed` says that.
         if matches!(status.as_u16(), 408 | 429 | 503) {
             claim.failed();
             self.drain(&claim.to.server, response.into_body(), link, meta);
