--- a/yewcross-common/src/constants/membership.rs
+++ b/yewcross-common/src/constants/membership.rs
@@ -29,8 +29,8 @@
 pub const SUSPICION_TIMEOUT: u64 = 1_500 * MS;
 /// Time for which a sample of another node's clock is used, in µs.
 pub const CLOCK_SAMPLE_LIFETIME: u64 = 60 * SEC;
-/// Number of clocks, the local one included, that must be known before anything is deleted by age:
-/// a single clock that is wrong cannot decide then when that is.
+/// Number of clocks, the local one included, that must be known before anything is deleted by age,
+/// so that no single clock determines when that is.
 pub const CLOCK_QUORUM: usize = 3;
 /// For this long after its start, in µs, a process takes a higher incarnation than a node of its
 /// name that appears to be newer: that is its own previous process, whose clock was ahead.
--- a/yewcross-common/src/constants/registers.rs
+++ b/yewcross-common/src/constants/registers.rs
@@ -5,8 +5,7 @@
 /// Number of replicas of each store key: after the loss of one disk, the next change still reaches
 /// two.
 pub const RECORD_REPLICAS: usize = 3;
-/// A disk that has not synced within this time, in µs, is treated as stalled for the request at
-/// hand.
+/// A disk that has not synced within this time, in µs, is treated as stalled for that request.
 pub const SYNC_TIMEOUT: u64 = 600 * MS;
 /// Number of directories that the register replicas of a disk are spread over, by the hash of their
 /// key.
--- a/yewcross-common/src/constants/requests.rs
+++ b/yewcross-common/src/constants/requests.rs
@@ -25,8 +25,8 @@
 pub const REPORT_MAX_TOKENS: u64 = 1 << 50;
 /// Upper limit on the `Retry-After` of a platform that is respected, in µs.
 pub const RETRY_AFTER_MAX: u64 = 30 * SEC;
-/// Part of a deadline that is reserved for the commit and for the way of the response to the
-/// caller, in µs.
+/// Part of a deadline that is reserved for the commit and for returning the response to the caller,
+/// in µs.
 pub const COMMIT_RESERVE: u64 = 60 * MS;
 
 /// Percentage of its deadline that a job may spend in the queue before it is rejected with a time
