--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -1,5 +1,4 @@
-//! One attempt at one server: obtaining a connection, sending the request and classifying the
-//! response.
+//! One attempt at one server: the connection, the request, and what counts as its answer.
 
 use super::headers::{accepts_coding, has_message_framing};
 use super::{ClientRequest, Relay};
@@ -16,42 +15,35 @@
 use yewcross_common::constants::*;
 use yewcross_common::protocol::ListedServer;
 
-/// count. Idle connections to a server that may prove to be closed before a new one is opened.
+/// count. Kept connections to a server that may turn out to be closed before another one is dialled.
 const STALE_CONNECTIONS_MAX: u32 = 3;
-/// count. Idle connections to a server that each front may keep, however many fronts share the
-/// limit.
+/// count. Idle connections to a server that each front keeps at least.
 const IDLE_CONNECTIONS_MIN: usize = 4;
 
-/// The result of an attempt at one server.
+/// What sending it to one server came to.
 pub(super) enum Outcome {
-    /// A response that can be forwarded; its status may be an error.
     Answer(Box<Answer>),
-    /// The server stated that it did not execute the request.
+    /// It says that it did not run it.
     NotRun,
-    /// No byte of the request was sent, since the server could not be reached or the connection
-    /// failed.
     Unsent,
-    /// No byte of the request was sent, since the selection of the server was no longer current.
+    /// Nothing was sent, since the choice of the server no longer holds.
     Withdrawn,
-    /// The request may have been executed, but no usable answer arrived in time.
     Lost,
 }
 
 impl Outcome {
-    /// Whether no byte of the request was sent to this server.
+    /// Not a byte of the request left for this server.
     pub(super) fn nothing_sent(&self) -> bool {
         matches!(self, Outcome::Unsent | Outcome::Withdrawn)
     }
 
-    /// Whether it is an answer without a server error (5xx).
+    /// An answer, and none that tells of an error of the server.
     pub(super) fn is_non_5xx_answer(&self) -> bool {
         matches!(self, Outcome::Answer(answer) if !answer.head.status.is_server_error())
     }
 
-    /// Combines the outcomes of the same request at two servers. Prefers an answer that is no
-    /// server error, then any answer. Without an answer, `Lost` takes precedence over `NotRun`, and
-    /// that over `Unsent` and `Withdrawn`, so that a request that may have been executed is never
-    /// reported as not executed.
+    /// What two servers asked the same come to: a good answer of either, else any answer, else what
+    /// says least about a run.
     pub(super) fn better_of(self, other: Outcome) -> Outcome {
         if other.is_non_5xx_answer() && !self.is_non_5xx_answer() {
             return other;
@@ -66,7 +58,7 @@
     }
 }
 
-/// The answer of a server that is forwarded to the caller.
+/// A server's answer that goes to the caller.
 pub(super) struct Answer {
     pub(super) head: response::Parts,
     pub(super) body: AnswerBody,
@@ -74,17 +66,15 @@
     pub(super) claim: Claim,
 }
 
-/// The body of an answer.
+/// What of an answer is still to come.
 pub(super) enum AnswerBody {
-    /// Read completely; its connection has been returned to the pool.
     Buffered(Bytes),
-    /// Still to be read from the connection.
     Streaming(Incoming, UpstreamConnection),
 }
 
 impl Relay {
-    /// Sends a request to the claimed server. A response counts as the answer only if it can be
-    /// identified as the response to this attempt.
+    /// Sends a request to the server of a claim and takes what comes back for an answer only if it
+    /// plainly is one.
     pub(super) async fn attempt(
         self: &Arc<Self>,
         request: &ClientRequest,
@@ -125,8 +115,7 @@
             self.drain(&claim.target.server, response.into_body(), link, meta);
             return Outcome::NotRun;
         }
-        // These statuses do not guarantee that the request was not executed: only `not_run` states
-        // that.
+        // The promise of these is not the server's to make: only `not_executed` says that.
         if matches!(status.as_u16(), 408 | 429 | 503) {
             claim.record_failure();
             self.drain(&claim.target.server, response.into_body(), link, meta);
@@ -152,7 +141,7 @@
         }
     }
 
-    /// Counts an attempt that got no response, and returns its outcome.
+    /// What an attempt without any answer came to.
     fn record_failure(&self, failed: SendFailure, claim: &Claim) -> Outcome {
         let (counter, outcome) = match failed {
             SendFailure::Expired => (&self.counts.withdrawn, Outcome::Withdrawn),
@@ -166,9 +155,7 @@
         outcome
     }
 
-    /// Reads a small answer to its end. None where the answer ended early, or where its head does
-    /// not delimit the body, so that a truncated body could not be distinguished from a complete
-    /// one.
+    /// Reads a small answer to its end; one whose end could not be told from a break is none.
     async fn buffer_if_small(
         &self,
         request: &ClientRequest,
@@ -198,7 +185,7 @@
         Some((head, AnswerBody::Buffered(bytes)))
     }
 
-    /// Reads the rest of a response that is not forwarded, so that its connection can be reused.
+    /// Reads the rest of an answer that is not passed on, so that its connection can be used again.
     fn drain(
         self: &Arc<Self>,
         server: &str,
@@ -217,7 +204,6 @@
         });
     }
 
-    /// Returns a connection to the pool, unless the server closes it.
     pub(super) fn return_connection(
         &self,
         server: &str,
@@ -233,8 +219,8 @@
             .put_idle(server, link, self.runtime.now(), meta.idle_ms, max_idle);
     }
 
-    /// Sends a request over an idle connection, or over a new one if none is usable. Sends again
-    /// only what has not been sent at all.
+    /// Sends it over a kept connection, or else over a new one; only what has not left is sent
+    /// again.
     async fn exchange(
         &self,
         request: &ClientRequest,
@@ -278,9 +264,8 @@
         }
     }
 
-    /// Whether the current configuration and server list still allow this server for the request:
-    /// the process may have been suspended, or have waited for a connection, since the server was
-    /// selected.
+    /// Whether the newest configuration and list would still let the request go to this server: a
+    /// process may stand still, or wait for a connection, after it has chosen.
     fn is_selection_current(
         &self,
         request: &ClientRequest,
@@ -308,7 +293,7 @@
                 .any(|listed| listed == server)
     }
 
-    /// The request as it is sent to a server.
+    /// The request as a server gets it.
     fn upstream_request(
         &self,
         request: &ClientRequest,
@@ -336,7 +321,7 @@
     }
 }
 
-/// Whether a response is the answer to this attempt, according to its head.
+/// Whether a response is the answer to this very request, as far as its head tells.
 fn is_answer_to(
     request: &ClientRequest,
     response: &Response<Incoming>,
@@ -344,8 +329,7 @@
     is_fresh_connection: bool,
 ) -> bool {
     let status = response.status();
-    // On a new connection no late response to an earlier request can arrive, so a "not run"
-    // response needs no attempt id there.
+    // On a connection of its own nothing late can arrive: there a "not run" needs no id.
     let is_same_attempt = meta.attempt == request.meta.attempt
         || (meta.attempt.is_empty() && meta.not_executed && is_fresh_connection);
     let is_coding_accepted = accepts_coding(&request.head.headers, response.headers());
@@ -353,7 +337,7 @@
     is_same_attempt && !is_from_intermediary && !status.is_informational()
 }
 
-/// Whether a body is small enough to be read completely before it is forwarded.
+/// Whether a body is read whole before it is passed on.
 fn is_small(body: &Incoming) -> bool {
     let length = body.size_hint().upper();
     length.is_some_and(|length| length <= BUFFERED_RESPONSE_BYTES)
