--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller: one JSON object, or a stream of lines.
+//! The response to a turn request: one JSON object, or a stream of JSON lines.
 
 use super::drive::drive;
 use super::events::{Event, Rejection, TurnEnd, TurnOutcome};
@@ -13,10 +13,10 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::runtime::Runtime;
 
-/// count. Lines of a streamed answer that wait for a caller that reads slowly.
-const STREAM_LINES: usize = 64;
+/// count. Lines of a streamed response that are buffered for a caller that reads slowly.
+const BUFFERED_LINES: usize = 64;
 
-/// Answers a turn, at its deadline at the latest.
+/// Answers a turn request; at its deadline, if the turn has not ended by then.
 pub async fn answer(front: Arc<Front>, request: BufferedRequest, nonce: u64) -> Response {
     let received_at = front.runtime.now();
     let body: TurnBody = match serde_json::from_slice(&request.body) {
@@ -26,11 +26,11 @@
     if let Err(rejection) = check(&body) {
         return reject(&rejection);
     }
-    let most_ms = most_horizon_ms(&front, &body.program);
-    let end = received_at + body.horizon_ms.min(most_ms) * MS + DEADLINE_GRACE;
-    // What is said at the last moment still has to be sent.
-    let cut = end + DEADLINE_GRACE / 2;
-    // As long as a turn's output may be: a caller that reads slowly holds no server up.
+    let max_ms = max_horizon_ms(&front, &body.program);
+    let deadline = received_at + body.horizon_ms.min(max_ms) * MS + DEADLINE_GRACE;
+    // A response made at the last moment still has to be written.
+    let write_deadline = deadline + DEADLINE_GRACE / 2;
+    // Unbounded, as a turn's output is limited: a caller that reads slowly must not delay the server.
     let (sender, events) = async_channel::unbounded();
     let is_streamed = body.stream;
     let received = ReceivedTurn {
@@ -42,34 +42,34 @@
     let events = Events {
         runtime: front.runtime.clone(),
         events,
-        end,
+        deadline,
     };
     if is_streamed {
-        streamed_answer(&front.runtime, events, cut).await
+        streamed_answer(&front.runtime, events, write_deadline).await
     } else {
-        single_answer(events, cut).await
+        single_answer(events, write_deadline).await
     }
 }
 
-/// ms. The longest deadline that the program allows.
-fn most_horizon_ms(front: &Front, program: &str) -> u64 {
+/// ms. The longest deadline that the program's configuration allows.
+fn max_horizon_ms(front: &Front, program: &str) -> u64 {
     let configuration = front.documents.config.load();
     let program = configuration.1.families.get(program);
     program.map_or(DEADLINE_MAX_MS, |program| program.eff.horizon_ms)
 }
 
-/// The events of a turn, until its end.
+/// The events of a turn, until its end or its deadline.
 struct Events {
     runtime: Runtime,
     events: async_channel::Receiver<Event>,
-    /// us of the node's clock.
-    end: u64,
+    /// us of the node's clock. No event is waited for after this time.
+    deadline: u64,
 }
 
 impl Events {
     async fn next(&self) -> Event {
-        let left = self.end.saturating_sub(self.runtime.now());
-        match self.runtime.timeout(left, self.events.recv()).await {
+        let time_left = self.deadline.saturating_sub(self.runtime.now());
+        match self.runtime.timeout(time_left, self.events.recv()).await {
             Some(Ok(event)) => event,
             Some(Err(_)) => Event::Rejected(Rejection::new(Code::MayHaveRun, "", 0)),
             None => {
@@ -88,8 +88,8 @@
     refuse(rejection.code, &rejection.reason, rejection.retry_after)
 }
 
-/// One JSON object with the whole output.
-async fn single_answer(events: Events, cut: u64) -> Response {
+/// One JSON object with the complete output.
+async fn single_answer(events: Events, write_deadline: u64) -> Response {
     let mut text = String::new();
     loop {
         match events.next().await {
@@ -102,29 +102,29 @@
                 }
                 let mut answer = end_line(outcome, 1, end.is_replayed);
                 answer["text"] = json!(text);
-                return until(reply(200, &answer), cut);
+                return until(reply(200, &answer), write_deadline);
             }
         }
     }
 }
 
-/// A line for each event; a rejection before the first chunk is a plain answer.
-async fn streamed_answer(runtime: &Runtime, events: Events, cut: u64) -> Response {
+/// One line for each event. A rejection before the first chunk is answered with its own status.
+async fn streamed_answer(runtime: &Runtime, events: Events, write_deadline: u64) -> Response {
     let first = match events.next().await {
         Event::Rejected(rejection) => return reject(&rejection),
         event => event,
     };
-    let (lines, body) = async_channel::bounded(STREAM_LINES);
+    let (lines, body) = async_channel::bounded(BUFFERED_LINES);
     runtime.spawn(async move {
         let mut event = first;
         while write_event(event, &lines).await {
             event = events.next().await;
         }
     });
-    until(stream(body), cut)
+    until(stream(body), write_deadline)
 }
 
-/// Whether the stream goes on.
+/// Writes an event's lines. Whether the stream continues.
 async fn write_event(event: Event, lines: &async_channel::Sender<Vec<u8>>) -> bool {
     let is_last = !matches!(event, Event::Chunk { .. });
     for line in stream_lines(event) {
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a turn at a server: the request, its chunks, its verified end.
+//! One attempt of a turn at a server: sends the request, forwards the chunks of the output and verifies
+//! the end.
 
 use super::events::{Event, EventSender, TurnOutcome};
 use super::request::tokens;
@@ -15,10 +16,10 @@
 use yewcross_common::hash::digest;
 use yewcross_common::protocol::ListedServer;
 
-/// Bytes. Longest answer of a server that rejects a turn.
+/// Bytes. Longest response of a server that rejects a turn.
 const REJECTION_BYTES_MAX: usize = 64 << 10;
 
-/// A server's line with a part of the output.
+/// A line of the server's response with a part of the output.
 #[derive(Deserialize)]
 struct ChunkLine {
     #[serde(rename = "n")]
@@ -26,7 +27,7 @@
     text: String,
 }
 
-/// A server's last line.
+/// The last line of the server's response.
 #[derive(Deserialize)]
 struct EndLine {
     end: bool,
@@ -41,35 +42,35 @@
     stamp: Stamp,
 }
 
-/// A server's answer to a cancellation.
+/// A server's response to a cancellation.
 #[derive(Deserialize)]
 pub(super) struct Cancelled {
-    /// Tokens that it put out.
+    /// Tokens that it generated.
     output: Option<u64>,
     stamp: Stamp,
 }
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub(super) enum AttemptOutcome {
     Finished(Box<FinishedAttempt>),
-    /// The server said so itself, or nothing was sent.
+    /// The server reported that it did not run the turn, or nothing was sent.
     NotRun,
-    /// It may have run; the caller may have some of its output.
+    /// The server may have run the turn; with `has_output`, the caller may have received some of it.
     Unknown {
         has_output: bool,
     },
-    /// Cancelled because nobody listens any more, after this many tokens.
+    /// Cancelled because the caller has disconnected, after this many tokens.
     Abandoned {
         used_tokens: u64,
     },
 }
 
-/// What servers know the present attempt by.
+/// The request id that the current attempt has at its server.
 pub(super) fn server_job(turn: &BegunTurn) -> String {
     format!("{}#{:x}", turn.request.body.job, turn.attempt_nonce)
 }
 
-/// Sends the turn to a server, and passes its output on as it comes.
+/// Sends the turn to a server and forwards the output as it arrives.
 pub(super) async fn attempt(
     front: &Arc<Front>,
     turn: &BegunTurn,
@@ -78,7 +79,7 @@
     events: &EventSender,
 ) -> AttemptOutcome {
     let time_left = turn.request.deadline.saturating_sub(front.runtime.now());
-    if !is_still_fit(front, turn, server) {
+    if !is_still_eligible(front, turn, server) {
         return AttemptOutcome::NotRun;
     }
     let job = server_job(turn);
@@ -125,9 +126,9 @@
     AttemptOutcome::Finished(Box::new(finished(turn, end, text, chunks)))
 }
 
-/// Whether the turn may still go there. Checked last before it is sent: what was decided before a
-/// freeze is decided again.
-fn is_still_fit(front: &Front, turn: &BegunTurn, server: &ListedServer) -> bool {
+/// Whether the server is still eligible for the turn. Checked immediately before sending, as the
+/// process may have been suspended since the server was selected.
+fn is_still_eligible(front: &Front, turn: &BegunTurn, server: &ListedServer) -> bool {
     front.watcher.may_serve()
         && server_table::fit(front, &turn.request.class.service)
             .iter()
@@ -150,7 +151,8 @@
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// An answer other than 200: only a stamped rejection says that the turn did not run.
+/// Reads a response with a status other than 200: only a rejection with a valid stamp proves that the turn did
+/// not run.
 async fn read_rejection(
     front: &Front,
     connection: &BackendConnection<Verified>,
@@ -196,7 +198,7 @@
     }
 }
 
-/// Reads a server's output line by line, and passes it on.
+/// Reads a server's output line by line and forwards it.
 struct OutputReader<'a> {
     front: &'a Arc<Front>,
     turn: &'a BegunTurn,
@@ -209,34 +211,34 @@
 }
 
 impl OutputReader<'_> {
-    /// The verified end; otherwise what came of the attempt.
+    /// The verified last line, or the outcome of an attempt that has none.
     async fn read_to_end(&mut self, events: &EventSender) -> Result<EndLine, AttemptOutcome> {
         loop {
             let Some(line) = self.next_line().await else {
                 return Err(self.unknown());
             };
             match serde_json::from_slice::<ChunkLine>(&line) {
-                Ok(chunk) => self.pass_on(chunk, events).await?,
-                Err(_) => return self.verified_end(&line).ok_or_else(|| self.broken()),
+                Ok(chunk) => self.forward(chunk, events).await?,
+                Err(_) => return self.verified_end(&line).ok_or_else(|| self.invalid()),
             }
         }
     }
 
     async fn next_line(&mut self) -> Option<Vec<u8>> {
         let runtime = &self.front.runtime;
-        let until = self.turn.request.deadline + STREAM_IDLE_TIMEOUT;
-        let wait = STREAM_IDLE_TIMEOUT.min(until.saturating_sub(runtime.now()));
-        self.lines.next(runtime, wait).await
+        let latest = self.turn.request.deadline + STREAM_IDLE_TIMEOUT;
+        let timeout = STREAM_IDLE_TIMEOUT.min(latest.saturating_sub(runtime.now()));
+        self.lines.next(runtime, timeout).await
     }
 
-    async fn pass_on(
+    async fn forward(
         &mut self,
         chunk: ChunkLine,
         events: &EventSender,
     ) -> Result<(), AttemptOutcome> {
         let output_tokens = tokens(self.text.len() + chunk.text.len());
         if chunk.index != self.chunks || output_tokens > self.turn.request.max_output_tokens + 1 {
-            return Err(self.broken());
+            return Err(self.invalid());
         }
         self.text += &chunk.text;
         self.chunks += 1;
@@ -245,20 +247,20 @@
             text: chunk.text,
         };
         let is_caller_gone = events.send(event).await.is_err();
-        // A run that may be repeated is cancelled when nobody listens; one that may not goes on and
-        // is kept.
+        // A repeatable turn is cancelled when its caller disconnects. One that is not repeatable
+        // continues, and its outcome is stored.
         if is_caller_gone && self.turn.request.class.repeatable {
-            return Err(self.abandon().await);
+            return Err(self.cancel_abandoned().await);
         }
         Ok(())
     }
 
-    async fn abandon(&mut self) -> AttemptOutcome {
+    async fn cancel_abandoned(&mut self) -> AttemptOutcome {
         self.front.counts.cancelled.fetch_add(1, SeqCst);
         let request = &self.turn.request;
         let cancelled = cancel(self.front, self.server, &request.class.service, self.job).await;
-        // What was passed on is not all that it put out: only the server's own stamped word says
-        // less than the most allowed.
+        // The server may have generated more than was forwarded: unless its stamped response gives
+        // the number of tokens, the maximum is charged.
         let used_tokens = cancelled
             .filter(|answer| self.connection.matches_stamp(&answer.stamp, self.job))
             .and_then(|answer| answer.output)
@@ -276,7 +278,7 @@
         is_verified.then_some(end)
     }
 
-    fn broken(&self) -> AttemptOutcome {
+    fn invalid(&self) -> AttemptOutcome {
         self.front.counts.broken.fetch_add(1, SeqCst);
         self.unknown()
     }
@@ -288,7 +290,7 @@
     }
 }
 
-/// Cancels an attempt; the server's answer, if there is one.
+/// Cancels an attempt at its server; the server's response, if there is one.
 pub(super) async fn cancel(
     front: &Arc<Front>,
     server: &ListedServer,
--- a/yewcross-proxy/src/turn/begin.rs
+++ b/yewcross-proxy/src/turn/begin.rs
@@ -1,5 +1,5 @@
-//! The begin of a turn in the store: one round trip after which the record is this proxy's under a
-//! new epoch, and the budget holds the turn's reservation.
+//! Begins a turn in the store, in one round trip: afterwards this proxy owns the session's record under a
+//! new epoch, and the budget holds a reservation for the turn.
 
 use super::events::{Rejection, TurnOutcome};
 use super::request::tokens;
@@ -12,19 +12,19 @@
 use yewcross_common::hash::content_digest;
 use yewcross_common::protocol::{BeginTurn, PeerRequest, PeerResponse, TurnBegun};
 
-/// Rounds over the store's replicas in which a begin is tried.
+/// Rounds over the store's replicas in which beginning the turn is attempted.
 const BEGIN_ROUNDS: usize = 3;
-/// Ends the messages of a history line; the output follows.
+/// Separates the messages of a history line from the output that follows.
 const MESSAGES_END: u8 = b'\t';
 
-/// What the store says of a turn.
-pub(super) enum Beginning {
+/// The store's response to the beginning of a turn.
+pub(super) enum BeginResult {
     Begun(Box<BegunTurn>),
-    /// It finished before, with this outcome.
+    /// The turn has already finished, with this outcome.
     Replayed(TurnOutcome),
 }
 
-pub(super) async fn begin(front: &Arc<Front>, turn: ValidTurn) -> Result<Beginning, Rejection> {
+pub(super) async fn begin(front: &Arc<Front>, turn: ValidTurn) -> Result<BeginResult, Rejection> {
     let known_history = front
         .cached_histories
         .lock()
@@ -42,16 +42,16 @@
                 known_history.unwrap_or_default()
             };
             let turn = begun_turn(front, turn, begun, history)?;
-            Ok(Beginning::Begun(Box::new(turn)))
+            Ok(BeginResult::Begun(Box::new(turn)))
         }
         Some((PeerResponse::StoredOutcome { .. }, blob)) => {
             front.counts.replayed.fetch_add(1, SeqCst);
             match serde_json::from_slice(&blob) {
-                Ok(outcome) => Ok(Beginning::Replayed(outcome)),
+                Ok(outcome) => Ok(BeginResult::Replayed(outcome)),
                 Err(_) => Err(Rejection::new(Code::Forgotten, "", 0)),
             }
         }
-        // It may have begun.
+        // The store may have begun the turn.
         Some((PeerResponse::Rejected(Code::Undecided | Code::StoreAway), _)) | None => {
             abort(front, &turn);
             Err(Rejection::new(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S))
@@ -63,29 +63,29 @@
 
 fn begin_turn(front: &Front, turn: &ValidTurn, known_history: Option<&[u8]>) -> BeginTurn {
     let body = &turn.body;
-    let digested = (
+    let digest_input = (
         &body.program,
         &body.session,
         &body.messages,
         body.max_output,
     );
-    let digested = serde_json::to_vec(&digested).unwrap_or_default();
+    let digest_input = serde_json::to_vec(&digest_input).unwrap_or_default();
     let limit = budget_limit(front, turn);
     BeginTurn {
         key: turn.key.clone(),
         request_id: body.job.clone(),
-        digest: content_digest(&digested),
+        digest: content_digest(&digest_input),
         nonce: turn.nonce,
         front: front.settings.name.clone(),
         remaining_ms: turn.deadline.saturating_sub(front.runtime.now()) / MS,
         budget: limit.map(|limit| (turn.class.budget.clone(), limit)),
         max_output_tokens: turn.max_output_tokens,
         retain_ms: turn.class.keep_ms,
-        known_history: known_history.map(|h| (h.len() as u64, content_digest(h))),
+        known_history: known_history.map(|history| (history.len() as u64, content_digest(history))),
     }
 }
 
-/// The begun turn, unless its prompt is too long.
+/// Builds the begun turn; aborts it if its prompt is too long.
 fn begun_turn(
     front: &Arc<Front>,
     turn: ValidTurn,
@@ -110,7 +110,7 @@
     })
 }
 
-/// The turn will not be dispatched.
+/// Notifies the store that the turn will not be dispatched.
 fn abort(front: &Arc<Front>, turn: &ValidTurn) {
     let budget = limited_budget(front, turn);
     front.abort_turn(&turn.key, &turn.body.job, turn.nonce, budget);
@@ -121,7 +121,7 @@
     budget_limit(front, turn).map(|_| turn.class.budget.clone())
 }
 
-/// Tokens that the turn's budget allows, if the configuration limits it.
+/// The token limit of the turn's budget, if the configuration limits it.
 pub(super) fn budget_limit(front: &Front, turn: &ValidTurn) -> Option<u64> {
     let configuration = front.documents.config.load();
     let budget = configuration.1.budgets.get(&turn.class.budget);
--- a/yewcross-proxy/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -1,4 +1,4 @@
-//! Commits a turn's outcome to the store, whatever it is.
+//! Commits the outcome of a turn to the store, finished or not.
 
 use super::events::{EventSender, Rejection, TurnEnd, send_end, send_rejection};
 use super::request::tokens;
@@ -15,12 +15,12 @@
 
 /// us. Backoff between two attempts of a commit.
 const COMMIT_BACKOFF: u64 = 30 * MS;
-/// Rounds over the store's replicas in which a turn without an answer is closed.
+/// Rounds over the store's replicas in which a turn without an output is closed.
 const CLOSE_ROUNDS: usize = 4;
 const LINE_END: u8 = b'\n';
 
-/// Commits a finished turn in one round trip: history, outcome and budget are on a majority before
-/// the caller is told of the end.
+/// Commits a finished turn in one round trip: history, outcome and budget are stored by a majority of
+/// replicas before the end is sent to the caller.
 pub(super) async fn commit(
     front: &Arc<Front>,
     turn: BegunTurn,
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// Where the session's prefix is cached after the turn.
+/// Which servers hold the session's prefix in their caches after the turn.
 fn cache_state(front: &Front, turn: &BegunTurn, home: CachedPrefix) -> SessionCacheState {
     let program = &turn.request.body.program;
     let replicas = front.replicas.lock().unwrap();
@@ -88,6 +88,7 @@
     }
 }
 
+/// Repeats the commit until the store has decided or the turn's deadline has passed.
 async fn commit_by_deadline(
     front: &Arc<Front>,
     turn: &BegunTurn,
@@ -115,8 +116,8 @@
     }
 }
 
-/// Closes a turn that was sent and whose outcome is lost: the caller is told at once, then it is
-/// closed for good as "may have run", its reservation spent in full.
+/// Closes a turn that was sent and whose outcome is unknown. The caller is notified first; then the
+/// turn is closed as "may have run", with its reservation spent in full.
 pub(super) async fn close_unknown(front: &Arc<Front>, turn: &BegunTurn, events: &EventSender) {
     front.counts.lost.fetch_add(1, SeqCst);
     send_rejection(events, Rejection::new(Code::MayHaveRun, "", 0)).await;
@@ -124,20 +125,20 @@
     close(front, turn, Code::MayHaveRun, all).await;
 }
 
-/// Closes a turn that has no answer.
+/// Closes a turn that has no output.
 pub(super) async fn close(front: &Arc<Front>, turn: &BegunTurn, code: Code, used_tokens: u64) {
     let cache = SessionCacheState {
         home: None,
         ..turn.cache.clone()
     };
     let request = PeerRequest::CommitTurn(commit_turn(turn, code, used_tokens, cache));
-    // Where this is lost, the store closes the turn by itself after its deadline.
+    // If this fails, the store closes the turn itself after its deadline.
     let _ = front
         .call_store(&turn.request.key, &request, &[], CLOSE_ROUNDS)
         .await;
 }
 
-/// A commit that adds nothing to the history.
+/// A commit request that adds nothing to the history.
 fn commit_turn(
     turn: &BegunTurn,
     code: Code,
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -1,7 +1,7 @@
-//! The phases of a turn, and what follows when an attempt fails.
+//! The phases of a turn, and the retry of a failed attempt.
 
 use super::attempt::{AttemptOutcome, attempt, cancel, server_job};
-use super::begin::{Beginning, begin, budget_limit, limited_budget};
+use super::begin::{BeginResult, begin, budget_limit, limited_budget};
 use super::commit::{close, close_unknown, commit};
 use super::events::{EventSender, Rejection, TurnEnd, send_end, send_rejection};
 use super::request::tokens;
@@ -17,10 +17,11 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{ListedServer, PeerRequest, PeerResponse};
 
-/// Takes a turn through its phases; its caller is told by events.
+/// Runs a turn through its phases and reports the progress as events.
 pub(super) async fn drive(front: Arc<Front>, received: ReceivedTurn, events: EventSender) {
     front.counts.turns.fetch_add(1, SeqCst);
-    // Given back after the caller is told, unless the turn finishes or waits before.
+    // Released after the rejection is sent, unless the turn finishes or waits for its home server
+    // before.
     let mut permit = None;
     if let Err(rejection) = serve(&front, received, &mut permit, &events).await {
         send_rejection(&events, rejection).await;
@@ -36,8 +37,8 @@
     let turn = validate(front, received)?;
     *permit = Some(admit(front, &turn).await?);
     let mut turn = match begin(front, turn).await? {
-        Beginning::Begun(turn) => *turn,
-        Beginning::Replayed(outcome) => {
+        BeginResult::Begun(turn) => *turn,
+        BeginResult::Replayed(outcome) => {
             let end = TurnEnd {
                 outcome,
                 chunks: 1,
@@ -93,7 +94,7 @@
         class: turn.class.class,
         deadline: turn.deadline,
         patience: turn.queueing_deadline,
-        needs: least_service_time(front, turn),
+        needs: min_service_time(front, turn),
         capacity,
         urgent_share,
     };
@@ -102,9 +103,10 @@
     admitted.map_err(|refused| Rejection::new(refused.code, "", refused.retry_after))
 }
 
-/// us. The least time that any server needs for the turn.
-fn least_service_time(front: &Front, turn: &ValidTurn) -> u64 {
-    // A session not on hand may be new: then all of its prompt must be read.
+/// us. The shortest time in which any server can complete the turn, with its commit.
+fn min_service_time(front: &Front, turn: &ValidTurn) -> u64 {
+    // A session whose history is not cached may be new: then no server has its prompt in its cache.
+    // Otherwise the prefix may be cached in full.
     let unread_tokens = if front
         .cached_histories
         .lock()
@@ -113,7 +115,13 @@
     {
         0
     } else {
-        tokens(turn.body.messages.iter().map(|m| m.text.len()).sum())
+        tokens(
+            turn.body
+                .messages
+                .iter()
+                .map(|message| message.text.len())
+                .sum(),
+        )
     };
     let needed = |server: &server_table::Server| {
         let decode = server.report.decode_us_per_token * turn.max_output_tokens;
@@ -123,8 +131,8 @@
     servers.iter().map(needed).min().unwrap_or(0) + COMMIT_RESERVE
 }
 
-/// Attempts the turn at one server after another until one finishes it. None if it ended in
-/// another way, and its caller was told.
+/// Attempts the turn at one server after another until one finishes it. None if the turn was closed
+/// without an output, and the caller has been notified.
 async fn run(
     front: &Arc<Front>,
     turn: &mut BegunTurn,
@@ -139,7 +147,7 @@
                 close_unknown(front, turn, events).await;
                 return Ok(None);
             }
-            return Err(give_up(front, turn));
+            return Err(abort_unserved(front, turn));
         };
         let server = selected.pick.server.at.clone();
         let claim = front.count_dispatch(&server.server);
@@ -168,8 +176,8 @@
     }
 }
 
-/// No server takes the turn, and none has run it.
-fn give_up(front: &Arc<Front>, turn: &BegunTurn) -> Rejection {
+/// Aborts a turn that no server accepted and none has run.
+fn abort_unserved(front: &Arc<Front>, turn: &BegunTurn) -> Rejection {
     let request = &turn.request;
     let budget = limited_budget(front, request);
     front.abort_turn(&request.key, &request.body.job, request.nonce, budget);
@@ -181,20 +189,27 @@
     Rejection::new(code, "", DEFAULT_RETRY_AFTER_S)
 }
 
-/// Whether the turn may be attempted once more, after an attempt of unknown outcome.
-async fn prepare_retry(front: &Arc<Front>, turn: &mut BegunTurn, last: &ListedServer) -> bool {
+/// Whether the turn may be attempted again after an attempt of unknown outcome.
+async fn prepare_retry(
+    front: &Arc<Front>,
+    turn: &mut BegunTurn,
+    last_server: &ListedServer,
+) -> bool {
     let is_in_time = front.runtime.now() + COMMIT_RESERVE < turn.request.deadline;
-    turn.request.class.repeatable && is_in_time && reserve_another_attempt(front, turn, last).await
+    turn.request.class.repeatable
+        && is_in_time
+        && reserve_another_attempt(front, turn, last_server).await
 }
 
-/// The lost attempt may yet put out all that it was allowed: the next one needs a reservation of
-/// its own, which stays spent.
+/// Cancels the last attempt and reserves tokens for the next one. The last attempt may still generate
+/// all the tokens that it was allowed, so the next one needs a reservation of its own; it is settled
+/// as spent in full.
 async fn reserve_another_attempt(
     front: &Arc<Front>,
     turn: &mut BegunTurn,
-    last: &ListedServer,
+    last_server: &ListedServer,
 ) -> bool {
-    cancel_in_background(front, turn, last);
+    cancel_in_background(front, turn, last_server);
     turn.attempt_nonce = front.runtime.random();
     let request = &turn.request;
     let Some(limit) = budget_limit(front, request) else {
@@ -225,16 +240,16 @@
         entry,
         used: None,
     };
-    // Where this is lost the store settles it in full by itself.
+    // If this fails, the store settles the reservation in full itself.
     let _ = front.call_store(&budget_key, &settle, &[], 1).await;
     true
 }
 
 fn cancel_in_background(front: &Arc<Front>, turn: &BegunTurn, server: &ListedServer) {
-    let (canceller, server) = (front.clone(), server.clone());
+    let (node, server) = (front.clone(), server.clone());
     let service = turn.request.class.service.clone();
     let job = server_job(turn);
     front.runtime.spawn(async move {
-        cancel(&canceller, &server, &service, &job).await;
+        cancel(&node, &server, &service, &job).await;
     });
 }
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -1,4 +1,4 @@
-//! The end of a session: its history is forgotten and its cached prefixes dropped.
+//! Ends a session: deletes its history and drops its cached prefixes.
 
 use super::request::is_valid_name;
 use crate::{Front, kv};
@@ -11,7 +11,7 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse, SessionCacheState};
 
-/// Rounds over the store's replicas in which the end is tried.
+/// Rounds over the store's replicas in which ending the session is attempted.
 const END_ROUNDS: usize = 3;
 
 /// The body of a request that ends a session.
@@ -22,7 +22,7 @@
     session: String,
 }
 
-/// Ends a session.
+/// Answers a request to end a session.
 pub async fn end_session(front: Arc<Front>, request: BufferedRequest) -> Response {
     let body: EndBody = match serde_json::from_slice(&request.body) {
         Ok(body) => body,
@@ -46,13 +46,14 @@
     }
 }
 
+/// The service that runs the program's turns.
 fn service_of(front: &Front, program: &str) -> Option<String> {
     let configuration = front.documents.config.load();
     let program = configuration.1.families.get(program)?;
     Some(program.eff.service.clone())
 }
 
-/// What this proxy knows of the session is forgotten, and its prefixes are dropped by the servers.
+/// Deletes this proxy's state of the session and requests its servers to drop the cached prefixes.
 async fn drop_prefixes(front: &Arc<Front>, service: &str, key: &str, cache: SessionCacheState) {
     let pushed = front.replicas.lock().unwrap().remove(key);
     front.kv_transfers.forget(key);
--- a/yewcross-proxy/src/turn/events.rs
+++ b/yewcross-proxy/src/turn/events.rs
@@ -1,13 +1,13 @@
-//! What a turn tells its caller while it goes on.
+//! Events of a running turn, from which the response to the caller is written.
 
 use crate::backend::Stamp;
 use serde::{Deserialize, Serialize};
 use yewcross_common::error_code::Code;
 
-/// What is stored of a finished turn, and given again to whoever repeats its id.
+/// The outcome of a finished turn: stored, and replayed when a request with the same id is repeated.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TurnOutcome {
-    /// The whole output.
+    /// The complete output.
     pub text: String,
     /// Digest of the text.
     pub digest: String,
@@ -17,15 +17,15 @@
     pub reused: u64,
     /// Tokens of the output.
     pub output: u64,
-    /// The server that ran it.
+    /// The server instance that ran the turn.
     pub stamp: Stamp,
 }
 
-/// Why a turn is not served, as its caller is told.
+/// The reason, as reported to the caller, why a turn is not served.
 pub(super) struct Rejection {
     pub(super) code: Code,
     pub(super) reason: String,
-    /// s until a repetition makes sense; 0: it makes none.
+    /// s after which the request may be repeated; 0: repeating it is useless.
     pub(super) retry_after: u64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// One step that a turn's caller is told of.
+/// One step of a turn that is reported to its caller.
 pub(super) enum Event {
     Rejected(Rejection),
     /// A part of the output.
@@ -53,21 +53,23 @@
 /// The end of a turn that was served.
 pub(super) struct TurnEnd {
     pub(super) outcome: TurnOutcome,
-    /// Chunks that came before.
+    /// Number of chunks sent before.
     pub(super) chunks: u64,
-    /// The turn finished before, and this is its stored outcome.
+    /// The turn had finished before this request, and this is its stored outcome.
     pub(super) is_replayed: bool,
 }
 
-/// Where a turn's events go. Unbounded: a caller that reads slowly holds no server up.
+/// Sends a turn's events. The channel is unbounded, so that a caller that reads slowly does not delay
+/// the server.
 pub(super) type EventSender = async_channel::Sender<Event>;
 
 pub(super) async fn send_rejection(events: &EventSender, rejection: Rejection) {
-    // A caller that is gone needs no answer.
+    // Fails only if the caller has disconnected, which then needs no response.
     let _ = events.send(Event::Rejected(rejection)).await;
 }
 
 pub(super) async fn send_end(events: &EventSender, end: TurnEnd) {
-    // A caller that is gone can repeat the turn's id.
+    // Fails only if the caller has disconnected; it can get the stored outcome by repeating the
+    // request with the same id.
     let _ = events.send(Event::End(Box::new(end))).await;
 }
--- a/yewcross-proxy/src/turn/mod.rs
+++ b/yewcross-proxy/src/turn/mod.rs
@@ -1,8 +1,9 @@
-//! A turn's way through the proxy, from the caller's bytes to the committed outcome.
+//! The processing of a turn in the proxy, from the caller's request to the committed outcome.
 //!
-//! `answer` reads the request and writes the response; `drive` takes the turn through its phases:
-//! `begin`, `selection` and `attempt` until one finishes, `commit`. `events` is what they tell the
-//! caller, `state` what a phase hands to the next. Nothing here is imported in a circle.
+//! `answer` reads the request and writes the response. `drive` runs the turn through its phases:
+//! `begin`; `selection` and `attempt`, until an attempt finishes; `commit`. `events` defines what is
+//! reported to the caller, `state` what each phase passes to the next. The modules have no circular
+//! imports.
 
 mod answer;
 mod attempt;
--- a/yewcross-proxy/src/turn/request.rs
+++ b/yewcross-proxy/src/turn/request.rs
@@ -1,11 +1,11 @@
-//! What a caller may send, and the checks that need no other node.
+//! The body of a turn request, and the checks that need no other node.
 
 use super::events::Rejection;
 use serde::{Deserialize, Serialize};
 use yewcross_common::constants::{BYTES_PER_TOKEN, DEADLINE_MAX_MS, DEADLINE_MIN_MS};
 use yewcross_common::error_code::Code;
 
-/// Longest name of a program, session or request, bytes.
+/// Bytes. Longest name of a program or session, and longest id of a request.
 const NAME_BYTES_MAX: usize = 128;
 
 /// One message of a turn's prompt.
@@ -23,19 +23,20 @@
     pub(super) session: String,
     /// The caller's id of the request.
     pub(super) job: String,
-    /// ms within which the caller wants its answer.
+    /// ms within which the caller wants the response.
     pub(super) horizon_ms: u64,
     #[serde(default)]
     pub(super) budget: String,
     pub(super) messages: Vec<Message>,
-    /// Tokens.
+    /// Most tokens of output.
     #[serde(default)]
     pub(super) max_output: Option<u64>,
     #[serde(default)]
     pub(super) stream: bool,
 }
 
-/// Whether a caller may name a program, session or request so.
+/// Whether the name is valid for a program, session or request: printable ASCII without `/` and `|`,
+/// which separate the parts of keys.
 pub(crate) fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= NAME_BYTES_MAX
@@ -44,6 +45,7 @@
             .all(|byte| byte.is_ascii_graphic() && byte != b'/' && byte != b'|')
 }
 
+/// Checks the fields of a turn request.
 pub(super) fn check(body: &TurnBody) -> Result<(), Rejection> {
     let bad_field = |name: &str| Err(Rejection::new(Code::BadField, name, 0));
     match body {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Tokens of a text of this many bytes.
+/// Estimated number of tokens of a text of this many bytes.
 pub fn tokens(bytes: usize) -> u64 {
     bytes.div_ceil(BYTES_PER_TOKEN) as u64
 }
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -1,4 +1,4 @@
-//! Which server a turn goes to.
+//! Selects the server for a turn.
 
 use super::request::tokens;
 use super::state::BegunTurn;
@@ -14,39 +14,41 @@
 use yewcross_common::constants::{COMMIT_RESERVE, MS};
 use yewcross_common::protocol::{CachedPrefix, SessionCacheState};
 
-/// us. How often a turn looks for a server again while it waits for one.
+/// us. Interval at which a waiting turn retries the selection.
 const SELECTION_INTERVAL: u64 = 20 * MS;
 
-/// The server picked, with a verified connection to it.
+/// The selected server, with a verified connection to it.
 pub(super) struct SelectedServer {
     pub(super) pick: Pick,
     pub(super) connection: BackendConnection<Verified>,
 }
 
-/// What to do next.
+/// The next step of the selection.
 enum Decision {
     Dispatch(Box<Pick>),
-    /// No server has room.
+    /// No server has a free slot.
     WaitForRoom,
-    /// The session's home has no room, and waiting for it costs less than another server.
+    /// The session's home server has no free slot, and waiting for one costs less than running on
+    /// another server.
     WaitForHome,
     GiveUp,
 }
 
-/// What the turn may be decided by at one moment.
+/// The inputs of a selection at one moment.
 struct Candidates<'a> {
     servers: &'a [Server],
     cache: &'a SessionCacheState,
     excluded: &'a [String],
-    /// us until the server must be done.
+    /// us within which the server must finish.
     time_left: u64,
-    /// When the selection began.
+    /// When the selection began (us of the node's clock).
     started: u64,
 }
 
-/// Selects a server and connects to it; one that cannot be reached is excluded. No import is waited
-/// for: while the session's home is full, its replica is brought in beside the wait, and a turn that
-/// must move before that is served cold.
+/// Selects a server and connects to it; a server that cannot be reached is excluded. Imports are never
+/// waited for: while the session's home server has no free slot, the replica is imported in parallel
+/// with the wait, and a turn that has to move before the import is complete is served without the
+/// cached prefix.
 pub(super) async fn select_server(
     front: &Arc<Front>,
     turn: &BegunTurn,
@@ -54,15 +56,18 @@
     permit: &mut Option<Permit<'_>>,
 ) -> Option<SelectedServer> {
     let started = front.runtime.now();
-    let mut is_import_ahead = false;
+    let mut is_import_started = false;
     loop {
-        let end = front.runtime.now() + COMMIT_RESERVE;
-        let time_left = turn.request.deadline.checked_sub(end)?;
+        let latest_finish = front.runtime.now() + COMMIT_RESERVE;
+        let time_left = turn.request.deadline.checked_sub(latest_finish)?;
         if !front.watcher.may_serve() {
             return None;
         }
         let servers = server_table::fit(front, &turn.request.class.service);
-        if servers.iter().all(|s| excluded.contains(&s.at.server)) {
+        if servers
+            .iter()
+            .all(|server| excluded.contains(&server.at.server))
+        {
             return None;
         }
         let cache = kv::known(front, &turn.request.key, &turn.cache);
@@ -85,8 +90,8 @@
             Decision::WaitForRoom => {}
             Decision::WaitForHome => *permit = None,
         }
-        if !is_import_ahead {
-            is_import_ahead = import_ahead(front, turn, &servers, &cache);
+        if !is_import_started {
+            is_import_started = start_import(front, turn, &servers, &cache);
         }
         front.runtime.sleep(SELECTION_INTERVAL).await;
     }
@@ -127,9 +132,9 @@
     }
 }
 
-/// Until when the session's home is waited for; None where the pick is the home, or the home no
-/// longer holds the prefix. A full home is waited for no longer than the move would cost over
-/// staying.
+/// When waiting for the session's home server ends; None if the picked server is the home server, or if
+/// that no longer holds the prefix. The wait is no longer than the time by which running on the picked
+/// server takes longer than on the home server.
 fn home_wait_end(
     turn: &BegunTurn,
     candidates: &Candidates,
@@ -152,9 +157,9 @@
     Some(end.min(turn.request.queueing_deadline))
 }
 
-/// Has the session's replica brought into its server's cache, if there is one and that server has
-/// room.
-fn import_ahead(
+/// Starts the import of the session's replica into its server's cache, if there is a replica and that
+/// server has a free slot.
+fn start_import(
     front: &Arc<Front>,
     turn: &BegunTurn,
     servers: &[Server],
@@ -164,7 +169,7 @@
         !replica.digest.is_empty()
             && servers
                 .iter()
-                .any(|s| s.at.server == replica.server && s.free() > 0)
+                .any(|server| server.at.server == replica.server && server.free() > 0)
     };
     let Some(replica) = cache.replica.as_ref().filter(has_room) else {
         return false;
@@ -179,7 +184,7 @@
     true
 }
 
-/// A verified connection to the server picked.
+/// Opens a verified connection to the picked server.
 async fn connect(
     front: &Front,
     turn: &BegunTurn,
