--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -1,6 +1,6 @@
-//! A lookup's way through the proxy, a phase after the other: `validate`, `admit`,
-//! `register_once`, then `select_server` and `attempt` until one is answered, and `settle`.
-//! Each phase takes what the one before gives.
+//! The processing of a lookup in the proxy, in phases: `validate`; `admit`; `register_once`;
+//! `select_server` and `attempt`, until an attempt is answered; `settle`. Each phase takes the result of
+//! the one before.
 
 mod attempt;
 mod once;
@@ -15,7 +15,7 @@
 use attempt::{AttemptOutcome, attempt};
 use http_types::Response;
 use once::{RegisteredLookup, Registration, abort, commit, commit_in_background, register_once};
-use selection::{connect, is_still_fit, select_server};
+use selection::{connect, is_still_eligible, select_server};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -28,11 +28,11 @@
 };
 use yewcross_common::error_code::Code;
 
-/// Why a lookup is not answered, as its caller is told.
+/// The reason, as reported to the caller, why a lookup is not answered.
 struct Rejection {
     code: Code,
     reason: String,
-    /// s until a repetition makes sense; 0: it makes none.
+    /// s after which the request may be repeated; 0: repeating it is useless.
     retry_after: u64,
 }
 
@@ -54,14 +54,14 @@
     }
 }
 
-/// What a server answered.
+/// A server's response to a lookup.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct ServerAnswer {
     value: Value,
     stamp: Stamp,
 }
 
-/// Answers a lookup, at its deadline at the latest.
+/// Answers a lookup request; at its deadline, if the lookup has not ended by then.
 pub async fn answer(front: Arc<Front>, request: BufferedRequest, nonce: u64) -> Response {
     let received_at = front.runtime.now();
     front.counts.lookups.fetch_add(1, SeqCst);
@@ -69,21 +69,22 @@
         Ok(body) => body,
         Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
     };
-    let most_ms = most_horizon_ms(&front, &body.service);
-    let wait = body.horizon_ms.min(most_ms) * MS + DEADLINE_GRACE;
+    let max_ms = max_horizon_ms(&front, &body.service);
+    let timeout = body.horizon_ms.min(max_ms) * MS + DEADLINE_GRACE;
     let received = ReceivedLookup {
         body,
         received_at,
         nonce,
     };
-    let (answered, answer) = async_channel::bounded(1);
-    let driver = front.clone();
-    // What may run only once is seen to its end, whoever still waits.
+    let (answer_sender, answer) = async_channel::bounded(1);
+    let node = front.clone();
+    // A task of its own: a lookup that may run only once is completed even if the caller disconnects
+    // or the deadline passes.
     front.runtime.spawn(async move {
-        // Nobody may be waiting any more.
-        let _ = answered.try_send(drive(driver, received).await);
+        // Fails only if the response is no longer waited for.
+        let _ = answer_sender.try_send(drive(node, received).await);
     });
-    let late = || {
+    let still_running = || {
         refuse(
             Code::StillRunning,
             "its horizon has passed",
@@ -92,14 +93,14 @@
     };
     front
         .runtime
-        .timeout(wait, answer.recv())
+        .timeout(timeout, answer.recv())
         .await
         .and_then(|answer| answer.ok())
-        .unwrap_or_else(late)
+        .unwrap_or_else(still_running)
 }
 
-/// ms. The longest deadline that the service allows.
-fn most_horizon_ms(front: &Front, service: &str) -> u64 {
+/// ms. The longest deadline that the service's configuration allows.
+fn max_horizon_ms(front: &Front, service: &str) -> u64 {
     let configuration = front.documents.config.load();
     let service = configuration.1.services.get(service);
     service.map_or(DEADLINE_MAX_MS, |service| service.horizon_ms)
@@ -156,7 +157,7 @@
             excluded.push(name.clone());
             continue;
         };
-        if !is_still_fit(front, lookup, &selected.server) {
+        if !is_still_eligible(front, lookup, &selected.server) {
             continue;
         }
         match attempt(front, lookup, &selected, connection).await {
@@ -174,7 +175,7 @@
     }
 }
 
-/// Makes the outcome durable where the lookup may run only once, and tells it.
+/// Settles the outcome in the store if the lookup may run only once, and returns it for the caller.
 async fn settle(
     front: &Arc<Front>,
     lookup: RegisteredLookup,
@@ -182,7 +183,7 @@
 ) -> Result<Value, Rejection> {
     match outcome {
         Ok(answer) => settle_answered(front, &lookup, answer).await,
-        // One that may run again is worth repeating.
+        // The caller may repeat a lookup that may run again.
         Err(Code::MayHaveRun) if !lookup.is_once() => {
             Err(Rejection::new(Code::MayHaveRun, DEFAULT_RETRY_AFTER_S))
         }
--- a/yewcross-proxy/src/lookup/attempt.rs
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a lookup at a server.
+//! One attempt of a lookup at a server: sends the request and verifies the response.
 
 use super::once::RegisteredLookup;
 use super::selection::SelectedServer;
@@ -8,20 +8,20 @@
 use yewcross_common::buffered_http::body;
 use yewcross_common::constants::{MAX_BODY_BYTES, MS};
 
-/// us. An attempt is given this much of the time left, even where half of it is less.
-const LEAST_ATTEMPT: u64 = 100 * MS;
+/// us. Shortest timeout of an attempt, if that much time is left; half of the time left may be less.
+const MIN_ATTEMPT_TIMEOUT: u64 = 100 * MS;
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub(super) enum AttemptOutcome {
-    /// The server's answer, stamped for this very lookup.
+    /// The server's response, with a valid stamp for this lookup.
     Answered(Value),
-    /// The server says itself that it did not run.
+    /// The server reported that it did not run the lookup.
     Rejected,
-    /// It may have run.
+    /// The server may have run the lookup.
     Unknown,
 }
 
-/// A server's answer, of either kind.
+/// A server's response, successful or not.
 struct Reply {
     is_success: bool,
     value: Value,
@@ -38,8 +38,8 @@
     let _claim = front.count_dispatch(server);
     let job = lookup.server_job();
     let started = front.runtime.now();
-    let wait = attempt_timeout(lookup, selected.time_left);
-    let reply = exchange(front, lookup, selected, &connection, wait).await;
+    let timeout = attempt_timeout(lookup, selected.time_left);
+    let reply = exchange(front, lookup, selected, &connection, timeout).await;
     let is_stamped = |value: &Value| {
         serde_json::from_value::<Stamp>(value["stamp"].clone())
             .is_ok_and(|stamp| connection.matches_stamp(&stamp, &job))
@@ -65,22 +65,22 @@
     }
 }
 
-/// us. A lookup that may run again keeps time for one more attempt.
+/// us. Half of the time left for a lookup that may run again, so that another attempt is possible.
 fn attempt_timeout(lookup: &RegisteredLookup, time_left: u64) -> u64 {
     if lookup.is_once() {
         time_left
     } else {
-        (time_left / 2).max(time_left.min(LEAST_ATTEMPT))
+        (time_left / 2).max(time_left.min(MIN_ATTEMPT_TIMEOUT))
     }
 }
 
-/// None if no answer came in time, or none that can be read.
+/// Sends the request and reads the response; None if no valid JSON was received in time.
 async fn exchange(
     front: &Front,
     lookup: &RegisteredLookup,
     selected: &SelectedServer,
     connection: &BackendConnection<Verified>,
-    wait: u64,
+    timeout: u64,
 ) -> Option<Reply> {
     let request = json!({
         "job": lookup.server_job(),
@@ -89,14 +89,14 @@
         "horizon_ms": selected.time_left / MS,
     });
     let request = serde_json::to_vec(&request).unwrap_or_default();
-    let sent = connection.send(&front.runtime, "/lookup", request, wait);
+    let sent = connection.send(&front.runtime, "/lookup", request, timeout);
     let SendResult::Answered(mut response) = sent.await else {
         return None;
     };
     let is_success = response.status().is_success();
     let bytes = front
         .runtime
-        .timeout(wait, body(&mut response, MAX_BODY_BYTES))
+        .timeout(timeout, body(&mut response, MAX_BODY_BYTES))
         .await?
         .ok()?;
     let value = serde_json::from_slice(&bytes).ok()?;
--- a/yewcross-proxy/src/lookup/once.rs
+++ b/yewcross-proxy/src/lookup/once.rs
@@ -1,5 +1,5 @@
-//! Lookups that may run only once: registered in the store before they are dispatched, their
-//! outcome committed there before it is told.
+//! Lookups that may run only once: registered in the store before they are dispatched; their outcome is
+//! committed there before it is sent to the caller.
 
 use super::Rejection;
 use super::validation::ValidLookup;
@@ -14,12 +14,12 @@
     BeginTurn, CommitTurn, PeerRequest, PeerResponse, SessionCacheState,
 };
 
-/// Rounds over the store's replicas in which a registration is tried.
+/// Rounds over the store's replicas in which a registration is attempted.
 const REGISTRATION_ROUNDS: usize = 3;
 /// us. Backoff between two attempts of a commit.
 const COMMIT_BACKOFF: u64 = 30 * MS;
-/// us. How long past the lookup's deadline an unknown outcome is still committed.
-const LATE_COMMIT: u64 = SEC;
+/// us. Time after the lookup's deadline during which committing an unknown outcome is retried.
+const COMMIT_GRACE: u64 = SEC;
 
 /// The store's record of a lookup that may run only once.
 struct OnceRecord {
@@ -30,7 +30,7 @@
 /// A lookup that may be dispatched.
 pub(super) struct RegisteredLookup {
     pub(super) request: ValidLookup,
-    /// None where the method may run again.
+    /// None if the method may run again.
     record: Option<OnceRecord>,
 }
 
@@ -39,7 +39,7 @@
         self.record.is_some()
     }
 
-    /// What the servers know the lookup by.
+    /// The request id that the lookup has at the servers.
     pub(super) fn server_job(&self) -> String {
         let (job, nonce) = (&self.request.body.job, self.request.nonce);
         if job.is_empty() {
@@ -64,14 +64,14 @@
     }
 }
 
-/// What the store says of a lookup.
+/// The store's response to a registration.
 pub(super) enum Registration {
     Dispatchable(RegisteredLookup),
-    /// It ran before, with this outcome.
+    /// The lookup has already run, with this outcome.
     Stored(Value),
 }
 
-/// Registers a lookup that may run only once.
+/// Registers the lookup in the store if it may run only once.
 pub(super) async fn register_once(
     front: &Arc<Front>,
     request: ValidLookup,
@@ -104,7 +104,7 @@
         {
             Err(Rejection::new(code, code.back()))
         }
-        // It may have been registered.
+        // The store may have registered the lookup.
         _ => {
             front.abort_turn(&key, &request.body.job, request.nonce, None);
             Err(Rejection::new(Code::StoreAway, DEFAULT_RETRY_AFTER_S))
@@ -129,7 +129,7 @@
     }
 }
 
-/// Commits the answer of a lookup that may run only once.
+/// Commits the response of a lookup if it may run only once.
 pub(super) async fn commit(
     front: &Arc<Front>,
     lookup: &RegisteredLookup,
@@ -143,21 +143,21 @@
     commit_until(front, turn, &outcome, lookup.request.deadline).await
 }
 
-/// Commits the outcome of a lookup that has no answer.
+/// Commits, without waiting, the outcome of a lookup that has no response.
 pub(super) fn commit_in_background(front: &Arc<Front>, lookup: &RegisteredLookup, code: Code) {
     let Some(record) = &lookup.record else {
         return;
     };
     let turn = lookup.commit_turn(record, code);
-    let until = lookup.request.deadline + LATE_COMMIT;
-    let front_of_task = front.clone();
+    let until = lookup.request.deadline + COMMIT_GRACE;
+    let node = front.clone();
     front.runtime.spawn(async move {
-        // If it does not get there, the store closes the lookup with this same outcome.
-        let _ = commit_until(&front_of_task, turn, &[], until).await;
+        // If this fails, the store closes the lookup with the same outcome itself.
+        let _ = commit_until(&node, turn, &[], until).await;
     });
 }
 
-/// Withdraws the registration of a lookup that was never dispatched.
+/// Cancels the registration of a lookup that was never dispatched.
 pub(super) fn abort(front: &Arc<Front>, lookup: &RegisteredLookup) {
     if let Some(record) = &lookup.record {
         let request = &lookup.request;
@@ -165,6 +165,8 @@
     }
 }
 
+/// Repeats the commit until the store has decided or the time `until` (us of the node's clock) has
+/// passed.
 async fn commit_until(
     front: &Arc<Front>,
     turn: CommitTurn,
--- a/yewcross-proxy/src/lookup/selection.rs
+++ b/yewcross-proxy/src/lookup/selection.rs
@@ -1,4 +1,4 @@
-//! Which server a lookup goes to.
+//! Selects the server for a lookup.
 
 use super::once::RegisteredLookup;
 use crate::backend::{BackendConnection, Verified};
@@ -10,20 +10,20 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{ListedServer, SessionCacheState};
 
-/// us. How often a lookup looks for a server again while none has room.
+/// us. Interval at which a lookup retries the selection while no server has a free slot.
 const SELECTION_INTERVAL: u64 = 10 * MS;
-/// us. With less time left than this, no server is waited for.
-const LEAST_WAIT_LEFT: u64 = 20 * MS;
+/// us. The selection is not retried with less time left than this.
+const MIN_TIME_LEFT_TO_WAIT: u64 = 20 * MS;
 
-/// A server with room, and the time that is left for it.
+/// A server with a free slot, and the time left for it to respond.
 pub(super) struct SelectedServer {
     pub(super) server: ListedServer,
     /// us.
     pub(super) time_left: u64,
 }
 
-/// Selects the best server that is not excluded; waits for one with room while the lookup may
-/// queue.
+/// Selects the best server that is not excluded; waits for a free slot until the lookup's queueing
+/// deadline.
 pub(super) async fn select_server(
     front: &Front,
     lookup: &RegisteredLookup,
@@ -33,8 +33,8 @@
     let weights = Weights::from(&ProgramClass::default());
     let no_cache = SessionCacheState::default();
     loop {
-        let end = front.runtime.now() + COMMIT_RESERVE / 2;
-        let time_left = request.deadline.saturating_sub(end);
+        let latest_response = front.runtime.now() + COMMIT_RESERVE / 2;
+        let time_left = request.deadline.saturating_sub(latest_response);
         let servers = server_table::fit(front, &request.body.service);
         let case = Case {
             key: &request.body.key,
@@ -52,8 +52,10 @@
             });
         }
         let may_wait = front.runtime.now() < request.queueing_deadline
-            && time_left > LEAST_WAIT_LEFT
-            && servers.iter().any(|s| !excluded.contains(&s.at.server));
+            && time_left > MIN_TIME_LEFT_TO_WAIT
+            && servers
+                .iter()
+                .any(|server| !excluded.contains(&server.at.server));
         if !may_wait || !front.watcher.may_serve() {
             return Err(if servers.is_empty() {
                 Code::NoServer
@@ -65,7 +67,7 @@
     }
 }
 
-/// A verified connection to the server.
+/// Opens a verified connection to the server.
 pub(super) async fn connect(
     front: &Front,
     lookup: &RegisteredLookup,
@@ -78,9 +80,9 @@
         .await
 }
 
-/// Whether the lookup may still go there. Checked last before it is sent: what was decided before
-/// a freeze is decided again.
-pub(super) fn is_still_fit(
+/// Whether the server is still eligible for the lookup. Checked immediately before sending, as the
+/// process may have been suspended since the server was selected.
+pub(super) fn is_still_eligible(
     front: &Front,
     lookup: &RegisteredLookup,
     server: &ListedServer,
--- a/yewcross-proxy/src/lookup/validation.rs
+++ b/yewcross-proxy/src/lookup/validation.rs
@@ -1,4 +1,4 @@
-//! The first phase of a lookup: checks that need no other node.
+//! The first phase of a lookup: the checks that need no other node.
 
 use super::Rejection;
 use crate::Front;
@@ -17,19 +17,19 @@
     pub service: String,
     pub method: String,
     pub key: String,
-    /// ms within which the caller wants its answer.
+    /// ms within which the caller wants the response.
     pub horizon_ms: u64,
-    /// The caller's id of the request; empty where the method may run again.
+    /// The caller's id of the request; may be empty if the method may run again.
     #[serde(default)]
     pub job: String,
 }
 
-/// A lookup as it arrived.
+/// A lookup request as received.
 pub(super) struct ReceivedLookup {
     pub(super) body: LookupBody,
     /// us of the node's clock.
     pub(super) received_at: u64,
-    /// Identifies this attempt among those of the same request.
+    /// Distinguishes this execution from others of a request with the same id.
     pub(super) nonce: u64,
 }
 
@@ -39,15 +39,15 @@
     pub(super) nonce: u64,
     /// The method may run only once.
     pub(super) is_once: bool,
-    /// When its answer is due.
+    /// When the response is due.
     pub(super) deadline: u64,
-    /// When it must be told, if it is not to be served.
+    /// When the caller must be notified, if the lookup cannot be served.
     pub(super) queueing_deadline: u64,
-    /// How many requests of the service may wait.
+    /// Most requests of the service that may be queued.
     pub(super) queue_capacity: u64,
     /// Percent of the capacity that only urgent requests may use.
     pub(super) urgent_share: u64,
-    /// ms that the outcome of a once-only lookup is kept.
+    /// ms for which the outcome of a lookup that may run only once is stored.
     pub(super) retain_ms: u64,
 }
 
