--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -1,3 +1,10 @@
+//! The data plane of the serving tier: nodes of role `front`, which receive callers' requests, choose
+//! a server for each and forward it there.
+//!
+//! A node serves one of two interfaces. Started by [`Front::start`], it serves the product's own HTTP
+//! paths: turns (`turn`) and lookups (`lookup`), with servers selected from load reports. Given the
+//! ports of another platform ([`FrontOptions`]), it serves that platform's routed requests (`relay`).
+
 pub mod admission;
 pub mod backend;
 pub mod balance;
@@ -35,11 +42,14 @@
 use yewcross_common::transport::*;
 use yewcross_common::turn_log::TurnLogService;
 
+/// Defines the node's counters; `/metrics` shows each one under the name of its field.
 macro_rules! counts {
     ($($f:ident),*) => {
+        /// Counters of a node, shown by `/metrics` under the names of the fields.
         #[derive(Default)]
         pub struct Counts { $(pub $f: AtomicU64),* }
         impl Counts {
+            /// The values of all counters by name.
             pub fn all(&self) -> BTreeMap<&'static str, u64> {
                 [$((stringify!($f), self.$f.load(SeqCst))),*].into()
             }
@@ -48,20 +58,27 @@
 }
 
 counts!(
+    // Load reports of servers that failed validation.
     absurd,
     turns,
     done,
     replayed,
+    // Turns closed with an unknown outcome.
     lost,
+    // Turn responses whose output failed verification.
     broken,
     cancelled,
     lookups,
     found,
+    // Connections that reached a server with another identity than selected.
     strangers,
     polls,
+    // Finished turns by the share of the prompt that the server reused from its cache.
     warm,
     partly,
     cold,
+    // The same for turns that ran on another server than the one that holds the session's prefix;
+    // `moved_short`: with a prefix too short to have a replica.
     moved_warm,
     moved_partly,
     moved_cold,
@@ -69,6 +86,7 @@
     imports,
     imports_failed,
     imports_skipped,
+    // Turns dispatched to the server of a replica that had not been imported yet.
     unready,
     import_us,
     pushes,
@@ -76,10 +94,13 @@
     push_skipped,
     push_within,
     push_across,
+    // Updates of a session's cache state that the store did not accept.
     note_refused,
     drops
 );
 
+/// A node of role `front`: its connections to peers and servers, its copies of the published
+/// documents, and its state by server and by session.
 pub struct Front {
     pub runtime: Runtime,
     pub settings: ProcessSettings,
@@ -87,102 +108,119 @@
     pub members: Arc<Membership>,
     pub documents: Arc<DocumentCache>,
     pub watcher: Arc<DocumentWatcher>,
+    /// Callers' connections where the product's own paths are served.
     pub connections: Arc<ConnectionTracker>,
     pub pool: backend::Pool,
-    /// Requests that wait for a server with room.
+    /// Queues of requests that wait for a server with a free slot.
     pub admission: admission::Admission,
     pub push_pacer: PushPacer,
+    /// The newest load report of each server, and when it was taken.
     pub received_reports: Mutex<BTreeMap<String, server_table::Heard>>,
-    /// What this node last told of each server as its home.
+    /// By server: the report that this node last sent to the other nodes as the one that polls it.
     pub announced_reports: Mutex<BTreeMap<String, LoadReport>>,
-    /// Jobs sent to a server since its last report.
+    /// By server: requests dispatched since its last load report.
     pub dispatched_since_report: Mutex<BTreeMap<String, u32>>,
-    /// Breakdowns in a row, and until when they count.
+    /// By server: number of consecutive failures, and until when they count (us of the node's clock).
     pub recent_failures: Mutex<BTreeMap<String, (u32, u64)>>,
-    /// Histories on hand, so that the store need not send them again.
+    /// Session histories by key, cached so that the store need not send them again.
     pub cached_histories: Mutex<BTreeMap<String, Vec<u8>>>,
-    /// Sessions with a push under way, each with the newest turn that ended meanwhile.
+    /// Sessions with a replica push in progress, each with the newest turn that ended meanwhile.
     pub pushes_in_progress: Mutex<BTreeMap<String, Option<kv::Fresh>>>,
-    /// Replicas this front has pushed.
+    /// Replicas that this node has pushed, by session.
     pub replicas: Mutex<BTreeMap<String, CachedPrefix>>,
+    /// Transfer state of cached prefixes by session, and imports in progress by server.
     pub kv_transfers: kv::Spares,
     pub counts: Counts,
-    /// Where routed requests are served instead of the product's own paths.
+    /// Set if the node serves routed requests instead of the product's own paths.
     pub relay: OnceLock<Arc<relay::Relay>>,
     load_exchange: OnceLock<Arc<load_exchange::LoadExchange>>,
-    web: Arc<streaming_http::ConnectionTracker>,
-    leaving: AtomicBool,
+    /// Callers' connections where routed requests are served.
+    streaming_connections: Arc<streaming_http::ConnectionTracker>,
+    is_stopping: AtomicBool,
 }
 
-/// Another platform's ports. Chains of turns are refused where no stores are given.
+/// The ports of another platform. Without a turn log, requests that continue a previous turn are
+/// rejected.
 pub struct FrontOptions {
+    /// Reads callers' requests and writes their responses.
     pub caller: Arc<dyn Caller>,
+    /// Writes requests to servers and reads their responses.
     pub upstream_protocol: Arc<dyn UpstreamProtocol>,
     pub turn_log: Option<Arc<dyn TurnLogService>>,
 }
 
+/// A listening socket could not be bound.
 #[derive(Debug, Snafu)]
-#[snafu(display("bind {at}: {source}"))]
+#[snafu(display("cannot bind {address}: {source}"))]
 pub struct BindError {
-    at: String,
+    address: String,
     source: std::io::Error,
 }
 
-/// Paces replica pushes: few at once towards a server, and half a link's bytes at most.
+/// Paces replica pushes: at most [`KV_PUSHES_PER_SERVER`] at once to one server, and at most half of
+/// the sending server's link bandwidth.
 #[derive(Default)]
 pub struct PushPacer {
-    to: Mutex<BTreeMap<String, usize>>,
+    /// Pushes in progress by receiving server.
+    in_flight: Mutex<BTreeMap<String, usize>>,
+    /// By sending server: when its link may be used for the next push (us of the node's clock).
     free_at: Mutex<BTreeMap<String, u64>>,
 }
 
+/// Permission for one push to a server; dropping it allows the next.
 pub struct PushPermit<'a>(&'a PushPacer, String);
 
 impl Drop for PushPermit<'_> {
     fn drop(&mut self) {
         self.0
-            .to
+            .in_flight
             .lock()
             .unwrap()
             .get_mut(&self.1)
             .into_iter()
-            .for_each(|n| *n = n.saturating_sub(1));
+            .for_each(|pushes| *pushes = pushes.saturating_sub(1));
     }
 }
 
 impl PushPacer {
+    /// Waits until a push between the two servers is allowed; None if none is within
+    /// [`KV_PUSH_TIMEOUT`].
     pub async fn acquire(&self, runtime: &Runtime, from: &str, to: &str) -> Option<PushPermit<'_>> {
-        let end = runtime.now() + KV_PUSH_TIMEOUT;
+        let deadline = runtime.now() + KV_PUSH_TIMEOUT;
         loop {
-            let at = self.free_at.lock().unwrap().get(from).cloned().unwrap_or(0);
-            if at > end {
+            let free_at = self.free_at.lock().unwrap().get(from).cloned().unwrap_or(0);
+            if free_at > deadline {
                 return None;
             }
-            if at <= runtime.now() {
-                let mut g = self.to.lock().unwrap();
-                let n = g.entry(to.into()).or_default();
-                if *n < KV_PUSHES_PER_SERVER {
-                    *n += 1;
+            if free_at <= runtime.now() {
+                let mut in_flight = self.in_flight.lock().unwrap();
+                let pushes = in_flight.entry(to.into()).or_default();
+                if *pushes < KV_PUSHES_PER_SERVER {
+                    *pushes += 1;
                     return Some(PushPermit(self, to.into()));
                 }
             }
-            if runtime.now() > end {
+            if runtime.now() > deadline {
                 return None;
             }
             runtime
-                .sleep((at.saturating_sub(runtime.now())).max(50 * MS))
+                .sleep((free_at.saturating_sub(runtime.now())).max(50 * MS))
                 .await;
         }
     }
 
-    pub fn charge_link(&self, t: u64, from: &str, bytes: u64, per_s: u64) {
-        let mut g = self.free_at.lock().unwrap();
-        let e = g.entry(from.into()).or_default();
-        *e = (*e)
-            .max(t)
-            .saturating_add(bytes.saturating_mul(2 * SEC) / per_s.max(1));
+    /// Reserves the sender's link for twice the time that the bytes take at the link's rate (bytes per
+    /// second), so that pushes use at most half of it.
+    pub fn charge_link(&self, now: u64, from: &str, bytes: u64, bytes_per_s: u64) {
+        let mut free_at = self.free_at.lock().unwrap();
+        let link_free_at = free_at.entry(from.into()).or_default();
+        *link_free_at = (*link_free_at)
+            .max(now)
+            .saturating_add(bytes.saturating_mul(2 * SEC) / bytes_per_s.max(1));
     }
 }
 
+/// Counts a request as dispatched to a server until it is dropped.
 pub struct DispatchGuard<'a>(&'a Front, String);
 
 impl Drop for DispatchGuard<'_> {
@@ -193,103 +231,119 @@
             .unwrap()
             .get_mut(&self.1)
             .into_iter()
-            .for_each(|n| *n = n.saturating_sub(1));
+            .for_each(|dispatched| *dispatched = dispatched.saturating_sub(1));
     }
 }
 
-struct Ear(Arc<Front>);
+/// Handles the requests of peers.
+struct PeerHandler(Arc<Front>);
 
-impl RequestHandler for Ear {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
+impl RequestHandler for PeerHandler {
+    fn handle(self: Arc<Self>, envelope: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
-            let (tell, blob) = match p.decode::<PeerRequest>() {
-                Some(PeerRequest::ExchangeLoads { by_site }) => self.0.hear_load(&p, by_site),
-                Some(ask) => (self.0.hear(ask, p.payload).await, vec![]),
+            let (response, payload) = match envelope.decode::<PeerRequest>() {
+                Some(PeerRequest::ExchangeLoads { by_site }) => {
+                    self.0.handle_load_exchange(&envelope, by_site)
+                }
+                Some(request) => (
+                    self.0.handle_peer_request(request, envelope.payload).await,
+                    vec![],
+                ),
                 None => (PeerResponse::Rejected(Code::BadBody), vec![]),
             };
             Reply {
-                message: serde_json::to_vec(&tell).unwrap_or_default(),
-                payload: blob,
+                message: serde_json::to_vec(&response).unwrap_or_default(),
+                payload,
             }
         })
     }
 }
 
 impl Front {
-    /// A front with the product's own doors.
-    pub async fn start(w: &Runtime, settings: ProcessSettings) -> Result<Arc<Front>, BindError> {
-        let f = Front::open(w, settings);
-        let http = f.listen().await?;
-        let me = f.clone();
-        let h: yewcross_common::buffered_http::Handler =
-            Arc::new(move |j| Box::pin(answer(me.clone(), j)));
-        w.spawn(yewcross_common::buffered_http::serve(
-            w.clone(),
+    /// Starts a node that serves the product's own HTTP paths.
+    pub async fn start(
+        runtime: &Runtime,
+        settings: ProcessSettings,
+    ) -> Result<Arc<Front>, BindError> {
+        let front = Front::open(runtime, settings);
+        let http = front.listen().await?;
+        let node = front.clone();
+        let handler: yewcross_common::buffered_http::Handler =
+            Arc::new(move |request| Box::pin(answer(node.clone(), request)));
+        runtime.spawn(yewcross_common::buffered_http::serve(
+            runtime.clone(),
             http,
-            h,
-            f.connections.clone(),
+            handler,
+            front.connections.clone(),
         ));
-        f.run();
-        w.spawn(news::run(f.clone()));
-        Ok(f)
+        front.run();
+        runtime.spawn(news::run(front.clone()));
+        Ok(front)
     }
 
-    /// A front that serves routed requests through another platform's ports.
+    /// Starts a node that serves routed requests through another platform's ports.
     pub async fn start_with(
-        w: &Runtime,
+        runtime: &Runtime,
         settings: ProcessSettings,
-        o: FrontOptions,
+        options: FrontOptions,
     ) -> Result<Arc<Front>, BindError> {
-        let f = Front::open(w, settings);
-        f.serve_routes(o).await?;
-        Ok(f)
+        let front = Front::open(runtime, settings);
+        front.serve_routes(options).await?;
+        Ok(front)
     }
 
-    /// The same in two steps, for ports that need the front's peers, members and book first.
-    pub async fn serve_routes(self: &Arc<Self>, o: FrontOptions) -> Result<(), BindError> {
-        let (f, w) = (self, &self.runtime);
-        let http = f.listen().await?;
-        let m = f.members.clone();
+    /// Starts to serve routed requests on an opened node. Apart from `open`, as some ports need the
+    /// node's peers, membership and documents first.
+    pub async fn serve_routes(self: &Arc<Self>, options: FrontOptions) -> Result<(), BindError> {
+        let (front, runtime) = (self, &self.runtime);
+        let http = front.listen().await?;
+        let members = front.members.clone();
         let relay = Arc::new(relay::Relay {
-            runtime: w.clone(),
-            documents: f.documents.clone(),
-            site: f.settings.site.clone(),
-            caller: o.caller,
-            back: o.upstream_protocol,
-            chains: o.turn_log,
+            runtime: runtime.clone(),
+            documents: front.documents.clone(),
+            site: front.settings.site.clone(),
+            caller: options.caller,
+            back: options.upstream_protocol,
+            chains: options.turn_log,
             fronts: Default::default(),
             pool: Default::default(),
             balance: Default::default(),
             retries: Default::default(),
             counts: Default::default(),
         });
-        let _ = f.relay.set(relay.clone());
-        let r = relay.clone();
-        let h: streaming_http::Handler = Arc::new(move |q, _| Box::pin(r.clone().serve(q)));
-        let b = f.documents.clone();
-        w.spawn(streaming_http::serve(
-            w.clone(),
+        let _ = front.relay.set(relay.clone());
+        let routed = relay.clone();
+        let handler: streaming_http::Handler =
+            Arc::new(move |request, _| Box::pin(routed.clone().serve(request)));
+        let documents = front.documents.clone();
+        runtime.spawn(streaming_http::serve(
+            runtime.clone(),
             http,
-            h,
-            Arc::new(move || b.config.load().1.routing.limits.clone()),
-            f.web.clone(),
+            handler,
+            Arc::new(move || documents.config.load().1.routing.limits.clone()),
+            front.streaming_connections.clone(),
         ));
-        f.run();
+        front.run();
         if relay.balance.policies.has(Mechanism::LoadExchange) {
-            let exchange =
-                LoadExchange::new(&f.members, &f.documents, &f.settings.name, &f.settings.site);
-            let _ = f.load_exchange.set(exchange.clone());
-            w.spawn(exchange.run(relay.clone()));
+            let exchange = LoadExchange::new(
+                &front.members,
+                &front.documents,
+                &front.settings.name,
+                &front.settings.site,
+            );
+            let _ = front.load_exchange.set(exchange.clone());
+            runtime.spawn(exchange.run(relay.clone()));
         }
-        let w = w.clone();
+        let runtime = runtime.clone();
         self.runtime.spawn(async move {
             loop {
-                w.sleep(MAINTENANCE_INTERVAL).await;
+                runtime.sleep(MAINTENANCE_INTERVAL).await;
                 relay.tidy(
-                    m.view
+                    members
+                        .view
                         .load()
                         .values()
-                        .filter(|n| n.role == Role::Front)
+                        .filter(|node| node.role == Role::Front)
                         .count(),
                 );
             }
@@ -297,9 +351,9 @@
         Ok(())
     }
 
-    /// Whether new callers may be sent here.
+    /// Whether new callers may be routed to this node.
     pub fn ready(&self) -> bool {
-        !self.leaving.load(SeqCst) && self.relay.get().is_some_and(|r| r.informed())
+        !self.is_stopping.load(SeqCst) && self.relay.get().is_some_and(|r| r.informed())
     }
 
     fn run(self: &Arc<Self>) {
@@ -308,73 +362,77 @@
     }
 
     async fn listen(self: &Arc<Self>) -> Result<Box<dyn Listener>, BindError> {
-        let bind = |at: std::net::SocketAddr| {
+        let bind = |address: std::net::SocketAddr| {
             move |source| BindError {
-                at: at.to_string(),
+                address: address.to_string(),
                 source,
             }
         };
-        let door = self
+        let peer_listener = self
             .runtime
             .bind(self.settings.peer)
             .await
             .map_err(bind(self.settings.peer))?;
-        let http = self
+        let http_listener = self
             .runtime
             .bind(self.settings.http)
             .await
             .map_err(bind(self.settings.http))?;
-        self.runtime
-            .spawn(self.peers.clone().serve(door, Arc::new(Ear(self.clone()))));
-        Ok(http)
+        self.runtime.spawn(
+            self.peers
+                .clone()
+                .serve(peer_listener, Arc::new(PeerHandler(self.clone()))),
+        );
+        Ok(http_listener)
     }
 
-    /// A front that nobody can reach yet.
+    /// Creates a node that does not listen yet.
     pub fn open(runtime: &Runtime, settings: ProcessSettings) -> Arc<Front> {
-        Front::open_by(runtime, settings, None)
+        Front::open_with_format(runtime, settings, None)
     }
 
-    /// The same, where configurations are written in another dialect and fronts serve without
-    /// leases, by what they hold.
+    /// Like `open`, for configurations in another format, and for nodes that serve without a lease
+    /// from the documents that they hold.
     pub fn open_without_leases(
         runtime: &Runtime,
         settings: ProcessSettings,
-        dialect: Arc<dyn ConfigurationFormat>,
+        format: Arc<dyn ConfigurationFormat>,
     ) -> Arc<Front> {
-        Front::open_by(runtime, settings, Some(dialect))
+        Front::open_with_format(runtime, settings, Some(format))
     }
 
-    fn open_by(
+    fn open_with_format(
         runtime: &Runtime,
         settings: ProcessSettings,
-        dialect: Option<Arc<dyn ConfigurationFormat>>,
+        format: Option<Arc<dyn ConfigurationFormat>>,
     ) -> Arc<Front> {
         let peers = PeerClient::new(runtime, &settings.name, &settings.site, settings.wire);
         let members = Membership::new(runtime, &settings, &peers, "");
-        let (book, follow) = match dialect {
+        let (document_cache, document_watcher) = match format {
             None => {
-                let book = DocumentCache::new(runtime);
-                let follow = DocumentWatcher::new(&members, &book, &settings.name, true);
-                (book, follow)
+                let document_cache = DocumentCache::new(runtime);
+                let document_watcher =
+                    DocumentWatcher::new(&members, &document_cache, &settings.name, true);
+                (document_cache, document_watcher)
             }
-            Some(d) => {
-                let book = DocumentCache::of(runtime, d);
-                let follow = DocumentWatcher::without_leases(
+            Some(format) => {
+                let document_cache = DocumentCache::of(runtime, format);
+                let document_watcher = DocumentWatcher::without_leases(
                     &members,
-                    &book,
+                    &document_cache,
                     &settings.name,
                     true,
                     settings.bounds.apply * MS,
                 );
-                (book, follow)
+                (document_cache, document_watcher)
             }
         };
         Arc::new(Front {
             runtime: runtime.clone(),
             peers,
             members,
-            documents: book,
-            watcher: follow,
+            documents: document_cache,
+            watcher: document_watcher,
             connections: Default::default(),
             pool: Default::default(),
             admission: Default::default(),
@@ -390,14 +448,15 @@
             counts: Default::default(),
             relay: Default::default(),
             load_exchange: Default::default(),
-            web: Default::default(),
-            leaving: Default::default(),
+            streaming_connections: Default::default(),
+            is_stopping: Default::default(),
             settings,
         })
     }
 
-    /// A report of what another front, or another site, has under way.
-    fn hear_load(&self, report: &Envelope, by_site: bool) -> (PeerResponse, Vec<u8>) {
+    /// Handles a report of the requests in flight on another node, or in another site, and answers
+    /// with this node's own.
+    fn handle_load_exchange(&self, report: &Envelope, by_site: bool) -> (PeerResponse, Vec<u8>) {
         let from = if by_site { &report.site } else { &report.from };
         match self
             .load_exchange
@@ -409,12 +468,16 @@
         }
     }
 
-    async fn hear(self: &Arc<Self>, a: PeerRequest, blob: Vec<u8>) -> PeerResponse {
-        match a {
+    async fn handle_peer_request(
+        self: &Arc<Self>,
+        request: PeerRequest,
+        payload: Vec<u8>,
+    ) -> PeerResponse {
+        match request {
             PeerRequest::Probe { .. }
             | PeerRequest::ProbeOnBehalf { .. }
             | PeerRequest::ExchangeMembership { .. }
-            | PeerRequest::MembershipUpdate { .. } => self.members.handle(a).await,
+            | PeerRequest::MembershipUpdate { .. } => self.members.handle(request).await,
             PeerRequest::PollDocuments { .. } => self.watcher.poll_response(),
             PeerRequest::ServersLeaving { servers, .. } => {
                 self.documents.mark_leaving(&servers);
@@ -422,7 +485,7 @@
             }
             PeerRequest::PublishDelta {
                 name,
-                version: seq,
+                version,
                 epoch,
                 base,
                 base_digest,
@@ -430,7 +493,7 @@
             } => {
                 if self
                     .documents
-                    .apply_delta(&name, base, &base_digest, seq, epoch, &blob)
+                    .apply_delta(&name, base, &base_digest, version, epoch, &payload)
                     .is_ok()
                     && name != "list"
                 {
@@ -442,11 +505,11 @@
             }
             PeerRequest::PublishDocument {
                 name,
-                version: seq,
+                version,
                 epoch,
                 ..
             } => {
-                if self.documents.apply(&name, seq, epoch, blob) && name != "list" {
+                if self.documents.apply(&name, version, epoch, payload) && name != "list" {
                     self.watcher.reset();
                 }
                 PeerResponse::DocumentApplied {
@@ -466,72 +529,81 @@
         }
     }
 
-    /// Asks the key's owner, and the next in rank where it cannot be reached.
+    /// Sends a request to the replica of the store that is preferred for the key, and to the next one
+    /// if that cannot be reached or rejects it as unavailable or undecided; at most `rounds` times
+    /// over all replicas.
     pub async fn call_store(
         self: &Arc<Self>,
         key: &str,
-        a: &PeerRequest,
-        blob: &[u8],
+        request: &PeerRequest,
+        payload: &[u8],
         rounds: usize,
     ) -> Option<(PeerResponse, Vec<u8>)> {
-        self.call_store_until(key, a, blob, rounds, u64::MAX).await
+        self.call_store_until(key, request, payload, rounds, u64::MAX)
+            .await
     }
 
-    /// The same, beginning no new try after the given time.
+    /// Like `call_store`, without new attempts after `until` (us of the node's clock).
     pub async fn call_store_until(
         self: &Arc<Self>,
         key: &str,
-        a: &PeerRequest,
-        blob: &[u8],
+        request: &PeerRequest,
+        payload: &[u8],
         rounds: usize,
         until: u64,
     ) -> Option<(PeerResponse, Vec<u8>)> {
-        let mut last = None;
-        for i in 0..rounds {
-            for to in replicas_by_preference(&self.documents, &self.members, key) {
+        let mut last_rejection = None;
+        for round in 0..rounds {
+            for replica in replicas_by_preference(&self.documents, &self.members, key) {
                 if self.runtime.now() > until {
-                    return last;
+                    return last_rejection;
                 }
-                match self.peers.request(to, a, blob, PEER_REQUEST_TIMEOUT).await {
-                    Ok((t @ PeerResponse::Rejected(Code::StoreAway | Code::Undecided), b)) => {
-                        last = Some((t, b))
-                    }
-                    Ok(x) => return Some(x),
+                match self
+                    .peers
+                    .request(replica, request, payload, PEER_REQUEST_TIMEOUT)
+                    .await
+                {
+                    Ok((
+                        response @ PeerResponse::Rejected(Code::StoreAway | Code::Undecided),
+                        response_payload,
+                    )) => last_rejection = Some((response, response_payload)),
+                    Ok(answer) => return Some(answer),
                     Err(SendError::NotSent) => {}
-                    Err(SendError::OutcomeUnknown) => last = None,
+                    Err(SendError::OutcomeUnknown) => last_rejection = None,
                 }
             }
-            if i + 1 < rounds {
+            if round + 1 < rounds {
                 self.runtime.sleep(30 * MS).await;
             }
         }
-        last
+        last_rejection
     }
 
-    /// Tells the store that a shot will not be dispatched.
+    /// Notifies the store in the background that a begun turn or lookup will not be dispatched.
     pub fn abort_turn(self: &Arc<Self>, key: &str, job: &str, nonce: u64, budget: Option<String>) {
-        let (me, key, job) = (self.clone(), key.to_string(), job.to_string());
+        let (node, key, job) = (self.clone(), key.to_string(), job.to_string());
         self.runtime.spawn(async move {
-            let a = PeerRequest::AbortTurn {
+            let request = PeerRequest::AbortTurn {
                 key: key.clone(),
                 request_id: job,
                 nonce,
                 budget,
             };
-            for i in 0..4u64 {
+            for attempt in 0..4u64 {
                 if let Some((PeerResponse::Ok | PeerResponse::Rejected(Code::Conflict), _)) =
-                    me.call_store(&key, &a, &[], 1).await
+                    node.call_store(&key, &request, &[], 1).await
                 {
                     return;
                 }
-                me.runtime.sleep((100 << i) * MS).await;
+                node.runtime.sleep((100 << attempt) * MS).await;
             }
         });
     }
 
-    /// A planned stop: what was read whole is answered, the accept backlog included.
+    /// Stops the node gracefully: every request that was received completely is answered, including
+    /// those of connections in the accept backlog.
     pub async fn stop(&self) {
-        self.leaving.store(true, SeqCst);
+        self.is_stopping.store(true, SeqCst);
         if self.relay.get().is_some() {
             return self.stop_routes().await;
         }
@@ -541,22 +613,26 @@
         self.members.announce_leaving().await;
     }
 
-    /// Callers are sent elsewhere first; then the door closes, and what is under way comes to its
-    /// end.
+    /// Reports not ready first, so that new callers are routed to other nodes; then closes the
+    /// listener and waits for the requests in progress.
     async fn stop_routes(&self) {
-        let end =
+        let deadline =
             self.runtime.now() + (self.settings.bounds.grace * MS).saturating_sub(SHUTDOWN_RESERVE);
-        self.web.last();
+        self.streaming_connections.last();
         self.runtime
             .sleep(SHUTDOWN_NOTICE.min(self.settings.bounds.grace * MS / 3))
             .await;
-        self.web.close();
+        self.streaming_connections.close();
         self.runtime
-            .timeout(end.saturating_sub(self.runtime.now()), self.web.emptied())
+            .timeout(
+                deadline.saturating_sub(self.runtime.now()),
+                self.streaming_connections.emptied(),
+            )
             .await;
         self.members.announce_leaving().await;
     }
 
+    /// Counts a request as dispatched to the server until the guard is dropped.
     pub fn count_dispatch(&self, server: &str) -> DispatchGuard<'_> {
         *self
             .dispatched_since_report
@@ -567,77 +643,88 @@
         DispatchGuard(self, server.into())
     }
 
+    /// Counts a failed attempt at the server for 5 s; up to 16 in a row.
     pub fn record_failure(&self, server: &str) {
-        let mut g = self.recent_failures.lock().unwrap();
-        let e = g.entry(server.into()).or_default();
-        *e = ((e.0 + 1).min(16), self.runtime.now() + 5 * SEC);
+        let mut failures = self.recent_failures.lock().unwrap();
+        let entry = failures.entry(server.into()).or_default();
+        *entry = ((entry.0 + 1).min(16), self.runtime.now() + 5 * SEC);
     }
 
+    /// Resets the server's count of consecutive failures after a success.
     pub fn clear_failures(&self, server: &str) {
         self.recent_failures.lock().unwrap().remove(server);
     }
 
-    pub fn cache_history(&self, key: &str, hist: Vec<u8>) {
-        let mut g = self.cached_histories.lock().unwrap();
-        g.insert(key.into(), hist);
-        while g.len() > CACHED_SESSION_HISTORIES {
-            g.pop_first();
+    /// Caches a session's history, within [`CACHED_SESSION_HISTORIES`] sessions.
+    pub fn cache_history(&self, key: &str, history: Vec<u8>) {
+        let mut histories = self.cached_histories.lock().unwrap();
+        histories.insert(key.into(), history);
+        while histories.len() > CACHED_SESSION_HISTORIES {
+            histories.pop_first();
         }
     }
 
+    /// Removes idle connections, reports and failures that have expired, and the announced reports of
+    /// servers that are no longer listed.
     pub fn remove_expired(&self) {
-        let t = self.runtime.now();
-        self.pool.prune(t);
-        self.announced_reports.lock().unwrap().retain(|n, _| {
+        let now = self.runtime.now();
+        self.pool.prune(now);
+        self.announced_reports.lock().unwrap().retain(|name, _| {
             self.documents
                 .list
                 .load()
                 .1
                 .servers
                 .iter()
-                .any(|s| s.server == *n)
+                .any(|server| server.server == *name)
         });
         self.received_reports
             .lock()
             .unwrap()
-            .retain(|_, h| t < h.at + 60 * SEC);
-        self.recent_failures.lock().unwrap().retain(|_, s| t < s.1);
+            .retain(|_, received| now < received.at + 60 * SEC);
+        self.recent_failures
+            .lock()
+            .unwrap()
+            .retain(|_, server| now < server.1);
     }
 }
 
-/// Every outcome tells under which configuration it was made, and of which shot it speaks.
-async fn answer(front: Arc<Front>, j: BufferedRequest) -> Response {
-    let v = front.documents.config.load().0;
+/// Answers a request. Each response carries the version of the configuration that was current when
+/// the request arrived, and for a turn or a lookup also the id of this execution.
+async fn answer(front: Arc<Front>, request: BufferedRequest) -> Response {
+    let version = front.documents.config.load().0;
     let nonce = front.runtime.random();
-    let shot = matches!(j.path.as_str(), "/v1/turn" | "/v1/lookup").then(|| format!("{nonce:x}"));
-    let mut r = route(front, j, nonce).await;
-    r.insert_header("yewcross-config", v.to_string());
-    shot.into_iter().for_each(|s| {
-        r.insert_header("yewcross-shot", s);
+    let execution_id =
+        matches!(request.path.as_str(), "/v1/turn" | "/v1/lookup").then(|| format!("{nonce:x}"));
+    let mut response = route(front, request, nonce).await;
+    response.insert_header("yewcross-config", version.to_string());
+    execution_id.into_iter().for_each(|id| {
+        response.insert_header("yewcross-shot", id);
     });
-    r
+    response
 }
 
-async fn route(front: Arc<Front>, j: BufferedRequest, nonce: u64) -> Response {
-    match (j.verb, j.path.as_str()) {
-        (Method::Post, "/v1/turn") => turn::answer(front, j, nonce).await,
-        (Method::Post, "/v1/session/end") => turn::end_session(front, j).await,
-        (Method::Post, "/v1/lookup") => lookup::answer(front, j, nonce).await,
+/// Routes a request by its method and path.
+async fn route(front: Arc<Front>, request: BufferedRequest, nonce: u64) -> Response {
+    match (request.verb, request.path.as_str()) {
+        (Method::Post, "/v1/turn") => turn::answer(front, request, nonce).await,
+        (Method::Post, "/v1/session/end") => turn::end_session(front, request).await,
+        (Method::Post, "/v1/lookup") => lookup::answer(front, request, nonce).await,
         (Method::Get, "/v1/servers") => reply(200, &server_table::table(&front)),
         (Method::Get, "/health") => {
-            let ok = front.watcher.may_serve();
-            let v: BTreeMap<String, u64> = front.documents.versions().into_iter().collect();
+            let may_serve = front.watcher.may_serve();
+            let versions: BTreeMap<String, u64> = front.documents.versions().into_iter().collect();
             reply(
-                if ok { 200 } else { 503 },
-                &json!({"serving": ok, "versions": v}),
+                if may_serve { 200 } else { 503 },
+                &json!({"serving": may_serve, "versions": versions}),
             )
         }
         (Method::Get, "/metrics") => {
-            let t = &front.peers.metrics;
+            let metrics = &front.peers.metrics;
             reply(
                 200,
-                &json!({"counts": front.counts.all(), "kinds": *t.kinds.lock().unwrap(), "odd_frames": front.peers.rejected_frames.load(SeqCst), "messages": t.sent.load(SeqCst), "bytes_within": t.bytes_within.load(SeqCst),
-                    "bytes_across": t.bytes_across.load(SeqCst), "lines": front.admission.depth(), "open": front.connections.open.load(SeqCst),
+                &json!({"counts": front.counts.all(), "kinds": *metrics.kinds.lock().unwrap(), "odd_frames": front.peers.rejected_frames.load(SeqCst), "messages": metrics.sent.load(SeqCst), "bytes_within": metrics.bytes_within.load(SeqCst),
+                    "bytes_across": metrics.bytes_across.load(SeqCst), "lines": front.admission.depth(), "open": front.connections.open.load(SeqCst),
                     "busy": front.connections.busy.load(SeqCst)}),
             )
         }
@@ -645,6 +732,6 @@
             _,
             "/v1/turn" | "/v1/lookup" | "/v1/session/end" | "/v1/servers" | "/health" | "/metrics",
         ) => refuse(Code::WrongVerb, "", 0),
-        _ => refuse(Code::UnknownPath, &j.path, 0),
+        _ => refuse(Code::UnknownPath, &request.path, 0),
     }
 }
--- a/yewcross-proxy/src/main.rs
+++ b/yewcross-proxy/src/main.rs
@@ -1,3 +1,6 @@
+//! The process of a data-plane node: reads its startup file, serves until a signal stops it, and
+//! reloads the file on SIGHUP.
+
 use futures_lite::StreamExt;
 use yewcross_common::process_settings::exit;
 use yewcross_common::runtime::os::OsRuntime;
@@ -7,53 +10,54 @@
     cmd yewcross-front {
         /// Startup file (TOML); see docs/operating.md.
         required --startup file: String
-        /// Check the startup file, print every fault, and end.
+        /// Check the startup file, print every error, and exit.
         optional --check
     }
 }
 
 fn main() {
-    let a = YewcrossFront::from_env_or_exit();
-    let s = yewcross_common::process_settings::load(&a.startup, true, a.check);
-    let w = OsRuntime::start(".", s.threads);
+    let arguments = YewcrossFront::from_env_or_exit();
+    let settings =
+        yewcross_common::process_settings::load(&arguments.startup, true, arguments.check);
+    let runtime = OsRuntime::start(".", settings.threads);
     let code = smol::block_on(async {
-        let f = match yewcross_proxy::Front::start(&w, s).await {
-            Ok(f) => f,
-            Err(e) => {
-                eprintln!("{e}");
+        let front = match yewcross_proxy::Front::start(&runtime, settings).await {
+            Ok(front) => front,
+            Err(error) => {
+                eprintln!("{error}");
                 return exit::CANNOT_BIND;
             }
         };
-        w.log("front up");
-        let sig = [
+        runtime.log("front node started");
+        let handled_signals = [
             async_signal::Signal::Term,
             async_signal::Signal::Int,
             async_signal::Signal::Hup,
         ];
-        let Ok(mut sigs) = async_signal::Signals::new(sig) else {
+        let Ok(mut signals) = async_signal::Signals::new(handled_signals) else {
             return exit::CANNOT_BIND;
         };
-        let gone = async {
-            f.members.replaced.wait().await;
+        let replaced = async {
+            front.members.replaced.wait().await;
             exit::REPLACED
         };
-        let told = async {
-            while let Some(Ok(x)) = sigs.next().await {
-                match x {
-                    async_signal::Signal::Hup => match f.settings.reload(&a.startup) {
-                        Ok(n) => {
-                            *f.members.seeds.lock().unwrap() = n.seeds;
-                            w.log("reloaded")
+        let stopped = async {
+            while let Some(Ok(signal)) = signals.next().await {
+                match signal {
+                    async_signal::Signal::Hup => match front.settings.reload(&arguments.startup) {
+                        Ok(new_settings) => {
+                            *front.members.seeds.lock().unwrap() = new_settings.seeds;
+                            runtime.log("startup file reloaded")
                         }
-                        Err(e) => w.log(&format!("reload refused: {e}")),
+                        Err(error) => runtime.log(&format!("startup file reload refused: {error}")),
                     },
                     _ => break,
                 }
             }
-            f.stop().await;
+            front.stop().await;
             exit::OK
         };
-        futures_lite::future::or(told, gone).await
+        futures_lite::future::or(stopped, replaced).await
     });
     std::process::exit(code);
 }
--- a/yewcross-proxy/tests/scan.rs
+++ b/yewcross-proxy/tests/scan.rs
@@ -1,21 +1,21 @@
-//! Events are read the same however they are cut into pieces.
+//! The event scanner gives the same result however the stream is split into chunks.
 
 use arbtest::arbtest;
 use yewcross_proxy::scan::EventScanner;
 
-fn read(pieces: &[&[u8]]) -> (u64, bool, String) {
-    let mut s = EventScanner::new(true);
-    pieces.iter().for_each(|p| s.push(p));
+fn read(chunks: &[&[u8]]) -> (u64, bool, String) {
+    let mut scanner = EventScanner::new(true);
+    chunks.iter().for_each(|chunk| scanner.push(chunk));
     (
-        s.events(),
-        s.is_complete(),
-        String::from_utf8(s.take_data()).unwrap(),
+        scanner.events(),
+        scanner.is_complete(),
+        String::from_utf8(scanner.take_data()).unwrap(),
     )
 }
 
 #[test]
-fn data_is_kept_with_a_line_feed_behind_each_line() {
-    let rows: [(&str, u64, bool, &str); 9] = [
+fn data_lines_are_collected_with_a_line_feed_after_each() {
+    let cases: [(&str, u64, bool, &str); 9] = [
         ("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 2, true, "a\nb\n"),
         ("data:a\r\n\r\ndata:  b\r\n\r\n", 2, true, "a\n b\n"),
         ("data: a\rdata: b\r\r", 1, true, "a\nb\n"),
@@ -26,37 +26,46 @@
         ("data: a", 1, false, ""),
         ("database: a\n\n", 0, true, ""),
     ];
-    rows.iter().for_each(|(t, n, w, d)| {
-        assert_eq!(read(&[t.as_bytes()]), (*n, *w, d.to_string()), "{t:?}")
-    });
+    cases
+        .iter()
+        .for_each(|(stream, events, is_complete, data)| {
+            assert_eq!(
+                read(&[stream.as_bytes()]),
+                (*events, *is_complete, data.to_string()),
+                "{stream:?}"
+            )
+        });
 }
 
-/// A line feed that comes alone behind a carriage return ends that line, and only that one.
+/// A line feed that follows a carriage return in the next chunk belongs to the same line end.
 #[test]
-fn a_line_feed_cut_off_from_its_carriage_return_ends_one_line() {
-    let pieces: [&[u8]; 4] = [b"data\r", b"\n", b"", b"\n"];
-    assert_eq!(read(&pieces), read(&[&pieces.concat()]));
+fn a_carriage_return_and_line_feed_in_separate_chunks_end_one_line() {
+    let chunks: [&[u8]; 4] = [b"data\r", b"\n", b"", b"\n"];
+    assert_eq!(read(&chunks), read(&[&chunks.concat()]));
 }
 
 #[test]
-fn cuts_change_nothing() {
-    arbtest(|u| {
-        let words = [
+fn chunk_boundaries_do_not_change_the_result() {
+    arbtest(|source| {
+        let fragments = [
             "data: ", "data", "id: 4", "\n", "\r\n", "\r", "\n\n", "é", " x", ":", "",
         ];
-        let n = u.int_in_range(0..=30)?;
-        let mut t = String::new();
-        for _ in 0..n {
-            t += u.choose(&words)?;
+        let fragment_count = source.int_in_range(0..=30)?;
+        let mut stream = String::new();
+        for _ in 0..fragment_count {
+            stream += source.choose(&fragments)?;
         }
-        let b = t.as_bytes();
-        let mut cuts = vec![0, b.len()];
-        for _ in 0..u.int_in_range(0..=6)? {
-            cuts.push(u.int_in_range(0..=b.len())?);
+        let bytes = stream.as_bytes();
+        let mut cuts = vec![0, bytes.len()];
+        for _ in 0..source.int_in_range(0..=6)? {
+            cuts.push(source.int_in_range(0..=bytes.len())?);
         }
         cuts.sort();
-        let pieces: Vec<&[u8]> = cuts.windows(2).map(|w| &b[w[0]..w[1]]).collect();
-        assert_eq!(read(&pieces), read(&[b]), "{t:?} {cuts:?}");
+        let chunks: Vec<&[u8]> = cuts
+            .windows(2)
+            .map(|bounds| &bytes[bounds[0]..bounds[1]])
+            .collect();
+        assert_eq!(read(&chunks), read(&[bytes]), "{stream:?} {cuts:?}");
         Ok(())
     });
 }
