--- a/yewcross-proxy/src/backend.rs
+++ b/yewcross-proxy/src/backend.rs
@@ -1,5 +1,5 @@
-//! Connections to servers of turns and lookups. No request is sent before the identity of the server at
-//! the other end is verified.
+//! Connections to servers of turns and lookups. No request is sent before the identity of the
+//! server at the other end is verified.
 
 use futures_lite::AsyncBufReadExt;
 use http_types::{Method, Response};
@@ -62,7 +62,8 @@
         })
     }
 
-    /// Requests the server's identity; fails unless it is the expected server of the expected service.
+    /// Requests the server's identity; fails unless it is the expected server of the expected
+    /// service.
     pub async fn verify(
         self,
         runtime: &Runtime,
@@ -103,7 +104,8 @@
 #[allow(clippy::large_enum_variant)]
 pub enum SendResult {
     Answered(Response),
-    /// No response was received in time, or the connection failed; the server may have executed the request.
+    /// No response was received in time, or the connection failed; the server may have executed the
+    /// request.
     OutcomeUnknown,
 }
 
@@ -233,8 +235,8 @@
         ResponseLines(Box::new(response.take_body()))
     }
 
-    /// The next complete line without its line feed; None if the body ended, the connection failed, or
-    /// no line was received within `timeout` (us).
+    /// The next complete line without its line feed; None if the body ended, the connection failed,
+    /// or no line was received within `timeout` (us).
     pub async fn next(&mut self, runtime: &Runtime, timeout: u64) -> Option<Vec<u8>> {
         let mut line = vec![];
         let bytes = runtime
@@ -244,7 +246,8 @@
         (bytes > 0 && line.pop() == Some(b'\n')).then_some(line)
     }
 
-    /// Whether the body ends within 50 ms without further bytes, so that the connection can be reused.
+    /// Whether the body ends within 50 ms without further bytes, so that the connection can be
+    /// reused.
     pub async fn reached_end(&mut self, runtime: &Runtime) -> bool {
         let mut line = vec![];
         matches!(
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -1,9 +1,10 @@
-//! The data plane of the serving tier: nodes of role `front`, which receive callers' requests, choose
-//! a server for each and forward it there.
+//! The data plane of the serving tier: nodes of role `front`, which receive callers' requests,
+//! choose a server for each and forward it there.
 //!
-//! A node serves one of two interfaces. Started by [`Front::start`], it serves the product's own HTTP
-//! paths: turns (`turn`) and lookups (`lookup`), with servers selected from load reports. Given the
-//! ports of another platform ([`FrontOptions`]), it serves that platform's routed requests (`relay`).
+//! A node serves one of two interfaces. Started by [`Front::start`], it serves the product's own
+//! HTTP paths: turns (`turn`) and lookups (`lookup`), with servers selected from load reports.
+//! Given the ports of another platform ([`FrontOptions`]), it serves that platform's routed
+//! requests (`relay`).
 
 pub mod admission;
 pub mod backend;
@@ -92,6 +93,7 @@
     pushes,
     push_failed,
     push_skipped,
+    // Bytes pushed to servers of the same site, and of another.
     push_within,
     push_across,
     // Updates of a session's cache state that the store did not accept.
@@ -120,7 +122,8 @@
     pub announced_reports: Mutex<BTreeMap<String, LoadReport>>,
     /// By server: requests dispatched since its last load report.
     pub dispatched_since_report: Mutex<BTreeMap<String, u32>>,
-    /// By server: number of consecutive failures, and until when they count (us of the node's clock).
+    /// By server: number of consecutive failures, and until when they count (us of the node's
+    /// clock).
     pub recent_failures: Mutex<BTreeMap<String, (u32, u64)>>,
     /// Session histories by key, cached so that the store need not send them again.
     pub cached_histories: Mutex<BTreeMap<String, Vec<u8>>>,
@@ -157,8 +160,8 @@
     source: std::io::Error,
 }
 
-/// Paces replica pushes: at most [`KV_PUSHES_PER_SERVER`] at once to one server, and at most half of
-/// the sending server's link bandwidth.
+/// Paces replica pushes: at most [`KV_PUSHES_PER_SERVER`] at once to one server, and at most half
+/// of the sending server's link bandwidth.
 #[derive(Default)]
 pub struct PushPacer {
     /// Pushes in progress by receiving server.
@@ -209,8 +212,8 @@
         }
     }
 
-    /// Reserves the sender's link for twice the time that the bytes take at the link's rate (bytes per
-    /// second), so that pushes use at most half of it.
+    /// Reserves the sender's link for twice the time that the bytes take at the link's rate (bytes
+    /// per second), so that pushes use at most half of it.
     pub fn charge_link(&self, now: u64, from: &str, bytes: u64, bytes_per_s: u64) {
         let mut free_at = self.free_at.lock().unwrap();
         let link_free_at = free_at.entry(from.into()).or_default();
@@ -529,9 +532,9 @@
         }
     }
 
-    /// Sends a request to the replica of the store that is preferred for the key, and to the next one
-    /// if that cannot be reached or rejects it as unavailable or undecided; at most `rounds` times
-    /// over all replicas.
+    /// Sends a request to the replica of the store that is preferred for the key, and to the next
+    /// one if that cannot be reached or rejects it as unavailable or undecided; at most `rounds`
+    /// times over all replicas.
     pub async fn call_store(
         self: &Arc<Self>,
         key: &str,
@@ -664,8 +667,8 @@
         }
     }
 
-    /// Removes idle connections, reports and failures that have expired, and the announced reports of
-    /// servers that are no longer listed.
+    /// Removes idle connections, reports and failures that have expired, and the announced reports
+    /// of servers that are no longer listed.
     pub fn remove_expired(&self) {
         let now = self.runtime.now();
         self.pool.prune(now);
--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -1,6 +1,6 @@
 //! The processing of a lookup in the proxy, in phases: `validate`; `admit`; `register_once`;
-//! `select_server` and `attempt`, until an attempt is answered; `settle`. Each phase takes the result of
-//! the one before.
+//! `select_server` and `attempt`, until an attempt is answered; `settle`. Each phase takes the
+//! result of the one before.
 
 mod attempt;
 mod once;
@@ -78,8 +78,8 @@
     };
     let (answer_sender, answer) = async_channel::bounded(1);
     let node = front.clone();
-    // A task of its own: a lookup that may run only once is completed even if the caller disconnects
-    // or the deadline passes.
+    // A task of its own: a lookup that may run only once is completed even if the caller
+    // disconnects or the deadline passes.
     front.runtime.spawn(async move {
         // Fails only if the response is no longer waited for.
         let _ = answer_sender.try_send(drive(node, received).await);
--- a/yewcross-proxy/src/lookup/attempt.rs
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -8,7 +8,8 @@
 use yewcross_common::buffered_http::body;
 use yewcross_common::constants::{MAX_BODY_BYTES, MS};
 
-/// us. Shortest timeout of an attempt, if that much time is left; half of the time left may be less.
+/// us. Shortest timeout of an attempt, if that much time is left; half of the time left may be
+/// less.
 const MIN_ATTEMPT_TIMEOUT: u64 = 100 * MS;
 
 /// The outcome of an attempt.
--- a/yewcross-proxy/src/lookup/once.rs
+++ b/yewcross-proxy/src/lookup/once.rs
@@ -1,5 +1,5 @@
-//! Lookups that may run only once: registered in the store before they are dispatched; their outcome is
-//! committed there before it is sent to the caller.
+//! Lookups that may run only once: registered in the store before they are dispatched; their
+//! outcome is committed there before it is sent to the caller.
 
 use super::Rejection;
 use super::validation::ValidLookup;
--- a/yewcross-proxy/src/pool.rs
+++ b/yewcross-proxy/src/pool.rs
@@ -1,5 +1,5 @@
-//! Pooled HTTP/1.1 connections to servers. A connection carries one request at a time and is kept idle
-//! as long as the server keeps it open.
+//! Pooled HTTP/1.1 connections to servers. A connection carries one request at a time and is kept
+//! idle as long as the server keeps it open.
 
 use bytes::Bytes;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -48,8 +48,8 @@
 }
 
 /// Counts the bytes written, so that a request of which none was written is reported as not sent.
-/// Fails instead of writing the first byte of a request after its write deadline: a process that was
-/// suspended may have missed changes of the state by which the server was selected.
+/// Fails instead of writing the first byte of a request after its write deadline: a process that
+/// was suspended may have missed changes of the state by which the server was selected.
 struct TrackedConnection {
     connection: Connection,
     runtime: Runtime,
@@ -111,8 +111,8 @@
 }
 
 impl UpstreamConnection {
-    /// Sends a request whose first byte is written by `write_deadline` (us of the runtime's clock) or
-    /// not at all.
+    /// Sends a request whose first byte is written by `write_deadline` (us of the runtime's clock)
+    /// or not at all.
     pub async fn send_request(
         &mut self,
         runtime: &Runtime,
@@ -143,8 +143,8 @@
 }
 
 impl Pool {
-    /// Takes the most recently used idle connection. With `recent` set, only one that was used within
-    /// the last [`UPSTREAM_RECENT_USE`].
+    /// Takes the most recently used idle connection. With `recent` set, only one that was used
+    /// within the last [`UPSTREAM_RECENT_USE`].
     pub fn take(&self, server: &str, now: u64, recent: bool) -> Option<UpstreamConnection> {
         let mut idle = self.idle.lock().unwrap();
         let connections = idle.get_mut(server)?;
@@ -198,8 +198,9 @@
         })
     }
 
-    /// Keeps a connection whose response was read to its end; `idle_ms` is the idle timeout that the
-    /// server announced. With more than `max_idle` connections to a server, the oldest is closed.
+    /// Keeps a connection whose response was read to its end; `idle_ms` is the idle timeout that
+    /// the server announced. With more than `max_idle` connections to a server, the oldest is
+    /// closed.
     pub fn put_idle(
         &self,
         server: &str,
--- a/yewcross-proxy/src/scan.rs
+++ b/yewcross-proxy/src/scan.rs
@@ -1,5 +1,5 @@
-//! Incremental parser of server-sent events: counts the events of a stream that is forwarded chunk by
-//! chunk, and collects their data.
+//! Incremental parser of server-sent events: counts the events of a stream that is forwarded chunk
+//! by chunk, and collects their data.
 //! Source: WHATWG HTML, 9.2.6 "Interpreting an event stream".
 
 /// Counts events and collects their data, each line of it followed by a line feed.
@@ -124,8 +124,8 @@
         self.events
     }
 
-    /// The state after the last complete event, for a server that resumes the stream there: what was
-    /// read of the next event is dropped.
+    /// The state after the last complete event, for a server that resumes the stream there: what
+    /// was read of the next event is dropped.
     pub fn truncated_to_last_event(&self) -> EventScanner {
         let mut scan = self.clone();
         (scan.has_open_event, scan.ends_with_cr, scan.id) = (false, false, None);
--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -30,7 +30,8 @@
     let deadline = received_at + body.horizon_ms.min(max_ms) * MS + DEADLINE_GRACE;
     // A response made at the last moment still has to be written.
     let write_deadline = deadline + DEADLINE_GRACE / 2;
-    // Unbounded, as a turn's output is limited: a caller that reads slowly must not delay the server.
+    // Unbounded, as a turn's output is limited: a caller that reads slowly must not delay the
+    // server.
     let (sender, events) = async_channel::unbounded();
     let is_streamed = body.stream;
     let received = ReceivedTurn {
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a turn at a server: sends the request, forwards the chunks of the output and verifies
-//! the end.
+//! One attempt of a turn at a server: sends the request, forwards the chunks of the output and
+//! verifies the end.
 
 use super::events::{Event, EventSender, TurnOutcome};
 use super::request::tokens;
@@ -55,7 +55,8 @@
     Finished(Box<FinishedAttempt>),
     /// The server reported that it did not run the turn, or nothing was sent.
     NotRun,
-    /// The server may have run the turn; with `has_output`, the caller may have received some of it.
+    /// The server may have run the turn; with `has_output`, the caller may have received some of
+    /// it.
     Unknown {
         has_output: bool,
     },
@@ -151,8 +152,8 @@
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// Reads a response with a status other than 200: only a rejection with a valid stamp proves that the turn did
-/// not run.
+/// Reads a response with a status other than 200: only a rejection with a valid stamp proves that
+/// the turn did not run.
 async fn read_rejection(
     front: &Front,
     connection: &BackendConnection<Verified>,
--- a/yewcross-proxy/src/turn/begin.rs
+++ b/yewcross-proxy/src/turn/begin.rs
@@ -1,5 +1,5 @@
-//! Begins a turn in the store, in one round trip: afterwards this proxy owns the session's record under a
-//! new epoch, and the budget holds a reservation for the turn.
+//! Begins a turn in the store, in one round trip: afterwards this proxy owns the session's record
+//! under a new epoch, and the budget holds a reservation for the turn.
 
 use super::events::{Rejection, TurnOutcome};
 use super::request::tokens;
--- a/yewcross-proxy/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -19,8 +19,8 @@
 const CLOSE_ROUNDS: usize = 4;
 const LINE_END: u8 = b'\n';
 
-/// Commits a finished turn in one round trip: history, outcome and budget are stored by a majority of
-/// replicas before the end is sent to the caller.
+/// Commits a finished turn in one round trip: history, outcome and budget are stored by a majority
+/// of replicas before the end is sent to the caller.
 pub(super) async fn commit(
     front: &Arc<Front>,
     turn: BegunTurn,
--- a/yewcross-proxy/src/turn/drive.rs
+++ b/yewcross-proxy/src/turn/drive.rs
@@ -201,9 +201,9 @@
         && reserve_another_attempt(front, turn, last_server).await
 }
 
-/// Cancels the last attempt and reserves tokens for the next one. The last attempt may still generate
-/// all the tokens that it was allowed, so the next one needs a reservation of its own; it is settled
-/// as spent in full.
+/// Cancels the last attempt and reserves tokens for the next one. The last attempt may still
+/// generate all the tokens that it was allowed, so the next one needs a reservation of its own; it
+/// is settled as spent in full.
 async fn reserve_another_attempt(
     front: &Arc<Front>,
     turn: &mut BegunTurn,
--- a/yewcross-proxy/src/turn/events.rs
+++ b/yewcross-proxy/src/turn/events.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use yewcross_common::error_code::Code;
 
-/// The outcome of a finished turn: stored, and replayed when a request with the same id is repeated.
+/// The outcome of a finished turn: stored, and replayed when a request with the same id is
+/// repeated.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TurnOutcome {
     /// The complete output.
@@ -59,8 +60,8 @@
     pub(super) is_replayed: bool,
 }
 
-/// Sends a turn's events. The channel is unbounded, so that a caller that reads slowly does not delay
-/// the server.
+/// Sends a turn's events. The channel is unbounded, so that a caller that reads slowly does not
+/// delay the server.
 pub(super) type EventSender = async_channel::Sender<Event>;
 
 pub(super) async fn send_rejection(events: &EventSender, rejection: Rejection) {
--- a/yewcross-proxy/src/turn/mod.rs
+++ b/yewcross-proxy/src/turn/mod.rs
@@ -1,9 +1,9 @@
 //! The processing of a turn in the proxy, from the caller's request to the committed outcome.
 //!
 //! `answer` reads the request and writes the response. `drive` runs the turn through its phases:
-//! `begin`; `selection` and `attempt`, until an attempt finishes; `commit`. `events` defines what is
-//! reported to the caller, `state` what each phase passes to the next. The modules have no circular
-//! imports.
+//! `begin`; `selection` and `attempt`, until an attempt finishes; `commit`. `events` defines what
+//! is reported to the caller, `state` what each phase passes to the next. The modules have no
+//! circular imports.
 
 mod answer;
 mod attempt;
--- a/yewcross-proxy/src/turn/request.rs
+++ b/yewcross-proxy/src/turn/request.rs
@@ -35,8 +35,8 @@
     pub(super) stream: bool,
 }
 
-/// Whether the name is valid for a program, session or request: printable ASCII without `/` and `|`,
-/// which separate the parts of keys.
+/// Whether the name is valid for a program, session or request: visible ASCII without `/` and
+/// `|`, which separate the parts of keys.
 pub(crate) fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= NAME_BYTES_MAX
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -27,7 +27,7 @@
 enum Decision {
     Dispatch(Box<Pick>),
     /// No server has a free slot.
-    WaitForRoom,
+    WaitForSlot,
     /// The session's home server has no free slot, and waiting for one costs less than running on
     /// another server.
     WaitForHome,
@@ -45,10 +45,10 @@
     started: u64,
 }
 
-/// Selects a server and connects to it; a server that cannot be reached is excluded. Imports are never
-/// waited for: while the session's home server has no free slot, the replica is imported in parallel
-/// with the wait, and a turn that has to move before the import is complete is served without the
-/// cached prefix.
+/// Selects a server and connects to it; a server that cannot be reached is excluded. Imports are
+/// never waited for: while the session's home server has no free slot, the replica is imported in
+/// parallel with the wait, and a turn that has to move before the import is complete is served
+/// without the cached prefix.
 pub(super) async fn select_server(
     front: &Arc<Front>,
     turn: &BegunTurn,
@@ -87,7 +87,7 @@
                 }
                 continue;
             }
-            Decision::WaitForRoom => {}
+            Decision::WaitForSlot => {}
             Decision::WaitForHome => *permit = None,
         }
         if !is_import_started {
@@ -121,7 +121,7 @@
         return if is_too_late || now > request.queueing_deadline {
             Decision::GiveUp
         } else {
-            Decision::WaitForRoom
+            Decision::WaitForSlot
         };
     };
     let wait_until = home_wait_end(turn, candidates, &case, &pick);
@@ -132,9 +132,9 @@
     }
 }
 
-/// When waiting for the session's home server ends; None if the picked server is the home server, or if
-/// that no longer holds the prefix. The wait is no longer than the time by which running on the picked
-/// server takes longer than on the home server.
+/// When waiting for the session's home server ends; None if the picked server is the home server,
+/// or if that no longer holds the prefix. The wait is no longer than the time by which running on
+/// the picked server takes longer than on the home server.
 fn home_wait_end(
     turn: &BegunTurn,
     candidates: &Candidates,
@@ -157,8 +157,8 @@
     Some(end.min(turn.request.queueing_deadline))
 }
 
-/// Starts the import of the session's replica into its server's cache, if there is a replica and that
-/// server has a free slot.
+/// Starts the import of the session's replica into its server's cache, if there is a replica and
+/// that server has a free slot.
 fn start_import(
     front: &Arc<Front>,
     turn: &BegunTurn,
