--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -1,6 +1,6 @@
 //! kv_share: one replica of a session's cache, at the server it would spill to.
 
-use crate::backend;
+use crate::back;
 use crate::judge::{self, Weights};
 use crate::{Front, server_table};
 use lru::LruCache;
@@ -321,7 +321,7 @@
         serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
     front.counts.imports.fetch_add(1, SeqCst);
     let t0 = front.runtime.now();
-    let got = backend::request_once(
+    let got = back::request_once(
         &front.runtime,
         &front.pool,
         &service,
@@ -626,7 +626,7 @@
         let (f, svc, at) = (f.clone(), fam.service.clone(), at.at.clone());
         async move {
             let b = serde_json::to_vec(&v).unwrap_or_default();
-            backend::request_once(
+            back::request_once(
                 &f.runtime,
                 &f.pool,
                 &svc,
@@ -699,7 +699,7 @@
     if let Some(l) = list.1.servers.iter().find(|l| l.server == server) {
         let b = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
         front.counts.drops.fetch_add(1, SeqCst);
-        backend::request_once(
+        back::request_once(
             &front.runtime,
             &front.pool,
             svc,
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -7,7 +7,7 @@
 //! requests (`relay`).
 
 pub mod admission;
-pub mod backend;
+pub mod back;
 pub mod balance;
 pub mod judge;
 pub mod kv;
@@ -112,7 +112,7 @@
     pub watcher: Arc<DocumentWatcher>,
     /// Callers' connections where the product's own paths are served.
     pub connections: Arc<ConnectionTracker>,
-    pub pool: backend::Pool,
+    pub pool: back::Pool,
     /// Queues of requests that wait for a server with a free slot.
     pub admission: admission::Admission,
     pub push_pacer: PushPacer,
--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -10,7 +10,7 @@
 pub use validation::LookupBody;
 
 use crate::admission::{self, Permit};
-use crate::backend::Stamp;
+use crate::back::Stamp;
 use crate::{Front, server_table};
 use attempt::{AttemptOutcome, attempt};
 use http_types::Response;
--- a/yewcross-proxy/src/lookup/attempt.rs
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -3,7 +3,7 @@
 use super::once::RegisteredLookup;
 use super::selection::SelectedServer;
 use crate::Front;
-use crate::backend::{BackendConnection, SendResult, Stamp, Verified};
+use crate::back::{BackendConnection, SendResult, Stamp, Verified};
 use serde_json::{Value, json};
 use yewcross_common::buffered_http::body;
 use yewcross_common::constants::{MAX_BODY_BYTES, MS};
--- a/yewcross-proxy/src/lookup/selection.rs
+++ b/yewcross-proxy/src/lookup/selection.rs
@@ -1,7 +1,7 @@
 //! Selects the server for a lookup.
 
 use super::once::RegisteredLookup;
-use crate::backend::{BackendConnection, Verified};
+use crate::back::{BackendConnection, Verified};
 use crate::judge::{self, Case, Weights};
 use crate::{Front, server_table};
 use std::io;
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -4,7 +4,7 @@
 use super::events::{Event, EventSender, TurnOutcome};
 use super::request::tokens;
 use super::state::{BegunTurn, FinishedAttempt};
-use crate::backend::{BackendConnection, ResponseLines, SendResult, Stamp, Verified, request_once};
+use crate::back::{BackendConnection, ResponseLines, SendResult, Stamp, Verified, request_once};
 use crate::{Front, kv, server_table};
 use http_types::Response;
 use serde::Deserialize;
--- a/yewcross-proxy/src/turn/events.rs
+++ b/yewcross-proxy/src/turn/events.rs
@@ -1,6 +1,6 @@
 //! Events of a running turn, from which the response to the caller is written.
 
-use crate::backend::Stamp;
+use crate::back::Stamp;
 use serde::{Deserialize, Serialize};
 use yewcross_common::error_code::Code;
 
--- a/yewcross-proxy/src/turn/selection.rs
+++ b/yewcross-proxy/src/turn/selection.rs
@@ -3,7 +3,7 @@
 use super::request::tokens;
 use super::state::BegunTurn;
 use crate::admission::Permit;
-use crate::backend::{BackendConnection, Verified};
+use crate::back::{BackendConnection, Verified};
 use crate::judge::{Case, Pick, Warmth, Weights};
 use crate::kv::Due;
 use crate::server_table::Server;
--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -161,7 +161,7 @@
                 return Some(());
             }
             s.heard = Heard::Cut;
-            let mut lines = yewcross_proxy::backend::ResponseLines::from_response(&mut r);
+            let mut lines = yewcross_proxy::back::ResponseLines::from_response(&mut r);
             let mut n = 0;
             while let Some(l) = lines.next(runtime, limit).await {
                 let v: Value = serde_json::from_slice(&l).unwrap_or(Value::Null);
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -17,7 +17,7 @@
     LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse,
 };
 use yewcross_control::lease::KeptGrant;
-use yewcross_proxy::backend::Stamp;
+use yewcross_proxy::back::Stamp;
 use yewcross_proxy::balance::Load;
 use yewcross_proxy::load_exchange::{ServerKey, ServerLoad};
 use yewcross_proxy::turn::TurnOutcome;
