--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -1,7 +1,7 @@
 //! Replication of KV caches: keeps one replica of a session's cached prefix, at the server to which
 //! the session would move if its home were unavailable.
 
-use crate::backend;
+use crate::back;
 use crate::scoring::{self, ScoreWeights};
 use crate::{Front, server_table};
 use lru::LruCache;
@@ -383,7 +383,7 @@
         serde_json::to_vec(&json!({"session": key, "digest": replica.digest})).unwrap_or_default();
     front.counts.imports.fetch_add(1, SeqCst);
     let started = front.runtime.now();
-    let response = backend::request_once(
+    let response = back::request_once(
         &front.runtime,
         &front.pool,
         &service,
@@ -738,7 +738,7 @@
             (front.clone(), class.service.clone(), source.listed.clone());
         async move {
             let body = serde_json::to_vec(&parameters).unwrap_or_default();
-            backend::request_once(
+            back::request_once(
                 &front.runtime,
                 &front.pool,
                 &service,
@@ -813,7 +813,7 @@
     if let Some(listed) = list.1.servers.iter().find(|listed| listed.server == server) {
         let body = serde_json::to_vec(&json ! ( { "session" : key } )).unwrap_or_default();
         front.counts.drops.fetch_add(1, SeqCst);
-        backend::request_once(
+        back::request_once(
             &front.runtime,
             &front.pool,
             service,
