--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -24,7 +24,7 @@
 //! - An order ([`retire`], [`begin`]) is not planned beforehand: it is applied to whatever version
 //!   the register finds, or rejected there.
 //! - In a tier that maintains itself, only the lease holder proposes at all
-//!   (`RegisterClient::restrict`), and it acts only after it has taken the documents under new
+//!   (`RegisterClient::set_proposal_permit`), and it acts only after it has taken the documents under new
 //!   ballots, so that nothing an earlier holder has in flight can be accepted any more
 //!   (`lease_holder`).
 //! - A disk that has persisted a layout rejects requests by an older one: a process that missed a
