--- a/yewcross-common/src/protocol/layout.rs
+++ b/yewcross-common/src/protocol/layout.rs
@@ -16,7 +16,8 @@
     /// Number of the layout that wrote these sets. Progress of the group's change is measured from
     /// it, independently of changes of the other group. 0 if an older process wrote the layout.
     #[serde(default)]
-    pub since: u64,
+    #[serde(rename = "since")]
+    pub layout_number: u64,
 }
 
 impl ReplicaGroup {
@@ -53,11 +54,11 @@
 impl Layout {
     /// Number of the layout that wrote the group's sets; `number` is the number of this layout,
     /// which is returned if an older process wrote it.
-    pub fn since(&self, group: &ReplicaGroup, number: u64) -> u64 {
-        if group.since == 0 {
+    pub fn layout_number_of(&self, group: &ReplicaGroup, number: u64) -> u64 {
+        if group.layout_number == 0 {
             number
         } else {
-            group.since
+            group.layout_number
         }
     }
 }
--- a/yewcross-common/src/protocol/session.rs
+++ b/yewcross-common/src/protocol/session.rs
@@ -69,7 +69,8 @@
     #[serde(rename = "used")]
     pub used_tokens: u64,
     /// Which earlier turns of the history are retained.
-    pub rule: Rule,
+    #[serde(rename = "rule")]
+    pub history_rule: Rule,
     /// Where the session's prefix is cached now.
     #[serde(rename = "kv")]
     pub cache: SessionCacheState,
--- a/yewcross-common/src/turn_log/replicas.rs
+++ b/yewcross-common/src/turn_log/replicas.rs
@@ -26,7 +26,7 @@
     pub fn of(layout_version: u64, layout: &Layout, tolerated_losses: usize) -> StoreReplicas {
         StoreReplicas {
             layout_version,
-            since: layout.since(&layout.store, layout_version),
+            since: layout.layout_number_of(&layout.store, layout_version),
             current: layout.store.current.clone(),
             previous: layout.store.previous.clone(),
             tolerated_losses,
--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -36,7 +36,7 @@
         let is_replica = group.current.contains(own_disk) || group.previous.contains(own_disk);
         (*version > 0 && is_replica).then(|| Assignment {
             version: *version,
-            since: layout.since(group, *version),
+            since: layout.layout_number_of(group, *version),
             is_changing: group.is_changing(),
         })
     }
@@ -46,7 +46,7 @@
     fn is_current(self, control: &Control) -> bool {
         let adopted = control.documents.layout.load();
         let (version, layout) = &**adopted;
-        layout.since(group(layout, control.settings.role), *version) == self.since
+        layout.layout_number_of(group(layout, control.settings.role), *version) == self.since
     }
 }
 
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -152,7 +152,7 @@
             };
             let group = planning::group(&layout, role);
             if !group.is_changing()
-                || layout.since(group, version) != since
+                || layout.layout_number_of(group, version) != since
                 || !control.may_write(term, layout.term)
             {
                 return Step::Keep(None);
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -87,7 +87,7 @@
 
     /// Version of the layout that wrote the group's sets.
     fn since(self, role: Role) -> u64 {
-        self.layout.since(self.group(role), self.version)
+        self.layout.layout_number_of(self.group(role), self.version)
     }
 }
 
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -93,7 +93,7 @@
 pub fn end(layout: &mut Layout, version: u64, role: Role) {
     let ended = group_mut(layout, role);
     ended.previous.clear();
-    ended.since = version + 1;
+    ended.layout_number = version + 1;
     forget_unassigned(layout);
 }
 
@@ -161,7 +161,7 @@
     *group_mut(&mut settled, role) = ReplicaGroup {
         current: base.clone(),
         previous: vec![],
-        since: under_way.since,
+        layout_number: under_way.layout_number,
     };
     let planned = if newcomer_is_lost {
         begin(&settled, version, view, role)
@@ -364,6 +364,6 @@
 pub(super) fn start_change(layout: &mut Layout, version: u64, role: Role, current: Vec<String>) {
     let changed = group_mut(layout, role);
     changed.previous = std::mem::replace(&mut changed.current, current);
-    changed.since = version + 1;
+    changed.layout_number = version + 1;
     layout.change_started = version + 1;
 }
--- a/yewcross-proxy/src/lookup/once.rs
+++ b/yewcross-proxy/src/lookup/once.rs
@@ -57,7 +57,7 @@
             nonce: self.request.nonce,
             code,
             used_tokens: 0,
-            rule: Rule::All,
+            history_rule: Rule::All,
             cache: SessionCacheState::default(),
             history_bytes: 0,
         }
--- a/yewcross-proxy/src/turn/commit.rs
+++ b/yewcross-proxy/src/turn/commit.rs
@@ -151,7 +151,7 @@
         nonce: turn.request.nonce,
         code,
         used_tokens,
-        rule: turn.request.class.history,
+        history_rule: turn.request.class.history,
         cache,
         history_bytes: 0,
     }
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -290,7 +290,7 @@
     }
     let closed = record.close(commit.code, commit.used_tokens);
     record.hist.extend(history);
-    commit.rule.trim(&mut record.hist);
+    commit.history_rule.trim(&mut record.hist);
     if !outcome.is_empty() {
         let kept = &mut record.head.kept;
         kept.push_back((commit.request_id.clone(), outcome.into()));
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -210,7 +210,7 @@
                         nonce: i,
                         code: Code::Done,
                         used_tokens: 1,
-                        rule: Rule::Turns(1),
+                        history_rule: Rule::Turns(1),
                         cache: SessionCacheState::default(),
                         history_bytes: 0,
                     };
@@ -452,7 +452,7 @@
                     nonce: 1,
                     code: Code::Done,
                     used_tokens: 1,
-                    rule: Rule::All,
+                    history_rule: Rule::All,
                     cache: SessionCacheState::default(),
                     history_bytes: 5,
                 };
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -513,7 +513,7 @@
     reborn(&mut live, "store1", "s1b");
     let l = planning::next_step(&l, 5, &known(&live, &none), Role::Store).unwrap();
     assert_eq!(
-        (set(&l.store.current), l.store.since),
+        (set(&l.store.current), l.store.layout_number),
         (BTreeSet::from(["s1b", "s2", "s3", "s4"]), 6)
     );
     // The core begins, and ends, while the stores' change goes on with the same number.
@@ -522,7 +522,10 @@
     assert!(l.core.is_changing() && l.store.is_changing());
     planning::end(&mut l, 7, Role::Core);
     assert!(
-        !l.core.is_changing() && l.store.is_changing() && l.store.since == 6 && l.core.since == 8
+        !l.core.is_changing()
+            && l.store.is_changing()
+            && l.store.layout_number == 6
+            && l.core.layout_number == 8
     );
     // The leaving store's name is still known.
     assert_eq!(l.names["s1"], "store1");
@@ -547,7 +550,7 @@
         BTreeSet::from(["s1b", "s2", "s3b", "s4", "s5"])
     );
     assert_eq!(
-        (set(&l.store.previous), l.store.since),
+        (set(&l.store.previous), l.store.layout_number),
         (BTreeSet::from(["s1", "s2", "s3", "s4", "s5"]), 7)
     );
     // The newcomer itself.
@@ -575,7 +578,7 @@
     let group = ReplicaGroup {
         current: disks(&["a", "b", "d"]),
         previous: disks(&["a", "b", "c"]),
-        since: 7,
+        layout_number: 7,
     };
     let report = |disk: &str, kept: u64, swept: bool| ReplicaReport {
         disk: disk.into(),
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -222,7 +222,7 @@
         "now {} old {} since {}",
         group.current.join(" "),
         group.previous.join(" "),
-        group.since
+        group.layout_number
     )
 }
 
@@ -458,7 +458,7 @@
         nonce: 1,
         code: Code::Done,
         used_tokens: 30,
-        rule: Rule::All,
+        history_rule: Rule::All,
         cache: transfer_state(),
         history_bytes: 8,
     };
@@ -1035,7 +1035,7 @@
     ReplicaGroup {
         current: vec![format!("{tag}1"), format!("{tag}2")],
         previous: vec![format!("{tag}3")],
-        since,
+        layout_number: since,
     }
 }
 
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -277,7 +277,7 @@
         nonce: 72,
         code: Code::BudgetSpent,
         used_tokens: 73,
-        rule: Rule::Tokens(74),
+        history_rule: Rule::Tokens(74),
         cache: kv(),
         history_bytes: 75,
     }
@@ -485,7 +485,7 @@
     ReplicaGroup {
         current: texts(&format!("{name} now")),
         previous: texts(&format!("{name} old")),
-        since,
+        layout_number: since,
     }
 }
 
