--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -12,42 +12,42 @@
 
 /// When a put is acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Rollout {
+pub enum PutAcknowledgement {
     /// Once no front can serve by an older version any more: fronts hold serving leases.
     #[default]
-    Proved,
+    InForce,
     /// Once a majority of the core disks has synced it: fronts serve by what they hold, and apply
     /// it within `Bounds::apply`.
-    Majority,
+    Decided,
 }
 
 /// How a control node is built.
 #[derive(Clone)]
 pub struct Options {
     /// How an operator's text becomes a configuration.
-    pub dialect: Arc<dyn ConfigurationFormat>,
+    pub configuration_format: Arc<dyn ConfigurationFormat>,
     /// How the platform's list is polled; none for the product's own JSON.
-    pub catalogue: Option<Arc<dyn ServerCatalogue>>,
+    pub server_catalogue: Option<Arc<dyn ServerCatalogue>>,
     /// When a put is acknowledged.
-    pub rollout: Rollout,
+    pub put_acknowledgement: PutAcknowledgement,
     /// Serve the product's own operators' interface at `ProcessSettings::http`.
     pub bind_http: bool,
     /// Maintain the layout without an operator: bootstrap the tier, admit new disks, replace lost
     /// ones.
-    pub tends: bool,
+    pub maintains_layout: bool,
     /// Never give way to a younger process of the same name: outrank it instead.
-    pub stays: bool,
+    pub outranks_younger_process: bool,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            dialect: Arc::new(NativeFormat),
-            catalogue: None,
-            rollout: Rollout::Proved,
+            configuration_format: Arc::new(NativeFormat),
+            server_catalogue: None,
+            put_acknowledgement: PutAcknowledgement::InForce,
             bind_http: true,
-            tends: false,
-            stays: false,
+            maintains_layout: false,
+            outranks_younger_process: false,
         }
     }
 }
@@ -61,7 +61,7 @@
     None,
     /// No majority of core disks could be asked, or this node does not know the layout yet, or the
     /// decided document cannot be read.
-    Away,
+    Unavailable,
 }
 
 /// The answer to [`Control::retire_state`].
@@ -72,9 +72,9 @@
     /// The layout without the machine is in force and swept: machine and disk may be removed.
     Finished,
     /// It was never asked to retire.
-    Unknown,
+    NotRequested,
     /// No majority of core disks could be asked.
-    Away,
+    Unavailable,
 }
 
 impl Control {
@@ -88,15 +88,15 @@
                 PutAnswer::NoMajority
             };
         }
-        config::order(self, base, text).await
+        config::submit_order(self, base, text).await
     }
 
     /// The newest decided configuration, by a majority of core disks.
     pub async fn read_config(self: &Arc<Self>) -> ReadAnswer {
         if !quorum_contact::reach_quorum(self).await {
-            return ReadAnswer::Away;
+            return ReadAnswer::Unavailable;
         }
-        config::newest(self).await
+        config::read_newest_configuration(self).await
     }
 
     /// Orders a store machine to be emptied for good. Any core node may be asked, repeatedly.
@@ -110,7 +110,7 @@
     /// How far the emptying of a store machine has come.
     pub async fn retire_state(self: &Arc<Self>, node: &str) -> RetireState {
         if !quorum_contact::reach_quorum(self).await {
-            return RetireState::Away;
+            return RetireState::Unavailable;
         }
         layout::retirement_state(self, node).await
     }
--- a/yewcross-control/src/config.rs
+++ b/yewcross-control/src/config.rs
@@ -1,7 +1,7 @@
 //! The documents of the control plane: deciding configurations, distributing them, reading them.
 //!
 //! - [`orders`] has operators' numbered orders decided by a majority of the core disks,
-//!   [`order_decision`] is the decision, and [`taken_orders`] knows those that are sent again.
+//!   [`order_decision`] is the decision, and [`accepted_orders`] knows those that are sent again.
 //! - [`mod@put`] decides versions that the tier numbers itself; `rollout` puts them in force under the
 //!   serving leases of the fronts, and [`rollout_progress`] is its state.
 //! - `distribution` sends decided documents to every node, `document_requests` answers what other
@@ -9,6 +9,7 @@
 //! - `read` reads the newest configuration back, and `decoding` says what an unreadable value is
 //!   taken for.
 
+pub mod accepted_orders;
 mod decoding;
 mod distribution;
 mod document_requests;
@@ -21,15 +22,14 @@
 mod rollout;
 pub mod rollout_progress;
 mod serving_leases;
-pub mod taken_orders;
 
 pub use decoding::{UnreadableDocument, decode_configuration, decode_server_list};
 pub use distribution::{PendingPublications, publish, publish_current, publish_departures};
 pub use front_groups::{find_unavailable_group, front_groups};
 pub use late_documents::fetch_late_documents;
-pub use orders::{order, take_forwarded};
+pub use orders::{decide_forwarded_order, submit_order};
 pub use put::{PutError, put};
-pub use read::newest;
+pub use read::read_newest_configuration;
 pub use rollout::roll_out;
 
 pub(crate) use distribution::DocumentChange;
--- a/yewcross-control/src/config/taken_orders.rs
+++ b/yewcross-control/src/config/accepted_orders.rs
@@ -125,7 +125,7 @@
         accepted_ms: now_ms,
     };
     earlier.insert(0, superseded);
-    let kept = count_kept(&earlier, now_ms, order.kept_ms);
+    let kept = count_kept(&earlier, now_ms, order.retention_ms);
     forgotten = earlier
         .get(kept)
         .map_or(forgotten, |dropped| dropped.number.max(forgotten));
@@ -137,10 +137,10 @@
 }
 
 /// How many of the digests, newest first, are kept.
-fn count_kept(orders: &[AcceptedOrder], now_ms: u64, kept_ms: u64) -> usize {
+fn count_kept(orders: &[AcceptedOrder], now_ms: u64, retention_ms: u64) -> usize {
     let young = orders
         .iter()
-        .take_while(|taken| taken.accepted_ms + kept_ms >= now_ms)
+        .take_while(|taken| taken.accepted_ms + retention_ms >= now_ms)
         .count();
     young
         .clamp(RETAINED_ORDERS_MIN, RETAINED_ORDERS_MAX)
@@ -170,6 +170,6 @@
 
 /// ms that digests of taken orders are kept: an operator asks again for a few times the time for an
 /// answer.
-pub fn kept_ms(bounds: &Bounds) -> u64 {
+pub fn retention_ms(bounds: &Bounds) -> u64 {
     RETAINED_ORDERS_MS.max(bounds.ack.saturating_mul(RETAINED_ORDERS_ACK_TIMEOUTS))
 }
--- a/yewcross-control/src/config/document_requests.rs
+++ b/yewcross-control/src/config/document_requests.rs
@@ -45,7 +45,7 @@
         newest.push((name.to_string(), on_disk.max(applied)));
     }
     let authoritative = is_authoritative(control, &poll.known).await;
-    let behind = control.options.tends && late_documents::is_behind(control).await;
+    let behind = control.options.maintains_layout && late_documents::is_behind(control).await;
     PeerResponse::DocumentVersions {
         newest,
         authoritative,
@@ -59,7 +59,7 @@
 /// The newest version on this disk. Where one core's answer is enough, only decided versions count,
 /// and what a disk holds may be undecided: 0.
 async fn version_on_disk(control: &Control, name: &str) -> u64 {
-    if control.options.tends {
+    if control.options.maintains_layout {
         return 0;
     }
     control
@@ -79,7 +79,7 @@
         && !control.storage.failed.load(SeqCst)
         && control.replica.read_record("config").await.is_some()
         && !known.is_empty()
-        && (!control.options.tends || control.has_quorum_contact())
+        && (!control.options.maintains_layout || control.has_quorum_contact())
 }
 
 /// The applied version of a document, where that is newer than the asker's; else the newest decided
@@ -90,14 +90,16 @@
     newer_than: u64,
 ) -> (PeerResponse, Vec<u8>) {
     let document = control.documents.document(name);
-    if document.version > newer_than && (!control.options.tends || control.has_quorum_contact()) {
+    if document.version > newer_than
+        && (!control.options.maintains_layout || control.has_quorum_contact())
+    {
         let response = PeerResponse::Document {
             version: document.version,
             ballot: document.ballot,
         };
         return (response, document.content.to_vec());
     }
-    if control.options.tends {
+    if control.options.maintains_layout {
         return rejected(Code::NoMajority);
     }
     read_decided_document(control, name).await
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -65,7 +65,7 @@
 
 async fn fetch(control: &Arc<Control>, name: &str) {
     if let Ok((version, epoch, content)) =
-        proposer::newest(control, name, PEER_REQUEST_TIMEOUT).await
+        proposer::read_newest_decided(control, name, PEER_REQUEST_TIMEOUT).await
     {
         if version > 0 {
             control
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -1,13 +1,13 @@
 //! Operators' numbered orders: checked, decided by a majority of the core disks, then published to
 //! every node. [`decide`] is what the majority decides.
 
-use super::order_decision::{Decision, Order, decide};
+use super::accepted_orders::retention_ms;
+use super::order_decision::{Decision, Order, decide_order};
 use super::publish;
 use super::put::{PutError, put};
-use super::taken_orders::kept_ms;
 use crate::Control;
-use crate::api::{PutAnswer, Rollout};
-use crate::proposer::{self, NotAnswered};
+use crate::api::{PutAcknowledgement, PutAnswer};
+use crate::proposer::{self, ForwardError};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::configuration::InvalidSetting;
@@ -32,17 +32,17 @@
 
 /// Checks an operator's text on top of version `base`, has it decided by a majority of core disks,
 /// and publishes it. Answers within a quarter of `Bounds::ack`.
-pub async fn order(control: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
+pub async fn submit_order(control: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
     let Ok(text) = String::from_utf8(text) else {
         return PutAnswer::Invalid(vec![InvalidSetting {
             path: String::new(),
             reason: "not UTF-8".into(),
         }]);
     };
-    if control.options.rollout == Rollout::Proved {
+    if control.options.put_acknowledgement == PutAcknowledgement::InForce {
         return order_under_leases(control, base, text).await;
     }
-    if let Err(faults) = control.options.dialect.read(text.as_bytes()) {
+    if let Err(faults) = control.options.configuration_format.read(text.as_bytes()) {
         return PutAnswer::Invalid(faults);
     }
     if control.documents.layout.load().0 == 0 {
@@ -75,14 +75,14 @@
     let applied = control.documents.document("config");
     let order = Order {
         base,
-        number: control.options.dialect.number(text.as_bytes()),
+        number: control.options.configuration_format.number(text.as_bytes()),
         text,
-        attempt: "",
+        attempt_id: "",
         now_ms: 0,
-        kept_ms: 0,
+        retention_ms: 0,
     };
-    match decide(applied.version, &applied.content, &order) {
-        ValueUpdate::Keep(Decision::Taken(taken)) => Some(PutAnswer::InForce(taken.number)),
+    match decide_order(applied.version, &applied.content, &order) {
+        ValueUpdate::Keep(Decision::Accepted(taken)) => Some(PutAnswer::InForce(taken.number)),
         _ => None,
     }
 }
@@ -96,7 +96,7 @@
         let outcome = match control.acting_term() {
             Some(_) => order_as_proposer(control, base, &text, left)
                 .await
-                .ok_or(NotAnswered::NoProposer),
+                .ok_or(ForwardError::NoProposer),
             None => forward_order(control, base, &text, left).await,
         };
         match outcome {
@@ -104,10 +104,10 @@
                 return PutAnswer::Undecided;
             }
             Ok(answer) => return answer,
-            Err(NotAnswered::Unknown) => may_be_taken = true,
-            Err(NotAnswered::NoProposer) => {}
+            Err(ForwardError::OutcomeUnknown) => may_be_taken = true,
+            Err(ForwardError::NoProposer) => {}
         }
-        proposer::wait_for_one(control).await;
+        proposer::wait_for_proposer(control).await;
     }
     if may_be_taken {
         PutAnswer::Undecided
@@ -121,16 +121,20 @@
     base: u64,
     text: &str,
     timeout: u64,
-) -> Result<PutAnswer, NotAnswered> {
+) -> Result<PutAnswer, ForwardError> {
     let request = PeerRequest::ForwardPut { base };
     match proposer::forward(control, &request, text.as_bytes(), timeout).await? {
         (PeerResponse::PutAnswer(answer), _) => Ok(answer),
-        _ => Err(NotAnswered::NoProposer),
+        _ => Err(ForwardError::NoProposer),
     }
 }
 
 /// Decides an order that another core forwarded, which has checked its text.
-pub async fn take_forwarded(control: &Arc<Control>, base: u64, text: Vec<u8>) -> PeerResponse {
+pub async fn decide_forwarded_order(
+    control: &Arc<Control>,
+    base: u64,
+    text: Vec<u8>,
+) -> PeerResponse {
     let Ok(text) = String::from_utf8(text) else {
         return PeerResponse::Rejected(Code::BadConfig);
     };
@@ -181,24 +185,26 @@
     let (now_ms, _) = control.members.clock();
     let order = Order {
         base,
-        number: control.options.dialect.number(text.as_bytes()),
+        number: control.options.configuration_format.number(text.as_bytes()),
         text,
-        attempt: &attempt,
+        attempt_id: &attempt,
         now_ms,
-        kept_ms: kept_ms(&control.settings.bounds),
+        retention_ms: retention_ms(&control.settings.bounds),
     };
     let decision = control
         .registers
-        .change("config", timeout, |seq, value| decide(seq, value, &order))
+        .change("config", timeout, |seq, value| {
+            decide_order(seq, value, &order)
+        })
         .await;
     let answer = match decision {
-        Ok(Decision::Taken(taken)) => {
+        Ok(Decision::Accepted(taken)) => {
             publish(control, "config", taken.seq, taken.document);
             PutAnswer::InForce(taken.number)
         }
         Ok(Decision::Conflict { current }) => PutAnswer::Conflict(current),
         Ok(Decision::Invalid(faults)) => PutAnswer::Invalid(faults),
-        Ok(Decision::Forgotten) => PutAnswer::Forgotten,
+        Ok(Decision::DigestDropped) => PutAnswer::Forgotten,
         Ok(Decision::Unreadable) => {
             control
                 .runtime
@@ -221,7 +227,7 @@
         Err(PutError::NotBootstrapped) => PutAnswer::NotBootstrapped,
         Err(PutError::FrontsUnavailable { .. } | PutError::NoMajority) => PutAnswer::NoMajority,
         Err(
-            PutError::Unreadable { .. } | PutError::MaybeStored | PutError::NotYetInForce { .. },
+            PutError::Unreadable { .. } | PutError::OutcomeUnknown | PutError::NotYetInForce { .. },
         ) => PutAnswer::Undecided,
     }
 }
--- a/yewcross-control/src/config/put.rs
+++ b/yewcross-control/src/config/put.rs
@@ -34,7 +34,7 @@
     #[snafu(context(false), display("{source}"))]
     Unreadable { source: UnreadableDocument },
     #[snafu(display("some disk may hold it"))]
-    MaybeStored,
+    OutcomeUnknown,
     #[snafu(display("version {version} is stored, not yet proved in force"))]
     NotYetInForce { version: u64 },
 }
@@ -48,7 +48,7 @@
             PutError::Conflict { .. } => Code::Conflict,
             PutError::FrontsUnavailable { .. } | PutError::NoMajority => Code::NoMajority,
             PutError::Unreadable { .. }
-            | PutError::MaybeStored
+            | PutError::OutcomeUnknown
             | PutError::NotYetInForce { .. } => Code::Undecided,
         }
     }
@@ -147,7 +147,7 @@
             Err(PutError::Unreadable { source })
         }
         Err(ChangeError::NotApplied | ChangeError::NotProposer) => Err(PutError::NoMajority),
-        Err(ChangeError::Undecided) => Err(PutError::MaybeStored),
+        Err(ChangeError::Undecided) => Err(PutError::OutcomeUnknown),
     }
 }
 
--- a/yewcross-control/src/config/read.rs
+++ b/yewcross-control/src/config/read.rs
@@ -8,27 +8,27 @@
 
 /// The newest decided configuration. Linearizable with the orders: a majority of the core disks is
 /// asked each time.
-pub async fn newest(control: &Arc<Control>) -> ReadAnswer {
+pub async fn read_newest_configuration(control: &Arc<Control>) -> ReadAnswer {
     if control.documents.layout.load().0 == 0 {
-        return ReadAnswer::Away;
+        return ReadAnswer::Unavailable;
     }
     let Ok((version, epoch, content)) =
-        proposer::newest(control, "config", READ_BACK_TIMEOUT).await
+        proposer::read_newest_decided(control, "config", READ_BACK_TIMEOUT).await
     else {
-        return ReadAnswer::Away;
+        return ReadAnswer::Unavailable;
     };
     control
         .documents
         .apply("config", version, epoch, content.to_vec());
     // What cannot be read may hold an order: that no configuration was ever put is not known.
     let Ok(document) = ConfigDoc::decode(&content) else {
-        return ReadAnswer::Away;
+        return ReadAnswer::Unavailable;
     };
     if document.text.is_empty() {
         return ReadAnswer::None;
     }
     let text = document.text.as_bytes();
-    let is_numbered_by_operator = control.options.dialect.number(text).is_some();
+    let is_numbered_by_operator = control.options.configuration_format.number(text).is_some();
     let number = if is_numbered_by_operator {
         document.number
     } else {
--- a/yewcross-control/src/contact.rs
+++ b/yewcross-control/src/contact.rs
@@ -28,7 +28,7 @@
 
     /// The latest moment such that a quorum of the group has answered requests sent at it or later;
     /// 0 if there is none. Every change decided before that moment is among the versions reported.
-    pub fn quorum_since(&self, group: &ReplicaGroup) -> u64 {
+    pub fn latest_quorum_contact(&self, group: &ReplicaGroup) -> u64 {
         let mut moments: Vec<u64> = self.answered.values().copied().collect();
         moments.sort_unstable_by(|earlier, later| later.cmp(earlier));
         let has_quorum_at = |moment: u64| {
--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -112,7 +112,7 @@
         return true;
     }
     let is_document = DOCUMENT_NAMES.contains(&key);
-    if control.options.tends && is_document {
+    if control.options.maintains_layout && is_document {
         return repair_document(control, key).await;
     }
     if is_document && !control.has_quorum_contact() {
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -4,7 +4,7 @@
 //! # Who may change it
 //!
 //! The layout is a document that the core replicas agree on. In a tier that maintains itself
-//! (`Options::tends`) only the holder of the lease changes it:
+//! (`Options::maintains_layout`) only the holder of the lease changes it:
 //!
 //! - [`bootstrap`](bootstrap_automatically) writes the first layout;
 //! - [`maintain_replicas`] replaces lost disks, adds new ones and ends changes;
@@ -107,7 +107,7 @@
         .read_with_ballot(LAYOUT, PEER_REQUEST_TIMEOUT)
         .await
     {
-        if control.options.tends {
+        if control.options.maintains_layout {
             return config::publish(control, LAYOUT, version, content.to_vec());
         }
         let control_handle = control.clone();
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -5,7 +5,7 @@
 
 use super::{DecidedLayout, LAYOUT};
 use crate::api::{RetireOutcome, RetireState};
-use crate::proposer::{self, NotAnswered};
+use crate::proposer::{self, ForwardError};
 use crate::{Control, config};
 use std::sync::Arc;
 use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, SEC};
@@ -25,7 +25,7 @@
         let remaining = deadline.saturating_sub(control.runtime.now());
         match proposer::forward(control, &request, &[], remaining).await {
             Ok((PeerResponse::RetireAnswer(answer), _)) => return answer,
-            Err(NotAnswered::NoProposer) => proposer::wait_for_one(control).await,
+            Err(ForwardError::NoProposer) => proposer::wait_for_proposer(control).await,
             _ => return RetireOutcome::Unavailable,
         }
     }
@@ -126,21 +126,21 @@
 /// How far the retirement of a store machine is, by the newest decided layout.
 pub async fn retirement_state(control: &Arc<Control>, node: &str) -> RetireState {
     if control.documents.layout.load().0 == 0 {
-        return RetireState::Away;
+        return RetireState::Unavailable;
     }
     let Ok((version, epoch, content)) =
-        proposer::newest(control, LAYOUT, PEER_REQUEST_TIMEOUT).await
+        proposer::read_newest_decided(control, LAYOUT, PEER_REQUEST_TIMEOUT).await
     else {
-        return RetireState::Away;
+        return RetireState::Unavailable;
     };
     let Ok(layout) = serde_json::from_slice::<Layout>(&content) else {
-        return RetireState::Away;
+        return RetireState::Unavailable;
     };
     control
         .documents
         .apply(LAYOUT, version, epoch, content.to_vec());
     if !layout.retired.contains(node) {
-        RetireState::Unknown
+        RetireState::NotRequested
     } else if is_store_replica(&layout, node) {
         RetireState::Running
     } else {
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -268,10 +268,10 @@
 /// Takes all documents at once, since each waits for its own disks only. Returns whether all were
 /// taken.
 async fn take_documents(control: &Arc<Control>) -> bool {
-    if control.options.tends && !layout::decide_first_documents(control).await {
+    if control.options.maintains_layout && !layout::decide_first_documents(control).await {
         return false;
     }
-    let documents: &[&'static str] = if control.options.tends {
+    let documents: &[&'static str] = if control.options.maintains_layout {
         &DOCUMENT_NAMES
     } else {
         &FENCED
@@ -299,7 +299,7 @@
     let Ok((version, content)) = control.registers.change(name, SEC, read).await else {
         return false;
     };
-    if !control.options.tends || version <= known {
+    if !control.options.maintains_layout || version <= known {
         return true;
     }
     if known == 0 {
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -12,7 +12,7 @@
 use yewcross_common::error_code::Code;
 
 /// Answers one request.
-pub async fn answer(control: Arc<Control>, request: BufferedRequest) -> Response {
+pub async fn handle_request(control: Arc<Control>, request: BufferedRequest) -> Response {
     let path = request.path.clone();
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (request.verb, segments.as_slice()) {
--- a/yewcross-control/src/persisted_documents.rs
+++ b/yewcross-control/src/persisted_documents.rs
@@ -99,7 +99,7 @@
 
 /// Where cores are polled for all else, only the layout must be known before anybody answers.
 fn is_persisted(control: &Control, name: &str) -> bool {
-    !control.options.tends || name == "layout"
+    !control.options.maintains_layout || name == "layout"
 }
 
 /// Whether the document stands on the disk.
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -53,7 +53,7 @@
     let Some(platform) = *control.platform.lock().unwrap() else {
         return UNCONFIGURED_WAIT;
     };
-    match control.options.catalogue.clone() {
+    match control.options.server_catalogue.clone() {
         Some(catalogue) => poll_catalogue(control, platform, &*catalogue).await,
         None => poll_list(control, platform).await,
     }
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -18,11 +18,11 @@
 const SHORTEST_FORWARD: u64 = MS;
 
 /// Why the proposer has not answered.
-pub enum NotAnswered {
+pub enum ForwardError {
     /// No process is known to propose, or the one asked does not: nothing was done.
     NoProposer,
     /// The proposer may have acted, and its answer is lost.
-    Unknown,
+    OutcomeUnknown,
 }
 
 /// Sends a request to the proposer, once. The timeout is in us.
@@ -31,22 +31,22 @@
     request: &PeerRequest,
     payload: &[u8],
     timeout: u64,
-) -> Result<(PeerResponse, Vec<u8>), NotAnswered> {
-    let holder = singleton_tasks::holder_address(control).ok_or(NotAnswered::NoProposer)?;
+) -> Result<(PeerResponse, Vec<u8>), ForwardError> {
+    let holder = singleton_tasks::holder_address(control).ok_or(ForwardError::NoProposer)?;
     match control
         .peers
         .request(holder, request, payload, timeout)
         .await
     {
         Ok((PeerResponse::Rejected(Code::NotOnDuty | Code::BadBody), _))
-        | Err(SendError::NotSent) => Err(NotAnswered::NoProposer),
+        | Err(SendError::NotSent) => Err(ForwardError::NoProposer),
         Ok(answer) => Ok(answer),
-        Err(SendError::OutcomeUnknown) => Err(NotAnswered::Unknown),
+        Err(SendError::OutcomeUnknown) => Err(ForwardError::OutcomeUnknown),
     }
 }
 
 /// Returns once the lease has changed hands, or after a random backoff.
-pub async fn wait_for_one(control: &Arc<Control>) {
+pub async fn wait_for_proposer(control: &Arc<Control>) {
     let changed = control.duties.changed.listen();
     let backoff = PROPOSER_RETRY_DELAY + control.runtime.random() % PROPOSER_RETRY_DELAY;
     control.runtime.timeout(backoff, changed).await;
@@ -54,7 +54,7 @@
 
 /// The newest decided version of a document: what a majority of the core disks holds alike, or what
 /// the proposer proves. The timeout is in us.
-pub async fn newest(
+pub async fn read_newest_decided(
     control: &Arc<Control>,
     name: &str,
     timeout: u64,
@@ -87,7 +87,7 @@
             )) => {
                 return Ok((version, epoch, Arc::new(content)));
             }
-            _ => wait_for_one(control).await,
+            _ => wait_for_proposer(control).await,
         }
     }
 }
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -131,7 +131,12 @@
 }
 
 fn quorum_since(control: &Control, group: &ReplicaGroup) -> u64 {
-    control.duties.contact.lock().unwrap().quorum_since(group)
+    control
+        .duties
+        .contact
+        .lock()
+        .unwrap()
+        .latest_quorum_contact(group)
 }
 
 /// Whether a quorum of the voters answers this process; they are asked again if they have not
--- a/yewcross-control/src/request_handler.rs
+++ b/yewcross-control/src/request_handler.rs
@@ -121,7 +121,7 @@
                 without_payload(config::mark_servers_leaving(self, servers, &relays))
             }
             PeerRequest::ForwardPut { base } => {
-                without_payload(config::take_forwarded(self, base, payload).await)
+                without_payload(config::decide_forwarded_order(self, base, payload).await)
             }
             PeerRequest::ForwardRetire { node } => {
                 without_payload(layout::retire_forwarded(self, &node).await)
--- a/yewcross-control/src/singleton_tasks.rs
+++ b/yewcross-control/src/singleton_tasks.rs
@@ -234,7 +234,7 @@
     runtime.spawn(quorum_contact::keep_contact(control.clone()));
     runtime.spawn(lease_holder::run(control.clone()));
     runtime.spawn(poll_platform_list(control.clone()));
-    if control.options.tends {
+    if control.options.maintains_layout {
         runtime.spawn(config::fetch_late_documents(control.clone()));
         runtime.spawn(layout::bootstrap_automatically(control.clone()));
         runtime.spawn(maintain_replicas(control.clone()));
--- a/yewcross-control/src/start.rs
+++ b/yewcross-control/src/start.rs
@@ -1,6 +1,6 @@
 //! Starting a control node: its disk is read, its parts are built, and its tasks are started.
 
-use crate::api::{Options, Rollout};
+use crate::api::{Options, PutAcknowledgement};
 use crate::counters::Counters;
 use crate::persisted_documents::{LOCAL_FOLDER, PersistedDocuments};
 use crate::persisted_peers::PersistedPeers;
@@ -75,7 +75,7 @@
         options: Options,
     ) -> Result<Arc<Control>, StartError> {
         let (control, local) = open(runtime, settings, options).await?;
-        if control.options.tends {
+        if control.options.maintains_layout {
             restrict_proposals(&control);
         }
         let peer_listener = bind(runtime, control.settings.peer).await?;
@@ -101,8 +101,8 @@
     let members = Membership::new(runtime, &settings, &peers, &storage.disk_id);
     members
         .supersedes_newer_process
-        .store(options.stays, SeqCst);
-    let documents = DocumentCache::with_format(runtime, options.dialect.clone());
+        .store(options.outranks_younger_process, SeqCst);
+    let documents = DocumentCache::with_format(runtime, options.configuration_format.clone());
     let local = LocalState::load(&storage, &documents)
         .await
         .context(DiskSnafu)?;
@@ -118,7 +118,7 @@
         own_store: own_store.clone(),
     };
     let store = new_store(runtime, &registers, router);
-    let watcher = new_watcher(&members, &documents, &settings, options.rollout);
+    let watcher = new_watcher(&members, &documents, &settings, options.put_acknowledgement);
     let duties = singleton_tasks::SingletonTasks::open(
         runtime,
         &storage,
@@ -195,12 +195,14 @@
     members: &Arc<Membership>,
     documents: &Arc<DocumentCache>,
     settings: &ProcessSettings,
-    rollout: Rollout,
+    rollout: PutAcknowledgement,
 ) -> Arc<DocumentWatcher> {
     let is_front = false;
     match rollout {
-        Rollout::Proved => DocumentWatcher::new(members, documents, &settings.name, is_front),
-        Rollout::Majority => DocumentWatcher::without_leases(
+        PutAcknowledgement::InForce => {
+            DocumentWatcher::new(members, documents, &settings.name, is_front)
+        }
+        PutAcknowledgement::Decided => DocumentWatcher::without_leases(
             members,
             documents,
             &settings.name,
@@ -230,7 +232,7 @@
     let listener = bind(runtime, control.settings.http).await?;
     let answering = control.clone();
     let handler: buffered_http::Handler =
-        Arc::new(move |request| Box::pin(operator::answer(answering.clone(), request)));
+        Arc::new(move |request| Box::pin(operator::handle_request(answering.clone(), request)));
     runtime.spawn(buffered_http::serve(
         runtime.clone(),
         listener,
@@ -248,7 +250,7 @@
         control.clone(),
         local.documents,
     ));
-    if control.options.tends {
+    if control.options.maintains_layout {
         runtime.spawn(persisted_peers::persist_changes(
             control.clone(),
             local.peers,
--- a/yewcross-control/tests/orders.rs
+++ b/yewcross-control/tests/orders.rs
@@ -4,8 +4,8 @@
 use yewcross_common::process_settings::Bounds;
 use yewcross_common::protocol::ConfigDoc;
 use yewcross_common::register::ValueUpdate;
-use yewcross_control::config::order_decision::{Decision, Order, decide};
-use yewcross_control::config::taken_orders::kept_ms;
+use yewcross_control::config::accepted_orders::retention_ms;
+use yewcross_control::config::order_decision::{Decision, Order, decide_order};
 
 /// A register that only one process changes, and a clock.
 #[derive(Default)]
@@ -29,11 +29,11 @@
             base,
             number,
             text,
-            attempt: "test",
+            attempt_id: "test",
             now_ms: self.now_ms,
-            kept_ms: kept_ms(&Bounds::default()),
+            retention_ms: retention_ms(&Bounds::default()),
         };
-        match decide(self.seq, &self.value, &order) {
+        match decide_order(self.seq, &self.value, &order) {
             ValueUpdate::Keep(decision) => decision,
             ValueUpdate::Write(value, decision) => {
                 self.seq += 1;
@@ -64,7 +64,7 @@
 
 fn taken(decision: Decision) -> Option<u64> {
     match decision {
-        Decision::Taken(t) => Some(t.number),
+        Decision::Accepted(t) => Some(t.number),
         _ => None,
     }
 }
@@ -90,10 +90,10 @@
 fn an_order_run_again_on_its_own_change_comes_to_the_same() {
     let mut register = Register::default();
     register.take(0, "5 first");
-    let Decision::Taken(once) = register.order(5, "6 b") else {
+    let Decision::Accepted(once) = register.order(5, "6 b") else {
         panic!()
     };
-    let Decision::Taken(twice) = register.order(5, "6 b") else {
+    let Decision::Accepted(twice) = register.order(5, "6 b") else {
         panic!()
     };
     assert_eq!(once, twice);
@@ -239,10 +239,10 @@
         now_ms: 1_700_000_000_000,
         ..Default::default()
     };
-    let kept_ms = kept_ms(&Bounds::default());
-    assert!(kept_ms >= 4 * Bounds::default().ack);
+    let retention_ms = retention_ms(&Bounds::default());
+    assert!(retention_ms >= 4 * Bounds::default().ack);
     // Eight a second.
-    let count = kept_ms / 125;
+    let count = retention_ms / 125;
     register.take_all(1..=count, 125);
     for number in 1..=count {
         assert_eq!(
@@ -270,8 +270,8 @@
         let mut known = 0;
         for number in 1..=2_000 {
             match register.order(number - 1, &format!("{number} text")) {
-                Decision::Taken(t) if t.number == number => known += 1,
-                Decision::Forgotten => {}
+                Decision::Accepted(t) if t.number == number => known += 1,
+                Decision::DigestDropped => {}
                 other => panic!("{number} every {every_ms} ms: {other:?}"),
             }
         }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -18,7 +18,7 @@
 use yewcross_common::runtime::*;
 use yewcross_common::turn_log::client::TurnLogClient;
 use yewcross_control::Control;
-use yewcross_control::api::{Options, PutAnswer, ReadAnswer, Rollout};
+use yewcross_control::api::{Options, PutAcknowledgement, PutAnswer, ReadAnswer};
 use yewcross_proxy::{Front, FrontOptions};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display, strum::EnumIter)]
@@ -186,12 +186,12 @@
                 }
                 _ => {
                     let o = Options {
-                        dialect: Arc::new(NativeFormat),
-                        catalogue: Some(Arc::new(Ports)),
-                        rollout: Rollout::Majority,
+                        configuration_format: Arc::new(NativeFormat),
+                        server_catalogue: Some(Arc::new(Ports)),
+                        put_acknowledgement: PutAcknowledgement::Decided,
                         bind_http: true,
-                        tends: true,
-                        stays: true,
+                        maintains_layout: true,
+                        outranks_younger_process: true,
                     };
                     Control::start_with(&w, st, o).await.ok().map(Node::Control)
                 }
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -275,11 +275,11 @@
                 }
             }
             let o = Options {
-                dialect: Arc::new(Numbered),
-                rollout: Rollout::Majority,
+                configuration_format: Arc::new(Numbered),
+                put_acknowledgement: PutAcknowledgement::Decided,
                 bind_http: false,
-                tends: true,
-                stays: true,
+                maintains_layout: true,
+                outranks_younger_process: true,
                 ..Default::default()
             };
             match Control::start_with(&w, st, o).await {
--- a/yewcross-testkit/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -111,7 +111,7 @@
                             t.put(&victim, base, &next).await,
                             Some(PutAnswer::NoMajority)
                         );
-                        assert_eq!(t.read(&victim).await, Some(ReadAnswer::Away));
+                        assert_eq!(t.read(&victim).await, Some(ReadAnswer::Unavailable));
                         assert!(t.op.now() < t0 + SEC, "operators wait");
                         t.op.sleep(SEC).await;
                     }
--- a/yewcross-testkit/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -483,7 +483,7 @@
             };
             assert_eq!(begin("core1", "store77").await, RetireOutcome::Unknown);
             assert_eq!(begin("core1", "core2").await, RetireOutcome::Unknown);
-            assert_eq!(state("core1", "store2").await, RetireState::Unknown);
+            assert_eq!(state("core1", "store2").await, RetireState::NotRequested);
             assert_eq!(begin("core2", "store2").await, RetireOutcome::Begun);
             assert_eq!(begin("core3", "store2").await, RetireOutcome::Begun);
             assert_eq!(begin("core4", "store1").await, RetireOutcome::TooFew);
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -105,7 +105,7 @@
                 Some(0)
             }
             // A read without an answer has no effect.
-            Some(ReadAnswer::Away) | None => None,
+            Some(ReadAnswer::Unavailable) | None => None,
         }
     }
 
@@ -541,8 +541,8 @@
             match got {
                 RetireState::Running => Some(RetireAnswer::Running),
                 RetireState::Finished => Some(RetireAnswer::Finished),
-                RetireState::Unknown => Some(RetireAnswer::Unknown),
-                RetireState::Away => None,
+                RetireState::NotRequested => Some(RetireAnswer::Unknown),
+                RetireState::Unavailable => None,
             }
         }
     }
--- a/yewcross-testkit/tests/orders.rs
+++ b/yewcross-testkit/tests/orders.rs
@@ -168,7 +168,7 @@
                         if tier
                             .read(&core)
                             .await
-                            .is_some_and(|r| r != ReadAnswer::Away)
+                            .is_some_and(|r| r != ReadAnswer::Unavailable)
                         {
                             reads.fetch_add(1, SeqCst);
                         }
