--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -441,9 +441,10 @@
             .and_then(|h| h.split('#').next())
             .unwrap_or("none");
         if lost.contains(holder) {
-            let next = yewcross_common::hash::ranked(d, cores.iter().map(|n| n.name.as_str()))
-                .first()
-                .map(|s| s.to_string());
+            let next =
+                yewcross_common::hash::rank_by_weight(d, cores.iter().map(|n| n.name.as_str()))
+                    .first()
+                    .map(|s| s.to_string());
             p.duties.push(Moved {
                 what: d.clone(),
                 was: holder.into(),
--- a/yewcross-common/src/buffered_http/client.rs
+++ b/yewcross-common/src/buffered_http/client.rs
@@ -10,7 +10,7 @@
 
 /// Sends a request and reads the head of the response. The connection can be used again once the
 /// body is read completely.
-pub async fn exchange(
+pub async fn send_request(
     connection: &Connection,
     method: Method,
     path: &str,
@@ -35,7 +35,7 @@
 
 /// Reads a body completely; an error where it has more than `max_bytes`, or not as many as its head
 /// says.
-pub async fn body(response: &mut Response, max_bytes: usize) -> io::Result<Vec<u8>> {
+pub async fn read_response_body(response: &mut Response, max_bytes: usize) -> io::Result<Vec<u8>> {
     let expected = response.len();
     let mut bytes = Vec::new();
     response
@@ -63,8 +63,9 @@
     runtime
         .timeout(timeout, async {
             let mut connection = runtime.connect(to).await?;
-            let mut response = exchange(&connection, method, path, headers, request_body).await?;
-            let response_body = body(&mut response, MAX_FRAME_BYTES).await?;
+            let mut response =
+                send_request(&connection, method, path, headers, request_body).await?;
+            let response_body = read_response_body(&mut response, MAX_FRAME_BYTES).await?;
             // The response is complete; how the connection ends does not matter.
             let _ = connection.close().await;
             Ok((response.status().into(), response, response_body))
--- a/yewcross-common/src/buffered_http/mod.rs
+++ b/yewcross-common/src/buffered_http/mod.rs
@@ -11,7 +11,7 @@
 mod server;
 mod tracker;
 
-pub use client::{body, exchange, fetch};
-pub use response::{refuse, reply, stream, until};
+pub use client::{fetch, read_response_body, send_request};
+pub use response::{error_response, json_response, ndjson_stream_response, with_send_deadline};
 pub use server::{BufferedRequest, Handler, serve};
 pub use tracker::ConnectionTracker;
--- a/yewcross-common/src/buffered_http/response.rs
+++ b/yewcross-common/src/buffered_http/response.rs
@@ -15,13 +15,13 @@
 pub(super) struct SendDeadline(pub(super) u64);
 
 /// Sets the time (µs, monotonic) when a response must have been received by its caller.
-pub fn until(mut response: Response, deadline: u64) -> Response {
+pub fn with_send_deadline(mut response: Response, deadline: u64) -> Response {
     response.ext_mut().insert(SendDeadline(deadline));
     response
 }
 
 /// A JSON document as response.
-pub fn reply(status: u16, document: &impl Serialize) -> Response {
+pub fn json_response(status: u16, document: &impl Serialize) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     let json = serde_json::to_vec(document).unwrap_or_default();
@@ -32,10 +32,10 @@
 
 /// A rejection. `why` adds to the meaning of the code; `retry_after` is in seconds, 0 for no
 /// header.
-pub fn refuse(code: Code, why: &str, retry_after: u64) -> Response {
+pub fn error_response(code: Code, why: &str, retry_after: u64) -> Response {
     let ran: &str = code.execution().into();
     let name: &str = code.into();
-    let mut response = reply(
+    let mut response = json_response(
         code.http(),
         &json!({
             "code": code.number(),
@@ -54,7 +54,7 @@
 
 /// A response whose body is sent chunk by chunk as the channel yields it. The body ends when the
 /// channel is closed.
-pub fn stream(chunks: Receiver<Vec<u8>>) -> Response {
+pub fn ndjson_stream_response(chunks: Receiver<Vec<u8>>) -> Response {
     let mut response = Response::new(StatusCode::Ok);
     let reader = BufReader::new(ChunkReader {
         chunks: Box::pin(chunks),
--- a/yewcross-common/src/buffered_http/server.rs
+++ b/yewcross-common/src/buffered_http/server.rs
@@ -1,6 +1,6 @@
 //! Accepts connections and serves their requests, one after the other.
 
-use super::response::{SendDeadline, refuse};
+use super::response::{SendDeadline, error_response};
 use super::tracker::ConnectionTracker;
 use crate::constants::{
     BODY_TIMEOUT, HEAD_TIMEOUT, IDLE_CONNECTION_TIMEOUT, MAX_BODY_BYTES, MAX_CALLER_CONNECTIONS,
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct BufferedRequest {
     /// HTTP method.
-    pub verb: Method,
+    pub method: Method,
     /// Path of the target.
     pub path: String,
     /// Query of the target, without the question mark.
@@ -39,7 +39,7 @@
     /// Value of `If-Match`, without quotes.
     pub if_match: Option<String>,
     /// Value of `If-None-Match`, without quotes.
-    pub etag: Option<String>,
+    pub if_none_match: Option<String>,
     /// The body.
     pub body: Vec<u8>,
 }
@@ -72,7 +72,7 @@
 ) {
     loop {
         let closed = async {
-            tracker.closing.wait().await;
+            tracker.shutdown.wait().await;
             runtime.sleep(BACKLOG_GRACE).await;
             None
         };
@@ -83,7 +83,7 @@
             runtime.sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        if tracker.open.fetch_add(1, SeqCst) >= MAX_CALLER_CONNECTIONS {
+        if tracker.open_connections.fetch_add(1, SeqCst) >= MAX_CALLER_CONNECTIONS {
             tracker.connection_closed();
             let reject_runtime = runtime.clone();
             runtime.spawn(async move {
@@ -99,7 +99,7 @@
         ));
     }
     drop(listener);
-    tracker.emptied().await;
+    tracker.all_closed().await;
 }
 
 async fn serve_connection(
@@ -135,13 +135,13 @@
         Ok(body) => body,
         Err(error) => return end_connection(runtime, connection, error).await,
     };
-    tracker.busy.fetch_add(1, SeqCst);
+    tracker.active_requests.fetch_add(1, SeqCst);
     let method = request.method();
     let closes = request
         .header("connection")
         .is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"));
     let mut response = handler(buffered_request(&request, body)).await;
-    let is_last = closes || tracker.closing.is_set();
+    let is_last = closes || tracker.shutdown.is_set();
     if is_last {
         response.insert_header("connection", "close");
     }
@@ -199,7 +199,7 @@
         if is_first {
             std::future::pending::<()>().await;
         }
-        tracker.closing.wait().await;
+        tracker.shutdown.wait().await;
         runtime.sleep(IDLE_GRACE).await;
         Some(Ok(None))
     };
@@ -252,11 +252,11 @@
             .map(|value| value.as_str().trim_matches('"').to_string())
     };
     BufferedRequest {
-        verb: request.method(),
+        method: request.method(),
         path: request.url().path().to_string(),
         query: request.url().query().map(|query| query.to_string()),
         if_match: unquoted("if-match"),
-        etag: unquoted("if-none-match"),
+        if_none_match: unquoted("if-none-match"),
         body,
     }
 }
@@ -269,7 +269,7 @@
 }
 
 async fn reject_and_close(runtime: &Runtime, mut connection: Connection, code: Code) {
-    let mut response = refuse(code, "", code.retry_after_s());
+    let mut response = error_response(code, "", code.retry_after_s());
     response.insert_header("connection", "close");
     runtime
         .timeout(
--- a/yewcross-common/src/buffered_http/tracker.rs
+++ b/yewcross-common/src/buffered_http/tracker.rs
@@ -7,38 +7,38 @@
 #[derive(Default)]
 pub struct ConnectionTracker {
     /// Open connections.
-    pub open: AtomicUsize,
+    pub open_connections: AtomicUsize,
     /// Requests in progress.
-    pub busy: AtomicUsize,
+    pub active_requests: AtomicUsize,
     /// Set to end the server: it accepts what is in the backlog, ends idle connections, and lets
     /// requests in progress finish.
-    pub closing: Latch,
+    pub shutdown: Latch,
     /// Notified when either count falls.
     decreased: Notifier,
 }
 
 impl ConnectionTracker {
     /// Returns once no connection is open.
-    pub async fn emptied(&self) {
+    pub async fn all_closed(&self) {
         self.decreased
-            .wait_until(|| self.open.load(SeqCst) == 0)
+            .wait_until(|| self.open_connections.load(SeqCst) == 0)
             .await
     }
 
     /// Returns once no request is in progress.
-    pub async fn idle(&self) {
+    pub async fn requests_finished(&self) {
         self.decreased
-            .wait_until(|| self.busy.load(SeqCst) == 0)
+            .wait_until(|| self.active_requests.load(SeqCst) == 0)
             .await
     }
 
     pub(super) fn connection_closed(&self) {
-        self.open.fetch_sub(1, SeqCst);
+        self.open_connections.fetch_sub(1, SeqCst);
         self.decreased.notify();
     }
 
     pub(super) fn request_ended(&self) {
-        self.busy.fetch_sub(1, SeqCst);
+        self.active_requests.fetch_sub(1, SeqCst);
         self.decreased.notify();
     }
 }
--- a/yewcross-common/src/documents/watcher.rs
+++ b/yewcross-common/src/documents/watcher.rs
@@ -166,7 +166,7 @@
     /// The cores in the order in which this document is requested from them.
     fn cores_by_preference(&self, name: &str) -> Vec<Node> {
         let cores = self.members.nodes_of_role(Role::Core);
-        crate::hash::ranked(name, cores.iter().map(|core| core.name.as_str()))
+        crate::hash::rank_by_weight(name, cores.iter().map(|core| core.name.as_str()))
             .into_iter()
             .filter_map(|ranked| cores.iter().find(|core| core.name == ranked))
             .cloned()
--- a/yewcross-common/src/hash.rs
+++ b/yewcross-common/src/hash.rs
@@ -18,7 +18,7 @@
 
 /// Names in falling order of their weight for the key; names of equal weight in falling order of
 /// the names.
-pub fn ranked<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
+pub fn rank_by_weight<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut weighted: Vec<(u64, &str)> = names
         .map(|name| (rendezvous_weight(key, name), name))
         .collect();
@@ -27,7 +27,7 @@
 }
 
 /// The hash that a key is stored under.
-pub fn key_128(key: &[u8]) -> u128 {
+pub fn hash_128(key: &[u8]) -> u128 {
     xxh3_128(key)
 }
 
--- a/yewcross-common/src/process_settings.rs
+++ b/yewcross-common/src/process_settings.rs
@@ -56,7 +56,8 @@
     pub wire: u16,
     /// Bootstrap the tier without an operator; set only for the very first start, on empty disks.
     #[serde(default)]
-    pub found: bool,
+    #[serde(rename = "found")]
+    pub bootstrap: bool,
     /// What the tier has to guarantee.
     #[serde(default)]
     pub bounds: Bounds,
@@ -73,7 +74,8 @@
     /// Regions that may be lost at the same time; each counts as one node of a role.
     pub lost_regions: usize,
     /// Interval between the probes of a node.
-    pub beat: u64,
+    #[serde(rename = "beat")]
+    pub probe_interval: u64,
     /// A node that has been in contact for this long is bound by the time limits.
     pub contact: u64,
     /// Until an acknowledged configuration is in force everywhere.
@@ -87,7 +89,8 @@
     /// Until an empty disk holds its replicas again.
     pub catch_up: u64,
     /// Until an event of a stream is forwarded.
-    pub pass: u64,
+    #[serde(rename = "pass")]
+    pub event_forwarding: u64,
     /// Memory that the process may use, in MB; 0: unbounded.
     pub memory_mb: u64,
     /// File descriptors for sockets and data files; 0: unbounded.
@@ -100,14 +103,14 @@
             lost: 1,
             lost_zones: 0,
             lost_regions: 0,
-            beat: 400,
+            probe_interval: 400,
             contact: 3_000,
             apply: 2_000,
             ack: 4_000,
             drain: 3_000,
             grace: 8_000,
             catch_up: 4_200,
-            pass: 120,
+            event_forwarding: 120,
             memory_mb: 0,
             files: 0,
         }
@@ -184,7 +187,7 @@
     /// says what is wrong.
     pub fn reload(&self, path: &str) -> Result<ProcessSettings, String> {
         let reloaded = ProcessSettings::read(path).map_err(|error| error.to_string())?;
-        if let Some(error) = reloaded.check(self.role == Role::Front).first() {
+        if let Some(error) = reloaded.validate(self.role == Role::Front).first() {
             return Err(error.to_string());
         }
         if reloaded.needs_restart(self) {
@@ -206,7 +209,7 @@
     }
 
     /// Validates the settings for a front, or for a core or store: all errors, not just the first.
-    pub fn check(&self, front: bool) -> Vec<SettingsError> {
+    pub fn validate(&self, front: bool) -> Vec<SettingsError> {
         const NAME_RULE: &str = "must be 1 to 64 letters, digits, - or _";
         let speaks_wire_version = (WIRE_VERSION_MIN..=WIRE_VERSION).contains(&self.wire);
         let checks = [
@@ -266,7 +269,7 @@
         eprintln!("{error}");
         std::process::exit(exit::BAD_STARTUP)
     });
-    let errors = settings.check(front);
+    let errors = settings.validate(front);
     for error in &errors {
         eprintln!("{path}: {error}");
     }
--- a/yewcross-common/src/register/mod.rs
+++ b/yewcross-common/src/register/mod.rs
@@ -65,6 +65,6 @@
 
 /// The hash of a key and the number of its shard.
 fn hash_and_shard(key: &str) -> (u128, usize) {
-    let hash = crate::hash::key_128(key.as_bytes());
+    let hash = crate::hash::hash_128(key.as_bytes());
     (hash, (hash % SHARDS as u128) as usize)
 }
--- a/yewcross-common/src/register/placement.rs
+++ b/yewcross-common/src/register/placement.rs
@@ -38,7 +38,7 @@
     /// document, [`RECORD_REPLICAS`] for any other key. No site gets a second replica while another
     /// site has none; a disk whose site is unknown counts as a separate site.
     pub fn replicas_for<'a>(&self, key: &str, disks: &'a [String]) -> Vec<&'a str> {
-        let ranked = crate::hash::ranked(key, disks.iter().map(|disk| disk.as_str()));
+        let ranked = crate::hash::rank_by_weight(key, disks.iter().map(|disk| disk.as_str()));
         if is_document(key) {
             return ranked;
         }
--- a/yewcross-common/src/runtime/reactor.rs
+++ b/yewcross-common/src/runtime/reactor.rs
@@ -46,7 +46,7 @@
     next_id: AtomicUsize,
     started: Instant,
     /// Times the thread came back from waiting.
-    pub wakes: AtomicU64,
+    pub wakeups: AtomicU64,
 }
 
 /// Timers in the order in which they are due.
@@ -205,7 +205,7 @@
             sockets: Default::default(),
             next_id: AtomicUsize::new(WAKE_TOKEN.0 + 1),
             started: Instant::now(),
-            wakes: AtomicU64::new(0),
+            wakeups: AtomicU64::new(0),
         };
         Ok((Arc::new(reactor), poller))
     }
@@ -282,7 +282,7 @@
         let timeout = self.time_to_next_timer();
         let result = poller.poll(events, timeout);
         self.is_waiting.store(false, SeqCst);
-        self.wakes.fetch_add(1, SeqCst);
+        self.wakeups.fetch_add(1, SeqCst);
         if result.is_ok() {
             events
                 .iter()
--- a/yewcross-common/src/storage.rs
+++ b/yewcross-common/src/storage.rs
@@ -21,7 +21,7 @@
 /// Folder of the shards of register records.
 pub const KEYS_FOLDER: &str = "keys";
 /// Folder of a store's log.
-pub const CHAIN_FOLDER: &str = "chain";
+pub const TURN_LOG_FOLDER: &str = "chain";
 /// The data folder itself.
 const ROOT_FOLDER: &str = "";
 /// Name of the file that the disk's identity is in.
@@ -60,13 +60,13 @@
     /// restored.
     pub failed: AtomicBool,
     /// Failed writes so far.
-    pub failures: AtomicU64,
+    pub write_failures: AtomicU64,
     /// Notified when a write has failed.
-    pub failure: Event,
+    pub failure_event: Event,
     /// Syncs so far, of files and of folders.
     pub syncs: AtomicU64,
     /// Bytes of bodies written so far.
-    pub bytes: AtomicU64,
+    pub bytes_written: AtomicU64,
     next_temporary: AtomicU64,
     /// Paths of temporary files that are being written; a scan leaves them alone.
     writing: Mutex<BTreeSet<String>>,
@@ -130,7 +130,7 @@
 fn data_folders() -> Vec<String> {
     let mut folders = vec![
         LOCAL_FOLDER.to_string(),
-        CHAIN_FOLDER.into(),
+        TURN_LOG_FOLDER.into(),
         KEYS_FOLDER.into(),
     ];
     folders.extend((0..KEY_SHARDS).map(shard_folder));
@@ -180,10 +180,10 @@
             runtime: runtime.clone(),
             disk_id: String::new(),
             failed: AtomicBool::new(false),
-            failures: AtomicU64::new(0),
-            failure: Event::new(),
+            write_failures: AtomicU64::new(0),
+            failure_event: Event::new(),
             syncs: AtomicU64::new(0),
-            bytes: AtomicU64::new(0),
+            bytes_written: AtomicU64::new(0),
             next_temporary: AtomicU64::new(0),
             writing: Mutex::default(),
         }
@@ -227,13 +227,13 @@
     /// Marks the disk failed: after a write of unknown outcome, neither the old nor the new version
     /// is relied on.
     pub fn mark_failed(&self, error: &io::Error) {
-        self.failures.fetch_add(1, SeqCst);
+        self.write_failures.fetch_add(1, SeqCst);
         if !self.failed.swap(true, SeqCst) {
             self.runtime.log(&format!(
                 "disk failed ({error}); it takes no part until it works again"
             ));
         }
-        self.failure.notify(usize::MAX);
+        self.failure_event.notify(usize::MAX);
     }
 
     /// Returns once the version is safe; any error marks the disk failed. While the disk is failed,
@@ -273,7 +273,7 @@
         written?;
         // The file and its folder.
         self.syncs.fetch_add(2, SeqCst);
-        self.bytes.fetch_add(body.len() as u64, SeqCst);
+        self.bytes_written.fetch_add(body.len() as u64, SeqCst);
         if version > 1 {
             // An older version that remains is harmless: the newest counts, and the next scan
             // removes it.
@@ -381,7 +381,7 @@
     }
 
     /// Whether the disk still bears the identity that it was opened with.
-    pub async fn bears_identity(&self) -> io::Result<bool> {
+    pub async fn identity_matches(&self) -> io::Result<bool> {
         let files = self.runtime.list(LOCAL_FOLDER).await?;
         let Some(newest) = versions_of(&files, IDENTITY).max() else {
             return Ok(false);
--- a/yewcross-common/src/streaming_http/mod.rs
+++ b/yewcross-common/src/streaming_http/mod.rs
@@ -12,7 +12,7 @@
 mod tracker;
 
 pub use client::fetch;
-pub use server::{Handler, Unread, read_body, serve};
+pub use server::{BodyReadError, Handler, read_body, serve};
 pub use tracker::ConnectionTracker;
 
 use bytes::Bytes;
--- a/yewcross-common/src/streaming_http/server.rs
+++ b/yewcross-common/src/streaming_http/server.rs
@@ -60,7 +60,7 @@
     } else {
         handler(request, from).await
     };
-    if is_malformed || guard.tracker.is_last() {
+    if is_malformed || guard.tracker.keep_alive_disabled() {
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -111,7 +111,7 @@
         true
     }
     .or(async {
-        tracker.closed().await;
+        tracker.shutdown_started().await;
         false
     })
     .await;
@@ -152,12 +152,14 @@
     loop {
         let accepted = async { Some(listener.accept().await) }
             .or(async {
-                tracker.closed().await;
+                tracker.shutdown_started().await;
                 None
             })
             .await;
         match accepted {
-            Some(Ok(connection)) if tracker.open() <= MAX_CALLER_CONNECTIONS => start(connection),
+            Some(Ok(connection)) if tracker.open_connections() <= MAX_CALLER_CONNECTIONS => {
+                start(connection)
+            }
             // Beyond that many, connections are closed at once.
             Some(Ok(connection)) => drop(connection),
             Some(Err(_)) => runtime.sleep(ACCEPT_BACKOFF).await,
@@ -169,27 +171,29 @@
     }
     drop(listener);
     tracker.connection_closed();
-    tracker.emptied().await;
+    tracker.all_closed().await;
 }
 
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum BodyReadError {
     /// It is larger than allowed.
     TooLarge,
     /// The connection failed, or the body is malformed.
-    Broken,
+    Incomplete,
 }
 
 /// Reads a body completely, if it has no more than `max_bytes`.
-pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Unread> {
+pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, BodyReadError> {
     use hyper::body::Body as _;
     if body.size_hint().lower() > max_bytes as u64 {
-        return Err(Unread::TooLarge);
+        return Err(BodyReadError::TooLarge);
     }
     match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Unread::TooLarge),
-        Err(_) => Err(Unread::Broken),
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => {
+            Err(BodyReadError::TooLarge)
+        }
+        Err(_) => Err(BodyReadError::Incomplete),
     }
 }
--- a/yewcross-common/src/streaming_http/tracker.rs
+++ b/yewcross-common/src/streaming_http/tracker.rs
@@ -42,38 +42,38 @@
 
 impl ConnectionTracker {
     /// From now on each response is its connection's last; new connections are still accepted.
-    pub fn last(&self) {
+    pub fn disable_keep_alive(&self) {
         self.is_last.store(true, SeqCst);
     }
 
     /// Whether each response is its connection's last.
-    pub fn is_last(&self) -> bool {
+    pub fn keep_alive_disabled(&self) -> bool {
         self.is_last.load(SeqCst)
     }
 
     /// Accepts what is in the backlog, ends idle connections, and lets requests in progress finish.
-    pub fn close(&self) {
-        self.last();
+    pub fn begin_shutdown(&self) {
+        self.disable_keep_alive();
         self.closing.give();
     }
 
     /// Returns once [`ConnectionTracker::close`] was called.
-    pub async fn closed(&self) {
+    pub async fn shutdown_started(&self) {
         self.closing.wait().await;
     }
 
     /// Returns once the listener is closed and no connection is open.
-    pub async fn emptied(&self) {
+    pub async fn all_closed(&self) {
         self.empty.wait().await;
     }
 
     /// Open connections; the listener counts as one.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(SeqCst)
     }
 
     /// Requests in progress.
-    pub fn busy(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.busy.load(SeqCst)
     }
 
--- a/yewcross-common/src/turn_log/store_client.rs
+++ b/yewcross-common/src/turn_log/store_client.rs
@@ -4,7 +4,7 @@
 use crate::constants::{STORE_RETRY_DELAY, STORE_SLOW_PERIOD};
 use crate::documents::cache::DocumentCache;
 use crate::documents::watcher::DocumentWatcher;
-use crate::hash::ranked;
+use crate::hash::rank_by_weight;
 use crate::membership::{MemberState, Membership, Node};
 use crate::protocol::{PeerRequest, PeerResponse};
 use crate::runtime::Runtime;
@@ -134,7 +134,7 @@
         let layout = self.documents.layout.load();
         let site_of = |disk: &str| layout.1.sites.get(disk).cloned();
         let all = replicas.all();
-        let mut order: Vec<String> = ranked(key, all.iter().map(|disk| disk.as_str()))
+        let mut order: Vec<String> = rank_by_weight(key, all.iter().map(|disk| disk.as_str()))
             .into_iter()
             .map(|disk| disk.to_string())
             .collect();
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -166,7 +166,7 @@
 ) {
     let falls_to_relay = |node: &Node| {
         let names = relays.iter().map(|name| name.as_str());
-        yewcross_common::hash::ranked(&node.name, names).first() == Some(&relay)
+        yewcross_common::hash::rank_by_weight(&node.name, names).first() == Some(&relay)
     };
     let view = control.members.view.load();
     for node in view
--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -23,7 +23,7 @@
 /// Waits for failures and retries the disk until it is restored.
 pub async fn run(control: Arc<Control>) {
     loop {
-        let failure = control.storage.failure.listen();
+        let failure = control.storage.failure_event.listen();
         if !control.storage.failed.load(SeqCst) {
             failure.await;
             continue;
@@ -47,12 +47,12 @@
 async fn restore_until_done(control: &Arc<Control>) -> bool {
     loop {
         control.runtime.sleep(DISK_RETRY_INTERVAL).await;
-        let failures = control.storage.failures.load(SeqCst);
+        let failures = control.storage.write_failures.load(SeqCst);
         match restore(control).await {
             Ok(Outcome::OtherDisk) => return false,
             // A write in flight may have failed meanwhile: the attempt counts only without one.
             Ok(Outcome::Restored { rewritten })
-                if control.storage.failures.load(SeqCst) == failures =>
+                if control.storage.write_failures.load(SeqCst) == failures =>
             {
                 control.storage.failed.store(false, SeqCst);
                 if rewritten > 0 {
@@ -70,7 +70,7 @@
 /// Checks the disk and writes again what was acknowledged and may not be on it.
 async fn restore(control: &Arc<Control>) -> io::Result<Outcome> {
     control.storage.probe().await?;
-    if !control.storage.bears_identity().await? {
+    if !control.storage.identity_matches().await? {
         return Ok(Outcome::OtherDisk);
     }
     let rewritten = control.replica.restore().await?;
--- a/yewcross-control/src/layout/bootstrap.rs
+++ b/yewcross-control/src/layout/bootstrap.rs
@@ -222,7 +222,7 @@
     async fn load_or_persist(control: &Control) -> BootstrapPlan {
         let seeds = &control.settings.seeds;
         let configured = BootstrapPlan {
-            proposes: control.settings.found,
+            proposes: control.settings.bootstrap,
             seeds: seeds.clone(),
         };
         if control.documents.layout.load().0 > 0 {
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -132,7 +132,7 @@
         .iter()
         .map(String::as_str)
         .filter(|disk| *disk == own_disk || is_alive(disk));
-    let ranked = yewcross_common::hash::ranked("duty", candidates);
+    let ranked = yewcross_common::hash::rank_by_weight("duty", candidates);
     ranked
         .iter()
         .position(|disk| *disk == own_disk)
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -98,9 +98,9 @@
     pub async fn stop(self: &Arc<Self>) {
         lease_holder::resign(self).await;
         self.members.announce_leaving().await;
-        self.connections.closing.set();
+        self.connections.shutdown.set();
         self.runtime.sleep(LEAVE_GRACE).await;
-        self.connections.idle().await;
+        self.connections.requests_finished().await;
     }
 
     /// Version of the layout that this node's own disk holds.
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -8,14 +8,14 @@
 use crate::layout::Move;
 use http_types::{Method, Response};
 use std::sync::Arc;
-use yewcross_common::buffered_http::{BufferedRequest, refuse};
+use yewcross_common::buffered_http::{BufferedRequest, error_response};
 use yewcross_common::error_code::Code;
 
 /// Answers one request.
 pub async fn answer(control: Arc<Control>, request: BufferedRequest) -> Response {
     let path = request.path.clone();
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
-    match (request.verb, segments.as_slice()) {
+    match (request.method, segments.as_slice()) {
         (Method::Get, ["health"]) => status::health(&control),
         (Method::Get, ["metrics"]) => status::metrics(&control),
         (Method::Get, ["v1", "status"]) => status::status(&control).await,
@@ -59,5 +59,5 @@
 }
 
 fn rejected(code: Code, detail: &str) -> Response {
-    refuse(code, detail, code.retry_after_s())
+    error_response(code, detail, code.retry_after_s())
 }
--- a/yewcross-control/src/operator/configuration.rs
+++ b/yewcross-control/src/operator/configuration.rs
@@ -6,7 +6,7 @@
 use http_types::Response;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use yewcross_common::buffered_http::{BufferedRequest, reply};
+use yewcross_common::buffered_http::{BufferedRequest, json_response};
 use yewcross_common::configuration::Configuration;
 use yewcross_common::constants::PEER_REQUEST_TIMEOUT;
 use yewcross_common::error_code::Code;
@@ -38,7 +38,7 @@
         "past": past,
         "config": text,
     });
-    with_version(reply(200, &body), version)
+    with_version(json_response(200, &body), version)
 }
 
 /// The newest configuration with its defaults filled in.
@@ -49,7 +49,7 @@
     };
     let tree = Configuration::read(document.text.as_bytes()).ok();
     let body = json!({"version": version, "tree": tree});
-    with_version(reply(200, &body), version)
+    with_version(json_response(200, &body), version)
 }
 
 fn with_version(mut response: Response, version: u64) -> Response {
@@ -80,7 +80,7 @@
     };
     let text = serde_json::from_str::<Value>(&known.text).ok();
     let body = json!({"version": known.version, "put": known.put_id, "config": text});
-    reply(200, &body)
+    json_response(200, &body)
 }
 
 /// Puts an earlier text again: it wins or loses against other puts like any other.
@@ -152,7 +152,7 @@
 
 fn answer_put(outcome: Result<u64, PutError>, is_dry_run: bool) -> Response {
     match outcome {
-        Ok(version) => reply(
+        Ok(version) => json_response(
             200,
             &json!({"code": Code::Done.number(), "version": version, "in_force": !is_dry_run}),
         ),
@@ -164,7 +164,7 @@
                 "text": code.text(),
                 "faults": faults,
             });
-            reply(code.http(), &body)
+            json_response(code.http(), &body)
         }
         Err(error) => rejected(error.code(), &error.detail()),
     }
--- a/yewcross-control/src/operator/layout_changes.rs
+++ b/yewcross-control/src/operator/layout_changes.rs
@@ -6,13 +6,13 @@
 use http_types::Response;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use yewcross_common::buffered_http::{BufferedRequest, reply};
+use yewcross_common::buffered_http::{BufferedRequest, json_response};
 use yewcross_common::error_code::Code;
 
 pub(super) async fn read(control: &Arc<Control>) -> Response {
     let current = control.documents.layout.load();
     let (_, progress) = layout::progress(control).await;
-    reply(
+    json_response(
         200,
         &json!({"version": current.0, "layout": current.1, "filling": progress}),
     )
@@ -31,7 +31,7 @@
         );
     };
     match layout::bootstrap(control, &cores, &stores).await {
-        Ok(()) => reply(200, &json!({"founded": true})),
+        Ok(()) => json_response(200, &json!({"founded": true})),
         Err(error) => rejected(error.code(), &error.to_string()),
     }
 }
@@ -39,7 +39,7 @@
 /// Begins a change of the disks.
 pub(super) async fn begin(control: &Arc<Control>, change: Move) -> Response {
     match layout::begin(control, change).await {
-        Ok(version) => reply(200, &json!({"layout": version})),
+        Ok(version) => json_response(200, &json!({"layout": version})),
         Err(error) => rejected(error.code(), &error.to_string()),
     }
 }
@@ -74,5 +74,5 @@
         "safe_to_remove": !is_seated && !was_seated,
         "keys_left": keys_left,
     });
-    reply(200, &body)
+    json_response(200, &body)
 }
--- a/yewcross-control/src/operator/status.rs
+++ b/yewcross-control/src/operator/status.rs
@@ -5,7 +5,7 @@
 use serde_json::{Map, Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::buffered_http::reply;
+use yewcross_common::buffered_http::json_response;
 use yewcross_common::protocol::CheckpointKey;
 use yewcross_state::records::SessionRecord;
 
@@ -16,7 +16,7 @@
     let is_healthy = !control.storage.failed.load(SeqCst);
     let status = if is_healthy { 200 } else { 503 };
     let has_layout = control.documents.layout.load().0 > 0;
-    reply(status, &json!({"ok": is_healthy, "founded": has_layout}))
+    json_response(status, &json!({"ok": is_healthy, "founded": has_layout}))
 }
 
 pub(super) async fn status(control: &Arc<Control>) -> Response {
@@ -43,7 +43,7 @@
         "swept": control.swept.load(SeqCst),
         "sweep_left": control.sweep_left.load(SeqCst),
     });
-    reply(200, &body)
+    json_response(200, &body)
 }
 
 /// What this disk holds: keys, sizes, sessions' transfer state; no contents.
@@ -73,7 +73,7 @@
         "list": content("list"),
         "duties": duties,
     });
-    reply(200, &body)
+    json_response(200, &body)
 }
 
 /// None where the disk holds no value of the key.
@@ -102,7 +102,7 @@
         "bytes_across": transport.cross_site_bytes.load(SeqCst),
         "kinds": *transport.kinds.lock().unwrap(),
         "syncs": control.storage.syncs.load(SeqCst),
-        "disk_bytes": control.storage.bytes.load(SeqCst),
+        "disk_bytes": control.storage.bytes_written.load(SeqCst),
         "takes": control.registers.prepared_ballots.load(SeqCst),
         "tended": control.counters.repaired_records.load(SeqCst),
         "puts": control.counters.puts.load(SeqCst),
@@ -110,5 +110,5 @@
         "lease": singleton_tasks::counters(control),
         "chains": control.chain.figures(),
     });
-    reply(200, &body)
+    json_response(200, &body)
 }
--- a/yewcross-proxy/src/back.rs
+++ b/yewcross-proxy/src/back.rs
@@ -72,7 +72,7 @@
     ) -> io::Result<BackendConnection<Verified>> {
         let reported = runtime
             .timeout(UPSTREAM_REPORT_TIMEOUT, async {
-                let mut response = buffered_http::exchange(
+                let mut response = buffered_http::send_request(
                     &self.connection,
                     Method::Get,
                     "/identity",
@@ -80,7 +80,7 @@
                     vec![],
                 )
                 .await?;
-                buffered_http::body(&mut response, 64 << 10).await
+                buffered_http::read_response_body(&mut response, 64 << 10).await
             })
             .await
             .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
@@ -134,7 +134,7 @@
         match runtime
             .timeout(
                 timeout,
-                buffered_http::exchange(&self.connection, Method::Post, path, &[], body),
+                buffered_http::send_request(&self.connection, Method::Post, path, &[], body),
             )
             .await
         {
@@ -279,7 +279,10 @@
     };
     let is_success = response.status().is_success();
     let body_bytes = runtime
-        .timeout(timeout, buffered_http::body(&mut response, MAX_FRAME_BYTES))
+        .timeout(
+            timeout,
+            buffered_http::read_response_body(&mut response, MAX_FRAME_BYTES),
+        )
         .await?
         .ok()?;
     pool.put(runtime, connection);
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -30,7 +30,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, OnceLock};
 use yewcross_common::adapter::{CallerProtocol, ConfigurationFormat, UpstreamProtocol};
-use yewcross_common::buffered_http::{BufferedRequest, ConnectionTracker, refuse, reply};
+use yewcross_common::buffered_http::{
+    BufferedRequest, ConnectionTracker, error_response, json_response,
+};
 use yewcross_common::constants::*;
 use yewcross_common::documents::cache::{DocumentCache, replicas_by_preference};
 use yewcross_common::documents::watcher::DocumentWatcher;
@@ -610,9 +612,9 @@
         if self.relay.get().is_some() {
             return self.stop_routes().await;
         }
-        self.connections.closing.set();
+        self.connections.shutdown.set();
         self.runtime.sleep(200 * MS).await;
-        self.connections.emptied().await;
+        self.connections.all_closed().await;
         self.members.announce_leaving().await;
     }
 
@@ -621,15 +623,15 @@
     async fn stop_routes(&self) {
         let deadline =
             self.runtime.now() + (self.settings.bounds.grace * MS).saturating_sub(SHUTDOWN_RESERVE);
-        self.streaming_connections.last();
+        self.streaming_connections.disable_keep_alive();
         self.runtime
             .sleep(SHUTDOWN_DRAIN_DELAY.min(self.settings.bounds.grace * MS / 3))
             .await;
-        self.streaming_connections.close();
+        self.streaming_connections.begin_shutdown();
         self.runtime
             .timeout(
                 deadline.saturating_sub(self.runtime.now()),
-                self.streaming_connections.emptied(),
+                self.streaming_connections.all_closed(),
             )
             .await;
         self.members.announce_leaving().await;
@@ -709,33 +711,33 @@
 
 /// Routes a request by its method and path.
 async fn route(front: Arc<Front>, request: BufferedRequest, nonce: u64) -> Response {
-    match (request.verb, request.path.as_str()) {
+    match (request.method, request.path.as_str()) {
         (Method::Post, "/v1/turn") => turn::answer(front, request, nonce).await,
         (Method::Post, "/v1/session/end") => turn::end_session(front, request).await,
         (Method::Post, "/v1/lookup") => lookup::answer(front, request, nonce).await,
         (Method::Get, "/v1/servers") => {
-            reply(200, &server_table::eligible_servers_by_service(&front))
+            json_response(200, &server_table::eligible_servers_by_service(&front))
         }
         (Method::Get, "/health") => {
             let may_serve = front.watcher.may_serve();
             let versions: BTreeMap<String, u64> = front.documents.versions().into_iter().collect();
-            reply(
+            json_response(
                 if may_serve { 200 } else { 503 },
                 &json!({"serving": may_serve, "versions": versions}),
             )
         }
         (Method::Get, "/metrics") => {
             let metrics = &front.peers.metrics;
-            reply(
+            json_response(
                 200,
-                &json ! ( { "counts" : front . counts . all ( ) , "kinds" : * metrics . kinds . lock ( ) . unwrap ( ) , "odd_frames" : front . peers . rejected_frames . load ( SeqCst ) , "messages" : metrics . messages_sent . load ( SeqCst ) , "bytes_within" : metrics . same_site_bytes . load ( SeqCst ) , "bytes_across" : metrics . cross_site_bytes . load ( SeqCst ) , "lines" : front . admission . queue_depths ( ) , "open" : front . connections . open . load ( SeqCst ) ,
-                    "busy": front.connections.busy.load(SeqCst)}),
+                &json ! ( { "counts" : front . counts . all ( ) , "kinds" : * metrics . kinds . lock ( ) . unwrap ( ) , "odd_frames" : front . peers . rejected_frames . load ( SeqCst ) , "messages" : metrics . messages_sent . load ( SeqCst ) , "bytes_within" : metrics . same_site_bytes . load ( SeqCst ) , "bytes_across" : metrics . cross_site_bytes . load ( SeqCst ) , "lines" : front . admission . queue_depths ( ) , "open" : front . connections . open_connections . load ( SeqCst ) ,
+                    "busy": front.connections.active_requests.load(SeqCst)}),
             )
         }
         (
             _,
             "/v1/turn" | "/v1/lookup" | "/v1/session/end" | "/v1/servers" | "/health" | "/metrics",
-        ) => refuse(Code::WrongVerb, "", 0),
-        _ => refuse(Code::UnknownPath, &request.path, 0),
+        ) => error_response(Code::WrongVerb, "", 0),
+        _ => error_response(Code::UnknownPath, &request.path, 0),
     }
 }
--- a/yewcross-proxy/src/lookup.rs
+++ b/yewcross-proxy/src/lookup.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use validation::{ReceivedLookup, ValidLookup, validate};
-use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
+use yewcross_common::buffered_http::{BufferedRequest, error_response, json_response};
 use yewcross_common::configuration::Class;
 use yewcross_common::constants::{
     COMMIT_RESERVE, DEADLINE_GRACE, DEADLINE_MAX_MS, DEFAULT_RETRY_AFTER_S, MS,
@@ -67,7 +67,7 @@
     front.counts.lookups.fetch_add(1, SeqCst);
     let body: LookupBody = match serde_json::from_slice(&request.body) {
         Ok(body) => body,
-        Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
+        Err(error) => return error_response(Code::BadBody, &error.to_string(), 0),
     };
     let max_ms = max_horizon_ms(&front, &body.service);
     let timeout = body.horizon_ms.min(max_ms) * MS + DEADLINE_GRACE;
@@ -85,7 +85,7 @@
         let _ = answer_sender.try_send(drive(node, received).await);
     });
     let still_running = || {
-        refuse(
+        error_response(
             Code::StillRunning,
             "its horizon has passed",
             DEFAULT_RETRY_AFTER_S,
@@ -108,8 +108,8 @@
 
 async fn drive(front: Arc<Front>, received: ReceivedLookup) -> Response {
     match serve(&front, received).await {
-        Ok(value) => reply(200, &value),
-        Err(rejection) => refuse(rejection.code, &rejection.reason, rejection.retry_after),
+        Ok(value) => json_response(200, &value),
+        Err(rejection) => error_response(rejection.code, &rejection.reason, rejection.retry_after),
     }
 }
 
--- a/yewcross-proxy/src/lookup/attempt.rs
+++ b/yewcross-proxy/src/lookup/attempt.rs
@@ -5,7 +5,7 @@
 use crate::Front;
 use crate::back::{BackendConnection, SendResult, Stamp, Verified};
 use serde_json::{Value, json};
-use yewcross_common::buffered_http::body;
+use yewcross_common::buffered_http::read_response_body;
 use yewcross_common::constants::{MAX_BODY_BYTES, MS};
 
 /// us. Shortest timeout of an attempt, if that much time is left; half of the time left may be
@@ -97,7 +97,7 @@
     let is_success = response.status().is_success();
     let bytes = front
         .runtime
-        .timeout(timeout, body(&mut response, MAX_BODY_BYTES))
+        .timeout(timeout, read_response_body(&mut response, MAX_BODY_BYTES))
         .await?
         .ok()?;
     let value = serde_json::from_slice(&bytes).ok()?;
--- a/yewcross-proxy/src/relay/admission.rs
+++ b/yewcross-proxy/src/relay/admission.rs
@@ -13,7 +13,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::error_code::Code;
 use yewcross_common::hash::rendezvous_weight;
-use yewcross_common::streaming_http::{Body, Unread, read_body};
+use yewcross_common::streaming_http::{Body, BodyReadError, read_body};
 use yewcross_common::turn_log::{OpenTurnError, Turn};
 
 /// The value of the `Host` header; none where the header is missing, repeated or not visible ASCII.
@@ -121,10 +121,12 @@
             .await;
         let (route, upstream) = selected?;
         let body = body
-            .unwrap_or(Err(Unread::Broken))
+            .unwrap_or(Err(BodyReadError::Incomplete))
             .map_err(|error| match error {
-                Unread::TooLarge => Rejection(Code::TooLarge, "the body is too large", 0),
-                Unread::Broken => Rejection(Code::TooSlow, "the body did not come whole", 0),
+                BodyReadError::TooLarge => Rejection(Code::TooLarge, "the body is too large", 0),
+                BodyReadError::Incomplete => {
+                    Rejection(Code::TooSlow, "the body did not come whole", 0)
+                }
             })?;
         strip_hop_by_hop(&mut head.headers);
         [header::CONTENT_LENGTH, header::EXPECT]
--- a/yewcross-proxy/src/server_table.rs
+++ b/yewcross-proxy/src/server_table.rs
@@ -70,7 +70,7 @@
         .collect();
     let all: Vec<&str> = fronts.iter().map(|node| node.name.as_str()).collect();
     let candidates = if local.is_empty() { all } else { local };
-    yewcross_common::hash::ranked(service, candidates.into_iter())
+    yewcross_common::hash::rank_by_weight(service, candidates.into_iter())
         .first()
         .map(|name| name.to_string())
 }
--- a/yewcross-proxy/src/turn/answer.rs
+++ b/yewcross-proxy/src/turn/answer.rs
@@ -8,7 +8,9 @@
 use http_types::Response;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use yewcross_common::buffered_http::{BufferedRequest, refuse, reply, stream, until};
+use yewcross_common::buffered_http::{
+    BufferedRequest, error_response, json_response, ndjson_stream_response, with_send_deadline,
+};
 use yewcross_common::constants::{DEADLINE_GRACE, DEADLINE_MAX_MS, DEFAULT_RETRY_AFTER_S, MS};
 use yewcross_common::error_code::Code;
 use yewcross_common::runtime::Runtime;
@@ -21,7 +23,7 @@
     let received_at = front.runtime.now();
     let body: TurnBody = match serde_json::from_slice(&request.body) {
         Ok(body) => body,
-        Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
+        Err(error) => return error_response(Code::BadBody, &error.to_string(), 0),
     };
     if let Err(rejection) = check(&body) {
         return reject(&rejection);
@@ -86,7 +88,7 @@
 }
 
 fn reject(rejection: &Rejection) -> Response {
-    refuse(rejection.code, &rejection.reason, rejection.retry_after)
+    error_response(rejection.code, &rejection.reason, rejection.retry_after)
 }
 
 /// One JSON object with the complete output.
@@ -103,7 +105,7 @@
                 }
                 let mut answer = end_line(outcome, 1, end.is_replayed);
                 answer["text"] = json!(text);
-                return until(reply(200, &answer), write_deadline);
+                return with_send_deadline(json_response(200, &answer), write_deadline);
             }
         }
     }
@@ -122,7 +124,7 @@
             event = events.next().await;
         }
     });
-    until(stream(body), write_deadline)
+    with_send_deadline(ndjson_stream_response(body), write_deadline)
 }
 
 /// Writes an event's lines. Whether the stream continues.
--- a/yewcross-proxy/src/turn/attempt.rs
+++ b/yewcross-proxy/src/turn/attempt.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
-use yewcross_common::buffered_http::body;
+use yewcross_common::buffered_http::read_response_body;
 use yewcross_common::constants::{MS, STREAM_IDLE_TIMEOUT, UPSTREAM_REPORT_TIMEOUT};
 use yewcross_common::hash::digest;
 use yewcross_common::protocol::ListedServer;
@@ -164,7 +164,7 @@
         .runtime
         .timeout(
             UPSTREAM_REPORT_TIMEOUT,
-            body(&mut response, REJECTION_BYTES_MAX),
+            read_response_body(&mut response, REJECTION_BYTES_MAX),
         )
         .await
         .and_then(|bytes| bytes.ok())
--- a/yewcross-proxy/src/turn/end_session.rs
+++ b/yewcross-proxy/src/turn/end_session.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::json;
 use std::sync::Arc;
-use yewcross_common::buffered_http::{BufferedRequest, refuse, reply};
+use yewcross_common::buffered_http::{BufferedRequest, error_response, json_response};
 use yewcross_common::constants::DEFAULT_RETRY_AFTER_S;
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{PeerRequest, PeerResponse, SessionCacheState};
@@ -26,23 +26,23 @@
 pub async fn end_session(front: Arc<Front>, request: BufferedRequest) -> Response {
     let body: EndBody = match serde_json::from_slice(&request.body) {
         Ok(body) => body,
-        Err(error) => return refuse(Code::BadBody, &error.to_string(), 0),
+        Err(error) => return error_response(Code::BadBody, &error.to_string(), 0),
     };
     if !is_valid_name(&body.program) || !is_valid_name(&body.session) {
-        return refuse(Code::BadField, "program or session", 0);
+        return error_response(Code::BadField, "program or session", 0);
     }
     let Some(service) = service_of(&front, &body.program) else {
-        return refuse(Code::UnknownProgram, &body.program, 0);
+        return error_response(Code::UnknownProgram, &body.program, 0);
     };
     let key = format!("session/{}/{}", body.program, body.session);
     let request = PeerRequest::EndSession { key: key.clone() };
     match front.call_store(&key, &request, &[], END_ROUNDS).await {
         Some((PeerResponse::SessionEnded { cache }, _)) => {
             drop_prefixes(&front, &service, &key, cache).await;
-            reply(200, &json!({"code": Code::Done.number(), "ended": true}))
+            json_response(200, &json!({"code": Code::Done.number(), "ended": true}))
         }
-        Some((PeerResponse::Rejected(code), _)) => refuse(code, "", code.retry_after_s()),
-        _ => refuse(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S),
+        Some((PeerResponse::Rejected(code), _)) => error_response(code, "", code.retry_after_s()),
+        _ => error_response(Code::StoreAway, "", DEFAULT_RETRY_AFTER_S),
     }
 }
 
--- a/yewcross-state/src/anti_entropy/turns.rs
+++ b/yewcross-state/src/anti_entropy/turns.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, STORE_RETRY_DELAY, TURN_IDS_PER_REQUEST};
-use yewcross_common::hash::{key_128, ranked};
+use yewcross_common::hash::{hash_128, rank_by_weight};
 use yewcross_common::runtime::BoxFuture;
 use yewcross_common::turn_log::{StoreReplicas, StoredTurn, TurnLogOperation, TurnLogResponse};
 
@@ -193,7 +193,7 @@
             &stored.program
         };
         let is_first =
-            ranked(key, holders.iter().copied()).first() == Some(&self.own_disk.as_str());
+            rank_by_weight(key, holders.iter().copied()).first() == Some(&self.own_disk.as_str());
         if plan.pass < FIRST_SHARED_PASS && !is_first {
             return vec![];
         }
@@ -202,7 +202,8 @@
             .filter(|holder| current.iter().any(|disk| disk == *holder))
             .count();
         let missing = plan.replicas.replica_count().saturating_sub(present);
-        let mut candidates: Vec<&str> = ranked(key, current.iter().map(|disk| disk.as_str()));
+        let mut candidates: Vec<&str> =
+            rank_by_weight(key, current.iter().map(|disk| disk.as_str()));
         candidates.retain(|disk| {
             !holders.contains(disk) && *disk != self.own_disk && self.stores.is_alive(disk)
         });
@@ -237,7 +238,7 @@
             .turns
             .into_iter()
             .filter(|stored| {
-                let id = key_128(stored.turn.id.as_bytes());
+                let id = hash_128(stored.turn.id.as_bytes());
                 !is_held(id) && self.ids.insert(id)
             })
             .collect();
--- a/yewcross-state/src/segment_log/compaction.rs
+++ b/yewcross-state/src/segment_log/compaction.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 use yewcross_common::constants::{LOG_SLACK_BYTES, TRANSFER_BATCH_BYTES};
-use yewcross_common::storage::CHAIN_FOLDER;
+use yewcross_common::storage::TURN_LOG_FOLDER;
 
 /// The oldest segment, and the records in it that are still needed.
 struct OldestSegment {
@@ -23,7 +23,7 @@
             if !is_rewritten || self.runtime.remove(&path(oldest.segment)).await.is_err() {
                 return;
             }
-            if let Err(error) = self.runtime.sync(CHAIN_FOLDER).await {
+            if let Err(error) = self.runtime.sync(TURN_LOG_FOLDER).await {
                 return self.storage.mark_failed(&error);
             }
             self.log
--- a/yewcross-state/src/segment_log/mod.rs
+++ b/yewcross-state/src/segment_log/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) use writer::LogWriter;
 
 use serde::{Deserialize, Serialize};
-use yewcross_common::storage::CHAIN_FOLDER;
+use yewcross_common::storage::TURN_LOG_FOLDER;
 use yewcross_common::turn_log::{LedgerRecord, StoredTurn};
 
 /// Bytes of a ledger record beside its program and entries, estimated.
@@ -73,7 +73,7 @@
 
 /// The file of a segment.
 pub fn path(segment: u64) -> String {
-    format!("{CHAIN_FOLDER}/s-{segment:016x}")
+    format!("{TURN_LOG_FOLDER}/s-{segment:016x}")
 }
 
 /// The segment of a file's name.
--- a/yewcross-state/src/segment_log/reader.rs
+++ b/yewcross-state/src/segment_log/reader.rs
@@ -5,7 +5,7 @@
 use std::io;
 use yewcross_common::constants::DISK_FORMAT;
 use yewcross_common::runtime::Runtime;
-use yewcross_common::storage::{CHAIN_FOLDER, decode_first_frame};
+use yewcross_common::storage::{TURN_LOG_FOLDER, decode_first_frame};
 use yewcross_common::turn_log::messages::decode;
 
 /// What a scan of the segments found beside their records.
@@ -99,7 +99,7 @@
 /// The segments in their order, the newest of them synced.
 async fn list_segments(runtime: &Runtime) -> io::Result<Vec<u64>> {
     let mut segments: Vec<u64> = runtime
-        .list(CHAIN_FOLDER)
+        .list(TURN_LOG_FOLDER)
         .await?
         .iter()
         .filter_map(|file_name| segment_of(file_name))
@@ -109,7 +109,7 @@
         // A killed process may have left a batch unsynced: what is read here will be acknowledged,
         // so it must outlast a loss of power.
         runtime.sync(&path(*newest)).await?;
-        runtime.sync(CHAIN_FOLDER).await?;
+        runtime.sync(TURN_LOG_FOLDER).await?;
     }
     Ok(segments)
 }
--- a/yewcross-state/src/segment_log/writer.rs
+++ b/yewcross-state/src/segment_log/writer.rs
@@ -166,7 +166,7 @@
         // A new file costs a sync of its folder, too.
         let syncs = 1 + is_new_segment as u64;
         self.storage.syncs.fetch_add(syncs, Relaxed);
-        self.storage.bytes.fetch_add(frame_bytes, Relaxed);
+        self.storage.bytes_written.fetch_add(frame_bytes, Relaxed);
         self.counters.batches.fetch_add(1, Relaxed);
         self.counters
             .records
--- a/yewcross-state/src/turn_store/index.rs
+++ b/yewcross-state/src/turn_store/index.rs
@@ -7,7 +7,7 @@
 use crate::turn_store::ledger::Ledger;
 use std::collections::HashMap;
 use std::io;
-use yewcross_common::hash::key_128;
+use yewcross_common::hash::hash_128;
 use yewcross_common::runtime::Runtime;
 use yewcross_common::turn_log::StoredTurn;
 
@@ -61,7 +61,7 @@
     /// The turn of this id.
     pub fn get(&self, id: &str) -> Option<&IndexedTurn> {
         self.turns
-            .get(&key_128(id.as_bytes()))
+            .get(&hash_128(id.as_bytes()))
             .filter(|indexed| indexed.stored.turn.id == id)
     }
 
@@ -86,7 +86,7 @@
         let retained_until_ms = stored.ended_at_ms + stored.turn.retain_ms;
         let indexed = self
             .turns
-            .entry(key_128(stored.turn.id.as_bytes()))
+            .entry(hash_128(stored.turn.id.as_bytes()))
             .or_insert_with(|| {
                 self.turn_bytes += stored.bytes();
                 IndexedTurn {
@@ -104,7 +104,7 @@
         let mut id = prev.to_string();
         while let Some(indexed) = self
             .turns
-            .get_mut(&key_128(id.as_bytes()))
+            .get_mut(&hash_128(id.as_bytes()))
             .filter(|indexed| indexed.retained_until_ms < until_ms)
         {
             indexed.retained_until_ms = until_ms;
--- a/yewcross-testkit/examples/chain_load.rs
+++ b/yewcross-testkit/examples/chain_load.rs
@@ -99,7 +99,7 @@
             platform: None,
             threads: 1,
             wire: WIRE_VERSION,
-            found: false,
+            bootstrap: false,
             bounds: Bounds::default(),
         };
         let (nodes, client) = (nodes.clone(), client.clone());
--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -143,12 +143,14 @@
         .timeout(limit, async {
             let c = runtime.connect(to).await.ok()?;
             let mut r =
-                buffered_http::exchange(&c, http_types::Method::Post, "/v1/turn", &[], body)
+                buffered_http::send_request(&c, http_types::Method::Post, "/v1/turn", &[], body)
                     .await
                     .ok()?;
             heads(&mut s, &r);
             if !a.stream || !r.status().is_success() {
-                let b = buffered_http::body(&mut r, MAX_FRAME_BYTES).await.ok();
+                let b = buffered_http::read_response_body(&mut r, MAX_FRAME_BYTES)
+                    .await
+                    .ok();
                 let v: Value = b
                     .and_then(|b| serde_json::from_slice(&b).ok())
                     .unwrap_or(Value::Null);
--- a/yewcross-testkit/src/platform.rs
+++ b/yewcross-testkit/src/platform.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use yewcross_common::buffered_http::{self, BufferedRequest, ConnectionTracker, reply};
+use yewcross_common::buffered_http::{self, BufferedRequest, ConnectionTracker, json_response};
 use yewcross_common::constants::*;
 use yewcross_common::protocol::{ListedServer, ServerList};
 use yewcross_common::runtime::*;
@@ -59,23 +59,23 @@
 }
 
 async fn answer(p: Arc<Platform>, j: BufferedRequest) -> Response {
-    match (j.verb, j.path.as_str()) {
+    match (j.method, j.path.as_str()) {
         (Method::Get, "/servers") => {
             let t = p.w.now();
             let mut last = p.last.lock().unwrap();
             if *last > 0 && t < *last + p.pause {
                 p.refused.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-                let mut r = reply(429, &json!({"why": "too often"}));
+                let mut r = json_response(429, &json!({"why": "too often"}));
                 r.insert_header("retry-after", "1");
                 return r;
             }
             *last = t;
             let l = p.list.lock().unwrap().clone();
             let tag = l.revision.to_string();
-            let mut r = if j.etag.as_deref() == Some(&tag) {
-                reply(304, &())
+            let mut r = if j.if_none_match.as_deref() == Some(&tag) {
+                json_response(304, &())
             } else {
-                reply(200, &l)
+                json_response(200, &l)
             };
             if r.status() == 304 {
                 r.take_body();
@@ -86,9 +86,9 @@
         (Method::Post, "/lab/list") => match serde_json::from_slice::<Vec<ListedServer>>(&j.body) {
             Ok(v) => {
                 p.edit(|s| *s = v);
-                reply(200, &json!({"ok": true}))
+                json_response(200, &json!({"ok": true}))
             }
-            Err(e) => reply(400, &json!({"why": e.to_string()})),
+            Err(e) => json_response(400, &json!({"why": e.to_string()})),
         },
         (Method::Post, "/lab/leaving") => {
             let v: serde_json::Value = serde_json::from_slice(&j.body).unwrap_or_default();
@@ -101,8 +101,8 @@
                     .filter(|x| x.server == n)
                     .for_each(|x| x.leaving = on)
             });
-            reply(200, &json!({"ok": true}))
+            json_response(200, &json!({"ok": true}))
         }
-        _ => reply(404, &json!({"why": "no such path"})),
+        _ => json_response(404, &json!({"why": "no such path"})),
     }
 }
--- a/yewcross-testkit/src/protocol_violation.rs
+++ b/yewcross-testkit/src/protocol_violation.rs
@@ -10,7 +10,8 @@
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use strum::{EnumIter, IntoStaticStr};
 use yewcross_common::buffered_http::{
-    self, BufferedRequest, ConnectionTracker, fetch, refuse, reply, stream,
+    self, BufferedRequest, ConnectionTracker, error_response, fetch, json_response,
+    ndjson_stream_response,
 };
 use yewcross_common::constants::SEC;
 use yewcross_common::error_code::Code;
@@ -187,20 +188,20 @@
 
     fn answer_lookup(&self, lookup: &Value) -> Response {
         if self.violation == ProtocolViolation::RefusesAll {
-            return refuse(Code::NoServer, "", 1);
+            return error_response(Code::NoServer, "", 1);
         }
         let key = lookup["key"].as_str().unwrap_or("");
         let job = lookup["job"].as_str().unwrap_or("");
         let value = format!("{key}={}", &digest(key.as_bytes())[..8]);
         let stamp = json!({"server": "l1", "job": job});
-        reply(200, &json!({"code": 1000, "value": value, "stamp": stamp}))
+        json_response(200, &json!({"code": 1000, "value": value, "stamp": stamp}))
     }
 
     async fn answer_turn(&self, number: u64, turn: &Value) -> Response {
         let server = self.chosen_server();
         match self.violation {
-            ProtocolViolation::RefusesAll => return refuse(Code::NoServer, "", 1),
-            ProtocolViolation::NoComeBack => return refuse(Code::NoServer, "", 0),
+            ProtocolViolation::RefusesAll => return error_response(Code::NoServer, "", 1),
+            ProtocolViolation::NoComeBack => return error_response(Code::NoServer, "", 0),
             _ => {}
         }
         let job = turn["job"].as_str().unwrap_or("").to_string();
@@ -212,7 +213,7 @@
             self.run_turn(&job, turn, "m2").await;
         }
         if self.violation == ProtocolViolation::RunsRefused {
-            let mut rejection = refuse(Code::NoServer, "", 1);
+            let mut rejection = error_response(Code::NoServer, "", 1);
             rejection.insert_header("yewcross-shot", attempt);
             return rejection;
         }
@@ -255,7 +256,7 @@
         if !breaks_off {
             send(format!("{}\n", answer.end_line()));
         }
-        stream(body)
+        ndjson_stream_response(body)
     }
 }
 
@@ -275,7 +276,7 @@
     fn buffered(&self) -> Response {
         let mut answer = self.end_line();
         answer["text"] = json!(self.text);
-        reply(200, &answer)
+        json_response(200, &answer)
     }
 }
 
--- a/yewcross-testkit/src/routed/server.rs
+++ b/yewcross-testkit/src/routed/server.rs
@@ -603,7 +603,7 @@
             .iter()
             .filter(|x| x.0 + r.lag <= r.w.now())
             .count() as u64;
-        return buffered_http::reply(
+        return buffered_http::json_response(
             200,
             &yewcross_common::protocol::ServerList {
                 revision: rev.max(1),
@@ -614,7 +614,7 @@
     }
     if over || j.path != "/roster" {
         r.refused.fetch_add(1, SeqCst);
-        return buffered_http::reply(if over { 429 } else { 404 }, &serde_json::json!({}));
+        return buffered_http::json_response(if over { 429 } else { 404 }, &serde_json::json!({}));
     }
     r.served.fetch_add(1, SeqCst);
     let from: usize = j
@@ -626,5 +626,5 @@
     let all = r.shown();
     let servers: Vec<ListedServer> = all.iter().skip(from).take(r.page).cloned().collect();
     let next = (from + servers.len() < all.len()).then(|| (from + servers.len()).to_string());
-    buffered_http::reply(200, &Page { servers, next })
+    buffered_http::json_response(200, &Page { servers, next })
 }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -110,7 +110,7 @@
 impl Tier {
     pub fn new(seed: u64, name: &str) -> Arc<Tier> {
         let mut sh = topology(name, &addr).unwrap_or_else(|| panic!("no shape {name}"));
-        sh.nodes.iter_mut().for_each(|n| n.found = true);
+        sh.nodes.iter_mut().for_each(|n| n.bootstrap = true);
         let sim = Sim::new(seed, sh.site_latency);
         let z = sh.sites[0].clone();
         let m = sim.machine("operator", &z, addr(900, 0).ip());
@@ -146,7 +146,7 @@
 
     fn startup(&self, name: &str) -> Option<ProcessSettings> {
         let mut st = self.sh.nodes.iter().find(|n| n.name == name).cloned()?;
-        st.found = !*self.founded.lock().unwrap();
+        st.bootstrap = !*self.founded.lock().unwrap();
         Some(st)
     }
 
--- a/yewcross-testkit/src/sim/fingerprint.rs
+++ b/yewcross-testkit/src/sim/fingerprint.rs
@@ -7,7 +7,7 @@
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
-use yewcross_common::hash::key_128;
+use yewcross_common::hash::hash_128;
 
 const DATE: &[u8] = b"\r\ndate: ";
 /// As in `Wed, 02 Dec 2026 14:25:51 GMT`.
@@ -120,7 +120,7 @@
             kind,
             path: path.into(),
             length: data.len(),
-            digest: key_128(data),
+            digest: hash_128(data),
         }
     }
 }
@@ -137,7 +137,7 @@
         self.number(time);
         self.text(machine);
         self.event(event);
-        self.state = key_128(&self.row);
+        self.state = hash_128(&self.row);
     }
 
     fn event(&mut self, event: Event) {
@@ -164,7 +164,7 @@
                 .code(13)
                 .number(connection)
                 .text(to)
-                .content(data.len(), key_128(&undated(data))),
+                .content(data.len(), hash_128(&undated(data))),
             Event::Closed { connection, to } => self.code(14).number(connection).text(to),
             Event::Left { connection, to } => self.code(15).number(connection).text(to),
             Event::Stored { step, ok } => self
--- a/yewcross-testkit/src/stub_server/kv_cache.rs
+++ b/yewcross-testkit/src/stub_server/kv_cache.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use yewcross_common::buffered_http::{fetch, reply};
+use yewcross_common::buffered_http::{fetch, json_response};
 use yewcross_common::constants::{
     KV_IMPORT_US_PER_1000_TOKENS, KV_PUSH_TIMEOUT, KV_TOKEN_BYTES, SEC,
 };
@@ -139,7 +139,7 @@
         let session = text(body, "session");
         let cached = self.state().kv.cached(&session, &text(body, "digest"));
         let Some(prefix) = cached else {
-            return reply(404, &json!({"ok": false}));
+            return json_response(404, &json!({"ok": false}));
         };
         let base = body["base"].as_str();
         let saved = base.and_then(|digest| self.state().kv.saved_tokens(&session, digest));
@@ -150,7 +150,7 @@
         };
         self.state().kv.saved.insert(session, save);
         self.runtime.sleep(bytes / SAVE_BYTES_PER_US).await;
-        reply(
+        json_response(
             200,
             &json!({"tokens": prefix.tokens, "digest": prefix.digest, "bytes": bytes}),
         )
@@ -162,7 +162,7 @@
         let cached = self.state().kv.cached(&session, &text(body, "digest"));
         let to = text(body, "to").parse::<SocketAddr>();
         let (Some(prefix), Ok(to)) = (cached, to) else {
-            return reply(404, &json!({"ok": false, "bytes": 0}));
+            return json_response(404, &json!({"ok": false, "bytes": 0}));
         };
         let target = text(body, "target");
         let mut bytes = 0;
@@ -180,7 +180,7 @@
             };
             bytes += answer["bytes"].as_u64().unwrap_or(0);
             if status == 200 {
-                return reply(
+                return json_response(
                     200,
                     &json!({"ok": true, "bytes": bytes, "inst": answer["inst"]}),
                 );
@@ -189,7 +189,7 @@
                 break;
             }
         }
-        reply(200, &json!({"ok": false, "bytes": bytes}))
+        json_response(200, &json!({"ok": false, "bytes": bytes}))
     }
 
     async fn offer_replica(&self, to: SocketAddr, offer: &Value) -> Option<(u16, Value)> {
@@ -213,7 +213,7 @@
         let base = text(body, "base");
         self.record_arrival(&format!("push of {session}"));
         if text(body, "target") != self.name() {
-            return reply(403, &json!({"ok": false, "bytes": 0}));
+            return json_response(403, &json!({"ok": false, "bytes": 0}));
         }
         let base_tokens = if base.is_empty() {
             Some(0)
@@ -222,7 +222,7 @@
             replica.map(|replica| replica.tokens)
         };
         let Some(base_tokens) = base_tokens else {
-            return reply(409, &json!({"ok": false, "bytes": 0}));
+            return json_response(409, &json!({"ok": false, "bytes": 0}));
         };
         let tokens = body["tokens"].as_u64().unwrap_or(0);
         let bytes = tokens.saturating_sub(base_tokens) * KV_TOKEN_BYTES;
@@ -236,7 +236,7 @@
         };
         let cache_tokens = self.settings.cache_tokens;
         self.state().kv.store_replica(session, prefix, cache_tokens);
-        reply(
+        json_response(
             200,
             &json!({"ok": true, "bytes": bytes, "inst": self.instance}),
         )
@@ -248,12 +248,12 @@
         self.record_arrival(&format!("import of {session}"));
         let replica = self.state().kv.replica(&session, &text(body, "digest"));
         let Some(prefix) = replica else {
-            return reply(200, &json!({"ok": false}));
+            return json_response(200, &json!({"ok": false}));
         };
         let duration = prefix.tokens * KV_IMPORT_US_PER_1000_TOKENS / 1000 * self.import_slowdown();
         self.runtime.sleep(duration).await;
         if self.take_fault(|faults| &mut faults.failed_imports) {
-            return reply(200, &json!({"ok": false}));
+            return json_response(200, &json!({"ok": false}));
         }
         let tokens = prefix.tokens;
         let imported = Prefix {
@@ -262,7 +262,7 @@
         };
         let capacity = self.settings.cache_tokens;
         let placed = self.state().kv.place(&session, imported, tokens, capacity);
-        reply(
+        json_response(
             200,
             &json!({"ok": true, "tokens": tokens, "placed": placed}),
         )
@@ -275,6 +275,6 @@
         state.kv.replicas.remove(&session);
         state.kv.saved.remove(&session);
         drop(state);
-        reply(200, &json!({"ok": true}))
+        json_response(200, &json!({"ok": true}))
     }
 }
--- a/yewcross-testkit/src/stub_server/lookup.rs
+++ b/yewcross-testkit/src/stub_server/lookup.rs
@@ -3,7 +3,7 @@
 use super::{STALL_TIME, StubServer, text};
 use http_types::Response;
 use serde_json::{Value, json};
-use yewcross_common::buffered_http::reply;
+use yewcross_common::buffered_http::json_response;
 use yewcross_common::hash::digest;
 
 impl StubServer {
@@ -21,11 +21,11 @@
             self.runtime.sleep(STALL_TIME).await;
         }
         if self.take_fault(|faults| &mut faults.lost_answers) {
-            return reply(200, &"lost");
+            return json_response(200, &"lost");
         }
         let stamped_job = self.stamped_job(job);
         let value = format!("{key}={}", &digest(key.as_bytes())[..8]);
-        reply(
+        json_response(
             200,
             &json!({"value": value, "stamp": self.stamp(&stamped_job)}),
         )
--- a/yewcross-testkit/src/stub_server/mod.rs
+++ b/yewcross-testkit/src/stub_server/mod.rs
@@ -22,7 +22,7 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
-use yewcross_common::buffered_http::{self, ConnectionTracker, reply};
+use yewcross_common::buffered_http::{self, ConnectionTracker, json_response};
 use yewcross_common::constants::{MS, SEC};
 use yewcross_common::protocol::LoadReport;
 use yewcross_common::runtime::Runtime;
@@ -184,7 +184,7 @@
     }
 
     fn reject(&self, job: &str) -> Response {
-        reply(503, &json!({"refused": true, "stamp": self.stamp(job)}))
+        json_response(503, &json!({"refused": true, "stamp": self.stamp(job)}))
     }
 
     /// Waits for a free slot. None if the server drains or its queue is full.
--- a/yewcross-testkit/src/stub_server/turn.rs
+++ b/yewcross-testkit/src/stub_server/turn.rs
@@ -6,7 +6,7 @@
 use http_types::Response;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use yewcross_common::buffered_http::{self, stream};
+use yewcross_common::buffered_http::{self, ndjson_stream_response};
 use yewcross_common::constants::{BYTES_PER_TOKEN, DEADLINE_MAX_MS, MS};
 use yewcross_common::hash::digest;
 use yewcross_proxy::turn::tokens;
@@ -109,7 +109,7 @@
         match is_accepted.recv().await {
             Ok(true) => {
                 let deadline = self.runtime.now() + DEADLINE_MAX_MS * MS;
-                buffered_http::until(stream(stream_body), deadline)
+                buffered_http::with_send_deadline(ndjson_stream_response(stream_body), deadline)
             }
             _ => self.reject(&job),
         }
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -164,10 +164,10 @@
             platform: None,
             threads: 1,
             wire: WIRE_VERSION,
-            found: true,
+            bootstrap: true,
             bounds: Bounds {
                 lost,
-                beat: 1200,
+                probe_interval: 1200,
                 ..Default::default()
             },
         };
@@ -228,7 +228,7 @@
         self.sim.power_on(m);
         let w = self.sim.boot(m);
         let mut st = self.specs.lock().unwrap()[name].clone();
-        st.found = first;
+        st.bootstrap = first;
         if !first {
             // The operator's list of now, which may name the machine itself or ones that are down.
             let g = self.specs.lock().unwrap();
--- a/yewcross-testkit/src/topology.rs
+++ b/yewcross-testkit/src/topology.rs
@@ -206,7 +206,7 @@
                 platform: (role == Role::Core).then_some(platform),
                 threads: 1,
                 wire: WIRE_VERSION,
-                found: false,
+                bootstrap: false,
                 bounds: Default::default(),
             });
         }
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -197,7 +197,7 @@
             platform: None,
             threads: 1,
             wire: WIRE_VERSION,
-            found: false,
+            bootstrap: false,
             bounds: Bounds {
                 lost: self.lost,
                 ..Default::default()
--- a/yewcross-testkit/tests/relay/resumption.rs
+++ b/yewcross-testkit/tests/relay/resumption.rs
@@ -439,9 +439,9 @@
     let (gate, w) = (r.gate.clone(), r.relay.runtime.clone());
     w.clone().spawn(async move {
         w.sleep(60 * MS).await;
-        gate.last();
+        gate.disable_keep_alive();
         w.sleep(100 * MS).await;
-        gate.close();
+        gate.begin_shutdown();
     });
     check_paused(&r, "t", "/again/stream/x", &[], "stopped");
 }
--- a/yewcross-testkit/tests/relay/stopping.rs
+++ b/yewcross-testkit/tests/relay/stopping.rs
@@ -114,13 +114,13 @@
                 }) as BoxFuture<'static, Heard>])
             };
             w.sleep(100 * MS).await;
-            r.gate.last();
+            r.gate.disable_keep_alive();
             let during = call(&w, r.door, "during", "/once/x", &[], "").await;
-            r.gate.close();
+            r.gate.begin_shutdown();
             // In the backlog at this moment.
             let last = call(&w, r.door, "last", "/once/x", &[], "").await;
             let slow = one.recv().await.unwrap();
-            r.gate.emptied().await;
+            r.gate.all_closed().await;
             (during, last, slow, w.connect(r.door).await.is_err())
         })
     });
@@ -148,10 +148,10 @@
             assert!(n > 0);
             w.sleep(50 * MS).await;
             let t0 = w.now();
-            r.gate.close();
+            r.gate.begin_shutdown();
             let rest = c.read(&mut b).await;
             assert!(matches!(rest, Ok(0)), "{rest:?}");
-            r.gate.emptied().await;
+            r.gate.all_closed().await;
             w.now() - t0
         })
     });
