--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -142,7 +142,7 @@
         .replica
         .read_record(key)
         .await
-        .is_some_and(|slot| slot.value.is_empty() || control.store.outlived(&slot.value))
+        .is_some_and(|slot| slot.value.is_empty() || control.store.is_expired(&slot.value))
 }
 
 /// Returns after `rest` us, or when another disk requests a sweep or the layout is another one.
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -19,7 +19,7 @@
 
 /// This disk's own report of the change that layout `since` began.
 pub fn report(control: &Control, since: u64) -> PeerResponse {
-    let (turns_swept, turns_left) = control.chain.swept(since);
+    let (turns_swept, turns_left) = control.chain.sweep_status(since);
     let kept = control.layout_kept();
     let keys_swept = control.swept.load(SeqCst) >= since;
     PeerResponse::SweepProgress {
--- a/yewcross-control/src/operator/status.rs
+++ b/yewcross-control/src/operator/status.rs
@@ -84,7 +84,7 @@
     }
     let cache_state = key
         .starts_with(SESSION_PREFIX)
-        .then(|| SessionRecord::read(&record.value).head.kv);
+        .then(|| SessionRecord::read(&record.value).metadata.cache);
     Some(CheckpointKey {
         key,
         seq: record.seq,
@@ -108,7 +108,7 @@
         "puts": control.counters.puts.load(SeqCst),
         "list_polls": control.duties.polls.load(SeqCst),
         "lease": singleton_tasks::counters(control),
-        "chains": control.chain.figures(),
+        "chains": control.chain.metrics(),
     });
     reply(200, &body)
 }
--- a/yewcross-state/src/anti_entropy/mod.rs
+++ b/yewcross-state/src/anti_entropy/mod.rs
@@ -27,7 +27,7 @@
 impl TurnStore {
     /// Whether all that this disk held when it adopted the layout is where that layout needs it,
     /// and how many turns are not yet. A disk that is no replica has nothing to transfer.
-    pub fn swept(&self, layout: u64) -> (bool, u64) {
+    pub fn sweep_status(&self, layout: u64) -> (bool, u64) {
         let is_replica = self.stores.replicas().contains(&self.own_disk);
         (
             !is_replica || self.swept_layout.load(SeqCst) >= layout,
--- a/yewcross-state/src/records/begin_decision.rs
+++ b/yewcross-state/src/records/begin_decision.rs
@@ -1,7 +1,7 @@
 //! What a begin makes of a session's record: the turn runs, its stored outcome is given, or it is
 //! rejected.
 
-use super::record::{Mark, Run, SessionRecord};
+use super::record::{FinishedRequest, RunningTurn, SessionRecord};
 use yewcross_common::constants::{DEADLINE_MAX_MS, MS, RETENTION_MAX_MS, RUN_GRACE};
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::{BeginTurn, TurnBegun};
@@ -12,7 +12,7 @@
     pub(super) answer: TurnBegun,
     pub(super) history: Vec<u8>,
     /// An earlier turn that was past its deadline, and was closed.
-    pub(super) closed: Option<Run>,
+    pub(super) closed: Option<RunningTurn>,
 }
 
 /// The answer to a begin.
@@ -39,7 +39,7 @@
         return ValueUpdate::Keep(decision);
     }
     let mut closed = None;
-    if let Some(run) = &record.head.running {
+    if let Some(run) = &record.metadata.running {
         if let Some(code) = conflict(begin, run, now_ms) {
             return reject(code);
         }
@@ -47,8 +47,8 @@
             // The answer of this very begin was lost.
             return ValueUpdate::Keep(begun(record, None));
         }
-        let is_same_request = run.job == begin.request_id;
-        let reserved = run.max_out;
+        let is_same_request = run.request_id == begin.request_id;
+        let reserved = run.max_output_tokens;
         closed = record.close(Code::MayHaveRun, reserved);
         if is_same_request {
             let decision = BeginDecision::Rejected(Code::MayHaveRun);
@@ -74,7 +74,7 @@
     if let Some(mark) = record.mark(&begin.request_id) {
         return Some(stored_outcome(begin, record, mark));
     }
-    if record.head.barred.contains(&begin.nonce) {
+    if record.metadata.barred.contains(&begin.nonce) {
         return Some(BeginDecision::Rejected(Code::StoreAway));
     }
     record
@@ -82,14 +82,18 @@
         .then_some(BeginDecision::Rejected(Code::Forgotten))
 }
 
-fn stored_outcome(begin: &BeginTurn, record: &SessionRecord, mark: &Mark) -> BeginDecision {
+fn stored_outcome(
+    begin: &BeginTurn,
+    record: &SessionRecord,
+    mark: &FinishedRequest,
+) -> BeginDecision {
     if mark.digest != begin.digest {
         return BeginDecision::Rejected(Code::OtherBody);
     }
     if mark.code != Code::Done {
         return BeginDecision::Rejected(mark.code);
     }
-    let mut kept = record.head.kept.iter();
+    let mut kept = record.metadata.retained_outcomes.iter();
     match kept.find(|outcome| outcome.0 == begin.request_id) {
         Some((_, outcome)) => BeginDecision::Stored {
             code: mark.code,
@@ -99,18 +103,18 @@
     }
 }
 
-fn is_same_attempt(begin: &BeginTurn, run: &Run) -> bool {
-    run.nonce == begin.nonce && run.job == begin.request_id
+fn is_same_attempt(begin: &BeginTurn, run: &RunningTurn) -> bool {
+    run.nonce == begin.nonce && run.request_id == begin.request_id
 }
 
 /// Why the turn in flight keeps this one from beginning; None also for a second begin of the same
 /// attempt, and for a turn in flight that is past its deadline.
-fn conflict(begin: &BeginTurn, run: &Run, now_ms: u64) -> Option<Code> {
-    let is_same_request = run.job == begin.request_id;
+fn conflict(begin: &BeginTurn, run: &RunningTurn, now_ms: u64) -> Option<Code> {
+    let is_same_request = run.request_id == begin.request_id;
     if is_same_request && run.digest != begin.digest {
         return Some(Code::OtherBody);
     }
-    if is_same_attempt(begin, run) || now_ms >= run.until {
+    if is_same_attempt(begin, run) || now_ms >= run.deadline_ms {
         return None;
     }
     Some(if is_same_request {
@@ -121,31 +125,31 @@
 }
 
 fn start(begin: &BeginTurn, record: &mut SessionRecord, now_ms: u64) {
-    let head = &mut record.head;
+    let head = &mut record.metadata;
     head.epoch += 1;
-    head.touched = now_ms;
-    head.keep = begin.retain_ms.min(RETENTION_MAX_MS);
-    head.running = Some(Run {
-        job: begin.request_id.clone(),
+    head.retention_start_ms = now_ms;
+    head.retain_ms = begin.retain_ms.min(RETENTION_MAX_MS);
+    head.running = Some(RunningTurn {
+        request_id: begin.request_id.clone(),
         digest: begin.digest.clone(),
         nonce: begin.nonce,
-        front: begin.front.clone(),
-        until: now_ms + begin.remaining_ms.min(DEADLINE_MAX_MS) + RUN_GRACE / MS,
-        max_out: begin.max_output_tokens,
+        proxy: begin.front.clone(),
+        deadline_ms: now_ms + begin.remaining_ms.min(DEADLINE_MAX_MS) + RUN_GRACE / MS,
+        max_output_tokens: begin.max_output_tokens,
         budget: begin.budget.as_ref().map(|budget| budget.0.clone()),
     });
 }
 
-fn begun(record: SessionRecord, closed: Option<Run>) -> BeginDecision {
+fn begun(record: SessionRecord, closed: Option<RunningTurn>) -> BeginDecision {
     let answer = TurnBegun {
-        epoch: record.head.epoch,
-        cache: record.head.kv,
-        history_bytes: record.hist.len() as u64,
+        epoch: record.metadata.epoch,
+        cache: record.metadata.cache,
+        history_bytes: record.history.len() as u64,
         history_complete: true,
     };
     BeginDecision::Begun(Box::new(Begun {
         answer,
-        history: record.hist,
+        history: record.history,
         closed,
     }))
 }
--- a/yewcross-state/src/records/budget_record.rs
+++ b/yewcross-state/src/records/budget_record.rs
@@ -13,16 +13,20 @@
     /// Most tokens that the attempt may use.
     pub amount: u64,
     /// Key of the session's record.
-    pub key: String,
+    #[serde(rename = "key")]
+    pub session_key: String,
     /// Request id of the turn.
-    pub job: String,
+    #[serde(rename = "job")]
+    pub request_id: String,
     /// Identifies the attempt among those of the same request.
     pub nonce: u64,
     /// Clock at which it was made, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub reserved_at_ms: u64,
     /// ms that the session's record is kept at least; 0 where an older process wrote it.
     #[serde(default)]
-    pub keep: u64,
+    #[serde(rename = "keep")]
+    pub retain_ms: u64,
 }
 
 /// What a budget's register holds.
@@ -33,7 +37,7 @@
     /// Reservations that are not settled yet, by entry.
     pub open: BTreeMap<String, Reservation>,
     /// Entries settled last, oldest first.
-    pub recent: VecDeque<String>,
+    pub settled: VecDeque<String>,
 }
 
 /// One line of the stored form.
@@ -55,7 +59,7 @@
                 Ok(BudgetLine::Open(entry, reservation)) => {
                     record.open.insert(entry, reservation);
                 }
-                Ok(BudgetLine::Settled(entry)) => record.recent.push_back(entry),
+                Ok(BudgetLine::Settled(entry)) => record.settled.push_back(entry),
                 Ok(BudgetLine::Spent(tokens)) => record.spent = tokens,
                 Err(_) => {}
             }
@@ -65,7 +69,7 @@
 
     pub(super) fn write(&self) -> Vec<u8> {
         let mut value = vec![];
-        for entry in &self.recent {
+        for entry in &self.settled {
             append_line(&mut value, &BudgetLine::Settled(entry.clone()));
         }
         for (entry, reservation) in &self.open {
@@ -92,9 +96,9 @@
         };
         let charged = used.unwrap_or(reservation.amount).min(reservation.amount);
         self.spent = self.spent.saturating_add(charged);
-        self.recent.push_back(entry.into());
-        while self.recent.len() > SETTLED_KEPT {
-            self.recent.pop_front();
+        self.settled.push_back(entry.into());
+        while self.settled.len() > SETTLED_KEPT {
+            self.settled.pop_front();
         }
         true
     }
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -39,7 +39,7 @@
                 if record.open.contains_key(entry) {
                     return ValueUpdate::Keep(PeerResponse::Ok);
                 }
-                if record.recent.iter().any(|settled| settled == entry) {
+                if record.settled.iter().any(|settled| settled == entry) {
                     return ValueUpdate::Keep(PeerResponse::Rejected(Code::Conflict));
                 }
                 if record.committed_tokens() >= limit {
@@ -104,7 +104,7 @@
         };
         let now_ms = self.clock_ms();
         for (entry, reservation) in BudgetRecord::read(&value).open {
-            if now_ms <= reservation.at + RESERVATION_AUDIT_AGE_MS {
+            if now_ms <= reservation.reserved_at_ms + RESERVATION_AUDIT_AGE_MS {
                 continue;
             }
             if let AuditOutcome::Over { used } = self.audit_reservation(&reservation, now_ms).await
@@ -115,14 +115,14 @@
     }
 
     async fn audit_reservation(&self, reservation: &Reservation, now_ms: u64) -> AuditOutcome {
-        let key = &reservation.key;
+        let key = &reservation.session_key;
         let inspect = PeerRequest::InspectSession { key: key.clone() };
         let answer = (self.route)(key.clone(), inspect).await;
         let Some(PeerResponse::SessionReservations { open, done }) = answer else {
             return AuditOutcome::Pending;
         };
         let is_audited = |request_id: &str, nonce: u64| {
-            request_id == reservation.job && nonce == reservation.nonce
+            request_id == reservation.request_id && nonce == reservation.nonce
         };
         if open.iter().any(|turn| is_audited(&turn.0, turn.1)) {
             return AuditOutcome::Pending;
@@ -131,7 +131,12 @@
         let used = finished.map(|turn| turn.2);
         // Never begun, as far as the record tells, and the record cannot have been forgotten
         // since: once the attempt is barred it never will begin.
-        if used.is_none() && now_ms < reservation.at.saturating_add(reservation.keep) {
+        if used.is_none()
+            && now_ms
+                < reservation
+                    .reserved_at_ms
+                    .saturating_add(reservation.retain_ms)
+        {
             return self.abort_unbegun(reservation).await;
         }
         AuditOutcome::Over { used }
@@ -140,12 +145,12 @@
     /// Bars an attempt of which the session's record knows nothing.
     async fn abort_unbegun(&self, reservation: &Reservation) -> AuditOutcome {
         let abort = PeerRequest::AbortTurn {
-            key: reservation.key.clone(),
-            request_id: reservation.job.clone(),
+            key: reservation.session_key.clone(),
+            request_id: reservation.request_id.clone(),
             nonce: reservation.nonce,
             budget: None,
         };
-        match (self.route)(reservation.key.clone(), abort).await {
+        match (self.route)(reservation.session_key.clone(), abort).await {
             Some(PeerResponse::Ok) => AuditOutcome::Over { used: Some(0) },
             Some(PeerResponse::Rejected(Code::Conflict)) => AuditOutcome::Over { used: None },
             _ => AuditOutcome::Pending,
--- a/yewcross-state/src/records/mod.rs
+++ b/yewcross-state/src/records/mod.rs
@@ -12,7 +12,7 @@
 mod sessions;
 
 pub use budget_record::{BudgetRecord, Reservation, budget_key};
-pub use record::{Head, Mark, Run, SessionRecord};
+pub use record::{FinishedRequest, RunningTurn, SessionMetadata, SessionRecord};
 
 use std::sync::Arc;
 use yewcross_common::error_code::Code;
@@ -61,9 +61,9 @@
             PeerRequest::RecordCacheState { key, epoch, cache } => {
                 self.record_cache_state(&key, epoch, cache).await
             }
-            PeerRequest::InspectSession { key } => self.inspect(&key).await,
-            PeerRequest::EndSession { key } => self.end(&key).await,
-            PeerRequest::ExpireSession { key } => self.expire(&key).await,
+            PeerRequest::InspectSession { key } => self.inspect_session(&key).await,
+            PeerRequest::EndSession { key } => self.end_session(&key).await,
+            PeerRequest::ExpireSession { key } => self.expire_session(&key).await,
             PeerRequest::ReserveBudget {
                 budget,
                 entry,
@@ -76,11 +76,11 @@
             } => {
                 let reservation = Reservation {
                     amount,
-                    key,
-                    job: request_id,
+                    session_key: key,
+                    request_id: request_id,
                     nonce,
-                    at: self.clock_ms(),
-                    keep: retain_ms,
+                    reserved_at_ms: self.clock_ms(),
+                    retain_ms: retain_ms,
                 };
                 let budget = budget.trim_start_matches("budget/");
                 self.reserve(budget, &entry, reservation, limit).await
--- a/yewcross-state/src/records/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -18,28 +18,33 @@
 
 /// A turn in flight: begun, and neither committed nor aborted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Run {
+pub struct RunningTurn {
     /// The caller's id of the request.
-    pub job: String,
+    #[serde(rename = "job")]
+    pub request_id: String,
     /// Digest of the request's body.
     pub digest: String,
     /// Identifies the attempt among those of the same request.
     pub nonce: u64,
     /// The proxy that began it.
-    pub front: String,
+    #[serde(rename = "front")]
+    pub proxy: String,
     /// Clock after which it counts as lost, ms.
-    pub until: u64,
+    #[serde(rename = "until")]
+    pub deadline_ms: u64,
     /// Most tokens of output, reserved from the budget.
-    pub max_out: u64,
+    #[serde(rename = "max_out")]
+    pub max_output_tokens: u64,
     /// Name of the budget that pays for it.
     pub budget: Option<String>,
 }
 
 /// What is remembered of a finished request, so that it never runs again.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Mark {
+pub struct FinishedRequest {
     /// The caller's id of the request.
-    pub job: String,
+    #[serde(rename = "job")]
+    pub request_id: String,
     /// Digest of the request's body.
     pub digest: String,
     /// Identifies the attempt that finished it.
@@ -52,24 +57,27 @@
 
 /// All of a session's record but the history and the bare ids.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Head {
+pub struct SessionMetadata {
     /// Rises with every turn that begins, and when the session ends.
     pub epoch: u64,
     /// The turn in flight.
-    pub running: Option<Run>,
+    pub running: Option<RunningTurn>,
     /// Finished requests, oldest first.
     #[serde(skip)]
-    pub marks: VecDeque<Mark>,
+    pub finished: VecDeque<FinishedRequest>,
     /// Request id and outcome of the requests finished last, oldest first.
     #[serde(skip)]
-    pub kept: VecDeque<(String, String)>,
+    pub retained_outcomes: VecDeque<(String, String)>,
     /// Where the session's prefix is cached.
-    pub kv: SessionCacheState,
+    #[serde(rename = "kv")]
+    pub cache: SessionCacheState,
     /// Clock of the last begin, ms.
-    pub touched: u64,
+    #[serde(rename = "touched")]
+    pub retention_start_ms: u64,
     /// ms after `touched` until the record may be forgotten; 0: never.
     #[serde(default)]
-    pub keep: u64,
+    #[serde(rename = "keep")]
+    pub retain_ms: u64,
     /// Nonces of attempts that may never begin any more.
     #[serde(default)]
     pub barred: VecDeque<u64>,
@@ -85,11 +93,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct SessionRecord {
     /// The conversation so far.
-    pub hist: Vec<u8>,
+    pub history: Vec<u8>,
     /// Bare ids of requests older than the marks, 16 hex digits each.
-    pub old: Vec<u8>,
+    pub request_id_hashes: Vec<u8>,
     /// The rest.
-    pub head: Head,
+    pub metadata: SessionMetadata,
 }
 
 impl SessionRecord {
@@ -100,84 +108,95 @@
         let Some(last) = lines.next() else {
             return SessionRecord::default();
         };
-        let Ok((mut head, marks, kept)) = serde_json::from_slice::<(Head, usize, usize)>(last)
+        let Ok((mut head, marks, kept)) =
+            serde_json::from_slice::<(SessionMetadata, usize, usize)>(last)
         else {
             return SessionRecord::default();
         };
         let mut end = value.len() - last.len();
         let mut bytes;
-        (head.marks, bytes) = read_backwards(lines.by_ref().take(marks));
+        (head.finished, bytes) = read_backwards(lines.by_ref().take(marks));
         end -= bytes;
-        (head.kept, bytes) = read_backwards(lines.by_ref().take(kept));
+        (head.retained_outcomes, bytes) = read_backwards(lines.by_ref().take(kept));
         end -= bytes;
         let bare_ids: usize = lines.take(head.bare_id_lines).map(|line| line.len()).sum();
         SessionRecord {
-            hist: value[..end - bare_ids].to_vec(),
-            old: value[end - bare_ids..end].to_vec(),
-            head,
+            history: value[..end - bare_ids].to_vec(),
+            request_id_hashes: value[end - bare_ids..end].to_vec(),
+            metadata: head,
         }
     }
 
     /// The stored form.
     pub fn write(&self) -> Vec<u8> {
-        let mut value = self.hist.clone();
-        value.extend(&self.old);
-        for outcome in &self.head.kept {
+        let mut value = self.history.clone();
+        value.extend(&self.request_id_hashes);
+        for outcome in &self.metadata.retained_outcomes {
             append_line(&mut value, outcome);
         }
-        for mark in &self.head.marks {
+        for mark in &self.metadata.finished {
             append_line(&mut value, mark);
         }
-        let head = Head {
-            bare_id_lines: self.old.iter().filter(|byte| **byte == LINE_END).count(),
-            ..self.head.clone()
+        let head = SessionMetadata {
+            bare_id_lines: self
+                .request_id_hashes
+                .iter()
+                .filter(|byte| **byte == LINE_END)
+                .count(),
+            ..self.metadata.clone()
         };
-        let counts = (self.head.marks.len(), self.head.kept.len());
+        let counts = (
+            self.metadata.finished.len(),
+            self.metadata.retained_outcomes.len(),
+        );
         append_line(&mut value, &(&head, counts.0, counts.1));
         value
     }
 
     /// Ends the turn in flight with an outcome; gives it back, None if there was none.
-    pub fn close(&mut self, code: Code, used: u64) -> Option<Run> {
-        let run = self.head.running.take()?;
-        self.head.marks.push_back(Mark {
-            job: run.job.clone(),
+    pub fn close(&mut self, code: Code, used: u64) -> Option<RunningTurn> {
+        let run = self.metadata.running.take()?;
+        self.metadata.finished.push_back(FinishedRequest {
+            request_id: run.request_id.clone(),
             digest: run.digest.clone(),
             nonce: run.nonce,
             code,
             used,
         });
-        while self.head.marks.len() > RETAINED_REQUEST_DIGESTS {
-            if let Some(mark) = self.head.marks.pop_front() {
-                append_bare_id(&mut self.old, &bare_id(&mark.job));
+        while self.metadata.finished.len() > RETAINED_REQUEST_DIGESTS {
+            if let Some(mark) = self.metadata.finished.pop_front() {
+                append_bare_id(&mut self.request_id_hashes, &bare_id(&mark.request_id));
             }
         }
         Some(run)
     }
 
     /// The mark of a finished request.
-    pub(super) fn mark(&self, request_id: &str) -> Option<&Mark> {
-        self.head.marks.iter().find(|mark| mark.job == request_id)
+    pub(super) fn mark(&self, request_id: &str) -> Option<&FinishedRequest> {
+        self.metadata
+            .finished
+            .iter()
+            .find(|mark| mark.request_id == request_id)
     }
 
     /// Whether the request finished so long ago that only its bare id is left.
     pub fn ran_before(&self, request_id: &str) -> bool {
         let id = bare_id(request_id);
-        self.old
+        self.request_id_hashes
             .split(|byte| *byte == LINE_END)
             .any(|line| line.chunks(BARE_ID_BYTES).any(|old| old == id.as_bytes()))
     }
 
     /// Whether the session has used all the ids that it can remember.
     pub fn is_full(&self) -> bool {
-        self.old.len() >= FULL_BYTES
+        self.request_id_hashes.len() >= FULL_BYTES
     }
 
     /// The attempt may never begin any more.
-    pub fn bar(&mut self, nonce: u64) {
-        self.head.barred.push_back(nonce);
-        while self.head.barred.len() > RETAINED_BARRED_ATTEMPTS {
-            self.head.barred.pop_front();
+    pub fn bar_attempt(&mut self, nonce: u64) {
+        self.metadata.barred.push_back(nonce);
+        while self.metadata.barred.len() > RETAINED_BARRED_ATTEMPTS {
+            self.metadata.barred.pop_front();
         }
     }
 }
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -110,16 +110,16 @@
         let record = SessionRecord::read(&value);
         record.mark(&begin.request_id).is_some()
             || record
-                .head
+                .metadata
                 .running
-                .is_some_and(|run| self.clock_ms() < run.until)
+                .is_some_and(|run| self.clock_ms() < run.deadline_ms)
     }
 
     fn answer_begun(self: &Arc<Self>, begin: &BeginTurn, begun: Begun) -> (PeerResponse, Vec<u8>) {
         if let Some(closed) = begun.closed
             && let Some(budget) = closed.budget
         {
-            let entry = reservation_entry(&begin.key, &closed.job, closed.nonce);
+            let entry = reservation_entry(&begin.key, &closed.request_id, closed.nonce);
             self.settle_in_background(&budget, entry, None);
         }
         let is_history_known = begin.known_history.as_ref().is_some_and(|(bytes, digest)| {
@@ -207,10 +207,10 @@
             .registers
             .change(key, PEER_REQUEST_TIMEOUT, |_, value| {
                 let mut record = SessionRecord::read(value);
-                if record.head.epoch != epoch || record.head.kv == cache {
-                    return ValueUpdate::Keep(record.head.epoch == epoch);
+                if record.metadata.epoch != epoch || record.metadata.cache == cache {
+                    return ValueUpdate::Keep(record.metadata.epoch == epoch);
                 }
-                record.head.kv = cache.clone();
+                record.metadata.cache = cache.clone();
                 ValueUpdate::Write(record.write(), true)
             })
             .await;
@@ -222,7 +222,7 @@
     }
 
     /// Ends the session: history and cache state go, marks and kept outcomes stay.
-    pub async fn end(&self, key: &str) -> PeerResponse {
+    pub async fn end_session(&self, key: &str) -> PeerResponse {
         let ended = self
             .registers
             .change(key, PEER_REQUEST_TIMEOUT, |_, value| decide_end(value))
@@ -236,15 +236,18 @@
 
     /// Whether a stored session has outlived its retention. Never while a turn is in flight, or
     /// while too few clocks are known to be sure of the time.
-    pub fn outlived(&self, value: &[u8]) -> bool {
-        let head = SessionRecord::read(value).head;
+    pub fn is_expired(&self, value: &[u8]) -> bool {
+        let head = SessionRecord::read(value).metadata;
         let (now_ms, is_sure) = self.members.clock();
-        head.keep > 0 && head.running.is_none() && is_sure && now_ms > head.touched + head.keep
+        head.retain_ms > 0
+            && head.running.is_none()
+            && is_sure
+            && now_ms > head.retention_start_ms + head.retain_ms
     }
 
     /// Erases a session that has outlived its retention.
-    pub async fn expire(&self, key: &str) -> PeerResponse {
-        let is_erased = self.registers.erase(key, |value| self.outlived(value));
+    pub async fn expire_session(&self, key: &str) -> PeerResponse {
+        let is_erased = self.registers.erase(key, |value| self.is_expired(value));
         if is_erased.await {
             PeerResponse::Ok
         } else {
@@ -253,7 +256,7 @@
     }
 
     /// Tells the session's turns in flight and finished; one past its deadline is closed first.
-    pub async fn inspect(&self, key: &str) -> PeerResponse {
+    pub async fn inspect_session(&self, key: &str) -> PeerResponse {
         let now_ms = self.clock_ms();
         let inspected = self
             .registers
@@ -281,24 +284,24 @@
         });
     }
     let is_in_flight = record
-        .head
+        .metadata
         .running
         .as_ref()
-        .is_some_and(|run| run.nonce == commit.nonce && run.job == commit.request_id);
-    if record.head.epoch != commit.epoch || !is_in_flight {
+        .is_some_and(|run| run.nonce == commit.nonce && run.request_id == commit.request_id);
+    if record.metadata.epoch != commit.epoch || !is_in_flight {
         return ValueUpdate::Keep(CommitDecision::Conflict);
     }
     let closed = record.close(commit.code, commit.used_tokens);
-    record.hist.extend(history);
-    commit.rule.trim(&mut record.hist);
+    record.history.extend(history);
+    commit.rule.trim(&mut record.history);
     if !outcome.is_empty() {
-        let kept = &mut record.head.kept;
+        let kept = &mut record.metadata.retained_outcomes;
         kept.push_back((commit.request_id.clone(), outcome.into()));
         while kept.len() > RETAINED_OUTCOMES {
             kept.pop_front();
         }
     }
-    record.head.kv = commit.cache.clone();
+    record.metadata.cache = commit.cache.clone();
     let budget = closed.and_then(|run| run.budget);
     ValueUpdate::Write(record.write(), CommitDecision::Committed { budget })
 }
@@ -307,24 +310,24 @@
 fn decide_abort(request_id: &str, nonce: u64, now_ms: u64, value: &[u8]) -> ValueUpdate<bool> {
     let mut record = SessionRecord::read(value);
     let is_attempt_finished = record
-        .head
-        .marks
+        .metadata
+        .finished
         .iter()
-        .any(|mark| mark.job == request_id && mark.nonce == nonce);
+        .any(|mark| mark.request_id == request_id && mark.nonce == nonce);
     if is_attempt_finished || record.ran_before(request_id) {
         return ValueUpdate::Keep(false);
     }
-    if record.head.barred.contains(&nonce) {
+    if record.metadata.barred.contains(&nonce) {
         return ValueUpdate::Keep(true);
     }
     record
-        .head
+        .metadata
         .running
-        .take_if(|run| run.job == request_id && run.nonce == nonce);
-    record.bar(nonce);
-    if record.head.keep == 0 {
-        record.head.touched = now_ms;
-        record.head.keep = BARRED_ATTEMPT_RETENTION_MS;
+        .take_if(|run| run.request_id == request_id && run.nonce == nonce);
+    record.bar_attempt(nonce);
+    if record.metadata.retain_ms == 0 {
+        record.metadata.retention_start_ms = now_ms;
+        record.metadata.retain_ms = BARRED_ATTEMPT_RETENTION_MS;
     }
     ValueUpdate::Write(record.write(), true)
 }
@@ -332,36 +335,38 @@
 /// The cache state that the session had, unless a turn is in flight.
 fn decide_end(value: &[u8]) -> ValueUpdate<Result<SessionCacheState, Code>> {
     let mut record = SessionRecord::read(value);
-    if record.head.running.is_some() {
+    if record.metadata.running.is_some() {
         return ValueUpdate::Keep(Err(Code::SessionBusy));
     }
-    let cache = std::mem::take(&mut record.head.kv);
-    let has_nothing = record.hist.is_empty() && cache == SessionCacheState::default();
+    let cache = std::mem::take(&mut record.metadata.cache);
+    let has_nothing = record.history.is_empty() && cache == SessionCacheState::default();
     if value.is_empty() || has_nothing {
         return ValueUpdate::Keep(Ok(cache));
     }
-    record.hist.clear();
-    record.head.epoch += 1;
+    record.history.clear();
+    record.metadata.epoch += 1;
     ValueUpdate::Write(record.write(), Ok(cache))
 }
 
 fn decide_inspect(now_ms: u64, value: &[u8]) -> ValueUpdate<PeerResponse> {
     let mut record = SessionRecord::read(value);
     let lost = record
-        .head
+        .metadata
         .running
         .as_ref()
-        .filter(|run| now_ms > run.until);
-    let reserved_by_lost = lost.map(|run| run.max_out);
+        .filter(|run| now_ms > run.deadline_ms);
+    let reserved_by_lost = lost.map(|run| run.max_output_tokens);
     if let Some(reserved) = reserved_by_lost {
         record.close(Code::MayHaveRun, reserved);
     }
-    let in_flight = record.head.running.iter();
-    let finished = record.head.marks.iter();
+    let in_flight = record.metadata.running.iter();
+    let finished = record.metadata.finished.iter();
     let answer = PeerResponse::SessionReservations {
-        open: in_flight.map(|run| (run.job.clone(), run.nonce)).collect(),
+        open: in_flight
+            .map(|run| (run.request_id.clone(), run.nonce))
+            .collect(),
         done: finished
-            .map(|mark| (mark.job.clone(), mark.nonce, mark.used))
+            .map(|mark| (mark.request_id.clone(), mark.nonce, mark.used))
             .collect(),
     };
     if reserved_by_lost.is_some() {
--- a/yewcross-state/src/segment_log/restore.rs
+++ b/yewcross-state/src/segment_log/restore.rs
@@ -18,7 +18,7 @@
     /// called while the disk counts as failed, so that no request is answered meanwhile. Where
     /// bytes that were acknowledged are gone, recovery is pending, as after a start that finds
     /// damage.
-    pub async fn restore(self: &Arc<Self>) -> io::Result<()> {
+    pub async fn reload_log(self: &Arc<Self>) -> io::Result<()> {
         while self.log.lock().unwrap().is_writing() {
             self.runtime.sleep(WRITE_POLL_US).await;
         }
--- a/yewcross-state/src/turn_store/metrics.rs
+++ b/yewcross-state/src/turn_store/metrics.rs
@@ -37,7 +37,7 @@
 
 impl TurnStore {
     /// Metrics by name: what this store did, and what it holds.
-    pub fn figures(&self) -> BTreeMap<&'static str, u64> {
+    pub fn metrics(&self) -> BTreeMap<&'static str, u64> {
         let (turns, turn_bytes, programs) = {
             let index = self.index.lock().unwrap();
             (
--- a/yewcross-state/tests/budget_record.rs
+++ b/yewcross-state/tests/budget_record.rs
@@ -11,7 +11,7 @@
 {"Spent":9}
 "#;
     let record = BudgetRecord::read(stored);
-    assert_eq!(record.recent, ["settled"]);
+    assert_eq!(record.settled, ["settled"]);
     assert_eq!(record.open.keys().collect::<Vec<_>>(), ["reserved"]);
     assert_eq!(record.spent, 9);
 }
@@ -19,5 +19,5 @@
 #[test]
 fn a_record_without_a_readable_sum_has_spent_nothing() {
     let record = BudgetRecord::read(b"{\"Settled\":\"settled\"}\n{\"Spent\":\"nine\"}\n");
-    assert_eq!((record.recent.len(), record.spent), (1, 0));
+    assert_eq!((record.settled.len(), record.spent), (1, 0));
 }
--- a/yewcross-state/tests/session_record.rs
+++ b/yewcross-state/tests/session_record.rs
@@ -3,7 +3,7 @@
 use yewcross_common::configuration::Rule;
 use yewcross_common::constants::{RETAINED_REQUEST_DIGESTS, RETAINED_REQUEST_IDS};
 use yewcross_common::error_code::Code;
-use yewcross_state::records::{Mark, Run, SessionRecord};
+use yewcross_state::records::{FinishedRequest, RunningTurn, SessionRecord};
 
 #[test]
 fn histories_are_trimmed_by_their_rule() {
@@ -23,56 +23,65 @@
         ],
         [24, 16, 24, 16, 8]
     );
-    let m = |j: &str| Mark {
-        job: j.into(),
+    let m = |j: &str| FinishedRequest {
+        request_id: j.into(),
         digest: "d".into(),
         nonce: 1,
         code: Code::Done,
         used: 3,
     };
     let mut r = SessionRecord {
-        hist: h.clone(),
+        history: h.clone(),
         ..Default::default()
     };
-    r.head.epoch = 7;
-    r.head.marks.extend([m("a"), m("b")]);
-    r.head.kept.push_back(("b".into(), "x\ny".into()));
+    r.metadata.epoch = 7;
+    r.metadata.finished.extend([m("a"), m("b")]);
+    r.metadata
+        .retained_outcomes
+        .push_back(("b".into(), "x\ny".into()));
     let b = SessionRecord::read(&r.write());
-    assert_eq!((b.hist, b.head.epoch, b.head.kept), (h, 7, r.head.kept));
     assert_eq!(
-        b.head
-            .marks
+        (b.history, b.metadata.epoch, b.metadata.retained_outcomes),
+        (h, 7, r.metadata.retained_outcomes)
+    );
+    assert_eq!(
+        b.metadata
+            .finished
             .iter()
-            .map(|m| m.job.as_str())
+            .map(|m| m.request_id.as_str())
             .collect::<Vec<_>>(),
         ["a", "b"]
     );
-    assert_eq!(SessionRecord::read(&[]).head.epoch, 0);
+    assert_eq!(SessionRecord::read(&[]).metadata.epoch, 0);
 }
 
 #[test]
 fn every_id_of_a_session_is_remembered_and_costs_a_small_delta() {
     let mut r = SessionRecord {
-        hist: b"one\ntwo\n".to_vec(),
+        history: b"one\ntwo\n".to_vec(),
         ..Default::default()
     };
-    let run = |i: usize| Run {
-        job: format!("j{i}"),
+    let run = |i: usize| RunningTurn {
+        request_id: format!("j{i}"),
         digest: "d".into(),
         nonce: 1,
-        front: "f".into(),
-        until: 0,
-        max_out: 0,
+        proxy: "f".into(),
+        deadline_ms: 0,
+        max_output_tokens: 0,
         budget: None,
     };
     (0..RETAINED_REQUEST_DIGESTS + 200).for_each(|i| {
-        r.head.running = Some(run(i));
+        r.metadata.running = Some(run(i));
         r.close(Code::Done, 1);
     });
     let was = r.write();
     let mut b = SessionRecord::read(&was);
     assert_eq!(
-        (b.hist.as_slice(), b.head.marks.len(), b.old.len()),
+        (
+            b.history.as_slice(),
+            b.metadata.finished.len(),
+            b.request_id_hashes.len()
+        ),
         (&b"one\ntwo\n"[..], RETAINED_REQUEST_DIGESTS, 200 * 16 + 4)
     );
     assert!(
@@ -80,25 +89,25 @@
             && !b.ran_before("j200")
             && !b.ran_before("never")
     );
-    b.head.running = Some(run(5000));
+    b.metadata.running = Some(run(5000));
     b.close(Code::Done, 1);
     let d = yewcross_common::documents::delta::encode(&was, &b.write()).len();
     assert!(d < 2000, "{d}");
-    b.old = vec![b'0'; 17 * RETAINED_REQUEST_IDS];
+    b.request_id_hashes = vec![b'0'; 17 * RETAINED_REQUEST_IDS];
     assert!(b.is_full());
 }
 
 fn record_with_marks() -> SessionRecord {
-    let mark = |request_id: &str| Mark {
-        job: request_id.into(),
+    let mark = |request_id: &str| FinishedRequest {
+        request_id: request_id.into(),
         digest: "d".into(),
         nonce: 1,
         code: Code::Done,
         used: 3,
     };
     let mut record = SessionRecord::default();
-    record.head.epoch = 7;
-    record.head.marks.extend([mark("a"), mark("b")]);
+    record.metadata.epoch = 7;
+    record.metadata.finished.extend([mark("a"), mark("b")]);
     record
 }
 
@@ -108,8 +117,8 @@
     let last_bracket = stored.len() - 2;
     stored[last_bracket] = b'x';
     let read = SessionRecord::read(&stored);
-    assert_eq!((read.head.epoch, read.head.marks.len()), (0, 0));
-    assert!(read.hist.is_empty() && read.old.is_empty());
+    assert_eq!((read.metadata.epoch, read.metadata.finished.len()), (0, 0));
+    assert!(read.history.is_empty() && read.request_id_hashes.is_empty());
 }
 
 #[test]
@@ -117,7 +126,12 @@
     let mut stored = record_with_marks().write();
     stored[0] = b'x';
     let read = SessionRecord::read(&stored);
-    let marks: Vec<&str> = read.head.marks.iter().map(|m| m.job.as_str()).collect();
-    assert_eq!((read.head.epoch, marks), (7, vec!["b"]));
-    assert!(read.hist.is_empty() && read.old.is_empty());
+    let marks: Vec<&str> = read
+        .metadata
+        .finished
+        .iter()
+        .map(|m| m.request_id.as_str())
+        .collect();
+    assert_eq!((read.metadata.epoch, marks), (7, vec!["b"]));
+    assert!(read.history.is_empty() && read.request_id_hashes.is_empty());
 }
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -369,7 +369,7 @@
             nodes.iter().any(|(n, x)| {
                 !apart.contains(n)
                     && x.disk == *d
-                    && x.engine.as_ref().is_some_and(|e| e.swept(seq).0)
+                    && x.engine.as_ref().is_some_and(|e| e.sweep_status(seq).0)
             })
         };
         let k = l.store.previous.len();
@@ -1155,7 +1155,7 @@
                     !e.recovery_pending.load(SeqCst),
                     "seed {seed}, round {round}: {n} takes a torn end for damage"
                 );
-                torn += e.figures()["torn"];
+                torn += e.metrics()["torn"];
             }
         }
         t.finish(60_000);
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -437,7 +437,7 @@
         .filter(|c| c.settings.role == Role::Store)
     {
         stores += 1;
-        turns += c.chain.figures()["turns"];
+        turns += c.chain.metrics()["turns"];
         let (keys, damaged) = futures_lite::future::block_on(c.replica.keys());
         assert!(
             keys.is_empty() && damaged == 0,
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -34,7 +34,8 @@
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_control::lease::KeptGrant;
 use yewcross_state::records::{
-    BudgetRecord, Head, Mark, Reservation, Run, SessionRecord, budget_key,
+    BudgetRecord, FinishedRequest, Reservation, RunningTurn, SessionMetadata, SessionRecord,
+    budget_key,
 };
 use yewcross_state::segment_log::{self, LogRecord, TornEnd};
 use yewcross_state::turn_store::TurnIndex;
@@ -279,43 +280,43 @@
 }
 
 fn tell_record(record: &SessionRecord) -> String {
-    let head = &record.head;
-    let mark = |m: &Mark| {
+    let head = &record.metadata;
+    let mark = |m: &FinishedRequest| {
         format!(
             "{} {} {} {} {}",
-            m.job,
+            m.request_id,
             m.digest,
             m.nonce,
             m.code.number(),
             m.used
         )
     };
-    let marks: Vec<String> = head.marks.iter().map(mark).collect();
-    let run = |r: &Run| {
+    let marks: Vec<String> = head.finished.iter().map(mark).collect();
+    let run = |r: &RunningTurn| {
         format!(
             "{} {} {} {} {} {} {:?}",
-            r.job, r.digest, r.nonce, r.front, r.until, r.max_out, r.budget
+            r.request_id, r.digest, r.nonce, r.proxy, r.deadline_ms, r.max_output_tokens, r.budget
         )
     };
     let running = head.running.as_ref().map(run).unwrap_or_default();
     let kv = format!(
         "{} / {} / {}",
-        tell_place(&head.kv.home),
-        tell_place(&head.kv.replica),
-        head.kv.program
+        tell_place(&head.cache.home),
+        tell_place(&head.cache.replica),
+        head.cache.program
     );
     let texts = format!(
         "history {} old {}",
-        String::from_utf8_lossy(&record.hist),
-        String::from_utf8_lossy(&record.old)
+        String::from_utf8_lossy(&record.history),
+        String::from_utf8_lossy(&record.request_id_hashes)
     );
     let rest = format!(
         "touched {} keep {} barred {:?}",
-        head.touched, head.keep, head.barred
+        head.retention_start_ms, head.retain_ms, head.barred
     );
     format!(
         "{texts} epoch {} running {running} marks {marks:?} kept {:?} kv {kv} {rest}",
-        head.epoch, head.kept
+        head.epoch, head.retained_outcomes
     )
 }
 
@@ -323,13 +324,13 @@
     let open = |(entry, o): (&String, &Reservation)| {
         format!(
             "{entry}: {} {} {} {} {} {}",
-            o.amount, o.key, o.job, o.nonce, o.at, o.keep
+            o.amount, o.session_key, o.request_id, o.nonce, o.reserved_at_ms, o.retain_ms
         )
     };
     let open: Vec<String> = purse.open.iter().map(open).collect();
     format!(
         "spent {} open {open:?} settled {:?}",
-        purse.spent, purse.recent
+        purse.spent, purse.settled
     )
 }
 
@@ -1104,21 +1105,21 @@
     }
 }
 
-fn running() -> Run {
-    Run {
-        job: "job".into(),
+fn running() -> RunningTurn {
+    RunningTurn {
+        request_id: "job".into(),
         digest: "digest".into(),
         nonce: 61,
-        front: "front".into(),
-        until: 62,
-        max_out: 63,
+        proxy: "front".into(),
+        deadline_ms: 62,
+        max_output_tokens: 63,
         budget: Some("budget".into()),
     }
 }
 
-fn mark() -> Mark {
-    Mark {
-        job: "job0".into(),
+fn mark() -> FinishedRequest {
+    FinishedRequest {
+        request_id: "job0".into(),
         digest: "digest0".into(),
         nonce: 64,
         code: Code::Cancelled,
@@ -1126,36 +1127,36 @@
     }
 }
 
-fn session_head() -> Head {
-    let mut head = Head::default();
+fn session_head() -> SessionMetadata {
+    let mut head = SessionMetadata::default();
     head.epoch = 66;
     head.running = Some(running());
-    head.kv = transfer_state();
-    head.touched = 67;
-    head.keep = 68;
+    head.cache = transfer_state();
+    head.retention_start_ms = 67;
+    head.retain_ms = 68;
     head.barred = [69].into();
     head
 }
 
 fn session_record() -> SessionRecord {
     let mut head = session_head();
-    head.marks = [mark()].into();
-    head.kept = [("job0".into(), "outcome".into())].into();
+    head.finished = [mark()].into();
+    head.retained_outcomes = [("job0".into(), "outcome".into())].into();
     SessionRecord {
-        hist: b"\"said\"\n".to_vec(),
-        old: b"0123456789abcdef\n".to_vec(),
-        head,
+        history: b"\"said\"\n".to_vec(),
+        request_id_hashes: b"0123456789abcdef\n".to_vec(),
+        metadata: head,
     }
 }
 
 fn reservation() -> Reservation {
     Reservation {
         amount: 71,
-        key: "key".into(),
-        job: "job".into(),
+        session_key: "key".into(),
+        request_id: "job".into(),
         nonce: 72,
-        at: 73,
-        keep: 74,
+        reserved_at_ms: 73,
+        retain_ms: 74,
     }
 }
 
@@ -1441,9 +1442,9 @@
         ("barred", json!([])),
         ("olds", json!(0)),
     ];
-    check_fields::<Head>(&session_head(), &head);
-    check_fields::<Run>(&running(), &[("budget", Value::Null)]);
-    check_fields::<Mark>(&mark(), &[]);
+    check_fields::<SessionMetadata>(&session_head(), &head);
+    check_fields::<RunningTurn>(&running(), &[("budget", Value::Null)]);
+    check_fields::<FinishedRequest>(&mark(), &[]);
     check_fields::<SessionCacheState>(
         &transfer_state(),
         &[("home", Value::Null), ("replica", Value::Null)],
--- a/yewcross-testkit/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -316,7 +316,7 @@
     keeps_older_forms("kept_grant", &[kept_grant()]);
     keeps_older_forms("open_entry", &[open_entry()]);
     keeps_older_forms("kept_outcome", &[kept_outcome()]);
-    keeps_older_forms("session_head", &[record().head]);
+    keeps_older_forms("session_head", &[record().metadata]);
 }
 
 /// Counts of messages are shown under these names.
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -21,7 +21,9 @@
 use yewcross_proxy::balance::Load;
 use yewcross_proxy::load_exchange::{ServerKey, ServerLoad};
 use yewcross_proxy::turn::TurnOutcome;
-use yewcross_state::records::{Head, Mark, Reservation, Run, SessionRecord};
+use yewcross_state::records::{
+    FinishedRequest, Reservation, RunningTurn, SessionMetadata, SessionRecord,
+};
 use yewcross_state::segment_log::{LogRecord, TornEnd};
 
 fn text(value: &str) -> String {
@@ -556,11 +558,11 @@
 pub fn open_entry() -> Reservation {
     Reservation {
         amount: 351,
-        key: text("open key"),
-        job: text("open job"),
+        session_key: text("open key"),
+        request_id: text("open job"),
         nonce: 352,
-        at: 353,
-        keep: 354,
+        reserved_at_ms: 353,
+        retain_ms: 354,
     }
 }
 
@@ -585,35 +587,35 @@
 /// A session's record with a line of each kind. `bare_id_lines` is private and counted by
 /// `SessionRecord::write`.
 pub fn record() -> SessionRecord {
-    let running = Run {
-        job: text("running job"),
+    let running = RunningTurn {
+        request_id: text("running job"),
         digest: text("running digest"),
         nonce: 371,
-        front: text("running front"),
-        until: 372,
-        max_out: 373,
+        proxy: text("running front"),
+        deadline_ms: 372,
+        max_output_tokens: 373,
         budget: Some(text("running budget")),
     };
-    let mark = Mark {
-        job: text("mark job"),
+    let mark = FinishedRequest {
+        request_id: text("mark job"),
         digest: text("mark digest"),
         nonce: 374,
         code: Code::Expired,
         used: 375,
     };
-    let mut head = Head::default();
+    let mut head = SessionMetadata::default();
     head.epoch = 376;
     head.running = Some(running);
-    head.marks = [mark].into();
-    head.kept = [(text("kept job"), text("kept outcome"))].into();
-    head.kv = kv();
-    head.touched = 377;
-    head.keep = 378;
+    head.finished = [mark].into();
+    head.retained_outcomes = [(text("kept job"), text("kept outcome"))].into();
+    head.cache = kv();
+    head.retention_start_ms = 377;
+    head.retain_ms = 378;
     head.barred = [379].into();
     SessionRecord {
-        hist: b"history 1\nhistory 2\n".to_vec(),
-        old: b"0123456789abcdef\n".to_vec(),
-        head,
+        history: b"history 1\nhistory 2\n".to_vec(),
+        request_id_hashes: b"0123456789abcdef\n".to_vec(),
+        metadata: head,
     }
 }
 
