--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -19,7 +19,7 @@
 
 /// This disk's own report of the change that layout `since` began.
 pub fn report(control: &Control, since: u64) -> PeerResponse {
-    let (turns_swept, turns_left) = control.turn_store.swept(since);
+    let (turns_swept, turns_left) = control.turn_store.sweep_status(since);
     let kept = control.persisted_layout_version();
     let keys_swept = control.swept_layout_version.load(SeqCst) >= since;
     PeerResponse::SweepProgress {
