--- a/yewcross-control/src/config.rs
+++ b/yewcross-control/src/config.rs
@@ -1,13 +1,16 @@
-//! The documents of the control plane: deciding configurations, distributing them, reading them.
+//! The documents of the control plane: deciding configurations, distributing and reading documents.
 //!
-//! - [`orders`] has operators' numbered orders decided by a majority of the core disks,
-//!   [`order_decision`] is the decision, and [`accepted_orders`] knows those that are sent again.
-//! - [`mod@put`] decides versions that the tier numbers itself; `rollout` puts them in force under the
-//!   serving leases of the fronts, and [`rollout_progress`] is its state.
-//! - `distribution` sends decided documents to every node, `document_requests` answers what other
-//!   nodes ask and send of them, and `late_documents` fetches those that a core has missed.
-//! - `read` reads the newest configuration back, and `decoding` says what an unreadable value is
-//!   taken for.
+//! - [`orders`] submits operators' numbered orders to a majority of the core disks,
+//!   [`order_decision`] computes the decision, and [`accepted_orders`] recognises orders that are
+//!   sent again.
+//! - [`mod@put`] decides versions that the tier numbers itself; `rollout` brings them into force
+//!   under the serving leases of the fronts, and [`rollout_progress`] tracks how far a rollout has
+//!   come.
+//! - `distribution` sends decided documents to every node, `document_requests` handles requests
+//!   about documents from other nodes, and `late_documents` fetches versions that a core has
+//!   missed.
+//! - `read` reads the newest configuration, and `decoding` decodes stored documents and reports
+//!   unreadable ones as errors.
 
 pub mod accepted_orders;
 mod decoding;
--- a/yewcross-control/src/config/accepted_orders.rs
+++ b/yewcross-control/src/config/accepted_orders.rs
@@ -1,4 +1,5 @@
-//! The memory of taken orders: how one that is sent again is known, and how long.
+//! Digests of accepted orders, by which an order that is sent again is recognised, and how long the
+//! digests are retained.
 
 use super::order_decision::Order;
 use yewcross_common::constants::{
@@ -7,117 +8,127 @@
 use yewcross_common::process_settings::Bounds;
 use yewcross_common::protocol::{AcceptedOrder, ConfigDoc};
 
-/// ms. The time of orders from documents written before `orders` was added.
-const AGE_UNRECORDED: u64 = 0;
+/// ms. The acceptance time given to orders from documents written before the field `orders` was
+/// added, which recorded none.
+const ACCEPTED_MS_UNRECORDED: u64 = 0;
 
-/// What a document knows of an order from before.
-pub(super) enum Earlier {
-    Taken {
-        number: u64,
-    },
-    /// It may have been taken; its digest is gone.
-    Forgotten,
-    NotTaken,
+/// What a document records about an earlier acceptance of an order.
+pub(super) enum EarlierOutcome {
+    /// The order was accepted under this number.
+    Accepted { number: u64 },
+    /// The order may have been accepted; its digest has been dropped.
+    DigestDropped,
+    /// The order has never been accepted.
+    NotAccepted,
 }
 
-/// The version that a taken order built on. No document records it: each order is taken on top of
-/// the one taken before it.
+/// The version that an accepted order was based on. Documents do not record it, because every order
+/// is based on the one accepted before it.
 #[derive(Clone, Copy)]
-enum TakenOn {
+enum AcceptedBase {
     Version(u64),
-    /// Some version below its number. Documents written before `orders` was added do not tell what
-    /// came before the oldest order that they hold.
+    /// Some version below the order's number. Documents written before the field `orders` was added
+    /// do not record what preceded the oldest order that they contain.
     Unrecorded,
 }
 
-impl TakenOn {
-    fn is(self, base: u64, number: u64) -> bool {
+impl AcceptedBase {
+    /// Whether an order with this number may have been based on `base`.
+    fn matches(self, base: u64, number: u64) -> bool {
         match self {
-            TakenOn::Version(version) => base == version,
-            TakenOn::Unrecorded => base < number,
+            AcceptedBase::Version(version) => base == version,
+            AcceptedBase::Unrecorded => base < number,
         }
     }
 }
 
-/// Looks for an order among the taken ones: the same text on the same version. A taken text on
-/// another version is another order.
-pub(super) fn find_taken(
+/// Looks for an order among the accepted ones: the same text with the same base. An accepted text
+/// with a different base is a different order.
+pub(super) fn find_accepted(
     seq: u64,
     document: &ConfigDoc,
     earlier: &[AcceptedOrder],
     order: &Order,
-) -> Earlier {
+) -> EarlierOutcome {
     let Some(number) = order.number else {
-        return find_unnumbered(seq, document, order);
+        return find_accepted_unnumbered(seq, document, order);
     };
     let is_newest = document.text == order.text && !order.text.is_empty();
-    if is_newest && newest_taken_on(document, earlier).is(order.base, number) {
-        return Earlier::Taken { number };
+    if is_newest && base_of_newest(document, earlier).matches(order.base, number) {
+        return EarlierOutcome::Accepted { number };
     }
     let digest = text_digest(order.text);
-    let same_text = earlier.iter().position(|taken| taken.digest == digest);
-    if same_text.is_some_and(|i| earlier_taken_on(document, earlier, i).is(order.base, number)) {
-        return Earlier::Taken { number };
+    let same_text = earlier
+        .iter()
+        .position(|retained| retained.digest == digest);
+    if same_text
+        .is_some_and(|index| base_of_earlier(document, earlier, index).matches(order.base, number))
+    {
+        return EarlierOutcome::Accepted { number };
     }
-    // A taken order had a number above its base, and no forgotten one is above `highest_dropped`.
+    // An accepted order has a number above its base, and no order whose digest was dropped has a
+    // number above `highest_dropped`.
     if order.base < number && number <= document.highest_dropped {
-        return Earlier::Forgotten;
+        return EarlierOutcome::DigestDropped;
     }
-    Earlier::NotTaken
+    EarlierOutcome::NotAccepted
 }
 
-/// Where the tier numbers the versions, only the newest order is known again.
-fn find_unnumbered(seq: u64, document: &ConfigDoc, order: &Order) -> Earlier {
+/// Looks for an order without a number. If the tier numbers the versions, only the newest order is
+/// recognised.
+fn find_accepted_unnumbered(seq: u64, document: &ConfigDoc, order: &Order) -> EarlierOutcome {
     let is_newest = document.text == order.text && !order.text.is_empty();
     if is_newest && order.base + 1 == seq {
-        Earlier::Taken { number: seq }
+        EarlierOutcome::Accepted { number: seq }
     } else {
-        Earlier::NotTaken
+        EarlierOutcome::NotAccepted
     }
 }
 
-/// What the document's own order was taken on.
-fn newest_taken_on(document: &ConfigDoc, earlier: &[AcceptedOrder]) -> TakenOn {
-    let before = earlier
+/// The base of the document's current order.
+fn base_of_newest(document: &ConfigDoc, earlier: &[AcceptedOrder]) -> AcceptedBase {
+    let previous = earlier
         .first()
-        .map_or(document.highest_dropped, |taken| taken.number);
-    TakenOn::Version(before)
+        .map_or(document.highest_dropped, |retained| retained.number);
+    AcceptedBase::Version(previous)
 }
 
-/// What the order at an index of those before the document's own was taken on.
-fn earlier_taken_on(document: &ConfigDoc, earlier: &[AcceptedOrder], index: usize) -> TakenOn {
+/// The base of the order at `index` of `earlier`, the orders before the document's current one.
+fn base_of_earlier(document: &ConfigDoc, earlier: &[AcceptedOrder], index: usize) -> AcceptedBase {
     match earlier.get(index + 1) {
-        Some(before) => TakenOn::Version(before.number),
-        None if document.highest_dropped == 0 && earlier[index].accepted_ms == AGE_UNRECORDED => {
-            TakenOn::Unrecorded
+        Some(previous) => AcceptedBase::Version(previous.number),
+        None if document.highest_dropped == 0
+            && earlier[index].accepted_ms == ACCEPTED_MS_UNRECORDED =>
+        {
+            AcceptedBase::Unrecorded
         }
-        None => TakenOn::Version(document.highest_dropped),
+        None => AcceptedBase::Version(document.highest_dropped),
     }
 }
 
-/// What a document remembers of the orders before its own.
-pub(super) struct OrderMemory {
+/// The orders before a document's current one whose digests are retained.
+pub(super) struct RetainedOrders {
     /// Newest first.
     pub(super) orders: Vec<AcceptedOrder>,
-    /// The highest number that is no longer among them.
-    pub(super) forgotten: u64,
+    /// The highest number of an order whose digest has been dropped.
+    pub(super) highest_dropped: u64,
 }
 
-/// The memory after an order that takes the place of the document's own.
+/// The retained orders after `order` has replaced the document's current order.
 pub(super) fn supersede(
     document: &ConfigDoc,
     mut earlier: Vec<AcceptedOrder>,
     order: &Order,
-) -> OrderMemory {
-    let mut forgotten = document.highest_dropped;
+) -> RetainedOrders {
+    let mut highest_dropped = document.highest_dropped;
     if document.text.is_empty() || order.number.is_none() {
-        return OrderMemory {
+        return RetainedOrders {
             orders: earlier,
-            forgotten,
+            highest_dropped,
         };
     }
-    let newest_ms = earlier.first().map_or(0, |taken| taken.accepted_ms);
-    // Ages never fall, whatever the clocks do.
+    let newest_ms = earlier.first().map_or(0, |retained| retained.accepted_ms);
+    // Acceptance times never decrease, even if the clocks go backwards.
     let now_ms = order.now_ms.max(newest_ms);
     let superseded = AcceptedOrder {
         number: document.number,
@@ -125,31 +136,33 @@
         accepted_ms: now_ms,
     };
     earlier.insert(0, superseded);
-    let kept = count_kept(&earlier, now_ms, order.retention_ms);
-    forgotten = earlier
-        .get(kept)
-        .map_or(forgotten, |dropped| dropped.number.max(forgotten));
-    earlier.truncate(kept);
-    OrderMemory {
+    let retained_count = count_retained(&earlier, now_ms, order.retention_ms);
+    highest_dropped = earlier
+        .get(retained_count)
+        .map_or(highest_dropped, |dropped| {
+            dropped.number.max(highest_dropped)
+        });
+    earlier.truncate(retained_count);
+    RetainedOrders {
         orders: earlier,
-        forgotten,
+        highest_dropped,
     }
 }
 
-/// How many of the digests, newest first, are kept.
-fn count_kept(orders: &[AcceptedOrder], now_ms: u64, retention_ms: u64) -> usize {
-    let young = orders
+/// How many of the digests, newest first, are retained.
+fn count_retained(orders: &[AcceptedOrder], now_ms: u64, retention_ms: u64) -> usize {
+    let within_retention = orders
         .iter()
-        .take_while(|taken| taken.accepted_ms + retention_ms >= now_ms)
+        .take_while(|retained| retained.accepted_ms + retention_ms >= now_ms)
         .count();
-    young
+    within_retention
         .clamp(RETAINED_ORDERS_MIN, RETAINED_ORDERS_MAX)
         .min(orders.len())
 }
 
-/// The digests of taken orders, newest first. Documents written before `orders` was added hold them
-/// in `superseded`.
-pub(super) fn remembered_orders(document: &ConfigDoc) -> Vec<AcceptedOrder> {
+/// The digests of the orders accepted before the document's current one, newest first. Documents
+/// written before the field `orders` was added hold them in `superseded`.
+pub(super) fn retained_orders(document: &ConfigDoc) -> Vec<AcceptedOrder> {
     if !document.orders.is_empty() || document.number == 0 {
         return document.orders.clone();
     }
@@ -159,7 +172,7 @@
         .map(|(number, digest, _)| AcceptedOrder {
             number: *number,
             digest: digest.clone(),
-            accepted_ms: AGE_UNRECORDED,
+            accepted_ms: ACCEPTED_MS_UNRECORDED,
         })
         .collect()
 }
@@ -168,8 +181,9 @@
     yewcross_common::hash::content_digest(text.as_bytes())
 }
 
-/// ms that digests of taken orders are kept: an operator asks again for a few times the time for an
-/// answer.
+/// ms. Retention time of the digests of accepted orders: at least `RETAINED_ORDERS_MS`, and several
+/// times the acknowledgement timeout, because an operator repeats an unanswered order for a few
+/// times that long.
 pub fn retention_ms(bounds: &Bounds) -> u64 {
     RETAINED_ORDERS_MS.max(bounds.ack.saturating_mul(RETAINED_ORDERS_ACK_TIMEOUTS))
 }
--- a/yewcross-control/src/config/decoding.rs
+++ b/yewcross-control/src/config/decoding.rs
@@ -1,29 +1,29 @@
 //! Decoding decided documents.
 //!
-//! An empty value stands for the document before its first version. Any other value that cannot be
-//! decoded is an error and never taken for an empty document: it may hold what an older or newer
-//! program wrote and has acknowledged, so it is neither replaced nor called absent.
+//! An empty value represents the document before its first version. Any other value that cannot be
+//! decoded is an error and is never treated as an empty document: it may hold data that an older or
+//! newer program version wrote and acknowledged, so it is neither replaced nor reported as absent.
 
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 use yewcross_common::protocol::{ConfigDoc, ServerList};
 
-/// A decided value that is not a document of its kind.
+/// A decided value cannot be decoded as a document of the expected kind.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("the decided {name} cannot be read: {reason}"))]
 pub struct UnreadableDocument {
-    /// The document's name.
+    /// The document's register name.
     pub name: &'static str,
-    /// Why decoding failed.
+    /// The decoder's error message.
     pub reason: String,
 }
 
-/// The configuration document in a register's value.
+/// Decodes the configuration document from a register's value.
 pub fn decode_configuration(value: &[u8]) -> Result<ConfigDoc, UnreadableDocument> {
     decode("config", value)
 }
 
-/// The platform's list of servers in a register's value.
+/// Decodes the platform's list of servers from a register's value.
 pub fn decode_server_list(value: &[u8]) -> Result<ServerList, UnreadableDocument> {
     decode("list", value)
 }
--- a/yewcross-control/src/config/distribution.rs
+++ b/yewcross-control/src/config/distribution.rs
@@ -1,12 +1,13 @@
-//! Sending a decided document to every node.
+//! Distribution of decided documents to every node.
 //!
-//! Only decided documents are sent: what a majority of the core disks accepted under one ballot, as
-//! `RegisterClient::change`, `read` and `newest` return it. A version is decided once, so a document
-//! that arrives late, or from a process that has been superseded, is older than what its receiver
-//! holds, or the same.
+//! Only decided documents are sent: values that a majority of the core disks accepted under one
+//! ballot, as the read and change functions of `RegisterClient` return them. Each version is
+//! decided once, so a document that arrives late, or from a process that has been superseded, is at
+//! most as new as the receiver's copy.
 //!
-//! The publisher sends to the other cores, and each core relays to its share of the other nodes: no
-//! process sends to all. Versions that follow each other closely travel as one.
+//! The publisher sends to the other cores, and each core relays to the nodes assigned to it, so
+//! that no process has to send to all nodes. Versions decided within one `PUBLISH_INTERVAL` are
+//! sent as one update.
 
 use crate::Control;
 use std::collections::BTreeMap;
@@ -19,47 +20,50 @@
 use yewcross_common::register::Ballot;
 use yewcross_common::transport::SendError;
 
-/// count. Attempts to send the complete document to a node whose answers are lost; after these the
-/// node finds it by its own polls.
+/// Number of attempts to send the complete document to a node whose responses are lost. After that
+/// the node receives the document by its own polling.
 const FULL_SEND_ATTEMPTS: usize = 2;
 
 /// The documents that this process is publishing.
 #[derive(Default)]
 pub struct PendingPublications {
-    /// The version sent last, by document; an entry lasts while its document is being sent.
+    /// The version sent last, by document name. An entry is removed once no newer version is left
+    /// to send.
     last_sent: Mutex<BTreeMap<&'static str, Arc<DocumentVersion>>>,
 }
 
-/// What is sent to every node.
+/// An update that is sent to every node.
 #[derive(Clone)]
 pub(super) enum Announcement {
     /// A decided version of a document.
     Document {
         name: String,
         version: u64,
-        /// How it differs from the version sent before; none where it is sent in full.
+        /// The difference from the version sent before; `None` if the document is sent in full.
         change: Option<Arc<DocumentChange>>,
     },
-    /// Servers that the platform shows as leaving.
+    /// Servers that the platform reports as leaving.
     ServersLeaving(Arc<Vec<String>>),
 }
 
-/// What turns one version of a document into the next one sent.
+/// A delta from one version of a document to the next version sent.
 pub(crate) struct DocumentChange {
+    /// The version that the delta applies to.
     pub(crate) base: u64,
     pub(crate) base_digest: String,
     pub(crate) delta: Vec<u8>,
 }
 
 impl DocumentChange {
-    /// None where the full document is hardly longer.
+    /// Computes the change from `before` to `after`. Returns `None` if there is no earlier version,
+    /// or if the delta is at least half as long as the full document.
     fn between(before: &DocumentVersion, after: &DocumentVersion) -> Option<Arc<DocumentChange>> {
         if before.version == 0 {
             return None;
         }
         let delta = yewcross_common::documents::delta::encode(&before.content, &after.content);
-        let is_worth_it = 2 * delta.len() < after.content.len();
-        is_worth_it.then(|| {
+        let is_compact = 2 * delta.len() < after.content.len();
+        is_compact.then(|| {
             Arc::new(DocumentChange {
                 base: before.version,
                 base_digest: yewcross_common::hash::content_digest(&before.content),
@@ -69,8 +73,8 @@
     }
 }
 
-/// Applies a decided document here and sends it to every node; a node that misses it finds it by
-/// its own polls.
+/// Applies a decided document locally and sends it to every node. A node that misses it receives it
+/// by its own polling.
 pub fn publish(control: &Arc<Control>, name: &'static str, version: u64, content: Vec<u8>) {
     let before = control.documents.document(name);
     control
@@ -90,7 +94,7 @@
     });
 }
 
-/// What was applied since the version sent last; none ends the sending.
+/// The change applied since the version sent last; `None` if there is no newer version to send.
 fn next_announcement(control: &Control, name: &'static str) -> Option<Announcement> {
     let mut last_sent = control.publications.last_sent.lock().unwrap();
     let newest = control.documents.document(name);
@@ -107,7 +111,7 @@
     })
 }
 
-/// Sends the applied version of a document to every node, in full.
+/// Sends the locally applied version of a document to every node, in full.
 pub fn publish_current(control: &Arc<Control>, name: &str) {
     let announcement = Announcement::Document {
         name: name.into(),
@@ -117,15 +121,15 @@
     send_to_all(control, announcement);
 }
 
-/// Marks servers as leaving and tells every node at once, where any of them was not marked yet.
+/// Marks servers as leaving. If any of them was not marked yet, notifies every node immediately.
 pub fn publish_departures(control: &Arc<Control>, servers: Vec<String>) {
     if control.documents.mark_leaving(&servers) {
         send_to_all(control, Announcement::ServersLeaving(Arc::new(servers)));
     }
 }
 
-/// Sends to the other cores, which relay it, and to this process's own share of the nodes. The
-/// share of a core that is not reached is served from here.
+/// Sends an announcement to the other cores, which relay it, and to the nodes assigned to this
+/// process. If a core cannot be reached, this process sends to the nodes assigned to that core.
 fn send_to_all(control: &Arc<Control>, announcement: Announcement) {
     let view = control.members.view.load();
     let other_cores: Vec<Node> = view
@@ -142,36 +146,40 @@
         let relays = relays.clone();
         control.runtime.spawn(async move {
             if !announcement.send(&sender, &core, &relays).await {
-                send_to_share(&sender, &announcement, &relays, &core.name);
+                send_to_assigned_nodes(&sender, &announcement, &relays, &core.name);
             }
         });
     }
-    send_to_share(control, &announcement, &relays, &control.settings.name);
+    send_to_assigned_nodes(control, &announcement, &relays, &control.settings.name);
 }
 
-/// Sends what another process announced to this process's share of the nodes, where it is among
-/// the relays.
-pub(super) fn relay(control: &Arc<Control>, announcement: Announcement, relays: &[String]) {
+/// Relays another process's announcement to the nodes assigned to this process, if this process is
+/// among the relays.
+pub(super) fn relay_announcement(
+    control: &Arc<Control>,
+    announcement: Announcement,
+    relays: &[String],
+) {
     if relays.contains(&control.settings.name) {
-        send_to_share(control, &announcement, relays, &control.settings.name);
+        send_to_assigned_nodes(control, &announcement, relays, &control.settings.name);
     }
 }
 
-/// Sends to the nodes that fall to one of the relays.
-fn send_to_share(
+/// Sends an announcement to the nodes that rendezvous hashing assigns to the relay `relay_name`.
+fn send_to_assigned_nodes(
     control: &Arc<Control>,
     announcement: &Announcement,
     relays: &[String],
-    relay: &str,
+    relay_name: &str,
 ) {
-    let falls_to_relay = |node: &Node| {
+    let is_assigned_to_relay = |node: &Node| {
         let names = relays.iter().map(|name| name.as_str());
-        yewcross_common::hash::ranked(&node.name, names).first() == Some(&relay)
+        yewcross_common::hash::ranked(&node.name, names).first() == Some(&relay_name)
     };
     let view = control.members.view.load();
     for node in view
         .values()
-        .filter(|node| node.role != Role::Core && falls_to_relay(node))
+        .filter(|node| node.role != Role::Core && is_assigned_to_relay(node))
     {
         let (sender, node, announcement) = (control.clone(), node.clone(), announcement.clone());
         control.runtime.spawn(async move {
@@ -181,7 +189,7 @@
 }
 
 impl Announcement {
-    /// Whether the node was reached.
+    /// Sends the announcement to a node. Returns whether the node responded.
     async fn send(&self, control: &Arc<Control>, node: &Node, relays: &[String]) -> bool {
         match self {
             Announcement::ServersLeaving(servers) => {
@@ -209,8 +217,8 @@
     }
 }
 
-/// Sends the change, and the full document to a node that could not apply it. That node has relayed
-/// the change already, so the full document names no relays.
+/// Sends the change, and then the full document if the node could not apply the change. That node
+/// has already relayed the change, so the full document is sent without relays.
 async fn send_change(
     control: &Arc<Control>,
     node: &Node,
@@ -238,7 +246,7 @@
     }
 }
 
-/// Sends the applied version, where that is the announced one or a newer one.
+/// Sends the locally applied version in full, if it is at least as new as `version`.
 async fn send_in_full(
     control: &Arc<Control>,
     node: &Node,
--- a/yewcross-control/src/config/document_requests.rs
+++ b/yewcross-control/src/config/document_requests.rs
@@ -1,6 +1,6 @@
-//! What other nodes ask and send of the documents, and the answers.
+//! Handlers of document requests from other nodes: polls, reads and publications.
 
-use super::distribution::{Announcement, DocumentChange, relay};
+use super::distribution::{Announcement, DocumentChange, relay_announcement};
 use super::{late_documents, serving_leases};
 use crate::Control;
 use std::sync::Arc;
@@ -12,31 +12,34 @@
 use yewcross_common::protocol::PeerResponse;
 use yewcross_common::register::Ballot;
 
-/// A poll: which versions the poller holds, and who it is.
+/// A node's poll for newer document versions.
 pub(crate) struct DocumentPoll<'a> {
-    pub(crate) known: Vec<(String, u64)>,
+    /// The version that the poller holds of each document.
+    pub(crate) held_versions: Vec<(String, u64)>,
     pub(crate) is_front: bool,
-    /// Digest of the leaving servers that the poller knows.
+    /// Digest of the poller's set of leaving servers.
     pub(crate) leaving_digest: u64,
-    /// The poller's name.
-    pub(crate) from: &'a str,
+    /// Node name of the poller.
+    pub(crate) poller_name: &'a str,
 }
 
-/// A published version as it arrived: to be applied here and relayed.
+/// A received publication of a document version, to be applied locally and relayed.
 pub(crate) struct Publication {
     pub(crate) name: String,
     pub(crate) version: u64,
-    pub(crate) epoch: Ballot,
-    /// The nodes that share the relaying among them.
+    pub(crate) ballot: Ballot,
+    /// The nodes that the relaying is divided among.
     pub(crate) relays: Vec<String>,
 }
 
-/// Answers which versions are known here, and grants a polling front its serving lease.
+/// Reports the newest version of each document held here, and grants a polling front its serving
+/// lease.
 ///
-/// The lease is granted before the disk is read: a put that the read misses finds the lease.
+/// The lease is granted before the disk is read, so that a put that the read does not see finds the
+/// lease when it collects the leases.
 pub(crate) async fn poll_documents(control: &Arc<Control>, poll: DocumentPoll<'_>) -> PeerResponse {
-    if poll.is_front && !poll.from.is_empty() {
-        serving_leases::grant(control, poll.from);
+    if poll.is_front && !poll.poller_name.is_empty() {
+        serving_leases::grant(control, poll.poller_name);
     }
     let mut newest = vec![];
     for name in DOCUMENT_NAMES {
@@ -44,7 +47,7 @@
         let applied = control.documents.document(name).version;
         newest.push((name.to_string(), on_disk.max(applied)));
     }
-    let authoritative = is_authoritative(control, &poll.known).await;
+    let authoritative = is_authoritative(control, &poll.held_versions).await;
     let behind = control.options.maintains_layout && late_documents::is_behind(control).await;
     PeerResponse::DocumentVersions {
         newest,
@@ -56,8 +59,8 @@
     }
 }
 
-/// The newest version on this disk. Where one core's answer is enough, only decided versions count,
-/// and what a disk holds may be undecided: 0.
+/// The newest version of a document on this disk. Returns 0 if pollers rely on a single core's
+/// response: only decided versions may be reported then, and a version on disk may be undecided.
 async fn version_on_disk(control: &Control, name: &str) -> u64 {
     if control.options.maintains_layout {
         return 0;
@@ -69,21 +72,21 @@
         .map_or(0, |record| record.seq)
 }
 
-/// Whether the answer of this core counts for the poller's configuration. Where fronts hold leases
-/// they ask a majority of the cores; elsewhere one core is asked, and must itself be in contact
-/// with a majority.
-async fn is_authoritative(control: &Arc<Control>, known: &[(String, u64)]) -> bool {
+/// Whether the poller may rely on this core's response for its configuration. Fronts that hold
+/// serving leases poll a majority of the cores; without leases a single core is polled, which must
+/// itself be in contact with a majority.
+async fn is_authoritative(control: &Arc<Control>, held_versions: &[(String, u64)]) -> bool {
     let layout = control.documents.layout.load();
-    let has_seat = layout.1.core.current.contains(&control.storage.disk_id);
-    has_seat
+    let is_core_replica = layout.1.core.current.contains(&control.storage.disk_id);
+    is_core_replica
         && !control.storage.failed.load(SeqCst)
         && control.replica.read_record("config").await.is_some()
-        && !known.is_empty()
+        && !held_versions.is_empty()
         && (!control.options.maintains_layout || control.has_quorum_contact())
 }
 
-/// The applied version of a document, where that is newer than the asker's; else the newest decided
-/// one, where this node may read it.
+/// Returns the applied version of a document if it is newer than `newer_than`; otherwise the newest
+/// decided version, if this node may read it.
 pub(crate) async fn fetch_document(
     control: &Arc<Control>,
     name: &str,
@@ -100,53 +103,47 @@
         return (response, document.content.to_vec());
     }
     if control.options.maintains_layout {
-        return rejected(Code::NoMajority);
+        return rejection(Code::NoMajority);
     }
     read_decided_document(control, name).await
 }
 
-/// The newest decided version of a document, read from a majority of the core disks.
+/// Reads the newest decided version of a document from a majority of the core disks.
 pub(crate) async fn read_decided_document(
     control: &Arc<Control>,
     name: &str,
 ) -> (PeerResponse, Vec<u8>) {
     if !DOCUMENT_NAMES.contains(&name) {
-        return rejected(Code::BadField);
+        return rejection(Code::BadField);
     }
     if control.settings.role != Role::Core || control.documents.layout.load().0 == 0 {
-        return rejected(Code::NotFounded);
+        return rejection(Code::NotFounded);
     }
-    // A core whose messages are lost in one direction would only outbid the proposer that has a
-    // majority.
+    // A core whose messages are lost in one direction must not prepare ballots: they would only
+    // outbid the proposer that reaches a majority.
     if !control.has_quorum_contact() {
-        return rejected(Code::NoMajority);
+        return rejection(Code::NoMajority);
     }
-    let Ok((version, epoch, content)) = control
+    let Ok((version, ballot, content)) = control
         .registers
         .read_newest(name, PEER_REQUEST_TIMEOUT)
         .await
     else {
-        return rejected(Code::NoMajority);
+        return rejection(Code::NoMajority);
     };
     if version > 0 {
         control
             .documents
-            .apply(name, version, epoch, content.to_vec());
+            .apply(name, version, ballot, content.to_vec());
     }
-    (
-        PeerResponse::Document {
-            version,
-            ballot: epoch,
-        },
-        content.to_vec(),
-    )
+    (PeerResponse::Document { version, ballot }, content.to_vec())
 }
 
-fn rejected(code: Code) -> (PeerResponse, Vec<u8>) {
+fn rejection(code: Code) -> (PeerResponse, Vec<u8>) {
     (PeerResponse::Rejected(code), vec![])
 }
 
-/// Applies a published document and relays it.
+/// Applies a published document locally and relays it.
 pub(crate) fn apply_document(
     control: &Arc<Control>,
     publication: Publication,
@@ -155,14 +152,14 @@
     let Publication {
         name,
         version,
-        epoch,
+        ballot,
         relays,
     } = publication;
-    control.documents.apply(&name, version, epoch, content);
+    control.documents.apply(&name, version, ballot, content);
     relay_document(control, name, version, None, &relays)
 }
 
-/// Applies a published change of a document and relays it.
+/// Applies a published change of a document locally and relays it.
 pub(crate) fn apply_document_change(
     control: &Arc<Control>,
     publication: Publication,
@@ -171,16 +168,17 @@
     let Publication {
         name,
         version,
-        epoch,
+        ballot,
         relays,
     } = publication;
-    // Whoever sent it learns from the version in the answer whether it was applied.
+    // An error is ignored: the version in the response shows the sender whether the change was
+    // applied.
     let _ = control.documents.apply_delta(
         &name,
         change.base,
         &change.base_digest,
         version,
-        epoch,
+        ballot,
         &change.delta,
     );
     relay_document(control, name, version, Some(Arc::new(change)), &relays)
@@ -198,20 +196,20 @@
         version,
         change,
     };
-    relay(control, announcement, relays);
+    relay_announcement(control, announcement, relays);
     PeerResponse::DocumentApplied {
         version: control.documents.document(&name).version,
     }
 }
 
-/// Marks servers as leaving and relays that.
+/// Marks servers as leaving and relays the announcement.
 pub(crate) fn mark_servers_leaving(
     control: &Arc<Control>,
     servers: Vec<String>,
     relays: &[String],
 ) -> PeerResponse {
     control.documents.mark_leaving(&servers);
-    relay(
+    relay_announcement(
         control,
         Announcement::ServersLeaving(Arc::new(servers)),
         relays,
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -1,4 +1,5 @@
-//! Documents of which a core knows a newer version than it has applied.
+//! Fetching of late documents: those of which a core has observed a newer version than it has
+//! applied.
 
 use crate::{Control, proposer};
 use std::collections::BTreeMap;
@@ -8,14 +9,16 @@
 };
 use yewcross_common::documents::cache::DOCUMENT_NAMES;
 
-/// When a late document is fetched next.
+/// Retry state of fetching one late document.
 struct FetchSchedule {
+    /// Time of the next fetch, in us of the runtime's clock.
     next_at: u64,
-    /// us. How long after that, where the fetch does not help.
+    /// us. Delay after that fetch if the document is still late; doubled with each fetch, up to
+    /// `LATE_DOCUMENT_DELAY_MAX`.
     backoff: u64,
 }
 
-/// Whether this core knows of a newer version of a document than it has applied.
+/// Whether this core has observed a newer version of any document than it has applied.
 pub(super) async fn is_behind(control: &Control) -> bool {
     for name in DOCUMENT_NAMES {
         if newest_known_version(control, name).await > control.documents.document(name).version {
@@ -25,8 +28,8 @@
     false
 }
 
-/// Fetches late documents, forever: a publication is lost now and then, and nobody publishes to a
-/// core that restarts.
+/// Fetches late documents in an endless loop. Publications can be lost, and a core that was
+/// restarting has missed those sent in the meantime.
 pub async fn fetch_late_documents(control: Arc<Control>) {
     let mut schedules: BTreeMap<&str, FetchSchedule> = BTreeMap::new();
     loop {
@@ -38,22 +41,22 @@
                 continue;
             }
             let now = control.runtime.now();
-            let first_wait = if applied == 0 { 0 } else { LATE_DOCUMENT_DELAY };
+            let initial_delay = if applied == 0 { 0 } else { LATE_DOCUMENT_DELAY };
             let schedule = schedules.entry(name).or_insert(FetchSchedule {
-                next_at: now + first_wait,
+                next_at: now + initial_delay,
                 backoff: LATE_DOCUMENT_DELAY,
             });
             if now < schedule.next_at || !control.has_quorum_contact() {
                 continue;
             }
-            fetch(&control, name).await;
+            fetch_newest(&control, name).await;
             schedule.next_at = control.runtime.now() + schedule.backoff;
             schedule.backoff = (2 * schedule.backoff).min(LATE_DOCUMENT_DELAY_MAX);
         }
     }
 }
 
-/// The newest version of a document that this core knows of, decided or not.
+/// The newest version of a document that this core has observed, decided or not.
 async fn newest_known_version(control: &Control, name: &str) -> u64 {
     let on_disk = control
         .replica
@@ -63,14 +66,14 @@
     on_disk.max(control.version_heard(name))
 }
 
-async fn fetch(control: &Arc<Control>, name: &str) {
-    if let Ok((version, epoch, content)) =
+async fn fetch_newest(control: &Arc<Control>, name: &str) {
+    if let Ok((version, ballot, content)) =
         proposer::read_newest_decided(control, name, PEER_REQUEST_TIMEOUT).await
     {
         if version > 0 {
             control
                 .documents
-                .apply(name, version, epoch, content.to_vec());
+                .apply(name, version, ballot, content.to_vec());
         }
     } else if name == "layout" {
         crate::layout::catch_up(control).await;
--- a/yewcross-control/src/config/orders.rs
+++ b/yewcross-control/src/config/orders.rs
@@ -1,5 +1,5 @@
-//! Operators' numbered orders: checked, decided by a majority of the core disks, then published to
-//! every node. [`decide`] is what the majority decides.
+//! Operators' numbered orders: validated, decided by a majority of the core disks, and then
+//! published to every node. [`decide_order`] computes the decision.
 
 use super::accepted_orders::retention_ms;
 use super::order_decision::{Decision, Order, decide_order};
@@ -16,22 +16,24 @@
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::{ChangeError, ValueUpdate};
 
-/// us. Bound of `answer_timeout`, however long `Bounds::ack` is.
-const ANSWER_TIMEOUT_MOST: u64 = 1_500 * MS;
+/// us. Upper limit of `answer_timeout`, regardless of `Bounds::ack`.
+const ANSWER_TIMEOUT_MAX: u64 = 1_500 * MS;
 
-/// us. An order that finds no majority is answered within this, so that the operator tries another
-/// node.
+/// us. An order that reaches no majority is answered within this time, so that the operator can try
+/// another node.
 fn answer_timeout(control: &Control) -> u64 {
-    (control.settings.bounds.ack * MS / 4).min(ANSWER_TIMEOUT_MOST)
+    (control.settings.bounds.ack * MS / 4).min(ANSWER_TIMEOUT_MAX)
 }
 
-/// us. The part of `answer_timeout` in which the order is to be decided; the rest is for the answer.
+/// us. The part of `answer_timeout` within which the order must be decided; the rest is reserved
+/// for sending the answer.
 fn decision_timeout(control: &Control) -> u64 {
     answer_timeout(control) * 9 / 10
 }
 
-/// Checks an operator's text on top of version `base`, has it decided by a majority of core disks,
-/// and publishes it. Answers within a quarter of `Bounds::ack`.
+/// Validates an operator's configuration text based on version `base`, has it decided by a majority
+/// of the core disks, and publishes it. Unless puts are acknowledged once in force, answers within
+/// a quarter of `Bounds::ack`.
 pub async fn submit_order(control: &Arc<Control>, base: u64, text: Vec<u8>) -> PutAnswer {
     let Ok(text) = String::from_utf8(text) else {
         return PutAnswer::Invalid(vec![InvalidSetting {
@@ -40,7 +42,7 @@
         }]);
     };
     if control.options.put_acknowledgement == PutAcknowledgement::InForce {
-        return order_under_leases(control, base, text).await;
+        return put_under_leases(control, base, text).await;
     }
     if let Err(faults) = control.options.configuration_format.read(text.as_bytes()) {
         return PutAnswer::Invalid(faults);
@@ -53,11 +55,11 @@
         return answer;
     }
     let (answer_sender, answer) = async_channel::bounded(1);
-    let orderer = control.clone();
-    // A task of its own: whoever asked may go, and half a change is never dropped.
+    let task_control = control.clone();
+    // Runs in a task of its own, so that the change completes even if the caller stops waiting.
     control.runtime.spawn(async move {
-        // Fails only where whoever asked has gone.
-        let _ = answer_sender.try_send(order_through_proposer(&orderer, base, text).await);
+        // Fails only if the caller no longer waits.
+        let _ = answer_sender.try_send(submit_through_proposer(&task_control, base, text).await);
     });
     let answer = control
         .runtime
@@ -69,8 +71,9 @@
     }
 }
 
-/// The answer that the applied document gives for good: what it knows as taken stays taken. A
-/// conflict is answered with the newest version, which only the proposer knows.
+/// The answer that the locally applied document already determines: an order that it records as
+/// accepted stays accepted. A conflict is not answered here, because the answer names the newest
+/// version, which only the proposer has.
 fn answer_from_applied(control: &Control, base: u64, text: &str) -> Option<PutAnswer> {
     let applied = control.documents.document("config");
     let order = Order {
@@ -82,40 +85,43 @@
         retention_ms: 0,
     };
     match decide_order(applied.version, &applied.content, &order) {
-        ValueUpdate::Keep(Decision::Accepted(taken)) => Some(PutAnswer::InForce(taken.number)),
+        ValueUpdate::Keep(Decision::Accepted(accepted)) => {
+            Some(PutAnswer::InForce(accepted.number))
+        }
         _ => None,
     }
 }
 
-/// Has an order decided by the proposer, this process or another.
-async fn order_through_proposer(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
+/// Has an order decided by the proposer, which may be this process or another.
+async fn submit_through_proposer(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
     let deadline = control.runtime.now() + decision_timeout(control);
-    let mut may_be_taken = false;
+    let mut may_be_accepted = false;
     while control.runtime.now() < deadline {
-        let left = deadline.saturating_sub(control.runtime.now());
+        let time_left = deadline.saturating_sub(control.runtime.now());
         let outcome = match control.acting_term() {
-            Some(_) => order_as_proposer(control, base, &text, left)
+            Some(_) => decide_as_proposer(control, base, &text, time_left)
                 .await
                 .ok_or(ForwardError::NoProposer),
-            None => forward_order(control, base, &text, left).await,
+            None => forward_order(control, base, &text, time_left).await,
         };
         match outcome {
-            Ok(PutAnswer::NoMajority | PutAnswer::Busy) if may_be_taken => {
+            Ok(PutAnswer::NoMajority | PutAnswer::Busy) if may_be_accepted => {
                 return PutAnswer::Undecided;
             }
             Ok(answer) => return answer,
-            Err(ForwardError::OutcomeUnknown) => may_be_taken = true,
+            Err(ForwardError::OutcomeUnknown) => may_be_accepted = true,
             Err(ForwardError::NoProposer) => {}
         }
         proposer::wait_for_proposer(control).await;
     }
-    if may_be_taken {
+    if may_be_accepted {
         PutAnswer::Undecided
     } else {
         PutAnswer::NoMajority
     }
 }
 
+/// Forwards an order to the proposer, once. The timeout is in us.
 async fn forward_order(
     control: &Arc<Control>,
     base: u64,
@@ -129,7 +135,7 @@
     }
 }
 
-/// Decides an order that another core forwarded, which has checked its text.
+/// Decides an order that another core has validated and forwarded.
 pub async fn decide_forwarded_order(
     control: &Arc<Control>,
     base: u64,
@@ -142,12 +148,13 @@
         return PeerResponse::Rejected(Code::NotOnDuty);
     }
     let (answer_sender, answer) = async_channel::bounded(1);
-    let orderer = control.clone();
-    // A task of its own, as in `order`.
+    let task_control = control.clone();
+    // Runs in a task of its own, as in `submit_order`.
     control.runtime.spawn(async move {
-        let timeout = decision_timeout(&orderer);
-        // Fails only where whoever asked has gone.
-        let _ = answer_sender.try_send(order_as_proposer(&orderer, base, &text, timeout).await);
+        let timeout = decision_timeout(&task_control);
+        // Fails only if the caller no longer waits.
+        let _ =
+            answer_sender.try_send(decide_as_proposer(&task_control, base, &text, timeout).await);
     });
     match answer.recv().await {
         Ok(Some(answer)) => PeerResponse::PutAnswer(answer),
@@ -155,8 +162,9 @@
     }
 }
 
-/// None where this process is not the proposer any more.
-async fn order_as_proposer(
+/// Decides an order as the proposer, or answers `Busy` if too many orders are waiting. Returns
+/// `None` if this process is no longer the proposer.
+async fn decide_as_proposer(
     control: &Arc<Control>,
     base: u64,
     text: &str,
@@ -166,18 +174,20 @@
         control.counters.orders_waiting.fetch_sub(1, SeqCst);
         return Some(PutAnswer::Busy);
     }
-    let answer = order_by_majority(control, base, text, timeout).await;
+    let answer = decide_by_majority(control, base, text, timeout).await;
     control.counters.orders_waiting.fetch_sub(1, SeqCst);
     answer
 }
 
-async fn order_by_majority(
+/// Has an order decided by a majority of the core disks and publishes an accepted one. Returns
+/// `None` if this process is not the proposer.
+async fn decide_by_majority(
     control: &Arc<Control>,
     base: u64,
     text: &str,
     timeout: u64,
 ) -> Option<PutAnswer> {
-    let attempt = format!(
+    let attempt_id = format!(
         "{}-{:016x}",
         control.settings.name,
         control.runtime.random()
@@ -187,7 +197,7 @@
         base,
         number: control.options.configuration_format.number(text.as_bytes()),
         text,
-        attempt_id: &attempt,
+        attempt_id: &attempt_id,
         now_ms,
         retention_ms: retention_ms(&control.settings.bounds),
     };
@@ -198,9 +208,9 @@
         })
         .await;
     let answer = match decision {
-        Ok(Decision::Accepted(taken)) => {
-            publish(control, "config", taken.seq, taken.document);
-            PutAnswer::InForce(taken.number)
+        Ok(Decision::Accepted(accepted)) => {
+            publish(control, "config", accepted.seq, accepted.document);
+            PutAnswer::InForce(accepted.number)
         }
         Ok(Decision::Conflict { current }) => PutAnswer::Conflict(current),
         Ok(Decision::Invalid(faults)) => PutAnswer::Invalid(faults),
@@ -208,7 +218,7 @@
         Ok(Decision::Unreadable) => {
             control
                 .runtime
-                .log("the configuration in the register cannot be read");
+                .log("unreadable configuration document kept in the register; order undecided");
             PutAnswer::Undecided
         }
         Err(ChangeError::NotProposer) => return None,
@@ -218,8 +228,8 @@
     Some(answer)
 }
 
-/// Puts a configuration in force where fronts hold serving leases.
-async fn order_under_leases(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
+/// Puts a configuration in force in a tier whose fronts hold serving leases.
+async fn put_under_leases(control: &Arc<Control>, base: u64, text: String) -> PutAnswer {
     match put(control, base, text, String::new(), false).await {
         Ok(version) => PutAnswer::InForce(version),
         Err(PutError::InvalidConfiguration { faults }) => PutAnswer::Invalid(faults),
--- a/yewcross-control/src/config/put.rs
+++ b/yewcross-control/src/config/put.rs
@@ -1,7 +1,7 @@
-//! Putting a configuration in force where the tier numbers the versions and fronts hold serving
+//! Puts of configurations in a tier that numbers the versions itself and whose fronts hold serving
 //! leases.
 //!
-//! A put is decided by a majority of the core disks and answered once no front can serve by an
+//! A put is decided by a majority of the core disks and acknowledged once no front can serve by an
 //! older version.
 
 use super::decoding::{UnreadableDocument, decode_configuration};
@@ -17,24 +17,28 @@
 use yewcross_common::protocol::ConfigDoc;
 use yewcross_common::register::{ChangeError, ValueUpdate};
 
-/// Why a configuration is not known to be in force.
+/// Reason why a put configuration is not confirmed to be in force.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum PutError {
     #[snafu(display("the configuration has {} faults", faults.len()))]
     InvalidConfiguration { faults: Vec<InvalidSetting> },
     #[snafu(display("the tier has no layout yet"))]
     NotBootstrapped,
+    /// The base of the put is not the newest version.
     #[snafu(display("newest is {newest}"))]
     Conflict { newest: u64 },
+    /// A rollout could not complete, as in [`PutDecision::FrontsUnavailable`].
     #[snafu(display("{}", fault.reason))]
     FrontsUnavailable { fault: InvalidSetting },
     #[snafu(display("no majority of the core disks was reached; nothing is stored"))]
     NoMajority,
-    /// The newest decided document is left as it is, and nothing is stored.
+    /// The newest decided document cannot be decoded. It is left unchanged, and nothing is stored.
     #[snafu(context(false), display("{source}"))]
     Unreadable { source: UnreadableDocument },
+    /// The put may be stored on some disks, and may still be decided.
     #[snafu(display("some disk may hold it"))]
     OutcomeUnknown,
+    /// The put is decided, but the rollout was not confirmed in time.
     #[snafu(display("version {version} is stored, not yet proved in force"))]
     NotYetInForce { version: u64 },
 }
@@ -53,7 +57,7 @@
         }
     }
 
-    /// What the answer says beyond the text of its code; empty where that says all.
+    /// The detail of the answer to an operator; empty if the text of the code is sufficient.
     pub fn detail(&self) -> String {
         match self {
             PutError::InvalidConfiguration { .. }
@@ -64,31 +68,35 @@
     }
 }
 
-/// One put, as it is decided.
+/// The parameters of one attempt to put a configuration.
 pub struct PutAttempt<'a> {
     /// The version that it replaces.
     pub base: u64,
-    /// Names this attempt in the document, so that it knows its own change again.
+    /// Identifies this attempt in the document, so that a retry recognises its own change.
     pub id: &'a str,
+    /// The complete configuration.
     pub text: &'a str,
+    /// A remark that is stored with the version.
     pub note: &'a str,
 }
 
-/// What a put came to in the register.
+/// The outcome of a put in the register.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PutDecision {
-    /// It is this version, now or since an earlier try of the same attempt.
+    /// The configuration is stored as this version, by this or an earlier run of the same attempt.
     Stored { version: u64 },
-    /// It names another version than the newest.
+    /// The attempt's base is not the newest version.
     Conflict { newest: u64 },
-    /// No rollout could complete now.
+    /// A rollout could not complete, because a group of fronts has no majority up or cannot be
+    /// determined.
     FrontsUnavailable(InvalidSetting),
-    /// The document in the register is not one; it is not replaced.
+    /// The value in the register cannot be decoded; it is not replaced.
     Unreadable(UnreadableDocument),
 }
 
-/// Checks a configuration, has it decided on top of version `base`, and rolls it out. Returns its
-/// version once no front can serve by an older one. A dry run checks only.
+/// Validates a configuration, has it decided as the successor of version `base`, and rolls it out.
+/// Returns its version once no front can serve by an older one. A dry run only validates the
+/// configuration and compares `base` with the newest applied version.
 pub async fn put(
     control: &Arc<Control>,
     base: u64,
@@ -115,7 +123,7 @@
     roll_out_newest(control, version).await
 }
 
-/// Has the put decided by a majority of the core disks.
+/// Has the put decided by a majority of the core disks. Returns the version that it is stored as.
 async fn store(control: &Arc<Control>, base: u64, text: &str, note: &str) -> Result<u64, PutError> {
     let id = format!(
         "{}-{:016x}",
@@ -151,24 +159,26 @@
     }
 }
 
-/// Rolls the newest version out: the stored one, or one that followed and has it among its past.
+/// Rolls out the newest version: the stored one, or a later one that lists it among its superseded
+/// versions.
 async fn roll_out_newest(control: &Arc<Control>, version: u64) -> Result<u64, PutError> {
-    let Ok((newest, epoch, content)) = control
+    let Ok((newest, ballot, content)) = control
         .registers
         .read_with_ballot("config", PEER_REQUEST_TIMEOUT)
         .await
     else {
         return Err(PutError::NotYetInForce { version });
     };
-    if roll_out(control, "config", newest, epoch, &content).await {
+    if roll_out(control, "config", newest, ballot, &content).await {
         Ok(version)
     } else {
         Err(PutError::NotYetInForce { version })
     }
 }
 
-/// What a put makes of the register's value. Run again on a value that has its change, it comes to
-/// the same. An empty value is the document before the first put; one that cannot be read is kept.
+/// Decides a put on the register's value. The decision is idempotent: on a value that already
+/// contains the change it gives the same result. An empty value is the document before the first
+/// put; a value that cannot be decoded is kept.
 pub fn decide_put(
     version: u64,
     value: &[u8],
@@ -180,60 +190,61 @@
         Ok(document) => document,
         Err(error) => return ValueUpdate::Keep(PutDecision::Unreadable(error)),
     };
-    if let Some(version) = version_of(&document, version, attempt.id) {
+    if let Some(version) = find_stored_version(&document, version, attempt.id) {
         return ValueUpdate::Keep(PutDecision::Stored { version });
     }
     if version != attempt.base {
         return ValueUpdate::Keep(PutDecision::Conflict { newest: version });
     }
-    let next = successor(&document, version, attempt);
-    let fault = find_lost_version(&next, in_force_version)
-        .or_else(|| find_unavailable_group(&front_groups(&next, in_force_version), is_up));
+    let next_document = successor(&document, version, attempt);
+    let fault = find_history_gap(&next_document, in_force_version)
+        .or_else(|| find_unavailable_group(&front_groups(&next_document, in_force_version), is_up));
     if let Some(fault) = fault {
         return ValueUpdate::Keep(PutDecision::FrontsUnavailable(fault));
     }
-    // Strings and numbers always serialise.
-    let raw = serde_json::to_vec(&next).unwrap_or_default();
+    // Cannot fail: the document consists of strings and numbers, which always serialise.
+    let encoded = serde_json::to_vec(&next_document).unwrap_or_default();
     ValueUpdate::Write(
-        raw,
+        encoded,
         PutDecision::Stored {
             version: version + 1,
         },
     )
 }
 
-/// The version that an attempt is stored as, where the document still knows it.
-fn version_of(document: &ConfigDoc, version: u64, id: &str) -> Option<u64> {
+/// The version that an attempt is stored as, if the document still lists it.
+fn find_stored_version(document: &ConfigDoc, version: u64, id: &str) -> Option<u64> {
     if document.put_id == id {
         return Some(version);
     }
-    let mut past = document.superseded.iter();
-    past.find(|(_, past_id, _)| past_id == id)
-        .map(|(past_version, _, _)| *past_version)
+    let mut superseded = document.superseded.iter();
+    superseded
+        .find(|(_, superseded_id, _)| superseded_id == id)
+        .map(|(superseded_version, _, _)| *superseded_version)
 }
 
-/// The document after a put on top of another.
+/// The document that replaces `document`, which is `version`, when the put is accepted.
 fn successor(document: &ConfigDoc, version: u64, attempt: &PutAttempt) -> ConfigDoc {
-    let mut past = document.superseded.clone();
+    let mut superseded = document.superseded.clone();
     if version > 0 {
-        past.insert(0, (version, document.put_id.clone(), document.text.clone()));
-        past.truncate(RETAINED_VERSIONS);
+        superseded.insert(0, (version, document.put_id.clone(), document.text.clone()));
+        superseded.truncate(RETAINED_VERSIONS);
     }
     ConfigDoc {
         text: attempt.text.into(),
         put_id: attempt.id.into(),
         note: attempt.note.into(),
-        superseded: past,
+        superseded,
         ..Default::default()
     }
 }
 
-/// The fault of a document whose past no longer reaches back to the version in force: the fronts of
-/// a version that it has dropped could not be asked any more.
-fn find_lost_version(document: &ConfigDoc, in_force_version: u64) -> Option<InvalidSetting> {
+/// Reports a fault if the document's superseded versions no longer reach back to the version in
+/// force: a rollout could not determine the fronts of the versions that have been dropped.
+fn find_history_gap(document: &ConfigDoc, in_force_version: u64) -> Option<InvalidSetting> {
     let (oldest, _, _) = document.superseded.last()?;
-    let is_lost = document.superseded.len() == RETAINED_VERSIONS && *oldest > in_force_version;
-    is_lost.then(|| InvalidSetting {
+    let has_gap = document.superseded.len() == RETAINED_VERSIONS && *oldest > in_force_version;
+    has_gap.then(|| InvalidSetting {
         path: "fronts".into(),
         reason: format!("none of the last {RETAINED_VERSIONS} versions is proved in force"),
     })
--- a/yewcross-control/src/config/read.rs
+++ b/yewcross-control/src/config/read.rs
@@ -1,4 +1,4 @@
-//! Reading the newest configuration back.
+//! Reads of the newest configuration.
 
 use crate::api::ReadAnswer;
 use crate::{Control, proposer};
@@ -6,21 +6,22 @@
 use yewcross_common::constants::READ_BACK_TIMEOUT;
 use yewcross_common::protocol::ConfigDoc;
 
-/// The newest decided configuration. Linearizable with the orders: a majority of the core disks is
-/// asked each time.
+/// Reads the newest decided configuration. Reads are linearizable with the orders, because each one
+/// queries a majority of the core disks.
 pub async fn read_newest_configuration(control: &Arc<Control>) -> ReadAnswer {
     if control.documents.layout.load().0 == 0 {
         return ReadAnswer::Unavailable;
     }
-    let Ok((version, epoch, content)) =
+    let Ok((version, ballot, content)) =
         proposer::read_newest_decided(control, "config", READ_BACK_TIMEOUT).await
     else {
         return ReadAnswer::Unavailable;
     };
     control
         .documents
-        .apply("config", version, epoch, content.to_vec());
-    // What cannot be read may hold an order: that no configuration was ever put is not known.
+        .apply("config", version, ballot, content.to_vec());
+    // A document that cannot be decoded may contain an order. The answer `None`, that no
+    // configuration was ever put, might therefore be false.
     let Ok(document) = ConfigDoc::decode(&content) else {
         return ReadAnswer::Unavailable;
     };
--- a/yewcross-control/src/config/rollout.rs
+++ b/yewcross-control/src/config/rollout.rs
@@ -1,5 +1,5 @@
-//! Rolling a decided document out: it is sent to every node, and a configuration is in force once
-//! no front can serve by an older one.
+//! Rollout of a decided document: it is sent to every node, and a configuration is in force once no
+//! front can serve by an older one.
 
 use super::decoding::decode_configuration;
 use super::front_groups::front_groups;
@@ -16,57 +16,58 @@
 use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse};
 use yewcross_common::register::Ballot;
 
-/// us. Between attempts to send the document to a node that has not acknowledged it.
-const PUBLISH_RETRY: u64 = 50 * MS;
+/// us. Delay between attempts to send the document to a node that has not acknowledged it.
+const PUBLISH_RETRY_INTERVAL: u64 = 50 * MS;
 
-/// us. Between questions for leases to a core that does not hold the version yet.
-const COLLECT_RETRY: u64 = 30 * MS;
+/// us. Delay between requests for leases to a core that does not hold the version yet.
+const COLLECT_RETRY_INTERVAL: u64 = 30 * MS;
 
-/// us. Between looks at what has arrived.
-const PROGRESS_LOOK: u64 = 5 * MS;
+/// us. Interval at which received acknowledgements and lease reports are processed.
+const PROGRESS_POLL_INTERVAL: u64 = 5 * MS;
 
-/// A decided document on its way to all nodes.
+/// A running rollout of a decided document.
 struct Rollout {
     control: Arc<Control>,
     name: String,
     version: u64,
-    epoch: Ballot,
+    ballot: Ballot,
     content: Arc<Vec<u8>>,
-    /// When the attempts end.
+    /// Time after which no more attempts are made, in us of the runtime's clock.
     deadline: u64,
 }
 
-/// A node holds the version or a newer one.
+/// A node's confirmation that it has applied the version or a newer one.
 struct Acknowledgement {
     node: String,
     is_front: bool,
 }
 
-/// The leases that a core has granted, read on a disk that holds the version.
+/// The leases that a core has granted, collected after its disk held the version.
 struct LeaseReport {
-    /// Time left of each front's lease, us.
+    /// Fronts with the remaining time of their leases in us.
     leases: Vec<(String, u64)>,
+    /// Time at which the report arrived, in us of the runtime's clock.
     received_at: u64,
 }
 
-/// Sends a decided document to every node. Of a configuration: `true` once no front can serve by
-/// an older one, `false` where that was not seen within `PUT_TIMEOUT`. Of the other documents: `true`
-/// at once.
+/// Sends a decided document to every node. For a configuration, returns `true` once no front can
+/// serve by an older one, or `false` if that was not confirmed within `PUT_TIMEOUT`. For the other
+/// documents returns `true` immediately.
 pub async fn roll_out(
     control: &Arc<Control>,
     name: &str,
     version: u64,
-    epoch: Ballot,
+    ballot: Ballot,
     content: &Arc<Vec<u8>>,
 ) -> bool {
     control
         .documents
-        .apply(name, version, epoch, content.to_vec());
+        .apply(name, version, ballot, content.to_vec());
     let rollout = Arc::new(Rollout {
         control: control.clone(),
         name: name.to_string(),
         version,
-        epoch,
+        ballot,
         content: content.clone(),
         deadline: control.runtime.now() + PUT_TIMEOUT,
     });
@@ -87,11 +88,12 @@
     true
 }
 
-/// Remembers that a version is in force, also on disk, so that fronts of versions long superseded
-/// are not asked for after a restart.
+/// Records in memory and on disk that a version is in force, so that after a restart a rollout does
+/// not wait for fronts of versions superseded before it.
 pub(crate) async fn record_in_force(control: &Arc<Control>, version: u64) -> PeerResponse {
     if control.in_force_version.fetch_max(version, SeqCst) < version {
-        // Without the file a restart only waits for more fronts than it must.
+        // An error is ignored: without the file, rollouts after a restart only wait for more fronts
+        // than necessary.
         let _ = control
             .storage
             .persist("local", "proved", version, &version.to_le_bytes())
@@ -101,16 +103,17 @@
 }
 
 impl Rollout {
-    /// Starts to send the document to each other node, until it acknowledges or the time is over.
+    /// Starts sending the document to each other node until the node acknowledges it or the
+    /// deadline passes.
     fn publish_to_all(self: &Arc<Self>) -> Receiver<Acknowledgement> {
         let (sender, acknowledgements) = async_channel::unbounded();
-        let others = self
+        let other_nodes = self
             .control
             .members
             .all_nodes()
             .into_iter()
             .filter(|node| node.name != self.control.settings.name);
-        for node in others {
+        for node in other_nodes {
             let task = self.clone().publish_to(node, sender.clone());
             self.control.runtime.spawn(task);
         }
@@ -121,7 +124,7 @@
         let request = PeerRequest::PublishDocument {
             name: self.name.clone(),
             version: self.version,
-            ballot: self.epoch,
+            ballot: self.ballot,
             relays: vec![],
         };
         while self.is_running() {
@@ -132,20 +135,20 @@
                 .await;
             match answer {
                 Ok((PeerResponse::DocumentApplied { version }, _)) if version >= self.version => {
-                    // Fails only where nobody waits any more.
+                    // Fails only if the rollout no longer waits.
                     let _ = acknowledgements.try_send(Acknowledgement {
                         node: node.name,
                         is_front: node.role == Role::Front,
                     });
                     return;
                 }
-                _ => self.control.runtime.sleep(PUBLISH_RETRY).await,
+                _ => self.control.runtime.sleep(PUBLISH_RETRY_INTERVAL).await,
             }
         }
     }
 
-    /// Starts to ask each core for the serving leases that it has granted, until it holds the
-    /// version or the time is over.
+    /// Starts requesting from each core the serving leases that it has granted, until the core
+    /// holds the version or the deadline passes.
     fn collect_leases(self: &Arc<Self>, layout: &Layout) -> Receiver<LeaseReport> {
         let (sender, lease_reports) = async_channel::unbounded();
         let cores: Vec<SocketAddr> = current_cores(&self.control, layout)
@@ -167,14 +170,14 @@
                     in_force,
                 }) if version >= self.version => {
                     self.control.in_force_version.fetch_max(in_force, SeqCst);
-                    // Fails only where nobody waits any more.
+                    // Fails only if the rollout no longer waits.
                     let _ = reports.try_send(LeaseReport {
                         leases: fronts,
                         received_at: self.control.runtime.now(),
                     });
                     return;
                 }
-                _ => self.control.runtime.sleep(COLLECT_RETRY).await,
+                _ => self.control.runtime.sleep(COLLECT_RETRY_INTERVAL).await,
             }
         }
     }
@@ -201,7 +204,8 @@
         acknowledgements: Receiver<Acknowledgement>,
         lease_reports: Receiver<LeaseReport>,
     ) -> bool {
-        // Which fronts an unreadable configuration names is not known, so it is never in force.
+        // The fronts of an unreadable configuration are unknown, so it is never considered in
+        // force.
         let document = match decode_configuration(&self.content) {
             Ok(document) => document,
             Err(error) => {
@@ -213,32 +217,32 @@
         let groups = front_groups(&document, in_force_version);
         let mut progress = RolloutProgress::new(layout.core.current.len(), groups);
         while self.is_running() {
-            record_arrived(&mut progress, &acknowledgements, &lease_reports);
+            record_received(&mut progress, &acknowledgements, &lease_reports);
             let now = self.control.runtime.now();
-            // A core reports with its leases which version is in force; until then the fronts of
-            // every older version count.
-            let known = self.control.in_force_version.load(SeqCst);
-            if known != in_force_version {
-                in_force_version = known;
-                progress.set_front_groups(front_groups(&document, known));
+            // Cores report the version in force along with their leases; until such a report
+            // arrives, the fronts of all older versions are waited for.
+            let newest_in_force_version = self.control.in_force_version.load(SeqCst);
+            if newest_in_force_version != in_force_version {
+                in_force_version = newest_in_force_version;
+                progress.set_front_groups(front_groups(&document, newest_in_force_version));
             }
             if progress.is_in_force(now) {
                 return true;
             }
-            self.control.runtime.sleep(PROGRESS_LOOK).await;
+            self.control.runtime.sleep(PROGRESS_POLL_INTERVAL).await;
         }
         false
     }
 
-    /// Tells the other cores, without waiting: a core that misses it asks for more fronts than it
-    /// must in its next rollout.
+    /// Notifies the other cores that the version is in force, without waiting for responses: a core
+    /// that misses the notification only waits for more fronts than necessary in its next rollout.
     fn announce_in_force(&self, layout: &Layout) {
         let request = PeerRequest::AnnounceInForce {
             version: self.version,
         };
-        let others = current_cores(&self.control, layout)
+        let other_cores = current_cores(&self.control, layout)
             .filter(|core| core.name != self.control.settings.name);
-        for core in others {
+        for core in other_cores {
             let (peers, request) = (self.control.peers.clone(), request.clone());
             self.control.runtime.spawn(async move {
                 let _ = peers
@@ -253,9 +257,9 @@
     }
 }
 
-/// Records the reports and acknowledgements that have arrived. An acknowledgement of a core or a
-/// store ends the turn; those behind it are taken at the next look.
-fn record_arrived(
+/// Records the received lease reports and acknowledgements. An acknowledgement of a core or a store
+/// ends the iteration; those queued behind it are recorded at the next poll.
+fn record_received(
     progress: &mut RolloutProgress,
     acknowledgements: &Receiver<Acknowledgement>,
     lease_reports: &Receiver<LeaseReport>,
@@ -272,7 +276,7 @@
     }
 }
 
-/// The known machines of the current core seats.
+/// The known nodes of the core disks in the current layout.
 fn current_cores<'a>(control: &'a Control, layout: &'a Layout) -> impl Iterator<Item = Node> + 'a {
     layout
         .core
--- a/yewcross-control/src/config/rollout_progress.rs
+++ b/yewcross-control/src/config/rollout_progress.rs
@@ -1,32 +1,34 @@
-//! How far the rollout of a configuration has come: a record without clock or network.
+//! Progress of the rollout of a configuration, as a state machine without access to clock or
+//! network.
 
 use super::serving_leases::SERVING_LEASE_MARGIN;
 use std::collections::{BTreeMap, BTreeSet};
 use yewcross_common::constants::SERVING_LEASE;
 use yewcross_common::register::majority;
 
-/// What a rollout knows of fronts and cores. All times are us of the rolling process's clock.
+/// The acknowledgements and leases that a rollout has recorded. All times are in us of the clock of
+/// the process that runs the rollout.
 ///
 /// The version is in force once no front can serve by an older one:
-/// - a majority of the cores holds it and has reported its leases, so that no older lease is
-///   granted from now on, and none is unknown;
+/// - a majority of the cores holds it and has reported its leases, so that no lease for an older
+///   version can be granted from then on, and every one granted before is known;
 /// - every front with a reported lease has acknowledged the version, or that lease has expired;
-/// - a majority of each group of fronts has acknowledged it, and every other front has too or has
-///   had time to lose the lease that fronts confirm to each other.
+/// - a majority of each group of fronts has acknowledged it, and either all other fronts have too,
+///   or enough time has passed for the leases that fronts confirm to each other to expire.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutProgress {
     required_lease_reports: usize,
-    lease_reports: usize,
+    received_lease_reports: usize,
     front_groups: Vec<Vec<String>>,
     acknowledged: BTreeSet<String>,
-    /// When the last reported lease of a front expires.
-    outstanding_leases: BTreeMap<String, u64>,
-    /// When a majority of each group was first seen to have acknowledged.
+    /// By front, the time at which its last reported lease expires.
+    lease_expirations: BTreeMap<String, u64>,
+    /// The time at which a majority of each group was first found to have acknowledged.
     majority_since: Option<u64>,
 }
 
 impl RolloutProgress {
-    /// A rollout to these groups of fronts, in a tier of this many cores.
+    /// Starts a rollout to these groups of fronts in a tier of `core_count` cores.
     pub fn new(core_count: usize, front_groups: Vec<Vec<String>>) -> RolloutProgress {
         RolloutProgress {
             required_lease_reports: majority(core_count),
@@ -35,36 +37,36 @@
         }
     }
 
-    /// Replaces the groups, once a newer version than known before turns out to be in force.
+    /// Replaces the groups after a newer version than previously known was found to be in force.
     pub fn set_front_groups(&mut self, front_groups: Vec<Vec<String>>) {
         self.front_groups = front_groups;
     }
 
-    /// The front has adopted this version or a newer one.
+    /// Records that a front has applied this version or a newer one.
     pub fn record_acknowledgement(&mut self, front: String) {
         self.acknowledged.insert(front);
     }
 
-    /// A core that holds this version reports its leases, with the time left of each. A core
-    /// reports once.
+    /// Records the leases of a core that holds this version, each with its remaining time in us. To
+    /// be called once per core.
     pub fn record_leases(&mut self, received_at: u64, leases: Vec<(String, u64)>) {
-        self.lease_reports += 1;
-        for (front, time_left) in leases {
-            let expires_at = self.outstanding_leases.entry(front).or_default();
-            *expires_at = (*expires_at).max(received_at + time_left);
+        self.received_lease_reports += 1;
+        for (front, remaining_time) in leases {
+            let expires_at = self.lease_expirations.entry(front).or_default();
+            *expires_at = (*expires_at).max(received_at + remaining_time);
         }
     }
 
-    /// Whether no front can serve by an older version any more. Remembers when a majority of each
-    /// group was first seen, so it is to be asked whenever something was recorded.
+    /// Whether no front can serve by an older version any more. Stores the time at which a majority
+    /// of each group is first found, so it must be called whenever something was recorded.
     pub fn is_in_force(&mut self, now: u64) -> bool {
         if !self.has_majority_of_each_group() {
             return false;
         }
         let majority_since = *self.majority_since.get_or_insert(now);
-        self.lease_reports >= self.required_lease_reports
-            && self.is_each_lease_settled(now)
-            && (self.has_every_front()
+        self.received_lease_reports >= self.required_lease_reports
+            && self.is_each_lease_acknowledged_or_expired(now)
+            && (self.has_acknowledgement_of_every_front()
                 || now > majority_since + SERVING_LEASE + SERVING_LEASE_MARGIN)
     }
 
@@ -75,13 +77,13 @@
         })
     }
 
-    fn has_every_front(&self) -> bool {
+    fn has_acknowledgement_of_every_front(&self) -> bool {
         let mut fronts = self.front_groups.iter().flatten();
         fronts.all(|front| self.has_acknowledged(front))
     }
 
-    fn is_each_lease_settled(&self, now: u64) -> bool {
-        self.outstanding_leases
+    fn is_each_lease_acknowledged_or_expired(&self, now: u64) -> bool {
+        self.lease_expirations
             .iter()
             .all(|(front, expires_at)| self.has_acknowledged(front) || now > *expires_at)
     }
--- a/yewcross-control/src/request_handler.rs
+++ b/yewcross-control/src/request_handler.rs
@@ -1,4 +1,4 @@
-//! The requests of other processes: one flat dispatch to the modules that answer them.
+//! Dispatches requests from other processes to the modules that handle them.
 
 use crate::config::{self, DocumentChange, DocumentPoll, Publication};
 use crate::{Control, layout, lease_granter};
@@ -10,7 +10,7 @@
 use yewcross_common::runtime::BoxFuture;
 use yewcross_common::transport::{Envelope, Reply, RequestHandler};
 
-/// Decodes requests, and encodes the answers of [`Control::handle`].
+/// Decodes requests from other processes and encodes the responses of [`Control::handle`].
 pub(crate) struct PeerRequestHandler(pub(crate) Arc<Control>);
 
 impl RequestHandler for PeerRequestHandler {
@@ -37,8 +37,8 @@
 }
 
 impl Control {
-    /// Answers a request of the process named `from`. The payload is what travels beside a message,
-    /// uninterpreted: a register's value, a document, a delta.
+    /// Handles a request of the process named `from`. The payload is the binary data sent along
+    /// with the message: a register's value, a document or a delta.
     pub async fn handle(
         self: &Arc<Self>,
         request: PeerRequest,
@@ -69,10 +69,10 @@
                 leaving_digest,
             } => {
                 let poll = DocumentPoll {
-                    known,
+                    held_versions: known,
                     is_front: front,
                     leaving_digest,
-                    from,
+                    poller_name: from,
                 };
                 without_payload(config::poll_documents(self, poll).await)
             }
@@ -85,13 +85,13 @@
             PeerRequest::PublishDocument {
                 name,
                 version,
-                ballot: epoch,
+                ballot,
                 relays,
             } => {
                 let publication = Publication {
                     name,
                     version,
-                    epoch,
+                    ballot,
                     relays,
                 };
                 without_payload(config::apply_document(self, publication, payload))
@@ -99,7 +99,7 @@
             PeerRequest::PublishDelta {
                 name,
                 version,
-                ballot: epoch,
+                ballot,
                 base,
                 base_digest,
                 relays,
@@ -107,7 +107,7 @@
                 let publication = Publication {
                     name,
                     version,
-                    epoch,
+                    ballot,
                     relays,
                 };
                 let change = DocumentChange {
@@ -164,21 +164,21 @@
         (response, value)
     }
 
-    /// A request that names no disk means the one that was at this address when its sender last
-    /// looked. Only a disk that has a seat in the layout applied here can be that one: a disk newly
-    /// created here has none yet.
+    /// Handles a register request without a disk identity. Such a request is addressed to the disk
+    /// that the sender last saw at this address. Only a disk that the layout applied here includes
+    /// can be that disk: a newly created one is not included yet.
     async fn unnamed_register_request(
         &self,
         request: RegisterRequest,
         value: Vec<u8>,
     ) -> (PeerResponse, Vec<u8>) {
-        let has_seat = self
+        let is_in_layout = self
             .documents
             .layout
             .load()
             .1
             .includes_disk(&self.storage.disk_id);
-        if !has_seat {
+        if !is_in_layout {
             return without_payload(PeerResponse::UnnamedRegister(RegisterReply::Unavailable));
         }
         let (reply, value) = self.replica.handle(request, value).await;
