--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -1,7 +1,7 @@
-//! What another interface starts a control node with, and asks of it.
+//! Options of a control node, and the operations that it offers to operator interfaces.
 //!
-//! Any core answers. One that has no contact with a majority of the core disks tries to reach one
-//! first, and else answers that it cannot.
+//! Any core can serve them. A core without contact to a majority of the core disks first tries to
+//! establish it, and reports an error if it cannot.
 
 use crate::{Control, config, layout, quorum_contact};
 use std::sync::Arc;
@@ -13,29 +13,30 @@
 /// When a put is acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PutAcknowledgement {
-    /// Once no front can serve by an older version any more: fronts hold serving leases.
+    /// Once no front can serve by an older version any more. Requires fronts to hold serving
+    /// leases.
     #[default]
     InForce,
-    /// Once a majority of the core disks has synced it: fronts serve by what they hold, and apply
-    /// it within `Bounds::apply`.
+    /// Once a majority of the core disks has synced it. Fronts serve by the version that they hold,
+    /// and apply the new one within `Bounds::apply`.
     Decided,
 }
 
-/// How a control node is built.
+/// Options of a control node.
 #[derive(Clone)]
 pub struct Options {
-    /// How an operator's text becomes a configuration.
+    /// Parses an operator's text into a configuration.
     pub configuration_format: Arc<dyn ConfigurationFormat>,
-    /// How the platform's list is polled; none for the product's own JSON.
+    /// Reads the platform's list of servers; `None` for the product's own JSON format.
     pub server_catalogue: Option<Arc<dyn ServerCatalogue>>,
     /// When a put is acknowledged.
     pub put_acknowledgement: PutAcknowledgement,
-    /// Serve the product's own operators' interface at `ProcessSettings::http`.
+    /// Whether to serve the product's own operator interface at `ProcessSettings::http`.
     pub bind_http: bool,
-    /// Maintain the layout without an operator: bootstrap the tier, admit new disks, replace lost
-    /// ones.
+    /// Whether to maintain the layout without an operator: bootstrap the tier, admit new disks and
+    /// replace lost ones.
     pub maintains_layout: bool,
-    /// Never give way to a younger process of the same name: outrank it instead.
+    /// Whether to outrank a younger process of the same name instead of being replaced by it.
     pub outranks_younger_process: bool,
 }
 
@@ -55,31 +56,32 @@
 /// The answer to [`Control::read_config`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReadAnswer {
-    /// The newest configuration: its number and the operator's text, byte for byte.
+    /// The newest configuration: its number and the operator's text, unmodified.
     Text(u64, Arc<str>),
     /// No configuration was ever put.
     None,
-    /// No majority of core disks could be asked, or this node does not know the layout yet, or the
-    /// decided document cannot be read.
+    /// No majority of the core disks could be reached, this node has no layout yet, or the decided
+    /// document cannot be decoded.
     Unavailable,
 }
 
 /// The answer to [`Control::retire_state`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireState {
-    /// Its keys are being moved to other disks.
+    /// The machine's keys are being moved to other disks.
     Running,
-    /// The layout without the machine is in force and swept: machine and disk may be removed.
+    /// The layout without the machine is in force, and the sweep under it is complete: machine and
+    /// disk may be removed.
     Finished,
-    /// It was never asked to retire.
+    /// Retirement of the machine was never requested.
     NotRequested,
-    /// No majority of core disks could be asked.
+    /// No majority of the core disks could be reached.
     Unavailable,
 }
 
 impl Control {
-    /// Puts an operator's text in force on top of version `base` (0: the first). Any core node may
-    /// be asked; answers within `Bounds::ack`.
+    /// Puts an operator's configuration text in force as the successor of version `base`; 0 stands
+    /// for the first one. Can be called on any core, and answers within `Bounds::ack`.
     pub async fn put(self: &Arc<Self>, base: u64, text: Vec<u8>) -> PutAnswer {
         if !quorum_contact::reach_quorum(self).await {
             return if self.documents.layout.load().0 == 0 {
@@ -91,7 +93,7 @@
         config::submit_order(self, base, text).await
     }
 
-    /// The newest decided configuration, by a majority of core disks.
+    /// Reads the newest decided configuration from a majority of the core disks.
     pub async fn read_config(self: &Arc<Self>) -> ReadAnswer {
         if !quorum_contact::reach_quorum(self).await {
             return ReadAnswer::Unavailable;
@@ -99,7 +101,8 @@
         config::read_newest_configuration(self).await
     }
 
-    /// Orders a store machine to be emptied for good. Any core node may be asked, repeatedly.
+    /// Requests the permanent retirement of a store machine, whose keys are moved to other disks.
+    /// Can be called on any core, and repeatedly.
     pub async fn retire_begin(self: &Arc<Self>, node: &str) -> RetireOutcome {
         if !quorum_contact::reach_quorum(self).await {
             return RetireOutcome::Unavailable;
@@ -107,7 +110,7 @@
         layout::retire(self, node).await
     }
 
-    /// How far the emptying of a store machine has come.
+    /// Reads the progress of a store machine's retirement.
     pub async fn retire_state(self: &Arc<Self>, node: &str) -> RetireState {
         if !quorum_contact::reach_quorum(self).await {
             return RetireState::Unavailable;
@@ -115,7 +118,8 @@
         layout::retirement_state(self, node).await
     }
 
-    /// The tier is bootstrapped, this disk works, and no younger process carries this name.
+    /// Whether the tier is bootstrapped, this node's disk has not failed, and no younger process
+    /// has replaced this one under its name.
     pub fn ready(&self) -> bool {
         let has_layout = self.documents.layout.load().0 > 0;
         let has_documents = self.settings.role != Role::Core || self.is_bootstrapped.load(SeqCst);
--- a/yewcross-control/src/contact.rs
+++ b/yewcross-control/src/contact.rs
@@ -1,55 +1,61 @@
-//! Records which core replicas have answered this process lately, and the newest document versions
-//! that they reported.
+//! Tracks which core replicas have answered requests of this process recently, and the newest
+//! document versions that they have reported.
 
 use crate::lease::quorum;
 use std::collections::BTreeMap;
 use yewcross_common::protocol::ReplicaGroup;
 
-/// When each voter last answered, and what its disk held. A pure record: it reads no clock and no
-/// network.
+/// The latest request that each voter has answered, and the document versions on the voters' disks.
+/// It accesses neither clock nor network.
 #[derive(Clone, Debug, Default)]
 pub struct Contact {
-    /// By disk, when the newest request was sent that it has answered.
-    answered: BTreeMap<String, u64>,
-    /// By document, the newest version that any voter has reported.
-    versions: BTreeMap<String, u64>,
+    /// By disk, the time at which the newest request that it has answered was sent.
+    answered_request_sent_at: BTreeMap<String, u64>,
+    /// By document name, the newest version that any voter has reported.
+    newest_versions: BTreeMap<String, u64>,
 }
 
 impl Contact {
-    /// Records that a disk answered a request sent at `sent`, and reported these versions.
-    pub fn record_answer(&mut self, disk: &str, sent: u64, versions: &[(String, u64)]) {
-        let last = self.answered.entry(disk.into()).or_default();
-        *last = (*last).max(sent);
-        for (document, version) in versions {
-            let newest = self.versions.entry(document.clone()).or_default();
+    /// Records that a disk has answered a request sent at `sent_at`, and has reported these
+    /// versions.
+    pub fn record_answer(&mut self, disk: &str, sent_at: u64, reported_versions: &[(String, u64)]) {
+        let newest_sent = self
+            .answered_request_sent_at
+            .entry(disk.into())
+            .or_default();
+        *newest_sent = (*newest_sent).max(sent_at);
+        for (document, version) in reported_versions {
+            let newest = self.newest_versions.entry(document.clone()).or_default();
             *newest = (*newest).max(*version);
         }
     }
 
-    /// The latest moment such that a quorum of the group has answered requests sent at it or later;
-    /// 0 if there is none. Every change decided before that moment is among the versions reported.
+    /// The latest time such that a quorum of the group has answered requests sent at or after it; 0
+    /// if there is none. The reported versions include every change decided before that time.
     pub fn latest_quorum_contact(&self, group: &ReplicaGroup) -> u64 {
-        let mut moments: Vec<u64> = self.answered.values().copied().collect();
-        moments.sort_unstable_by(|earlier, later| later.cmp(earlier));
-        let has_quorum_at = |moment: u64| {
+        let mut send_times: Vec<u64> = self.answered_request_sent_at.values().copied().collect();
+        send_times.sort_unstable_by(|earlier, later| later.cmp(earlier));
+        let has_quorum_at = |send_time: u64| {
             quorum(group, |disk| {
-                self.answered.get(disk).is_some_and(|sent| *sent >= moment)
+                self.answered_request_sent_at
+                    .get(disk)
+                    .is_some_and(|sent_at| *sent_at >= send_time)
             })
         };
-        moments
+        send_times
             .into_iter()
-            .find(|moment| has_quorum_at(*moment))
+            .find(|send_time| has_quorum_at(*send_time))
             .unwrap_or(0)
     }
 
     /// The newest version of a document that any voter has reported; 0 if none has.
     pub fn newest_version(&self, document: &str) -> u64 {
-        self.versions.get(document).copied().unwrap_or(0)
+        self.newest_versions.get(document).copied().unwrap_or(0)
     }
 
-    /// Forgets disks that are not in the group any more.
+    /// Removes the disks that are no longer in the group.
     pub fn retain(&mut self, group: &ReplicaGroup) {
-        self.answered
+        self.answered_request_sent_at
             .retain(|disk, _| group.current.contains(disk) || group.previous.contains(disk));
     }
 }
--- a/yewcross-control/src/counters.rs
+++ b/yewcross-control/src/counters.rs
@@ -1,14 +1,14 @@
-//! Counters of this process, for the operators' interface.
+//! Counters of this process, for the operator interface.
 
 use std::sync::atomic::AtomicU64;
 
-/// Totals since the start, unless said otherwise.
+/// Totals since process start, unless stated otherwise.
 #[derive(Default)]
 pub(crate) struct Counters {
     /// Records that were repaired on a disk of this tier.
     pub(crate) repaired_records: AtomicU64,
-    /// Configurations that were put here.
+    /// Valid configurations that were submitted to this process.
     pub(crate) puts: AtomicU64,
-    /// Orders that wait here to be decided now.
+    /// Current number of orders waiting to be decided by this process.
     pub(crate) orders_waiting: AtomicU64,
 }
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -1,4 +1,4 @@
-//! The product's own operators' interface: HTTP requests with JSON answers.
+//! The product's own operator interface: HTTP requests with JSON responses.
 
 mod configuration;
 mod layout_changes;
@@ -11,7 +11,7 @@
 use yewcross_common::buffered_http::{BufferedRequest, refuse};
 use yewcross_common::error_code::Code;
 
-/// Answers one request.
+/// Handles one HTTP request of an operator.
 pub async fn handle_request(control: Arc<Control>, request: BufferedRequest) -> Response {
     let path = request.path.clone();
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -28,20 +28,20 @@
         }
         (Method::Put, ["v1", "config"]) => configuration::put(&control, request).await,
         (Method::Get, ["v1", "config", version]) => {
-            configuration::read_past(&control, version).await
+            configuration::read_superseded(&control, version).await
         }
         (Method::Post, ["v1", "config", version, "rollback"]) => {
             configuration::roll_back(&control, version, &request).await
         }
         (Method::Post, ["v1", "disks", disk, "empty"]) => {
-            layout_changes::begin(&control, Move::Empty(disk.to_string())).await
+            layout_changes::begin_change(&control, Move::Empty(disk.to_string())).await
         }
         (Method::Post, ["v1", "disks", disk, "admit"]) => {
-            layout_changes::begin(&control, Move::Admit(disk.to_string())).await
+            layout_changes::begin_change(&control, Move::Admit(disk.to_string())).await
         }
         (Method::Post, ["v1", "disks", disk, "replace", by]) => {
             let replacement = Move::Replace(disk.to_string(), by.to_string());
-            layout_changes::begin(&control, replacement).await
+            layout_changes::begin_change(&control, replacement).await
         }
         (Method::Get, ["v1", "disks", disk]) => layout_changes::read_disk(&control, disk).await,
         (_, ["health" | "metrics"])
@@ -53,11 +53,12 @@
                 ..,
             ],
         )
-        | (_, ["v1", "disks", ..]) => rejected(Code::WrongVerb, ""),
-        _ => rejected(Code::UnknownPath, &path),
+        | (_, ["v1", "disks", ..]) => rejection(Code::WrongVerb, ""),
+        _ => rejection(Code::UnknownPath, &path),
     }
 }
 
-fn rejected(code: Code, detail: &str) -> Response {
+/// The HTTP response for an error code, with its retry delay.
+fn rejection(code: Code, detail: &str) -> Response {
     refuse(code, detail, code.retry_after_s())
 }
--- a/yewcross-control/src/operator/configuration.rs
+++ b/yewcross-control/src/operator/configuration.rs
@@ -1,6 +1,6 @@
-//! Reading and putting configurations.
+//! Operator requests that read and put configurations.
 
-use super::rejected;
+use super::rejection;
 use crate::Control;
 use crate::config::{self, PutError};
 use http_types::Response;
@@ -12,21 +12,21 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ConfigDoc;
 
-/// A version that the document still knows.
-struct KnownVersion {
+/// A version that the newest document contains: its own or a superseded one.
+struct RetainedVersion {
     version: u64,
     put_id: String,
     text: String,
 }
 
-/// The newest configuration, as it was put, with what is known of the versions before.
+/// Returns the newest configuration as it was put, with the retained versions before it.
 pub(super) async fn read(control: &Arc<Control>) -> Response {
     let (version, document) = match read_newest(control).await {
         Ok(newest) => newest,
         Err(response) => return response,
     };
     let text: Value = serde_json::from_str(&document.text).unwrap_or(Value::Null);
-    let past: Vec<Value> = document
+    let superseded: Vec<Value> = document
         .superseded
         .iter()
         .map(|(version, put_id, _)| json!({"version": version, "put": put_id}))
@@ -35,29 +35,31 @@
         "version": version,
         "put": document.put_id,
         "note": document.note,
-        "past": past,
+        "past": superseded,
         "config": text,
     });
-    with_version(reply(200, &body), version)
+    with_version_tag(reply(200, &body), version)
 }
 
-/// The newest configuration with its defaults filled in.
+/// Returns the newest configuration with defaults filled in.
 pub(super) async fn read_effective(control: &Arc<Control>) -> Response {
     let (version, document) = match read_newest(control).await {
         Ok(newest) => newest,
         Err(response) => return response,
     };
-    let tree = Configuration::read(document.text.as_bytes()).ok();
-    let body = json!({"version": version, "tree": tree});
-    with_version(reply(200, &body), version)
+    let effective = Configuration::read(document.text.as_bytes()).ok();
+    let body = json!({"version": version, "tree": effective});
+    with_version_tag(reply(200, &body), version)
 }
 
-fn with_version(mut response: Response, version: u64) -> Response {
+/// Adds the version to a response as its `etag` header.
+fn with_version_tag(mut response: Response, version: u64) -> Response {
     response.insert_header("etag", format!("\"{version}\""));
     response
 }
 
-/// The newest version and its document, or the answer to an operator where it cannot be read.
+/// Reads the newest version and its document. Returns the error response to the operator if it
+/// cannot be read.
 async fn read_newest(control: &Arc<Control>) -> Result<(u64, ConfigDoc), Response> {
     match control
         .registers
@@ -66,47 +68,47 @@
     {
         Ok((version, _, value)) => match config::decode_configuration(&value) {
             Ok(document) => Ok((version, document)),
-            Err(error) => Err(rejected(Code::Undecided, &error.to_string())),
+            Err(error) => Err(rejection(Code::Undecided, &error.to_string())),
         },
-        Err(_) if control.documents.layout.load().0 == 0 => Err(rejected(Code::NotFounded, "")),
-        Err(_) => Err(rejected(Code::NoMajority, "")),
+        Err(_) if control.documents.layout.load().0 == 0 => Err(rejection(Code::NotFounded, "")),
+        Err(_) => Err(rejection(Code::NoMajority, "")),
     }
 }
 
-/// An earlier configuration.
-pub(super) async fn read_past(control: &Arc<Control>, version: &str) -> Response {
-    let Some(known) = find_version(control, version).await else {
+/// Returns the configuration of a retained version.
+pub(super) async fn read_superseded(control: &Arc<Control>, version: &str) -> Response {
+    let Some(retained) = find_version(control, version).await else {
         return unknown_version();
     };
-    let text = serde_json::from_str::<Value>(&known.text).ok();
-    let body = json!({"version": known.version, "put": known.put_id, "config": text});
+    let text = serde_json::from_str::<Value>(&retained.text).ok();
+    let body = json!({"version": retained.version, "put": retained.put_id, "config": text});
     reply(200, &body)
 }
 
-/// Puts an earlier text again: it wins or loses against other puts like any other.
+/// Puts the text of a retained version again. It competes with concurrent puts like any other put.
 pub(super) async fn roll_back(
     control: &Arc<Control>,
     version: &str,
     request: &BufferedRequest,
 ) -> Response {
     let Some(base) = base_version(request) else {
-        return rejected(Code::NoVersion, "");
+        return rejection(Code::NoVersion, "");
     };
-    let Some(known) = find_version(control, version).await else {
+    let Some(retained) = find_version(control, version).await else {
         return unknown_version();
     };
     let note = format!("rollback to {version}");
-    let outcome = config::put(control, base, known.text, note, false).await;
+    let outcome = config::put(control, base, retained.text, note, false).await;
     answer_put(outcome, false)
 }
 
-/// Puts a configuration, or only checks it with the query `dry=1`.
+/// Puts a configuration, or only validates it if the query contains `dry=1`.
 pub(super) async fn put(control: &Arc<Control>, request: BufferedRequest) -> Response {
     let Some(base) = base_version(&request) else {
-        return rejected(Code::NoVersion, "");
+        return rejection(Code::NoVersion, "");
     };
     let Ok(text) = String::from_utf8(request.body) else {
-        return rejected(Code::BadBody, "");
+        return rejection(Code::BadBody, "");
     };
     let is_dry_run = request
         .query
@@ -116,30 +118,33 @@
     answer_put(outcome, is_dry_run)
 }
 
-/// The version that the request replaces, by its `If-Match`.
+/// The version that the request replaces, from its `If-Match` header.
 fn base_version(request: &BufferedRequest) -> Option<u64> {
     request.if_match.as_ref()?.parse().ok()
 }
 
-async fn find_version(control: &Arc<Control>, version: &str) -> Option<KnownVersion> {
-    let wanted: u64 = version.parse().ok()?;
+/// Looks up a version in the newest decided document.
+async fn find_version(control: &Arc<Control>, version: &str) -> Option<RetainedVersion> {
+    let requested: u64 = version.parse().ok()?;
     let (newest, _, value) = control
         .registers
         .read_with_ballot("config", PEER_REQUEST_TIMEOUT)
         .await
         .ok()?;
-    // No version is known by a value that cannot be read, nor by the empty one before the first.
+    // A value that cannot be decoded contains no version, nor does the empty value before the first
+    // version.
     let document: ConfigDoc = serde_json::from_slice(&value).ok()?;
-    if wanted == newest {
-        return Some(KnownVersion {
+    if requested == newest {
+        return Some(RetainedVersion {
             version: newest,
             put_id: document.put_id,
             text: document.text,
         });
     }
-    let mut past = document.superseded.into_iter();
-    past.find(|(version, _, _)| *version == wanted)
-        .map(|(version, put_id, text)| KnownVersion {
+    let mut superseded = document.superseded.into_iter();
+    superseded
+        .find(|(version, _, _)| *version == requested)
+        .map(|(version, put_id, text)| RetainedVersion {
             version,
             put_id,
             text,
@@ -147,7 +152,7 @@
 }
 
 fn unknown_version() -> Response {
-    rejected(Code::UnknownPath, "no such version is on hand")
+    rejection(Code::UnknownPath, "no such version is on hand")
 }
 
 fn answer_put(outcome: Result<u64, PutError>, is_dry_run: bool) -> Response {
@@ -166,6 +171,6 @@
             });
             reply(code.http(), &body)
         }
-        Err(error) => rejected(error.code(), &error.detail()),
+        Err(error) => rejection(error.code(), &error.detail()),
     }
 }
--- a/yewcross-control/src/operator/status.rs
+++ b/yewcross-control/src/operator/status.rs
@@ -1,4 +1,5 @@
-//! Health, status, counters, and the checkpoint that the planner works on.
+//! Operator requests for health, status, counters, and the checkpoint that the planner takes as
+//! input.
 
 use crate::{Control, singleton_tasks};
 use http_types::Response;
@@ -12,6 +13,7 @@
 /// Prefix of the registers that hold sessions.
 const SESSION_PREFIX: &str = "session/";
 
+/// Reports whether this node's disk works: HTTP 200 if it does, otherwise 503.
 pub(super) fn health(control: &Control) -> Response {
     let is_healthy = !control.storage.failed.load(SeqCst);
     let status = if is_healthy { 200 } else { 503 };
@@ -19,9 +21,11 @@
     reply(status, &json!({"ok": is_healthy, "founded": has_layout}))
 }
 
+/// Reports this node's identity, the known nodes and document versions, and the holder of the
+/// singleton tasks.
 pub(super) async fn status(control: &Arc<Control>) -> Response {
     let holder = singleton_tasks::holder_name(control);
-    let duties: Vec<Value> = singleton_tasks::SINGLETON_TASKS
+    let tasks: Vec<Value> = singleton_tasks::SINGLETON_TASKS
         .iter()
         .map(|task| json!({"duty": task, "held_here": control.is_acting_holder(), "given": holder}))
         .collect();
@@ -38,7 +42,7 @@
         "disk_failed": control.storage.failed.load(SeqCst),
         "nodes": control.members.all_nodes(),
         "versions": versions,
-        "duties": duties,
+        "duties": tasks,
         "lease": singleton_tasks::status(control),
         "swept": control.swept.load(SeqCst),
         "sweep_left": control.sweep_left.load(SeqCst),
@@ -46,18 +50,19 @@
     reply(200, &body)
 }
 
-/// What this disk holds: keys, sizes, sessions' transfer state; no contents.
+/// Reports the keys on this disk with their sizes and the transfer state of sessions, without the
+/// records' contents, and the documents applied here.
 pub(super) async fn checkpoint(control: &Arc<Control>) -> Response {
     let (keys, damaged) = control.replica.keys().await;
-    let mut held = vec![];
+    let mut checkpoint_keys = vec![];
     for key in keys {
         if let Some(checkpoint) = checkpoint_key(control, key).await {
-            held.push(checkpoint);
+            checkpoint_keys.push(checkpoint);
         }
     }
     let content =
         |name| String::from_utf8_lossy(&control.documents.document(name).content).into_owned();
-    let duties: Vec<_> = singleton_tasks::SINGLETON_TASKS
+    let tasks: Vec<_> = singleton_tasks::SINGLETON_TASKS
         .iter()
         .map(|task| (task.to_string(), singleton_tasks::holder_name(control)))
         .collect();
@@ -65,18 +70,18 @@
         "disk": control.storage.disk_id,
         "name": control.settings.name,
         "damaged": damaged,
-        "held": held,
+        "held": checkpoint_keys,
         "nodes": control.members.view.load().values().collect::<Vec<_>>(),
         "versions": control.documents.versions(),
         "config": content("config"),
         "layout": content("layout"),
         "list": content("list"),
-        "duties": duties,
+        "duties": tasks,
     });
     reply(200, &body)
 }
 
-/// None where the disk holds no value of the key.
+/// Describes one key for the checkpoint. Returns `None` if the disk holds no value of the key.
 async fn checkpoint_key(control: &Control, key: String) -> Option<CheckpointKey> {
     let record = control.replica.read_record(&key).await?;
     if record.seq == 0 {
@@ -93,6 +98,7 @@
     })
 }
 
+/// Reports the counters of this node.
 pub(super) fn metrics(control: &Control) -> Response {
     let transport = &control.peers.metrics;
     let body = json!({
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -1,9 +1,9 @@
-//! The one proposer of the documents: the holder of the duty lease.
+//! Access to the single proposer of the documents: the holder of the lease for singleton tasks.
 //!
-//! Ballots keep two proposers from deciding against each other, and no more: proposers that share a
-//! key outbid each other, and on slow processors none of them may ever succeed. So only the holder
-//! prepares ballots for the configuration, the layout and the platform's list; every other core
-//! forwards orders to it, and reads without preparing anything.
+//! Ballots guarantee only that two proposers never decide different values: concurrent proposers on
+//! one key outbid each other, and on slow processors it may happen that none of them ever succeeds.
+//! Therefore only the lease holder prepares ballots for the configuration, the layout and the
+//! platform's list. Every other core forwards orders to it, and reads without preparing ballots.
 
 use crate::{Control, singleton_tasks};
 use std::sync::Arc;
@@ -14,18 +14,20 @@
 use yewcross_common::register::client::DecidedValue;
 use yewcross_common::transport::SendError;
 
-/// us. Less than this is not enough for a request to the proposer.
-const SHORTEST_FORWARD: u64 = MS;
+/// us. Minimum remaining time for forwarding a request: less does not suffice for the proposer to
+/// answer.
+const FORWARD_TIMEOUT_MIN: u64 = MS;
 
-/// Why the proposer has not answered.
+/// Reason why a forwarded request got no answer from the proposer.
 pub enum ForwardError {
-    /// No process is known to propose, or the one asked does not: nothing was done.
+    /// No proposer is known, or the process addressed was not reached or is not the proposer: the
+    /// request had no effect.
     NoProposer,
-    /// The proposer may have acted, and its answer is lost.
+    /// The proposer's response was lost; the request may have taken effect.
     OutcomeUnknown,
 }
 
-/// Sends a request to the proposer, once. The timeout is in us.
+/// Sends a request to the proposer, without retries. The timeout is in us.
 pub async fn forward(
     control: &Arc<Control>,
     request: &PeerRequest,
@@ -45,15 +47,15 @@
     }
 }
 
-/// Returns once the lease has changed hands, or after a random backoff.
+/// Waits until the lease holder changes, at most for a random backoff.
 pub async fn wait_for_proposer(control: &Arc<Control>) {
     let changed = control.duties.changed.listen();
     let backoff = PROPOSER_RETRY_DELAY + control.runtime.random() % PROPOSER_RETRY_DELAY;
     control.runtime.timeout(backoff, changed).await;
 }
 
-/// The newest decided version of a document: what a majority of the core disks holds alike, or what
-/// the proposer proves. The timeout is in us.
+/// Reads the newest decided version of a document: the value that a majority of the core disks
+/// holds identically, or else the proposer's answer. The timeout is in us.
 pub async fn read_newest_decided(
     control: &Arc<Control>,
     name: &str,
@@ -69,23 +71,17 @@
         if !matches!(read, Err(ChangeError::NotProposer)) {
             return read;
         }
-        let left = time_left();
-        if left < SHORTEST_FORWARD {
+        let remaining = time_left();
+        if remaining < FORWARD_TIMEOUT_MIN {
             return Err(ChangeError::NotApplied);
         }
         let request = PeerRequest::ReadDecidedDocument {
             name: name.into(),
             hops: 1,
         };
-        match forward(control, &request, &[], left.min(READ_TIMEOUT)).await {
-            Ok((
-                PeerResponse::Document {
-                    version,
-                    ballot: epoch,
-                },
-                content,
-            )) => {
-                return Ok((version, epoch, Arc::new(content)));
+        match forward(control, &request, &[], remaining.min(READ_TIMEOUT)).await {
+            Ok((PeerResponse::Document { version, ballot }, content)) => {
+                return Ok((version, ballot, Arc::new(content)));
             }
             _ => wait_for_proposer(control).await,
         }
--- a/yewcross-control/src/record_router.rs
+++ b/yewcross-control/src/record_router.rs
@@ -1,4 +1,4 @@
-//! Requests of the record store to the owner of another key.
+//! Routes requests of the record store about another key to that key's replicas.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
@@ -10,22 +10,22 @@
 use yewcross_common::transport::PeerClient;
 use yewcross_state::records::RecordStore;
 
-/// Sends a request to the replicas of a key, in order of preference.
+/// Sends a request to the replicas of a key one by one, in order of preference, until one answers.
 #[derive(Clone)]
 pub(crate) struct RecordRouter {
     pub(crate) documents: Arc<DocumentCache>,
     pub(crate) members: Arc<Membership>,
     pub(crate) peers: Arc<PeerClient>,
     pub(crate) own_address: SocketAddr,
-    /// The store of this process, which owns this router.
+    /// The record store of this process. It owns this router, hence the weak reference.
     pub(crate) own_store: Weak<RecordStore>,
 }
 
 impl RecordRouter {
-    /// The answer of the first replica that gives one.
+    /// Returns the response of the first replica that gives one, or `None`.
     pub(crate) async fn request(self, key: String, request: PeerRequest) -> Option<PeerResponse> {
         for address in replicas_by_preference(&self.documents, &self.members, &key) {
-            match self.request_one(address, &request).await {
+            match self.request_from(address, &request).await {
                 None | Some(PeerResponse::Rejected(Code::StoreAway)) => continue,
                 answer => return answer,
             }
@@ -33,15 +33,20 @@
         None
     }
 
-    async fn request_one(&self, to: SocketAddr, request: &PeerRequest) -> Option<PeerResponse> {
-        if to == self.own_address
+    /// Sends a request to one replica. A request to this process is handled by its own store.
+    async fn request_from(
+        &self,
+        address: SocketAddr,
+        request: &PeerRequest,
+    ) -> Option<PeerResponse> {
+        if address == self.own_address
             && let Some(store) = self.own_store.upgrade()
         {
             return Some(store.handle(request.clone(), vec![]).await.0);
         }
         let answer = self
             .peers
-            .request(to, request, &[], PEER_REQUEST_TIMEOUT)
+            .request(address, request, &[], PEER_REQUEST_TIMEOUT)
             .await;
         answer.ok().map(|(response, _)| response)
     }
