--- a/yewcross-control/tests/orders.rs
+++ b/yewcross-control/tests/orders.rs
@@ -1,4 +1,5 @@
-//! What an order makes of the configuration's register, step by step.
+//! Tests of the decision on operators' orders: acceptance, conflicts, repeated orders, and the
+//! digests of accepted orders.
 
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Bounds;
@@ -7,7 +8,7 @@
 use yewcross_control::config::accepted_orders::retention_ms;
 use yewcross_control::config::order_decision::{Decision, Order, decide_order};
 
-/// A register that only one process changes, and a clock.
+/// A register without concurrent changes, with a settable clock.
 #[derive(Default)]
 struct Register {
     seq: u64,
@@ -16,15 +17,21 @@
 }
 
 impl Register {
-    fn at(now_ms: u64) -> Register {
+    /// An empty register whose clock shows `now_ms`.
+    fn at_time(now_ms: u64) -> Register {
         Register {
             now_ms,
             ..Register::default()
         }
     }
 
+    /// Decides an order and applies the decision. The order's number is the first word of its text,
+    /// if that is a number.
     fn order(&mut self, base: u64, text: &str) -> Decision {
-        let number = text.split(' ').next().and_then(|n| n.parse().ok());
+        let number = text
+            .split(' ')
+            .next()
+            .and_then(|digits| digits.parse().ok());
         let order = Order {
             base,
             number,
@@ -43,17 +50,26 @@
         }
     }
 
-    fn take(&mut self, base: u64, text: &str) {
-        let number = text.split(' ').next().and_then(|n| n.parse().ok()).unwrap();
-        assert_eq!(taken(self.order(base, text)), Some(number), "{text}");
+    /// Submits an order that must be accepted.
+    fn accept(&mut self, base: u64, text: &str) {
+        let number = text
+            .split(' ')
+            .next()
+            .and_then(|digits| digits.parse().ok())
+            .unwrap();
+        assert_eq!(
+            accepted_number(self.order(base, text)),
+            Some(number),
+            "{text}"
+        );
     }
 
-    /// Takes the orders from one number to another, each on top of the one before, `every_ms`
-    /// apart.
-    fn take_all(&mut self, numbers: std::ops::RangeInclusive<u64>, every_ms: u64) {
+    /// Submits orders with consecutive numbers, each based on the one before and `every_ms` after
+    /// it. All of them must be accepted.
+    fn accept_all(&mut self, numbers: std::ops::RangeInclusive<u64>, every_ms: u64) {
         for number in numbers {
             self.now_ms += every_ms;
-            self.take(number - 1, &format!("{number} text"));
+            self.accept(number - 1, &format!("{number} text"));
         }
     }
 
@@ -62,34 +78,38 @@
     }
 }
 
-fn taken(decision: Decision) -> Option<u64> {
+/// The number of the accepted order; `None` if the order is not accepted.
+fn accepted_number(decision: Decision) -> Option<u64> {
     match decision {
-        Decision::Accepted(t) => Some(t.number),
+        Decision::Accepted(document) => Some(document.number),
         _ => None,
     }
 }
 
 #[test]
-fn of_two_texts_under_one_number_one_is_taken() {
+fn only_one_of_two_texts_with_the_same_number_is_accepted() {
     let mut register = Register::default();
-    register.take(0, "5 first");
-    register.take(5, "7 one operator");
+    register.accept(0, "5 first");
+    register.accept(5, "7 one operator");
     assert_eq!(
         register.order(5, "7 another operator"),
         Decision::Conflict { current: 7 }
     );
-    register.take(7, "9 next");
+    register.accept(7, "9 next");
     assert_eq!(
         register.order(5, "7 another operator"),
         Decision::Conflict { current: 9 }
     );
-    assert_eq!(taken(register.order(5, "7 one operator")), Some(7));
+    assert_eq!(
+        accepted_number(register.order(5, "7 one operator")),
+        Some(7)
+    );
 }
 
 #[test]
-fn an_order_run_again_on_its_own_change_comes_to_the_same() {
+fn deciding_an_accepted_order_again_gives_the_same_decision() {
     let mut register = Register::default();
-    register.take(0, "5 first");
+    register.accept(0, "5 first");
     let Decision::Accepted(once) = register.order(5, "6 b") else {
         panic!()
     };
@@ -99,22 +119,24 @@
     assert_eq!(once, twice);
 }
 
-/// Guards against acknowledging an order that was never taken: an old text on top of another version
-/// is another order, and it is judged as one.
+/// Guards against acknowledging an order that was never accepted: the text of an accepted order
+/// with a different base is a different order, and is decided as a new one.
 #[test]
-fn a_taken_text_on_another_base_is_another_order() {
-    let mut register = Register::at(1_700_000_000_000);
-    register.take(0, "5 first");
-    register.take(5, "6 b");
-    register.take(6, "9 c");
+fn an_accepted_text_with_another_base_is_a_different_order() {
+    let mut register = Register::at_time(1_700_000_000_000);
+    register.accept(0, "5 first");
+    register.accept(5, "6 b");
+    register.accept(6, "9 c");
     let before = register.value.clone();
-    let taken_orders = [(0, "5 first"), (5, "6 b"), (6, "9 c")];
-    for (own_base, text) in taken_orders {
+    let accepted_orders = [(0, "5 first"), (5, "6 b"), (6, "9 c")];
+    for (own_base, text) in accepted_orders {
         let number = text[..1].parse().unwrap();
         for base in 0..=10 {
             let decision = register.order(base, text);
             match base {
-                _ if base == own_base => assert_eq!(taken(decision), Some(number), "{text}"),
+                _ if base == own_base => {
+                    assert_eq!(accepted_number(decision), Some(number), "{text}")
+                }
                 9 => assert!(
                     matches!(decision, Decision::Invalid(_)),
                     "{text}: {decision:?}"
@@ -127,27 +149,31 @@
             }
         }
     }
-    assert_eq!(register.value, before, "nothing of it is remembered");
+    assert_eq!(
+        register.value, before,
+        "a rejected order changed the document"
+    );
 }
 
-/// Guards the same where digests are gone: an order that names the newest version, or any other that
-/// a taken one cannot have named, is not left open.
+/// Guards against the same failure after digests were dropped: an order based on the newest
+/// version, or on any other version that an accepted order with its number cannot have been based
+/// on, is not answered with an unknown outcome.
 #[test]
-fn a_forgotten_text_on_another_base_is_refused() {
-    let mut register = Register::at(1_700_000_000_000);
-    register.take_all(1..=600, 1_000);
-    let forgotten = register.document().highest_dropped;
-    assert!((400..600).contains(&forgotten), "{forgotten}");
+fn a_text_with_a_dropped_digest_and_another_base_is_rejected() {
+    let mut register = Register::at_time(1_700_000_000_000);
+    register.accept_all(1..=600, 1_000);
+    let highest_dropped = register.document().highest_dropped;
+    assert!((400..600).contains(&highest_dropped), "{highest_dropped}");
     for number in 1..=600 {
         let text = format!("{number} text");
         assert!(
             matches!(register.order(600, &text), Decision::Invalid(_)),
-            "{text} on the newest"
+            "{text} based on the newest version"
         );
         for base in [number, 599, 601] {
             let decision = register.order(base, &text);
             let is_own_base = base + 1 == number;
-            let may_be_own_base = base < number && number <= forgotten;
+            let may_be_own_base = base < number && number <= highest_dropped;
             if !is_own_base && !may_be_own_base && base != 600 {
                 assert_eq!(
                     decision,
@@ -157,55 +183,56 @@
             }
         }
     }
-    // The oldest digest that is left knows its base too.
-    let oldest = format!("{} text", forgotten + 1);
+    // The base of the oldest retained order is known, too.
+    let oldest = format!("{} text", highest_dropped + 1);
     assert_eq!(
-        taken(register.order(forgotten, &oldest)),
-        Some(forgotten + 1)
+        accepted_number(register.order(highest_dropped, &oldest)),
+        Some(highest_dropped + 1)
     );
     assert_eq!(
-        register.order(forgotten - 1, &oldest),
+        register.order(highest_dropped - 1, &oldest),
         Decision::Conflict { current: 600 }
     );
 }
 
-/// Where the tier numbers the versions, a text that is put again on top of itself is a version more.
+/// If the tier numbers the versions, the current text submitted again with the current version as
+/// its base creates a new version.
 #[test]
-fn without_numbers_an_order_is_known_by_its_base_too() {
+fn unnumbered_orders_are_recognised_by_text_and_base() {
     let mut register = Register::default();
     let put = |register: &mut Register, base| register.order(base, "no number");
-    assert_eq!(taken(put(&mut register, 0)), Some(1));
-    assert_eq!(taken(put(&mut register, 0)), Some(1));
-    assert_eq!(taken(put(&mut register, 1)), Some(2));
+    assert_eq!(accepted_number(put(&mut register, 0)), Some(1));
+    assert_eq!(accepted_number(put(&mut register, 0)), Some(1));
+    assert_eq!(accepted_number(put(&mut register, 1)), Some(2));
     assert_eq!(
         put(&mut register, 0),
         Decision::Conflict { current: 2 },
-        "replaced by the same text"
+        "version 1 was replaced by version 2 with the same text"
     );
 }
 
 #[test]
-fn a_number_that_does_not_rise_is_invalid_each_time() {
+fn a_number_not_above_the_current_version_is_always_invalid() {
     let mut register = Register::default();
-    register.take(0, "5 first");
+    register.accept(0, "5 first");
     for _ in 0..3 {
         assert!(matches!(register.order(5, "5 other"), Decision::Invalid(_)));
         assert!(matches!(register.order(5, "4 other"), Decision::Invalid(_)));
     }
-    // Nothing of it is remembered.
-    register.take(5, "6 b");
+    // The rejected orders left the register unchanged.
+    register.accept(5, "6 b");
     assert!(matches!(register.order(6, "5 other"), Decision::Invalid(_)));
 }
 
 #[test]
-fn a_withdrawn_change_may_come_back_under_a_new_number() {
+fn an_earlier_configuration_may_be_ordered_again_under_a_new_number() {
     let mut register = Register::default();
-    register.take(0, "5 routes a");
-    register.take(5, "6 routes b");
-    register.take(6, "7 routes a");
-    register.take(7, "8 routes b");
+    register.accept(0, "5 routes a");
+    register.accept(5, "6 routes b");
+    register.accept(6, "7 routes a");
+    register.accept(7, "8 routes b");
     assert_eq!(
-        [5, 6, 7, 8].map(|n| taken(register.order(
+        [5, 6, 7, 8].map(|n| accepted_number(register.order(
             n - 1,
             &format!("{n} routes {}", ["b", "a"][(n % 2) as usize])
         ))),
@@ -213,40 +240,40 @@
     );
 }
 
-/// An attempt that was left undecided and lost its race is refused, also when it names a number
-/// that was taken since.
+/// An order with an undecided attempt whose base was superseded by a concurrent order is in
+/// conflict, even if its number has been accepted with another text since.
 #[test]
-fn an_attempt_that_lost_its_race_is_refused() {
+fn an_order_that_lost_to_a_concurrent_one_conflicts() {
     let mut register = Register::default();
-    register.take(0, "5 first");
-    register.take(5, "6 winner");
+    register.accept(0, "5 first");
+    register.accept(5, "6 winner");
     assert_eq!(
         register.order(5, "7 loser"),
         Decision::Conflict { current: 6 }
     );
-    register.take(6, "7 winner");
+    register.accept(6, "7 winner");
     assert_eq!(
         register.order(5, "7 loser"),
         Decision::Conflict { current: 7 }
     );
 }
 
-/// The highest rate that is asked of the tier, for the whole time in which an order may be sent
-/// again.
+/// Orders arrive at the highest rate that the tier must support for the whole time during which an
+/// order may be sent again.
 #[test]
-fn orders_are_known_for_the_time_in_which_they_are_sent_again() {
+fn orders_are_recognised_throughout_the_retention_time() {
     let mut register = Register {
         now_ms: 1_700_000_000_000,
         ..Default::default()
     };
     let retention_ms = retention_ms(&Bounds::default());
     assert!(retention_ms >= 4 * Bounds::default().ack);
-    // Eight a second.
+    // Eight orders per second.
     let count = retention_ms / 125;
-    register.take_all(1..=count, 125);
+    register.accept_all(1..=count, 125);
     for number in 1..=count {
         assert_eq!(
-            taken(register.order(number - 1, &format!("{number} text"))),
+            accepted_number(register.order(number - 1, &format!("{number} text"))),
             Some(number)
         );
         if number < count {
@@ -258,26 +285,27 @@
     }
 }
 
-/// However many follow, within whatever time: a taken order is acknowledged again or left open.
+/// Regardless of the number and rate of later orders, an accepted order that is sent again is
+/// either acknowledged or answered with an unknown outcome.
 #[test]
-fn a_taken_order_is_never_refused() {
+fn an_accepted_order_is_never_rejected() {
     for every_ms in [0, 10, 1_000, 100_000] {
         let mut register = Register {
             now_ms: 1_700_000_000_000,
             ..Default::default()
         };
-        register.take_all(1..=2_000, every_ms);
-        let mut known = 0;
+        register.accept_all(1..=2_000, every_ms);
+        let mut recognised = 0;
         for number in 1..=2_000 {
             match register.order(number - 1, &format!("{number} text")) {
-                Decision::Accepted(t) if t.number == number => known += 1,
+                Decision::Accepted(document) if document.number == number => recognised += 1,
                 Decision::DigestDropped => {}
-                other => panic!("{number} every {every_ms} ms: {other:?}"),
+                other => panic!("order {number}, one every {every_ms} ms: {other:?}"),
             }
         }
         let orders = register.document().orders.len();
         println!(
-            "every {every_ms} ms: {known} of 2000 known, {} bytes",
+            "one order every {every_ms} ms: {recognised} of 2000 recognised, document of {} bytes",
             register.value.len()
         );
         assert!(
@@ -289,7 +317,7 @@
             "{}",
             register.value.len()
         );
-        // What could not have been taken is refused as ever.
+        // Orders that cannot have been accepted are still rejected.
         assert!(matches!(
             register.order(2_000, "1500 other"),
             Decision::Invalid(_)
@@ -301,36 +329,41 @@
     }
 }
 
-/// A clock that is not set, far ahead or behind: ages never fall, and nothing within the floor is
-/// lost.
+/// With a clock that is unset, far ahead or behind, acceptance times never decrease, and none of
+/// the newest `RETAINED_ORDERS_MIN` digests is dropped.
 #[test]
-fn clocks_that_jump_cost_no_digest_within_the_floor() {
+fn clock_jumps_drop_no_digest_within_the_minimum() {
     let mut register = Register {
         now_ms: 1_700_000_000_000,
         ..Default::default()
     };
-    register.take_all(1..=40, 100);
+    register.accept_all(1..=40, 100);
     register.now_ms = 0;
-    register.take_all(41..=50, 0);
+    register.accept_all(41..=50, 0);
     register.now_ms = 1_800_000_000_000;
-    register.take_all(51..=60, 100);
+    register.accept_all(51..=60, 100);
     register.now_ms = 1_700_000_010_000;
-    register.take_all(61..=64, 100);
-    let ages: Vec<u64> = register
+    register.accept_all(61..=64, 100);
+    let acceptance_times: Vec<u64> = register
         .document()
         .orders
         .iter()
-        .map(|o| o.accepted_ms)
+        .map(|retained| retained.accepted_ms)
         .collect();
-    assert!(ages.windows(2).all(|w| w[0] >= w[1]), "{ages:?}");
-    assert!((1..=64).all(|n| taken(register.order(n - 1, &format!("{n} text"))) == Some(n)));
+    assert!(
+        acceptance_times.windows(2).all(|pair| pair[0] >= pair[1]),
+        "{acceptance_times:?}"
+    );
+    assert!((1..=64).all(|number| accepted_number(
+        register.order(number - 1, &format!("{number} text"))
+    ) == Some(number)));
 }
 
-/// Documents written before digests had an age keep what they know.
+/// Documents written before digests had an acceptance time still identify their accepted orders.
 #[test]
-fn an_older_document_keeps_its_digests() {
+fn digests_of_the_old_format_are_retained() {
     let digest = |text: &str| yewcross_common::hash::content_digest(text.as_bytes());
-    let older = ConfigDoc {
+    let old_format_document = ConfigDoc {
         text: "7 c".into(),
         number: 7,
         superseded: vec![
@@ -341,17 +374,19 @@
     };
     let mut register = Register {
         seq: 4,
-        value: older.encode().unwrap(),
+        value: old_format_document.encode().unwrap(),
         now_ms: 0,
     };
-    assert_eq!(taken(register.order(4, "5 a")), Some(5));
+    assert_eq!(accepted_number(register.order(4, "5 a")), Some(5));
     assert!(matches!(register.order(7, "5 a"), Decision::Invalid(_)));
-    register.take(7, "8 d");
+    register.accept(7, "8 d");
     assert_eq!(
-        [(4, "5 a"), (5, "6 b"), (6, "7 c")].map(|(b, t)| taken(register.order(b, t))),
+        [(4, "5 a"), (5, "6 b"), (6, "7 c")]
+            .map(|(base, text)| accepted_number(register.order(base, text))),
         [5, 6, 7].map(Some)
     );
-    // What came before the oldest is not recorded there: it was some version below it.
+    // The old format does not record the base of the oldest order: it was some version below its
+    // number.
     for base in [5, 6, 7] {
         assert_eq!(
             register.order(base, "5 a"),
@@ -364,24 +399,25 @@
     assert_eq!(register.order(4, "6 b"), Decision::Conflict { current: 8 });
 }
 
-/// Guards against documents of the version before this one: they name no base, and it is known all
-/// the same, as the number of the order before.
+/// Guards against misreading documents in the stored format: they record no bases, so the base of
+/// an order is the number of the order accepted before it.
 #[test]
-fn a_document_without_bases_tells_them() {
+fn bases_are_derived_from_the_preceding_order() {
     let value = br#"{"text":"9 c","put":"p","note":"","past":[],"number":9,"forgotten":0,"orders":[
 "#;
-    let line = |number: u64, text: &str| {
+    let encoded_order = |number: u64, text: &str| {
         let digest = yewcross_common::hash::content_digest(text.as_bytes());
         format!(r#"{{"number":{number},"digest":"{digest}","taken_ms":1700000000000}}"#)
     };
-    let orders = [line(6, "6 b"), line(5, "5 first")].join(",\n");
+    let orders = [encoded_order(6, "6 b"), encoded_order(5, "5 first")].join(",\n");
     let mut register = Register {
         seq: 3,
         value: [value, orders.as_bytes(), b"\n]}"].concat(),
         now_ms: 1_700_000_001_000,
     };
     assert_eq!(
-        [(0, "5 first"), (5, "6 b"), (6, "9 c")].map(|(b, t)| taken(register.order(b, t))),
+        [(0, "5 first"), (5, "6 b"), (6, "9 c")]
+            .map(|(base, text)| accepted_number(register.order(base, text))),
         [5, 6, 9].map(Some)
     );
     for text in ["5 first", "6 b", "9 c"] {
@@ -390,7 +426,7 @@
     }
 }
 
-/// A value that is no document is not taken for an empty one.
+/// A value that cannot be decoded must not be treated as an empty document.
 #[test]
 fn an_unreadable_document_is_not_replaced() {
     let mut register = Register {
@@ -402,18 +438,23 @@
     assert_eq!(register.value, b"{\"text\":");
 }
 
-/// An order travels as its text and a line; digests that both versions hold do not.
+/// The delta between two versions contains the new order's text and one digest, but not the digests
+/// that both versions contain.
 #[test]
-fn only_what_changed_travels() {
+fn the_delta_of_an_order_omits_unchanged_digests() {
     let mut register = Register {
         now_ms: 1_700_000_000_000,
         ..Default::default()
     };
-    register.take_all(1..=300, 100);
+    register.accept_all(1..=300, 100);
     let before = register.value.clone();
-    register.take_all(301..=301, 100);
+    register.accept_all(301..=301, 100);
     let delta = yewcross_common::documents::delta::encode(&before, &register.value);
-    println!("{} of {} bytes", delta.len(), register.value.len());
+    println!(
+        "delta of {} bytes for a document of {} bytes",
+        delta.len(),
+        register.value.len()
+    );
     assert!(delta.len() < 600, "{}", delta.len());
     assert_eq!(
         yewcross_common::documents::delta::apply(&before, &delta).as_deref(),
--- a/yewcross-control/tests/put.rs
+++ b/yewcross-control/tests/put.rs
@@ -1,4 +1,4 @@
-//! What a put makes of the configuration's register, and which fronts a rollout must reach.
+//! Tests of the decision on puts, and of the groups of fronts that a rollout must reach.
 
 use yewcross_common::constants::RETAINED_VERSIONS;
 use yewcross_common::protocol::ConfigDoc;
@@ -6,7 +6,7 @@
 use yewcross_control::config::front_groups;
 use yewcross_control::config::put::{PutAttempt, PutDecision, decide_put};
 
-/// A register that only one process changes.
+/// A register without concurrent changes. Fronts are up unless their name begins with `down`.
 #[derive(Default)]
 struct Register {
     version: u64,
@@ -15,6 +15,7 @@
 }
 
 impl Register {
+    /// Decides a put with this attempt identifier and applies the decision.
     fn put_as(&mut self, id: &str, base: u64, text: &str) -> PutDecision {
         let attempt = PutAttempt {
             base,
@@ -44,14 +45,14 @@
     }
 }
 
-fn with_fronts(fronts: &[&str]) -> String {
+fn configuration_with_fronts(fronts: &[&str]) -> String {
     serde_json::json!({ "fronts": fronts }).to_string()
 }
 
 #[test]
 fn an_empty_value_is_the_document_before_the_first_put() {
     let mut register = Register::default();
-    let text = with_fronts(&["f1"]);
+    let text = configuration_with_fronts(&["f1"]);
     let decision = register.put_as("a", 0, &text);
     assert_eq!(decision, PutDecision::Stored { version: 1 });
     let expected = ConfigDoc {
@@ -64,19 +65,19 @@
 }
 
 #[test]
-fn an_attempt_knows_its_own_change_again() {
+fn a_repeated_attempt_recognises_its_own_change() {
     let mut register = Register::default();
     register.put_as("a", 0, "{}");
-    let again = register.put_as("a", 0, "{}");
-    assert_eq!(again, PutDecision::Stored { version: 1 });
+    let repeated = register.put_as("a", 0, "{}");
+    assert_eq!(repeated, PutDecision::Stored { version: 1 });
     register.put_as("b", 1, "{}");
-    let again = register.put_as("a", 0, "{}");
-    assert_eq!(again, PutDecision::Stored { version: 1 });
+    let repeated = register.put_as("a", 0, "{}");
+    assert_eq!(repeated, PutDecision::Stored { version: 1 });
     assert_eq!(register.version, 2);
 }
 
 #[test]
-fn another_base_than_the_newest_is_in_conflict() {
+fn a_base_other_than_the_newest_version_conflicts() {
     let mut register = Register::default();
     register.put_as("a", 0, "{}");
     for base in [0, 2] {
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn replaced_versions_are_kept_newest_first_up_to_a_count() {
+fn superseded_versions_are_retained_newest_first_up_to_the_limit() {
     let mut register = Register::default();
     let puts = RETAINED_VERSIONS as u64 + 5;
     for base in 0..puts {
@@ -98,17 +99,18 @@
         );
     }
     assert_eq!(register.version, puts);
-    let past = register.document().superseded;
-    let versions: Vec<u64> = past.iter().map(|(version, _, _)| *version).collect();
+    let superseded = register.document().superseded;
+    let versions: Vec<u64> = superseded.iter().map(|(version, _, _)| *version).collect();
     let expected: Vec<u64> = (puts - RETAINED_VERSIONS as u64..puts).rev().collect();
     assert_eq!(versions, expected);
-    assert_eq!(past[0].1, format!("put {}", puts - 2));
+    assert_eq!(superseded[0].1, format!("put {}", puts - 2));
 }
 
 #[test]
-fn the_last_version_in_force_is_never_dropped_from_the_past() {
+fn a_put_that_would_drop_the_version_in_force_is_rejected() {
     let mut register = Register::default();
-    // The first version has no past; the versions 2 to RETAINED_VERSIONS have one that reaches to it.
+    // Version 1 supersedes nothing, and the superseded versions of the versions 2 to
+    // RETAINED_VERSIONS reach back to version 1.
     for base in 0..RETAINED_VERSIONS as u64 {
         let decision = register.put_as(&base.to_string(), base, "{}");
         assert_eq!(decision, PutDecision::Stored { version: base + 1 });
@@ -125,40 +127,45 @@
 }
 
 #[test]
-fn a_group_without_a_majority_up_is_not_written() {
+fn a_configuration_whose_fronts_have_no_majority_up_is_not_stored() {
     let mut register = Register::default();
-    let decision = register.put_as("a", 0, &with_fronts(&["f1", "down1"]));
+    let decision = register.put_as("a", 0, &configuration_with_fronts(&["f1", "down1"]));
     let PutDecision::FrontsUnavailable(fault) = decision else {
         panic!("{decision:?}")
     };
     assert_eq!(fault.path, "fronts");
     assert!(fault.reason.contains("f1, down1"), "{}", fault.reason);
     assert!(register.value.is_empty());
-    let decision = register.put_as("a", 0, &with_fronts(&["f1", "f2", "down1"]));
+    let decision = register.put_as("a", 0, &configuration_with_fronts(&["f1", "f2", "down1"]));
     assert_eq!(decision, PutDecision::Stored { version: 1 });
 }
 
-/// The groups reach back to the last version in force, that one included.
+/// The groups reach back to and include the last version in force.
 #[test]
 fn front_groups_reach_back_to_the_version_in_force() {
-    let past = |version: u64, fronts: &[&str]| (version, String::new(), with_fronts(fronts));
+    let superseded =
+        |version: u64, fronts: &[&str]| (version, String::new(), configuration_with_fronts(fronts));
     let document = ConfigDoc {
-        text: with_fronts(&["f4"]),
-        superseded: vec![past(3, &["f3"]), past(2, &["f2"]), past(1, &["f1"])],
+        text: configuration_with_fronts(&["f4"]),
+        superseded: vec![
+            superseded(3, &["f3"]),
+            superseded(2, &["f2"]),
+            superseded(1, &["f1"]),
+        ],
         ..Default::default()
     };
-    let groups = |in_force: u64| -> Vec<String> {
+    let joined_groups = |in_force: u64| -> Vec<String> {
         let groups = front_groups(&document, in_force);
         groups.iter().map(|group| group.join(" ")).collect()
     };
-    assert_eq!(groups(0), ["f1", "f2", "f3", "f4"]);
-    assert_eq!(groups(1), ["f1", "f2", "f3", "f4"]);
-    assert_eq!(groups(2), ["f2", "f3", "f4"]);
-    assert_eq!(groups(3), ["f3", "f4"]);
-    assert_eq!(groups(4), ["f3", "f4"]);
+    assert_eq!(joined_groups(0), ["f1", "f2", "f3", "f4"]);
+    assert_eq!(joined_groups(1), ["f1", "f2", "f3", "f4"]);
+    assert_eq!(joined_groups(2), ["f2", "f3", "f4"]);
+    assert_eq!(joined_groups(3), ["f3", "f4"]);
+    assert_eq!(joined_groups(4), ["f3", "f4"]);
 }
 
-/// Until this rule such a value was replaced as if it were empty, which lost what it held.
+/// Guards against data loss: an unreadable value was once treated as empty and replaced.
 #[test]
 fn an_unreadable_document_is_not_replaced() {
     for value in [&b"{\"text\":"[..], b"{}", b"[]", b"null", b" "] {
