--- a/yewcross-proxy/src/relay/attempt.rs
+++ b/yewcross-proxy/src/relay/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at one server: the connection, the request, and what counts as its answer.
+//! One attempt at one server: obtaining a connection, sending the request and classifying the
+//! response.
 
 use super::headers::{accepts_coding, has_message_framing};
 use super::{ClientRequest, Relay};
@@ -15,35 +16,42 @@
 use yewcross_common::constants::*;
 use yewcross_common::protocol::ListedServer;
 
-/// count. Kept connections to a server that may turn out to be closed before another one is dialled.
+/// count. Idle connections to a server that may prove to be closed before a new one is opened.
 const STALE_CONNECTIONS_MAX: u32 = 3;
-/// count. Idle connections to a server that each front keeps at least.
+/// count. Idle connections to a server that each front may keep, however many fronts share the
+/// limit.
 const IDLE_CONNECTIONS_MIN: usize = 4;
 
-/// What sending it to one server came to.
+/// The result of an attempt at one server.
 pub(super) enum Outcome {
+    /// A response that can be forwarded; its status may be an error.
     Answer(Box<Answer>),
-    /// It says that it did not run it.
+    /// The server stated that it did not execute the request.
     NotRun,
+    /// No byte of the request was sent, since the server could not be reached or the connection
+    /// failed.
     Unsent,
-    /// Nothing was sent, since the choice of the server no longer holds.
+    /// No byte of the request was sent, since the selection of the server was no longer current.
     Withdrawn,
+    /// The request may have been executed, but no usable answer arrived in time.
     Lost,
 }
 
 impl Outcome {
-    /// Not a byte of the request left for this server.
+    /// Whether no byte of the request was sent to this server.
     pub(super) fn nothing_sent(&self) -> bool {
         matches!(self, Outcome::Unsent | Outcome::Withdrawn)
     }
 
-    /// An answer, and none that tells of an error of the server.
+    /// Whether it is an answer without a server error (5xx).
     pub(super) fn is_non_5xx_answer(&self) -> bool {
         matches!(self, Outcome::Answer(answer) if !answer.head.status.is_server_error())
     }
 
-    /// What two servers asked the same come to: a good answer of either, else any answer, else what
-    /// says least about a run.
+    /// Combines the outcomes of the same request at two servers. Prefers an answer that is no
+    /// server error, then any answer. Without an answer, `Lost` takes precedence over `NotRun`, and
+    /// that over `Unsent` and `Withdrawn`, so that a request that may have been executed is never
+    /// reported as not executed.
     pub(super) fn better_of(self, other: Outcome) -> Outcome {
         if other.is_non_5xx_answer() && !self.is_non_5xx_answer() {
             return other;
@@ -58,7 +66,7 @@
     }
 }
 
-/// A server's answer that goes to the caller.
+/// The answer of a server that is forwarded to the caller.
 pub(super) struct Answer {
     pub(super) head: response::Parts,
     pub(super) body: AnswerBody,
@@ -66,15 +74,17 @@
     pub(super) claim: Claim,
 }
 
-/// What of an answer is still to come.
+/// The body of an answer.
 pub(super) enum AnswerBody {
+    /// Read completely; its connection has been returned to the pool.
     Buffered(Bytes),
+    /// Still to be read from the connection.
     Streaming(Incoming, UpstreamConnection),
 }
 
 impl Relay {
-    /// Sends a request to the server of a claim and takes what comes back for an answer only if it
-    /// plainly is one.
+    /// Sends a request to the claimed server. A response counts as the answer only if it can be
+    /// identified as the response to this attempt.
     pub(super) async fn attempt(
         self: &Arc<Self>,
         request: &ClientRequest,
@@ -115,7 +125,8 @@
             self.drain(&claim.target.server, response.into_body(), link, meta);
             return Outcome::NotRun;
         }
-        // The promise of these is not the server's to make: only `not_executed` says that.
+        // These statuses do not guarantee that the request was not executed: only `not_executed` states
+        // that.
         if matches!(status.as_u16(), 408 | 429 | 503) {
             claim.record_failure();
             self.drain(&claim.target.server, response.into_body(), link, meta);
@@ -141,7 +152,7 @@
         }
     }
 
-    /// What an attempt without any answer came to.
+    /// Counts an attempt that got no response, and returns its outcome.
     fn record_failure(&self, failed: SendFailure, claim: &Claim) -> Outcome {
         let (counter, outcome) = match failed {
             SendFailure::Expired => (&self.counts.withdrawn, Outcome::Withdrawn),
@@ -155,7 +166,9 @@
         outcome
     }
 
-    /// Reads a small answer to its end; one whose end could not be told from a break is none.
+    /// Reads a small answer to its end. None where the answer ended early, or where its head does
+    /// not delimit the body, so that a truncated body could not be distinguished from a complete
+    /// one.
     async fn buffer_if_small(
         &self,
         request: &ClientRequest,
@@ -185,7 +198,7 @@
         Some((head, AnswerBody::Buffered(bytes)))
     }
 
-    /// Reads the rest of an answer that is not passed on, so that its connection can be used again.
+    /// Reads the rest of a response that is not forwarded, so that its connection can be reused.
     fn drain(
         self: &Arc<Self>,
         server: &str,
@@ -204,6 +217,7 @@
         });
     }
 
+    /// Returns a connection to the pool, unless the server closes it.
     pub(super) fn return_connection(
         &self,
         server: &str,
@@ -219,8 +233,8 @@
             .put_idle(server, link, self.runtime.now(), meta.idle_ms, max_idle);
     }
 
-    /// Sends it over a kept connection, or else over a new one; only what has not left is sent
-    /// again.
+    /// Sends a request over an idle connection, or over a new one if none is usable. Sends again
+    /// only what has not been sent at all.
     async fn exchange(
         &self,
         request: &ClientRequest,
@@ -264,8 +278,9 @@
         }
     }
 
-    /// Whether the newest configuration and list would still let the request go to this server: a
-    /// process may stand still, or wait for a connection, after it has chosen.
+    /// Whether the current configuration and server list still allow this server for the request:
+    /// the process may have been suspended, or have waited for a connection, since the server was
+    /// selected.
     fn is_selection_current(
         &self,
         request: &ClientRequest,
@@ -293,7 +308,7 @@
                 .any(|listed| listed == server)
     }
 
-    /// The request as a server gets it.
+    /// The request as it is sent to a server.
     fn upstream_request(
         &self,
         request: &ClientRequest,
@@ -321,7 +336,7 @@
     }
 }
 
-/// Whether a response is the answer to this very request, as far as its head tells.
+/// Whether a response is the answer to this attempt, according to its head.
 fn is_answer_to(
     request: &ClientRequest,
     response: &Response<Incoming>,
@@ -329,7 +344,8 @@
     is_fresh_connection: bool,
 ) -> bool {
     let status = response.status();
-    // On a connection of its own nothing late can arrive: there a "not run" needs no id.
+    // On a new connection no late response to an earlier request can arrive, so a "not run"
+    // response needs no attempt id there.
     let is_same_attempt = meta.attempt == request.meta.attempt
         || (meta.attempt.is_empty() && meta.not_executed && is_fresh_connection);
     let is_coding_accepted = accepts_coding(&request.head.headers, response.headers());
@@ -337,7 +353,7 @@
     is_same_attempt && !is_from_intermediary && !status.is_informational()
 }
 
-/// Whether a body is read whole before it is passed on.
+/// Whether a body is small enough to be read completely before it is forwarded.
 fn is_small(body: &Incoming) -> bool {
     let length = body.size_hint().upper();
     length.is_some_and(|length| length <= BUFFERED_RESPONSE_BYTES)
