--- a/yewcross-common/src/runtime/connection.rs
+++ b/yewcross-common/src/runtime/connection.rs
@@ -1,4 +1,4 @@
-//! Connections and listeners, whatever network they run on.
+//! Connections and listeners, independent of the network that carries them.
 
 use super::BoxFuture;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -12,36 +12,36 @@
 /// The read allowance of a connection whose reads are not limited.
 const UNLIMITED: u64 = u64::MAX;
 
-/// A stream of bytes in both directions, which its users share.
+/// A bidirectional byte stream that several owners use through shared references.
 pub trait ByteStream: Send + Sync {
-    /// As `AsyncRead::poll_read`.
+    /// Reads into `buf`, with the semantics of `AsyncRead::poll_read`.
     fn read(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>>;
-    /// As `AsyncWrite::poll_write`.
+    /// Writes from `buf`, with the semantics of `AsyncWrite::poll_write`.
     fn write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>>;
-    /// Ends the sending direction.
+    /// Shuts down the sending direction.
     fn close(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// See [`Connection::set_send_timeout`].
+    /// Sets the send timeout in µs, see [`Connection::set_send_timeout`]. Ignored by default.
     fn set_send_timeout(&self, _timeout_us: u64) {}
 }
 
-/// A connection. Its clones share the stream and the read allowance.
+/// A connection to a peer. Clones share the stream and the read allowance.
 #[derive(Clone)]
 pub struct Connection {
     stream: Arc<dyn ByteStream>,
-    /// Bytes that may still be read.
+    /// Bytes that may still be read; [`UNLIMITED`] for no limit.
     read_allowance: Arc<AtomicU64>,
-    /// Address of the other end.
+    /// Address of the remote end.
     pub peer: SocketAddr,
 }
 
 impl std::fmt::Debug for Connection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Conn({})", self.peer)
+        write!(f, "Connection({})", self.peer)
     }
 }
 
 impl Connection {
-    /// A connection over `stream` whose reads are not limited.
+    /// Creates a connection over `stream` without a read limit.
     pub fn new(stream: Arc<dyn ByteStream>, peer: SocketAddr) -> Connection {
         Connection {
             stream,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Sets how many bytes may still be read; reads beyond them fail.
+    /// Limits further reads to `bytes` bytes; reads beyond the limit fail with `InvalidData`.
     pub fn limit_reads(&self, bytes: u64) {
         self.read_allowance.store(bytes, Relaxed);
     }
 
-    /// Sent bytes that stay unacknowledged for `timeout_us` (µs) end the connection (RFC 793's USER
-    /// TIMEOUT).
+    /// Closes the connection if sent bytes stay unacknowledged for `timeout_us` µs (the USER TIMEOUT
+    /// of RFC 793).
     pub fn set_send_timeout(&self, timeout_us: u64) {
         self.stream.set_send_timeout(timeout_us);
     }
@@ -75,10 +75,13 @@
     ) -> Poll<io::Result<usize>> {
         let allowance = self.read_allowance.load(Relaxed);
         if allowance == 0 {
-            return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "too large")));
+            return Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "connection read limit exceeded",
+            )));
         }
-        let wanted = buf.len().min(allowance.min(usize::MAX as u64) as usize);
-        self.stream.read(cx, &mut buf[..wanted]).map_ok(|read| {
+        let max_read = buf.len().min(allowance.min(usize::MAX as u64) as usize);
+        self.stream.read(cx, &mut buf[..max_read]).map_ok(|read| {
             if allowance != UNLIMITED {
                 self.read_allowance.store(allowance - read as u64, Relaxed);
             }
@@ -105,8 +108,8 @@
     }
 }
 
-/// Accepts connections.
+/// Accepts incoming connections.
 pub trait Listener: Send + Sync {
-    /// The next connection.
+    /// Waits for the next incoming connection.
     fn accept(&self) -> BoxFuture<'_, io::Result<Connection>>;
 }
--- a/yewcross-common/src/runtime/os/disk_threads.rs
+++ b/yewcross-common/src/runtime/os/disk_threads.rs
@@ -1,20 +1,23 @@
-//! Threads for operations that wait for the disk, apart from those that run tasks.
+//! A thread pool for blocking disk operations, separate from the threads that run tasks.
 
 use crate::constants::DISK_THREADS;
 use async_channel::{Receiver, Sender};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-/// Bytes of stack for each thread.
+/// Stack size of each thread, in bytes.
 const STACK_BYTES: usize = 256 << 10;
 
+/// A blocking operation to run on a disk thread.
 pub(super) type DiskOperation = Box<dyn FnOnce() + Send>;
 
-/// Up to `DISK_THREADS` threads. They start when they are needed and then stay.
+/// A pool of up to `DISK_THREADS` threads. Threads are started on demand and are never stopped.
 pub(super) struct DiskThreads {
     sender: Sender<DiskOperation>,
     receiver: Receiver<DiskOperation>,
+    /// Threads started so far.
     started: AtomicUsize,
+    /// Threads that wait for an operation.
     idle: Arc<AtomicUsize>,
 }
 
@@ -29,7 +32,8 @@
         }
     }
 
-    /// Queues an operation, and starts a thread for it where none is idle.
+    /// Queues an operation and starts another thread if no idle one is available and the limit of
+    /// `DISK_THREADS` is not reached.
     pub(super) fn run(&self, operation: DiskOperation) {
         let has_idle_thread = self.idle.load(SeqCst) > self.sender.len();
         if !has_idle_thread
@@ -38,13 +42,13 @@
         {
             self.start_thread();
         }
-        // The queue is unbounded and never closed.
+        // Cannot fail: the queue is unbounded and never closed.
         let _ = self.sender.try_send(operation);
     }
 
     fn start_thread(&self) {
         let (receiver, idle) = (self.receiver.clone(), self.idle.clone());
-        // Where the system has no thread left, those that run take the operation.
+        // If the system cannot start another thread, the existing ones process the queue.
         let _ = std::thread::Builder::new()
             .name("disk".into())
             .stack_size(STACK_BYTES)
--- a/yewcross-common/src/runtime/os/mod.rs
+++ b/yewcross-common/src/runtime/os/mod.rs
@@ -1,4 +1,4 @@
-//! The runtime of the real processes: an executor, sockets and files of the operating system.
+//! The production runtime: a task executor on the sockets and files of the operating system.
 
 mod disk_threads;
 mod tcp;
@@ -14,35 +14,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::SystemTime;
 
-/// The file last appended to, which stays open, and its path.
+/// The file most recently appended to, which is kept open.
 struct AppendFile {
     path: PathBuf,
     file: File,
 }
 
-/// What the processes run on.
+/// The runtime of production processes.
 pub struct OsRuntime {
     executor: Arc<smol::Executor<'static>>,
     reactor: Arc<Reactor>,
     disk_threads: DiskThreads,
     /// The process's data folder.
-    root: PathBuf,
+    data_folder: PathBuf,
+    /// Kept open between appends to the same path.
     append_file: Arc<Mutex<Option<AppendFile>>>,
 }
 
 impl OsRuntime {
-    /// Starts a runtime with files under `root`. Its tasks run on `threads` threads of their own,
-    /// of which the first also waits for sockets and timers.
+    /// Starts a runtime with the data folder `data_folder`. Tasks run on `threads` dedicated threads;
+    /// the first one also runs the reactor, which waits for sockets and timers.
     ///
     /// # Panics
-    /// Where the operating system gives no event queue.
-    pub fn start(root: &str, threads: usize) -> Runtime {
+    /// If the operating system cannot create an event queue.
+    pub fn start(data_folder: &str, threads: usize) -> Runtime {
         let executor = Arc::new(smol::Executor::new());
-        let (reactor, poller) =
-            Reactor::new().unwrap_or_else(|error| panic!("no event queue: {error}"));
+        let (reactor, poller) = Reactor::new()
+            .unwrap_or_else(|error| panic!("cannot create the reactor's event queue: {error}"));
         let (first_reactor, first_executor) = (reactor.clone(), executor.clone());
         start_thread(0, move || {
-            first_reactor.drive(poller, first_executor.run(pending::<()>()))
+            first_reactor.block_on(poller, first_executor.run(pending::<()>()))
         });
         for index in 1..threads {
             let executor = executor.clone();
@@ -54,34 +55,36 @@
             executor,
             reactor,
             disk_threads: DiskThreads::new(),
-            root: PathBuf::from(root),
+            data_folder: PathBuf::from(data_folder),
             append_file: Default::default(),
         }))
     }
 
-    /// Runs an operation on the path below the data folder, on a thread that may wait for the disk.
-    fn blocking<T: Send + 'static>(
+    /// Runs a blocking operation on a disk thread, on a path relative to the data folder.
+    fn run_blocking<T: Send + 'static>(
         &self,
         path: &str,
         operation: impl FnOnce(PathBuf) -> io::Result<T> + Send + 'static,
     ) -> BoxFuture<'static, io::Result<T>> {
-        let path = self.root.join(path);
+        let path = self.data_folder.join(path);
         let (outcome, receiver) = async_channel::bounded(1);
         self.disk_threads.run(Box::new(move || {
-            // Whoever asked may have stopped waiting.
+            // Fails if the caller dropped the returned future.
             let _ = outcome.try_send(operation(path));
         }));
         Box::pin(async move {
-            receiver
-                .recv()
-                .await
-                .unwrap_or_else(|_| Err(io::Error::other("a disk thread ended")))
+            receiver.recv().await.unwrap_or_else(|_| {
+                Err(io::Error::other(
+                    "disk thread ended before the operation completed",
+                ))
+            })
         })
     }
 }
 
+/// Starts a thread that runs tasks.
 fn start_thread(index: usize, run: impl FnOnce() + Send + 'static) {
-    // Where the system has no thread left, the runtime has one less.
+    // If the system cannot start the thread, the runtime continues with one thread less.
     let _ = std::thread::Builder::new()
         .name(format!("yew-{index}"))
         .spawn(run);
@@ -112,13 +115,13 @@
         self.executor.spawn(task).detach();
     }
 
-    fn connect(&self, to: SocketAddr) -> BoxFuture<'static, io::Result<Connection>> {
-        Box::pin(tcp::connect(self.reactor.clone(), to))
+    fn connect(&self, address: SocketAddr) -> BoxFuture<'static, io::Result<Connection>> {
+        Box::pin(tcp::connect(self.reactor.clone(), address))
     }
 
-    fn bind(&self, at: SocketAddr) -> BoxFuture<'static, io::Result<Box<dyn Listener>>> {
+    fn bind(&self, address: SocketAddr) -> BoxFuture<'static, io::Result<Box<dyn Listener>>> {
         let reactor = self.reactor.clone();
-        Box::pin(async move { tcp::bind(reactor, at) })
+        Box::pin(async move { tcp::bind(reactor, address) })
     }
 
     fn frame_fault(&self, _: SocketAddr) -> FrameFault {
@@ -126,42 +129,42 @@
     }
 
     fn write_file(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
-        self.blocking(path, move |path| std::fs::write(path, data))
+        self.run_blocking(path, move |path| std::fs::write(path, data))
     }
 
     fn sync(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
-        self.blocking(path, |path| sync_path(&path))
+        self.run_blocking(path, |path| sync_path(&path))
     }
 
     fn rename(&self, from: &str, to: &str) -> BoxFuture<'static, io::Result<()>> {
-        let to = self.root.join(to);
-        self.blocking(from, move |from| std::fs::rename(from, to))
+        let to = self.data_folder.join(to);
+        self.run_blocking(from, move |from| std::fs::rename(from, to))
     }
 
     fn write_durably(
         &self,
-        aside: &str,
-        at: &str,
+        temporary: &str,
+        path: &str,
         dir: &str,
         data: Vec<u8>,
     ) -> BoxFuture<'static, io::Result<()>> {
-        let (at, dir) = (self.root.join(at), self.root.join(dir));
-        self.blocking(aside, move |aside| {
-            let mut file = File::create(&aside)?;
+        let (path, dir) = (self.data_folder.join(path), self.data_folder.join(dir));
+        self.run_blocking(temporary, move |temporary| {
+            let mut file = File::create(&temporary)?;
             file.write_all(&data)?;
             file.sync_all()?;
-            std::fs::rename(aside, at)?;
+            std::fs::rename(temporary, path)?;
             sync_path(&dir)
         })
     }
 
     fn remove(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
-        self.blocking(path, std::fs::remove_file)
+        self.run_blocking(path, std::fs::remove_file)
     }
 
     fn append(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
         let append_file = self.append_file.clone();
-        self.blocking(path, move |path| {
+        self.run_blocking(path, move |path| {
             let mut open = append_file.lock().unwrap();
             if open.as_ref().is_none_or(|open| open.path != path) {
                 let file = open_for_append(&path)?;
@@ -175,11 +178,11 @@
     }
 
     fn read_file(&self, path: &str) -> BoxFuture<'static, io::Result<Vec<u8>>> {
-        self.blocking(path, std::fs::read)
+        self.run_blocking(path, std::fs::read)
     }
 
     fn list(&self, dir: &str) -> BoxFuture<'static, io::Result<Vec<String>>> {
-        self.blocking(dir, |dir| {
+        self.run_blocking(dir, |dir| {
             let mut names: Vec<String> = std::fs::read_dir(dir)?
                 .filter_map(|entry| entry.ok())
                 .filter(|entry| entry.path().is_file())
@@ -191,7 +194,7 @@
     }
 
     fn mkdir(&self, dir: &str) -> BoxFuture<'static, io::Result<()>> {
-        self.blocking(dir, std::fs::create_dir_all)
+        self.run_blocking(dir, std::fs::create_dir_all)
     }
 
     fn log(&self, line: &str) {
@@ -199,11 +202,13 @@
     }
 }
 
+/// Syncs a file, or the entries of a folder.
 fn sync_path(path: &Path) -> io::Result<()> {
     File::open(path)?.sync_all()
 }
 
-/// Opens a file for appending. The name of a new file is durable before anything is written to it.
+/// Opens a file for appending. The folder entry of a new file is made durable before any data is
+/// written to it.
 fn open_for_append(path: &Path) -> io::Result<File> {
     let is_new = !path.exists();
     let file = OpenOptions::new().create(true).append(true).open(path)?;
--- a/yewcross-common/src/runtime/os/tcp.rs
+++ b/yewcross-common/src/runtime/os/tcp.rs
@@ -1,4 +1,4 @@
-//! TCP sockets of the operating system, watched by the reactor.
+//! Non-blocking TCP sockets of the operating system, registered with the reactor.
 
 use crate::constants::{ACCEPT_BACKLOG, KEEPALIVE_INTERVAL, SEND_TIMEOUT};
 use crate::runtime::reactor::{Direction, Reactor, WatchedSocket};
@@ -12,16 +12,19 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Linux's error number of a non-blocking connect that goes on in the background.
+/// Linux's error number for a non-blocking connect that continues in the background.
 const EINPROGRESS: i32 = 115;
 
-/// An operation that transfers no bytes: it never leaves the socket partly drained.
+/// Buffer length of an operation that transfers no bytes, and therefore never counts as a partial
+/// transfer.
 const NO_BYTES: usize = 0;
 
+/// A TCP stream of the operating system.
 struct OsTcpStream(WatchedSocket<TcpStream>);
 
 impl OsTcpStream {
-    fn connection(
+    /// Registers a connected stream with the reactor.
+    fn register(
         reactor: &Arc<Reactor>,
         stream: TcpStream,
         peer: SocketAddr,
@@ -34,31 +37,32 @@
 impl ByteStream for OsTcpStream {
     fn read(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         self.0
-            .attempt(Direction::Read, cx, buf.len(), |mut stream| {
+            .poll_io(Direction::Read, cx, buf.len(), |mut stream| {
                 stream.read(buf)
             })
     }
 
     fn write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.0
-            .attempt(Direction::Write, cx, buf.len(), |mut stream| {
+            .poll_io(Direction::Write, cx, buf.len(), |mut stream| {
                 stream.write(buf)
             })
     }
 
     fn close(&self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Fails where the other end has closed the connection already, which is as good.
+        // Fails if the peer has already closed the connection; it is closed in either case.
         let _ = self.0.io.shutdown(std::net::Shutdown::Write);
         Poll::Ready(Ok(()))
     }
 
     fn set_send_timeout(&self, timeout_us: u64) {
-        // Fails on a connection that has ended already.
+        // Fails if the connection is already closed, where a timeout has no effect.
         let _ =
             SockRef::from(&self.0.io).set_tcp_user_timeout(Some(Duration::from_micros(timeout_us)));
     }
 }
 
+/// A TCP listener of the operating system.
 struct OsTcpListener {
     socket: WatchedSocket<TcpListener>,
     reactor: Arc<Reactor>,
@@ -70,7 +74,7 @@
             let mut accepted = None;
             std::future::poll_fn(|cx| {
                 self.socket
-                    .attempt(Direction::Read, cx, NO_BYTES, |listener| {
+                    .poll_io(Direction::Read, cx, NO_BYTES, |listener| {
                         accepted = Some(listener.accept()?);
                         Ok(0)
                     })
@@ -78,24 +82,27 @@
             .await?;
             let (stream, peer) = accepted.ok_or(io::ErrorKind::WouldBlock)?;
             set_stream_options(SockRef::from(&stream))?;
-            OsTcpStream::connection(&self.reactor, stream, peer)
+            OsTcpStream::register(&self.reactor, stream, peer)
         })
     }
 }
 
-/// Connects to an address.
-pub(super) async fn connect(reactor: Arc<Reactor>, to: SocketAddr) -> io::Result<Connection> {
-    let socket = reactor.watch(start_connect(to)?, Interest::READABLE | Interest::WRITABLE)?;
+/// Opens a connection and returns once it is established.
+pub(super) async fn connect(reactor: Arc<Reactor>, address: SocketAddr) -> io::Result<Connection> {
+    let socket = reactor.watch(
+        start_connect(address)?,
+        Interest::READABLE | Interest::WRITABLE,
+    )?;
     std::future::poll_fn(|cx| {
-        socket.attempt(Direction::Write, cx, NO_BYTES, |stream| {
+        socket.poll_io(Direction::Write, cx, NO_BYTES, |stream| {
             connect_outcome(stream).map(|()| 0)
         })
     })
     .await?;
-    Ok(Connection::new(Arc::new(OsTcpStream(socket)), to))
+    Ok(Connection::new(Arc::new(OsTcpStream(socket)), address))
 }
 
-/// Whether a connect has succeeded; `WouldBlock` while it is under way.
+/// The result of a non-blocking connect; `WouldBlock` while it is in progress.
 fn connect_outcome(stream: &TcpStream) -> io::Result<()> {
     match (stream.take_error()?, stream.peer_addr()) {
         (Some(error), _) => Err(error),
@@ -106,14 +113,15 @@
     }
 }
 
-fn start_connect(to: SocketAddr) -> io::Result<TcpStream> {
-    let socket = new_socket(to)?;
+/// Starts a non-blocking connect, with keepalive probes enabled.
+fn start_connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let socket = new_socket(address)?;
     set_stream_options(SockRef::from(&socket))?;
     let keepalive = TcpKeepalive::new()
         .with_time(Duration::from_micros(KEEPALIVE_INTERVAL))
         .with_interval(Duration::from_micros(KEEPALIVE_INTERVAL));
     socket.set_tcp_keepalive(&keepalive)?;
-    match socket.connect(&to.into()) {
+    match socket.connect(&address.into()) {
         Err(error) if !is_in_progress(&error) => Err(error),
         _ => Ok(TcpStream::from_std(socket.into())),
     }
@@ -123,11 +131,11 @@
     error.kind() == io::ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS)
 }
 
-/// Listens at an address.
-pub(super) fn bind(reactor: Arc<Reactor>, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-    let socket = new_socket(at)?;
+/// Binds a listener to an address.
+pub(super) fn bind(reactor: Arc<Reactor>, address: SocketAddr) -> io::Result<Box<dyn Listener>> {
+    let socket = new_socket(address)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&address.into())?;
     socket.listen(ACCEPT_BACKLOG)?;
     let listener = TcpListener::from_std(socket.into());
     let socket = reactor.watch(listener, Interest::READABLE)?;
@@ -142,8 +150,9 @@
     )
 }
 
-/// A peer that lost power sends nothing: a connection ends when the peer does not acknowledge what
-/// was sent, or does not answer keepalive probes.
+/// Disables Nagle's algorithm and limits how long sent data may stay unacknowledged. A peer that
+/// lost power sends no reset: the connection is closed when the peer does not acknowledge sent data
+/// or does not answer keepalive probes.
 fn set_stream_options(socket: SockRef<'_>) -> io::Result<()> {
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(Duration::from_micros(SEND_TIMEOUT)))
--- a/yewcross-common/src/runtime/reactor.rs
+++ b/yewcross-common/src/runtime/reactor.rs
@@ -1,9 +1,9 @@
-//! The event loop: one thread that runs tasks and waits for sockets and timers, with one system
-//! call for each wake-up.
+//! The event loop: a single thread runs tasks and waits for sockets and timers, with one system
+//! call per wake-up.
 //!
-//! Sockets are watched edge-triggered (mio), as epoll(7) describes under "Level-triggered and
-//! edge-triggered": each is registered once, and a read that did not fill its buffer has drained
-//! the socket.
+//! Sockets are registered edge-triggered through mio, as epoll(7) describes under "Level-triggered
+//! and edge-triggered": each socket is registered once, and a read that does not fill its buffer has
+//! drained the socket.
 
 use mio::event::{Event, Source};
 use mio::{Events, Interest, Poll as Poller, Registry, Token, Waker as PollWaker};
@@ -16,61 +16,63 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// Token of the event by which other threads end the reactor's wait.
+/// Token of the event with which other threads interrupt the reactor's wait.
 const WAKE_TOKEN: Token = Token(0);
 
-/// Events taken from the system at once.
+/// Maximum number of events fetched by one poll.
 const EVENT_CAPACITY: usize = 256;
 
-/// A direction of a socket.
+/// A transfer direction of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Bytes that come in; for a listener, connections.
+    /// Incoming bytes; for a listener, incoming connections.
     Read,
-    /// Bytes that go out; also the end of a connect.
+    /// Outgoing bytes; also the completion of a connect.
     Write,
 }
 
-/// Waits for sockets and timers, and wakes the tasks that they concern.
+/// Waits for sockets and timers, and wakes the tasks that depend on them.
 pub struct Reactor {
     registry: Registry,
-    /// Ends the wait of the reactor's thread.
+    /// Interrupts the wait of the reactor's thread.
     poll_waker: PollWaker,
-    /// The thread waits, or is about to; whoever has work for it must wake it.
+    /// The thread is waiting or about to wait; new work must interrupt the wait.
     is_waiting: AtomicBool,
-    /// The future that the thread drives was woken and must be polled before the next wait.
+    /// The future run by the thread was woken and must be polled before the next wait.
     is_woken: AtomicBool,
     timers: Mutex<BTreeMap<TimerKey, Waker>>,
     sockets: Mutex<BTreeMap<usize, Arc<Readiness>>>,
-    /// The next number for a socket or a timer.
+    /// The next id for a socket or a timer.
     next_id: AtomicUsize,
+    /// Origin of the reactor's clock.
     started: Instant,
-    /// Times the thread came back from waiting.
+    /// Number of times that the thread returned from a wait.
     pub wakeups: AtomicU64,
 }
 
-/// Timers in the order in which they are due.
+/// Identifies a timer; keys are ordered by due time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     /// µs on the reactor's clock.
     due: u64,
+    /// Distinguishes timers with the same due time.
     id: u64,
 }
 
-/// What is known of one direction of a socket.
+/// Readiness of one direction of a socket.
 #[derive(Default)]
 struct DirectionState {
-    /// Edges seen. A `WouldBlock` older than the newest edge does not count.
+    /// Number of edges received. A `WouldBlock` result older than the newest edge is obsolete.
     edges: u64,
-    /// The next operation would block until there is an edge.
+    /// Operations would block until the next edge.
     would_block: bool,
-    /// The direction ended or failed; operations return at once from then on.
+    /// The direction was closed or failed; operations no longer block.
     has_ended: bool,
     /// The task that waits for the next edge.
     waker: Option<Waker>,
 }
 
-/// What is known of a socket's two directions.
+/// Readiness of both directions of a socket.
 #[derive(Default)]
 struct Readiness {
     read: Mutex<DirectionState>,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The system reported that the direction is ready.
+    /// Records that the operating system reported the direction as ready, and wakes the waiting task.
     fn record_edge(&self, direction: Direction, has_ended: bool) {
         let mut state = self.direction(direction).lock().unwrap();
         state.edges += 1;
@@ -98,17 +100,17 @@
         }
     }
 
-    /// Tries `operation` unless it is known that it would block. An operation that transfers fewer
-    /// bytes than `full` has drained the socket.
-    fn attempt(
+    /// Runs `operation`, or registers the task for the next edge if it would block. An operation that
+    /// transfers fewer bytes than `buffer_length` has drained the socket.
+    fn poll_io(
         &self,
         direction: Direction,
         cx: &mut Context<'_>,
-        full: usize,
+        buffer_length: usize,
         mut operation: impl FnMut() -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            let Some(edges) = self.edges_or_wait(direction, cx) else {
+            let Some(edges) = self.edges_or_register(direction, cx) else {
                 return Poll::Pending;
             };
             let result = operation();
@@ -117,12 +119,13 @@
                 continue;
             }
             let is_blocked = error_kind == Some(io::ErrorKind::WouldBlock);
-            let is_short = result
+            let is_partial = result
                 .as_ref()
-                .is_ok_and(|bytes| *bytes > 0 && *bytes < full);
-            if is_blocked || is_short {
-                // An edge since then may have come after the operation: it must be tried again. A
-                // direction that has ended sees no further edge, and its end is still to be read.
+                .is_ok_and(|bytes| *bytes > 0 && *bytes < buffer_length);
+            if is_blocked || is_partial {
+                // An edge received in the meantime may be newer than the operation, which must then be
+                // retried. A closed direction gets no further edge, but its end of file must still be
+                // read, so a partial transfer does not block it.
                 let mut state = self.direction(direction).lock().unwrap();
                 state.would_block = state.edges == edges && (is_blocked || !state.has_ended);
             }
@@ -132,8 +135,9 @@
         }
     }
 
-    /// The number of edges seen; none where the task has to wait for the next one.
-    fn edges_or_wait(&self, direction: Direction, cx: &Context<'_>) -> Option<u64> {
+    /// The number of edges received, or `None` if the direction would block; the task is then
+    /// registered for the next edge.
+    fn edges_or_register(&self, direction: Direction, cx: &Context<'_>) -> Option<u64> {
         let mut state = self.direction(direction).lock().unwrap();
         if !state.would_block {
             return Some(state.edges);
@@ -149,7 +153,7 @@
     }
 }
 
-/// A socket that the reactor watches until it is dropped.
+/// A socket that stays registered with the reactor until it is dropped.
 pub struct WatchedSocket<S: Source> {
     /// The socket itself.
     pub io: S,
@@ -159,24 +163,24 @@
 }
 
 impl<S: Source> WatchedSocket<S> {
-    /// Tries `operation` in one direction, or waits until it can go on. An operation that transfers
-    /// fewer bytes than `full` has drained the socket.
-    pub fn attempt(
+    /// Runs `operation` in one direction, or returns `Pending` and wakes the task once it can be
+    /// retried. An operation that transfers fewer bytes than `buffer_length` has drained the socket.
+    pub fn poll_io(
         &self,
         direction: Direction,
         cx: &mut Context<'_>,
-        full: usize,
+        buffer_length: usize,
         mut operation: impl FnMut(&S) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         self.readiness
-            .attempt(direction, cx, full, || operation(&self.io))
+            .poll_io(direction, cx, buffer_length, || operation(&self.io))
     }
 }
 
 impl<S: Source> Drop for WatchedSocket<S> {
     fn drop(&mut self) {
         self.reactor.sockets.lock().unwrap().remove(&self.token);
-        // The system forgets the socket anyway when it is closed.
+        // A failure has no effect: the operating system removes a closed socket from the poller anyway.
         let _ = self.reactor.registry.deregister(&mut self.io);
     }
 }
@@ -188,12 +192,12 @@
 
     fn wake_by_ref(self: &Arc<Self>) {
         self.is_woken.store(true, SeqCst);
-        self.end_wait();
+        self.interrupt_wait();
     }
 }
 
 impl Reactor {
-    /// A reactor, and what its thread has to hand to [`Reactor::drive`].
+    /// Creates a reactor, and the poller to pass to [`Reactor::block_on`].
     pub fn new() -> io::Result<(Arc<Reactor>, Poller)> {
         let poller = Poller::new()?;
         let reactor = Reactor {
@@ -210,19 +214,20 @@
         Ok((Arc::new(reactor), poller))
     }
 
-    /// Monotonic µs since the start; never 0.
+    /// Monotonic time in µs since the reactor was created; never 0.
     pub fn now(&self) -> u64 {
         self.started.elapsed().as_micros() as u64 + 1
     }
 
-    fn end_wait(&self) {
+    /// Interrupts the wait of the reactor's thread, if it is waiting.
+    fn interrupt_wait(&self) {
         if self.is_waiting.swap(false, SeqCst) {
-            // Fails where a wake-up is pending already.
+            // Fails if a wake-up is already pending, which has the same effect.
             let _ = self.poll_waker.wake();
         }
     }
 
-    /// Watches a socket for the directions of `interest`.
+    /// Registers a socket for the directions of `interest`.
     pub fn watch<S: Source>(
         self: &Arc<Self>,
         mut io: S,
@@ -230,7 +235,7 @@
     ) -> io::Result<WatchedSocket<S>> {
         let token = self.next_id.fetch_add(1, SeqCst);
         let readiness = Arc::new(Readiness::default());
-        // Known before it is registered: its first event may come at once.
+        // Inserted before the registration: the first event may arrive immediately after it.
         self.sockets
             .lock()
             .unwrap()
@@ -247,8 +252,8 @@
         })
     }
 
-    /// Ready at `due` (µs on the reactor's clock), rounded up to the millisecond that the system
-    /// waits by.
+    /// Completes at `due` (µs on the reactor's clock), rounded up to a whole millisecond, the
+    /// resolution of the system call that waits.
     pub fn sleep_until(self: &Arc<Self>, due: u64) -> Sleep {
         Sleep {
             reactor: self.clone(),
@@ -257,9 +262,9 @@
         }
     }
 
-    /// Runs `future` on this thread, and waits for sockets and timers whenever it has nothing to
-    /// do.
-    pub fn drive<T>(self: &Arc<Self>, mut poller: Poller, future: impl Future<Output = T>) -> T {
+    /// Runs `future` to completion on this thread, and waits for sockets and timers whenever the
+    /// future is pending.
+    pub fn block_on<T>(self: &Arc<Self>, mut poller: Poller, future: impl Future<Output = T>) -> T {
         let waker = Waker::from(self.clone());
         let mut future = pin!(future);
         let mut events = Events::with_capacity(EVENT_CAPACITY);
@@ -274,10 +279,10 @@
         }
     }
 
-    /// Waits for an event, the next timer or a wake-up, and passes on what came.
+    /// Waits for an event, the next timer or a wake-up, and records the received events.
     fn wait(&self, poller: &mut Poller, events: &mut Events) {
-        // Announced before `is_woken` is read: a wake-up in between either is seen there or ends
-        // the wait.
+        // Set before `is_woken` is read: a concurrent wake-up is either observed by that read or
+        // interrupts the wait.
         self.is_waiting.store(true, SeqCst);
         let timeout = self.time_to_next_timer();
         let result = poller.poll(events, timeout);
@@ -291,7 +296,7 @@
         }
     }
 
-    /// How long the thread may wait; none where no timer is set.
+    /// How long the thread may wait; `None` if no timer is set.
     fn time_to_next_timer(&self) -> Option<Duration> {
         let timers = self.timers.lock().unwrap();
         let next_due = timers.first_key_value().map(|(key, _)| key.due);
@@ -302,9 +307,10 @@
         next_due.map(|due| Duration::from_micros(due.saturating_sub(self.now())))
     }
 
+    /// Records the readiness that an event reports for its socket.
     fn record_event(&self, event: &Event) {
         let readiness = self.sockets.lock().unwrap().get(&event.token().0).cloned();
-        // An event may still come of a socket that was dropped just now.
+        // The event may belong to a socket that was dropped after the event was queued.
         let Some(readiness) = readiness else { return };
         let has_read_ended = event.is_error() || event.is_read_closed();
         if event.is_readable() || has_read_ended {
@@ -316,6 +322,7 @@
         }
     }
 
+    /// Removes the timers that are due and wakes their tasks.
     fn wake_due_timers(&self) {
         let mut timers = self.timers.lock().unwrap();
         if timers.is_empty() {
@@ -332,7 +339,7 @@
     }
 }
 
-/// A timer; see [`Reactor::sleep_until`].
+/// A timer future; see [`Reactor::sleep_until`].
 pub struct Sleep {
     reactor: Arc<Reactor>,
     /// µs on the reactor's clock.
@@ -360,9 +367,9 @@
             .first_key_value()
             .is_some_and(|(first, _)| first.id == id);
         drop(timers);
-        // The thread may wait for a later one.
+        // The thread may be waiting for a timer that is due later.
         if is_next {
-            reactor.end_wait();
+            reactor.interrupt_wait();
         }
         Poll::Pending
     }
