--- a/yewcross-common/src/storage.rs
+++ b/yewcross-common/src/storage.rs
@@ -1,11 +1,11 @@
-//! Durable storage under the data folder: one file a version, written to a temporary name, synced,
-//! renamed, and its folder synced.
+//! Durable storage in the data folder. Each version of a name is a separate file, which is written
+//! under a temporary name, synced and renamed; then its folder is synced.
 //!
-//! A file is named `NAME-VERSION`, the version in 16 hexadecimal digits. The newest version of a
-//! name counts; older ones are removed once the newest is safe.
+//! A file is named `NAME-VERSION`, with the version in 16 hexadecimal digits. Only the newest version
+//! of a name is used; older versions are removed once the newest is durable.
 //!
-//! The disk's identity is written last, once the folders whose contents it vouches for are named on
-//! the disk, and is void where one of them is missing later.
+//! The identity of a disk is written last, after the folders that it covers are durable on the disk.
+//! It is replaced if one of these folders is missing later.
 
 use crate::constants::{DISK_FORMAT, DISK_PROBE_BYTES, KEY_SHARDS};
 use crate::runtime::Runtime;
@@ -16,25 +16,25 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 
-/// Folder of what a node keeps for itself: its identity, adopted documents, known peers.
+/// Folder of node-local state: the identity of the disk, adopted documents, known peers.
 pub const LOCAL_FOLDER: &str = "local";
 /// Folder of the shards of register records.
-pub const KEYS_FOLDER: &str = "keys";
-/// Folder of a store's log.
+pub const REGISTERS_FOLDER: &str = "keys";
+/// Folder of a store's turn log.
 pub const TURN_LOG_FOLDER: &str = "chain";
 /// The data folder itself.
 const ROOT_FOLDER: &str = "";
-/// Name of the file that the disk's identity is in.
-const IDENTITY: &str = "disk";
+/// Name of the file that contains the identity of the disk.
+const IDENTITY_FILE: &str = "disk";
 
-/// bytes. Format of a frame, a little-endian u32, before the length.
+/// Length in bytes of a frame's format number, a little-endian u32 before the body length.
 const FORMAT_LENGTH: usize = 4;
-/// bytes. Format and length of a frame, before the body.
+/// Length in bytes of a frame's header: the format number and the body length.
 const HEADER_LENGTH: usize = 12;
-/// bytes. Checksum of a frame, after the body.
+/// Length in bytes of a frame's checksum, which follows the body.
 const CHECKSUM_LENGTH: usize = 4;
 
-/// A write is rejected because an earlier one failed.
+/// A write was rejected because the disk is marked failed after an earlier write error.
 #[derive(Debug, Snafu)]
 #[snafu(display("disk failed"))]
 pub struct DiskFailed;
@@ -44,40 +44,41 @@
 pub struct StoredFile {
     /// The name without the version.
     pub name: String,
-    /// Rises with each write of the name.
+    /// Increases with each write of the name.
     pub version: u64,
-    /// `None` where the file is damaged.
+    /// `None` if the file is damaged.
     pub body: Option<Vec<u8>>,
 }
 
 /// A node's data disk.
 pub struct DurableStorage {
-    /// Access to the data folder, clock and log.
+    /// Provides the data folder and the process log.
     pub runtime: Runtime,
-    /// Identity of the disk; votes are counted under it.
+    /// Identity of the disk; votes are attributed to it.
     pub disk_id: String,
-    /// A write has failed: its outcome is unknown, and the node takes no part until the disk is
-    /// restored.
+    /// Set after a write error: the outcome of the write is unknown, and the node does not participate
+    /// in the tier until the disk has recovered.
     pub failed: AtomicBool,
-    /// Failed writes so far.
+    /// Number of failed writes.
     pub write_failures: AtomicU64,
-    /// Notified when a write has failed.
+    /// Notified after each failed write.
     pub failure_event: Event,
-    /// Syncs so far, of files and of folders.
+    /// Number of syncs of files and folders.
     pub syncs: AtomicU64,
-    /// Bytes of bodies written so far.
+    /// Number of body bytes written.
     pub bytes_written: AtomicU64,
+    /// Number of the next temporary file.
     next_temporary: AtomicU64,
-    /// Paths of temporary files that are being written; a scan leaves them alone.
+    /// Paths of temporary files that are being written; a scan does not remove them.
     writing: Mutex<BTreeSet<String>>,
 }
 
-/// The folder of one shard of register records.
+/// Path of the folder of one shard of register records.
 pub fn shard_folder(shard: usize) -> String {
-    format!("{KEYS_FOLDER}/{shard:02x}")
+    format!("{REGISTERS_FOLDER}/{shard:02x}")
 }
 
-/// Adds format, length and checksum to a body.
+/// Encodes a body as a frame: format number, body length, body and checksum.
 pub fn encode_frame(body: &[u8]) -> Vec<u8> {
     let mut frame = DISK_FORMAT.to_le_bytes().to_vec();
     frame.extend((body.len() as u64).to_le_bytes());
@@ -86,14 +87,15 @@
     frame
 }
 
-/// The body of a file that is one frame; `None` where it is damaged.
+/// Decodes a file that consists of a single frame. Returns the body, or `None` if the file is
+/// damaged.
 pub fn decode_frame(file: &[u8]) -> Option<Vec<u8>> {
     let (body, end) = decode_first_frame(file)?;
     (end == file.len()).then(|| body.to_vec())
 }
 
-/// The body of the first of several frames, and the offset where the next begins; `None` where the
-/// first is damaged.
+/// Decodes the first of several consecutive frames. Returns its body and the offset of the next
+/// frame, or `None` if the first frame is damaged.
 pub fn decode_first_frame(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let length = bytes.get(FORMAT_LENGTH..HEADER_LENGTH)?;
     let length = usize::try_from(u64::from_le_bytes(length.try_into().ok()?)).ok()?;
@@ -101,23 +103,23 @@
     let checked = bytes.get(..checksum_start)?;
     let end = checksum_start.checked_add(CHECKSUM_LENGTH)?;
     let checksum = bytes.get(checksum_start..end)?;
-    let is_sound = checked[..FORMAT_LENGTH] == DISK_FORMAT.to_le_bytes()
+    let is_intact = checked[..FORMAT_LENGTH] == DISK_FORMAT.to_le_bytes()
         && checksum == crc32fast::hash(checked).to_le_bytes();
-    is_sound.then_some((&checked[HEADER_LENGTH..], end))
+    is_intact.then_some((&checked[HEADER_LENGTH..], end))
 }
 
-/// The path of one version of a name.
+/// Path of the file that contains one version of a name.
 pub(crate) fn version_path(folder: &str, name: &str, version: u64) -> String {
     format!("{folder}/{name}-{version:016x}")
 }
 
-/// Name and version of a file.
+/// Splits a file name into name and version; `None` for any other file.
 fn split_version(file: &str) -> Option<(&str, u64)> {
     let (name, version) = file.rsplit_once('-')?;
     Some((name, u64::from_str_radix(version, 16).ok()?))
 }
 
-/// The versions of a name among the files of a folder.
+/// The versions of a name among the file names of a folder.
 fn versions_of<'a>(files: &'a [String], name: &'a str) -> impl Iterator<Item = u64> + 'a {
     files
         .iter()
@@ -126,36 +128,38 @@
         .map(|(_, version)| version)
 }
 
-/// All folders of a data disk, parents first.
+/// All folders of a data disk, parents before children.
 fn data_folders() -> Vec<String> {
     let mut folders = vec![
         LOCAL_FOLDER.to_string(),
         TURN_LOG_FOLDER.into(),
-        KEYS_FOLDER.into(),
+        REGISTERS_FOLDER.into(),
     ];
     folders.extend((0..KEY_SHARDS).map(shard_folder));
     folders
 }
 
-/// What a scan has found so far.
+/// Intermediate result of a folder scan.
 #[derive(Default)]
 struct Scan {
+    /// The newest version of each name.
     newest: BTreeMap<String, StoredFile>,
-    /// Paths of versions below a newer sound one.
+    /// Paths of versions that are superseded by a newer, undamaged version.
     superseded: Vec<String>,
 }
 
 impl Scan {
+    /// Adds one file, and records whether it supersedes another version or is superseded.
     fn add(&mut self, folder: &str, path: String, file: StoredFile) {
         let Some(known) = self.newest.get_mut(&file.name) else {
             self.newest.insert(file.name.clone(), file);
             return;
         };
         if file.version > known.version {
-            let is_sound = file.body.is_some();
+            let is_intact = file.body.is_some();
             let older = std::mem::replace(known, file);
-            // Below a damaged version the older one stays: it may be all that is left of the name.
-            if is_sound {
+            // An older version is kept below a damaged one: it may be the only intact data of the name.
+            if is_intact {
                 self.superseded
                     .push(version_path(folder, &older.name, older.version));
             }
@@ -166,8 +170,7 @@
 }
 
 impl DurableStorage {
-    /// Opens the data folder; an empty one gets an identity of its own, which is made here and
-    /// nowhere else.
+    /// Opens the data folder. An empty one gets a new identity; identities are created nowhere else.
     pub async fn open(runtime: &Runtime) -> io::Result<Arc<DurableStorage>> {
         let mut storage = DurableStorage::without_identity(runtime);
         let has_all_folders = storage.prepare_folders().await?;
@@ -189,55 +192,56 @@
         }
     }
 
-    /// Creates the folders and makes their names safe; returns whether all were there before.
+    /// Creates missing folders and makes all folder entries durable. Returns whether all folders
+    /// existed before.
     async fn prepare_folders(&self) -> io::Result<bool> {
         let mut has_all = true;
         for folder in data_folders() {
             has_all &= self.runtime.list(&folder).await.is_ok();
             self.runtime.mkdir(&folder).await?;
         }
-        // An earlier process may have been killed after it created a folder or renamed a file, and
-        // before it synced the name.
-        for parent in [KEYS_FOLDER, ROOT_FOLDER, LOCAL_FOLDER] {
+        // An earlier process may have been killed after it created a folder or renamed a file, but
+        // before it synced the parent folder.
+        for parent in [REGISTERS_FOLDER, ROOT_FOLDER, LOCAL_FOLDER] {
             self.runtime.sync(parent).await?;
         }
         Ok(has_all)
     }
 
-    /// The identity that the disk has; a new one where it has none, or has lost folders. Votes
-    /// under the old identity rested on what was in these folders.
+    /// Loads the identity of the disk. Creates a new one if the disk has none or has lost folders:
+    /// votes under the old identity relied on the contents of these folders.
     async fn load_or_create_identity(&self, has_all_folders: bool) -> io::Result<String> {
-        let (version, known) = match self.load(LOCAL_FOLDER, IDENTITY).await? {
+        let (version, known) = match self.load(LOCAL_FOLDER, IDENTITY_FILE).await? {
             Some((version, body)) => (version, Some(String::from_utf8_lossy(&body).into_owned())),
             None => (0, None),
         };
         if known.is_some() && !has_all_folders {
             self.runtime
-                .log("folders of this disk are missing: it gets a new identity");
+                .log("data folders are missing; creating a new identity for the disk");
         }
         if let Some(known) = known.filter(|_| has_all_folders) {
             return Ok(known);
         }
         let created = format!("d{:016x}", self.runtime.random());
-        self.write(LOCAL_FOLDER, IDENTITY, version + 1, created.as_bytes())
+        self.write(LOCAL_FOLDER, IDENTITY_FILE, version + 1, created.as_bytes())
             .await?;
         Ok(created)
     }
 
-    /// Marks the disk failed: after a write of unknown outcome, neither the old nor the new version
-    /// is relied on.
+    /// Marks the disk failed after a write error. The outcome of the write is unknown, so neither the
+    /// old nor the new version can be relied on.
     pub fn mark_failed(&self, error: &io::Error) {
         self.write_failures.fetch_add(1, SeqCst);
         if !self.failed.swap(true, SeqCst) {
             self.runtime.log(&format!(
-                "disk failed ({error}); it takes no part until it works again"
+                "disk marked failed ({error}); this node does not participate until the disk recovers"
             ));
         }
         self.failure_event.notify(usize::MAX);
     }
 
-    /// Returns once the version is safe; any error marks the disk failed. While the disk is failed,
-    /// returns [`DiskFailed`] and writes nothing.
+    /// Writes a version and returns once it is durable; any error marks the disk failed. While the
+    /// disk is marked failed, returns [`DiskFailed`] and writes nothing.
     pub async fn persist(
         &self,
         folder: &str,
@@ -253,7 +257,7 @@
             .inspect_err(|error| self.mark_failed(error))
     }
 
-    /// Writes a version even if the disk is marked failed, and removes the version before it.
+    /// Writes a version, even if the disk is marked failed, and removes the preceding version.
     pub async fn write(
         &self,
         folder: &str,
@@ -271,12 +275,12 @@
             .await;
         self.writing.lock().unwrap().remove(&temporary);
         written?;
-        // The file and its folder.
+        // One sync of the file and one of its folder.
         self.syncs.fetch_add(2, SeqCst);
         self.bytes_written.fetch_add(body.len() as u64, SeqCst);
         if version > 1 {
-            // An older version that remains is harmless: the newest counts, and the next scan
-            // removes it.
+            // A failed removal is harmless: only the newest version is used, and the next scan removes
+            // the older one.
             let _ = self
                 .runtime
                 .remove(&version_path(folder, name, version - 1))
@@ -285,8 +289,8 @@
         Ok(())
     }
 
-    /// Removes a name for good: no loss of power brings any version of it back. The newest goes
-    /// last, so that no older one is ever the newest.
+    /// Removes all versions of a name durably: none reappears after a loss of power. The newest
+    /// version is removed last, so that an older one never becomes the newest.
     pub async fn erase(&self, folder: &str, name: &str) -> io::Result<()> {
         let files = self.runtime.list(folder).await?;
         let mut versions: Vec<u64> = versions_of(&files, name).collect();
@@ -299,7 +303,7 @@
                 .remove(&version_path(folder, name, version))
                 .await?;
         }
-        // Makes safe the removal of older versions by earlier writes, too.
+        // Also makes the removal of older versions by earlier writes durable.
         self.runtime.sync(folder).await?;
         self.runtime
             .remove(&version_path(folder, name, newest))
@@ -309,15 +313,15 @@
         Ok(())
     }
 
-    /// The newest version of each name in the folder, in order of the names. Where any file is
-    /// found, all names of the folder are safe when this returns.
+    /// Returns the newest version of each name in the folder, sorted by name. If the folder contains
+    /// any file, all its entries are durable when this returns.
     pub async fn scan(&self, folder: &str) -> io::Result<Vec<StoredFile>> {
         let mut scan = Scan::default();
         let files = self.runtime.list(folder).await?;
         for file in &files {
             let path = format!("{folder}/{file}");
             if file.starts_with('.') {
-                self.remove_abandoned(&path).await;
+                self.remove_if_abandoned(&path).await;
             } else if let Some((name, version)) = split_version(file) {
                 let body = self.read_body(&path, name).await;
                 let stored = StoredFile {
@@ -329,38 +333,40 @@
             }
         }
         if !files.is_empty() {
-            // Only after this may older versions go: a newer one that a killed process renamed is
-            // not yet safe under its name.
+            // Older versions may be removed only after this sync: a newer version renamed by a process
+            // that was then killed may not be durable yet.
             self.runtime.sync(folder).await?;
         }
         for path in scan.superseded {
-            // One that remains is found by the next scan.
+            // A failed removal is retried by the next scan.
             let _ = self.runtime.remove(&path).await;
         }
         Ok(scan.newest.into_values().collect())
     }
 
-    /// Removes a temporary file unless it is being written.
-    async fn remove_abandoned(&self, path: &str) {
+    /// Removes a temporary file left by an earlier process, unless it is being written now.
+    async fn remove_if_abandoned(&self, path: &str) {
         let is_abandoned = !self.writing.lock().unwrap().contains(path);
         if is_abandoned {
-            // One that remains is found by the next scan.
+            // A failed removal is retried by the next scan.
             let _ = self.runtime.remove(path).await;
         }
     }
 
-    /// The body of a file; `None` where it is damaged or cannot be read.
+    /// Reads the body of a file; `None` if the file is damaged or cannot be read. Damaged files whose
+    /// name starts with `bad` are not logged.
     async fn read_body(&self, path: &str, name: &str) -> Option<Vec<u8>> {
         let file = self.runtime.read_file(path).await.ok();
         let body = file.and_then(|file| decode_frame(&file));
         if body.is_none() && !name.starts_with("bad") {
-            self.runtime.log(&format!("damaged file {path} ignored"));
+            self.runtime
+                .log(&format!("ignoring damaged or unreadable file {path}"));
         }
         body
     }
 
-    /// Version and body of the newest version of a name; `None` where there is none, or it is
-    /// damaged.
+    /// Loads the newest version of a name, as version and body; `None` if there is no version or the
+    /// newest is damaged.
     pub async fn load(&self, folder: &str, name: &str) -> io::Result<Option<(u64, Vec<u8>)>> {
         let files = self.scan(folder).await?;
         Ok(files
@@ -369,7 +375,7 @@
             .and_then(|file| Some((file.version, file.body?))))
     }
 
-    /// Whether the disk takes and syncs a file of usual size again.
+    /// Checks that the disk can write, sync and remove a file of typical size.
     pub async fn probe(&self) -> io::Result<()> {
         let path = format!("{LOCAL_FOLDER}/.probe");
         self.runtime
@@ -380,13 +386,13 @@
         self.runtime.sync(LOCAL_FOLDER).await
     }
 
-    /// Whether the disk still bears the identity that it was opened with.
+    /// Whether the identity on the disk still equals the one read when it was opened.
     pub async fn identity_matches(&self) -> io::Result<bool> {
         let files = self.runtime.list(LOCAL_FOLDER).await?;
-        let Some(newest) = versions_of(&files, IDENTITY).max() else {
+        let Some(newest) = versions_of(&files, IDENTITY_FILE).max() else {
             return Ok(false);
         };
-        let path = version_path(LOCAL_FOLDER, IDENTITY, newest);
+        let path = version_path(LOCAL_FOLDER, IDENTITY_FILE, newest);
         let file = self.runtime.read_file(&path).await?;
         Ok(decode_frame(&file).is_some_and(|identity| identity == self.disk_id.as_bytes()))
     }
