--- a/yewcross-common/src/buffered_http/client.rs
+++ b/yewcross-common/src/buffered_http/client.rs
@@ -1,4 +1,4 @@
-//! Requests to other servers.
+//! HTTP client for requests to other servers.
 
 use crate::constants::MAX_FRAME_BYTES;
 use crate::runtime::{Connection, Runtime};
@@ -8,8 +8,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Sends a request and reads the head of the response. The connection can be used again once the
-/// body is read completely.
+/// Sends a request on an open connection and reads the head of the response. The connection can be
+/// reused once the body has been read completely.
 pub async fn send_request(
     connection: &Connection,
     method: Method,
@@ -29,12 +29,13 @@
         .map_err(invalid_data)
 }
 
+/// Converts an error to an I/O error of the kind `InvalidData`.
 fn invalid_data(error: impl Display) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, error.to_string())
 }
 
-/// Reads a body completely; an error where it has more than `max_bytes`, or not as many as its head
-/// says.
+/// Reads a complete response body. Fails with `UnexpectedEof` if the body has more than `max_bytes`
+/// bytes or its length differs from the `Content-Length` header.
 pub async fn read_response_body(response: &mut Response, max_bytes: usize) -> io::Result<Vec<u8>> {
     let expected = response.len();
     let mut bytes = Vec::new();
@@ -49,11 +50,11 @@
     Ok(bytes)
 }
 
-/// Connects, sends a request and reads the response completely, all within `timeout` µs. Returns
-/// the status, the response without its body, and the body.
+/// Connects, sends a request and reads the complete response, all within `timeout` µs. Returns the
+/// status, the response without its body, and the body.
 pub async fn fetch(
     runtime: &Runtime,
-    to: SocketAddr,
+    address: SocketAddr,
     method: Method,
     path: &str,
     headers: &[(&str, String)],
@@ -62,11 +63,11 @@
 ) -> io::Result<(u16, Response, Vec<u8>)> {
     runtime
         .timeout(timeout, async {
-            let mut connection = runtime.connect(to).await?;
+            let mut connection = runtime.connect(address).await?;
             let mut response =
                 send_request(&connection, method, path, headers, request_body).await?;
             let response_body = read_response_body(&mut response, MAX_FRAME_BYTES).await?;
-            // The response is complete; how the connection ends does not matter.
+            // The response is complete, so an error on closing the connection has no effect.
             let _ = connection.close().await;
             Ok((response.status().into(), response, response_body))
         })
--- a/yewcross-common/src/buffered_http/mod.rs
+++ b/yewcross-common/src/buffered_http/mod.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 by async-h1 over the runtime's connections. Requests are read completely before they are
-//! handled, and every wait and size is bounded.
+//! HTTP/1.1 with buffered requests, based on async-h1 and the runtime's connections. Requests are read
+//! completely before they are handled, and all waiting times and sizes are limited.
 //!
-//! - `tracker`: counts open connections and brings a server to an end.
-//! - `response`: responses as JSON, rejections, and bodies sent chunk by chunk.
+//! - `tracker`: counts open connections and requests, and signals the shutdown of a server.
+//! - `response`: JSON responses, error responses, and responses sent in chunks.
 //! - `server`: accepts connections and serves requests.
-//! - `client`: requests to other servers.
+//! - `client`: sends requests to other servers.
 
 mod client;
 mod response;
--- a/yewcross-common/src/buffered_http/server.rs
+++ b/yewcross-common/src/buffered_http/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves their requests, one after the other.
+//! HTTP server: accepts connections and serves the requests of each connection sequentially.
 
 use super::response::{SendDeadline, error_response};
 use super::tracker::ConnectionTracker;
@@ -15,55 +15,56 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 
-/// µs for which the backlog is still accepted once the server closes.
+/// Time in µs for which the backlog is still accepted after the shutdown begins.
 const BACKLOG_GRACE: u64 = 60 * MS;
 
-/// µs for which an idle connection may still bring a request once the server closes.
+/// Time in µs for which requests on idle connections are still accepted after the shutdown begins.
 const IDLE_GRACE: u64 = 100 * MS;
 
-/// µs in which a rejection must be sent, and what is left of a body be read.
+/// Time limit in µs for sending an error response, and for reading the rest of a request body.
 const FINISH_TIMEOUT: u64 = SEC;
 
-/// µs until the next attempt after a failure to accept, such as a lack of file descriptors.
+/// Delay in µs before the next attempt after a failed accept, for instance for lack of file
+/// descriptors.
 const ACCEPT_BACKOFF: u64 = 10 * MS;
 
-/// A request that was read completely.
+/// A request that has been read completely.
 #[derive(Debug)]
 pub struct BufferedRequest {
     /// HTTP method.
     pub method: Method,
-    /// Path of the target.
+    /// Path of the request target.
     pub path: String,
-    /// Query of the target, without the question mark.
+    /// Query of the request target, without the question mark.
     pub query: Option<String>,
     /// Value of `If-Match`, without quotes.
     pub if_match: Option<String>,
     /// Value of `If-None-Match`, without quotes.
     pub if_none_match: Option<String>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Answers a request.
+/// Handles a request and returns the response.
 pub type Handler = Arc<dyn Fn(BufferedRequest) -> BoxFuture<'static, Response> + Send + Sync>;
 
-/// Why no request is handled.
+/// The reason why a request could not be read.
 enum ReadError {
-    /// The connection ended, or was idle for too long.
+    /// The connection was closed, or its idle timeout expired.
     Ended,
-    /// The request is rejected, and the connection ends.
+    /// The request is rejected with an error response, and the connection is closed.
     Rejected(Code),
 }
 
-/// What becomes of a connection after a request.
+/// Whether a connection is kept open after a request.
 #[derive(PartialEq)]
 enum AfterRequest {
     KeepAlive,
     Close,
 }
 
-/// Serves until the tracker is closing; then accepts what is in the backlog and returns when all
-/// requests are answered.
+/// Serves until the tracker signals a shutdown, then accepts the connections in the backlog and
+/// returns once all connections are closed.
 pub async fn serve(
     runtime: Runtime,
     listener: Box<dyn Listener>,
@@ -71,12 +72,12 @@
     tracker: Arc<ConnectionTracker>,
 ) {
     loop {
-        let closed = async {
+        let shutdown = async {
             tracker.shutdown.wait().await;
             runtime.sleep(BACKLOG_GRACE).await;
             None
         };
-        let Some(accepted) = or(async { Some(listener.accept().await) }, closed).await else {
+        let Some(accepted) = or(async { Some(listener.accept().await) }, shutdown).await else {
             break;
         };
         let Ok(connection) = accepted else {
@@ -102,6 +103,7 @@
     tracker.all_closed().await;
 }
 
+/// Serves the requests of one connection until it is closed.
 async fn serve_connection(
     runtime: Runtime,
     mut connection: Connection,
@@ -114,11 +116,12 @@
     {
         is_first = false;
     }
-    // Fails where the caller has closed it already.
+    // Fails if the caller has already closed the connection.
     let _ = connection.close().await;
     tracker.connection_closed();
 }
 
+/// Reads, handles and answers the next request of a connection.
 async fn serve_request(
     runtime: &Runtime,
     connection: &mut Connection,
@@ -126,7 +129,7 @@
     tracker: &ConnectionTracker,
     is_first: bool,
 ) -> AfterRequest {
-    let (mut request, mut rest) =
+    let (mut request, mut body_rest) =
         match read_head(runtime, connection.clone(), tracker, is_first).await {
             Ok(head) => head,
             Err(error) => return end_connection(runtime, connection, error).await,
@@ -137,11 +140,11 @@
     };
     tracker.active_requests.fetch_add(1, SeqCst);
     let method = request.method();
-    let closes = request
+    let wants_close = request
         .header("connection")
         .is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"));
     let mut response = handler(buffered_request(&request, body)).await;
-    let is_last = closes || tracker.shutdown.is_set();
+    let is_last = wants_close || tracker.shutdown.is_set();
     if is_last {
         response.insert_header("connection", "close");
     }
@@ -157,11 +160,11 @@
         .await
         .unwrap_or(Err(io::ErrorKind::TimedOut.into()));
     tracker.request_ended();
-    // What is left of the body would be taken for the next head. Where it cannot be read, the next
-    // head cannot either.
+    // The rest of the body would otherwise be parsed as the next head. If it cannot be read, neither
+    // can the next head, so an error needs no handling here.
     let mut discarded = Vec::new();
     let _ = runtime
-        .timeout(FINISH_TIMEOUT, rest.read_to_end(&mut discarded))
+        .timeout(FINISH_TIMEOUT, body_rest.read_to_end(&mut discarded))
         .await;
     if sent.is_ok() && !is_last {
         AfterRequest::KeepAlive
@@ -170,6 +173,7 @@
     }
 }
 
+/// Sends an error response if the request was rejected; the connection is to be closed.
 async fn end_connection(
     runtime: &Runtime,
     connection: &Connection,
@@ -181,7 +185,8 @@
     AfterRequest::Close
 }
 
-/// Reads the head of a request. Also returns a reader of what the body's reader leaves.
+/// Reads the head of a request. Also returns a reader for the bytes of the body that are not consumed
+/// through the request.
 async fn read_head(
     runtime: &Runtime,
     connection: Connection,
@@ -194,8 +199,8 @@
     } else {
         IDLE_CONNECTION_TIMEOUT
     };
-    let closed = async {
-        // The caller of a new connection is about to send its first request.
+    let shutdown = async {
+        // The first request of a new connection is expected shortly, so a shutdown does not cancel it.
         if is_first {
             std::future::pending::<()>().await;
         }
@@ -204,13 +209,13 @@
         Some(Ok(None))
     };
     let decode = runtime.timeout(timeout, async_h1::server::decode(connection.clone()));
-    let head = match or(decode, closed).await {
+    let head = match or(decode, shutdown).await {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return Err(ReadError::Ended),
         Some(Err(_)) if connection.read_limit_reached() => {
             return Err(ReadError::Rejected(Code::TooLarge));
         }
-        // async-h1 has no error type for a head beyond its own limit.
+        // async-h1 has no error type for a head that exceeds its own limit.
         Some(Err(error)) if error.to_string().contains("8kb") => {
             return Err(ReadError::Rejected(Code::TooLarge));
         }
@@ -222,14 +227,14 @@
     Ok(head)
 }
 
-/// Reads the body of a request completely.
+/// Reads the complete body of a request.
 async fn read_body(runtime: &Runtime, request: &mut Request) -> Result<Vec<u8>, ReadError> {
     let expected = request.len();
     if expected.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(ReadError::Rejected(Code::TooLarge));
     }
     let mut body = Vec::new();
-    // One byte more than allowed tells a body that is too large.
+    // Reading one byte more than allowed detects a body that is too large.
     let mut reader = request.take_body().take(MAX_BODY_BYTES as u64 + 1);
     let read = runtime
         .timeout(BODY_TIMEOUT, reader.read_to_end(&mut body))
@@ -245,6 +250,7 @@
     }
 }
 
+/// Combines the head and the body of a request.
 fn buffered_request(request: &Request, body: Vec<u8>) -> BufferedRequest {
     let unquoted = |name: &str| {
         request
@@ -261,6 +267,7 @@
     }
 }
 
+/// Sends a response to a request with the given method.
 async fn send(connection: &mut Connection, response: Response, method: Method) -> io::Result<()> {
     let mut encoder = async_h1::server::Encoder::new(response, method);
     futures_lite::io::copy(&mut encoder, connection)
@@ -268,6 +275,7 @@
         .map(|_| ())
 }
 
+/// Sends an error response and closes the connection.
 async fn reject_and_close(runtime: &Runtime, mut connection: Connection, code: Code) {
     let mut response = error_response(code, "", code.retry_after_s());
     response.insert_header("connection", "close");
@@ -277,6 +285,6 @@
             send(&mut connection, response, Method::Post),
         )
         .await;
-    // Fails where the caller has closed it already.
+    // Fails if the caller has already closed the connection.
     let _ = connection.close().await;
 }
--- a/yewcross-common/src/buffered_http/tracker.rs
+++ b/yewcross-common/src/buffered_http/tracker.rs
@@ -1,19 +1,19 @@
-//! Counts open connections and requests in progress, so that a planned stop can wait for them.
+//! Counts open connections and requests in progress, so that a graceful shutdown can wait for them.
 
 use crate::notify::{Latch, Notifier};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-/// Counts what is open, and tells a server to come to an end.
+/// Counts the open connections of a server and signals its shutdown.
 #[derive(Default)]
 pub struct ConnectionTracker {
-    /// Open connections.
+    /// Number of open connections.
     pub open_connections: AtomicUsize,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub active_requests: AtomicUsize,
-    /// Set to end the server: it accepts what is in the backlog, ends idle connections, and lets
-    /// requests in progress finish.
+    /// Set to begin a graceful shutdown: the server accepts the connections in the backlog, closes
+    /// idle connections and completes requests in progress.
     pub shutdown: Latch,
-    /// Notified when either count falls.
+    /// Notified when either count decreases.
     decreased: Notifier,
 }
 
--- a/yewcross-common/src/streaming_http/client.rs
+++ b/yewcross-common/src/streaming_http/client.rs
@@ -1,4 +1,4 @@
-//! Single requests, each on a connection of its own.
+//! HTTP client for single requests, each on a separate connection.
 
 use crate::runtime::Runtime;
 use bytes::Bytes;
@@ -9,52 +9,54 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Connects, sends a request and reads the response completely, all within `timeout` µs. A body of
-/// more than `max_bytes` is an error.
+/// Connects, sends a request and reads the complete response, all within `timeout` µs. Adds a `Host`
+/// header if there is none. A response body of more than `max_bytes` is an error.
 pub async fn fetch(
     runtime: &Runtime,
-    to: SocketAddr,
+    address: SocketAddr,
     mut request: Request<Full<Bytes>>,
     max_bytes: usize,
     timeout: u64,
 ) -> io::Result<Response<Bytes>> {
     if !request.headers().contains_key(header::HOST) {
-        let host = HeaderValue::try_from(to.to_string()).map_err(invalid_data)?;
+        let host = HeaderValue::try_from(address.to_string()).map_err(invalid_data)?;
         request.headers_mut().insert(header::HOST, host);
     }
     runtime
-        .timeout(timeout, exchange(runtime, to, request, max_bytes))
+        .timeout(timeout, send_request(runtime, address, request, max_bytes))
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
 
-async fn exchange(
+/// Opens a connection, sends the request and reads the complete response.
+async fn send_request(
     runtime: &Runtime,
-    to: SocketAddr,
+    address: SocketAddr,
     request: Request<Full<Bytes>>,
     max_bytes: usize,
 ) -> io::Result<Response<Bytes>> {
-    let connection = runtime.connect(to).await?;
+    let connection = runtime.connect(address).await?;
     let (mut sender, driver) = hyper::client::conn::http1::handshake(FuturesIo::new(connection))
         .await
         .map_err(invalid_data)?;
-    let respond = async {
+    let receive_response = async {
         let response = sender.send_request(request).await.map_err(invalid_data)?;
-        let (head, body) = response.into_parts();
+        let (parts, body) = response.into_parts();
         let body = Limited::new(body, max_bytes)
             .collect()
             .await
             .map_err(invalid_data)?;
-        Ok(Response::from_parts(head, body.to_bytes()))
+        Ok(Response::from_parts(parts, body.to_bytes()))
     };
-    let drive = async {
-        // Its error also reaches the request, which decides the outcome.
+    let drive_connection = async {
+        // An error of the connection is ignored here: it is also returned by the request.
         let _ = driver.await;
         std::future::pending().await
     };
-    respond.or(drive).await
+    receive_response.or(drive_connection).await
 }
 
+/// Wraps an error as an I/O error of the kind `InvalidData`.
 fn invalid_data(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, error)
 }
--- a/yewcross-common/src/streaming_http/head_timeout.rs
+++ b/yewcross-common/src/streaming_http/head_timeout.rs
@@ -1,8 +1,8 @@
-//! Limits how long a connection may wait for a request's head.
+//! Limits how long a connection may wait for a request head.
 //!
-//! hyper starts one timer when it begins to wait for a head, and cannot tell an idle connection from
-//! one whose head trickles in. Here the connection records when a head's first byte arrives, and
-//! hyper's timer, which runs by the runtime's clock, ends earlier from then on.
+//! hyper starts a single timer when it begins to wait for a head, and cannot distinguish an idle
+//! connection from one that receives a head slowly. Here, the connection records when the first byte
+//! of a head arrives, and hyper's timer, which uses the runtime's clock, is shortened from then on.
 
 use crate::runtime::{BoxFuture, Connection, Runtime};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -14,73 +14,74 @@
 use std::task::{Context, Poll, ready};
 use std::time::{Duration, Instant};
 
-/// What a connection has received of the head that is being read.
+/// Progress of a connection in receiving the current request head.
 #[derive(Default)]
 pub(super) struct HeadProgress {
-    /// µs (monotonic) of its first byte; 0 while none came.
+    /// Arrival time of the first byte, in µs (monotonic); 0 if none has arrived.
     started: AtomicU64,
-    /// Its request line holds a byte that a target must not have.
+    /// The request line contains a byte that is not allowed in a target.
     is_malformed: AtomicBool,
-    /// Requests answered on the connection.
-    answered: AtomicU64,
+    /// Number of requests answered on the connection.
+    requests_answered: AtomicU64,
 }
 
 impl HeadProgress {
-    /// Whether the request line was malformed; reset for the next request.
+    /// Whether the request line is malformed. Resets the flag for the next request.
     pub(super) fn take_malformed(&self) -> bool {
         self.is_malformed.swap(false, SeqCst)
     }
 
-    /// The request is answered: the next byte belongs to the next head.
+    /// Records that the request was answered: the next byte received starts the next head.
     pub(super) fn request_ended(&self) {
         self.started.store(0, SeqCst);
-        self.answered.fetch_add(1, SeqCst);
+        self.requests_answered.fetch_add(1, SeqCst);
     }
 }
 
-/// A connection that records the progress of heads.
-pub(super) struct HeadWatcher {
+/// A connection that records the progress of request heads.
+pub(super) struct HeadProgressRecorder {
     connection: Connection,
     runtime: Runtime,
     progress: Arc<HeadProgress>,
-    /// Number of the request whose line was read completely; they are counted from 1.
-    line_read: u64,
+    /// Number, counted from 1, of the last request whose request line was received completely.
+    last_line_received: u64,
 }
 
-impl HeadWatcher {
+impl HeadProgressRecorder {
     pub(super) fn new(
         connection: Connection,
         runtime: Runtime,
         progress: Arc<HeadProgress>,
-    ) -> HeadWatcher {
-        HeadWatcher {
+    ) -> HeadProgressRecorder {
+        HeadProgressRecorder {
             connection,
             runtime,
             progress,
-            line_read: 0,
+            last_line_received: 0,
         }
     }
 
+    /// Updates the progress with newly received bytes.
     fn record(&mut self, received: &[u8]) {
-        let request_number = self.progress.answered.load(SeqCst) + 1;
-        if received.is_empty() || self.line_read == request_number {
+        let request_number = self.progress.requests_answered.load(SeqCst) + 1;
+        if received.is_empty() || self.last_line_received == request_number {
             return;
         }
         if self.progress.started.load(SeqCst) == 0 {
             self.progress.started.store(self.runtime.now(), SeqCst);
         }
         let line_end = received.iter().position(|byte| *byte == b'\n');
-        // hyper would drop a fragment from the target silently.
+        // hyper would silently remove a fragment from the target.
         if received[..line_end.unwrap_or(received.len())].contains(&b'#') {
             self.progress.is_malformed.store(true, SeqCst);
         }
         if line_end.is_some() {
-            self.line_read = request_number;
+            self.last_line_received = request_number;
         }
     }
 }
 
-impl AsyncRead for HeadWatcher {
+impl AsyncRead for HeadProgressRecorder {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -92,7 +93,7 @@
     }
 }
 
-impl AsyncWrite for HeadWatcher {
+impl AsyncWrite for HeadProgressRecorder {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -110,28 +111,29 @@
     }
 }
 
-/// hyper's clock and timers, by the runtime's time.
+/// Provides hyper with a clock and timers based on the runtime's clock.
 pub(super) struct HeadTimer {
     pub(super) runtime: Runtime,
-    /// What hyper takes for the runtime's time 0.
+    /// The `Instant` that corresponds to time 0 of the runtime's clock.
     pub(super) epoch: Instant,
+    /// Progress of the connection that the timers belong to.
     pub(super) progress: Arc<HeadProgress>,
-    /// µs from a head's first byte until it must be complete.
+    /// Time limit from the first byte of a head until it is complete, in µs.
     pub(super) head_timeout: u64,
-    /// µs that a connection may wait for a head's first byte.
+    /// Time limit for the first byte of a head, in µs.
     pub(super) idle_timeout: u64,
 }
 
 impl hyper::rt::Timer for HeadTimer {
     fn sleep(&self, duration: Duration) -> Pin<Box<dyn hyper::rt::Sleep>> {
-        let until = self.runtime.now() + (duration.as_micros() as u64).min(self.idle_timeout);
-        let timer = self.runtime.sleep(until - self.runtime.now());
+        let deadline = self.runtime.now() + (duration.as_micros() as u64).min(self.idle_timeout);
+        let timer = self.runtime.sleep(deadline - self.runtime.now());
         Box::pin(HeadSleep {
             runtime: self.runtime.clone(),
             progress: self.progress.clone(),
             head_timeout: self.head_timeout,
-            until,
-            timer_until: until,
+            deadline,
+            timer_deadline: deadline,
             timer: Mutex::new(timer),
         })
     }
@@ -145,17 +147,17 @@
     }
 }
 
-/// A timer that ends at `until`, or earlier once a head's first byte has come.
+/// A timer that expires at `deadline`, or earlier once the first byte of a head has arrived.
 struct HeadSleep {
     runtime: Runtime,
     progress: Arc<HeadProgress>,
-    /// µs from a head's first byte until it must be complete.
+    /// Time limit from the first byte of a head until it is complete, in µs.
     head_timeout: u64,
-    /// µs (monotonic).
-    until: u64,
-    /// µs (monotonic) that `timer` is set to.
-    timer_until: u64,
-    /// In a mutex because hyper's timers must be `Sync`; never contended.
+    /// Latest expiry, in µs (monotonic).
+    deadline: u64,
+    /// Time that `timer` is set to, in µs (monotonic).
+    timer_deadline: u64,
+    /// In a mutex only because hyper requires timers to be `Sync`; the mutex is never contended.
     timer: Mutex<BoxFuture<'static, ()>>,
 }
 
@@ -164,18 +166,18 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let started = self.progress.started.load(SeqCst);
-        let until = if started > 0 {
-            self.until.min(started + self.head_timeout)
+        let deadline = if started > 0 {
+            self.deadline.min(started + self.head_timeout)
         } else {
-            self.until
+            self.deadline
         };
         let now = self.runtime.now();
-        if now >= until {
+        if now >= deadline {
             return Poll::Ready(());
         }
-        if until < self.timer_until {
-            self.timer_until = until;
-            let timer = self.runtime.sleep(until - now);
+        if deadline < self.timer_deadline {
+            self.timer_deadline = deadline;
+            let timer = self.runtime.sleep(deadline - now);
             *self.timer.get_mut().unwrap() = timer;
         }
         self.timer.get_mut().unwrap().as_mut().poll(cx)
--- a/yewcross-common/src/streaming_http/mod.rs
+++ b/yewcross-common/src/streaming_http/mod.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 by hyper over the runtime's connections, with bodies that are streamed. Targets pass
-//! byte for byte; a request whose target could not is answered by 400.
+//! HTTP/1.1 with streamed bodies, based on hyper and the runtime's connections. Request targets are
+//! preserved byte for byte; a request whose target cannot be preserved is rejected with status 400.
 //!
-//! - `tracker`: counts open connections and brings a server to an end.
-//! - `head_timeout`: limits how long a request's head may take.
+//! - `tracker`: counts open connections and shuts a server down.
+//! - `head_timeout`: limits how long receiving a request head may take.
 //! - `server`: accepts connections and serves requests.
-//! - `client`: single requests on connections of their own.
+//! - `client`: sends single requests, each on a separate connection.
 
 mod client;
 mod head_timeout;
@@ -19,10 +19,10 @@
 use http_body_util::{BodyExt, Full};
 use std::io;
 
-/// The body of a response.
+/// A response body, which may be streamed.
 pub type Body = http_body_util::combinators::BoxBody<Bytes, io::Error>;
 
-/// A body whose bytes are all known.
+/// Creates a body from bytes that are completely available.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
--- a/yewcross-common/src/streaming_http/server.rs
+++ b/yewcross-common/src/streaming_http/server.rs
@@ -1,6 +1,6 @@
-//! Accepts connections and serves their requests.
+//! HTTP server: accepts connections and serves their requests concurrently.
 
-use super::head_timeout::{HeadProgress, HeadTimer, HeadWatcher};
+use super::head_timeout::{HeadProgress, HeadProgressRecorder, HeadTimer};
 use super::tracker::ConnectionTracker;
 use super::{Body, full};
 use crate::configuration::route::Limits;
@@ -18,17 +18,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes of hyper's buffer for a connection, at least.
+/// Minimum size of hyper's buffer for a connection, in bytes.
 const BUFFER_BYTES_MIN: usize = 8 << 10;
 
-/// µs until the next attempt after a failure to accept, such as a lack of file descriptors.
+/// Delay in µs before the next attempt after a failed accept, for instance for lack of file
+/// descriptors.
 const ACCEPT_BACKOFF: u64 = 10 * MS;
 
-/// Answers a request of a caller at the address. Its future is dropped when the caller goes.
+/// Handles a request from the given address. The future is dropped when the caller disconnects.
 pub type Handler =
     Arc<dyn Fn(Request<Incoming>, SocketAddr) -> BoxFuture<'static, Response<Body>> + Send + Sync>;
 
-/// A request in progress, until it is dropped.
+/// Represents a request in progress, which ends when the guard is dropped.
 struct RequestGuard {
     tracker: Arc<ConnectionTracker>,
     progress: Arc<HeadProgress>,
@@ -48,17 +49,18 @@
     }
 }
 
+/// Answers one request: malformed ones with status 400, others with the handler's response.
 async fn serve_request(
     handler: Handler,
     request: Request<Incoming>,
-    from: SocketAddr,
+    caller: SocketAddr,
     guard: RequestGuard,
 ) -> Result<Response<Body>, Infallible> {
     let is_malformed = guard.progress.take_malformed() || request.uri().authority().is_some();
     let mut response = if is_malformed {
         bad_request()
     } else {
-        handler(request, from).await
+        handler(request, caller).await
     };
     if is_malformed || guard.tracker.keep_alive_disabled() {
         response
@@ -74,6 +76,7 @@
     response
 }
 
+/// Serves the requests of one connection until it is closed.
 async fn serve_connection(
     runtime: Runtime,
     connection: Connection,
@@ -81,7 +84,7 @@
     limits: Limits,
     tracker: Arc<ConnectionTracker>,
 ) {
-    let (progress, from) = (Arc::new(HeadProgress::default()), connection.peer);
+    let (progress, caller) = (Arc::new(HeadProgress::default()), connection.peer);
     let idle_ms = limits.idle_ms.max(limits.head_ms);
     let timer = HeadTimer {
         runtime: runtime.clone(),
@@ -93,9 +96,13 @@
     let (request_tracker, request_progress) = (tracker.clone(), progress.clone());
     let service = hyper::service::service_fn(move |request| {
         let guard = RequestGuard::new(request_tracker.clone(), request_progress.clone());
-        serve_request(handler.clone(), request, from, guard)
+        serve_request(handler.clone(), request, caller, guard)
     });
-    let io = FuturesIo::new(HeadWatcher::new(connection, runtime.clone(), progress));
+    let io = FuturesIo::new(HeadProgressRecorder::new(
+        connection,
+        runtime.clone(),
+        progress,
+    ));
     let mut serving = pin!(
         hyper::server::conn::http1::Builder::new()
             .timer(timer)
@@ -105,7 +112,7 @@
             .auto_date_header(false)
             .serve_connection(io, service)
     );
-    // Errors of a connection are its caller's: nothing is left to answer on it.
+    // Errors of the connection are ignored: no response can be sent on it any more.
     let has_ended = async {
         let _ = serving.as_mut().await;
         true
@@ -115,7 +122,7 @@
         false
     })
     .await;
-    // What the caller sends at this very moment is still served.
+    // Requests that arrive while the shutdown begins are still served.
     if !has_ended
         && runtime
             .timeout(CLOSING_LINGER, serving.as_mut())
@@ -128,8 +135,8 @@
     tracker.connection_closed();
 }
 
-/// Serves until the tracker is closed; then accepts what is in the backlog and returns when all
-/// requests are answered. `limits` is read for each connection.
+/// Serves until the tracker begins a shutdown, then accepts the connections in the backlog and returns
+/// once all requests are answered. `limits` is evaluated for each connection.
 pub async fn serve(
     runtime: Runtime,
     listener: Box<dyn Listener>,
@@ -137,9 +144,10 @@
     limits: Arc<dyn Fn() -> Limits + Send + Sync>,
     tracker: Arc<ConnectionTracker>,
 ) {
-    // The listener counts as a connection, so that the tracker is not empty before it is closed.
+    // The listener counts as a connection, so that the tracker does not report all connections as
+    // closed while the listener is open.
     tracker.connection_opened();
-    let start = |connection: Connection| {
+    let spawn_connection = |connection: Connection| {
         tracker.connection_opened();
         runtime.spawn(serve_connection(
             runtime.clone(),
@@ -158,32 +166,32 @@
             .await;
         match accepted {
             Some(Ok(connection)) if tracker.open_connections() <= MAX_CALLER_CONNECTIONS => {
-                start(connection)
+                spawn_connection(connection)
             }
-            // Beyond that many, connections are closed at once.
+            // Connections above the limit are closed immediately.
             Some(Ok(connection)) => drop(connection),
             Some(Err(_)) => runtime.sleep(ACCEPT_BACKOFF).await,
             None => break,
         }
     }
     while let Some(Ok(connection)) = runtime.timeout(CLOSING_LINGER, listener.accept()).await {
-        start(connection);
+        spawn_connection(connection);
     }
     drop(listener);
     tracker.connection_closed();
     tracker.all_closed().await;
 }
 
-/// Why a body could not be read.
+/// The reason why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyReadError {
-    /// It is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The connection failed, or the body is malformed.
+    /// The body was not received completely, or is malformed.
     Incomplete,
 }
 
-/// Reads a body completely, if it has no more than `max_bytes`.
+/// Reads a complete body of at most `max_bytes`.
 pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, BodyReadError> {
     use hyper::body::Body as _;
     if body.size_hint().lower() > max_bytes as u64 {
--- a/yewcross-common/src/streaming_http/tracker.rs
+++ b/yewcross-common/src/streaming_http/tracker.rs
@@ -1,9 +1,10 @@
-//! Counts open connections and requests in progress, and brings a server to an end.
+//! Counts open connections and requests in progress, and shuts a server down.
 
 use async_channel::{Receiver, Sender};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 
-/// A signal that is given once; a channel that never carries anything and is closed to give it.
+/// A one-time signal, implemented as a channel that never carries an item and is closed to send the
+/// signal.
 struct Signal {
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -17,81 +18,87 @@
 }
 
 impl Signal {
-    fn give(&self) {
+    /// Sends the signal; repeated calls have no effect.
+    fn send(&self) {
         self.sender.close();
     }
 
+    /// Returns once the signal has been sent.
     async fn wait(&self) {
-        // The error that the channel is closed is the signal.
+        // The channel never carries an item: `recv` returns only once it is closed.
         let _ = self.receiver.recv().await;
     }
 }
 
-/// Counts what is open, and tells all connections of a server to come to an end. Those who wait are
-/// woken by events only.
+/// Counts the open connections of a server and signals its shutdown to all of them. Waiting tasks are
+/// woken by events, without polling.
 #[derive(Default)]
 pub struct ConnectionTracker {
-    is_last: AtomicBool,
-    /// Open connections, and the listener while it accepts.
-    open: AtomicUsize,
-    /// Requests in progress.
-    busy: AtomicUsize,
-    closing: Signal,
-    empty: Signal,
+    /// Each response closes its connection.
+    keep_alive_disabled: AtomicBool,
+    /// Number of open connections, plus one for the listener while it is open.
+    open_connections: AtomicUsize,
+    /// Number of requests in progress.
+    active_requests: AtomicUsize,
+    /// Sent when the shutdown begins.
+    shutdown: Signal,
+    /// Sent when the listener and all connections are closed.
+    all_closed: Signal,
 }
 
 impl ConnectionTracker {
-    /// From now on each response is its connection's last; new connections are still accepted.
+    /// Closes each connection after its next response; new connections are still accepted.
     pub fn disable_keep_alive(&self) {
-        self.is_last.store(true, SeqCst);
+        self.keep_alive_disabled.store(true, SeqCst);
     }
 
-    /// Whether each response is its connection's last.
+    /// Whether each connection is closed after its next response.
     pub fn keep_alive_disabled(&self) -> bool {
-        self.is_last.load(SeqCst)
+        self.keep_alive_disabled.load(SeqCst)
     }
 
-    /// Accepts what is in the backlog, ends idle connections, and lets requests in progress finish.
+    /// Begins a graceful shutdown: the server accepts the connections in the backlog, closes idle
+    /// connections and completes requests in progress.
     pub fn begin_shutdown(&self) {
         self.disable_keep_alive();
-        self.closing.give();
+        self.shutdown.send();
     }
 
-    /// Returns once [`ConnectionTracker::close`] was called.
+    /// Returns once [`ConnectionTracker::begin_shutdown`] has been called.
     pub async fn shutdown_started(&self) {
-        self.closing.wait().await;
+        self.shutdown.wait().await;
     }
 
-    /// Returns once the listener is closed and no connection is open.
+    /// Returns once the listener and all connections are closed.
     pub async fn all_closed(&self) {
-        self.empty.wait().await;
+        self.all_closed.wait().await;
     }
 
-    /// Open connections; the listener counts as one.
+    /// Number of open connections; the listener counts as one.
     pub fn open_connections(&self) -> usize {
-        self.open.load(SeqCst)
+        self.open_connections.load(SeqCst)
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn active_requests(&self) -> usize {
-        self.busy.load(SeqCst)
+        self.active_requests.load(SeqCst)
     }
 
     pub(super) fn connection_opened(&self) {
-        self.open.fetch_add(1, SeqCst);
+        self.open_connections.fetch_add(1, SeqCst);
     }
 
     pub(super) fn connection_closed(&self) {
-        if self.open.fetch_sub(1, SeqCst) == 1 {
-            self.empty.give();
+        if self.open_connections.fetch_sub(1, SeqCst) == 1 {
+            self.all_closed.send();
         }
     }
 
     pub(super) fn request_started(&self) {
-        self.busy.fetch_add(1, SeqCst);
+        self.active_requests.fetch_add(1, SeqCst);
     }
 
     pub(super) fn request_ended(&self) {
-        self.busy.fetch_sub(1, SeqCst);
+        self.active_requests.fetch_sub(1, SeqCst);
     }
 }
