--- a/yewcross-common/src/lib.rs
+++ b/yewcross-common/src/lib.rs
@@ -1,6 +1,6 @@
-//! Code shared by all nodes of the tier: the runtime, the transport between nodes, membership,
-//! replicated registers and the turn log, the documents that every node caches, durable storage, and
-//! the messages that nodes exchange.
+//! Code shared by all nodes of the tier: the runtime, the transport between nodes, cluster
+//! membership, replicated registers, the turn log, the documents cached by every node, durable
+//! storage, and the messages exchanged between nodes.
 
 pub mod adapter;
 pub mod buffered_http;
--- a/yewcross-common/src/notify.rs
+++ b/yewcross-common/src/notify.rs
@@ -1,9 +1,9 @@
-//! Waiting for a change of state without polling.
+//! Primitives for waiting for a change of state without polling.
 
 use event_listener::Event;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 
-/// A flag that is set once and never cleared, and that can be waited for.
+/// A flag that is set once, is never cleared, and can be awaited.
 #[derive(Debug, Default)]
 pub struct Latch {
     is_set: AtomicBool,
@@ -11,7 +11,7 @@
 }
 
 impl Latch {
-    /// Sets the flag and wakes all who wait for it.
+    /// Sets the flag and wakes all waiting tasks.
     pub fn set(&self) {
         self.is_set.store(true, SeqCst);
         self.notifier.notify();
@@ -28,22 +28,22 @@
     }
 }
 
-/// Wakes those who wait for a condition; notified after each change that the condition may depend
-/// on.
+/// Wakes tasks that wait for a condition. It must be notified after each change that the condition
+/// depends on.
 #[derive(Debug, Default)]
 pub struct Notifier(Event);
 
 impl Notifier {
-    /// Wakes all who wait; costs next to nothing when nobody does.
+    /// Wakes all waiting tasks; almost free of cost if there are none.
     pub fn notify(&self) {
         self.0.notify(usize::MAX);
     }
 
-    /// Returns once `condition` holds; it is evaluated now and after each notification.
+    /// Returns once `condition` is true. It is evaluated immediately and after each notification.
     pub async fn wait_until(&self, mut condition: impl FnMut() -> bool) {
         while !condition() {
-            // A change between the first evaluation and this line is seen by the second one; any
-            // later one wakes the listener.
+            // A change between the first evaluation and the registration of the listener is observed
+            // by the second evaluation; any later change wakes the listener.
             let listener = self.0.listen();
             if condition() {
                 return;
--- a/yewcross-common/src/process_settings.rs
+++ b/yewcross-common/src/process_settings.rs
@@ -1,4 +1,4 @@
-//! A process's settings: the startup file, which is read and validated before anything is bound.
+//! Process settings: the startup file, which is read and validated before any socket is bound.
 
 use crate::constants::{WIRE_VERSION, WIRE_VERSION_MIN};
 use serde::{Deserialize, Serialize};
@@ -6,94 +6,96 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Bytes of a node's or site's name, at most.
+/// Maximum length of the name of a node or site, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// Threads that run tasks.
+/// Allowed numbers of threads that run tasks.
 const THREADS_ALLOWED: RangeInclusive<usize> = 1..=64;
 
+/// Number of threads that run tasks, unless set.
 const THREADS_DEFAULT: usize = 2;
 
-/// What a process does in the tier.
+/// The role of a process in the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes requests from callers and sends them to servers.
+    /// Accepts requests from callers and forwards them to servers.
     Front,
-    /// Holds the tier's documents; one of the cores runs the singleton tasks.
+    /// Stores the tier's documents; one of the cores runs the singleton tasks.
     Core,
-    /// Holds sessions, turns and budgets.
+    /// Stores sessions, turns and budgets.
     Store,
 }
 
-/// The startup file.
+/// The contents of the startup file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessSettings {
     /// Name of the node, unique in the tier.
     pub name: String,
-    /// What the process does.
+    /// Role of the process.
     pub role: Role,
-    /// Site (failure domain) that it runs in.
+    /// Site (failure domain) that the process runs in.
     pub site: String,
-    /// Address for requests of other processes of the tier.
+    /// Listening address for requests of other processes of the tier.
     pub peer: SocketAddr,
-    /// Address for requests of callers (front) or operators (core, store).
+    /// Listening address for requests of callers (front) or operators (core, store).
     pub http: SocketAddr,
-    /// Peer addresses of other processes, by which this one joins the tier.
+    /// Peer addresses of other processes, which this one contacts to join the tier.
     pub seeds: Vec<SocketAddr>,
-    /// Folder for state; core and store only.
+    /// Data folder for durable state; core and store only.
     #[serde(default)]
     pub data: String,
     /// Address of the platform's server list; core only.
     #[serde(default)]
     pub platform: Option<SocketAddr>,
-    /// Threads that run tasks.
+    /// Number of threads that run tasks.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Newest frame version to speak; set to an older one while a tier is upgraded, or downgraded.
+    /// Newest frame version to use; set to an older one while a tier is being upgraded or downgraded.
     #[serde(default = "default_wire_version")]
     pub wire: u16,
-    /// Bootstrap the tier without an operator; set only for the very first start, on empty disks.
+    /// Bootstrap the tier without an operator; set only for the first start of a tier, with empty
+    /// disks.
     #[serde(default)]
     #[serde(rename = "found")]
     pub bootstrap: bool,
-    /// What the tier has to guarantee.
+    /// Guarantees that the tier has to provide.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// What the tier has to guarantee where it runs. Times in ms.
+/// The fault tolerance, time limits and resource limits of a deployment. Times are in ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Nodes with disks that may be lost at the same time.
+    /// Number of nodes with disks that may be lost at the same time.
     pub lost: usize,
-    /// Zones that may be lost at the same time; each counts as one node of a role.
+    /// Number of zones that may be lost at the same time; each counts as one node of a role.
     pub lost_zones: usize,
-    /// Regions that may be lost at the same time; each counts as one node of a role.
+    /// Number of regions that may be lost at the same time; each counts as one node of a role.
     pub lost_regions: usize,
     /// Interval between the probes of a node.
     #[serde(rename = "beat")]
     pub probe_interval: u64,
-    /// A node that has been in contact for this long is bound by the time limits.
+    /// The time limits apply to a node once it has been in contact for this long.
     pub contact: u64,
-    /// Until an acknowledged configuration is in force everywhere.
+    /// Time limit until an acknowledged configuration is applied on all nodes.
     pub apply: u64,
-    /// Until an operator's order is answered.
+    /// Time limit until an operator's request is answered.
     pub ack: u64,
-    /// Until no request reaches a server known to be draining.
+    /// Time limit until requests are no longer sent to a server that is draining.
     pub drain: u64,
-    /// From the signal to stop until the process is killed.
+    /// Time from the termination signal until the process is killed.
     pub grace: u64,
-    /// Until an empty disk holds its replicas again.
+    /// Time limit until the replicas on an empty disk are restored.
     pub catch_up: u64,
-    /// Until an event of a stream is forwarded.
+    /// Time limit until an event of a stream is forwarded.
     #[serde(rename = "pass")]
     pub event_forwarding: u64,
-    /// Memory that the process may use, in MB; 0: unbounded.
+    /// Memory limit of the process, in MB; 0 for no limit.
     pub memory_mb: u64,
-    /// File descriptors for sockets and data files; 0: unbounded.
+    /// Limit of file descriptors for sockets and data files; 0 for no limit.
     pub files: u64,
 }
 
@@ -125,7 +127,7 @@
     THREADS_DEFAULT
 }
 
-/// Why settings cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -133,45 +135,45 @@
     Unreadable {
         /// Path of the file.
         path: String,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML of the settings' form.
-    #[snafu(display("{path}: {why}"))]
+    /// The file is not valid TOML, or does not have the structure of [`ProcessSettings`].
+    #[snafu(display("{path}: {reason}"))]
     Malformed {
         /// Path of the file.
         path: String,
-        /// What is wrong, and where.
-        why: String,
+        /// Message of the TOML parser.
+        reason: String,
     },
     /// A setting has an invalid value.
-    #[snafu(display("{key}: {why}"))]
+    #[snafu(display("{key}: {reason}"))]
     Invalid {
         /// Name of the setting.
         key: &'static str,
-        /// What is allowed.
-        why: &'static str,
+        /// The rule that the value violates.
+        reason: &'static str,
     },
 }
 
 /// Process exit codes.
 pub mod exit {
-    /// The process did what it was started for.
+    /// The process completed successfully.
     pub const OK: i32 = 0;
-    /// The command line is wrong.
+    /// The command line is invalid.
     pub const USAGE: i32 = 2;
-    /// The startup file, or another input file, cannot be used.
+    /// The startup file or another input file is missing or invalid.
     pub const BAD_STARTUP: i32 = 3;
     /// An address cannot be bound.
     pub const CANNOT_BIND: i32 = 4;
     /// The data folder cannot be used.
     pub const BAD_DISK: i32 = 5;
-    /// A younger process of the same name has replaced this one.
+    /// A process with the same name that was started later has replaced this one.
     pub const REPLACED: i32 = 6;
 }
 
 impl ProcessSettings {
-    /// Reads a startup file. The values are not validated yet, see [`ProcessSettings::check`].
+    /// Reads a startup file without validating the values, see [`ProcessSettings::validate`].
     pub fn read(path: &str) -> Result<ProcessSettings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.into(),
@@ -179,12 +181,12 @@
         })?;
         toml::from_str(&text).map_err(|error| SettingsError::Malformed {
             path: path.into(),
-            why: error.message().to_string(),
+            reason: error.message().to_string(),
         })
     }
 
-    /// Reads the startup file again. Only seeds and the platform's address may have changed; `Err`
-    /// says what is wrong.
+    /// Reads the startup file again and validates it. Only the seeds and the platform's address may
+    /// have changed; `Err` contains the reason for a rejection.
     pub fn reload(&self, path: &str) -> Result<ProcessSettings, String> {
         let reloaded = ProcessSettings::read(path).map_err(|error| error.to_string())?;
         if let Some(error) = reloaded.validate(self.role == Role::Front).first() {
@@ -196,7 +198,7 @@
         Ok(reloaded)
     }
 
-    /// Whether a setting differs that is read at the start only.
+    /// Whether any setting differs that is read only at the start of the process.
     fn needs_restart(&self, running: &ProcessSettings) -> bool {
         self.name != running.name
             || self.role != running.role
@@ -208,38 +210,38 @@
             || self.wire != running.wire
     }
 
-    /// Validates the settings for a front, or for a core or store: all errors, not just the first.
-    pub fn validate(&self, front: bool) -> Vec<SettingsError> {
+    /// Validates the settings for a front, or else for a core or store. Returns all errors.
+    pub fn validate(&self, is_front: bool) -> Vec<SettingsError> {
         const NAME_RULE: &str = "must be 1 to 64 letters, digits, - or _";
-        let speaks_wire_version = (WIRE_VERSION_MIN..=WIRE_VERSION).contains(&self.wire);
+        let supports_wire_version = (WIRE_VERSION_MIN..=WIRE_VERSION).contains(&self.wire);
         let checks = [
-            (is_name(&self.name), "name", NAME_RULE),
-            (is_name(&self.site), "site", NAME_RULE),
+            (is_valid_name(&self.name), "name", NAME_RULE),
+            (is_valid_name(&self.site), "site", NAME_RULE),
             (
-                front == (self.role == Role::Front),
+                is_front == (self.role == Role::Front),
                 "role",
-                "this program does not run that role",
+                "this program does not support the role",
             ),
             (
                 !self.seeds.is_empty(),
                 "seeds",
-                "name at least one other process",
+                "must list at least one other process",
             ),
             (self.peer != self.http, "http", "must differ from peer"),
             (
                 !self.peer.ip().is_unspecified(),
                 "peer",
-                "must be an address others can reach",
+                "must be an address that other processes can reach",
             ),
             (
-                front || !self.data.is_empty(),
+                is_front || !self.data.is_empty(),
                 "data",
-                "a folder is needed for this role",
+                "a data folder is required for this role",
             ),
             (
-                speaks_wire_version,
+                supports_wire_version,
                 "wire",
-                "not a version this program speaks",
+                "not a frame version that this program supports",
             ),
             (
                 THREADS_ALLOWED.contains(&self.threads),
@@ -250,26 +252,27 @@
         checks
             .into_iter()
             .filter(|(is_valid, _, _)| !is_valid)
-            .map(|(_, key, why)| SettingsError::Invalid { key, why })
+            .map(|(_, key, reason)| SettingsError::Invalid { key, reason })
             .collect()
     }
 }
 
-fn is_name(text: &str) -> bool {
+/// Whether a text is a valid name of a node or site.
+fn is_valid_name(text: &str) -> bool {
     (1..=NAME_BYTES_MAX).contains(&text.len())
         && text
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_')
 }
 
-/// Reads and validates a startup file; prints all errors and ends the process where there are any.
-/// With `only_check` the process ends in any case.
-pub fn load(path: &str, front: bool, only_check: bool) -> ProcessSettings {
+/// Reads and validates a startup file. On errors, prints all of them and exits the process. With
+/// `only_check`, also exits the process if the settings are valid.
+pub fn load(path: &str, is_front: bool, only_check: bool) -> ProcessSettings {
     let settings = ProcessSettings::read(path).unwrap_or_else(|error| {
         eprintln!("{error}");
         std::process::exit(exit::BAD_STARTUP)
     });
-    let errors = settings.validate(front);
+    let errors = settings.validate(is_front);
     for error in &errors {
         eprintln!("{path}: {error}");
     }
@@ -277,7 +280,7 @@
         std::process::exit(exit::BAD_STARTUP);
     }
     if only_check {
-        println!("{path}: sound");
+        println!("{path}: valid");
         std::process::exit(exit::OK);
     }
     settings
