--- a/yewcross-proxy/src/kv.rs
+++ b/yewcross-proxy/src/kv.rs
@@ -678,7 +678,7 @@
     }
 }
 
-/// Keeps a pushed replica in this proxy's memory, for at most `KV_RECORDS` sessions.
+/// Keeps a pushed replica in this proxy's memory, for at most `KV_TRANSFER_RECORDS` sessions.
 fn keep_replica(front: &Front, key: &str, replica: &CachedPrefix) {
     let mut replicas = front.replicas.lock().unwrap();
     replicas.insert(key.into(), replica.clone());
@@ -775,7 +775,7 @@
     front
         .push_pacer
         .charge_link(front.runtime.now(), &home.server, saved.bytes, link_bytes);
-    let parameters = json ! ( { "session" : key , "digest" : saved . digest , "base" : base , "to" : target . listed . addr , "target" : target . listed . server , "service" : class . service } );
+    let parameters = json!({"session": key, "digest": saved.digest, "base": base, "to": target.listed.addr, "target": target.listed.server, "service": class.service});
     let response = request("/kv/send", parameters)
         .await
         .and_then(|body| serde_json::from_slice::<SendResponse>(&body).ok())
@@ -811,7 +811,7 @@
 pub async fn drop_prefix(front: &Arc<Front>, service: &str, key: &str, server: &str) {
     let list = front.documents.server_list.load_full();
     if let Some(listed) = list.1.servers.iter().find(|listed| listed.server == server) {
-        let body = serde_json::to_vec(&json ! ( { "session" : key } )).unwrap_or_default();
+        let body = serde_json::to_vec(&json!({"session": key})).unwrap_or_default();
         front.counts.drops.fetch_add(1, SeqCst);
         back::request_once(
             &front.runtime,
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -730,7 +730,9 @@
             let metrics = &front.peers.metrics;
             json_response(
                 200,
-                &json ! ( { "counts" : front . counts . all ( ) , "kinds" : * metrics . kinds . lock ( ) . unwrap ( ) , "odd_frames" : front . peers . rejected_frames . load ( SeqCst ) , "messages" : metrics . messages_sent . load ( SeqCst ) , "bytes_within" : metrics . same_site_bytes . load ( SeqCst ) , "bytes_across" : metrics . cross_site_bytes . load ( SeqCst ) , "lines" : front . admission . queue_depths ( ) , "open" : front . connections . open_connections . load ( SeqCst ) ,
+                &json!({"counts": front.counts.all(), "kinds": *metrics.kinds.lock().unwrap(), "odd_frames": front.peers.rejected_frames.load(SeqCst), "messages": metrics.messages_sent.load(SeqCst),
+                    "bytes_within": metrics.same_site_bytes.load(SeqCst), "bytes_across": metrics.cross_site_bytes.load(SeqCst),
+                    "lines": front.admission.queue_depths(), "open": front.connections.open_connections.load(SeqCst),
                     "busy": front.connections.active_requests.load(SeqCst)}),
             )
         }
