--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -18,7 +18,7 @@
 use yewcross_common::protocol::{CheckpointKey, ConfigDoc, Layout, ServerList, SessionCacheState};
 use yewcross_common::register::ReplicaSet;
 use yewcross_common::runtime::Runtime;
-use yewcross_control::layout::{Move, propose};
+use yewcross_control::layout::{DiskChange, propose};
 use yewcross_proxy::scoring::{self, HomeServer, ScoreWeights};
 use yewcross_proxy::server_table::{Server, designated_front};
 
@@ -161,7 +161,7 @@
     /// This configuration is put.
     Config(String),
     /// Disks are admitted, emptied or replaced.
-    Disks(Move),
+    Disks(DiskChange),
     /// A machine or server goes away without notice.
     Without(String),
 }
@@ -367,7 +367,7 @@
         .collect();
 }
 
-fn disks(c: &Checkpoint, p: &mut Plan, m: &Move) {
+fn disks(c: &Checkpoint, p: &mut Plan, m: &DiskChange) {
     let of = |d: &str| c.nodes.iter().find(|n| n.disk == d || n.name == d).cloned();
     let next = match propose(&c.layout, c.layout_seq, m, of) {
         Err(why) => {
--- a/yewcross-capacity/src/main.rs
+++ b/yewcross-capacity/src/main.rs
@@ -2,7 +2,7 @@
 use yewcross_capacity::{Change, Checkpoint, Fault, capacity, load, plan, take};
 use yewcross_common::process_settings::exit;
 use yewcross_common::runtime::os::OsRuntime;
-use yewcross_control::layout::Move;
+use yewcross_control::layout::DiskChange;
 
 xflags::xflags! {
     /// Shows what a change would move, and what a size would cost. Changes nothing.
@@ -90,12 +90,12 @@
     let mut ch = vec![];
     a.empty
         .iter()
-        .for_each(|d| ch.push(Change::Disks(Move::Empty(d.clone()))));
+        .for_each(|d| ch.push(Change::Disks(DiskChange::Remove(d.clone()))));
     a.admit
         .iter()
-        .for_each(|d| ch.push(Change::Disks(Move::Admit(d.clone()))));
+        .for_each(|d| ch.push(Change::Disks(DiskChange::Add(d.clone()))));
     a.replace.iter().for_each(|p| match p.split_once(':') {
-        Some((x, y)) => ch.push(Change::Disks(Move::Replace(x.into(), y.into()))),
+        Some((x, y)) => ch.push(Change::Disks(DiskChange::Replace(x.into(), y.into()))),
         None => fail(exit::USAGE, "--replace: OLD:NEW"),
     });
     a.without
--- a/yewcross-capacity/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -6,7 +6,7 @@
 use yewcross_capacity::{Change, Checkpoint, plan, take};
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
-use yewcross_control::layout::Move;
+use yewcross_control::layout::DiskChange;
 use yewcross_testkit::caller::{self, Ask, Heard};
 use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
@@ -59,7 +59,7 @@
             Box::pin(async move {
                 talk(&lab, 0..1).await;
                 let before = checkpoint(&lab).await;
-                let p = plan(&before, &Change::Disks(Move::Empty("store2".into())));
+                let p = plan(&before, &Change::Disks(DiskChange::Remove("store2".into())));
                 assert!(p.refused.is_empty() && p.copies.len() >= 5, "{}", p.text());
                 assert_eq!(lab.post("core2", "/v1/disks/store2/empty").await.0, 200);
                 let mut safe = false;
--- a/yewcross-common/src/constants/control.rs
+++ b/yewcross-common/src/constants/control.rs
@@ -55,8 +55,8 @@
 pub const LEASE_MARGIN: u64 = 100 * MS;
 /// Interval at which the holder renews the lease, in µs: several rounds may be lost.
 pub const LEASE_RENEWAL_INTERVAL: u64 = 200 * MS;
-/// Longest wait for the response of one granter, in µs. With `UNCONFIRMED_ROUNDS` rounds in flight,
-/// a slower response could not count.
+/// Longest wait for the response of one granter, in µs. With `MAX_UNCONFIRMED_ROUNDS` rounds in
+/// flight, a slower response could not count.
 pub const LEASE_REQUEST_TIMEOUT: u64 = 400 * MS;
 /// A core that no majority answers reports this to an operator within this time, in µs, well before
 /// the operator moves on to another node.
--- a/yewcross-control/src/api.rs
+++ b/yewcross-control/src/api.rs
@@ -81,7 +81,7 @@
     /// Puts an operator's text in force on top of version `base` (0: the first). Any core node may
     /// be asked; answers within `Bounds::ack`.
     pub async fn put(self: &Arc<Self>, base: u64, text: Vec<u8>) -> PutAnswer {
-        if !quorum_contact::reach_quorum(self).await {
+        if !quorum_contact::ensure_quorum_contact(self).await {
             return if self.documents.layout.load().0 == 0 {
                 PutAnswer::NotBootstrapped
             } else {
@@ -93,7 +93,7 @@
 
     /// The newest decided configuration, by a majority of core disks.
     pub async fn read_config(self: &Arc<Self>) -> ReadAnswer {
-        if !quorum_contact::reach_quorum(self).await {
+        if !quorum_contact::ensure_quorum_contact(self).await {
             return ReadAnswer::Away;
         }
         config::newest(self).await
@@ -101,7 +101,7 @@
 
     /// Orders a store machine to be emptied for good. Any core node may be asked, repeatedly.
     pub async fn retire_begin(self: &Arc<Self>, node: &str) -> RetireOutcome {
-        if !quorum_contact::reach_quorum(self).await {
+        if !quorum_contact::ensure_quorum_contact(self).await {
             return RetireOutcome::Unavailable;
         }
         layout::retire(self, node).await
@@ -109,7 +109,7 @@
 
     /// How far the emptying of a store machine has come.
     pub async fn retire_state(self: &Arc<Self>, node: &str) -> RetireState {
-        if !quorum_contact::reach_quorum(self).await {
+        if !quorum_contact::ensure_quorum_contact(self).await {
             return RetireState::Away;
         }
         layout::retirement_state(self, node).await
--- a/yewcross-control/src/config/late_documents.rs
+++ b/yewcross-control/src/config/late_documents.rs
@@ -60,7 +60,7 @@
         .read_record(name)
         .await
         .map_or(0, |record| record.seq);
-    on_disk.max(control.version_heard(name))
+    on_disk.max(control.newest_reported_version(name))
 }
 
 async fn fetch(control: &Arc<Control>, name: &str) {
--- a/yewcross-control/src/contact.rs
+++ b/yewcross-control/src/contact.rs
@@ -1,7 +1,7 @@
 //! Records which core replicas have answered this process lately, and the newest document versions
 //! that they reported.
 
-use crate::lease::quorum;
+use crate::lease::has_quorum;
 use std::collections::BTreeMap;
 use yewcross_common::protocol::ReplicaGroup;
 
@@ -32,7 +32,7 @@
         let mut moments: Vec<u64> = self.answered.values().copied().collect();
         moments.sort_unstable_by(|earlier, later| later.cmp(earlier));
         let has_quorum_at = |moment: u64| {
-            quorum(group, |disk| {
+            has_quorum(group, |disk| {
                 self.answered.get(disk).is_some_and(|sent| *sent >= moment)
             })
         };
--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -74,6 +74,6 @@
         return Ok(Outcome::OtherDisk);
     }
     let rewritten = control.replica.restore().await?;
-    control.chain.restore().await?;
+    control.turn_store.restore().await?;
     Ok(Outcome::Restored { rewritten })
 }
--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -63,7 +63,9 @@
         };
         let is_complete = sweep_once(&control, assignment).await;
         if is_complete && assignment.is_current(&control) {
-            control.swept.store(assignment.version, SeqCst);
+            control
+                .swept_layout_version
+                .store(assignment.version, SeqCst);
         }
         let rest = if assignment.is_changing || !is_complete {
             SWEEP_AGAIN
@@ -86,7 +88,7 @@
         request_sweeps(control);
     }
     for key in keys {
-        control.sweep_left.store(keys_left, SeqCst);
+        control.sweep_keys_left.store(keys_left, SeqCst);
         keys_left -= 1;
         if assignment.is_changing && !assignment.is_current(control) {
             is_complete = false;
@@ -94,7 +96,7 @@
         }
         is_complete &= sweep_key(control, assignment, &key).await;
     }
-    control.sweep_left.store(keys_left, SeqCst);
+    control.sweep_keys_left.store(keys_left, SeqCst);
     is_complete
 }
 
@@ -121,11 +123,12 @@
     control.counters.repaired_records.fetch_add(1, SeqCst);
     // Through the key's first owner, so that replicas of the same key do not compete for it.
     let repair = PeerRequest::RepairKey { key: key.into() };
-    let answer = (control.store.route)(key.into(), repair).await;
+    let answer = (control.record_store.route)(key.into(), repair).await;
     let is_repaired = matches!(answer, Some(PeerResponse::Ok));
     let may_expire = !is_document && !key.starts_with("budget/");
     if is_repaired && may_expire && is_expired(control, key).await {
-        (control.store.route)(key.into(), PeerRequest::ExpireSession { key: key.into() }).await;
+        (control.record_store.route)(key.into(), PeerRequest::ExpireSession { key: key.into() })
+            .await;
     }
     let pause = if assignment.is_changing {
         CHANGING_PAUSE
@@ -142,7 +145,7 @@
         .replica
         .read_record(key)
         .await
-        .is_some_and(|slot| slot.value.is_empty() || control.store.outlived(&slot.value))
+        .is_some_and(|slot| slot.value.is_empty() || control.record_store.outlived(&slot.value))
 }
 
 /// Returns after `rest` us, or when another disk requests a sweep or the layout is another one.
@@ -150,10 +153,10 @@
     let deadline = control.runtime.now() + rest;
     loop {
         let layout_changed = control.documents.changed.listen();
-        let sweep_requested = control.sweep_call.listen();
+        let sweep_requested = control.sweep_requested.listen();
         let now = control.runtime.now();
         if now >= deadline
-            || control.sweep_now.swap(false, SeqCst)
+            || control.is_sweep_requested.swap(false, SeqCst)
             || control.documents.layout.load().0 != assignment.version
         {
             return;
--- a/yewcross-control/src/layout/bootstrap.rs
+++ b/yewcross-control/src/layout/bootstrap.rs
@@ -198,7 +198,7 @@
             plan.propose_if_possible(&control).await;
         } else if is_bootstrapped(&control) {
             control
-                .duties
+                .singleton_tasks
                 .bootstrapped_at
                 .store(control.runtime.now(), SeqCst);
             control.is_bootstrapped.store(true, SeqCst);
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -80,7 +80,7 @@
             .any(|node| node.disk == *disk && node.state == MemberState::Alive)
     };
     let replicas: Vec<&String> = planning::all_disks(layout).collect();
-    let mut missing = control.duties.missing.lock().unwrap();
+    let mut missing = control.singleton_tasks.missing.lock().unwrap();
     missing.retain(|disk, _| replicas.contains(&disk) && !is_alive(disk));
     for disk in replicas.into_iter().filter(|disk| !is_alive(disk)) {
         missing.entry(disk.clone()).or_insert(now);
@@ -104,9 +104,9 @@
     };
     let view = ClusterView {
         live,
-        heard: &control.members.all_nodes(),
-        missing: &missing,
-        lost: control.settings.bounds.lost,
+        recently_seen: &control.members.all_nodes(),
+        missing_us: &missing,
+        max_lost: control.settings.bounds.lost,
     };
     planning::next_step(adopted.layout, adopted.version, &view, role)
 }
@@ -150,7 +150,8 @@
         .count();
     role == Role::Store
         && stores > 0
-        && control.runtime.now() < control.duties.bootstrapped_at.load(SeqCst) + BOOTSTRAP_WAIT
+        && control.runtime.now()
+            < control.singleton_tasks.bootstrapped_at.load(SeqCst) + BOOTSTRAP_WAIT
 }
 
 /// Asks the disks for a report, and has those that do not answer counted as missing and probed.
@@ -166,7 +167,7 @@
     }
     let now = control.runtime.now();
     for disk in &silent {
-        let mut missing = control.duties.missing.lock().unwrap();
+        let mut missing = control.singleton_tasks.missing.lock().unwrap();
         missing.entry(disk.clone()).or_insert(now);
     }
     let silent_nodes: Vec<Node> = silent
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -78,7 +78,7 @@
     let may_vote = |disk: &str| {
         let has_kept = reports
             .iter()
-            .any(|report| report.disk == disk && report.kept >= since);
+            .any(|report| report.disk == disk && report.persisted_layout_version >= since);
         has_kept || !group.previous.iter().any(|outgoing| outgoing == disk)
     };
     for look in 0..READ_ATTEMPTS {
@@ -120,7 +120,7 @@
     let document = control.documents.document(LAYOUT);
     let behind = reports
         .iter()
-        .filter(|report| report.kept < since)
+        .filter(|report| report.persisted_layout_version < since)
         .filter_map(|report| control.members.node_with_disk(&report.disk));
     for node in behind {
         let (peers, content) = (control.peers.clone(), document.content.clone());
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -14,11 +14,11 @@
 
 /// A change of disks. Disks are named by their identity or by the name of their machine.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Move {
+pub enum DiskChange {
     /// Removes a replica; what it stores is transferred to others first.
-    Empty(String),
+    Remove(String),
     /// Adds a replica.
-    Admit(String),
+    Add(String),
     /// Replaces the first disk by the second.
     Replace(String, String),
 }
@@ -47,13 +47,13 @@
 pub fn propose(
     layout: &Layout,
     version: u64,
-    change: &Move,
+    change: &DiskChange,
     node_of: impl Fn(&str) -> Option<Node>,
 ) -> Result<Option<Layout>, DiskChangeError> {
     let (removed, added) = match change {
-        Move::Empty(removed) => (Some(removed), None),
-        Move::Admit(added) => (None, Some(added)),
-        Move::Replace(removed, added) => (Some(removed), Some(added)),
+        DiskChange::Remove(removed) => (Some(removed), None),
+        DiskChange::Add(added) => (None, Some(added)),
+        DiskChange::Replace(removed, added) => (Some(removed), Some(added)),
     };
     let removed = removed
         .map(|wanted| {
@@ -131,7 +131,7 @@
 
 /// Begins a change of disks, and returns the version of the layout that has it. A change that is
 /// ordered again after it began is not begun anew.
-pub async fn begin(control: &Arc<Control>, change: Move) -> Result<u64, LayoutError> {
+pub async fn begin(control: &Arc<Control>, change: DiskChange) -> Result<u64, LayoutError> {
     let view = control.members.view.load_full();
     let node_of = |wanted: &str| {
         view.values()
@@ -177,7 +177,7 @@
             let report =
                 report::ask(control, disk, adopted.since(role), SWEEP_REPORT_TIMEOUT).await;
             let (is_swept, keys_left) = report.map_or((false, 0), |report| {
-                (report.replica.swept, report.keys_left)
+                (report.replica.is_swept, report.keys_left)
             });
             replicas.push(ReplicaProgress {
                 disk: disk.clone(),
@@ -208,7 +208,7 @@
             .runtime
             .log(&format!("disk {lost} came back empty as {empty}"));
         // Another look at the layout tries again whatever could not be done.
-        let _ = begin(control, Move::Replace(lost, empty)).await;
+        let _ = begin(control, DiskChange::Replace(lost, empty)).await;
     }
 }
 
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -59,7 +59,7 @@
 };
 pub use change::maintain_replicas;
 pub use error::{DiskChangeError, LayoutError};
-pub use manual::{Move, ReplicaProgress, begin, maintain_manual_layout, progress, propose};
+pub use manual::{DiskChange, ReplicaProgress, begin, maintain_manual_layout, progress, propose};
 pub use report::report;
 pub use retire::{retire, retire_forwarded, retirement_state};
 
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -22,11 +22,11 @@
     /// Machines that answer.
     pub live: &'a [Node],
     /// All machines heard of lately, also those that are gone.
-    pub heard: &'a [Node],
+    pub recently_seen: &'a [Node],
     /// How long the machine of a disk has been missing, in us; 0 if it is not.
-    pub missing: &'a dyn Fn(&str) -> u64,
+    pub missing_us: &'a dyn Fn(&str) -> u64,
     /// How many machines with disks may be lost at once.
-    pub lost: usize,
+    pub max_lost: usize,
 }
 
 /// A disk's report of a change.
@@ -35,9 +35,9 @@
     /// The disk that reports.
     pub disk: String,
     /// Version of the newest layout that it has persisted. It rejects requests by older layouts.
-    pub kept: u64,
+    pub persisted_layout_version: u64,
     /// Whether all that it stores has reached the replicas that the incoming set requires.
-    pub swept: bool,
+    pub is_swept: bool,
 }
 
 /// The layout that the group's next step leads to: the beginning of a change, or an amendment of
@@ -53,7 +53,7 @@
 
 /// How many of `replicas` disks may be lost: at most `lost`, and fewer where the group is so small
 /// that two quorums would no longer intersect.
-pub fn tolerated(replicas: usize, lost: usize) -> usize {
+pub fn max_tolerated_losses(replicas: usize, lost: usize) -> usize {
     lost.min(replicas.saturating_sub(1) / 2)
 }
 
@@ -62,7 +62,9 @@
 pub fn core_is_joint(group: &ReplicaGroup, since: u64, reports: &[ReplicaReport]) -> bool {
     let kept = reports
         .iter()
-        .filter(|report| group.previous.contains(&report.disk) && report.kept >= since)
+        .filter(|report| {
+            group.previous.contains(&report.disk) && report.persisted_layout_version >= since
+        })
         .count();
     let needed = majority(group.previous.len());
     kept >= needed && group.previous.len() - kept < needed
@@ -83,10 +85,12 @@
             .filter(|report| set.contains(&report.disk) && counts(report))
             .count()
     };
-    let swept = count(&group.previous, &|report| report.swept);
-    let kept = count(&group.current, &|report| report.kept >= since);
-    swept + tolerated(group.previous.len(), lost) >= group.previous.len()
-        && kept + tolerated(group.current.len(), lost) >= group.current.len()
+    let swept = count(&group.previous, &|report| report.is_swept);
+    let kept = count(&group.current, &|report| {
+        report.persisted_layout_version >= since
+    });
+    swept + max_tolerated_losses(group.previous.len(), lost) >= group.previous.len()
+        && kept + max_tolerated_losses(group.current.len(), lost) >= group.current.len()
 }
 
 /// Ends the group's change: only the incoming set stays in force.
@@ -143,7 +147,7 @@
             .live
             .iter()
             .any(|node| node.disk != *disk && layout.names.get(disk) == Some(&node.name));
-        came_back_empty || (view.missing)(disk) >= REPLICA_MISSING_AFTER
+        came_back_empty || (view.missing_us)(disk) >= REPLICA_MISSING_AFTER
     };
     if !under_way.current.iter().any(is_lost) {
         return None;
@@ -252,7 +256,7 @@
 
     /// Fewest replicas with which as many losses as are tolerated leave a majority.
     fn fewest(&self) -> usize {
-        2 * self.view.lost + 1
+        2 * self.view.max_lost + 1
     }
 
     /// Name of the machine behind a disk; empty if unknown.
@@ -289,7 +293,8 @@
 
     fn belonged_to(&self, disk: &str, node: &Node) -> bool {
         let is_at_its_address = |other: &Node| other.disk == disk && other.peer == node.peer;
-        self.machine_name(disk) == node.name || self.view.heard.iter().any(is_at_its_address)
+        self.machine_name(disk) == node.name
+            || self.view.recently_seen.iter().any(is_at_its_address)
     }
 
     /// Replaces the replicas missing longest by free disks, and lets the other free disks join.
@@ -298,7 +303,7 @@
         let mut missing: Vec<MissingReplica> = self
             .staying()
             .map(|disk| MissingReplica {
-                missing_us: (self.view.missing)(disk),
+                missing_us: (self.view.missing_us)(disk),
                 disk,
             })
             .filter(|replica| replica.missing_us > 0)
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -19,12 +19,12 @@
 
 /// This disk's own report of the change that layout `since` began.
 pub fn report(control: &Control, since: u64) -> PeerResponse {
-    let (turns_swept, turns_left) = control.chain.swept(since);
-    let kept = control.layout_kept();
-    let keys_swept = control.swept.load(SeqCst) >= since;
+    let (turns_swept, turns_left) = control.turn_store.swept(since);
+    let kept = control.persisted_layout_version();
+    let keys_swept = control.swept_layout_version.load(SeqCst) >= since;
     PeerResponse::SweepProgress {
         done: keys_swept && kept >= since && turns_swept,
-        left: control.sweep_left.load(SeqCst) + turns_left,
+        left: control.sweep_keys_left.load(SeqCst) + turns_left,
         newest_layout: kept,
         disk: control.storage.disk_id.clone(),
     }
@@ -67,8 +67,8 @@
     speaks_for_disk.then(|| DetailedReport {
         replica: ReplicaReport {
             disk: disk.into(),
-            kept,
-            swept: done,
+            persisted_layout_version: kept,
+            is_swept: done,
         },
         keys_left: left,
     })
--- a/yewcross-control/src/lease.rs
+++ b/yewcross-control/src/lease.rs
@@ -13,7 +13,7 @@
 use yewcross_common::register::majority;
 
 /// Rounds of renewal that a holder may begin beyond the last one it saw confirmed.
-pub const UNCONFIRMED_ROUNDS: u64 = 2;
+pub const MAX_UNCONFIRMED_ROUNDS: u64 = 2;
 
 /// Lengths in us, on any clock that runs at the usual rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -38,7 +38,7 @@
 
 /// Whether the disks that `has` selects are a majority of the group, and of its outgoing set while a
 /// change is under way.
-pub fn quorum(group: &ReplicaGroup, has: impl Fn(&str) -> bool) -> bool {
+pub fn has_quorum(group: &ReplicaGroup, has: impl Fn(&str) -> bool) -> bool {
     let is_majority =
         |disks: &[String]| disks.iter().filter(|disk| has(disk)).count() >= majority(disks.len());
     !group.current.is_empty()
@@ -49,13 +49,14 @@
 /// What a granter remembers across its own restarts: it is on disk before a grant under a new term
 /// is answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct KeptGrant {
+pub struct PersistedGrant {
     /// The highest term granted.
     pub term: u64,
     /// Whom it was granted to.
     pub holder: Option<Candidate>,
     /// Digest of the voters that the grant counted among.
-    pub seats: u64,
+    #[serde(rename = "seats")]
+    pub voters_digest: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -77,7 +78,7 @@
     /// incarnation, or the voters before the last change, may have granted what is not known here.
     quiet_until: u64,
     /// The last grant of an earlier incarnation, while it alone is what the granter waits for.
-    remembered: Option<KeptGrant>,
+    remembered: Option<PersistedGrant>,
     /// Digest of the voters as last observed.
     voters: u64,
     /// No incarnation of this disk can have granted anything.
@@ -86,7 +87,7 @@
 
 impl Granter {
     /// `kept` is what the disk remembers. `is_fresh` says that the disk has known no layout yet.
-    pub fn new(times: LeaseTimes, now: u64, kept: KeptGrant, is_fresh: bool) -> Granter {
+    pub fn new(times: LeaseTimes, now: u64, kept: PersistedGrant, is_fresh: bool) -> Granter {
         let term = kept.term;
         let remembered = Some(kept).filter(|kept| kept.holder.is_some());
         Granter {
@@ -114,7 +115,7 @@
             && self
                 .remembered
                 .as_ref()
-                .is_some_and(|kept| kept.seats == voters);
+                .is_some_and(|kept| kept.voters_digest == voters);
         if is_bootstrap {
             self.quiet_until = 0;
         } else if !is_as_remembered {
@@ -133,7 +134,7 @@
     /// Notes that a process asks. Whatever was granted to an earlier process on the same disk is
     /// held by nobody any more, so that nobody has to wait for it. Returns whether that frees the
     /// lease here.
-    pub fn meet(&mut self, asker: &Candidate) -> bool {
+    pub fn release_if_restarted(&mut self, asker: &Candidate) -> bool {
         let is_over = |holder: &Candidate| asker.is_restart_of(holder);
         let remembered_is_over = self
             .remembered
@@ -155,11 +156,11 @@
     }
 
     /// What has to be on disk before a grant is answered.
-    pub fn to_keep(&self) -> KeptGrant {
-        KeptGrant {
+    pub fn to_persist(&self) -> PersistedGrant {
+        PersistedGrant {
             term: self.term,
             holder: self.grant.as_ref().map(|grant| grant.holder.clone()),
-            seats: self.voters,
+            voters_digest: self.voters,
         }
     }
 
@@ -242,7 +243,7 @@
         round: u64,
         confirmed: u64,
     ) -> LeaseVerdict {
-        if round > confirmed + UNCONFIRMED_ROUNDS {
+        if round > confirmed + MAX_UNCONFIRMED_ROUNDS {
             return LeaseVerdict::Refused(LeaseDenial::Unconfirmed);
         }
         if !self.is_granted_to(asker, term) {
@@ -345,7 +346,7 @@
 
     /// Records that a granter granted what was asked under this term in this round. Returns true if
     /// that made the quorum of the round.
-    pub fn granted(&mut self, term: u64, round: u64, granter: &str) -> bool {
+    pub fn record_grant(&mut self, term: u64, round: u64, granter: &str) -> bool {
         let times = self.times;
         let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.term == term) else {
             return false;
@@ -354,7 +355,7 @@
             return false;
         };
         asked.granted.insert(granter.into());
-        let has_quorum = quorum(&asked.voters, |disk| asked.granted.contains(disk));
+        let has_quorum = has_quorum(&asked.voters, |disk| asked.granted.contains(disk));
         let was_confirmed = tenure.confirmed.is_some_and(|confirmed| confirmed >= round);
         if !has_quorum || was_confirmed {
             return false;
@@ -368,7 +369,7 @@
     }
 
     /// The term held at this moment.
-    pub fn held(&self, now: u64) -> Option<u64> {
+    pub fn held_term(&self, now: u64) -> Option<u64> {
         self.tenure
             .as_ref()
             .filter(|tenure| now < tenure.until)
@@ -376,7 +377,7 @@
     }
 
     /// Gives up what is held or requested. Returns its term, for the granters to be notified.
-    pub fn give_up(&mut self) -> Option<u64> {
+    pub fn release(&mut self) -> Option<u64> {
         self.tenure.take().map(|tenure| tenure.term)
     }
 }
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -2,7 +2,7 @@
 //! persists its grants. The rules are in [`crate::lease`].
 
 use crate::Control;
-use crate::lease::{Granter, KeptGrant, voters_digest};
+use crate::lease::{Granter, PersistedGrant, voters_digest};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -22,7 +22,7 @@
 /// The last grant of this disk, and the version of the file that keeps it.
 pub(crate) struct GrantFile {
     version: u64,
-    pub(crate) grant: KeptGrant,
+    pub(crate) grant: PersistedGrant,
 }
 
 /// Counts this process among those that have started on the disk. Returns its incarnation; 0 if the
@@ -68,7 +68,7 @@
             },
             None => GrantFile {
                 version: 0,
-                grant: KeptGrant::default(),
+                grant: PersistedGrant::default(),
             },
         })
     }
@@ -76,10 +76,10 @@
 
 /// Decodes a grant file. Releases before the holder was persisted wrote the term alone, as eight
 /// bytes.
-fn decode_grant(body: &[u8]) -> KeptGrant {
-    serde_json::from_slice(body).unwrap_or_else(|_| KeptGrant {
+fn decode_grant(body: &[u8]) -> PersistedGrant {
+    serde_json::from_slice(body).unwrap_or_else(|_| PersistedGrant {
         term: <[u8; 8]>::try_from(body).map_or(0, u64::from_le_bytes),
-        ..KeptGrant::default()
+        ..PersistedGrant::default()
     })
 }
 
@@ -91,7 +91,7 @@
 ) -> T {
     let adopted = control.documents.layout.load();
     let (version, layout) = &**adopted;
-    let mut granter = control.duties.granter.lock().unwrap();
+    let mut granter = control.singleton_tasks.granter.lock().unwrap();
     let now = control.runtime.now();
     granter.observe_voters(now, voters_digest(layout), layout.term, *version == 1);
     operation(&mut granter, now)
@@ -105,7 +105,7 @@
         LeaseVerdict::Refused(LeaseDenial::OtherDisk)
     };
     if verdict == LeaseVerdict::Released {
-        control.duties.changed.notify(usize::MAX);
+        control.singleton_tasks.lease_changed.notify(usize::MAX);
     }
     let (term, holder) = with_granter(control, |granter, now| {
         (granter.term(), granter.holder(now).cloned())
@@ -127,17 +127,17 @@
         return LeaseVerdict::Refused(LeaseDenial::OtherReplicas);
     }
     let (is_freed, verdict, to_keep) = with_granter(control, |granter, now| {
-        let is_freed = granter.meet(&request.candidate);
+        let is_freed = granter.release_if_restarted(&request.candidate);
         let verdict = granter.answer(
             now,
             &request.candidate,
             request.replicas_digest,
             request.operation,
         );
-        (is_freed, verdict, granter.to_keep())
+        (is_freed, verdict, granter.to_persist())
     });
     if is_freed {
-        control.duties.changed.notify(usize::MAX);
+        control.singleton_tasks.lease_changed.notify(usize::MAX);
     }
     if verdict == LeaseVerdict::Granted && !persist_grant(control, &to_keep).await {
         return LeaseVerdict::Refused(LeaseDenial::DiskFailed);
@@ -147,8 +147,8 @@
 
 /// Returns once the grant is on disk; false if the disk failed. A renewal writes nothing, unless it
 /// counts among other voters than the grant that is on disk.
-async fn persist_grant(control: &Control, grant: &KeptGrant) -> bool {
-    let mut file = control.duties.grant_file.lock().await;
+async fn persist_grant(control: &Control, grant: &PersistedGrant) -> bool {
+    let mut file = control.singleton_tasks.grant_file.lock().await;
     if file.grant == *grant || file.grant.term > grant.term {
         return true;
     }
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -18,7 +18,7 @@
 //! A new holder acts only after it has taken the documents under new ballots (`fence`): by then
 //! nothing that an earlier holder has in flight can be accepted any more.
 
-use crate::lease::quorum;
+use crate::lease::has_quorum;
 use crate::lease_granter::with_granter;
 use crate::quorum_contact::{all_voters, ask_voter, ask_voters};
 use crate::{Control, config, layout};
@@ -60,7 +60,7 @@
     while !control.members.replaced.is_set() {
         if !is_eligible(&control) {
             let documents_changed = control.documents.changed.listen();
-            let lease_changed = control.duties.changed.listen();
+            let lease_changed = control.singleton_tasks.lease_changed.listen();
             let any_change = futures_lite::future::or(documents_changed, lease_changed);
             control.runtime.timeout(ELIGIBILITY_CHECK, any_change).await;
             continue;
@@ -88,12 +88,12 @@
         .core
         .current
         .contains(&control.storage.disk_id);
-    let is_fit = control.runtime.now() >= control.duties.unfit_until.load(SeqCst);
+    let is_fit = control.runtime.now() >= control.singleton_tasks.unfit_until.load(SeqCst);
     is_voter
         && is_fit
         && !control.storage.failed.load(SeqCst)
         && !control.members.replaced.is_set()
-        && !control.duties.resigned.load(SeqCst)
+        && !control.singleton_tasks.resigned.load(SeqCst)
 }
 
 fn is_free_here(control: &Control) -> bool {
@@ -103,7 +103,7 @@
 /// Returns some time after the lease expired at this disk's granter, or after a change. Candidates
 /// wait for different times, so that they seldom compete.
 async fn wait_until_free(control: &Arc<Control>) {
-    let changed = control.duties.changed.listen();
+    let changed = control.singleton_tasks.lease_changed.listen();
     let remaining = with_granter(control, |granter, now| {
         granter.free_at().saturating_sub(now)
     });
@@ -145,13 +145,11 @@
     let voters = control.documents.layout.load().1.core.clone();
     let highest_term = highest_term_if_free(control, &voters).await?;
     let term = highest_term.max(control.documents.layout.load().1.term) + 1;
-    let request =
-        control
-            .duties
-            .holder
-            .lock()
-            .unwrap()
-            .request(control.runtime.now(), term, &voters);
+    let request = control.singleton_tasks.holder.lock().unwrap().request(
+        control.runtime.now(),
+        term,
+        &voters,
+    );
     let disks = all_voters(&voters);
     let pending = disks.len();
     let responses = ask_voters(control, disks, request);
@@ -182,7 +180,7 @@
         if response.verdict == LeaseVerdict::Free {
             free.push(response.granter);
         }
-        if quorum(voters, |disk| free.iter().any(|granter| granter == disk)) {
+        if has_quorum(voters, |disk| free.iter().any(|granter| granter == disk)) {
             return Some(highest_term);
         }
     }
@@ -192,34 +190,33 @@
 /// Records a grant. Returns true if the lease is held, or held for longer, by it.
 fn record_grant(control: &Control, term: u64, round: u64, response: &LeaseResponse) -> bool {
     response.verdict == LeaseVerdict::Granted
-        && control
-            .duties
-            .holder
-            .lock()
-            .unwrap()
-            .granted(term, round, &response.granter)
+        && control.singleton_tasks.holder.lock().unwrap().record_grant(
+            term,
+            round,
+            &response.granter,
+        )
 }
 
 /// Renews the lease until it expired, or this process must not hold it any more.
 async fn hold(control: &Arc<Control>, term: u64) {
-    control.duties.taken.fetch_add(1, SeqCst);
+    control.singleton_tasks.acquired.fetch_add(1, SeqCst);
     control.runtime.log(&format!("lease taken, term {term}"));
     control.runtime.spawn(fence(control.clone(), term));
     while is_eligible(control) && renew(control, term) {
         control.runtime.sleep(LEASE_RENEWAL_INTERVAL).await;
     }
-    control.duties.lost.fetch_add(1, SeqCst);
+    control.singleton_tasks.lost.fetch_add(1, SeqCst);
     control.runtime.log(&format!("lease lost, term {term}"));
     let voters = control.documents.layout.load().1.core.clone();
     release(control, &voters);
-    control.duties.changed.notify(usize::MAX);
+    control.singleton_tasks.lease_changed.notify(usize::MAX);
 }
 
 /// Begins a round of renewal. Returns false if the lease is not held any more.
 fn renew(control: &Arc<Control>, term: u64) -> bool {
     let voters = control.documents.layout.load().1.core.clone();
     let renewal = control
-        .duties
+        .singleton_tasks
         .holder
         .lock()
         .unwrap()
@@ -246,10 +243,10 @@
     let is_held = || control.lease_term() == Some(term);
     while is_held() && control.runtime.now() < deadline {
         if take_documents(&control).await {
-            control.duties.fenced_term.store(term, SeqCst);
+            control.singleton_tasks.fenced_term.store(term, SeqCst);
             // Replicas that missed the new ballot are repaired now, so that readers find all alike.
-            control.sweep_call.notify(usize::MAX);
-            control.duties.changed.notify(usize::MAX);
+            control.sweep_requested.notify(usize::MAX);
+            control.singleton_tasks.lease_changed.notify(usize::MAX);
             return;
         }
         // Disks that keep a newer layout reject requests by an older one.
@@ -261,7 +258,10 @@
             .runtime
             .log(&format!("the documents cannot be taken, term {term}"));
         let unfit_until = control.runtime.now() + CANDIDACY_PAUSE;
-        control.duties.unfit_until.store(unfit_until, SeqCst);
+        control
+            .singleton_tasks
+            .unfit_until
+            .store(unfit_until, SeqCst);
     }
 }
 
@@ -315,7 +315,7 @@
 /// Stops holding or requesting the lease. The granters are notified, so that no candidate has to
 /// wait until it expires.
 fn release(control: &Arc<Control>, voters: &ReplicaGroup) {
-    let Some(term) = control.duties.holder.lock().unwrap().give_up() else {
+    let Some(term) = control.singleton_tasks.holder.lock().unwrap().release() else {
         return;
     };
     ask_voters(
@@ -327,8 +327,8 @@
 
 /// Releases the lease for good at a planned stop, and waits for the granters for a while.
 pub(crate) async fn resign(control: &Arc<Control>) {
-    control.duties.resigned.store(true, SeqCst);
-    let Some(term) = control.duties.holder.lock().unwrap().give_up() else {
+    control.singleton_tasks.resigned.store(true, SeqCst);
+    let Some(term) = control.singleton_tasks.holder.lock().unwrap().release() else {
         return;
     };
     let voters = all_voters(&control.documents.layout.load().1.core);
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -63,14 +63,14 @@
     /// Reads and changes registers by a majority of their replicas.
     pub registers: Arc<RegisterClient>,
     /// Records of sessions and budgets.
-    pub store: Arc<RecordStore>,
+    pub record_store: Arc<RecordStore>,
     /// The turn log.
-    pub chain: Arc<TurnStore>,
-    pub duties: singleton_tasks::SingletonTasks,
+    pub turn_store: Arc<TurnStore>,
+    pub singleton_tasks: singleton_tasks::SingletonTasks,
     /// Newest version of the configuration known to be in force.
     pub in_force_version: AtomicU64,
     /// Version of the layout under which every key on this disk was last found complete.
-    pub swept: AtomicU64,
+    pub swept_layout_version: AtomicU64,
     /// Where the platform's list is polled; a reload may change it.
     pub platform: Mutex<Option<SocketAddr>>,
     pub(crate) watcher: Arc<DocumentWatcher>,
@@ -79,10 +79,10 @@
     /// When the serving lease granted here to each front expires.
     pub(crate) serving_leases: Mutex<BTreeMap<String, u64>>,
     /// Keys that the running sweep has yet to check.
-    pub(crate) sweep_left: AtomicU64,
+    pub(crate) sweep_keys_left: AtomicU64,
     /// A sweep was requested; `sweep_call` wakes the one that waits.
-    pub(crate) sweep_now: AtomicBool,
-    pub(crate) sweep_call: Event,
+    pub(crate) is_sweep_requested: AtomicBool,
+    pub(crate) sweep_requested: Event,
     /// Held while this node bootstraps the tier.
     pub(crate) bootstrap_lock: futures_util::lock::Mutex<()>,
     /// The first layout and the empty configuration are decided.
@@ -104,7 +104,7 @@
     }
 
     /// Version of the layout that this node's own disk holds.
-    pub fn layout_kept(&self) -> u64 {
+    pub fn persisted_layout_version(&self) -> u64 {
         self.replica.layout_version.load(SeqCst)
     }
 }
--- a/yewcross-control/src/maintenance.rs
+++ b/yewcross-control/src/maintenance.rs
@@ -17,7 +17,7 @@
         control.registers.prune();
         for key in control.registers.cached_keys(BUDGET_PREFIX) {
             let budget = key.trim_start_matches(BUDGET_PREFIX);
-            control.store.audit(budget).await;
+            control.record_store.audit(budget).await;
         }
     }
 }
--- a/yewcross-control/src/operator.rs
+++ b/yewcross-control/src/operator.rs
@@ -5,7 +5,7 @@
 mod status;
 
 use crate::Control;
-use crate::layout::Move;
+use crate::layout::DiskChange;
 use http_types::{Method, Response};
 use std::sync::Arc;
 use yewcross_common::buffered_http::{BufferedRequest, refuse};
@@ -34,13 +34,13 @@
             configuration::roll_back(&control, version, &request).await
         }
         (Method::Post, ["v1", "disks", disk, "empty"]) => {
-            layout_changes::begin(&control, Move::Empty(disk.to_string())).await
+            layout_changes::begin(&control, DiskChange::Remove(disk.to_string())).await
         }
         (Method::Post, ["v1", "disks", disk, "admit"]) => {
-            layout_changes::begin(&control, Move::Admit(disk.to_string())).await
+            layout_changes::begin(&control, DiskChange::Add(disk.to_string())).await
         }
         (Method::Post, ["v1", "disks", disk, "replace", by]) => {
-            let replacement = Move::Replace(disk.to_string(), by.to_string());
+            let replacement = DiskChange::Replace(disk.to_string(), by.to_string());
             layout_changes::begin(&control, replacement).await
         }
         (Method::Get, ["v1", "disks", disk]) => layout_changes::read_disk(&control, disk).await,
--- a/yewcross-control/src/operator/layout_changes.rs
+++ b/yewcross-control/src/operator/layout_changes.rs
@@ -2,7 +2,7 @@
 
 use super::rejected;
 use crate::Control;
-use crate::layout::{self, Move};
+use crate::layout::{self, DiskChange};
 use http_types::Response;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 }
 
 /// Begins a change of the disks.
-pub(super) async fn begin(control: &Arc<Control>, change: Move) -> Response {
+pub(super) async fn begin(control: &Arc<Control>, change: DiskChange) -> Response {
     match layout::begin(control, change).await {
         Ok(version) => reply(200, &json!({"layout": version})),
         Err(error) => rejected(error.code(), &error.to_string()),
--- a/yewcross-control/src/operator/status.rs
+++ b/yewcross-control/src/operator/status.rs
@@ -40,8 +40,8 @@
         "versions": versions,
         "duties": duties,
         "lease": singleton_tasks::status(control),
-        "swept": control.swept.load(SeqCst),
-        "sweep_left": control.sweep_left.load(SeqCst),
+        "swept": control.swept_layout_version.load(SeqCst),
+        "sweep_left": control.sweep_keys_left.load(SeqCst),
     });
     reply(200, &body)
 }
@@ -106,9 +106,9 @@
         "takes": control.registers.prepared_ballots.load(SeqCst),
         "tended": control.counters.repaired_records.load(SeqCst),
         "puts": control.counters.puts.load(SeqCst),
-        "list_polls": control.duties.polls.load(SeqCst),
+        "list_polls": control.singleton_tasks.polls.load(SeqCst),
         "lease": singleton_tasks::counters(control),
-        "chains": control.chain.figures(),
+        "chains": control.turn_store.figures(),
     });
     reply(200, &body)
 }
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -61,8 +61,8 @@
 
 /// Polls for the product's own JSON, whose revisions the platform numbers.
 async fn poll_list(control: &Arc<Control>, platform: SocketAddr) -> u64 {
-    control.duties.polls.fetch_add(1, SeqCst);
-    let etag = control.duties.etag.lock().unwrap().clone();
+    control.singleton_tasks.polls.fetch_add(1, SeqCst);
+    let etag = control.singleton_tasks.etag.lock().unwrap().clone();
     let headers: Vec<(&str, String)> = if etag.is_empty() {
         vec![]
     } else {
@@ -97,7 +97,7 @@
         return SERVER_LIST_POLL_INTERVAL;
     };
     if decide_list(control, ServerList { term, ..list }).await {
-        *control.duties.etag.lock().unwrap() = response
+        *control.singleton_tasks.etag.lock().unwrap() = response
             .header("etag")
             .map(|value| value.as_str().to_string())
             .unwrap_or_default();
@@ -169,7 +169,7 @@
         Ok(read) => read,
         Err(wait) => return wait,
     };
-    control.duties.refused.store(0, SeqCst);
+    control.singleton_tasks.refused.store(0, SeqCst);
     publish_departures(control, &read.servers);
     let servers = without_duplicates(read.servers);
     if !read.is_complete || (known_version > 0 && decided_servers(control) == servers) {
@@ -201,7 +201,7 @@
     let mut servers = vec![];
     let mut next_page: Option<String> = None;
     for _ in 0..CATALOGUE_MAX_PAGES {
-        control.duties.polls.fetch_add(1, SeqCst);
+        control.singleton_tasks.polls.fetch_add(1, SeqCst);
         let mut request = hyper::Request::new(Default::default());
         *request.uri_mut() = catalogue
             .page_target(next_page.as_deref())
@@ -240,7 +240,7 @@
         .get("retry-after")
         .and_then(|value| value.to_str().ok()?.parse::<f64>().ok())
         .map(|seconds| (seconds.max(0.0) * US_PER_SECOND) as u64);
-    let rejections = control.duties.refused.fetch_add(1, SeqCst);
+    let rejections = control.singleton_tasks.refused.fetch_add(1, SeqCst);
     retry_after
         .unwrap_or(CATALOGUE_POLL_INTERVAL << rejections.min(DOUBLINGS_MOST))
         .min(CATALOGUE_BACKOFF_MAX)
--- a/yewcross-control/src/proposer.rs
+++ b/yewcross-control/src/proposer.rs
@@ -47,7 +47,7 @@
 
 /// Returns once the lease has changed hands, or after a random backoff.
 pub async fn wait_for_one(control: &Arc<Control>) {
-    let changed = control.duties.changed.listen();
+    let changed = control.singleton_tasks.lease_changed.listen();
     let backoff = PROPOSER_RETRY_DELAY + control.runtime.random() % PROPOSER_RETRY_DELAY;
     control.runtime.timeout(backoff, changed).await;
 }
--- a/yewcross-control/src/quorum_contact.rs
+++ b/yewcross-control/src/quorum_contact.rs
@@ -38,7 +38,7 @@
     let wants_holder = with_granter(control, |granter, now| granter.holder(now).is_none());
     let request = LeaseRequest {
         granter: disk.into(),
-        candidate: control.duties.candidate.clone(),
+        candidate: control.singleton_tasks.candidate.clone(),
         replicas_digest: seats,
         operation,
         wants_holder,
@@ -62,13 +62,13 @@
         return None;
     }
     control
-        .duties
+        .singleton_tasks
         .contact
         .lock()
         .unwrap()
         .record_answer(disk, sent, &response.versions);
     if let Some(holder) = &response.holder {
-        *control.duties.reported_holder.lock().unwrap() = Some((holder.clone(), sent));
+        *control.singleton_tasks.reported_holder.lock().unwrap() = Some((holder.clone(), sent));
     }
     Some(response)
 }
@@ -125,18 +125,27 @@
     }
 
     /// The newest version of a document that any voter has reported.
-    pub fn version_heard(&self, document: &str) -> u64 {
-        self.duties.contact.lock().unwrap().newest_version(document)
+    pub fn newest_reported_version(&self, document: &str) -> u64 {
+        self.singleton_tasks
+            .contact
+            .lock()
+            .unwrap()
+            .newest_version(document)
     }
 }
 
 fn quorum_since(control: &Control, group: &ReplicaGroup) -> u64 {
-    control.duties.contact.lock().unwrap().quorum_since(group)
+    control
+        .singleton_tasks
+        .contact
+        .lock()
+        .unwrap()
+        .quorum_since(group)
 }
 
 /// Whether a quorum of the voters answers this process; they are asked again if they have not
 /// lately. Takes at most `QUORUM_TIMEOUT`.
-pub async fn reach_quorum(control: &Arc<Control>) -> bool {
+pub async fn ensure_quorum_contact(control: &Arc<Control>) -> bool {
     if control.has_quorum_contact() {
         return true;
     }
@@ -194,7 +203,12 @@
         .into_iter()
         .filter(|disk| disk != own_disk)
         .collect();
-    control.duties.contact.lock().unwrap().retain(group);
+    control
+        .singleton_tasks
+        .contact
+        .lock()
+        .unwrap()
+        .retain(group);
     let last_round_sufficed =
         control.runtime.now() < quorum_since(control, group) + interval * 3 / 2;
     let polled = voters_in_turn(group, others, own_disk, turn, last_round_sufficed);
@@ -230,14 +244,17 @@
 /// Counts and logs that contact was lost or found.
 fn note_contact(control: &Control) {
     let has_contact = control.has_quorum_contact();
-    let had_contact = control.duties.had_contact.swap(has_contact, SeqCst);
+    let had_contact = control
+        .singleton_tasks
+        .had_contact
+        .swap(has_contact, SeqCst);
     if has_contact == had_contact {
         return;
     }
     if has_contact {
         control.runtime.log("contact with a majority of core seats");
     } else {
-        control.duties.contact_lost.fetch_add(1, SeqCst);
+        control.singleton_tasks.contact_lost.fetch_add(1, SeqCst);
         control
             .runtime
             .log("no contact with a majority of core seats");
--- a/yewcross-control/src/request_handler.rs
+++ b/yewcross-control/src/request_handler.rs
@@ -139,15 +139,15 @@
                 lease_granter::answer(self, &request).await,
             )),
             PeerRequest::StartSweep => {
-                self.sweep_now.store(true, SeqCst);
-                self.sweep_call.notify(usize::MAX);
+                self.is_sweep_requested.store(true, SeqCst);
+                self.sweep_requested.notify(usize::MAX);
                 without_payload(PeerResponse::Ok)
             }
             PeerRequest::SweepProgress { layout, .. } => {
                 without_payload(layout::report(self, layout))
             }
-            PeerRequest::TurnLog => (PeerResponse::TurnLog, self.chain.handle(payload).await),
-            other => self.store.handle(other, payload).await,
+            PeerRequest::TurnLog => (PeerResponse::TurnLog, self.turn_store.handle(payload).await),
+            other => self.record_store.handle(other, payload).await,
         }
     }
 
--- a/yewcross-control/src/singleton_tasks.rs
+++ b/yewcross-control/src/singleton_tasks.rs
@@ -57,9 +57,9 @@
     /// This process is about to stop and does not compete any more.
     pub(crate) resigned: AtomicBool,
     /// Notified when the lease was taken, lost or released.
-    pub(crate) changed: Event,
+    pub(crate) lease_changed: Event,
     /// How often this process took the lease.
-    pub taken: AtomicU64,
+    pub acquired: AtomicU64,
     /// How often it lost or gave up a lease that it held.
     pub(crate) lost: AtomicU64,
     /// How often contact with a quorum was lost.
@@ -109,8 +109,8 @@
             unfit_until: AtomicU64::new(0),
             reported_holder: Mutex::default(),
             resigned: AtomicBool::new(false),
-            changed: Event::new(),
-            taken: AtomicU64::new(0),
+            lease_changed: Event::new(),
+            acquired: AtomicU64::new(0),
             lost: AtomicU64::new(0),
             contact_lost: AtomicU64::new(0),
             missing: Mutex::default(),
@@ -137,7 +137,12 @@
 }
 
 fn lately_reported_holder(control: &Control) -> Option<Candidate> {
-    let reported = control.duties.reported_holder.lock().unwrap().clone();
+    let reported = control
+        .singleton_tasks
+        .reported_holder
+        .lock()
+        .unwrap()
+        .clone();
     reported
         .filter(|(_, asked_at)| control.runtime.now() < asked_at + LEASE_LENGTH)
         .map(|(holder, _)| holder)
@@ -148,19 +153,20 @@
     /// before every act, so that a process that was frozen does not act on an expired lease.
     pub fn acting_term(&self) -> Option<u64> {
         let is_bootstrapped = self.is_bootstrapped.load(SeqCst);
-        self.lease_term()
-            .filter(|term| is_bootstrapped && self.duties.fenced_term.load(SeqCst) == *term)
+        self.lease_term().filter(|term| {
+            is_bootstrapped && self.singleton_tasks.fenced_term.load(SeqCst) == *term
+        })
     }
 
     /// The term of the lease that this process holds, whether or not it has taken the documents yet.
     /// It may propose.
     pub fn lease_term(&self) -> Option<u64> {
         let is_able = !self.members.replaced.is_set() && !self.storage.failed.load(SeqCst);
-        self.duties
+        self.singleton_tasks
             .holder
             .lock()
             .unwrap()
-            .held(self.runtime.now())
+            .held_term(self.runtime.now())
             .filter(|_| is_able)
     }
 
@@ -183,7 +189,7 @@
     loop {
         let documents_changed = control.documents.changed.listen();
         let members_changed = control.members.changed.listen();
-        let lease_changed = control.duties.changed.listen();
+        let lease_changed = control.singleton_tasks.lease_changed.listen();
         let is_acting = control.is_acting_holder();
         if was_acting != is_acting {
             was_acting = is_acting;
@@ -209,7 +215,7 @@
 /// taken: that a server is draining is published before anything can be decided.
 async fn poll_platform_list(control: Arc<Control>) {
     loop {
-        let lease_changed = control.duties.changed.listen();
+        let lease_changed = control.singleton_tasks.lease_changed.listen();
         if control.lease_term().is_some() {
             let rest = platform_list::poll(&control).await;
             control.runtime.sleep(rest).await;
@@ -269,9 +275,9 @@
 
 /// Counts of lease and contact changes, for the metrics.
 pub fn counters(control: &Control) -> Value {
-    let counts = &control.duties;
+    let counts = &control.singleton_tasks;
     json!({
-        "taken": counts.taken.load(SeqCst),
+        "taken": counts.acquired.load(SeqCst),
         "lost": counts.lost.load(SeqCst),
         "contact_lost": counts.contact_lost.load(SeqCst),
     })
--- a/yewcross-testkit/src/proof/cluster/replication.rs
+++ b/yewcross-testkit/src/proof/cluster/replication.rs
@@ -67,5 +67,5 @@
     if !has_seat {
         return true;
     }
-    control.swept.load(SeqCst) >= newest && control.replica.keys().await.1 == 0
+    control.swept_layout_version.load(SeqCst) >= newest && control.replica.keys().await.1 == 0
 }
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -27,7 +27,7 @@
 }
 
 async fn ask(c: &Arc<Control>, a: PeerRequest) -> PeerResponse {
-    c.store.handle(a, vec![]).await.0
+    c.record_store.handle(a, vec![]).await.0
 }
 
 /// The stores in the order in which they would own the key.
@@ -456,7 +456,7 @@
                     cache: SessionCacheState::default(),
                     history_bytes: 5,
                 };
-                c.store
+                c.record_store
                     .handle(PeerRequest::CommitTurn(x), b"turn\n".to_vec())
                     .await;
                 lab.sim.set_clock_skew(lab.sim.find(&first), 5 * 86_400_000);
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -453,7 +453,7 @@
                 let store = t.at("store1").unwrap();
                 let keep = |n: u64| {
                     let store = store.clone();
-                    async move { store.chain.append(vec![ledger(n)]).recv().await == Ok(true) }
+                    async move { store.turn_store.append(vec![ledger(n)]).recv().await == Ok(true) }
                 };
                 assert!(keep(1).await);
                 set(&t, "store1", trouble, true);
@@ -469,14 +469,14 @@
                     .await
                     .unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
                 let programs = |c: &yewcross_control::Control| {
-                    let shelf = c.chain.index.lock().unwrap();
+                    let shelf = c.turn_store.index.lock().unwrap();
                     let mut names: Vec<String> = shelf.ledgers.keys().cloned().collect();
                     names.sort();
                     names
                 };
                 assert_eq!(programs(&store), ["p1"], "{trouble:?}");
                 assert!(
-                    !store.chain.recovery_pending.load(SeqCst),
+                    !store.turn_store.recovery_pending.load(SeqCst),
                     "{trouble:?}: nothing was lost"
                 );
                 assert!(keep(3).await, "{trouble:?}: keeps nothing any more");
--- a/yewcross-testkit/tests/models/lease.rs
+++ b/yewcross-testkit/tests/models/lease.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use yewcross_common::protocol::ReplicaGroup;
 use yewcross_common::protocol::lease::{Candidate, LeaseOperation, LeaseVerdict};
-use yewcross_control::lease::{Granter, Holder, KeptGrant, LeaseTimes};
+use yewcross_control::lease::{Granter, Holder, LeaseTimes, PersistedGrant};
 
 pub const TWO_HOLDERS: &str = "two processes hold the lease at once";
 
@@ -109,7 +109,7 @@
 
 impl Lease {
     fn restarted(&self, state: &State, granter: usize) -> Granter {
-        let kept = state.granters[granter].to_keep();
+        let kept = state.granters[granter].to_persist();
         let term = kept.term;
         let now = if self.fault == Fault::GrantsAfterRestart {
             0
@@ -127,7 +127,7 @@
         } else {
             state.now
         };
-        process.holder.held(now).is_some()
+        process.holder.held_term(now).is_some()
     }
 }
 
@@ -137,7 +137,7 @@
 
     fn initial(&self) -> Vec<State> {
         let granter = |_| {
-            let mut granter = Granter::new(TIMES, 0, KeptGrant::default(), true);
+            let mut granter = Granter::new(TIMES, 0, PersistedGrant::default(), true);
             granter.observe_voters(0, SEATS, 0, true);
             granter
         };
@@ -166,10 +166,10 @@
             actions.push(Action::Tick);
         }
         for (index, process) in state.processes.iter().enumerate() {
-            if process.requests > 0 && process.holder.held(state.now).is_none() {
+            if process.requests > 0 && process.holder.held_term(state.now).is_none() {
                 actions.push(Action::Request(index));
             }
-            if process.renewals > 0 && process.holder.held(state.now).is_some() {
+            if process.renewals > 0 && process.holder.held_term(state.now).is_some() {
                 actions.push(Action::Renew(index));
             }
             if state.restarts > 0 {
@@ -243,7 +243,7 @@
                 } else {
                     sent.candidate.incarnation
                 };
-                next.granters[granter].meet(&Candidate {
+                next.granters[granter].release_if_restarted(&Candidate {
                     incarnation: life,
                     ..sent.candidate.clone()
                 });
@@ -254,7 +254,7 @@
                 if verdict == LeaseVerdict::Granted && answered && is_asker {
                     process
                         .holder
-                        .granted(sent.term, sent.round, GRANTERS[granter]);
+                        .record_grant(sent.term, sent.round, GRANTERS[granter]);
                 }
                 let is_same = next.granters == state.granters
                     && next.processes[sent.process].holder == state.processes[sent.process].holder;
--- a/yewcross-testkit/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -38,7 +38,7 @@
         .lock()
         .unwrap()
         .values()
-        .map(|control| control.duties.taken.load(SeqCst))
+        .map(|control| control.singleton_tasks.acquired.load(SeqCst))
         .sum()
 }
 
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -98,7 +98,7 @@
             let told = t
                 .on(name, |c| {
                     Box::pin(async move {
-                        c.chain
+                        c.turn_store
                             .store_records(c.documents.layout.load().0, part, ledgers)
                             .await
                     })
@@ -121,12 +121,12 @@
     for (i, id) in ids.iter().enumerate() {
         let holders = stores
             .iter()
-            .filter(|c| c.chain.index.lock().unwrap().get(id).is_some())
+            .filter(|c| c.turn_store.index.lock().unwrap().get(id).is_some())
             .count();
         assert!(holders >= copies, "{id} is on {holders} disks\n{}", tell(t));
         let program = format!("program-{}", i % 50);
         let knows = |c: &yewcross_control::Control| {
-            c.chain
+            c.turn_store
                 .index
                 .lock()
                 .unwrap()
@@ -437,7 +437,7 @@
         .filter(|c| c.settings.role == Role::Store)
     {
         stores += 1;
-        turns += c.chain.figures()["turns"];
+        turns += c.turn_store.figures()["turns"];
         let (keys, damaged) = futures_lite::future::block_on(c.replica.keys());
         assert!(
             keys.is_empty() && damaged == 0,
@@ -489,9 +489,9 @@
 fn known<'a>(live: &'a [Node], missing: &'a dyn Fn(&str) -> u64) -> ClusterView<'a> {
     ClusterView {
         live,
-        heard: live,
-        missing,
-        lost: 1,
+        recently_seen: live,
+        missing_us: missing,
+        max_lost: 1,
     }
 }
 
@@ -577,10 +577,10 @@
         previous: disks(&["a", "b", "c"]),
         since: 7,
     };
-    let report = |disk: &str, kept: u64, swept: bool| ReplicaReport {
+    let report = |disk: &str, persisted_layout_version: u64, is_swept: bool| ReplicaReport {
         disk: disk.into(),
-        kept,
-        swept,
+        persisted_layout_version,
+        is_swept,
     };
     let one = [
         report("a", 7, true),
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -32,7 +32,7 @@
 use yewcross_common::turn_log::{LedgerEntry, LedgerRecord, StoredTurn};
 use yewcross_control::Control;
 use yewcross_control::api::{PutAnswer, ReadAnswer};
-use yewcross_control::lease::KeptGrant;
+use yewcross_control::lease::PersistedGrant;
 use yewcross_state::records::{
     BudgetRecord, Head, Mark, Reservation, Run, SessionRecord, budget_key,
 };
@@ -441,7 +441,10 @@
 }
 
 async fn ask(tier: &Tier, key: &str, ask: PeerRequest, blob: &[u8]) -> (PeerResponse, Vec<u8>) {
-    owner_of(tier, key).store.handle(ask, blob.to_vec()).await
+    owner_of(tier, key)
+        .record_store
+        .handle(ask, blob.to_vec())
+        .await
 }
 
 /// One turn of the session is finished, and the next runs.
@@ -517,7 +520,7 @@
 
 async fn keep_turns(tier: &Tier, items: Vec<LogRecord>) {
     let store = tier.at("store1").unwrap();
-    assert_eq!(store.chain.append(items).recv().await, Ok(true));
+    assert_eq!(store.turn_store.append(items).recv().await, Ok(true));
 }
 
 /// The last batch that the machine wrote is cut short.
@@ -590,7 +593,7 @@
     told.insert("peers".into(), peers.join(" "));
     told.insert(
         "log".into(),
-        tell_shelf(&tier.at("store1").unwrap().chain.index.lock().unwrap()),
+        tell_shelf(&tier.at("store1").unwrap().turn_store.index.lock().unwrap()),
     );
     let holder = tier.at(&tier.on_duty()[0]).unwrap();
     told.insert(
@@ -807,9 +810,9 @@
             })
         });
         let grant = body
-            .map(|(_, body)| serde_json::from_slice::<KeptGrant>(&body).unwrap())
+            .map(|(_, body)| serde_json::from_slice::<PersistedGrant>(&body).unwrap())
             .unwrap_or_default();
-        let is_granted = grant.term.to_string() == term && grant.seats > 0;
+        let is_granted = grant.term.to_string() == term && grant.voters_digest > 0;
         granters += (is_granted
             && grant
                 .holder
@@ -1096,11 +1099,11 @@
     }
 }
 
-fn grant() -> KeptGrant {
-    KeptGrant {
+fn grant() -> PersistedGrant {
+    PersistedGrant {
         term: 53,
         holder: Some(candidate()),
-        seats: 54,
+        voters_digest: 54,
     }
 }
 
@@ -1429,7 +1432,7 @@
 
 #[test]
 fn a_missing_field_of_a_grant_is_an_error_or_gets_its_default() {
-    check_fields::<KeptGrant>(&grant(), &[("holder", Value::Null)]);
+    check_fields::<PersistedGrant>(&grant(), &[("holder", Value::Null)]);
     check_fields::<Candidate>(&candidate(), &[("life", json!(0))]);
 }
 
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -16,7 +16,7 @@
 use yewcross_common::turn_log::{
     LedgerEntry, LedgerRecord, StoredTurn, TurnLogOperation, TurnLogRequest, TurnLogResponse,
 };
-use yewcross_control::lease::KeptGrant;
+use yewcross_control::lease::PersistedGrant;
 use yewcross_proxy::back::Stamp;
 use yewcross_proxy::balance::Load;
 use yewcross_proxy::load_exchange::{ServerKey, ServerLoad};
@@ -545,11 +545,11 @@
     }
 }
 
-pub fn kept_grant() -> KeptGrant {
-    KeptGrant {
+pub fn kept_grant() -> PersistedGrant {
+    PersistedGrant {
         term: 341,
         holder: Some(candidate()),
-        seats: 342,
+        voters_digest: 342,
     }
 }
 
