--- a/yewcross-control/src/layout/anti_entropy.rs
+++ b/yewcross-control/src/layout/anti_entropy.rs
@@ -1,6 +1,6 @@
-//! Anti-entropy of the registers: every key on this disk is brought to all its replicas, again and
-//! again; faster while a change of the assignment is under way, since it ends only after the disks
-//! have swept.
+//! Anti-entropy of the registers: repeated sweeps that replicate every key on this disk to all its
+//! replicas. Sweeps run faster while a change of the replica assignment is in progress, since the
+//! change ends only after the disks have completed a sweep.
 
 use super::planning::group;
 use crate::Control;
@@ -10,24 +10,24 @@
 use yewcross_common::documents::cache::DOCUMENT_NAMES;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 
-/// us. Pause after each key while a change is under way.
-const CHANGING_PAUSE: u64 = MS;
+/// Delay after each key while a change is in progress, in µs.
+const KEY_DELAY_DURING_CHANGE: u64 = MS;
 
-/// us. Rest after a sweep that was not complete, or while a change is under way.
-const SWEEP_AGAIN: u64 = SEC;
+/// Delay before the next sweep after an incomplete one, or while a change is in progress, in µs.
+const SWEEP_RETRY_DELAY: u64 = SEC;
 
-/// The assignment that one sweep goes by.
+/// The replica assignment on which one sweep is based.
 #[derive(Clone, Copy)]
 struct Assignment {
     /// Version of the layout.
-    version: u64,
-    /// Version that wrote the sets of this disk's group.
+    layout_version: u64,
+    /// Version of the layout that last changed the sets of this disk's group.
     since: u64,
     is_changing: bool,
 }
 
 impl Assignment {
-    /// The assignment as adopted now; `None` if this disk is no replica.
+    /// The assignment of the layout applied here; `None` if this disk is not a replica.
     fn of_this_disk(control: &Control) -> Option<Assignment> {
         let adopted = control.documents.layout.load_full();
         let (version, layout) = &*adopted;
@@ -35,14 +35,14 @@
         let own_disk = &control.storage.disk_id;
         let is_replica = group.current.contains(own_disk) || group.previous.contains(own_disk);
         (*version > 0 && is_replica).then(|| Assignment {
-            version: *version,
+            layout_version: *version,
             since: layout.since(group, *version),
             is_changing: group.is_changing(),
         })
     }
 
-    /// Whether the sets of this disk's group are still the same. Changes of the other group do not
-    /// interrupt a sweep.
+    /// Whether the sets of this disk's group are unchanged. Changes of the other group do not interrupt
+    /// a sweep.
     fn is_current(self, control: &Control) -> bool {
         let adopted = control.documents.layout.load();
         let (version, layout) = &**adopted;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Sweeps this disk over and over.
+/// Sweeps this disk repeatedly, for as long as the process runs.
 pub async fn run(control: Arc<Control>) {
     loop {
         let layout_changed = control.documents.changed.listen();
@@ -65,21 +65,21 @@
         if is_complete && assignment.is_current(&control) {
             control
                 .swept_layout_version
-                .store(assignment.version, SeqCst);
+                .store(assignment.layout_version, SeqCst);
         }
-        let rest = if assignment.is_changing || !is_complete {
-            SWEEP_AGAIN
+        let delay = if assignment.is_changing || !is_complete {
+            SWEEP_RETRY_DELAY
         } else {
             SWEEP_INTERVAL
         };
-        wait_for_next(&control, assignment, rest).await;
+        wait_for_next(&control, assignment, delay).await;
     }
 }
 
-/// Brings every key to its replicas once. Returns whether all of them were.
+/// Replicates every key on this disk once. Returns whether all keys were replicated.
 async fn sweep_once(control: &Arc<Control>, assignment: Assignment) -> bool {
     let (mut keys, damaged) = control.replica.keys().await;
-    // Replicas of the same keys begin at different ones.
+    // Starts at a random key, so that replicas of the same keys do not all repair the same ones first.
     let first = control.runtime.random_index(keys.len());
     keys.rotate_left(first);
     let mut keys_left = keys.len() as u64;
@@ -100,7 +100,8 @@
     is_complete
 }
 
-/// Brings one key to its replicas. Returns false if it has to be tried again.
+/// Replicates one key, or removes it if this disk is no longer its replica. Returns false if the key
+/// must be retried.
 async fn sweep_key(control: &Arc<Control>, assignment: Assignment, key: &str) -> bool {
     if control.replica.read_record(key).await.is_none() {
         return true;
@@ -121,7 +122,8 @@
         return false;
     }
     control.counters.repaired_records.fetch_add(1, SeqCst);
-    // Through the key's first owner, so that replicas of the same key do not compete for it.
+    // The repair is routed to the key's first owner, so that replicas of the same key do not run
+    // competing repairs.
     let repair = PeerRequest::RepairKey { key: key.into() };
     let answer = (control.record_store.route)(key.into(), repair).await;
     let is_repaired = matches!(answer, Some(PeerResponse::Ok));
@@ -130,44 +132,46 @@
         (control.record_store.route)(key.into(), PeerRequest::ExpireSession { key: key.into() })
             .await;
     }
-    let pause = if assignment.is_changing {
-        CHANGING_PAUSE
+    let key_delay = if assignment.is_changing {
+        KEY_DELAY_DURING_CHANGE
     } else {
         SWEEP_PAUSE
     };
-    control.runtime.sleep(pause).await;
+    control.runtime.sleep(key_delay).await;
     is_repaired
 }
 
-/// Whether the session of this key is over and may be removed.
+/// Whether the session of this key has expired and may be removed.
 async fn is_expired(control: &Control, key: &str) -> bool {
     control
         .replica
         .read_record(key)
         .await
-        .is_some_and(|slot| slot.value.is_empty() || control.record_store.outlived(&slot.value))
+        .is_some_and(|record| {
+            record.value.is_empty() || control.record_store.outlived(&record.value)
+        })
 }
 
-/// Returns after `rest` us, or when another disk requests a sweep or the layout is another one.
-async fn wait_for_next(control: &Control, assignment: Assignment, rest: u64) {
-    let deadline = control.runtime.now() + rest;
+/// Returns after `delay` µs, or earlier if another disk requests a sweep or the layout changes.
+async fn wait_for_next(control: &Control, assignment: Assignment, delay: u64) {
+    let deadline = control.runtime.now() + delay;
     loop {
         let layout_changed = control.documents.changed.listen();
         let sweep_requested = control.sweep_requested.listen();
         let now = control.runtime.now();
         if now >= deadline
             || control.is_sweep_requested.swap(false, SeqCst)
-            || control.documents.layout.load().0 != assignment.version
+            || control.documents.layout.load().0 != assignment.layout_version
         {
             return;
         }
-        let any = futures_lite::future::or(layout_changed, sweep_requested);
-        control.runtime.timeout(deadline - now, any).await;
+        let any_event = futures_lite::future::or(layout_changed, sweep_requested);
+        control.runtime.timeout(deadline - now, any_event).await;
     }
 }
 
-/// Documents are repaired by the process that proposes, and by no other. Returns false if it has to
-/// be tried again.
+/// Repairs a document if this process is the proposer; no other process repairs documents. Returns
+/// false if the repair must be retried.
 async fn repair_document(control: &Control, name: &str) -> bool {
     if control.lease_term().is_none() || control.registers.all_replicas_agree(name).await {
         return true;
@@ -176,8 +180,8 @@
     control.registers.repair(name).await
 }
 
-/// Asks all machines of the same role to sweep. The names of damaged keys are lost with them, so
-/// only the other replicas can tell which they are.
+/// Requests a sweep from all machines of the same role. The name of a damaged key cannot be read
+/// either, so only sweeps by the other replicas can restore it.
 fn request_sweeps(control: &Control) {
     let others = control
         .members
@@ -187,7 +191,8 @@
     for node in others {
         let peers = control.peers.clone();
         control.runtime.spawn(async move {
-            // This disk's next sweep asks again for as long as keys are damaged.
+            // A failed request needs no handling: this disk's next sweep repeats it for as long as
+            // keys are damaged.
             let _ = peers
                 .request(
                     node.peer,
--- a/yewcross-control/src/layout/bootstrap.rs
+++ b/yewcross-control/src/layout/bootstrap.rs
@@ -1,8 +1,8 @@
 //! Bootstrap of the tier: the first layout and the empty configuration.
 //!
-//! No majority exists before the first layout, so it does not come from a quorum. Each core disk that
-//! it names accepts it once, and rejects any other. Only then is it decided as version 1 of the
-//! document, followed by the empty configuration.
+//! No quorum is defined before the first layout, so a quorum cannot decide it. Instead, each core
+//! disk that the layout names accepts one first layout and rejects any other. Only then is it decided
+//! as version 1 of the document, followed by the empty configuration.
 
 use super::LAYOUT;
 use super::error::LayoutError;
@@ -21,23 +21,25 @@
 /// Name of the document that holds the operators' configuration.
 const CONFIG: &str = "config";
 
-/// Name of the file that says that this process bootstraps the tier, and from which seeds.
+/// Name of the file whose presence means that this process bootstraps the tier. It stores the seeds
+/// that the process bootstraps from.
 const BOOTSTRAP_FILE: &str = "founding";
 
-/// Version of the first layout, and of the file that keeps it.
+/// Version of the first layout and of the file that stores it.
 const FIRST_VERSION: u64 = 1;
 
-/// Fewest core replicas of a tier that an operator bootstraps.
-const FEWEST_CORES: usize = 3;
+/// Minimum number of core replicas of a tier that an operator bootstraps.
+const MIN_CORE_REPLICAS: usize = 3;
 
-/// us. How often an automatic bootstrap is tried again while nothing changes.
-const BOOTSTRAP_AGAIN: u64 = 300 * MS;
+/// Interval at which an automatic bootstrap is retried while nothing changes, in µs.
+const BOOTSTRAP_RETRY_INTERVAL: u64 = 300 * MS;
 
-/// Persists and adopts the first layout on this disk, for a core process that bootstraps the tier. A
-/// core disk takes part in decisions only after this, or once a decided layout names it.
+/// Persists and applies the first layout on this disk, as requested by the core process that
+/// bootstraps the tier. A core disk votes only after this, or once a decided layout names it.
 pub async fn accept_first_layout(control: &Arc<Control>, content: Vec<u8>) -> PeerResponse {
-    let _one_at_a_time = control.bootstrap_lock.lock().await;
-    // The message is sent to an address: only a disk that the layout names may accept it.
+    let _guard = control.bootstrap_lock.lock().await;
+    // The request is sent to an address, which another disk may have taken over: only a disk that
+    // the layout names may accept it.
     let names_this_disk = serde_json::from_slice::<Layout>(&content)
         .is_ok_and(|layout| layout.core.current.contains(&control.storage.disk_id));
     if !names_this_disk {
@@ -53,11 +55,11 @@
     }
     let text = String::from_utf8_lossy(&content);
     let file = serde_json::to_vec(&(FIRST_VERSION, Ballot::default(), text)).unwrap_or_default();
-    let persisted = control
+    let written = control
         .storage
         .persist("local", LAYOUT, FIRST_VERSION, &file)
         .await;
-    if persisted.is_err() {
+    if written.is_err() {
         return PeerResponse::Rejected(Code::StoreAway);
     }
     control
@@ -70,7 +72,8 @@
     PeerResponse::Ok
 }
 
-/// Bootstraps the tier from the machines that an operator names; all of them must be known and new.
+/// Bootstraps the tier from the machines that an operator names. All of them must be known, and the
+/// core machines must not hold another layout.
 pub async fn bootstrap(
     control: &Arc<Control>,
     cores: &[String],
@@ -80,7 +83,7 @@
     let content = first_layout_of(&view, cores, stores)?;
     for node in cores.iter().filter_map(|name| view.get(name)) {
         let is_own = node.name == control.settings.name;
-        let answer = offer_first_layout(control, node.peer, is_own, &content).await;
+        let answer = send_first_layout(control, node.peer, is_own, &content).await;
         if !matches!(answer, PeerResponse::Ok) {
             return Err(LayoutError::BootstrapRejected {
                 machine: node.name.clone(),
@@ -91,21 +94,21 @@
     let empty = serde_json::to_vec(&ConfigDoc::default()).unwrap_or_default();
     decide_if_absent(control, CONFIG, empty).await?;
     for document in [LAYOUT, CONFIG] {
-        if let Ok((version, epoch, content)) = control
+        if let Ok((version, ballot, content)) = control
             .registers
             .read_with_ballot(document, PEER_REQUEST_TIMEOUT)
             .await
         {
             let control_handle = control.clone();
             control.runtime.spawn(async move {
-                config::roll_out(&control_handle, document, version, epoch, &content).await;
+                config::roll_out(&control_handle, document, version, ballot, &content).await;
             });
         }
     }
     Ok(())
 }
 
-/// The first layout of the machines named.
+/// Builds the first layout from the named machines.
 fn first_layout_of(
     view: &BTreeMap<String, Node>,
     cores: &[String],
@@ -133,7 +136,7 @@
     };
     let core = group(cores, Role::Core)?;
     let store = group(stores, Role::Store)?;
-    if core.current.len() < FEWEST_CORES || store.current.len() < RECORD_REPLICAS {
+    if core.current.len() < MIN_CORE_REPLICAS || store.current.len() < RECORD_REPLICAS {
         return Err(LayoutError::TooFewMachines);
     }
     let layout = Layout {
@@ -147,8 +150,8 @@
     Ok(serde_json::to_vec(&layout).unwrap_or_default())
 }
 
-/// Has a core process accept the first layout; this process itself where `is_own`.
-async fn offer_first_layout(
+/// Requests a core process to accept the first layout; handled locally if `is_own`.
+async fn send_first_layout(
     control: &Arc<Control>,
     peer: SocketAddr,
     is_own: bool,
@@ -166,7 +169,7 @@
         })
 }
 
-/// Decides the first version of a document, unless one is decided already.
+/// Decides the first version of a document, unless a version is already decided.
 async fn decide_if_absent(
     control: &Control,
     document: &str,
@@ -186,8 +189,8 @@
         .map_err(|_| LayoutError::BootstrapUndecided)
 }
 
-/// Bootstraps a tier that has no operator. The first core replicas are the disks of the seed
-/// machines that every node is configured with, so that all processes that try propose the same.
+/// Bootstraps a tier that maintains itself. The first core replicas are the disks of the seed machines
+/// that every node is configured with, so all processes that bootstrap propose the same layout.
 /// Returns once the first layout and the empty configuration are decided.
 pub async fn bootstrap_automatically(control: Arc<Control>) {
     let plan = BootstrapPlan::load_or_persist(&control).await;
@@ -206,19 +209,22 @@
             return;
         }
         let any_change = futures_lite::future::or(documents_changed, members_changed);
-        control.runtime.timeout(BOOTSTRAP_AGAIN, any_change).await;
+        control
+            .runtime
+            .timeout(BOOTSTRAP_RETRY_INTERVAL, any_change)
+            .await;
     }
 }
 
-/// Whether this process bootstraps the tier, and from which seeds.
+/// Whether this process bootstraps the tier, and the seeds that it bootstraps from.
 struct BootstrapPlan {
     proposes: bool,
     seeds: Vec<SocketAddr>,
 }
 
 impl BootstrapPlan {
-    /// Reads the plan from the settings. A process that proposes persists it first: one that
-    /// restarts before the end goes on with the seeds that it began with.
+    /// Reads the plan from the disk or else from the settings. A process that proposes persists its
+    /// plan first, so that after a restart during the bootstrap it continues with the same seeds.
     async fn load_or_persist(control: &Control) -> BootstrapPlan {
         let seeds = &control.settings.seeds;
         let configured = BootstrapPlan {
@@ -235,7 +241,8 @@
             },
             _ if configured.proposes => {
                 let body = serde_json::to_vec(seeds).unwrap_or_default();
-                // A disk that cannot keep the plan cannot keep the layout either, and rejects it.
+                // A disk that cannot persist the plan cannot persist the layout either, and then
+                // rejects it.
                 let _ = control
                     .storage
                     .persist("local", BOOTSTRAP_FILE, 1, &body)
@@ -246,7 +253,7 @@
         }
     }
 
-    /// Proposes the first layout if this process is one of the seeds, and all of them are known.
+    /// Proposes the first layout if this process is one of the seeds and all seeds are known.
     async fn propose_if_possible(&self, control: &Arc<Control>) {
         if !self.proposes || !self.seeds.contains(&control.settings.peer) {
             return;
@@ -257,7 +264,7 @@
     }
 }
 
-/// The first layout, once the machines of all seeds are known.
+/// Builds the first layout from the seeds; `None` until the machines of all seeds are known.
 fn first_layout_of_seeds(control: &Control, seeds: &[SocketAddr]) -> Option<Vec<u8>> {
     let view = control.members.view.load();
     let nodes: Vec<&Node> = seeds
@@ -289,21 +296,22 @@
     serde_json::to_vec(&layout).ok()
 }
 
-/// Offers the layout to the seeds in their order, until one does not accept it. Where two proposals
-/// differ, the first seed thus accepts one of them before any other seed has accepted either.
+/// Sends the layout to the seeds in their configured order, until one does not accept it. If two
+/// processes propose different layouts, the fixed order ensures that the first seed accepts one of
+/// them before any other seed has accepted either.
 async fn propose_first_layout(control: &Arc<Control>, seeds: &[SocketAddr], content: &[u8]) {
     for seed in seeds {
         let is_own = *seed == control.settings.peer;
-        let answer = offer_first_layout(control, *seed, is_own, content).await;
+        let answer = send_first_layout(control, *seed, is_own, content).await;
         if !matches!(answer, PeerResponse::Ok) {
             return;
         }
     }
 }
 
-/// Decides the first layout and the empty configuration where nothing is decided yet. The lease
-/// holder calls it before it acts; by this it also takes both documents under its own ballots.
-/// Returns whether both are decided.
+/// Decides the first layout and the empty configuration if they are not decided yet. The lease holder
+/// calls this before it acts, which also writes both documents under its own ballots. Returns whether
+/// both are decided.
 pub async fn decide_first_documents(control: &Arc<Control>) -> bool {
     let adopted = control.documents.document(LAYOUT);
     let write_layout = |version, _: &[u8]| {
@@ -325,24 +333,26 @@
             ValueUpdate::Keep(false)
         }
     };
-    let written_now = control
+    let was_written = control
         .registers
         .change(CONFIG, SEC, write_configuration)
         .await;
-    if written_now == Ok(true) {
-        control.runtime.log("founded");
+    if was_written == Ok(true) {
+        control
+            .runtime
+            .log("tier bootstrapped: first layout and empty configuration decided");
         control
             .documents
             .apply(CONFIG, FIRST_VERSION, Ballot::default(), empty);
         config::publish_current(control, LAYOUT);
         config::publish_current(control, CONFIG);
     }
-    written_now.is_ok()
+    was_written.is_ok()
 }
 
-/// Whether this process knows that the first layout and configuration are decided. A configuration,
-/// or a second layout, is written only after both; the first layout alone proves nothing, since a
-/// disk adopts it before it is decided.
+/// Whether the documents applied here show that the first layout and configuration are decided. A
+/// configuration or a second layout is published only after both. The first layout alone is no
+/// evidence, since a disk applies it before it is decided.
 fn is_bootstrapped(control: &Control) -> bool {
     control.documents.document(CONFIG).version > 0 || control.documents.layout.load().0 > 1
 }
--- a/yewcross-control/src/layout/change.rs
+++ b/yewcross-control/src/layout/change.rs
@@ -1,12 +1,13 @@
-//! Maintains the replica assignment of a tier that needs no operator: begins and amends changes.
+//! Maintains the replica assignment of a tier that needs no operator: starts and amends changes.
 //!
-//! The core's and the stores' changes run side by side: one may begin, be amended and end while the
-//! other is under way. A step that begins or amends is bound to the layout's version, and every step
-//! to the term of the lease under which it was planned.
+//! The core group and the store group change independently: a change of one may start, be amended and
+//! end while a change of the other is in progress. A step that starts or amends a change is valid only
+//! for the layout version on which it was planned, and every step only under the lease term in which
+//! it was planned.
 
 use super::finish::finish_changes;
 use super::planning::{self, ClusterView, GROUPS_BY_URGENCY, group};
-use super::report::survey;
+use super::report::collect_reports;
 use super::{LAYOUT, VersionedLayout};
 use crate::{Control, config};
 use std::collections::BTreeMap;
@@ -21,12 +22,12 @@
 use yewcross_common::protocol::{Layout, ReplicaGroup};
 use yewcross_common::register::ValueUpdate;
 
-/// us. How soon the replicas are looked at again after one did not answer, so that a change that
-/// enlarges the group had to wait.
-const SILENT_REPLICA_AGAIN: u64 = LAYOUT_STEP_RETRY_DELAY / 2;
+/// Delay before the replicas are checked again after one did not answer and so postponed a change that
+/// enlarges the group, in µs.
+const UNRESPONSIVE_REPLICA_RETRY_DELAY: u64 = LAYOUT_STEP_RETRY_DELAY / 2;
 
-/// Looks at the replicas once and takes at most one step of a group that needs one. Returns how long
-/// to rest, in us, unless something changes before.
+/// Checks the replicas once and takes at most one step of a change. Returns the delay before the next
+/// check in µs; an event such as a membership change may shorten it.
 pub async fn maintain_replicas(control: &Arc<Control>) -> u64 {
     let adopted = control.documents.layout.load_full();
     let (version, layout) = &*adopted;
@@ -38,8 +39,8 @@
         layout,
     };
     let live: Vec<Node> = control.members.view.load().values().cloned().collect();
-    let missing_since = note_missing(control, layout, &live);
-    let mut rest = if missing_since.is_empty() {
+    let missing_since = update_missing_replicas(control, layout, &live);
+    let mut delay = if missing_since.is_empty() {
         SEC
     } else {
         MISSING_REPLICA_POLL_INTERVAL
@@ -48,39 +49,44 @@
         let Some(next) = plan_step(control, adopted, &live, &missing_since, role) else {
             continue;
         };
-        match postponed_by(control, adopted, &next, role, &live).await {
-            Some(wait) => rest = rest.min(wait),
-            None if decide(control, *version, &next).await => return 0,
-            None => return rest.min(LAYOUT_STEP_RETRY_DELAY),
+        match step_delay(control, adopted, &next, role, &live).await {
+            Some(postponement) => delay = delay.min(postponement),
+            None if decide_step(control, *version, &next).await => return 0,
+            None => return delay.min(LAYOUT_STEP_RETRY_DELAY),
         }
     }
     if !layout.core.is_changing() && !layout.store.is_changing() {
-        return rest;
+        return delay;
     }
     if finish_changes(control, adopted).await {
         0
     } else {
-        rest.min(LAYOUT_CHANGE_POLL_INTERVAL)
+        delay.min(LAYOUT_CHANGE_POLL_INTERVAL)
     }
 }
 
-/// Publishes the newest layout here after a step that could not be done: one that another core has
-/// adopted, or else what a majority of the disks holds.
-pub(super) async fn refresh(control: &Arc<Control>) {
+/// Applies the newest layout here after a step that was not decided: a newer one that another core has
+/// applied, or else the one that a majority of the disks holds, which is then also published.
+pub(super) async fn apply_newest(control: &Arc<Control>) {
     if !super::catch_up(control).await {
         super::publish_newest(control).await;
     }
 }
 
-/// Since when the machine of each replica, incoming or outgoing, is missing, in us.
-fn note_missing(control: &Control, layout: &Layout, live: &[Node]) -> BTreeMap<String, u64> {
+/// Updates and returns the time in µs since which the machine of each incoming or outgoing replica has
+/// been missing.
+fn update_missing_replicas(
+    control: &Control,
+    layout: &Layout,
+    live: &[Node],
+) -> BTreeMap<String, u64> {
     let now = control.runtime.now();
     let is_alive = |disk: &String| {
         live.iter()
             .any(|node| node.disk == *disk && node.state == MemberState::Alive)
     };
     let replicas: Vec<&String> = planning::all_disks(layout).collect();
-    let mut missing = control.singleton_tasks.missing.lock().unwrap();
+    let mut missing = control.singleton_tasks.missing_since.lock().unwrap();
     missing.retain(|disk, _| replicas.contains(&disk) && !is_alive(disk));
     for disk in replicas.into_iter().filter(|disk| !is_alive(disk)) {
         missing.entry(disk.clone()).or_insert(now);
@@ -88,7 +94,7 @@
     missing.clone()
 }
 
-/// The group's next step, planned from what is known at this moment.
+/// Plans the group's next step from the current membership and the applied layout.
 fn plan_step(
     control: &Control,
     adopted: VersionedLayout<'_>,
@@ -111,9 +117,9 @@
     planning::next_step(adopted.layout, adopted.version, &view, role)
 }
 
-/// How long a step must wait, in us: for more stores at bootstrap, or for a replica that does not
-/// answer.
-async fn postponed_by(
+/// The delay in µs by which a step must be postponed, to wait for more stores at bootstrap or for a
+/// replica that does not answer; `None` if the step may be taken now.
+async fn step_delay(
     control: &Arc<Control>,
     adopted: VersionedLayout<'_>,
     next: &Layout,
@@ -125,25 +131,26 @@
         return None;
     }
     if before.current.is_empty() {
-        return awaits_first_stores(control, role, live).then_some(LAYOUT_STEP_RETRY_DELAY);
+        return is_waiting_for_first_stores(control, role, live).then_some(LAYOUT_STEP_RETRY_DELAY);
     }
     if after.current.len() <= before.current.len() {
         return None;
     }
-    // The group grows only while all replicas that stay answer: a newcomer may be the successor of
-    // one whose loss is not yet noticed.
+    // The group grows only if all staying replicas answer: a joining disk may be the replacement of
+    // a replica whose loss has not been detected yet.
     let staying: Vec<String> = before
         .current
         .iter()
         .filter(|disk| after.current.contains(disk))
         .cloned()
         .collect();
-    let has_silent_replica = probe_silent(control, staying, adopted.since(role)).await;
-    has_silent_replica.then_some(SILENT_REPLICA_AGAIN)
+    let has_unresponsive_replica = probe_unresponsive(control, staying, adopted.since(role)).await;
+    has_unresponsive_replica.then_some(UNRESPONSIVE_REPLICA_RETRY_DELAY)
 }
 
-/// Whether the first stores must still wait for others: they become replicas together.
-fn awaits_first_stores(control: &Control, role: Role, live: &[Node]) -> bool {
+/// Whether the first stores still wait for further stores, since all of them become replicas in one
+/// step.
+fn is_waiting_for_first_stores(control: &Control, role: Role, live: &[Node]) -> bool {
     let stores = live
         .iter()
         .filter(|node| node.role == Role::Store && node.state == MemberState::Alive)
@@ -154,46 +161,46 @@
             < control.singleton_tasks.bootstrapped_at.load(SeqCst) + BOOTSTRAP_WAIT
 }
 
-/// Asks the disks for a report, and has those that do not answer counted as missing and probed.
-/// Returns whether there are any.
-async fn probe_silent(control: &Arc<Control>, disks: Vec<String>, since: u64) -> bool {
-    let reports = survey(control, &disks, since, SWEEP_REPORT_TIMEOUT, |_| false).await;
-    let silent: Vec<String> = disks
+/// Requests a report from each of the disks. Marks those that do not answer as missing and probes
+/// their machines. Returns whether there are any.
+async fn probe_unresponsive(control: &Arc<Control>, disks: Vec<String>, since: u64) -> bool {
+    let reports = collect_reports(control, &disks, since, SWEEP_REPORT_TIMEOUT, |_| false).await;
+    let unresponsive: Vec<String> = disks
         .into_iter()
         .filter(|disk| !reports.iter().any(|report| report.disk == *disk))
         .collect();
-    if silent.is_empty() {
+    if unresponsive.is_empty() {
         return false;
     }
     let now = control.runtime.now();
-    for disk in &silent {
-        let mut missing = control.singleton_tasks.missing.lock().unwrap();
+    for disk in &unresponsive {
+        let mut missing = control.singleton_tasks.missing_since.lock().unwrap();
         missing.entry(disk.clone()).or_insert(now);
     }
-    let silent_nodes: Vec<Node> = silent
+    let unresponsive_nodes: Vec<Node> = unresponsive
         .iter()
         .filter_map(|disk| control.members.node_with_disk(disk))
         .collect();
-    for node in silent_nodes {
+    for node in unresponsive_nodes {
         control.members.clone().probe_or_suspect(node).await;
     }
     true
 }
 
-/// Decides `next` as the successor of layout `version`, and publishes it. Returns whether it was
+/// Decides `next` as the successor of layout `version` and publishes it. Returns whether it was
 /// decided.
-async fn decide(control: &Arc<Control>, version: u64, next: &Layout) -> bool {
+async fn decide_step(control: &Arc<Control>, version: u64, next: &Layout) -> bool {
     let Some(term) = control.acting_term() else {
         return false;
     };
-    let planned_on_term = next.term;
+    let base_term = next.term;
     let next = Layout {
         term,
         ..next.clone()
     };
     let content = serde_json::to_vec(&next).unwrap_or_default();
     let step = |found_version, _: &[u8]| {
-        if found_version == version && control.may_write(term, planned_on_term) {
+        if found_version == version && control.may_write(term, base_term) {
             ValueUpdate::Write(content.clone(), true)
         } else {
             ValueUpdate::Keep(false)
@@ -206,19 +213,20 @@
         == Ok(true);
     if decided {
         control.runtime.log(&format!(
-            "seats change: core {:?} store {:?}",
+            "replica assignment changed: core replicas {:?}, store replicas {:?}",
             machine_names(&next, &next.core),
             machine_names(&next, &next.store)
         ));
         config::publish(control, LAYOUT, version + 1, content);
     } else {
-        // Another process's version is newer, or ours was decided and the answers were lost.
-        refresh(control).await;
+        // Either another process has decided a newer version, or this one was decided and the
+        // answers were lost.
+        apply_newest(control).await;
     }
     decided
 }
 
-/// Names of the machines of the group's incoming set.
+/// Names of the machines of the group's current set, separated by spaces.
 fn machine_names(layout: &Layout, group: &ReplicaGroup) -> String {
     let names: Vec<&str> = group
         .current
--- a/yewcross-control/src/layout/error.rs
+++ b/yewcross-control/src/layout/error.rs
@@ -4,7 +4,7 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::process_settings::Role;
 
-/// Why an operator's bootstrap or change of disks was not carried out.
+/// Reasons why an operator's bootstrap or change of disks was not carried out.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum LayoutError {
@@ -17,16 +17,16 @@
     /// A core machine did not accept the first layout.
     #[snafu(display("{machine} is founded otherwise or cannot be reached"))]
     BootstrapRejected { machine: String },
-    /// The first documents may or may not have been decided.
+    /// It is unknown whether the first documents were decided.
     #[snafu(display("founding is not yet decided; send it again"))]
     BootstrapUndecided,
-    /// The change does not fit the layout.
+    /// The change is not possible in the current layout.
     #[snafu(display("{source}"), context(false))]
     Invalid { source: DiskChangeError },
     /// There is no layout to change.
     #[snafu(display(""))]
     NotBootstrapped,
-    /// The change may or may not have been decided.
+    /// It is unknown whether the change was decided.
     #[snafu(display(""))]
     ChangeUndecided,
     /// No majority of the core disks answered; nothing was changed.
@@ -35,7 +35,7 @@
 }
 
 impl LayoutError {
-    /// The code that an operator is answered with.
+    /// The error code of the operator's response.
     pub fn code(&self) -> Code {
         match self {
             LayoutError::UnknownMachine { .. }
@@ -49,11 +49,11 @@
     }
 }
 
-/// Why a change of disks does not fit a layout.
+/// Reasons why a change of disks is not possible in a layout.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum DiskChangeError {
-    /// The disk or machine to be removed is no replica.
+    /// The disk or machine to be removed is not a replica.
     #[snafu(display("{disk} has no seat"))]
     NotAReplica { disk: String },
     /// The disk or machine to be added is not known, or has no disk.
@@ -65,7 +65,7 @@
     /// The machine to be added has the role of the other group.
     #[snafu(display("a core seat needs a core machine, a store seat a store machine"))]
     OtherRole,
-    /// The group would be smaller than it may be.
+    /// The group would have fewer than the minimum number of replicas.
     #[snafu(display("too few disks would be left"))]
     TooFewLeft,
 }
--- a/yewcross-control/src/layout/finish.rs
+++ b/yewcross-control/src/layout/finish.rs
@@ -1,10 +1,10 @@
-//! Ends changes of the replica assignment: checks that the outgoing set is no longer needed, and
-//! drops it. A step that ends a change is bound to the sets of its group (`ReplicaGroup::since`) and
-//! not to the layout's version, so that the other group's changes do not hold it up.
+//! Ends changes of the replica assignment: checks that the outgoing set is no longer needed and
+//! removes it. A step that ends a change is valid for the sets of its group (`ReplicaGroup::since`)
+//! rather than for one layout version, so that changes of the other group do not delay it.
 
-use super::change::refresh;
+use super::change::apply_newest;
 use super::planning::{self, ReplicaReport};
-use super::report::survey;
+use super::report::collect_reports;
 use super::{DecidedLayout, LAYOUT, VersionedLayout};
 use crate::{Control, config};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use yewcross_common::protocol::{Layout, PeerRequest, ReplicaGroup};
 use yewcross_common::register::{Ballot, ValueUpdate};
 
-/// Ends the changes that may end, each independently. Returns whether any ended.
+/// Ends each change that may end, independently of the other. Returns whether any ended.
 pub(super) async fn finish_changes(control: &Arc<Control>, adopted: VersionedLayout<'_>) -> bool {
     let core = async { adopted.layout.core.is_changing() && finish_core(control, adopted).await };
     let store =
@@ -26,8 +26,9 @@
     core_ended || store_ended
 }
 
-/// Once every decision is made in both sets, a document that majorities of both hold alike needs
-/// nothing more; any other is read through the register, which writes it to both.
+/// Ends the core group's change. Once every decision needs both sets, a document that majorities of
+/// both sets already hold in the same version needs no further work. Any other document is read
+/// through the register, which writes it to both sets.
 async fn finish_core(control: &Arc<Control>, adopted: VersionedLayout<'_>) -> bool {
     let (group, since) = (adopted.group(Role::Core), adopted.since(Role::Core));
     let reachable = group
@@ -36,7 +37,7 @@
         .filter(|disk| control.members.node_with_disk(disk).is_some())
         .count();
     let is_joint = |reports: &[ReplicaReport]| planning::core_is_joint(group, since, reports);
-    let reports = survey(
+    let reports = collect_reports(
         control,
         &group.previous,
         since,
@@ -45,11 +46,11 @@
     )
     .await;
     if !is_joint(&reports) {
-        publish_again(control, &reports, since);
+        resend_layout(control, &reports, since);
         return false;
     }
     for document in DOCUMENT_NAMES {
-        if is_settled_in_both(control, document, group, since, &reports).await {
+        if is_replicated_in_both(control, document, group, since, &reports).await {
             continue;
         }
         if control.acting_term().is_none() {
@@ -65,10 +66,11 @@
     end_change(control, Role::Core, since).await
 }
 
-/// Whether majorities of both sets hold the document alike. Of the outgoing set only disks count
-/// that had persisted the joint layout before: whatever was decided without the incoming set, they
-/// had accepted by then. Only reads are made, so that operators' orders are not disturbed.
-async fn is_settled_in_both(
+/// Whether majorities of both sets hold the same version of the document. Of the outgoing set only
+/// disks that had already persisted the joint layout are counted: they had by then accepted everything
+/// that was decided without the incoming set. This only reads, so it does not compete with operators'
+/// orders.
+async fn is_replicated_in_both(
     control: &Arc<Control>,
     document: &str,
     group: &ReplicaGroup,
@@ -76,19 +78,19 @@
     reports: &[ReplicaReport],
 ) -> bool {
     let may_vote = |disk: &str| {
-        let has_kept = reports
+        let has_joint_layout = reports
             .iter()
             .any(|report| report.disk == disk && report.persisted_layout_version >= since);
-        has_kept || !group.previous.iter().any(|outgoing| outgoing == disk)
+        has_joint_layout || !group.previous.iter().any(|outgoing| outgoing == disk)
     };
-    for look in 0..READ_ATTEMPTS {
-        if look > 0 {
+    for attempt in 0..READ_ATTEMPTS {
+        if attempt > 0 {
             control.runtime.sleep(READ_RETRY_DELAY).await;
         }
-        let is_settled = control.registers.majority_agrees(document, may_vote);
+        let majorities_agree = control.registers.majority_agrees(document, may_vote);
         let answer = control
             .runtime
-            .timeout(SWEEP_REPORT_TIMEOUT, is_settled)
+            .timeout(SWEEP_REPORT_TIMEOUT, majorities_agree)
             .await;
         if answer == Some(true) {
             return true;
@@ -97,32 +99,33 @@
     false
 }
 
+/// Ends the store group's change once enough disks have swept and persisted the joint layout.
 async fn finish_store(control: &Arc<Control>, adopted: VersionedLayout<'_>) -> bool {
     let (group, since) = (adopted.group(Role::Store), adopted.since(Role::Store));
     let joining = group
         .current
         .iter()
         .filter(|disk| !group.previous.contains(disk));
-    let both: Vec<String> = group.previous.iter().chain(joining).cloned().collect();
+    let both_sets: Vec<String> = group.previous.iter().chain(joining).cloned().collect();
     let may_end = |reports: &[ReplicaReport]| {
         planning::store_may_end(group, since, control.settings.bounds.lost, reports)
     };
-    let reports = survey(control, &both, since, SWEEP_REPORT_TIMEOUT, may_end).await;
+    let reports = collect_reports(control, &both_sets, since, SWEEP_REPORT_TIMEOUT, may_end).await;
     if !may_end(&reports) {
-        publish_again(control, &reports, since);
+        resend_layout(control, &reports, since);
         return false;
     }
     end_change(control, Role::Store, since).await
 }
 
 /// Sends the layout to the disks that have not persisted it.
-fn publish_again(control: &Arc<Control>, reports: &[ReplicaReport], since: u64) {
+fn resend_layout(control: &Arc<Control>, reports: &[ReplicaReport], since: u64) {
     let document = control.documents.document(LAYOUT);
-    let behind = reports
+    let outdated = reports
         .iter()
         .filter(|report| report.persisted_layout_version < since)
         .filter_map(|report| control.members.node_with_disk(&report.disk));
-    for node in behind {
+    for node in outdated {
         let (peers, content) = (control.peers.clone(), document.content.clone());
         let request = PeerRequest::PublishDocument {
             name: LAYOUT.into(),
@@ -131,7 +134,7 @@
             relays: vec![],
         };
         control.runtime.spawn(async move {
-            // An unanswered message needs no handling: the next look at the change sends it again.
+            // A failed request needs no handling: the next check of the change sends it again.
             let _ = peers
                 .request(node.peer, &request, &content, PEER_REQUEST_TIMEOUT)
                 .await;
@@ -139,7 +142,7 @@
     }
 }
 
-/// Ends the change that layout `since` began, whatever the other group did meanwhile.
+/// Ends the change that layout `since` started, even if the other group has changed in the meantime.
 async fn end_change(control: &Arc<Control>, role: Role, since: u64) -> bool {
     let Some(term) = control.acting_term() else {
         return false;
@@ -168,12 +171,13 @@
         })
         .await;
     let Ok(Some(decided)) = ended else {
-        refresh(control).await;
+        apply_newest(control).await;
         return false;
     };
-    control
-        .runtime
-        .log(&format!("change of {} disks done", group_name(role)));
+    control.runtime.log(&format!(
+        "change of the {} replicas completed",
+        group_name(role)
+    ));
     config::publish(control, LAYOUT, decided.version, decided.content);
     true
 }
--- a/yewcross-control/src/layout/manual.rs
+++ b/yewcross-control/src/layout/manual.rs
@@ -1,4 +1,4 @@
-//! Changes of disks that an operator orders, for a tier that is maintained manually.
+//! Disk changes requested by an operator, in a tier that is maintained manually.
 
 use super::error::{DiskChangeError, LayoutError};
 use super::planning::{self, GROUPS_BY_URGENCY};
@@ -12,26 +12,27 @@
 use yewcross_common::protocol::Layout;
 use yewcross_common::register::{ChangeError, ValueUpdate};
 
-/// A change of disks. Disks are named by their identity or by the name of their machine.
+/// A change of disks. A disk is given by its identity or by the name of its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskChange {
-    /// Removes a replica; what it stores is transferred to others first.
+    /// Removes a replica after its data has been transferred to others.
     Remove(String),
     /// Adds a replica.
     Add(String),
-    /// Replaces the first disk by the second.
+    /// Replaces the first disk with the second.
     Replace(String, String),
 }
 
-/// How far an outgoing replica of a change under way is. Operators read it as a JSON array of three.
+/// Transfer progress of an outgoing replica during a change. Encoded for operators as a JSON array of
+/// three elements.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, bool, u64)")]
 pub struct ReplicaProgress {
     /// Identity of the disk.
     pub disk: String,
-    /// Whether all that it stores has reached the incoming set.
+    /// Whether all its data has reached the incoming set.
     pub is_swept: bool,
-    /// How many keys it has yet to transfer.
+    /// Number of keys that it still has to transfer.
     pub keys_left: u64,
 }
 
@@ -41,9 +42,9 @@
     }
 }
 
-/// The layout that a change of disks begins with; `None` if the disks are assigned like that
-/// already. `node_of` finds a live machine by its name or its disk. The capacity planner asks the
-/// same.
+/// Builds the layout that starts a change of disks; `None` if the assignment already matches the
+/// change. `node_of` finds a live machine by its name or its disk. The capacity planner uses this
+/// function as well.
 pub fn propose(
     layout: &Layout,
     version: u64,
@@ -56,18 +57,18 @@
         DiskChange::Replace(removed, added) => (Some(removed), Some(added)),
     };
     let removed = removed
-        .map(|wanted| {
-            replica_disk(layout, wanted).ok_or_else(|| DiskChangeError::NotAReplica {
-                disk: wanted.clone(),
+        .map(|requested| {
+            replica_disk(layout, requested).ok_or_else(|| DiskChangeError::NotAReplica {
+                disk: requested.clone(),
             })
         })
         .transpose()?;
     let added = added
-        .map(|wanted| {
-            node_of(wanted)
+        .map(|requested| {
+            node_of(requested)
                 .filter(|node| !node.disk.is_empty())
                 .ok_or_else(|| DiskChangeError::NotLive {
-                    disk: wanted.clone(),
+                    disk: requested.clone(),
                 })
         })
         .transpose()?;
@@ -106,21 +107,21 @@
     Ok(Some(next))
 }
 
-/// The disk that an operator means by its identity, or by the name of a replica's machine.
-fn replica_disk(layout: &Layout, wanted: &str) -> Option<String> {
-    if layout.names.contains_key(wanted) {
-        return Some(wanted.to_string());
+/// Resolves a disk identity or the name of a replica's machine to the disk.
+fn replica_disk(layout: &Layout, requested: &str) -> Option<String> {
+    if layout.names.contains_key(requested) {
+        return Some(requested.to_string());
     }
     let is_replica =
         |disk: &String| layout.store.current.contains(disk) || layout.core.current.contains(disk);
     layout
         .names
         .iter()
-        .find(|(disk, machine)| *machine == wanted && is_replica(disk))
+        .find(|(disk, machine)| *machine == requested && is_replica(disk))
         .map(|(disk, _)| disk.clone())
 }
 
-/// The role whose group changes: that of the removed disk, or else that of the added machine.
+/// The role whose group changes: the one of the removed disk, or else of the added machine.
 fn changed_role(layout: &Layout, removed: Option<&String>, added: Option<&Node>) -> Role {
     let is_core = match removed {
         Some(disk) => layout.core.current.contains(disk) || layout.core.previous.contains(disk),
@@ -129,13 +130,13 @@
     if is_core { Role::Core } else { Role::Store }
 }
 
-/// Begins a change of disks, and returns the version of the layout that has it. A change that is
-/// ordered again after it began is not begun anew.
+/// Starts a change of disks and returns the version of the layout that contains it. Repeating a
+/// request for a change that has already started does not start it again.
 pub async fn begin(control: &Arc<Control>, change: DiskChange) -> Result<u64, LayoutError> {
     let view = control.members.view.load_full();
-    let node_of = |wanted: &str| {
+    let node_of = |requested: &str| {
         view.values()
-            .find(|node| node.disk == wanted || node.name == wanted)
+            .find(|node| node.disk == requested || node.name == requested)
             .cloned()
     };
     let outcome = control
@@ -156,14 +157,14 @@
         .await;
     publish_newest(control).await;
     match outcome {
-        Ok(begun) => begun,
+        Ok(started) => started,
         Err(ChangeError::Undecided) => Err(LayoutError::ChangeUndecided),
         Err(ChangeError::NotApplied | ChangeError::NotProposer) => Err(LayoutError::NoMajority),
     }
 }
 
-/// The version of the layout, and how far each outgoing replica of the changes under way is. One
-/// that does not answer counts as not swept.
+/// The version of the layout and the progress of each outgoing replica of the changes in progress. A
+/// replica that does not answer counts as not swept.
 pub async fn progress(control: &Arc<Control>) -> (u64, Vec<ReplicaProgress>) {
     let adopted = control.documents.layout.load_full();
     let (version, layout) = &*adopted;
@@ -175,7 +176,8 @@
     for role in GROUPS_BY_URGENCY {
         for disk in &adopted.group(role).previous {
             let report =
-                report::ask(control, disk, adopted.since(role), SWEEP_REPORT_TIMEOUT).await;
+                report::request_report(control, disk, adopted.since(role), SWEEP_REPORT_TIMEOUT)
+                    .await;
             let (is_swept, keys_left) = report.map_or((false, 0), |report| {
                 (report.replica.is_swept, report.keys_left)
             });
@@ -189,8 +191,8 @@
     (*version, replicas)
 }
 
-/// Looks at the layout once: ends changes that may end and, where none is under way, replaces the
-/// disk of a machine that came back empty.
+/// Checks the layout once: ends changes that may end or, if none is in progress, starts to replace the
+/// disk of a machine that returned with an empty one.
 pub async fn maintain_manual_layout(control: &Arc<Control>) {
     let adopted = control.documents.layout.load_full();
     let (version, layout) = &*adopted;
@@ -204,21 +206,21 @@
         replaced_disk(control, layout).filter(|_| control.acting_term().is_some())
     {
         let ReplacedDisk { lost, empty } = replaced;
-        control
-            .runtime
-            .log(&format!("disk {lost} came back empty as {empty}"));
-        // Another look at the layout tries again whatever could not be done.
+        control.runtime.log(&format!(
+            "replacing lost disk {lost} with the new empty disk {empty} of the same machine"
+        ));
+        // An error needs no handling: the next check of the layout retries the replacement.
         let _ = begin(control, DiskChange::Replace(lost, empty)).await;
     }
 }
 
-/// A machine that came back with another disk.
+/// The old and the new disk of a machine that returned with another disk.
 struct ReplacedDisk {
     lost: String,
     empty: String,
 }
 
-/// The first machine found that has a replica's name and an unknown disk.
+/// Finds a machine with the name of a replica's machine and a disk that is not in the layout.
 fn replaced_disk(control: &Control, layout: &Layout) -> Option<ReplacedDisk> {
     control.members.view.load().values().find_map(|node| {
         let replicas = &planning::group(layout, node.role).current;
@@ -235,11 +237,11 @@
     })
 }
 
-/// Ends all changes under way in layout `planned_on` if enough outgoing replicas have swept.
-async fn finish_if_swept(control: &Arc<Control>, planned_on: u64) {
+/// Ends all changes in progress in layout `base_version` if enough outgoing replicas have swept.
+async fn finish_if_swept(control: &Arc<Control>, base_version: u64) {
     let (version, replicas) = progress(control).await;
     let swept = replicas.iter().filter(|replica| replica.is_swept).count();
-    if version != planned_on || swept + control.settings.bounds.lost < replicas.len() {
+    if version != base_version || swept + control.settings.bounds.lost < replicas.len() {
         return;
     }
     let Some(term) = control.acting_term() else {
@@ -251,7 +253,7 @@
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
                 return ValueUpdate::Keep(());
             };
-            if version != planned_on || !control.may_write(term, layout.term) {
+            if version != base_version || !control.may_write(term, layout.term) {
                 return ValueUpdate::Keep(());
             }
             layout.term = term;
@@ -264,7 +266,7 @@
         })
         .await;
     if ended.is_ok() {
-        control.runtime.log("change of disks done");
+        control.runtime.log("replica assignment change completed");
     }
     publish_newest(control).await;
 }
--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -3,45 +3,46 @@
 //!
 //! # Who may change it
 //!
-//! The layout is a document that the core replicas agree on. In a tier that maintains itself
-//! (`Options::tends`) only the holder of the lease changes it:
+//! The layout is a document that the core replicas decide by majority. In a tier that maintains itself
+//! (`Options::tends`) only the lease holder changes it:
 //!
 //! - [`bootstrap`](bootstrap_automatically) writes the first layout;
 //! - [`maintain_replicas`] replaces lost disks, adds new ones and ends changes;
 //! - [`retire`] marks a store machine as retired on an operator's order; [`maintain_replicas`] then
-//!   moves its data away.
+//!   transfers its data to other machines.
 //!
 //! In a tier that is maintained manually, operators bootstrap it ([`bootstrap`]) and start changes
 //! at any core ([`begin`]); [`maintain_manual_layout`], on the lease holder, ends them.
 //!
-//! # What fences it
+//! # Fencing
 //!
-//! - A planned step (begin, amend, end) takes effect only if, while the register decides it, the
-//!   document still has the version that the step was planned on (a step of [`maintain_replicas`]
-//!   that ends a change: the group still has the sets that it was planned on, see
-//!   `ReplicaGroup::since`), this process still holds the lease under the term in which the step
-//!   was planned, and the layout was not written under a later term (`Control::may_write`).
-//! - An order ([`retire`], [`begin`]) is not planned beforehand: it is applied to whatever version
-//!   the register finds, or rejected there.
-//! - In a tier that maintains itself, only the lease holder proposes at all
-//!   (`RegisterClient::set_proposal_permit`), and it acts only after it has taken the documents under new
-//!   ballots, so that nothing an earlier holder has in flight can be accepted any more
+//! - A planned step (begin, amend, end) takes effect only if three conditions hold while the register
+//!   decides it. The document still has the version on which the step was planned; for a step of
+//!   [`maintain_replicas`] that ends a change, the group still has the sets on which it was planned
+//!   (`ReplicaGroup::since`). This process still holds the lease under the term in which the step was
+//!   planned. The layout was not written under a later term (`Control::may_write`).
+//! - An order ([`retire`], [`begin`]) is not planned in advance: it is applied to the version that the
+//!   register holds, or rejected there.
+//! - In a tier that maintains itself, only the lease holder may propose
+//!   (`RegisterClient::set_proposal_permit`). It acts only after it has written the documents under
+//!   new ballots, so that the replicas reject everything that an earlier holder still has in flight
 //!   (`lease_holder`).
-//! - A disk that has persisted a layout rejects requests by an older one: a process that missed a
-//!   change cannot decide anything by the sets it knows.
+//! - A disk that has persisted a layout rejects requests made under an older one, so a process that
+//!   missed a change cannot decide anything with the outdated sets.
 //!
-//! # How a change passes through joint groups
+//! # Changes through joint groups
 //!
 //! 1. *Begin*: the new set becomes `ReplicaGroup::current` and the old one
-//!    `ReplicaGroup::previous`. From here on every decision needs quorums of both.
-//! 2. *Amend*, if needed: replicas lost meanwhile are replaced in `current`; `previous` stays.
-//! 3. *Transfer*: each disk brings what it stores to its new replicas ([`anti_entropy`]) and reports
-//!    how far it is ([`report`]).
+//!    `ReplicaGroup::previous`. From then on every decision needs quorums of both.
+//! 2. *Amend*, if needed: replicas lost in the meantime are replaced in `current`; `previous` is
+//!    unchanged.
+//! 3. *Transfer*: each disk replicates its data to the new replicas ([`anti_entropy`]) and reports
+//!    its progress ([`report`]).
 //! 4. *End*: once enough disks have reported ([`planning::core_is_joint`],
 //!    [`planning::store_may_end`]), `previous` is cleared.
 //!
-//! The core group and the store group change independently. [`planning`] holds all the decisions as
-//! pure functions; the other modules gather its input and carry out its output.
+//! The core group and the store group change independently. [`planning`] contains all decisions as
+//! pure functions; the other modules collect its input and execute its output.
 
 mod anti_entropy;
 mod bootstrap;
@@ -85,24 +86,24 @@
         planning::group(self.layout, role)
     }
 
-    /// Version of the layout that wrote the group's sets.
+    /// Version of the layout that last changed the group's sets.
     fn since(self, role: Role) -> u64 {
         self.layout.since(self.group(role), self.version)
     }
 }
 
-/// A layout that was just decided, as it is published.
+/// A newly decided layout, ready to be published.
 struct DecidedLayout {
     version: u64,
     content: Vec<u8>,
 }
 
-/// Reads the newest layout under a majority and publishes it to every node.
+/// Reads the newest layout from a majority of the core replicas and publishes it to every node.
 async fn publish_newest(control: &Arc<Control>) {
     if !control.has_quorum_contact() {
         return;
     }
-    if let Ok((version, epoch, content)) = control
+    if let Ok((version, ballot, content)) = control
         .registers
         .read_with_ballot(LAYOUT, PEER_REQUEST_TIMEOUT)
         .await
@@ -112,16 +113,17 @@
         }
         let control_handle = control.clone();
         control.runtime.spawn(async move {
-            config::roll_out(&control_handle, LAYOUT, version, epoch, &content).await;
+            config::roll_out(&control_handle, LAYOUT, version, ballot, &content).await;
         });
     }
 }
 
-/// Adopts a newer layout from any core process that has one. The disks of such a process reject all
-/// requests by an older layout, reads of the layout included, so a process that missed a change
-/// cannot read it from the disks whose votes it would need. Returns whether a newer one was found.
+/// Fetches and applies a newer layout from any core process that has one. Disks that hold a newer
+/// layout reject all requests made under an older one, including reads of the layout, so a process
+/// that missed a change cannot read the layout from the disks whose votes it would need. Returns
+/// whether a newer layout was applied.
 pub async fn catch_up(control: &Arc<Control>) -> bool {
-    let known = control.documents.document(LAYOUT).version;
+    let known_version = control.documents.document(LAYOUT).version;
     let fetches: Vec<BoxFuture<'static, bool>> = control
         .members
         .nodes_of_role(Role::Core)
@@ -130,7 +132,7 @@
         .map(|node| {
             let control = control.clone();
             let fetch: BoxFuture<'static, bool> =
-                Box::pin(async move { fetch_newer(&control, node.peer, known).await });
+                Box::pin(async move { fetch_newer(&control, node.peer, known_version).await });
             fetch
         })
         .collect();
@@ -141,27 +143,23 @@
             break;
         }
     }
-    control.documents.document(LAYOUT).version > known
+    control.documents.document(LAYOUT).version > known_version
 }
 
-/// Asks one core process for a layout newer than `known`. Returns whether one was adopted.
-async fn fetch_newer(control: &Control, peer: std::net::SocketAddr, known: u64) -> bool {
+/// Fetches a layout newer than `known_version` from one core process. Returns whether one was applied.
+async fn fetch_newer(control: &Control, peer: std::net::SocketAddr, known_version: u64) -> bool {
     let request = PeerRequest::FetchDocument {
         name: LAYOUT.into(),
-        newer_than: known,
+        newer_than: known_version,
     };
     match control
         .peers
         .request(peer, &request, &[], PEER_REQUEST_TIMEOUT)
         .await
     {
-        Ok((
-            PeerResponse::Document {
-                version,
-                ballot: epoch,
-            },
-            content,
-        )) if version > known => control.documents.apply(LAYOUT, version, epoch, content),
+        Ok((PeerResponse::Document { version, ballot }, content)) if version > known_version => {
+            control.documents.apply(LAYOUT, version, ballot, content)
+        }
         _ => false,
     }
 }
--- a/yewcross-control/src/layout/planning.rs
+++ b/yewcross-control/src/layout/planning.rs
@@ -1,8 +1,8 @@
-//! Decisions about the replica assignment as pure functions: which change begins, how a change under
-//! way is amended, and when it may end.
+//! Decisions about the replica assignment as pure functions: which change starts, how a change in
+//! progress is amended, and when it may end.
 //!
-//! The core replicas (voters) and the store replicas form two groups. Each changes through joint
-//! groups by itself: while a change is under way, every decision needs a quorum of the incoming set
+//! The core replicas (voters) and the store replicas form two groups. Each changes independently, by
+//! joint consensus: while a change is in progress, every decision needs a quorum of the incoming set
 //! (`ReplicaGroup::current`) and a quorum of the outgoing one (`ReplicaGroup::previous`). The
 //! outgoing set stays in force until the change ends, so the incoming one may be amended at any
 //! time.
@@ -13,36 +13,37 @@
 use yewcross_common::protocol::{Layout, ReplicaGroup};
 use yewcross_common::register::majority;
 
-/// The groups in the order in which they are looked at: the core first, since nothing can be decided
+/// The groups in the order in which they are checked: the core first, since nothing can be decided
 /// without its majority.
 pub const GROUPS_BY_URGENCY: [Role; 2] = [Role::Core, Role::Store];
 
-/// What is known of the machines when a change is planned.
+/// The state of the machines on which a change is planned.
 pub struct ClusterView<'a> {
-    /// Machines that answer.
+    /// Machines in the current membership.
     pub live: &'a [Node],
-    /// All machines heard of lately, also those that are gone.
+    /// All machines seen recently, including those that have left the membership.
     pub recently_seen: &'a [Node],
-    /// How long the machine of a disk has been missing, in us; 0 if it is not.
+    /// Returns for how long the machine of a disk has been missing, in µs; 0 if it is not missing.
     pub missing_us: &'a dyn Fn(&str) -> u64,
-    /// How many machines with disks may be lost at once.
+    /// Number of machines with disks that may be lost at the same time.
     pub max_lost: usize,
 }
 
-/// A disk's report of a change.
+/// A disk's report on a change in progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaReport {
     /// The disk that reports.
     pub disk: String,
-    /// Version of the newest layout that it has persisted. It rejects requests by older layouts.
+    /// Version of the newest layout that it has persisted. It rejects requests made under older
+    /// layouts.
     pub persisted_layout_version: u64,
-    /// Whether all that it stores has reached the replicas that the incoming set requires.
+    /// Whether all its data has reached the replicas that the incoming set requires.
     pub is_swept: bool,
 }
 
-/// The layout that the group's next step leads to: the beginning of a change, or an amendment of
-/// the one under way. `None` if there is nothing to do, or nothing yet. The step is valid only while
-/// layout `version` is still the newest.
+/// The layout that results from the group's next step: the start of a change, or an amendment of the
+/// one in progress. `None` if no step is needed or possible yet. The step is valid only while layout
+/// `version` is still the newest.
 pub fn next_step(layout: &Layout, version: u64, view: &ClusterView, role: Role) -> Option<Layout> {
     if group(layout, role).is_changing() {
         amend(layout, version, view, role)
@@ -51,46 +52,46 @@
     }
 }
 
-/// How many of `replicas` disks may be lost: at most `lost`, and fewer where the group is so small
-/// that two quorums would no longer intersect.
-pub fn max_tolerated_losses(replicas: usize, lost: usize) -> usize {
-    lost.min(replicas.saturating_sub(1) / 2)
+/// Number of disks out of `replicas` that may be lost: at most `max_lost`, and fewer if the group is so
+/// small that two quorums would no longer intersect.
+pub fn max_tolerated_losses(replicas: usize, max_lost: usize) -> usize {
+    max_lost.min(replicas.saturating_sub(1) / 2)
 }
 
-/// Whether so many outgoing voters reject older layouts that nobody who knows only the outgoing set
-/// can find a majority of it any more.
+/// Whether enough outgoing voters reject older layouts that a process that uses only the outgoing set
+/// can no longer reach a majority of it.
 pub fn core_is_joint(group: &ReplicaGroup, since: u64, reports: &[ReplicaReport]) -> bool {
-    let kept = reports
+    let persisted = reports
         .iter()
         .filter(|report| {
             group.previous.contains(&report.disk) && report.persisted_layout_version >= since
         })
         .count();
     let needed = majority(group.previous.len());
-    kept >= needed && group.previous.len() - kept < needed
+    persisted >= needed && group.previous.len() - persisted < needed
 }
 
-/// Whether the outgoing set of the stores is no longer needed. Two conditions: everything written
-/// under it is on at least one disk that has swept to the incoming set, and enough of the incoming
-/// set reject older layouts.
+/// Whether the outgoing set of the stores is no longer needed. This takes two conditions: everything
+/// written under it is on at least one disk that has completed a sweep to the incoming set, and enough
+/// disks of the incoming set reject older layouts.
 pub fn store_may_end(
     group: &ReplicaGroup,
     since: u64,
-    lost: usize,
+    max_lost: usize,
     reports: &[ReplicaReport],
 ) -> bool {
-    let count = |set: &[String], counts: &dyn Fn(&ReplicaReport) -> bool| {
+    let count = |set: &[String], is_counted: &dyn Fn(&ReplicaReport) -> bool| {
         reports
             .iter()
-            .filter(|report| set.contains(&report.disk) && counts(report))
+            .filter(|report| set.contains(&report.disk) && is_counted(report))
             .count()
     };
     let swept = count(&group.previous, &|report| report.is_swept);
-    let kept = count(&group.current, &|report| {
+    let persisted = count(&group.current, &|report| {
         report.persisted_layout_version >= since
     });
-    swept + max_tolerated_losses(group.previous.len(), lost) >= group.previous.len()
-        && kept + max_tolerated_losses(group.current.len(), lost) >= group.current.len()
+    swept + max_tolerated_losses(group.previous.len(), max_lost) >= group.previous.len()
+        && persisted + max_tolerated_losses(group.current.len(), max_lost) >= group.current.len()
 }
 
 /// Ends the group's change: only the incoming set stays in force.
@@ -98,24 +99,24 @@
     let ended = group_mut(layout, role);
     ended.previous.clear();
     ended.since = version + 1;
-    forget_unassigned(layout);
+    remove_unassigned(layout);
 }
 
-/// Drops names and sites of disks that are in neither group any more.
-fn forget_unassigned(layout: &mut Layout) {
+/// Removes the names and sites of disks that are no longer in either group.
+fn remove_unassigned(layout: &mut Layout) {
     let assigned: Vec<String> = all_disks(layout).cloned().collect();
     layout.names.retain(|disk, _| assigned.contains(disk));
     layout.sites.retain(|disk, _| assigned.contains(disk));
 }
 
-/// Every disk that is a replica of either group, incoming or outgoing.
+/// All disks of both groups, incoming and outgoing. A disk that stays during a change occurs twice.
 pub fn all_disks(layout: &Layout) -> impl Iterator<Item = &String> {
     [&layout.core, &layout.store]
         .into_iter()
         .flat_map(|group| group.current.iter().chain(&group.previous))
 }
 
-/// The replica group of a role; any role but the core has the stores' group.
+/// The replica group of a role; every role except the core maps to the store group.
 pub fn group(layout: &Layout, role: Role) -> &ReplicaGroup {
     if role == Role::Core {
         &layout.core
@@ -124,7 +125,7 @@
     }
 }
 
-/// As [`group`], to be changed.
+/// Mutable variant of [`group`].
 pub fn group_mut(layout: &mut Layout, role: Role) -> &mut ReplicaGroup {
     if role == Role::Core {
         &mut layout.core
@@ -133,61 +134,61 @@
     }
 }
 
-/// Retires machines if that is possible at all, and else plans without.
+/// Plans a change that also removes retired machines or, if that is not possible, one that keeps them.
 fn begin(layout: &Layout, version: u64, view: &ClusterView, role: Role) -> Option<Layout> {
     plan(layout, version, view, role, true).or_else(|| plan(layout, version, view, role, false))
 }
 
-/// Amends a change under way that lost replicas. If an incoming disk is lost, the change is planned
-/// anew from the outgoing set; if a disk that was to stay is lost, its successor joins the change.
+/// Amends a change in progress that has lost replicas. If a joining disk is lost, the change is planned
+/// again from the outgoing set; if a staying disk is lost, its replacement is added to the change.
 fn amend(layout: &Layout, version: u64, view: &ClusterView, role: Role) -> Option<Layout> {
-    let under_way = group(layout, role);
+    let changing_group = group(layout, role);
     let is_lost = |disk: &String| {
-        let came_back_empty = view
+        let has_new_disk = view
             .live
             .iter()
             .any(|node| node.disk != *disk && layout.names.get(disk) == Some(&node.name));
-        came_back_empty || (view.missing_us)(disk) >= REPLICA_MISSING_AFTER
+        has_new_disk || (view.missing_us)(disk) >= REPLICA_MISSING_AFTER
     };
-    if !under_way.current.iter().any(is_lost) {
+    if !changing_group.current.iter().any(is_lost) {
         return None;
     }
-    let newcomer_is_lost = under_way
+    let joining_disk_is_lost = changing_group
         .current
         .iter()
-        .any(|disk| !under_way.previous.contains(disk) && is_lost(disk));
-    let base = if newcomer_is_lost {
-        &under_way.previous
+        .any(|disk| !changing_group.previous.contains(disk) && is_lost(disk));
+    let initial_set = if joining_disk_is_lost {
+        &changing_group.previous
     } else {
-        &under_way.current
+        &changing_group.current
     };
-    let mut settled = layout.clone();
-    *group_mut(&mut settled, role) = ReplicaGroup {
-        current: base.clone(),
+    let mut stable_layout = layout.clone();
+    *group_mut(&mut stable_layout, role) = ReplicaGroup {
+        current: initial_set.clone(),
         previous: vec![],
-        since: under_way.since,
+        since: changing_group.since,
     };
-    let planned = if newcomer_is_lost {
-        begin(&settled, version, view, role)
+    let planned = if joining_disk_is_lost {
+        begin(&stable_layout, version, view, role)
     } else {
-        plan(&settled, version, view, role, false)
+        plan(&stable_layout, version, view, role, false)
     };
     match planned {
         Some(mut next) => {
-            group_mut(&mut next, role).previous = under_way.previous.clone();
-            (group(&next, role).current != under_way.current).then_some(next)
+            group_mut(&mut next, role).previous = changing_group.previous.clone();
+            (group(&next, role).current != changing_group.current).then_some(next)
         }
-        // The outgoing set alone needs no change any more.
-        None if newcomer_is_lost => {
-            end(&mut settled, version, role);
-            Some(settled)
+        // The outgoing set needs no change any more, so the change is cancelled.
+        None if joining_disk_is_lost => {
+            end(&mut stable_layout, version, role);
+            Some(stable_layout)
         }
         None => None,
     }
 }
 
-/// A change from a settled group. Retired and lost replicas are replaced first; then disks that are
-/// no replicas yet join.
+/// Plans a change of a group that has no change in progress. Retired and lost replicas are replaced
+/// first; then disks that are not yet replicas join.
 fn plan(
     layout: &Layout,
     version: u64,
@@ -205,7 +206,7 @@
     change.remove_lost(&unreplaced);
 
     let current = change.resulting_set();
-    let is_short = role == Role::Store && current.len() < change.fewest();
+    let is_short = role == Role::Store && current.len() < change.min_replicas();
     let was_empty = change.replicas.is_empty();
     if current == *change.replicas || current.is_empty() || (is_short && (retires || was_empty)) {
         return None;
@@ -213,21 +214,21 @@
     Some(change.into_layout(version, current))
 }
 
-/// A replica whose machine does not answer. The order is by time, then by disk.
+/// A replica whose machine does not answer. Ordered by missing time, then by disk.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MissingReplica<'a> {
     missing_us: u64,
     disk: &'a String,
 }
 
-/// A change of one settled group while it is put together.
+/// Builder of a change of one group that has no change in progress.
 struct GroupChange<'a> {
     layout: &'a Layout,
     view: &'a ClusterView<'a>,
     role: Role,
-    /// The group as it is.
+    /// The group's current set.
     replicas: &'a [String],
-    /// Live machines whose disks are no replicas and may become ones.
+    /// Live machines whose disks are not replicas and may become replicas.
     free: Vec<&'a Node>,
     leaving: Vec<&'a String>,
     joining: Vec<&'a Node>,
@@ -254,8 +255,8 @@
         }
     }
 
-    /// Fewest replicas with which as many losses as are tolerated leave a majority.
-    fn fewest(&self) -> usize {
+    /// Minimum number of replicas of which a majority remains after the tolerated number of losses.
+    fn min_replicas(&self) -> usize {
         2 * self.view.max_lost + 1
     }
 
@@ -278,7 +279,8 @@
             .collect();
     }
 
-    /// Replaces the disk of each machine that came back empty, under its name or at its address.
+    /// Replaces the disk of each machine that returned with a new disk, under the same name or at the
+    /// same address.
     fn replace_returned(&mut self) {
         for node in self.free.clone() {
             let returned = self
@@ -291,14 +293,15 @@
         }
     }
 
+    /// Whether the disk belonged to the machine `node`, judged by its name or its address.
     fn belonged_to(&self, disk: &str, node: &Node) -> bool {
         let is_at_its_address = |other: &Node| other.disk == disk && other.peer == node.peer;
         self.machine_name(disk) == node.name
             || self.view.recently_seen.iter().any(is_at_its_address)
     }
 
-    /// Replaces the replicas missing longest by free disks, and lets the other free disks join.
-    /// Returns the missing replicas that no disk was left for, in ascending order of time.
+    /// Replaces the replicas that have been missing longest with free disks, and adds the other free
+    /// disks. Returns the missing replicas that were not replaced, in ascending order of missing time.
     fn replace_missing(&mut self) -> Vec<MissingReplica<'a>> {
         let mut missing: Vec<MissingReplica> = self
             .staying()
@@ -322,7 +325,8 @@
                     self.leaving.push(replica.disk);
                     self.joining.push(node);
                 }
-                // Its machine may be back in a moment: the free disk waits for that.
+                // The machine has not been missing for long and may return: the free disk is held
+                // back and not added.
                 Some(_) => {}
                 None => self.joining.push(node),
             }
@@ -330,8 +334,9 @@
         missing
     }
 
-    /// Removes lost replicas that no disk replaces, while enough remain. Kept in the group, a lost
-    /// replica would make the next loss one too many; a smaller group bears that loss.
+    /// Removes lost replicas for which there is no replacement, as long as enough replicas remain. If
+    /// a lost replica stayed in the group, the next loss would exceed the tolerated number; a smaller
+    /// group without it tolerates that loss.
     fn remove_lost(&mut self, unreplaced: &[MissingReplica<'a>]) {
         let mut remaining = self.replicas.len() + self.joining.len() - self.leaving.len();
         let lost = unreplaced
@@ -339,7 +344,7 @@
             .rev()
             .filter(|replica| replica.missing_us >= REPLICA_LOST_AFTER);
         for replica in lost {
-            if remaining > self.fewest() {
+            if remaining > self.min_replicas() {
                 self.leaving.push(replica.disk);
                 remaining -= 1;
             }
@@ -353,7 +358,7 @@
         current
     }
 
-    /// The layout in which this change is under way.
+    /// Builds the layout in which this change is in progress.
     fn into_layout(self, version: u64, current: Vec<String>) -> Layout {
         let mut next = self.layout.clone();
         for node in self.joining {
@@ -365,7 +370,7 @@
     }
 }
 
-/// Puts a change to the set `current` under way, on top of layout `version`.
+/// Starts a change of the group to the set `current`, as the successor of layout `version`.
 pub(super) fn start_change(layout: &mut Layout, version: u64, role: Role, current: Vec<String>) {
     let changed = group_mut(layout, role);
     changed.previous = std::mem::replace(&mut changed.current, current);
--- a/yewcross-control/src/layout/report.rs
+++ b/yewcross-control/src/layout/report.rs
@@ -1,7 +1,7 @@
-//! Reports of disks on a change of the replica assignment.
+//! Progress reports of disks on a change of the replica assignment.
 //!
-//! The request names the disk that is meant and the response the disk that answers: a machine that
-//! came back empty at its address does not answer for the disk that it lost.
+//! The request names the requested disk and the response names the disk that answers, so a machine
+//! that returned with an empty disk at the same address does not answer for the disk that it lost.
 
 use super::planning::ReplicaReport;
 use crate::Control;
@@ -11,33 +11,33 @@
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::runtime::BoxFuture;
 
-/// A report, and how many keys the disk has yet to transfer.
+/// A report with the number of keys that the disk still has to transfer.
 pub(super) struct DetailedReport {
     pub(super) replica: ReplicaReport,
     pub(super) keys_left: u64,
 }
 
-/// This disk's own report of the change that layout `since` began.
+/// This disk's own report on the change that layout `since` started.
 pub fn report(control: &Control, since: u64) -> PeerResponse {
     let (turns_swept, turns_left) = control.turn_store.swept(since);
-    let kept = control.persisted_layout_version();
+    let newest_layout = control.persisted_layout_version();
     let keys_swept = control.swept_layout_version.load(SeqCst) >= since;
     PeerResponse::SweepProgress {
-        done: keys_swept && kept >= since && turns_swept,
+        done: keys_swept && newest_layout >= since && turns_swept,
         left: control.sweep_keys_left.load(SeqCst) + turns_left,
-        newest_layout: kept,
+        newest_layout,
         disk: control.storage.disk_id.clone(),
     }
 }
 
-/// Asks one disk for its report; `None` if it does not answer within `timeout_us`.
-pub(super) async fn ask(
+/// Requests the report of one disk; `None` if it does not answer within `timeout_us` µs.
+pub(super) async fn request_report(
     control: &Arc<Control>,
     disk: &str,
     since: u64,
     timeout_us: u64,
 ) -> Option<DetailedReport> {
-    let mut may_be_unnamed = false;
+    let mut may_omit_disk = false;
     let response = if disk == control.storage.disk_id {
         report(control, since)
     } else {
@@ -51,44 +51,45 @@
             .request(node.peer, &request, &[], timeout_us)
             .await
             .ok()?;
-        may_be_unnamed = control.peers.version(node.peer) < WIRE_VERSION_NAMED_DISKS;
+        may_omit_disk = control.peers.version(node.peer) < WIRE_VERSION_NAMED_DISKS;
         response
     };
     let PeerResponse::SweepProgress {
         done,
         left,
-        newest_layout: kept,
-        disk: answering,
+        newest_layout,
+        disk: answering_disk,
     } = response
     else {
         return None;
     };
-    let speaks_for_disk = answering == disk || (answering.is_empty() && may_be_unnamed);
-    speaks_for_disk.then(|| DetailedReport {
+    let is_from_requested_disk =
+        answering_disk == disk || (answering_disk.is_empty() && may_omit_disk);
+    is_from_requested_disk.then(|| DetailedReport {
         replica: ReplicaReport {
             disk: disk.into(),
-            persisted_layout_version: kept,
+            persisted_layout_version: newest_layout,
             is_swept: done,
         },
         keys_left: left,
     })
 }
 
-/// Asks all of the disks at once. Returns when the reports are `enough`, when all have answered, or
-/// after `timeout_us`.
-pub(super) async fn survey(
+/// Requests reports from all of the disks concurrently. Returns once the reports `suffice`, all disks
+/// have answered, or `timeout_us` µs have passed.
+pub(super) async fn collect_reports(
     control: &Arc<Control>,
     disks: &[String],
     since: u64,
     timeout_us: u64,
-    enough: impl Fn(&[ReplicaReport]) -> bool,
+    suffice: impl Fn(&[ReplicaReport]) -> bool,
 ) -> Vec<ReplicaReport> {
     let requests: Vec<BoxFuture<'static, Option<ReplicaReport>>> = disks
         .iter()
         .map(|disk| {
             let (control, disk) = (control.clone(), disk.clone());
             let request: BoxFuture<'static, _> = Box::pin(async move {
-                let report = ask(&control, &disk, since, timeout_us).await?;
+                let report = request_report(&control, &disk, since, timeout_us).await?;
                 Some(report.replica)
             });
             request
@@ -99,7 +100,7 @@
     let mut reports = vec![];
     for _ in 0..pending {
         reports.extend(responses.recv().await.ok().flatten());
-        if enough(&reports) {
+        if suffice(&reports) {
             break;
         }
     }
--- a/yewcross-control/src/layout/retire.rs
+++ b/yewcross-control/src/layout/retire.rs
@@ -1,4 +1,5 @@
-//! Retires a store machine: its data goes to other machines before it is reported as finished.
+//! Retires a store machine: transfers its data to other machines before the retirement is reported as
+//! finished.
 //!
 //! An order only marks the machine as retired in the layout. `maintain_replicas` then removes its
 //! disk from the store group by an ordinary change.
@@ -14,7 +15,7 @@
 use yewcross_common::protocol::{Layout, PeerRequest, PeerResponse};
 use yewcross_common::register::ValueUpdate;
 
-/// Has a store machine marked as retired, here or by the process that proposes.
+/// Marks a store machine as retired, in this process or by forwarding the order to the proposer.
 pub async fn retire(control: &Arc<Control>, node: &str) -> RetireOutcome {
     let deadline = control.runtime.now() + PEER_REQUEST_TIMEOUT;
     while control.runtime.now() < deadline {
@@ -40,32 +41,33 @@
     }
 }
 
-/// What became of an order when the register decided it.
-enum Marking {
+/// Outcome of an order in the register.
+enum MarkOutcome {
     /// Nothing was written.
     Unchanged(RetireOutcome),
-    /// The machine is marked now.
+    /// The machine was marked as retired by this layout.
     Marked(DecidedLayout),
 }
 
+/// Marks a store machine as retired in the layout and publishes the layout.
 async fn mark_retired(control: &Arc<Control>, node: &str) -> RetireOutcome {
     if control.documents.layout.load().0 == 0 {
         return RetireOutcome::Unavailable;
     }
-    let fewest_stores = 2 * control.settings.bounds.lost + 1;
+    let min_stores = 2 * control.settings.bounds.lost + 1;
     let is_known_store = control
         .members
         .all_nodes()
         .iter()
         .any(|member| member.name == node && member.role == Role::Store);
-    let marking = control
+    let outcome = control
         .registers
         .change(LAYOUT, SEC, |version, content| {
             let Ok(mut layout) = serde_json::from_slice::<Layout>(content) else {
-                return ValueUpdate::Keep(Marking::Unchanged(RetireOutcome::Unavailable));
+                return ValueUpdate::Keep(MarkOutcome::Unchanged(RetireOutcome::Unavailable));
             };
-            if let Some(answer) = answer_unchanged(&layout, node, is_known_store, fewest_stores) {
-                return ValueUpdate::Keep(Marking::Unchanged(answer));
+            if let Some(answer) = answer_unchanged(&layout, node, is_known_store, min_stores) {
+                return ValueUpdate::Keep(MarkOutcome::Unchanged(answer));
             }
             layout.retired.insert(node.into());
             let content = serde_json::to_vec(&layout).unwrap_or_default();
@@ -73,26 +75,28 @@
                 version: version + 1,
                 content: content.clone(),
             };
-            ValueUpdate::Write(content, Marking::Marked(decided))
+            ValueUpdate::Write(content, MarkOutcome::Marked(decided))
         })
         .await;
-    match marking {
-        Ok(Marking::Marked(decided)) => {
-            control.runtime.log(&format!("{node} is to retire"));
+    match outcome {
+        Ok(MarkOutcome::Marked(decided)) => {
+            control
+                .runtime
+                .log(&format!("machine {node} marked as retired"));
             config::publish(control, LAYOUT, decided.version, decided.content);
             RetireOutcome::Begun
         }
-        Ok(Marking::Unchanged(answer)) => answer,
+        Ok(MarkOutcome::Unchanged(answer)) => answer,
         Err(_) => RetireOutcome::Unavailable,
     }
 }
 
-/// The answer to an order that changes nothing; `None` if the machine is to be marked.
+/// The answer to an order that changes nothing; `None` if the machine has to be marked as retired.
 fn answer_unchanged(
     layout: &Layout,
     node: &str,
     is_known_store: bool,
-    fewest_stores: usize,
+    min_stores: usize,
 ) -> Option<RetireOutcome> {
     if layout.retired.contains(node) {
         return Some(RetireOutcome::Begun);
@@ -100,15 +104,15 @@
     if !is_known_store && !is_store_replica(layout, node) {
         return Some(RetireOutcome::Unknown);
     }
-    let machine_stays = |disk: &&String| match layout.names.get(*disk) {
+    let is_staying = |disk: &&String| match layout.names.get(*disk) {
         Some(machine) => machine != node && !layout.retired.contains(machine),
         None => true,
     };
-    let staying = layout.store.current.iter().filter(machine_stays).count();
-    (staying < fewest_stores).then_some(RetireOutcome::TooFew)
+    let staying = layout.store.current.iter().filter(is_staying).count();
+    (staying < min_stores).then_some(RetireOutcome::TooFew)
 }
 
-/// Whether the machine's disk is a store replica, incoming or outgoing.
+/// Whether the machine's disk is a store replica of the current or the outgoing set.
 fn is_store_replica(layout: &Layout, node: &str) -> bool {
     layout
         .store
@@ -123,12 +127,12 @@
         })
 }
 
-/// How far the retirement of a store machine is, by the newest decided layout.
+/// State of a store machine's retirement according to the newest decided layout.
 pub async fn retirement_state(control: &Arc<Control>, node: &str) -> RetireState {
     if control.documents.layout.load().0 == 0 {
         return RetireState::Away;
     }
-    let Ok((version, epoch, content)) =
+    let Ok((version, ballot, content)) =
         proposer::newest(control, LAYOUT, PEER_REQUEST_TIMEOUT).await
     else {
         return RetireState::Away;
@@ -138,7 +142,7 @@
     };
     control
         .documents
-        .apply(LAYOUT, version, epoch, content.to_vec());
+        .apply(LAYOUT, version, ballot, content.to_vec());
     if !layout.retired.contains(node) {
         RetireState::Unknown
     } else if is_store_replica(&layout, node) {
--- a/yewcross-control/src/lease_granter.rs
+++ b/yewcross-control/src/lease_granter.rs
@@ -1,5 +1,5 @@
-//! The granter of the lease that runs on each core replica: it answers candidates and holders, and
-//! persists its grants. The rules are in [`crate::lease`].
+//! The lease granter of each core replica: answers candidates and holders and persists its grants.
+//! The rules are in [`crate::lease`].
 
 use crate::Control;
 use crate::lease::{Granter, PersistedGrant, voters_digest};
@@ -13,20 +13,21 @@
 use yewcross_common::runtime::Runtime;
 use yewcross_common::storage::DurableStorage;
 
-/// Name of the file that keeps the last grant.
+/// Name of the file that stores the last grant.
 const GRANT_FILE: &str = "lease";
 
-/// Name of the file whose version counts the processes that have started on the disk.
+/// Name of the file that stores the incarnation: its version is the number of processes that have
+/// started on the disk.
 const INCARNATION_FILE: &str = "life";
 
-/// The last grant of this disk, and the version of the file that keeps it.
+/// The last grant of this disk and the version of the file that stores it.
 pub(crate) struct GrantFile {
     version: u64,
     pub(crate) grant: PersistedGrant,
 }
 
-/// Counts this process among those that have started on the disk. Returns its incarnation; 0 if the
-/// disk did not persist it in time.
+/// Increments the incarnation stored on the disk and returns it as that of this process; 0 if the
+/// disk did not persist it within `SYNC_TIMEOUT`.
 pub(crate) async fn begin_incarnation(
     runtime: &Runtime,
     storage: &Arc<DurableStorage>,
@@ -38,8 +39,8 @@
     let incarnation = previous + 1;
     let (persisted_sender, persisted) = async_channel::bounded(1);
     let writer = storage.clone();
-    // In a task of its own: a write in flight is never abandoned halfway, and a slow disk does not
-    // delay the start.
+    // The write runs in its own task, so that it is not cancelled when the wait below times out and
+    // a slow disk does not delay the start any longer.
     runtime.spawn(async move {
         let result = writer
             .persist(
@@ -49,7 +50,7 @@
                 &incarnation.to_le_bytes(),
             )
             .await;
-        // Fails only if the start has timed out and does not wait for it any more.
+        // Fails only if the start has timed out and dropped the receiver.
         let _ = persisted_sender.try_send(result);
     });
     let outcome = runtime.timeout(SYNC_TIMEOUT, persisted.recv()).await;
@@ -58,7 +59,7 @@
 }
 
 impl GrantFile {
-    /// Reads the last grant that this disk has given.
+    /// Reads the last grant that was persisted on this disk.
     pub(crate) async fn read(storage: &DurableStorage) -> io::Result<GrantFile> {
         let file = storage.load("local", GRANT_FILE).await?;
         Ok(match file {
@@ -74,8 +75,8 @@
     }
 }
 
-/// Decodes a grant file. Releases before the holder was persisted wrote the term alone, as eight
-/// bytes.
+/// Decodes a grant file. Releases that did not persist the holder wrote only the term, as eight
+/// little-endian bytes.
 fn decode_grant(body: &[u8]) -> PersistedGrant {
     serde_json::from_slice(body).unwrap_or_else(|_| PersistedGrant {
         term: <[u8; 8]>::try_from(body).map_or(0, u64::from_le_bytes),
@@ -83,8 +84,8 @@
     })
 }
 
-/// Runs `operation` on this disk's granter, at the present time and with the voters as they are
-/// known now.
+/// Runs `operation` on this disk's granter with the current time, after updating the granter with
+/// the voters of the layout applied here.
 pub(crate) fn with_granter<T>(
     control: &Control,
     operation: impl FnOnce(&mut Granter, u64) -> T,
@@ -97,10 +98,11 @@
     operation(&mut granter, now)
 }
 
-/// Answers a request for this disk's grant. No other disk may answer for it.
+/// Answers a lease request that is addressed to this disk's granter, and rejects one that is
+/// addressed to another disk.
 pub(crate) async fn answer(control: &Control, request: &LeaseRequest) -> LeaseResponse {
     let verdict = if request.granter == control.storage.disk_id {
-        decide(control, request).await
+        decide_verdict(control, request).await
     } else {
         LeaseVerdict::Refused(LeaseDenial::OtherDisk)
     };
@@ -119,24 +121,25 @@
     }
 }
 
-async fn decide(control: &Control, request: &LeaseRequest) -> LeaseVerdict {
+/// Decides on a request and persists a grant before it is returned.
+async fn decide_verdict(control: &Control, request: &LeaseRequest) -> LeaseVerdict {
     if control.storage.failed.load(SeqCst) {
         return LeaseVerdict::Refused(LeaseDenial::DiskFailed);
     }
     if !is_voter(&control.documents.layout.load().1, &control.storage.disk_id) {
         return LeaseVerdict::Refused(LeaseDenial::OtherReplicas);
     }
-    let (is_freed, verdict, to_keep) = with_granter(control, |granter, now| {
-        let is_freed = granter.release_if_restarted(&request.candidate);
+    let (was_released, verdict, to_keep) = with_granter(control, |granter, now| {
+        let was_released = granter.release_if_restarted(&request.candidate);
         let verdict = granter.answer(
             now,
             &request.candidate,
             request.replicas_digest,
             request.operation,
         );
-        (is_freed, verdict, granter.to_persist())
+        (was_released, verdict, granter.to_persist())
     });
-    if is_freed {
+    if was_released {
         control.singleton_tasks.lease_changed.notify(usize::MAX);
     }
     if verdict == LeaseVerdict::Granted && !persist_grant(control, &to_keep).await {
@@ -145,8 +148,8 @@
     verdict
 }
 
-/// Returns once the grant is on disk; false if the disk failed. A renewal writes nothing, unless it
-/// counts among other voters than the grant that is on disk.
+/// Persists the grant and returns whether it is on disk. A renewal writes nothing unless the set of
+/// voters differs from that of the grant on disk.
 async fn persist_grant(control: &Control, grant: &PersistedGrant) -> bool {
     let mut file = control.singleton_tasks.grant_file.lock().await;
     if file.grant == *grant || file.grant.term > grant.term {
@@ -154,11 +157,11 @@
     }
     let version = file.version + 1;
     let body = serde_json::to_vec(grant).unwrap_or_default();
-    let persisted = control
+    let written = control
         .storage
         .persist("local", GRANT_FILE, version, &body)
         .await;
-    if persisted.is_err() {
+    if written.is_err() {
         return false;
     }
     *file = GrantFile {
@@ -168,7 +171,7 @@
     true
 }
 
-/// Whether the disk is a core replica, incoming or outgoing.
+/// Whether the disk is a core replica of the current or the outgoing set.
 pub(crate) fn is_voter(layout: &Layout, disk: &str) -> bool {
     layout
         .core
@@ -178,7 +181,7 @@
         .any(|voter| voter == disk)
 }
 
-/// The newest version of each document that this disk holds, decided or not.
+/// The newest version of each document on this disk, whether or not that version is decided.
 async fn document_versions(control: &Control) -> Vec<(String, u64)> {
     let mut versions = vec![];
     for document in DOCUMENT_NAMES {
@@ -186,7 +189,7 @@
             .replica
             .read_record(document)
             .await
-            .map_or(0, |slot| slot.seq);
+            .map_or(0, |record| record.seq);
         let adopted = control.documents.document(document).version;
         versions.push((document.to_string(), on_disk.max(adopted)));
     }
--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -3,24 +3,25 @@
 //! # When the lease expires
 //!
 //! - *At a granter*: `LEASE_LENGTH` after it decided the last request or renewal that it granted,
-//!   on its own clock. After a restart, or a change of the voters that it does not remember, it stays
-//!   quiet for a whole length first. Until then it grants the lease to nobody else.
+//!   on its own clock. Until then it grants the lease to no other candidate. After a restart, or a
+//!   change of the voters since its persisted grant, it first waits for one `LEASE_LENGTH` before it
+//!   grants the lease to any candidate.
 //! - *At the holder*: `LEASE_LENGTH - LEASE_MARGIN` after it **sent** the last round that a quorum
-//!   granted, on its own clock. The moment of sending is before that of every answer, so delays on
-//!   the network only shorten the holder's time. The margin covers clocks that run at different
-//!   rates: the holder stops first even if its clock is slower than a granter's by the ratio of
-//!   margin to length.
+//!   granted, on its own clock. A round is sent before any of its answers is decided, so network
+//!   delays only shorten the holder's time. The margin covers clocks that run at different rates:
+//!   the lease expires first at the holder even if its clock is slower than a granter's by the ratio
+//!   of margin to length.
 //!
-//! Nothing fires when the lease expires. `Control::acting_term` compares the clock with the expiry
-//! each time it is called, so it is called right before every act: a process that was frozen finds
-//! out before it acts on a lease that expired meanwhile.
+//! No timer or event signals that the lease has expired. `Control::acting_term` compares the clock
+//! with the expiry on every call and is called right before every action, so a process that was
+//! suspended does not act on a lease that expired in the meantime.
 //!
-//! A new holder acts only after it has taken the documents under new ballots (`fence`): by then
-//! nothing that an earlier holder has in flight can be accepted any more.
+//! A new holder acts only after it has written the documents under new ballots (`fence`). From then
+//! on the replicas reject everything that an earlier holder still has in flight.
 
 use crate::lease::has_quorum;
 use crate::lease_granter::with_granter;
-use crate::quorum_contact::{all_voters, ask_voter, ask_voters};
+use crate::quorum_contact::{all_voters, send_to_voter, send_to_voters};
 use crate::{Control, config, layout};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -35,42 +36,45 @@
 use yewcross_common::register::{Ballot, ValueUpdate};
 use yewcross_common::runtime::BoxFuture;
 
-/// Documents that a new holder takes before it acts, in a tier where any core decides operators'
-/// orders: there the configuration has no single proposer to fence.
-const FENCED: [&str; 2] = ["layout", "list"];
+/// Documents that a new holder fences before it acts, in a tier that is maintained manually. There
+/// any core decides operators' orders, so the configuration has no single proposer to fence.
+const FENCED_DOCUMENTS: [&str; 2] = ["layout", "list"];
 
-/// us. How often a holder tries again to take the documents.
-const FENCE_RETRY: u64 = 20 * MS;
+/// Delay before a holder tries again to fence the documents, in µs.
+const FENCE_RETRY_DELAY: u64 = 20 * MS;
 
-/// us. How often a process that must not hold the lease looks whether it may.
-const ELIGIBILITY_CHECK: u64 = if SEC < CANDIDACY_PAUSE / 4 {
+/// Interval at which a process that is not eligible for the lease checks its eligibility, in µs.
+const ELIGIBILITY_CHECK_INTERVAL: u64 = if SEC < CANDIDACY_PAUSE / 4 {
     SEC
 } else {
     CANDIDACY_PAUSE / 4
 };
 
-/// us. Longest wait for the granters of a lease that is released at a planned stop.
-const RELEASE_WAIT: u64 = LEASE_REQUEST_TIMEOUT / 2;
+/// Longest wait for the granters to confirm a release at a planned stop, in µs.
+const RELEASE_TIMEOUT: u64 = LEASE_REQUEST_TIMEOUT / 2;
 
 /// Round number of the request for the lease; renewals count from 1.
 const REQUEST_ROUND: u64 = 0;
 
-/// Competes for the lease and holds it, for as long as this process is the disk's own.
+/// Campaigns for the lease and holds it, until another process replaces this one on its disk.
 pub(crate) async fn run(control: Arc<Control>) {
     while !control.members.replaced.is_set() {
         if !is_eligible(&control) {
             let documents_changed = control.documents.changed.listen();
             let lease_changed = control.singleton_tasks.lease_changed.listen();
             let any_change = futures_lite::future::or(documents_changed, lease_changed);
-            control.runtime.timeout(ELIGIBILITY_CHECK, any_change).await;
+            control
+                .runtime
+                .timeout(ELIGIBILITY_CHECK_INTERVAL, any_change)
+                .await;
             continue;
         }
         wait_until_free(&control).await;
-        if !is_eligible(&control) || !is_free_here(&control) {
+        if !is_eligible(&control) || !is_free_at_own_granter(&control) {
             continue;
         }
         if let Some(term) = campaign(&control).await {
-            hold(&control, term).await;
+            renew_until_lost(&control, term).await;
         } else {
             let backoff = LEASE_RETRY_DELAY + control.runtime.random() % LEASE_RETRY_DELAY;
             control.runtime.sleep(backoff).await;
@@ -78,7 +82,8 @@
     }
 }
 
-/// Whether this process may hold the lease: an incoming voter, fit, not replaced and not stopping.
+/// Whether this process may hold the lease: its disk is a voter of the current set and has not failed,
+/// and the process is not in a candidacy pause, not replaced and not stopping.
 fn is_eligible(control: &Control) -> bool {
     let is_voter = control
         .documents
@@ -88,20 +93,22 @@
         .core
         .current
         .contains(&control.storage.disk_id);
-    let is_fit = control.runtime.now() >= control.singleton_tasks.unfit_until.load(SeqCst);
+    let is_pause_over =
+        control.runtime.now() >= control.singleton_tasks.ineligible_until.load(SeqCst);
     is_voter
-        && is_fit
+        && is_pause_over
         && !control.storage.failed.load(SeqCst)
         && !control.members.replaced.is_set()
-        && !control.singleton_tasks.resigned.load(SeqCst)
+        && !control.singleton_tasks.has_resigned.load(SeqCst)
 }
 
-fn is_free_here(control: &Control) -> bool {
+/// Whether the lease is free at this disk's granter.
+fn is_free_at_own_granter(control: &Control) -> bool {
     with_granter(control, |granter, now| granter.free_at() <= now)
 }
 
-/// Returns some time after the lease expired at this disk's granter, or after a change. Candidates
-/// wait for different times, so that they seldom compete.
+/// Waits until the lease has expired at this disk's granter or has changed, and then for a delay that
+/// differs between candidates, so that they rarely compete.
 async fn wait_until_free(control: &Arc<Control>) {
     let changed = control.singleton_tasks.lease_changed.listen();
     let remaining = with_granter(control, |granter, now| {
@@ -110,13 +117,14 @@
     if remaining > 0 {
         control.runtime.timeout(remaining, changed).await;
     }
-    let stagger = rank(control) * LEASE_STAGGER + control.runtime.random() % (LEASE_STAGGER / 2);
+    let stagger =
+        own_rank(control) * LEASE_STAGGER + control.runtime.random() % (LEASE_STAGGER / 2);
     control.runtime.sleep(stagger).await;
 }
 
-/// Rank of this process among the voters that seem alive, in an order that all processes compute
-/// alike.
-fn rank(control: &Control) -> u64 {
+/// Rank of this process among the voters that the membership reports as alive. All processes compute
+/// the same order from the same members.
+fn own_rank(control: &Control) -> u64 {
     let adopted = control.documents.layout.load();
     let (_, layout) = &**adopted;
     let own_disk = control.storage.disk_id.as_str();
@@ -139,8 +147,9 @@
         .unwrap_or(0) as u64
 }
 
-/// Requests the lease, and returns its term if a quorum granted it. Asks first whether a quorum
-/// calls the lease free: a process that gets no answers through then never blocks the granters.
+/// Requests the lease and returns its term if a quorum granted it. The request is sent only after a
+/// quorum has reported the lease as free, so that a process that receives no answers never blocks the
+/// granters.
 async fn campaign(control: &Arc<Control>) -> Option<u64> {
     let voters = control.documents.layout.load().1.core.clone();
     let highest_term = highest_term_if_free(control, &voters).await?;
@@ -152,7 +161,7 @@
     );
     let disks = all_voters(&voters);
     let pending = disks.len();
-    let responses = ask_voters(control, disks, request);
+    let responses = send_to_voters(control, disks, request);
     for _ in 0..pending {
         let Ok(response) = responses.recv().await else {
             break;
@@ -165,11 +174,11 @@
     None
 }
 
-/// The highest term that the answering voters know, if a quorum of them calls the lease free.
+/// The highest term that the answering voters report, if a quorum of them reports the lease as free.
 async fn highest_term_if_free(control: &Arc<Control>, voters: &ReplicaGroup) -> Option<u64> {
     let disks = all_voters(voters);
     let pending = disks.len();
-    let responses = ask_voters(control, disks, LeaseOperation::Check);
+    let responses = send_to_voters(control, disks, LeaseOperation::Check);
     let mut free: Vec<String> = vec![];
     let mut highest_term = 0;
     for _ in 0..pending {
@@ -187,7 +196,8 @@
     None
 }
 
-/// Records a grant. Returns true if the lease is held, or held for longer, by it.
+/// Records a response if it is a grant. Returns true if it completed a quorum, which acquires or
+/// extends the lease.
 fn record_grant(control: &Control, term: u64, round: u64, response: &LeaseResponse) -> bool {
     response.verdict == LeaseVerdict::Granted
         && control.singleton_tasks.holder.lock().unwrap().record_grant(
@@ -197,12 +207,13 @@
         )
 }
 
-/// Renews the lease until it expired, or this process must not hold it any more.
-async fn hold(control: &Arc<Control>, term: u64) {
+/// Renews the lease until it has expired or this process is no longer eligible for it, and then
+/// releases it.
+async fn renew_until_lost(control: &Arc<Control>, term: u64) {
     control.singleton_tasks.acquired.fetch_add(1, SeqCst);
-    control.runtime.log(&format!("lease taken, term {term}"));
+    control.runtime.log(&format!("lease acquired, term {term}"));
     control.runtime.spawn(fence(control.clone(), term));
-    while is_eligible(control) && renew(control, term) {
+    while is_eligible(control) && start_renewal_round(control, term) {
         control.runtime.sleep(LEASE_RENEWAL_INTERVAL).await;
     }
     control.singleton_tasks.lost.fetch_add(1, SeqCst);
@@ -212,8 +223,8 @@
     control.singleton_tasks.lease_changed.notify(usize::MAX);
 }
 
-/// Begins a round of renewal. Returns false if the lease is not held any more.
-fn renew(control: &Arc<Control>, term: u64) -> bool {
+/// Sends a renewal round to all voters. Returns false if the lease is no longer held.
+fn start_renewal_round(control: &Arc<Control>, term: u64) -> bool {
     let voters = control.documents.layout.load().1.core.clone();
     let renewal = control
         .singleton_tasks
@@ -227,7 +238,7 @@
     for disk in all_voters(&voters) {
         let control_handle = control.clone();
         control.runtime.spawn(async move {
-            if let Some(response) = ask_voter(&control_handle, &disk, operation).await {
+            if let Some(response) = send_to_voter(&control_handle, &disk, operation).await {
                 record_grant(&control_handle, term, round, &response);
             }
         });
@@ -235,74 +246,77 @@
     true
 }
 
-/// Takes the documents under new ballots, so that nothing that an earlier holder has in flight can
-/// be accepted any more. The holder acts only after this; one that does not get there in time lets
-/// another process try.
+/// Fences off earlier holders: writes the documents under new ballots, so that the replicas reject
+/// everything that an earlier holder still has in flight. The holder acts only after this. A holder
+/// that has not succeeded within `FENCING_TIMEOUT` gives up the lease for `CANDIDACY_PAUSE`, so that
+/// another process can acquire it.
 async fn fence(control: Arc<Control>, term: u64) {
     let deadline = control.runtime.now() + FENCING_TIMEOUT;
     let is_held = || control.lease_term() == Some(term);
     while is_held() && control.runtime.now() < deadline {
-        if take_documents(&control).await {
+        if fence_documents(&control).await {
             control.singleton_tasks.fenced_term.store(term, SeqCst);
-            // Replicas that missed the new ballot are repaired now, so that readers find all alike.
+            // Starts the repair of replicas that missed the new ballot, so that readers find the
+            // same state on all replicas.
             control.sweep_requested.notify(usize::MAX);
             control.singleton_tasks.lease_changed.notify(usize::MAX);
             return;
         }
-        // Disks that keep a newer layout reject requests by an older one.
+        // Disks that hold a newer layout reject requests made under an older one.
         layout::catch_up(&control).await;
-        control.runtime.sleep(FENCE_RETRY).await;
+        control.runtime.sleep(FENCE_RETRY_DELAY).await;
     }
     if is_held() {
-        control
-            .runtime
-            .log(&format!("the documents cannot be taken, term {term}"));
+        control.runtime.log(&format!(
+            "could not fence the documents in time, term {term}; pausing candidacy"
+        ));
         let unfit_until = control.runtime.now() + CANDIDACY_PAUSE;
         control
             .singleton_tasks
-            .unfit_until
+            .ineligible_until
             .store(unfit_until, SeqCst);
     }
 }
 
-/// Takes all documents at once, since each waits for its own disks only. Returns whether all were
-/// taken.
-async fn take_documents(control: &Arc<Control>) -> bool {
+/// Fences all documents concurrently, since each depends only on the disks of its own register.
+/// Returns whether all were fenced.
+async fn fence_documents(control: &Arc<Control>) -> bool {
     if control.options.tends && !layout::decide_first_documents(control).await {
         return false;
     }
     let documents: &[&'static str] = if control.options.tends {
         &DOCUMENT_NAMES
     } else {
-        &FENCED
+        &FENCED_DOCUMENTS
     };
-    let takes = documents
+    let operations = documents
         .iter()
         .map(|document| -> BoxFuture<'static, bool> {
             let (control, document) = (control.clone(), *document);
-            Box::pin(async move { take_document(&control, document).await })
+            Box::pin(async move { fence_document(&control, document).await })
         })
         .collect();
-    let taken = control.runtime.spawn_all(takes);
+    let outcomes = control.runtime.spawn_all(operations);
     for _ in documents {
-        if taken.recv().await != Ok(true) {
+        if outcomes.recv().await != Ok(true) {
             return false;
         }
     }
     true
 }
 
-/// Takes one document, and publishes a version that an earlier holder decided without publishing it.
-async fn take_document(control: &Arc<Control>, name: &'static str) -> bool {
-    let known = control.documents.document(name).version;
+/// Writes one document under a new ballot, and publishes it if an earlier holder decided a newer
+/// version without publishing it. Returns whether a majority accepted the ballot.
+async fn fence_document(control: &Arc<Control>, name: &'static str) -> bool {
+    let known_version = control.documents.document(name).version;
     let read = |version, content: &[u8]| ValueUpdate::Keep((version, content.to_vec()));
     let Ok((version, content)) = control.registers.change(name, SEC, read).await else {
         return false;
     };
-    if !control.options.tends || version <= known {
+    if !control.options.tends || version <= known_version {
         return true;
     }
-    if known == 0 {
+    if known_version == 0 {
         control
             .documents
             .apply(name, version, Ballot::default(), content);
@@ -312,33 +326,35 @@
     true
 }
 
-/// Stops holding or requesting the lease. The granters are notified, so that no candidate has to
+/// Stops holding or requesting the lease, and notifies the granters so that other candidates need not
 /// wait until it expires.
 fn release(control: &Arc<Control>, voters: &ReplicaGroup) {
     let Some(term) = control.singleton_tasks.holder.lock().unwrap().release() else {
         return;
     };
-    ask_voters(
+    send_to_voters(
         control,
         all_voters(voters),
         LeaseOperation::Release { term },
     );
 }
 
-/// Releases the lease for good at a planned stop, and waits for the granters for a while.
+/// Releases the lease at a planned stop, ends the candidacy of this process, and waits up to
+/// `RELEASE_TIMEOUT` for the granters.
 pub(crate) async fn resign(control: &Arc<Control>) {
-    control.singleton_tasks.resigned.store(true, SeqCst);
+    control.singleton_tasks.has_resigned.store(true, SeqCst);
     let Some(term) = control.singleton_tasks.holder.lock().unwrap().release() else {
         return;
     };
     let voters = all_voters(&control.documents.layout.load().1.core);
     let pending = voters.len();
-    let responses = ask_voters(control, voters, LeaseOperation::Release { term });
+    let responses = send_to_voters(control, voters, LeaseOperation::Release { term });
     let released = async {
         for _ in 0..pending {
-            // Only the number of answers counts: a granter that fails lets the lease expire.
+            // The content of an answer is irrelevant: a granter that did not process the release
+            // lets the lease expire.
             let _ = responses.recv().await;
         }
     };
-    control.runtime.timeout(RELEASE_WAIT, released).await;
+    control.runtime.timeout(RELEASE_TIMEOUT, released).await;
 }
--- a/yewcross-control/src/operator/status.rs
+++ b/yewcross-control/src/operator/status.rs
@@ -106,7 +106,7 @@
         "takes": control.registers.prepared_ballots.load(SeqCst),
         "tended": control.counters.repaired_records.load(SeqCst),
         "puts": control.counters.puts.load(SeqCst),
-        "list_polls": control.singleton_tasks.polls.load(SeqCst),
+        "list_polls": control.singleton_tasks.list_polls.load(SeqCst),
         "lease": singleton_tasks::counters(control),
         "chains": control.turn_store.figures(),
     });
--- a/yewcross-control/src/platform_list.rs
+++ b/yewcross-control/src/platform_list.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's list of servers, by the holder of the duty lease.
+//! Polls the platform's list of servers, on the lease holder.
 
 use crate::config::{UnreadableDocument, decode_server_list};
 use crate::{Control, config};
@@ -16,42 +16,43 @@
 use yewcross_common::register::ValueUpdate;
 use yewcross_common::streaming_http;
 
-/// us. Between looks whether a platform has been configured.
-const UNCONFIGURED_WAIT: u64 = SEC;
+/// Interval at which the settings are checked for a platform address while none is configured, in µs.
+const UNCONFIGURED_POLL_INTERVAL: u64 = SEC;
 
-/// count. Times that the wait after a rejected poll is doubled at most.
-const DOUBLINGS_MOST: u64 = 3;
+/// Maximum number of times that the delay after a rejected poll is doubled.
+const MAX_BACKOFF_DOUBLINGS: u64 = 3;
 
-/// us in a second, for times that are read as fractions.
+/// Number of µs in a second, to convert times that are given in fractional seconds.
 const US_PER_SECOND: f64 = 1e6;
 
-/// What a complete or shortened read of a catalogue gave.
+/// Result of reading a catalogue, possibly cut off at the page limit.
 struct CatalogueRead {
     servers: Vec<ListedServer>,
     /// Whether the last page was reached.
     is_complete: bool,
 }
 
-/// A version of the list as it stands in its register.
+/// A version of the list as stored in its register.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecidedList {
     pub version: u64,
     pub content: Vec<u8>,
 }
 
-/// What a catalogue's servers are decided on.
+/// A proposal to replace the servers of the list with those of a catalogue.
 pub struct ServersProposal<'a> {
-    /// The version that was known when the catalogue was read; no newer one is replaced.
+    /// The version that was known when the catalogue was read; a newer version is not replaced.
     pub known_version: u64,
-    /// Term of the duty lease under which they are proposed.
+    /// Term of the lease under which the servers are proposed.
     pub term: u64,
     pub servers: &'a [ListedServer],
 }
 
-/// Polls the platform once and decides a list that differs. Returns how long to wait, us.
+/// Polls the platform once and decides the list if it has changed. Returns the delay before the next
+/// poll, in µs.
 pub async fn poll(control: &Arc<Control>) -> u64 {
     let Some(platform) = *control.platform.lock().unwrap() else {
-        return UNCONFIGURED_WAIT;
+        return UNCONFIGURED_POLL_INTERVAL;
     };
     match control.options.catalogue.clone() {
         Some(catalogue) => poll_catalogue(control, platform, &*catalogue).await,
@@ -59,10 +60,10 @@
     }
 }
 
-/// Polls for the product's own JSON, whose revisions the platform numbers.
+/// Polls a list in the product's own JSON format, in which the platform numbers the revisions.
 async fn poll_list(control: &Arc<Control>, platform: SocketAddr) -> u64 {
-    control.singleton_tasks.polls.fetch_add(1, SeqCst);
-    let etag = control.singleton_tasks.etag.lock().unwrap().clone();
+    control.singleton_tasks.list_polls.fetch_add(1, SeqCst);
+    let etag = control.singleton_tasks.list_etag.lock().unwrap().clone();
     let headers: Vec<(&str, String)> = if etag.is_empty() {
         vec![]
     } else {
@@ -81,14 +82,14 @@
     else {
         return SERVER_LIST_POLL_INTERVAL;
     };
-    let wait = response
+    let delay = response
         .header("retry-after")
         .and_then(|value| value.as_str().parse::<u64>().ok())
         .map_or(SERVER_LIST_POLL_INTERVAL, |seconds| {
             seconds.saturating_mul(SEC).min(RETRY_AFTER_MAX)
         });
     if status != 200 {
-        return wait;
+        return delay;
     }
     let Ok(list) = serde_json::from_slice::<ServerList>(&body) else {
         return SERVER_LIST_POLL_INTERVAL;
@@ -97,16 +98,16 @@
         return SERVER_LIST_POLL_INTERVAL;
     };
     if decide_list(control, ServerList { term, ..list }).await {
-        *control.singleton_tasks.etag.lock().unwrap() = response
+        *control.singleton_tasks.list_etag.lock().unwrap() = response
             .header("etag")
             .map(|value| value.as_str().to_string())
             .unwrap_or_default();
     }
-    wait
+    delay
 }
 
-/// Has a newer revision decided and rolled out. Whether the newest list is now known here: only
-/// then does its etag spare the next poll.
+/// Decides a newer revision and rolls it out. Returns whether the newest list is now applied here; only
+/// then may the next poll use its etag.
 async fn decide_list(control: &Arc<Control>, list: ServerList) -> bool {
     let changed = control
         .registers
@@ -124,7 +125,7 @@
         }
         Err(_) => return false,
     }
-    let Ok((version, epoch, content)) = control
+    let Ok((version, ballot, content)) = control
         .registers
         .read_with_ballot("list", PEER_REQUEST_TIMEOUT)
         .await
@@ -132,13 +133,14 @@
         return false;
     };
     if version > control.documents.document("list").version {
-        config::roll_out(control, "list", version, epoch, &content).await;
+        config::roll_out(control, "list", version, ballot, &content).await;
     }
     true
 }
 
-/// What the platform's list makes of the register's value: it replaces an older revision, where the
-/// term of that revision allows. A value that cannot be read is kept.
+/// Computes the update of the register's value from the platform's list. The list replaces an older
+/// revision if `may_write_over` allows it for the term of that revision. A value that cannot be decoded
+/// is kept.
 pub fn revise_list(
     version: u64,
     value: &[u8],
@@ -153,12 +155,13 @@
     if is_known || !may_write_over(current.term) {
         return ValueUpdate::Keep(Ok(()));
     }
-    // Strings and numbers always serialise.
+    // Strings and numbers can always be serialised.
     ValueUpdate::Write(serde_json::to_vec(list).unwrap_or_default(), Ok(()))
 }
 
-/// Polls a catalogue in its own format, page by page; the tier numbers the lists. A list read while
-/// some version was known replaces that version only: a read that was delayed replaces nothing.
+/// Polls a catalogue in its own format, page by page; the tier numbers the revisions. A catalogue
+/// replaces only the version that was known when the read started, so a delayed read does not replace
+/// a newer version.
 async fn poll_catalogue(
     control: &Arc<Control>,
     platform: SocketAddr,
@@ -167,9 +170,12 @@
     let known_version = control.documents.document("list").version;
     let read = match read_pages(control, platform, catalogue).await {
         Ok(read) => read,
-        Err(wait) => return wait,
+        Err(delay) => return delay,
     };
-    control.singleton_tasks.refused.store(0, SeqCst);
+    control
+        .singleton_tasks
+        .consecutive_rejections
+        .store(0, SeqCst);
     publish_departures(control, &read.servers);
     let servers = without_duplicates(read.servers);
     if !read.is_complete || (known_version > 0 && decided_servers(control) == servers) {
@@ -192,7 +198,7 @@
     CATALOGUE_POLL_INTERVAL
 }
 
-/// Reads up to `CATALOGUE_MAX_PAGES` pages; the error is how long to wait, us.
+/// Reads up to `CATALOGUE_MAX_PAGES` pages. The error is the delay before the next poll, in µs.
 async fn read_pages(
     control: &Arc<Control>,
     platform: SocketAddr,
@@ -201,7 +207,7 @@
     let mut servers = vec![];
     let mut next_page: Option<String> = None;
     for _ in 0..CATALOGUE_MAX_PAGES {
-        control.singleton_tasks.polls.fetch_add(1, SeqCst);
+        control.singleton_tasks.list_polls.fetch_add(1, SeqCst);
         let mut request = hyper::Request::new(Default::default());
         *request.uri_mut() = catalogue
             .page_target(next_page.as_deref())
@@ -234,18 +240,23 @@
     })
 }
 
-/// us. The wait after a rejected poll: what the platform asks for, or doubled each time.
+/// The delay after a rejected poll, in µs: the one that the platform requests, or else one that is
+/// doubled after each consecutive rejection.
 fn backoff(control: &Control, headers: &hyper::HeaderMap) -> u64 {
     let retry_after = headers
         .get("retry-after")
         .and_then(|value| value.to_str().ok()?.parse::<f64>().ok())
         .map(|seconds| (seconds.max(0.0) * US_PER_SECOND) as u64);
-    let rejections = control.singleton_tasks.refused.fetch_add(1, SeqCst);
+    let rejections = control
+        .singleton_tasks
+        .consecutive_rejections
+        .fetch_add(1, SeqCst);
     retry_after
-        .unwrap_or(CATALOGUE_POLL_INTERVAL << rejections.min(DOUBLINGS_MOST))
+        .unwrap_or(CATALOGUE_POLL_INTERVAL << rejections.min(MAX_BACKOFF_DOUBLINGS))
         .min(CATALOGUE_BACKOFF_MAX)
 }
 
+/// Publishes the names of the servers that the catalogue marks as leaving.
 fn publish_departures(control: &Arc<Control>, servers: &[ListedServer]) {
     let leaving = servers
         .iter()
@@ -255,15 +266,15 @@
     config::publish_departures(control, leaving);
 }
 
-/// Sorted by name; of several entries of one name, the first.
+/// Sorts the servers by name and keeps the first of several entries with the same name.
 fn without_duplicates(mut servers: Vec<ListedServer>) -> Vec<ListedServer> {
-    servers.sort_by(|a, b| a.server.cmp(&b.server));
-    servers.dedup_by(|a, b| a.server == b.server);
+    servers.sort_by(|left, right| left.server.cmp(&right.server));
+    servers.dedup_by(|left, right| left.server == right.server);
     servers
 }
 
-/// Has the servers decided. The newest version, whether or not it holds them; none where no majority
-/// has answered or the newest version cannot be read.
+/// Decides the proposed servers. Returns the newest version, whether or not it contains them; `None` if
+/// no majority has answered or the newest version cannot be decoded.
 async fn decide_servers(
     control: &Arc<Control>,
     proposal: &ServersProposal<'_>,
@@ -282,8 +293,9 @@
         .ok()
 }
 
-/// What a catalogue's servers make of the register's value: the version after the known one, where
-/// they differ from it and its term allows. A value that cannot be read is kept.
+/// Computes the update of the register's value from a catalogue's servers. They are written as the
+/// successor of the known version if they differ from it and `may_write_over` allows it for its term.
+/// A value that cannot be decoded is kept.
 pub fn replace_servers(
     version: u64,
     value: &[u8],
@@ -294,14 +306,15 @@
         Ok(current) => current,
         Err(error) => return ValueUpdate::Keep(Err(error)),
     };
-    let is_outdated = version > proposal.known_version || current.servers == proposal.servers;
-    if is_outdated || !may_write_over(current.term) {
+    let has_nothing_to_write =
+        version > proposal.known_version || current.servers == proposal.servers;
+    if has_nothing_to_write || !may_write_over(current.term) {
         return ValueUpdate::Keep(Ok(DecidedList {
             version,
             content: value.to_vec(),
         }));
     }
-    let content = encode_by_line(&ServerList {
+    let content = encode_one_server_per_line(&ServerList {
         revision: current.revision + 1,
         term: proposal.term,
         servers: proposal.servers.to_vec(),
@@ -313,15 +326,16 @@
     ValueUpdate::Write(content, Ok(decided))
 }
 
-/// The servers of the applied list as they were decided, without what was announced of them since.
+/// The servers of the applied list as they were decided, without departures that were published since.
 fn decided_servers(control: &Control) -> Vec<ListedServer> {
     serde_json::from_slice::<ServerList>(&control.documents.document("list").content)
         .map(|list| list.servers)
         .unwrap_or_default()
 }
 
-/// JSON with a line for each server, so that a delta carries only the changed ones.
-fn encode_by_line(list: &ServerList) -> Vec<u8> {
+/// Encodes the list as JSON with one line per server, so that a line-based delta contains only the
+/// changed servers.
+fn encode_one_server_per_line(list: &ServerList) -> Vec<u8> {
     let servers: Vec<String> = list
         .servers
         .iter()
--- a/yewcross-control/src/singleton_tasks.rs
+++ b/yewcross-control/src/singleton_tasks.rs
@@ -1,8 +1,8 @@
-//! Tasks of which one process in the tier runs each: the holder of the lease polls the platform's
-//! server list and maintains the replica assignment.
+//! Singleton tasks, which only the lease holder runs: polling the platform's server list and
+//! maintaining the replica assignment.
 //!
-//! The state of the lease is kept here too. Its rules are in [`crate::lease`], its granter is
-//! `lease_granter` and its holder `lease_holder`.
+//! The state of the lease is also stored here. Its rules are in [`crate::lease`], the granter is in
+//! `lease_granter` and the holder in `lease_holder`.
 
 use crate::contact::Contact;
 use crate::lease::{Granter, Holder, LeaseTimes};
@@ -22,7 +22,7 @@
 use yewcross_common::runtime::Runtime;
 use yewcross_common::storage::DurableStorage;
 
-/// Names of the tasks, as operators see them.
+/// Names of the tasks in operators' responses.
 pub const SINGLETON_TASKS: [&str; 2] = ["list", "layout"];
 
 /// Length and margin of the lease.
@@ -31,53 +31,54 @@
     margin: LEASE_MARGIN,
 };
 
-/// us. How often a layout that is maintained manually is looked at.
-const MANUAL_LAYOUT_CHECK: u64 = 500 * MS;
+/// Interval at which a manually maintained layout is checked, in µs.
+const MANUAL_LAYOUT_CHECK_INTERVAL: u64 = 500 * MS;
 
-/// The lease as this process takes part in it, and what its singleton tasks remember.
+/// State of the lease in this process (as candidate, granter and holder), and of its singleton tasks.
 pub struct SingletonTasks {
     /// This process as a candidate for the lease.
     pub(crate) candidate: Candidate,
     /// The granter of this disk.
     pub(crate) granter: Mutex<Granter>,
-    /// What this process holds or asks for.
+    /// The lease that this process holds or requests.
     pub(crate) holder: Mutex<Holder>,
-    /// When voters answered this process.
+    /// When each voter last answered this process.
     pub(crate) contact: Mutex<Contact>,
-    /// Whether there was contact with a quorum at the last look.
+    /// Whether there was contact with a quorum at the last check.
     pub(crate) had_contact: AtomicBool,
-    /// The granter's last grant on disk.
+    /// The granter's last persisted grant. The mutex prevents concurrent writes.
     pub(crate) grant_file: futures_util::lock::Mutex<GrantFile>,
     /// The term under which this process has fenced off all earlier holders.
     pub(crate) fenced_term: AtomicU64,
-    /// us. A holder that could not take the documents does not compete again before this.
-    pub(crate) unfit_until: AtomicU64,
-    /// The holder that a voter reported last, and when that voter was asked.
+    /// Time in µs before which this process does not campaign, set when it could not fence the
+    /// documents.
+    pub(crate) ineligible_until: AtomicU64,
+    /// The holder that a voter last reported, and when the request to that voter was sent, in µs.
     pub(crate) reported_holder: Mutex<Option<(Candidate, u64)>>,
-    /// This process is about to stop and does not compete any more.
-    pub(crate) resigned: AtomicBool,
-    /// Notified when the lease was taken, lost or released.
+    /// Whether this process is stopping and no longer campaigns.
+    pub(crate) has_resigned: AtomicBool,
+    /// Notified when the lease has been acquired, lost or released.
     pub(crate) lease_changed: Event,
-    /// How often this process took the lease.
+    /// Number of times that this process acquired the lease.
     pub acquired: AtomicU64,
-    /// How often it lost or gave up a lease that it held.
+    /// Number of times that it lost or released a lease that it held.
     pub(crate) lost: AtomicU64,
-    /// How often contact with a quorum was lost.
+    /// Number of times that contact with a quorum was lost.
     pub(crate) contact_lost: AtomicU64,
-    /// By disk, since when the machine of a replica is missing, in us.
-    pub(crate) missing: Mutex<BTreeMap<String, u64>>,
-    /// us. When this process learned that the tier is bootstrapped.
+    /// By disk, the time since which the machine of a replica has been missing, in µs.
+    pub(crate) missing_since: Mutex<BTreeMap<String, u64>>,
+    /// When this process observed that the tier is bootstrapped, in µs.
     pub(crate) bootstrapped_at: AtomicU64,
-    /// Polls of the platform's list.
-    pub(crate) polls: AtomicU64,
-    /// Polls rejected in a row.
-    pub(crate) refused: AtomicU64,
-    /// Entity tag of the list polled last.
-    pub(crate) etag: Mutex<String>,
+    /// Number of requests sent to the platform's server list.
+    pub(crate) list_polls: AtomicU64,
+    /// Number of consecutive polls that the platform rejected.
+    pub(crate) consecutive_rejections: AtomicU64,
+    /// Entity tag of the last list polled.
+    pub(crate) list_etag: Mutex<String>,
 }
 
 impl SingletonTasks {
-    /// Reads the last grant that this disk has given, and counts this process on it.
+    /// Reads the last grant from this disk and, in a core process, increments the disk's incarnation.
     pub async fn open(
         runtime: &Runtime,
         storage: &Arc<DurableStorage>,
@@ -106,27 +107,27 @@
             had_contact: AtomicBool::new(false),
             grant_file: futures_util::lock::Mutex::new(grant_file),
             fenced_term: AtomicU64::new(0),
-            unfit_until: AtomicU64::new(0),
+            ineligible_until: AtomicU64::new(0),
             reported_holder: Mutex::default(),
-            resigned: AtomicBool::new(false),
+            has_resigned: AtomicBool::new(false),
             lease_changed: Event::new(),
             acquired: AtomicU64::new(0),
             lost: AtomicU64::new(0),
             contact_lost: AtomicU64::new(0),
-            missing: Mutex::default(),
+            missing_since: Mutex::default(),
             bootstrapped_at: AtomicU64::new(0),
-            polls: AtomicU64::new(0),
-            refused: AtomicU64::new(0),
-            etag: Mutex::default(),
+            list_polls: AtomicU64::new(0),
+            consecutive_rejections: AtomicU64::new(0),
+            list_etag: Mutex::default(),
         })
     }
 }
 
-/// Address of the process that holds the lease, as far as this disk granted it or a voter reported
-/// it lately; `None` if it is this process.
+/// Address of the process that holds the lease, according to this disk's granter or else a recent
+/// report of a voter; `None` if the holder is this process or unknown.
 pub fn holder_address(control: &Control) -> Option<SocketAddr> {
     let granted = with_granter(control, |granter, now| granter.holder(now).cloned());
-    let holder = granted.or_else(|| lately_reported_holder(control))?;
+    let holder = granted.or_else(|| recently_reported_holder(control))?;
     if holder.disk == control.storage.disk_id {
         return None;
     }
@@ -136,7 +137,7 @@
         .map(|node| node.peer)
 }
 
-fn lately_reported_holder(control: &Control) -> Option<Candidate> {
+fn recently_reported_holder(control: &Control) -> Option<Candidate> {
     let reported = control
         .singleton_tasks
         .reported_holder
@@ -149,8 +150,8 @@
 }
 
 impl Control {
-    /// The term of the lease that this process holds at this moment and may act under. Called right
-    /// before every act, so that a process that was frozen does not act on an expired lease.
+    /// The term of the lease that this process holds now and may act under. Called right before every
+    /// action, so that a process that was suspended does not act on an expired lease.
     pub fn acting_term(&self) -> Option<u64> {
         let is_bootstrapped = self.is_bootstrapped.load(SeqCst);
         self.lease_term().filter(|term| {
@@ -158,32 +159,32 @@
         })
     }
 
-    /// The term of the lease that this process holds, whether or not it has taken the documents yet.
-    /// It may propose.
+    /// The term of the lease that this process holds, whether or not it has fenced the documents yet.
+    /// The holder may already propose, since fencing itself needs proposals.
     pub fn lease_term(&self) -> Option<u64> {
-        let is_able = !self.members.replaced.is_set() && !self.storage.failed.load(SeqCst);
+        let is_operational = !self.members.replaced.is_set() && !self.storage.failed.load(SeqCst);
         self.singleton_tasks
             .holder
             .lock()
             .unwrap()
             .held_term(self.runtime.now())
-            .filter(|_| is_able)
+            .filter(|_| is_operational)
     }
 
-    /// Whether this process runs the singleton tasks: it holds the lease and may act under it.
+    /// Whether this process holds the lease and may act under it, and so runs the singleton tasks.
     pub fn is_acting_holder(&self) -> bool {
         self.acting_term().is_some()
     }
 
-    /// Whether what was planned under `term` may still replace a document that was written under
+    /// Whether a change planned under `term` may still replace a document that was written under
     /// `written_term`.
     pub fn may_write(&self, term: u64, written_term: u64) -> bool {
         written_term <= term && self.acting_term() == Some(term)
     }
 }
 
-/// Maintains the replica assignment while this process is the acting holder. Wakes up when a machine
-/// joins, leaves or returns, and often while a change is under way.
+/// Maintains the replica assignment while this process is the acting holder. Runs again when a machine
+/// joins, leaves or returns, and at short intervals while a change is in progress.
 async fn maintain_replicas(control: Arc<Control>) {
     let mut was_acting = false;
     loop {
@@ -193,51 +194,56 @@
         let is_acting = control.is_acting_holder();
         if was_acting != is_acting {
             was_acting = is_acting;
-            let line = if is_acting { "on duty" } else { "off duty" };
+            let line = if is_acting {
+                "acting as lease holder"
+            } else {
+                "no longer acting as lease holder"
+            };
             control.runtime.log(line);
         }
-        let rest = if is_acting {
+        let delay = if is_acting {
             layout::maintain_replicas(&control).await
         } else {
             SEC
         };
-        if rest > 0 {
+        if delay > 0 {
             let any_change = futures_lite::future::or(
                 lease_changed,
                 futures_lite::future::or(documents_changed, members_changed),
             );
-            control.runtime.timeout(rest, any_change).await;
+            control.runtime.timeout(delay, any_change).await;
         }
     }
 }
 
-/// Polls the platform's list while this process holds the lease. It begins before the documents are
-/// taken: that a server is draining is published before anything can be decided.
+/// Polls the platform's list while this process holds the lease. Polling starts before the documents
+/// are fenced, because the notice that a server is draining is published without a decision.
 async fn poll_platform_list(control: Arc<Control>) {
     loop {
         let lease_changed = control.singleton_tasks.lease_changed.listen();
         if control.lease_term().is_some() {
-            let rest = platform_list::poll(&control).await;
-            control.runtime.sleep(rest).await;
+            let delay = platform_list::poll(&control).await;
+            control.runtime.sleep(delay).await;
         } else {
             control.runtime.timeout(SEC, lease_changed).await;
         }
     }
 }
 
+/// Checks a manually maintained layout at a fixed interval while this process is the acting holder.
 async fn maintain_manual_layout(control: Arc<Control>) {
     loop {
         if control.is_acting_holder() {
             layout::maintain_manual_layout(&control).await;
         }
-        control.runtime.sleep(MANUAL_LAYOUT_CHECK).await;
+        control.runtime.sleep(MANUAL_LAYOUT_CHECK_INTERVAL).await;
     }
 }
 
-/// Starts the tasks of a core process.
+/// Starts the background tasks of a core process.
 pub async fn run(control: Arc<Control>) {
     let runtime = &control.runtime;
-    runtime.spawn(quorum_contact::keep_contact(control.clone()));
+    runtime.spawn(quorum_contact::maintain_contact(control.clone()));
     runtime.spawn(lease_holder::run(control.clone()));
     runtime.spawn(poll_platform_list(control.clone()));
     if control.options.tends {
@@ -250,7 +256,7 @@
     }
 }
 
-/// Machine and process that hold the lease, as far as this disk's granter knows.
+/// Name of the machine and number of the process that hold the lease, according to this disk's granter.
 pub fn holder_name(control: &Control) -> Option<String> {
     let holder = with_granter(control, |granter, now| granter.holder(now).cloned())?;
     let adopted = control.documents.layout.load();
@@ -259,7 +265,7 @@
     Some(format!("{machine}#{:x}", holder.process))
 }
 
-/// The lease and the contact with a quorum, as an operator sees them.
+/// State of the lease and of quorum contact, for an operator's status request.
 pub fn status(control: &Control) -> Value {
     let (term, free_in_ms) = with_granter(control, |granter, now| {
         (granter.term(), granter.free_at().saturating_sub(now) / MS)
@@ -275,10 +281,10 @@
 
 /// Counts of lease and contact changes, for the metrics.
 pub fn counters(control: &Control) -> Value {
-    let counts = &control.singleton_tasks;
+    let tasks = &control.singleton_tasks;
     json!({
-        "taken": counts.acquired.load(SeqCst),
-        "lost": counts.lost.load(SeqCst),
-        "contact_lost": counts.contact_lost.load(SeqCst),
+        "taken": tasks.acquired.load(SeqCst),
+        "lost": tasks.lost.load(SeqCst),
+        "contact_lost": tasks.contact_lost.load(SeqCst),
     })
 }
