--- a/yewcross-control/src/disk_recovery.rs
+++ b/yewcross-control/src/disk_recovery.rs
@@ -1,8 +1,8 @@
-//! Recovers a node whose disk failed and works again: full, unreachable or in error for a while.
+//! Recovers a node after a temporary disk failure: a full, unreachable or faulty disk.
 //!
-//! The outcome of the failed write is unknown, so the node answers no requests for its registers
-//! meanwhile. Before it takes part again, the disk must accept writes, bear the same identity, and
-//! hold what this process has acknowledged.
+//! The outcome of the failed write is unknown, so the node answers no requests for its registers until
+//! the disk is restored: the disk must accept writes, have the same identity as before, and contain
+//! everything that this process has acknowledged.
 
 use crate::Control;
 use std::io;
@@ -10,17 +10,19 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::{DISK_RETRY_INTERVAL, MS};
 
-/// What an attempt to restore the disk came to.
+/// Outcome of an attempt to restore the disk.
 enum Outcome {
     Restored {
-        /// Files of unknown outcome that were written again.
+        /// Number of files that were written again because the outcome of their last write was
+        /// unknown.
         rewritten: usize,
     },
-    /// The disk bears another identity or none: nothing that this process acknowledged may be there.
+    /// The disk has another identity or none, so it may contain nothing of what this process has
+    /// acknowledged.
     OtherDisk,
 }
 
-/// Waits for failures and retries the disk until it is restored.
+/// Waits for disk failures and retries until the disk is restored.
 pub async fn run(control: Arc<Control>) {
     loop {
         let failure = control.storage.failure.listen();
@@ -28,37 +30,37 @@
             failure.await;
             continue;
         }
-        let since = control.runtime.now();
+        let failed_at = control.runtime.now();
         if !restore_until_done(&control).await {
-            control
-                .runtime
-                .log("the disk is not the one that was opened; it takes no part until restart");
+            control.runtime.log(
+                "the disk's identity has changed since the start; it is not used until restart",
+            );
             return;
         }
         control.runtime.log(&format!(
-            "disk works again after {} ms",
-            (control.runtime.now() - since) / MS
+            "disk restored after {} ms",
+            (control.runtime.now() - failed_at) / MS
         ));
         control.documents.changed.notify(usize::MAX);
     }
 }
 
-/// Retries until the disk is restored; `false` where only a restart helps.
+/// Retries until the disk is restored. Returns `false` if it cannot be restored without a restart.
 async fn restore_until_done(control: &Arc<Control>) -> bool {
     loop {
         control.runtime.sleep(DISK_RETRY_INTERVAL).await;
         let failures = control.storage.failures.load(SeqCst);
         match restore(control).await {
             Ok(Outcome::OtherDisk) => return false,
-            // A write in flight may have failed meanwhile: the attempt counts only without one.
+            // The attempt is valid only if no concurrent write has failed in the meantime.
             Ok(Outcome::Restored { rewritten })
                 if control.storage.failures.load(SeqCst) == failures =>
             {
                 control.storage.failed.store(false, SeqCst);
                 if rewritten > 0 {
-                    control
-                        .runtime
-                        .log(&format!("{rewritten} files of unknown outcome put right"));
+                    control.runtime.log(&format!(
+                        "{rewritten} files written again after writes of unknown outcome"
+                    ));
                 }
                 return true;
             }
@@ -67,7 +69,7 @@
     }
 }
 
-/// Checks the disk and writes again what was acknowledged and may not be on it.
+/// Checks the disk and writes again everything that was acknowledged and may be missing from it.
 async fn restore(control: &Arc<Control>) -> io::Result<Outcome> {
     control.storage.probe().await?;
     if !control.storage.bears_identity().await? {
--- a/yewcross-control/src/lib.rs
+++ b/yewcross-control/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A node of this crate is a core or a store. Cores decide the documents (configuration, layout,
 //! the platform's list of servers) by a majority of their disks; stores hold records of sessions
-//! and turns. [`Control`] is one such node, built by `start` and reached by other processes through
-//! `request_handler`.
+//! and turns. [`Control`] is one such node. It is created by `start` and serves the requests of other
+//! processes in `request_handler`.
 
 pub mod api;
 pub mod config;
@@ -45,11 +45,11 @@
 use yewcross_state::records::RecordStore;
 use yewcross_state::turn_store::TurnStore;
 
-/// us. A stopping node stays this long after it has announced that it leaves, so that operators'
-/// requests already on their way are answered.
-const LEAVE_GRACE: u64 = 200 * MS;
+/// Time for which a stopping node keeps running after it has announced its departure, in µs, so that
+/// operators' requests that are already in transit are answered.
+const LEAVE_GRACE_PERIOD: u64 = 200 * MS;
 
-/// A control node: its parts, shared by its tasks.
+/// A control node: its components, shared by its tasks.
 pub struct Control {
     pub runtime: Runtime,
     pub settings: ProcessSettings,
@@ -58,34 +58,35 @@
     /// The documents applied here.
     pub documents: Arc<DocumentCache>,
     pub storage: Arc<DurableStorage>,
-    /// This disk's registers.
+    /// The replica of the registers on this disk.
     pub replica: Arc<Replica>,
-    /// Reads and changes registers by a majority of their replicas.
+    /// Client that reads and changes registers through a majority of their replicas.
     pub registers: Arc<RegisterClient>,
     /// Records of sessions and budgets.
     pub record_store: Arc<RecordStore>,
     /// The turn log.
     pub turn_store: Arc<TurnStore>,
+    /// State of the lease and of the tasks that only its holder runs.
     pub singleton_tasks: singleton_tasks::SingletonTasks,
     /// Newest version of the configuration known to be in force.
     pub in_force_version: AtomicU64,
-    /// Version of the layout under which every key on this disk was last found complete.
+    /// Version of the layout under which a sweep of this disk last replicated every key.
     pub swept_layout_version: AtomicU64,
-    /// Where the platform's list is polled; a reload may change it.
+    /// Address at which the platform's list is polled; a reload of the startup file may change it.
     pub platform: Mutex<Option<SocketAddr>>,
     pub(crate) watcher: Arc<DocumentWatcher>,
-    /// Of the operators' interface.
+    /// Open connections of the operators' HTTP interface.
     pub(crate) connections: Arc<ConnectionTracker>,
-    /// When the serving lease granted here to each front expires.
+    /// By front, when the serving lease granted here expires, in µs.
     pub(crate) serving_leases: Mutex<BTreeMap<String, u64>>,
-    /// Keys that the running sweep has yet to check.
+    /// Number of keys that the running sweep still has to check.
     pub(crate) sweep_keys_left: AtomicU64,
-    /// A sweep was requested; `sweep_call` wakes the one that waits.
+    /// Whether a sweep has been requested; `sweep_requested` wakes the waiting anti-entropy task.
     pub(crate) is_sweep_requested: AtomicBool,
     pub(crate) sweep_requested: Event,
     /// Held while this node bootstraps the tier.
     pub(crate) bootstrap_lock: futures_util::lock::Mutex<()>,
-    /// The first layout and the empty configuration are decided.
+    /// Whether the first layout and the empty configuration are known to be decided.
     pub(crate) is_bootstrapped: AtomicBool,
     pub(crate) publications: config::PendingPublications,
     pub(crate) counters: Counters,
@@ -93,23 +94,23 @@
 }
 
 impl Control {
-    /// A planned stop: the lease is given up, the others are told, and operators' requests under way
-    /// are answered.
+    /// Stops the node as planned: releases the lease, announces the departure to the other members and
+    /// answers the operators' requests in progress.
     pub async fn stop(self: &Arc<Self>) {
         lease_holder::resign(self).await;
         self.members.announce_leaving().await;
         self.connections.closing.set();
-        self.runtime.sleep(LEAVE_GRACE).await;
+        self.runtime.sleep(LEAVE_GRACE_PERIOD).await;
         self.connections.idle().await;
     }
 
-    /// Version of the layout that this node's own disk holds.
+    /// Version of the layout that is persisted on this node's own disk.
     pub fn persisted_layout_version(&self) -> u64 {
         self.replica.layout_version.load(SeqCst)
     }
 }
 
-/// The replicas of a key by the layout applied here, with the addresses of those that are known.
+/// The replicas of a key according to the layout applied here, with the known addresses.
 pub(crate) fn replica_set(
     documents: &DocumentCache,
     members: &Membership,
--- a/yewcross-control/src/main.rs
+++ b/yewcross-control/src/main.rs
@@ -1,4 +1,5 @@
-//! The control plane's process: a core or store node, until a signal or a younger namesake.
+//! The control plane's process: runs a core or store node until a signal stops it or a newer process
+//! with the same name replaces it.
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
@@ -14,7 +15,7 @@
     cmd yewcross-control {
         /// Startup file (TOML); see docs/operating.md.
         required --startup file: String
-        /// Check the startup file, print every fault, and end.
+        /// Check the startup file, print every error, and exit.
         optional --check
     }
 }
@@ -23,7 +24,7 @@
     let flags = YewcrossControl::from_env_or_exit();
     let settings = yewcross_common::process_settings::load(&flags.startup, false, flags.check);
     if let Err(error) = std::fs::create_dir_all(&settings.data) {
-        eprintln!("data {}: {error}", settings.data);
+        eprintln!("cannot create the data folder {}: {error}", settings.data);
         std::process::exit(exit::BAD_DISK);
     }
     let runtime = OsRuntime::start(&settings.data, settings.threads);
@@ -31,7 +32,7 @@
     std::process::exit(exit_code);
 }
 
-/// Runs the node to its end; returns the exit code.
+/// Runs the node until it stops and returns the exit code.
 async fn run(runtime: &Runtime, settings: ProcessSettings, startup_file: &str) -> i32 {
     let role = settings.role;
     let control = match Control::start(runtime, settings).await {
@@ -45,9 +46,9 @@
         }
     };
     runtime.log(if role == Role::Core {
-        "core up"
+        "core node started"
     } else {
-        "store up"
+        "store node started"
     });
     let Ok(mut signals) = Signals::new([Signal::Term, Signal::Int, Signal::Hup]) else {
         return exit::CANNOT_BIND;
@@ -64,7 +65,7 @@
     futures_lite::future::or(stopped, replaced).await
 }
 
-/// Reloads the startup file at each hangup; returns at any other signal.
+/// Reloads the startup file on each SIGHUP; returns on any other signal.
 async fn reload_until_stopped(
     runtime: &Runtime,
     control: &Arc<Control>,
@@ -76,9 +77,9 @@
             Ok(settings) => {
                 *control.members.seeds.lock().unwrap() = settings.seeds;
                 *control.platform.lock().unwrap() = settings.platform;
-                runtime.log("reloaded");
+                runtime.log("startup file reloaded");
             }
-            Err(error) => runtime.log(&format!("reload refused: {error}")),
+            Err(error) => runtime.log(&format!("startup file reload refused: {error}")),
         }
     }
 }
--- a/yewcross-control/src/maintenance.rs
+++ b/yewcross-control/src/maintenance.rs
@@ -1,19 +1,20 @@
-//! Housekeeping that each node does for itself.
+//! Periodic maintenance of the node's in-memory state.
 
 use crate::Control;
 use std::sync::Arc;
 use yewcross_common::constants::SEC;
 
-/// us. Between two rounds.
-const ROUND: u64 = 10 * SEC;
+/// Interval between two maintenance rounds, in µs.
+const MAINTENANCE_INTERVAL: u64 = 10 * SEC;
 
-/// Prefix of the registers that hold budgets.
+/// Key prefix of the registers that store budgets.
 const BUDGET_PREFIX: &str = "budget/";
 
-/// Drops idle registers from memory and audits the budgets that this process has in memory, forever.
+/// Periodically removes idle registers from memory and audits the budgets that this process caches,
+/// for as long as the process runs.
 pub(crate) async fn run(control: Arc<Control>) {
     loop {
-        control.runtime.sleep(ROUND).await;
+        control.runtime.sleep(MAINTENANCE_INTERVAL).await;
         control.registers.prune();
         for key in control.registers.cached_keys(BUDGET_PREFIX) {
             let budget = key.trim_start_matches(BUDGET_PREFIX);
--- a/yewcross-control/src/persisted_documents.rs
+++ b/yewcross-control/src/persisted_documents.rs
@@ -1,4 +1,4 @@
-//! The documents on this node's own disk, from which a restart begins.
+//! Stores the documents on this node's own disk, from which they are loaded after a restart.
 
 use crate::Control;
 use std::collections::BTreeMap;
@@ -12,20 +12,21 @@
 /// Folder of this node's own files.
 pub(crate) const LOCAL_FOLDER: &str = "local";
 
-/// us. Between attempts while the disk is failed.
-const FAILED_DISK_RETRY: u64 = 50 * MS;
+/// Interval between write attempts while the disk is marked as failed, in µs.
+const FAILED_DISK_RETRY_INTERVAL: u64 = 50 * MS;
 
-/// us. Between looks where nothing is signalled: a document whose write failed is written again.
-const WRITE_RETRY: u64 = 10 * SEC;
+/// Interval between checks without a change of the documents, in µs, so that a failed write is
+/// repeated.
+const WRITE_RETRY_INTERVAL: u64 = 10 * SEC;
 
-/// The body of a document's file: version, ballot and content.
+/// Body of a document's file: version, ballot and content.
 type StoredDocument = (u64, Ballot, String);
 
-/// A document as this node's own disk holds it.
+/// Versions of a document on this node's own disk.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PersistedDocument {
-    /// Version of the file. It counts the writes, not the documents: each write removes the file of
-    /// the version before.
+    /// Version of the file. It is incremented by each write, independently of the document's version;
+    /// each write removes the file of the previous version.
     file_version: u64,
     /// Version of the document.
     version: u64,
@@ -33,8 +34,8 @@
 
 pub(crate) type PersistedDocuments = BTreeMap<&'static str, PersistedDocument>;
 
-/// Applies the documents of a folder, and returns which files hold them. A damaged file counts with
-/// its version, so that the next one is newer.
+/// Applies the documents of a folder and returns the versions of their files. The version of a damaged
+/// file is included as well, so that the next file gets a higher one.
 pub(crate) fn load(documents: &DocumentCache, folder: &[StoredFile]) -> PersistedDocuments {
     let mut persisted = PersistedDocuments::new();
     for file in folder {
@@ -45,8 +46,8 @@
             .body
             .as_ref()
             .and_then(|body| serde_json::from_slice::<StoredDocument>(body).ok());
-        if let Some((version, epoch, content)) = stored {
-            documents.apply(name, version, epoch, content.into_bytes());
+        if let Some((version, ballot, content)) = stored {
+            documents.apply(name, version, ballot, content.into_bytes());
         }
         let document = PersistedDocument {
             file_version: file.version,
@@ -57,9 +58,9 @@
     persisted
 }
 
-/// Writes each newly applied document to this node's own disk, forever. One that is applied and not
-/// yet written is fetched again after a restart: a node relies only on what its disk held, and
-/// learns of the rest from its polls.
+/// Writes each newly applied document to this node's own disk, for as long as the process runs. A
+/// document that was applied but not yet written is fetched again after a restart: a starting node uses
+/// only the documents on its disk and receives newer ones through its polls.
 pub(crate) async fn persist_changes(control: Arc<Control>, mut persisted: PersistedDocuments) {
     loop {
         let changed = control.documents.changed.listen();
@@ -68,11 +69,11 @@
             .filter(|name| is_persisted(&control, name))
         {
             let document = control.documents.document(name);
-            let before = persisted.get(name).copied().unwrap_or_default();
-            if document.version <= before.version {
+            let previous = persisted.get(name).copied().unwrap_or_default();
+            if document.version <= previous.version {
                 continue;
             }
-            let file_version = before.file_version + 1;
+            let file_version = previous.file_version + 1;
             if !write(&control, name, file_version, &document).await {
                 continue;
             }
@@ -88,21 +89,22 @@
                 control.replica.layout_version.fetch_max(version, SeqCst);
             }
         }
-        let wait = if control.storage.failed.load(SeqCst) {
-            FAILED_DISK_RETRY
+        let delay = if control.storage.failed.load(SeqCst) {
+            FAILED_DISK_RETRY_INTERVAL
         } else {
-            WRITE_RETRY
+            WRITE_RETRY_INTERVAL
         };
-        control.runtime.timeout(wait, changed).await;
+        control.runtime.timeout(delay, changed).await;
     }
 }
 
-/// Where cores are polled for all else, only the layout must be known before anybody answers.
+/// Whether the document is written to the local folder. In a tier that maintains itself the other
+/// documents are polled from the cores, and only the layout is needed before a core answers.
 fn is_persisted(control: &Control, name: &str) -> bool {
     !control.options.tends || name == "layout"
 }
 
-/// Whether the document stands on the disk.
+/// Writes the document and returns whether it is on the disk.
 async fn write(
     control: &Control,
     name: &'static str,
@@ -114,7 +116,7 @@
         document.ballot,
         String::from_utf8_lossy(&document.content),
     );
-    let body = serde_json::to_vec(&stored).expect("numbers and a string always serialise");
+    let body = serde_json::to_vec(&stored).expect("numbers and a string can always be serialised");
     control
         .storage
         .persist(LOCAL_FOLDER, name, file_version, &body)
--- a/yewcross-control/src/persisted_peers.rs
+++ b/yewcross-control/src/persisted_peers.rs
@@ -1,5 +1,5 @@
-//! Addresses of machines with disks, on this node's own disk: a restart finds them where its seeds
-//! are down.
+//! Stores the addresses of machines with disks on this node's own disk, so that a restarted node can
+//! reach other members even if its seeds are unavailable.
 
 use crate::Control;
 use crate::persisted_documents::LOCAL_FOLDER;
@@ -8,18 +8,20 @@
 use yewcross_common::constants::PEERS_PERSIST_INTERVAL;
 use yewcross_common::storage::StoredFile;
 
-const FILE: &str = "peers";
+/// Name of the file that stores the addresses.
+const PEERS_FILE: &str = "peers";
 
-/// The addresses that the disk holds.
+/// The addresses on the disk and the version of the file that stores them.
 #[derive(Default)]
 pub(crate) struct PersistedPeers {
     file_version: u64,
     pub(crate) addresses: Vec<SocketAddr>,
 }
 
-/// The addresses of a folder. A damaged file counts with its version, so that the next one is newer.
+/// Loads the addresses from a folder. A damaged file yields no addresses but keeps its version, so that
+/// the next file gets a higher one.
 pub(crate) fn load(folder: &[StoredFile]) -> PersistedPeers {
-    let Some(file) = folder.iter().find(|file| file.name == FILE) else {
+    let Some(file) = folder.iter().find(|file| file.name == PEERS_FILE) else {
         return PersistedPeers::default();
     };
     let addresses = file
@@ -33,8 +35,8 @@
     }
 }
 
-/// Writes the addresses of the known machines with disks whenever they change, forever. A node that
-/// knows only itself keeps what it has.
+/// Writes the addresses of the known machines with disks whenever they change, for as long as the
+/// process runs. While this node's membership contains only itself, the stored addresses are kept.
 pub(crate) async fn persist_changes(control: Arc<Control>, mut persisted: PersistedPeers) {
     loop {
         let changed = control.members.changed.listen();
@@ -65,12 +67,12 @@
     addresses
 }
 
-/// Whether the addresses stand on the disk.
+/// Writes the addresses and returns whether they are on the disk.
 async fn write(control: &Control, peers: &PersistedPeers) -> bool {
-    let body = serde_json::to_vec(&peers.addresses).expect("addresses always serialise");
+    let body = serde_json::to_vec(&peers.addresses).expect("addresses can always be serialised");
     control
         .storage
-        .persist(LOCAL_FOLDER, FILE, peers.file_version, &body)
+        .persist(LOCAL_FOLDER, PEERS_FILE, peers.file_version, &body)
         .await
         .is_ok()
 }
--- a/yewcross-control/src/start.rs
+++ b/yewcross-control/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting a control node: its disk is read, its parts are built, and its tasks are started.
+//! Starts a control node: reads its disk, constructs its components and starts its tasks.
 
 use crate::api::{Options, Rollout};
 use crate::counters::Counters;
@@ -27,25 +27,26 @@
 use yewcross_state::records::RecordStore;
 use yewcross_state::turn_store::TurnStore;
 
-/// Why a node does not start.
+/// Errors that prevent a node from starting.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    #[snafu(display("disk: {source}"))]
+    #[snafu(display("cannot read or write the data disk: {source}"))]
     Disk { source: io::Error },
-    #[snafu(display("bind {at}: {source}"))]
+    #[snafu(display("cannot listen on {at}: {source}"))]
     Bind { at: SocketAddr, source: io::Error },
 }
 
-/// What this node's own disk held of documents and peers when it started.
+/// The documents and peers that were stored on this node's own disk when it started.
 struct LocalState {
     documents: PersistedDocuments,
     peers: PersistedPeers,
+    /// Newest version of the configuration that was known to be in force.
     in_force_version: u64,
 }
 
 impl LocalState {
-    /// Reads the local folder and applies its documents. It is read before any task writes there: a
-    /// scan removes files that are not yet renamed.
+    /// Reads the local folder and applies its documents. Must run before any task writes to the folder,
+    /// because a scan removes temporary files that have not been renamed yet.
     async fn load(storage: &DurableStorage, documents: &DocumentCache) -> io::Result<LocalState> {
         let folder = storage.scan(LOCAL_FOLDER).await?;
         let persisted_documents = persisted_documents::load(documents, &folder);
@@ -68,7 +69,7 @@
         Control::start_with(runtime, settings, Options::default()).await
     }
 
-    /// Starts a node that another interface may stand before.
+    /// Starts a node with options, for example behind another interface than the product's own.
     pub async fn start_with(
         runtime: &Runtime,
         settings: ProcessSettings,
@@ -89,7 +90,7 @@
     }
 }
 
-/// Reads the disk and builds the parts. No task runs yet.
+/// Reads the disk and constructs the node's components, without starting its tasks.
 async fn open(
     runtime: &Runtime,
     settings: ProcessSettings,
@@ -117,9 +118,9 @@
         own_address: settings.peer,
         own_store: own_store.clone(),
     };
-    let store = new_store(runtime, &registers, router);
+    let record_store = new_record_store(runtime, &registers, router);
     let watcher = new_watcher(&members, &documents, &settings, options.rollout);
-    let duties = singleton_tasks::SingletonTasks::open(
+    let singleton_tasks = singleton_tasks::SingletonTasks::open(
         runtime,
         &storage,
         &documents,
@@ -128,7 +129,7 @@
     )
     .await
     .context(DiskSnafu)?;
-    let chain = TurnStore::start(runtime, &settings, &members, &documents, &storage)
+    let turn_store = TurnStore::start(runtime, &settings, &members, &documents, &storage)
         .await
         .context(DiskSnafu)?;
     let control = Arc::new(Control {
@@ -139,10 +140,10 @@
         storage,
         replica,
         registers,
-        record_store: store,
-        turn_store: chain,
+        record_store,
+        turn_store,
         watcher,
-        singleton_tasks: duties,
+        singleton_tasks,
         connections: Default::default(),
         serving_leases: Default::default(),
         in_force_version: AtomicU64::new(local.in_force_version),
@@ -161,7 +162,7 @@
     Ok((control, local))
 }
 
-/// A client that finds a key's replicas by the layout applied here.
+/// Creates a register client that looks up a key's replicas in the layout applied here.
 fn new_registers(
     runtime: &Runtime,
     peers: &Arc<PeerClient>,
@@ -174,8 +175,9 @@
     RegisterClient::new(runtime, peers, replica, Arc::new(find_replicas))
 }
 
-/// A store whose router answers from the store itself where this process is the replica.
-fn new_store(
+/// Creates the record store. Its router uses this store directly for keys of which this process is a
+/// replica.
+fn new_record_store(
     runtime: &Runtime,
     registers: &Arc<RegisterClient>,
     new_router: impl FnOnce(&Weak<RecordStore>) -> RecordRouter,
@@ -191,6 +193,7 @@
     })
 }
 
+/// Creates the watcher of the documents for the configured way of rolling out.
 fn new_watcher(
     members: &Arc<Membership>,
     documents: &Arc<DocumentCache>,
@@ -210,12 +213,12 @@
     }
 }
 
-/// Only the holder of the duty lease proposes versions of the documents.
+/// Restricts proposals for the documents to the lease holder.
 fn restrict_proposals(control: &Arc<Control>) {
-    // Weak: the registers belong to the control node.
-    let holder = Arc::downgrade(control);
+    // A weak reference avoids a cycle, since the control node owns the registers.
+    let weak_control = Arc::downgrade(control);
     let holds_lease = move || {
-        holder
+        weak_control
             .upgrade()
             .is_some_and(|control| control.lease_term().is_some())
     };
@@ -224,13 +227,13 @@
         .set_proposal_permit(move |key| !DOCUMENT_NAMES.contains(&key) || holds_lease());
 }
 
-/// Serves the product's own operators' interface.
+/// Serves the product's own HTTP interface for operators.
 async fn serve_operators(control: &Arc<Control>) -> Result<(), StartError> {
     let runtime = &control.runtime;
     let listener = bind(runtime, control.settings.http).await?;
-    let answering = control.clone();
+    let control_handle = control.clone();
     let handler: buffered_http::Handler =
-        Arc::new(move |request| Box::pin(operator::answer(answering.clone(), request)));
+        Arc::new(move |request| Box::pin(operator::answer(control_handle.clone(), request)));
     runtime.spawn(buffered_http::serve(
         runtime.clone(),
         listener,
@@ -240,6 +243,7 @@
     Ok(())
 }
 
+/// Starts the background tasks of the node.
 fn spawn_tasks(control: &Arc<Control>, local: LocalState) {
     let runtime = &control.runtime;
     runtime.spawn(control.members.clone().run());
