--- a/yewcross-control/src/lease_holder.rs
+++ b/yewcross-control/src/lease_holder.rs
@@ -248,8 +248,8 @@
 
 /// Fences off earlier holders: writes the documents under new ballots, so that the replicas reject
 /// everything that an earlier holder still has in flight. The holder acts only after this. A holder
-/// that has not succeeded within `FENCING_TIMEOUT` gives up the lease for `CANDIDACY_PAUSE`, so that
-/// another process can acquire it.
+/// that has not succeeded within `FENCING_TIMEOUT` is ineligible for `CANDIDACY_PAUSE`; it then releases
+/// the lease, so that another process can acquire it.
 async fn fence(control: Arc<Control>, term: u64) {
     let deadline = control.runtime.now() + FENCING_TIMEOUT;
     let is_held = || control.lease_term() == Some(term);
@@ -270,11 +270,11 @@
         control.runtime.log(&format!(
             "could not fence the documents in time, term {term}; pausing candidacy"
         ));
-        let unfit_until = control.runtime.now() + CANDIDACY_PAUSE;
+        let ineligible_until = control.runtime.now() + CANDIDACY_PAUSE;
         control
             .singleton_tasks
             .ineligible_until
-            .store(unfit_until, SeqCst);
+            .store(ineligible_until, SeqCst);
     }
 }
 
