--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -580,10 +580,10 @@
         previous: disks(&["a", "b", "c"]),
         layout_number: 7,
     };
-    let report = |disk: &str, kept: u64, swept: bool| ReplicaReport {
+    let report = |disk: &str, persisted_layout_version: u64, is_swept: bool| ReplicaReport {
         disk: disk.into(),
-        persisted_layout_version: kept,
-        is_swept: swept,
+        persisted_layout_version,
+        is_swept,
     };
     let one = [
         report("a", 7, true),
