--- a/yewcross-state/src/turn_store/expiry.rs
+++ b/yewcross-state/src/turn_store/expiry.rs
@@ -1,4 +1,4 @@
-//! Drops turns and ledgers whose retention has ended, and has the log compacted.
+//! Removes turns and ledgers whose retention period has ended, and triggers compaction of the log.
 
 use crate::turn_store::TurnStore;
 use crate::turn_store::index::TurnIndex;
@@ -7,7 +7,7 @@
 use yewcross_common::constants::{EXPIRY_INTERVAL, RETENTION_MARGIN_MS, RETENTION_MARGIN_SHORT_MS};
 
 impl TurnIndex {
-    /// Drops what has been out of its retention for more than the margin.
+    /// Removes turns and ledgers whose retention period ended more than `margin_ms` ago.
     fn expire(&mut self, now_ms: u64, margin_ms: u64) {
         let turn_bytes = &mut self.turn_bytes;
         self.turns.retain(|_, indexed| {
@@ -23,14 +23,15 @@
 }
 
 impl TurnStore {
-    /// Expires and compacts, again and again.
+    /// Expires the index and compacts the log every `EXPIRY_INTERVAL`. Nothing expires while the
+    /// cluster's clock is uncertain.
     pub(super) async fn run_expiry(self: Arc<Self>) {
         loop {
             self.runtime.sleep(EXPIRY_INTERVAL).await;
             let (now_ms, is_clock_certain) = self.stores.members.clock();
             if is_clock_certain {
                 let programs = self.expire_index(now_ms);
-                self.forget_ownership(&programs);
+                self.remove_ownership(&programs);
             }
             if !self.storage.failed.load(SeqCst) {
                 self.compact().await;
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Returns the programs that this store has been an owner of, and that have no ledger any more.
+    /// Expires the index. Returns the programs whose ledger this store has owned and whose ledger is
+    /// no longer in the index.
     fn expire_index(&self, now_ms: u64) -> Vec<String> {
         let mut index = self.index.lock().unwrap();
         let is_memory_short = index.memory_bytes() > self.turn_bytes_limit / 2;
@@ -57,8 +59,9 @@
             .collect()
     }
 
-    /// A reservation in flight shares its program's entry, which then stays.
-    fn forget_ownership(&self, programs: &[String]) {
+    /// Removes the ownership entries of these programs, except those that a reservation in flight
+    /// still references.
+    fn remove_ownership(&self, programs: &[String]) {
         let mut owned_ledgers = self.owned_ledgers.lock().unwrap();
         for program in programs {
             if owned_ledgers
--- a/yewcross-state/src/turn_store/index.rs
+++ b/yewcross-state/src/turn_store/index.rs
@@ -1,7 +1,7 @@
-//! The turns and ledgers of one store, in memory.
+//! In-memory index of the turns and ledgers of one store.
 //!
-//! A turn is immutable. A turn that is indexed has all turns before it indexed, too, and they are
-//! retained at least as long as it.
+//! A turn is immutable. All predecessors of an indexed turn are indexed as well, and are retained at
+//! least as long as the turn itself.
 
 use crate::segment_log::{self, LogRecord, LogScan};
 use crate::turn_store::ledger::Ledger;
@@ -11,61 +11,61 @@
 use yewcross_common::runtime::Runtime;
 use yewcross_common::turn_log::StoredTurn;
 
-/// A turn on this disk.
+/// A turn that is durable on this disk.
 pub struct IndexedTurn {
     pub stored: StoredTurn,
-    /// End of its retention, in ms of the cluster's median clock: the latest of its own and of
-    /// those of the turns after it.
+    /// End of the turn's retention period, in ms of the cluster's median clock: the latest end
+    /// among its own and those of its successors.
     pub retained_until_ms: u64,
-    /// The newest segment of the log that holds it.
+    /// The newest log segment that contains the turn.
     newest_segment: u64,
 }
 
-/// The end of a chain, as far as this store has it.
+/// The part of a chain that this store holds, starting from its last turn.
 pub struct IndexedHistory {
     /// Newest first.
     pub turns: Vec<StoredTurn>,
-    /// The first turn that is not here; empty where the chain is complete.
-    pub missing: String,
+    /// Id of the newest predecessor that this store does not hold; empty if the chain is complete.
+    pub first_missing: String,
 }
 
 /// All turns and ledgers of one store.
 #[derive(Default)]
 pub struct TurnIndex {
-    /// By the hash of their id.
+    /// Turns by the hash of their id.
     pub turns: HashMap<u128, IndexedTurn>,
-    /// By program.
+    /// Ledgers by program.
     pub ledgers: HashMap<String, Ledger>,
-    /// Bytes of the turns.
+    /// Total size of the turns in bytes.
     pub(crate) turn_bytes: usize,
 }
 
 impl TurnIndex {
-    /// Reads all that the disk's log holds.
+    /// Builds the index from all records of the log on this disk.
     pub async fn load(runtime: &Runtime) -> io::Result<(TurnIndex, LogScan)> {
         let mut index = TurnIndex::default();
         let scan =
             segment_log::read(runtime, |record, segment| index.apply(record, segment)).await?;
-        // A turn may stand in the log behind one that continues it.
-        let ends: Vec<(String, u64)> = index
+        // The log may contain a turn after one of its successors.
+        let retention_ends: Vec<(String, u64)> = index
             .turns
             .values()
             .map(|indexed| (indexed.stored.turn.prev.clone(), indexed.retained_until_ms))
             .collect();
-        for (prev, until_ms) in &ends {
+        for (prev, until_ms) in &retention_ends {
             index.extend_retention(prev, *until_ms);
         }
         Ok((index, scan))
     }
 
-    /// The turn of this id.
+    /// The turn with this id. Compares the id itself, as the index is keyed by its hash.
     pub fn get(&self, id: &str) -> Option<&IndexedTurn> {
         self.turns
             .get(&key_128(id.as_bytes()))
             .filter(|indexed| indexed.stored.turn.id == id)
     }
 
-    /// Takes in a record that is in this segment of the log.
+    /// Adds a record from this segment of the log to the index.
     pub fn apply(&mut self, record: &LogRecord, segment: u64) {
         match record {
             LogRecord::Turn(stored) => self.apply_turn(stored, segment),
@@ -99,7 +99,7 @@
         self.extend_retention(&stored.turn.prev, retained_until_ms);
     }
 
-    /// A turn's predecessors are retained as long as the turn.
+    /// Extends the retention of the turn `prev` and its predecessors to at least `until_ms`.
     fn extend_retention(&mut self, prev: &str, until_ms: u64) {
         let mut id = prev.to_string();
         while let Some(indexed) = self
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The chain that ends in `id`, back to the first turn that is not here.
+    /// The chain that ends in `id`, back to the first turn that this store does not hold.
     pub fn history(&self, id: &str) -> IndexedHistory {
         let mut turns = vec![];
         let mut missing = id.to_string();
@@ -120,10 +120,13 @@
             missing = indexed.stored.turn.prev.clone();
             turns.push(indexed.stored.clone());
         }
-        IndexedHistory { turns, missing }
+        IndexedHistory {
+            turns,
+            first_missing: missing,
+        }
     }
 
-    /// Whether the segment, or one before it, holds anything that is still indexed.
+    /// Whether this or an older segment contains a record that is still indexed.
     pub(crate) fn needs_segment(&self, segment: u64) -> bool {
         self.turns
             .values()
@@ -134,9 +137,9 @@
                 .any(|ledger| ledger.oldest_segment <= segment)
     }
 
-    /// The records that the segment is needed for, which the caller must append again at once: from
-    /// here on the ledgers among them count as needing no segment.
-    pub(crate) fn take_segment(&mut self, segment: u64) -> Vec<LogRecord> {
+    /// The records that are stored only in this or older segments. The caller must append them again
+    /// immediately: the ledgers among them are marked as requiring no segment.
+    pub(crate) fn take_segment_records(&mut self, segment: u64) -> Vec<LogRecord> {
         let mut records: Vec<LogRecord> = self
             .turns
             .values()
@@ -155,7 +158,7 @@
         records
     }
 
-    /// Bytes of the turns and the ledgers.
+    /// Estimated memory used by turns and ledgers, in bytes.
     pub(super) fn memory_bytes(&self) -> usize {
         self.turn_bytes
             + self
--- a/yewcross-state/src/turn_store/ledger.rs
+++ b/yewcross-state/src/turn_store/ledger.rs
@@ -1,30 +1,31 @@
-//! The ledger of one program on one store: which turns spend its budget.
+//! The ledger of one program on one store: the turns charged to its budget.
 //!
-//! A ledger is a set that only grows: entries merge in any order, by any way, to the same result.
+//! A ledger is a grow-only set: merging the same entries in any order, and any number of times, gives
+//! the same result.
 
 use std::collections::HashMap;
 use yewcross_common::register::Ballot;
 use yewcross_common::turn_log::{LedgerEntry, LedgerRecord};
 
-/// Memory taken by a ledger without entries, estimated.
+/// Estimated memory of a ledger without entries, in bytes.
 const LEDGER_BYTES: usize = 200;
 
-/// Memory taken by each entry, estimated.
+/// Estimated memory of each entry, in bytes.
 const ENTRY_BYTES: usize = 80;
 
-/// What one store knows of a program's ledger.
+/// One store's copy of a program's ledger.
 pub struct Ledger {
     /// The highest epoch that this store has promised.
     pub promised: Ballot,
-    /// By turn.
+    /// Entries by the id of their turn.
     pub entries: HashMap<String, LedgerEntry>,
-    /// Tokens that the entries amount to.
+    /// Sum of the entries, in tokens.
     pub spent: u64,
-    /// Time of its last change, in ms of the cluster's median clock.
+    /// Time of the last change, in ms of the cluster's median clock.
     pub(super) changed_at_ms: u64,
-    /// How long it is kept after its last change.
+    /// Retention period after the last change, in ms.
     pub(super) retain_ms: u64,
-    /// The oldest segment of the log that it needs; `u64::MAX` for none.
+    /// The oldest log segment that the ledger still requires; `u64::MAX` for none.
     pub(super) oldest_segment: u64,
 }
 
@@ -42,7 +43,8 @@
 }
 
 impl Ledger {
-    /// Adds entries. Neither the time of the last change nor the retention ever goes back.
+    /// Merges entries into the ledger. The time of the last change and the retention period never
+    /// decrease.
     pub(super) fn merge(
         &mut self,
         entries: &[(String, LedgerEntry)],
@@ -58,10 +60,10 @@
 
     fn merge_entry(&mut self, turn: &str, entry: LedgerEntry) {
         match self.entries.get_mut(turn) {
-            Some(known) => {
-                let merged = known.merge(entry);
-                self.spent = self.spent - known.amount() + merged.amount();
-                *known = merged;
+            Some(existing) => {
+                let merged = existing.merge(entry);
+                self.spent = self.spent - existing.amount() + merged.amount();
+                *existing = merged;
             }
             None => {
                 self.spent += entry.amount();
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The whole ledger, as it is sent and stored.
+    /// The complete ledger in the form in which it is sent and stored.
     pub fn to_record(&self, program: &str) -> LedgerRecord {
         LedgerRecord {
             program: program.into(),
--- a/yewcross-state/src/turn_store/metrics.rs
+++ b/yewcross-state/src/turn_store/metrics.rs
@@ -1,42 +1,42 @@
-//! What a store counts of its work on the turn log, for operators.
+//! Metrics of a store's work on the turn log.
 
 use crate::turn_store::TurnStore;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Counters since the start of the process.
+/// Event counters since the start of the process.
 #[derive(Default, Debug)]
 pub(crate) struct TurnStoreCounters {
     /// Batches written to the log.
     pub(crate) batches: AtomicU64,
-    /// Records in them.
+    /// Records written in these batches.
     pub(crate) records: AtomicU64,
     /// Requests to open a turn.
     pub(crate) opens: AtomicU64,
-    /// Attempts to become the owner of a ledger.
+    /// Attempts to acquire the ownership of a ledger.
     pub(crate) acquisitions: AtomicU64,
-    /// Reservations replicated as the owner.
+    /// Reservations replicated by this store as the ledger's owner.
     pub(crate) reservations: AtomicU64,
     /// Requests to store turns or ledgers.
     pub(crate) writes: AtomicU64,
-    /// Times that other stores were asked for a history.
+    /// Histories requested from other stores.
     pub(crate) lookups: AtomicU64,
-    /// Requests under an epoch that this store did not promise, or no longer.
+    /// Requests rejected because their epoch is not the one that this store has promised.
     pub(crate) stale_epochs: AtomicU64,
-    /// Ends of turns received for another owner, and forwarded to it.
+    /// Turn ends forwarded to the ledger's actual owner.
     pub(crate) forwarded: AtomicU64,
-    /// Requests rejected for overload.
+    /// Requests rejected because of overload.
     pub(crate) overloaded: AtomicU64,
     /// Records transferred to other disks.
     pub(crate) transferred: AtomicU64,
     /// Segments compacted.
     pub(crate) compacted: AtomicU64,
-    /// Ends of the log found torn at the start.
+    /// Torn segment ends found at startup.
     pub(crate) torn: AtomicU64,
 }
 
 impl TurnStore {
-    /// Metrics by name: what this store did, and what it holds.
+    /// Metrics by name: event counters and the sizes of the index and the log.
     pub fn metrics(&self) -> BTreeMap<&'static str, u64> {
         let (turns, turn_bytes, programs) = {
             let index = self.index.lock().unwrap();
--- a/yewcross-state/src/turn_store/mod.rs
+++ b/yewcross-state/src/turn_store/mod.rs
@@ -1,17 +1,18 @@
 //! The store of turns and program budgets: one replica of the turn log.
 //!
 //! Invariants:
-//! - A turn is immutable. Enough disks hold it, and a disk that holds it holds every turn before it.
-//! - A ledger is a set that only grows. One owner at a time adds reservations to it, under an epoch
-//!   that enough disks promised; the end of a turn needs no epoch.
+//! - A turn is immutable. It is stored on a write quorum of the disks, and every disk that holds it
+//!   also holds all its predecessors.
+//! - A ledger is a grow-only set. One owner at a time adds reservations to it, under an epoch that a
+//!   read quorum of the disks has promised; recording the end of a turn requires no epoch.
 //! - Nothing is acknowledged before it is durable in this disk's log.
 //!
-//! The parts:
+//! Modules:
 //! - [`index`] holds turns and ledgers in memory, [`ledger`] is one program's ledger;
-//! - `requests` checks a request and dispatches it; `open_turn` opens turns; `replication` does what
-//!   every replica does with records of others;
-//! - `ownership` acquires a ledger's epoch, `reservation` reserves under it;
-//! - `expiry` drops what is out of its retention, `metrics` counts.
+//! - `requests` validates and dispatches requests, `open_turn` opens turns, `replication` applies
+//!   records received from other stores;
+//! - `ownership` acquires a ledger's epoch, `reservation` reserves tokens under it;
+//! - `expiry` removes records whose retention period has ended, `metrics` exports counters.
 
 pub mod index;
 pub mod ledger;
@@ -44,13 +45,13 @@
 use yewcross_common::turn_log::epoch::{INCARNATION_MASK, epoch_owner_id};
 use yewcross_common::turn_log::{StoreClient, TurnLogOperation, TurnLogResponse};
 
-/// Turns may take three eighths of a process's memory, in bytes per MB of its bound.
+/// Limit for the stored turns, in bytes per MB of the process's memory limit: three eighths of it.
 const TURN_BYTES_PER_MB: usize = 3 << 17;
 
-/// The turns and ledgers of one disk, and its side of the turn log's protocol.
+/// One replica of the turn log: the turns and ledgers of one disk, and the protocol that replicates
+/// them.
 ///
-/// Where several locks are taken, it is in the order: a program's ownership, `index`, then
-/// `owned_ledgers` or `log`.
+/// Lock order: a program's ownership, `index`, then `owned_ledgers` or `log`.
 pub struct TurnStore {
     pub(crate) runtime: Runtime,
     pub(crate) stores: Arc<StoreClient>,
@@ -59,25 +60,25 @@
     pub(crate) own_disk: String,
     pub index: Mutex<TurnIndex>,
     pub(crate) log: Mutex<LogWriter>,
-    /// Programs that this store is or was an owner of.
+    /// Ownership state by program, for each ledger that this store owns or has owned.
     owned_ledgers: Mutex<HashMap<String, SharedOwnership>>,
     pub(crate) counters: TurnStoreCounters,
-    /// Names this incarnation of the store in the epochs that it acquires.
+    /// Identifies this incarnation of the store in the epochs that it acquires.
     owner_id: u64,
     requests_in_flight: AtomicUsize,
-    /// Bytes of turns above which no more are stored.
+    /// Size of the indexed turns, in bytes, above which further turns are rejected.
     turn_bytes_limit: usize,
-    /// Something that was acknowledged is damaged on this disk, and other disks have not yet
-    /// restored it: until then the absence of a record here proves nothing.
+    /// Acknowledged records on this disk are damaged and have not yet been restored from other disks.
+    /// Until then the absence of a record on this disk proves nothing.
     pub recovery_pending: AtomicBool,
-    /// The newest layout that anti-entropy has finished for.
+    /// The newest layout version for which anti-entropy has finished.
     pub(crate) swept_layout: AtomicU64,
-    /// Turns that the last pass of anti-entropy found on too few disks.
+    /// Number of turns that the last pass of anti-entropy found on too few disks.
     pub(crate) under_replicated: AtomicU64,
 }
 
 impl TurnStore {
-    /// Reads what the disk holds, and starts the background tasks. Errors are those of the disk.
+    /// Loads the log from the disk and starts the background tasks. Fails on errors of the disk.
     pub async fn start(
         runtime: &Runtime,
         settings: &ProcessSettings,
@@ -88,7 +89,7 @@
         let (index, scan) = TurnIndex::load(runtime).await?;
         for segment in &scan.damaged {
             runtime.log(&format!(
-                "damaged segment {segment:x} of the log; asking the other disks"
+                "damaged segment {segment:x} of the turn log; requesting repair from the other disks"
             ));
         }
         let segment = next_segment(&scan);
@@ -114,7 +115,8 @@
         Ok(store)
     }
 
-    /// Torn ends are marked before anything else is written behind them.
+    /// Queues the marks of torn ends as the first records, so that no segment is written after an
+    /// unmarked torn end.
     fn mark_torn_ends(self: &Arc<Self>, torn: &[TornEnd]) {
         self.counters.torn.store(torn.len() as u64, Relaxed);
         if torn.is_empty() {
@@ -124,18 +126,19 @@
         self.append(marks);
     }
 
-    /// The version of the layout that this store goes by. Checked under the index's lock before a
-    /// record is stored: anti-entropy for a newer layout must see all that was stored before it.
+    /// Version of the layout that this store uses. Checked under the index's lock before a record is
+    /// stored: anti-entropy for a newer layout must include every record accepted under an older
+    /// one.
     fn layout_version(&self) -> u64 {
         self.stores.documents.layout.load().0
     }
 
-    /// The cluster's median clock.
+    /// The cluster's median clock, in ms.
     fn clock_ms(&self) -> u64 {
         self.stores.members.clock().0
     }
 
-    /// The epoch that this store has promised for a program.
+    /// The epoch that this store has promised for a program's ledger.
     fn promised_epoch(&self, program: &str) -> Option<Ballot> {
         self.index
             .lock()
@@ -145,7 +148,9 @@
             .map(|ledger| ledger.promised)
     }
 
-    /// A function that sends the operation to a disk; a failure to send reads as `Unavailable`.
+    /// Returns a function that sends the operation to a disk; a failed request counts as
+    /// `Unavailable`. Each request times out at the deadline, or earlier after
+    /// `PEER_REQUEST_TIMEOUT`.
     fn requester(
         self: &Arc<Self>,
         layout_version: u64,
--- a/yewcross-state/src/turn_store/open_turn.rs
+++ b/yewcross-state/src/turn_store/open_turn.rs
@@ -1,5 +1,5 @@
 //! Opens a turn: reserves its tokens as the owner of its program's ledger, and collects the history
-//! that it continues.
+//! of its parent.
 
 use crate::turn_store::TurnStore;
 use crate::turn_store::reservation::Reservation;
@@ -15,24 +15,26 @@
 pub(super) struct OpenTurnRequest {
     pub(super) program: String,
     pub(super) turn: String,
-    /// Tokens to reserve.
+    /// Number of tokens to reserve.
     pub(super) max_output_tokens: u64,
-    /// Nothing is reserved without one.
+    /// Budget of the program, in tokens. `None`: nothing is reserved.
     pub(super) budget: Option<u64>,
-    /// The turn whose history is asked for; empty for none.
+    /// Id of the turn whose history is requested; empty for none.
     pub(super) parent: String,
-    /// Take the ledger over even from a live owner.
+    /// Whether to take over the ledger even from a live owner.
     pub(super) take_over: bool,
     pub(super) deadline_us: u64,
 }
 
-/// What other stores returned of a history.
+/// Result of a history lookup on other stores.
 enum Lookup {
-    /// Newest first, not empty.
+    /// Turns of the chain, newest first; not empty.
     Found(Vec<StoredTurn>),
-    /// As many disks as to meet every write say that they do not have it.
+    /// A read quorum of the disks responded that they do not hold the turn.
     NotStored,
+    /// A replica uses this newer layout.
     NewerLayout(u64),
+    /// Too few disks responded.
     Unavailable,
 }
 
@@ -59,7 +61,8 @@
         match futures_lite::future::zip(reserve, collect).await {
             (TurnLogResponse::Ok, Ok(rows)) => TurnLogResponse::Opened { rows },
             (TurnLogResponse::Ok, Err(failure)) => {
-                // Where it is not certain, another store may yet open the same turn.
+                // Released only if the parent certainly does not exist: otherwise another store may
+                // still open the same turn.
                 if is_budgeted && failure == TurnLogResponse::UnknownTurn {
                     self.release_reservation(&request.program, &request.turn);
                 }
@@ -69,7 +72,8 @@
         }
     }
 
-    /// Another disk whose store owns the program's ledger, as far as this one knows, and is alive.
+    /// The other disk whose store owns the program's ledger according to the epoch promised here, if
+    /// that disk is alive. `None` if `take_over` is set.
     pub(super) fn live_owner(&self, program: &str, take_over: bool) -> Option<String> {
         let promised = self.promised_epoch(program)?;
         let owner = owner_of(promised);
@@ -86,8 +90,8 @@
         is_live.then_some(disk)
     }
 
-    /// The whole chain that ends in `parent`, newest first; what is not here comes from other
-    /// stores.
+    /// The complete chain that ends in `parent`, newest first. Turns that this store does not hold
+    /// are requested from other stores.
     async fn collect_history(
         self: &Arc<Self>,
         program: &str,
@@ -100,7 +104,7 @@
         loop {
             let local = self.index.lock().unwrap().history(&next);
             turns.extend(local.turns);
-            next = local.missing;
+            next = local.first_missing;
             if next.is_empty() {
                 return Ok(turns);
             }
@@ -119,7 +123,8 @@
                     }
                 }
                 Lookup::NewerLayout(version) => self.stores.catch_up(version).await,
-                // Certain only for the whole chain: a part of it that is gone is no answer.
+                // `UnknownTurn` only if no turn of the chain was found; an incomplete chain is not
+                // returned.
                 Lookup::NotStored if turns.is_empty() => return Err(TurnLogResponse::UnknownTurn),
                 Lookup::NotStored | Lookup::Unavailable => {
                     return Err(TurnLogResponse::Unavailable);
@@ -128,21 +133,22 @@
         }
     }
 
-    /// Asks the other stores for the chain that ends in `id`.
+    /// Requests the chain that ends in `id` from the other stores.
     async fn look_up(self: &Arc<Self>, key: &str, id: &str, deadline_us: u64) -> Lookup {
         self.counters.lookups.fetch_add(1, Relaxed);
         let replicas = self.stores.replicas();
         let layout_version = replicas.layout_version;
         let mut order = self.stores.order(key, &replicas, None);
         order.retain(|disk| *disk != self.own_disk);
-        // This disk does not have it; that counts only while nothing of it is lost.
-        let counts_itself =
+        // This disk does not hold the turn. It counts towards the read quorum only if it has not
+        // lost acknowledged records.
+        let counts_own_disk =
             replicas.contains(&self.own_disk) && !self.recovery_pending.load(SeqCst);
         let operation = TurnLogOperation::FindHistory { id: id.to_string() };
         let request = self.requester(layout_version, operation, deadline_us);
-        let is_enough = |answered: &BTreeSet<String>| {
+        let is_enough = |not_stored_on: &BTreeSet<String>| {
             replicas.is_read_quorum(|disk| {
-                answered.contains(disk) || (counts_itself && disk == self.own_disk)
+                not_stored_on.contains(disk) || (counts_own_disk && disk == self.own_disk)
             })
         };
         let mut found = None;
--- a/yewcross-state/src/turn_store/ownership.rs
+++ b/yewcross-state/src/turn_store/ownership.rs
@@ -1,8 +1,9 @@
 //! Ownership of a program's ledger.
 //!
-//! One owner at a time reserves, under an epoch that enough disks promised to meet every write. A
-//! disk that promised an epoch rejects entries under every other; so the entries that the promises
-//! return are all that an earlier owner can have had acknowledged.
+//! One owner at a time reserves tokens, under an epoch that a read quorum of the disks has promised. A
+//! disk that has promised an epoch rejects entries under any other epoch. As a read quorum overlaps
+//! every write quorum, the entries returned with the promises include all that an earlier owner can
+//! have acknowledged.
 
 use crate::segment_log::LogRecord;
 use crate::turn_store::TurnStore;
@@ -15,37 +16,37 @@
     Gather, GatherStep, LedgerEntry, LedgerRecord, StoreReplicas, TurnLogOperation, TurnLogResponse,
 };
 
-/// What this store knows of its own ownership of a program's ledger.
+/// State of this store's ownership of a program's ledger.
 #[derive(Default)]
 pub(super) struct OwnedLedger {
-    /// The epoch that it owns the ledger under.
+    /// The epoch under which this store owns the ledger; `None` if it does not own it.
     pub(super) epoch: Option<Ballot>,
-    /// Disks that promised the epoch.
+    /// Disks that have promised the epoch.
     pub(super) promised_by: BTreeSet<String>,
-    /// The highest number of an epoch that another store was found to have.
+    /// The highest epoch number that another store is known to have acquired.
     pub(super) highest_number: u64,
-    /// When enough disks last returned their entries.
+    /// Time at which a read quorum last returned its entries, us.
     pub(super) refreshed_at_us: u64,
 }
 
-/// Its lock is held while an epoch is acquired or refreshed, and until an entry is in the index.
+/// The lock is held while an epoch is acquired or refreshed, and until a new entry is in the index.
 pub(super) type SharedOwnership = Arc<futures_util::lock::Mutex<OwnedLedger>>;
 
-/// How an attempt to acquire or refresh an epoch ended.
+/// Result of an attempt to acquire or refresh an epoch.
 pub(super) enum Acquisition {
     Acquired,
     /// A disk has promised a higher epoch.
     Rejected,
-    /// A replica goes by this newer layout.
+    /// A replica uses this newer layout.
     NewerLayout(u64),
-    /// Too few disks answered.
+    /// Too few disks responded.
     Unavailable,
 }
 
-/// The promises of other disks.
+/// Promises received from other disks.
 struct Promises {
     entries: Vec<(String, LedgerEntry)>,
-    /// The highest epoch that a disk had promised instead.
+    /// The highest epoch that a disk reported when it rejected the request.
     highest_rejected: Ballot,
     promised_by: BTreeSet<String>,
     is_quorum: bool,
@@ -53,7 +54,8 @@
 }
 
 impl OwnedLedger {
-    /// Whether the epoch is still the one promised here, and by enough of the present disks.
+    /// Whether the epoch is still the one promised on this disk, and by a read quorum of the
+    /// replicas.
     pub(super) fn is_valid(&self, promised: Ballot, replicas: &StoreReplicas) -> bool {
         self.epoch == Some(promised)
             && replicas.is_read_quorum(|disk| self.promised_by.contains(disk))
@@ -70,7 +72,7 @@
             .clone()
     }
 
-    /// Becomes the owner under a new epoch, with a first entry.
+    /// Acquires the ledger under a new epoch, together with the entries of `record`.
     pub(super) async fn acquire_ownership(
         self: &Arc<Self>,
         owned: &mut OwnedLedger,
@@ -98,7 +100,9 @@
             .await
     }
 
-    /// Asks all disks to promise the record's epoch, and takes over the entries that they know.
+    /// Requests a promise of the record's epoch from all disks, and merges the entries that they
+    /// return. `written` resolves once the record is durable on this disk; `None` if there is nothing
+    /// to write.
     pub(super) async fn confirm_epoch(
         self: &Arc<Self>,
         owned: &mut OwnedLedger,
@@ -129,7 +133,7 @@
         let mut index = self.index.lock().unwrap();
         let ledger = index.ledgers.entry(program).or_default();
         ledger.merge(&promises.entries, now_ms, 0);
-        // This disk may have promised another store a higher epoch meanwhile.
+        // This disk may have promised a higher epoch to another store in the meantime.
         if ledger.promised != epoch {
             return Acquisition::Rejected;
         }
@@ -158,8 +162,8 @@
         let mut entries: Vec<(String, LedgerEntry)> = vec![];
         let mut highest_rejected = Ballot::default();
         let on_response = |_: &str, response| match response {
-            TurnLogResponse::LedgerAcquired(known) => {
-                entries.extend(known);
+            TurnLogResponse::LedgerAcquired(returned) => {
+                entries.extend(returned);
                 GatherStep::Accept
             }
             TurnLogResponse::StaleEpoch(epoch) => {
--- a/yewcross-state/src/turn_store/replication.rs
+++ b/yewcross-state/src/turn_store/replication.rs
@@ -1,7 +1,7 @@
-//! What every replica does with the records of others.
+//! Handles the requests that every replica serves for other stores and proxies.
 //!
-//! The layout is checked under the index's lock, so that what is accepted under an older layout is
-//! seen by the anti-entropy of the newer one.
+//! The layout is checked under the index's lock, so that anti-entropy for a newer layout includes all
+//! records accepted under the older one.
 
 use crate::segment_log::LogRecord;
 use crate::turn_store::TurnStore;
@@ -36,7 +36,8 @@
         TurnLogResponse::Contains(ids.iter().map(|id| index.turns.contains_key(id)).collect())
     }
 
-    /// Promises an epoch that is not below the one promised before, and returns all entries.
+    /// Promises the record's epoch unless a higher one has been promised, and returns all entries of
+    /// the ledger.
     pub(super) async fn promise_epoch(
         self: &Arc<Self>,
         layout_version: u64,
@@ -56,12 +57,12 @@
                 self.counters.stale_epochs.fetch_add(1, Relaxed);
                 return TurnLogResponse::StaleEpoch(ledger.promised);
             }
-            // A repetition adds nothing, and waits only for what is on its way to the disk.
-            let is_repetition = ledger.promised == record.epoch && record.entries.is_empty();
+            // A repeated request appends no record, and waits only for the writes already queued.
+            let is_repeated = ledger.promised == record.epoch && record.entries.is_empty();
             ledger.promised = record.epoch;
             ledger.merge(&record.entries, now_ms, record.retain_ms);
             let entries = ledger.to_record("").entries;
-            let records = if is_repetition {
+            let records = if is_repeated {
                 vec![]
             } else {
                 vec![LogRecord::Ledger {
@@ -71,12 +72,12 @@
             };
             (self.append(records), entries)
         };
-        self.once_durable(written, TurnLogResponse::LedgerAcquired(entries))
+        self.respond_when_durable(written, TurnLogResponse::LedgerAcquired(entries))
             .await
     }
 
-    /// Adds an owner's entries under the epoch that was promised to it, and no other: a disk that
-    /// forgot the promise, or never gave it, does not vouch for the owner.
+    /// Adds an owner's entries only if their epoch is the one promised on this disk. A disk that lost
+    /// the promise or never made it must not count towards the owner's quorum.
     pub(super) async fn append_entries(
         self: &Arc<Self>,
         layout_version: u64,
@@ -107,22 +108,23 @@
                 changed_at_ms: now_ms,
             }])
         };
-        self.once_durable(written, TurnLogResponse::Ok).await
+        self.respond_when_durable(written, TurnLogResponse::Ok)
+            .await
     }
 
-    /// Forwards the end of a turn to the program's owner, where the sender takes another store for
-    /// the owner.
+    /// Forwards the end of a turn to the ledger's owner if the sender addressed it to a different
+    /// owner.
     pub(super) fn forward_to_owner(self: &Arc<Self>, record: &LedgerRecord) {
         let Some(owner) = self.promised_epoch(&record.program).map(owner_of) else {
             return;
         };
         let replicas = self.stores.replicas();
-        let to = replicas.all().into_iter().find(|disk| {
+        let owner_disk = replicas.all().into_iter().find(|disk| {
             epoch_owner_id(disk) == owner
                 && *disk != self.own_disk
                 && owner != owner_of(record.epoch)
         });
-        let Some(disk) = to else { return };
+        let Some(disk) = owner_disk else { return };
         self.counters.forwarded.fetch_add(1, Relaxed);
         let store = self.clone();
         let mut record = record.clone();
@@ -132,7 +134,8 @@
                 rows: vec![],
                 ledger: Some(record),
             };
-            // Best effort: the owner counts the turn at its maximum until it learns of its end.
+            // Best effort: until the owner receives the end of the turn, it counts the turn at its
+            // maximum.
             let _ = store
                 .stores
                 .request(
@@ -145,7 +148,7 @@
         });
     }
 
-    /// Stores turns, oldest first, and ledger entries that need no epoch.
+    /// Stores turns, oldest first, and ledger entries that require no epoch.
     pub async fn store_records(
         self: &Arc<Self>,
         layout_version: u64,
@@ -165,7 +168,7 @@
             if let Some(parent) = missing_parent(&index, &turns) {
                 return TurnLogResponse::MissingParent(parent.into());
             }
-            // A turn enters the index only once it is durable.
+            // Turns are added to the index only once they are durable.
             let mut records: Vec<LogRecord> = turns
                 .iter()
                 .filter(|stored| index.get(&stored.turn.id).is_none())
@@ -186,10 +189,12 @@
             }
             self.append(records)
         };
-        self.once_durable(written, TurnLogResponse::Ok).await
+        self.respond_when_durable(written, TurnLogResponse::Ok)
+            .await
     }
 
-    async fn once_durable(
+    /// Returns `response` once the append is durable, `Unavailable` if it fails or times out.
+    async fn respond_when_durable(
         &self,
         written: Receiver<bool>,
         response: TurnLogResponse,
@@ -202,7 +207,7 @@
     }
 }
 
-/// The first predecessor of these turns that is neither indexed nor before its successor here.
+/// The first parent of these turns that is neither indexed nor earlier in the list.
 fn missing_parent<'a>(index: &TurnIndex, turns: &'a [StoredTurn]) -> Option<&'a str> {
     let mut added: BTreeSet<&str> = BTreeSet::new();
     for stored in turns {
--- a/yewcross-state/src/turn_store/requests.rs
+++ b/yewcross-state/src/turn_store/requests.rs
@@ -1,4 +1,4 @@
-//! Checks a request to the turn log, and dispatches it.
+//! Validates and dispatches requests to the turn log.
 
 use crate::turn_store::TurnStore;
 use crate::turn_store::open_turn::OpenTurnRequest;
@@ -9,8 +9,8 @@
 use yewcross_common::turn_log::{TurnLogOperation, TurnLogRequest, TurnLogResponse};
 
 impl TurnStore {
-    /// Answers an encoded request. Above the bound of requests in flight, and while the disk is far
-    /// behind, it is rejected at once.
+    /// Handles an encoded request and returns the encoded response. The request is rejected
+    /// immediately if too many requests are in flight or the log's write queue is saturated.
     pub async fn handle(self: &Arc<Self>, body: Vec<u8>) -> Vec<u8> {
         let Some(request) = decode::<TurnLogRequest>(&body) else {
             return encode(&TurnLogResponse::Unavailable);
@@ -36,7 +36,8 @@
             .await
     }
 
-    /// Whether this store may answer the request, and under which layout.
+    /// Rejects a request for another disk, for a failed disk, or for a disk that is not a replica in
+    /// the current layout. A request under a newer layout makes the store fetch that layout.
     async fn check(self: &Arc<Self>, request: &TurnLogRequest) -> Result<(), TurnLogResponse> {
         if request.disk != self.own_disk || self.storage.failed.load(SeqCst) {
             return Err(TurnLogResponse::Unavailable);
@@ -45,7 +46,8 @@
         if layout_version > self.layout_version() {
             let store = self.clone();
             let catch_up = async move { store.stores.catch_up(layout_version).await };
-            // Only an owner counts disks itself; the others can answer before they have the layout.
+            // Only the owner evaluates quorums, so opening a turn must wait for the layout. Other
+            // operations can be answered before it is received.
             if matches!(request.operation, TurnLogOperation::OpenTurn { .. }) {
                 catch_up.await
             } else {
--- a/yewcross-state/src/turn_store/reservation.rs
+++ b/yewcross-state/src/turn_store/reservation.rs
@@ -1,9 +1,8 @@
 //! Reserves a turn's tokens in its program's budget.
 //!
-//! A reservation is acknowledged once this store, as the ledger's owner, found that the budget
-//! holds it, and enough disks have its entry to outlast the tolerated losses. One that is not
-//! acknowledged may be on any disk: it is released, or counts at its maximum until its turn's end
-//! is known.
+//! A reservation is acknowledged once this store, as the ledger's owner, has found that it fits the
+//! budget, and a write quorum of the disks has stored its entry. An unacknowledged reservation may
+//! be on any disk: it is released, or counts at its maximum until its turn's end is recorded.
 
 use crate::segment_log::LogRecord;
 use crate::turn_store::TurnStore;
@@ -22,10 +21,10 @@
     TurnLogResponse,
 };
 
-/// Attempts to release a reservation on enough disks.
+/// Maximum number of attempts to release a reservation on a write quorum.
 const RELEASE_ATTEMPTS: usize = 5;
 
-/// What is to be reserved.
+/// A request to reserve tokens for one turn.
 pub(super) struct Reservation<'a> {
     program: &'a str,
     turn: &'a str,
@@ -69,40 +68,41 @@
     }
 }
 
-/// How one attempt to reserve ended.
+/// Result of one attempt to reserve.
 enum Attempt {
     Finished(TurnLogResponse),
-    /// To be repeated once this layout is known.
+    /// Repeat once this layout version has been received.
     CatchUp(u64),
-    /// To be repeated after a random backoff: another store acquires the same ledger.
+    /// Repeat after a random backoff: another store is acquiring the same ledger.
     BackOff,
+    /// Repeat immediately.
     Retry,
 }
 
-/// What became of the entry on this disk.
+/// Result of adding the entry on this disk.
 enum LocalEntry {
     /// In the index, and queued for the log.
     Added {
         record: LedgerRecord,
         written: Receiver<bool>,
     },
-    /// This disk has promised another epoch meanwhile.
+    /// This disk has promised another epoch in the meantime.
     EpochChanged,
-    /// An unacknowledged reservation of the same turn does not fit the budget.
+    /// An earlier unacknowledged reservation of the same turn does not fit the budget.
     Overdrawn,
     Rejected(TurnLogResponse),
 }
 
-/// An entry that is on this disk and is to be replicated.
+/// An entry that was added on this disk and has to be replicated.
 struct AddedEntry {
     record: LedgerRecord,
     written: Receiver<bool>,
-    /// Disks that promised its epoch.
+    /// Disks that have promised the entry's epoch.
     promised_by: BTreeSet<String>,
 }
 
 impl TurnStore {
-    /// Reserves, acquiring the program's ledger first where this store does not own it.
+    /// Reserves the tokens. Acquires the program's ledger first if this store does not own it.
     pub(super) async fn reserve(
         self: &Arc<Self>,
         reservation: &Reservation<'_>,
@@ -123,8 +123,8 @@
         TurnLogResponse::Unavailable
     }
 
-    /// The ownership's lock is released before entries are replicated, so that reservations of one
-    /// program share batches of the log.
+    /// Makes one attempt to reserve. The ownership's lock is released before the entry is replicated,
+    /// so that concurrent reservations of one program share batches of the log.
     async fn try_reserve(
         self: &Arc<Self>,
         ownership: &SharedOwnership,
@@ -172,8 +172,8 @@
             .await
     }
 
-    /// Acquires the ledger with the reservation as the first entry: its replication is that of the
-    /// epoch. The budget can only be checked afterwards, against all that the disks returned.
+    /// Acquires the ledger and replicates the reservation's entry in the same request. The budget can
+    /// only be checked afterwards, against the entries that the disks returned.
     async fn reserve_with_acquisition(
         self: &Arc<Self>,
         owned: &mut OwnedLedger,
@@ -211,7 +211,7 @@
         Attempt::Finished(TurnLogResponse::Ok)
     }
 
-    /// Whether the budget does not hold the reservation, as far as this disk knows.
+    /// Whether the reservation exceeds the budget according to the entries on this disk.
     fn exceeds_budget(&self, reservation: &Reservation<'_>) -> bool {
         self.index
             .lock()
@@ -224,8 +224,8 @@
             })
     }
 
-    /// Takes over the ends of turns that only other disks were notified of, before a reservation is
-    /// rejected.
+    /// Merges turn ends that were recorded only on other disks. Done before a reservation is
+    /// rejected, because an ended turn may use fewer tokens than it had reserved.
     async fn refresh_entries(
         self: &Arc<Self>,
         owned: &mut OwnedLedger,
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Adds the entry here, if the budget holds it and the epoch is still the promised one.
+    /// Adds the entry on this disk if it fits the budget and `epoch` is still the promised one.
     fn add_entry(self: &Arc<Self>, reservation: &Reservation<'_>, epoch: Ballot) -> LocalEntry {
         let record = reservation.record(epoch);
         let now_ms = self.clock_ms();
@@ -262,7 +262,8 @@
             Some(LedgerEntry::Done(_)) => {
                 return LocalEntry::Rejected(TurnLogResponse::Unavailable);
             }
-            // Left by an opening that was not acknowledged: it was never checked against the budget.
+            // Left by an attempt to open the turn that was not acknowledged. Its reservation was never
+            // checked against the budget.
             Some(LedgerEntry::Open(_)) if ledger.spent > budget => return LocalEntry::Overdrawn,
             None if ledger.spent + reservation.max_output_tokens > budget => {
                 return LocalEntry::Rejected(TurnLogResponse::BudgetSpent);
@@ -279,7 +280,7 @@
         LocalEntry::Added { record, written }
     }
 
-    /// Replicates an entry to enough disks, those that promised its epoch first.
+    /// Replicates an entry to a write quorum, starting with the disks that have promised its epoch.
     async fn replicate_entry(
         self: &Arc<Self>,
         ownership: &SharedOwnership,
@@ -302,7 +303,8 @@
         if outcome.newer_layout > replicas.layout_version {
             return Attempt::CatchUp(outcome.newer_layout);
         }
-        // Taken over, or forgotten by too many disks: acquired anew, if no other store owns it.
+        // Another store took over the ledger, or too many disks lost the promise. The next attempt
+        // acquires the ledger again, unless another store owns it.
         let mut owned = ownership.lock().await;
         if owned.epoch == Some(epoch) {
             owned.epoch = None;
@@ -315,7 +317,8 @@
         Attempt::Retry
     }
 
-    /// Also returns the highest epoch that a disk had promised instead.
+    /// Sends the entries to the other disks until a write quorum has appended them. Also returns the
+    /// highest epoch that a disk reported when it rejected them.
     async fn gather_appends(
         self: &Arc<Self>,
         replicas: &StoreReplicas,
@@ -365,7 +368,7 @@
         (outcome, highest_rejected)
     }
 
-    /// Releases a reservation that was not acknowledged, on whichever disks it may be.
+    /// Releases an unacknowledged reservation on all disks that may hold it, in the background.
     pub(super) fn release_reservation(self: &Arc<Self>, program: &str, turn: &str) {
         let record = LedgerRecord {
             program: program.into(),
@@ -373,7 +376,7 @@
             retain_ms: LEDGER_RETENTION_MS,
             ..Default::default()
         };
-        // Here at once: the next reservation must not find it.
+        // Released in the local index immediately, so that the next reservation does not count it.
         self.index
             .lock()
             .unwrap()
