--- a/yewcross-state/src/anti_entropy/ledgers.rs
+++ b/yewcross-state/src/anti_entropy/ledgers.rs
@@ -14,17 +14,17 @@
         replicas: &StoreReplicas,
         to: &[String],
     ) -> bool {
-        let lacking = self.others_of(to);
+        let lacking = self.other_disks(to);
         if self.transfer_ledgers_to(&lacking).await == lacking.len() {
             return true;
         }
-        let others = self.others_of(&replicas.current);
+        let others = self.other_disks(&replicas.current);
         let own = replicas.current.len() - others.len();
         let reached = self.transfer_ledgers_to(&others).await;
         reached + own + replicas.max_missing_disks() >= replicas.current.len()
     }
 
-    fn others_of(&self, disks: &[String]) -> Vec<String> {
+    fn other_disks(&self, disks: &[String]) -> Vec<String> {
         disks
             .iter()
             .filter(|disk| **disk != self.own_disk)
--- a/yewcross-state/src/anti_entropy/turns.rs
+++ b/yewcross-state/src/anti_entropy/turns.rs
@@ -26,14 +26,14 @@
         self.0.values().filter(|held| held.contains(&id)).count()
     }
 
-    fn of(&self, id: u128) -> impl Iterator<Item = &str> {
+    fn holders_of(&self, id: u128) -> impl Iterator<Item = &str> {
         self.0
             .iter()
             .filter(move |(_, held)| held.contains(&id))
             .map(|(disk, _)| disk.as_str())
     }
 
-    fn has(&self, disk: &str, id: u128) -> bool {
+    fn holds(&self, disk: &str, id: u128) -> bool {
         self.0.get(disk).is_some_and(|held| held.contains(&id))
     }
 }
@@ -172,7 +172,7 @@
             for disk in self.targets(plan, *id, &indexed.stored) {
                 let transfer = transfers.entry(disk.clone()).or_default();
                 transfer.add_history(&index, &indexed.stored.turn.id, |id| {
-                    plan.holders.has(&disk, id)
+                    plan.holders.holds(&disk, id)
                 });
             }
         }
@@ -184,7 +184,7 @@
         let current = &plan.replicas.current;
         let holders: Vec<&str> = plan
             .holders
-            .of(id)
+            .holders_of(id)
             .chain([self.own_disk.as_str()])
             .collect();
         let key = if stored.program.is_empty() {
--- a/yewcross-state/src/records/begin_decision.rs
+++ b/yewcross-state/src/records/begin_decision.rs
@@ -28,14 +28,14 @@
 
 /// Decides a begin at a clock of `now_ms`. `is_unreserved` says that the turn's budget has no
 /// reservation for it: it may then be answered from the record, but not begin.
-pub(super) fn decide(
+pub(super) fn decide_begin(
     begin: &BeginTurn,
     value: &[u8],
     now_ms: u64,
     is_unreserved: bool,
 ) -> ValueUpdate<BeginDecision> {
     let mut record = SessionRecord::read(value);
-    if let Some(decision) = finished_before(begin, &record) {
+    if let Some(decision) = decide_from_earlier_attempts(begin, &record) {
         return ValueUpdate::Keep(decision);
     }
     let mut closed = None;
@@ -45,7 +45,7 @@
         }
         if is_same_attempt(begin, run) {
             // The answer of this very begin was lost.
-            return ValueUpdate::Keep(begun(record, None));
+            return ValueUpdate::Keep(begun_decision(record, None));
         }
         let is_same_request = run.request_id == begin.request_id;
         let reserved = run.max_output_tokens;
@@ -61,8 +61,8 @@
     if is_unreserved {
         return reject(Code::StoreAway);
     }
-    start(begin, &mut record, now_ms);
-    ValueUpdate::Write(record.write(), begun(record, closed))
+    start_turn(begin, &mut record, now_ms);
+    ValueUpdate::Write(record.write(), begun_decision(record, closed))
 }
 
 fn reject(code: Code) -> ValueUpdate<BeginDecision> {
@@ -70,8 +70,11 @@
 }
 
 /// The answer to a request that finished before, or to an attempt that was barred.
-fn finished_before(begin: &BeginTurn, record: &SessionRecord) -> Option<BeginDecision> {
-    if let Some(mark) = record.mark(&begin.request_id) {
+fn decide_from_earlier_attempts(
+    begin: &BeginTurn,
+    record: &SessionRecord,
+) -> Option<BeginDecision> {
+    if let Some(mark) = record.finished_request(&begin.request_id) {
         return Some(stored_outcome(begin, record, mark));
     }
     if record.metadata.barred.contains(&begin.nonce) {
@@ -124,7 +127,7 @@
     })
 }
 
-fn start(begin: &BeginTurn, record: &mut SessionRecord, now_ms: u64) {
+fn start_turn(begin: &BeginTurn, record: &mut SessionRecord, now_ms: u64) {
     let head = &mut record.metadata;
     head.epoch += 1;
     head.retention_start_ms = now_ms;
@@ -140,7 +143,7 @@
     });
 }
 
-fn begun(record: SessionRecord, closed: Option<RunningTurn>) -> BeginDecision {
+fn begun_decision(record: SessionRecord, closed: Option<RunningTurn>) -> BeginDecision {
     let answer = TurnBegun {
         epoch: record.metadata.epoch,
         cache: record.metadata.cache,
--- a/yewcross-state/src/records/budget_record.rs
+++ b/yewcross-state/src/records/budget_record.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Settled entries that a budget remembers, so that none is reserved a second time.
-const SETTLED_KEPT: usize = 256;
+const MAX_SETTLED_ENTRIES: usize = 256;
 
 /// Tokens reserved for one attempt of a turn.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -24,8 +24,8 @@
     #[serde(rename = "at")]
     pub reserved_at_ms: u64,
     /// ms that the session's record is kept at least; 0 where an older process wrote it.
-    #[serde(default)]
     #[serde(rename = "keep")]
+    #[serde(default)]
     pub retain_ms: u64,
 }
 
@@ -97,7 +97,7 @@
         let charged = used.unwrap_or(reservation.amount).min(reservation.amount);
         self.spent = self.spent.saturating_add(charged);
         self.settled.push_back(entry.into());
-        while self.settled.len() > SETTLED_KEPT {
+        while self.settled.len() > MAX_SETTLED_ENTRIES {
             self.settled.pop_front();
         }
         true
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -11,14 +11,14 @@
 /// Attempts of a settlement in the background; the audit settles what they miss.
 const SETTLE_ATTEMPTS: u32 = 4;
 /// us. Backoff after the first attempt; it doubles with each.
-const SETTLE_BACKOFF: u64 = 100 * MS;
+const SETTLE_BACKOFF_US: u64 = 100 * MS;
 
 /// What an audit learnt of a reservation.
 enum AuditOutcome {
     /// Its turn is in flight, or a peer could not say.
     Pending,
     /// Its turn is over; `used` is None where nobody knows how many tokens it took.
-    Over { used: Option<u64> },
+    Finished { used: Option<u64> },
 }
 
 impl RecordStore {
@@ -91,7 +91,7 @@
                 if let Some(PeerResponse::Ok) = answer {
                     return;
                 }
-                store.runtime.sleep(SETTLE_BACKOFF << attempt).await;
+                store.runtime.sleep(SETTLE_BACKOFF_US << attempt).await;
             }
         });
     }
@@ -107,7 +107,8 @@
             if now_ms <= reservation.reserved_at_ms + RESERVATION_AUDIT_AGE_MS {
                 continue;
             }
-            if let AuditOutcome::Over { used } = self.audit_reservation(&reservation, now_ms).await
+            if let AuditOutcome::Finished { used } =
+                self.audit_reservation(&reservation, now_ms).await
             {
                 self.settle(budget, &entry, used).await;
             }
@@ -137,13 +138,13 @@
                     .reserved_at_ms
                     .saturating_add(reservation.retain_ms)
         {
-            return self.abort_unbegun(reservation).await;
+            return self.abort_unrecorded(reservation).await;
         }
-        AuditOutcome::Over { used }
+        AuditOutcome::Finished { used }
     }
 
     /// Bars an attempt of which the session's record knows nothing.
-    async fn abort_unbegun(&self, reservation: &Reservation) -> AuditOutcome {
+    async fn abort_unrecorded(&self, reservation: &Reservation) -> AuditOutcome {
         let abort = PeerRequest::AbortTurn {
             key: reservation.session_key.clone(),
             request_id: reservation.request_id.clone(),
@@ -151,8 +152,8 @@
             budget: None,
         };
         match (self.route)(reservation.session_key.clone(), abort).await {
-            Some(PeerResponse::Ok) => AuditOutcome::Over { used: Some(0) },
-            Some(PeerResponse::Rejected(Code::Conflict)) => AuditOutcome::Over { used: None },
+            Some(PeerResponse::Ok) => AuditOutcome::Finished { used: Some(0) },
+            Some(PeerResponse::Rejected(Code::Conflict)) => AuditOutcome::Finished { used: None },
             _ => AuditOutcome::Pending,
         }
     }
--- a/yewcross-state/src/records/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -12,9 +12,9 @@
 use yewcross_common::protocol::SessionCacheState;
 
 /// Bytes of a bare id: 16 hex digits.
-const BARE_ID_BYTES: usize = 16;
+const ID_HASH_BYTES: usize = 16;
 /// Bytes of bare ids at which a session is full: each counts with the end of a line.
-const FULL_BYTES: usize = (BARE_ID_BYTES + 1) * RETAINED_REQUEST_IDS;
+const MAX_ID_HASH_BYTES: usize = (ID_HASH_BYTES + 1) * RETAINED_REQUEST_IDS;
 
 /// A turn in flight: begun, and neither committed nor aborted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -83,7 +83,7 @@
     pub barred: VecDeque<u64>,
     /// Lines of bare ids in the stored form.
     #[serde(default, rename = "olds")]
-    bare_id_lines: usize,
+    hash_lines: usize,
 }
 
 /// What a session's register holds.
@@ -115,11 +115,11 @@
         };
         let mut end = value.len() - last.len();
         let mut bytes;
-        (head.finished, bytes) = read_backwards(lines.by_ref().take(marks));
+        (head.finished, bytes) = decode_lines_in_reverse(lines.by_ref().take(marks));
         end -= bytes;
-        (head.retained_outcomes, bytes) = read_backwards(lines.by_ref().take(kept));
+        (head.retained_outcomes, bytes) = decode_lines_in_reverse(lines.by_ref().take(kept));
         end -= bytes;
-        let bare_ids: usize = lines.take(head.bare_id_lines).map(|line| line.len()).sum();
+        let bare_ids: usize = lines.take(head.hash_lines).map(|line| line.len()).sum();
         SessionRecord {
             history: value[..end - bare_ids].to_vec(),
             request_id_hashes: value[end - bare_ids..end].to_vec(),
@@ -138,7 +138,7 @@
             append_line(&mut value, mark);
         }
         let head = SessionMetadata {
-            bare_id_lines: self
+            hash_lines: self
                 .request_id_hashes
                 .iter()
                 .filter(|byte| **byte == LINE_END)
@@ -165,14 +165,17 @@
         });
         while self.metadata.finished.len() > RETAINED_REQUEST_DIGESTS {
             if let Some(mark) = self.metadata.finished.pop_front() {
-                append_bare_id(&mut self.request_id_hashes, &bare_id(&mark.request_id));
+                append_id_hash(
+                    &mut self.request_id_hashes,
+                    &request_id_hash(&mark.request_id),
+                );
             }
         }
         Some(run)
     }
 
     /// The mark of a finished request.
-    pub(super) fn mark(&self, request_id: &str) -> Option<&FinishedRequest> {
+    pub(super) fn finished_request(&self, request_id: &str) -> Option<&FinishedRequest> {
         self.metadata
             .finished
             .iter()
@@ -181,15 +184,15 @@
 
     /// Whether the request finished so long ago that only its bare id is left.
     pub fn ran_before(&self, request_id: &str) -> bool {
-        let id = bare_id(request_id);
+        let id = request_id_hash(request_id);
         self.request_id_hashes
             .split(|byte| *byte == LINE_END)
-            .any(|line| line.chunks(BARE_ID_BYTES).any(|old| old == id.as_bytes()))
+            .any(|line| line.chunks(ID_HASH_BYTES).any(|old| old == id.as_bytes()))
     }
 
     /// Whether the session has used all the ids that it can remember.
     pub fn is_full(&self) -> bool {
-        self.request_id_hashes.len() >= FULL_BYTES
+        self.request_id_hashes.len() >= MAX_ID_HASH_BYTES
     }
 
     /// The attempt may never begin any more.
@@ -202,7 +205,7 @@
 }
 
 /// Items of lines that come last line first, and the bytes of these lines.
-fn read_backwards<'a, T: DeserializeOwned>(
+fn decode_lines_in_reverse<'a, T: DeserializeOwned>(
     lines: impl Iterator<Item = &'a [u8]>,
 ) -> (VecDeque<T>, usize) {
     let mut items = VecDeque::new();
@@ -216,17 +219,17 @@
     (items, bytes)
 }
 
-fn bare_id(request_id: &str) -> String {
+fn request_id_hash(request_id: &str) -> String {
     format!("{:016x}", rendezvous_weight(request_id, ""))
 }
 
 /// Ids stand in lines of a fixed length, so that a change stays a small delta.
-fn append_bare_id(old: &mut Vec<u8>, id: &str) {
+fn append_id_hash(old: &mut Vec<u8>, id: &str) {
     let last_line = old
         .split_inclusive(|byte| *byte == LINE_END)
         .next_back()
         .map_or(0, |line| line.len());
-    if last_line > 0 && last_line <= BARE_ID_BYTES * REQUEST_IDS_PER_LINE {
+    if last_line > 0 && last_line <= ID_HASH_BYTES * REQUEST_IDS_PER_LINE {
         old.pop();
     }
     old.extend(id.as_bytes());
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions: a turn begins, is committed or aborted; the session ends or expires.
 
 use super::RecordStore;
-use super::begin_decision::{BeginDecision, Begun, decide};
+use super::begin_decision::{BeginDecision, Begun, decide_begin};
 use super::budget_record::budget_key;
 use super::record::SessionRecord;
 use std::sync::Arc;
@@ -34,7 +34,7 @@
 }
 
 /// The answer to a request whose change failed: only an undecided one may have taken effect.
-fn rejection(error: ChangeError) -> PeerResponse {
+fn change_rejection(error: ChangeError) -> PeerResponse {
     PeerResponse::Rejected(match error {
         ChangeError::NotApplied | ChangeError::NotProposer => Code::StoreAway,
         ChangeError::Undecided => Code::Undecided,
@@ -54,13 +54,13 @@
         let decided = self
             .registers
             .change(&begin.key, PEER_REQUEST_TIMEOUT, |_, value| {
-                decide(&begin, value, now_ms, is_unreserved)
+                decide_begin(&begin, value, now_ms, is_unreserved)
             })
             .await;
         match decided {
             Ok(BeginDecision::Begun(begun)) => self.answer_begun(&begin, *begun),
             Ok(BeginDecision::Stored { code, outcome }) => {
-                self.release(reserved, &begin);
+                self.release_reservation(reserved, &begin);
                 (PeerResponse::StoredOutcome { code }, outcome.into_bytes())
             }
             // The proxy may send this very attempt again: it keeps its reservation until it is
@@ -69,16 +69,16 @@
                 (PeerResponse::Rejected(Code::StoreAway), vec![])
             }
             Ok(BeginDecision::Rejected(code)) => {
-                self.release(reserved, &begin);
+                self.release_reservation(reserved, &begin);
                 (PeerResponse::Rejected(code), vec![])
             }
-            Err(error) => (rejection(error), vec![]),
+            Err(error) => (change_rejection(error), vec![]),
         }
     }
 
     /// Reserves a turn's tokens; the name of the budget, None where nothing was reserved.
     async fn reserve_for(&self, begin: &BeginTurn) -> Result<Option<String>, Code> {
-        let is_known = self.is_probably_known(begin);
+        let is_known = self.is_rejected_by_cached_record(begin);
         let Some((budget, limit)) = begin.budget.clone().filter(|_| !is_known) else {
             return Ok(None);
         };
@@ -103,12 +103,12 @@
 
     /// Whether the value last known here says that the turn will not begin, so that a reservation
     /// would be for nothing.
-    fn is_probably_known(&self, begin: &BeginTurn) -> bool {
+    fn is_rejected_by_cached_record(&self, begin: &BeginTurn) -> bool {
         let Some(value) = self.registers.cached_value(&begin.key) else {
             return false;
         };
         let record = SessionRecord::read(&value);
-        record.mark(&begin.request_id).is_some()
+        record.finished_request(&begin.request_id).is_some()
             || record
                 .metadata
                 .running
@@ -136,7 +136,7 @@
     }
 
     /// Gives back the reservation of a turn that did not begin.
-    fn release(self: &Arc<Self>, reserved: Option<String>, begin: &BeginTurn) {
+    fn release_reservation(self: &Arc<Self>, reserved: Option<String>, begin: &BeginTurn) {
         if let Some(budget) = reserved {
             self.settle_in_background(&budget, begin_entry(begin), Some(0));
         }
@@ -163,7 +163,7 @@
                 PeerResponse::Committed
             }
             Ok(CommitDecision::Conflict) => PeerResponse::Rejected(Code::MayHaveRun),
-            Err(error) => rejection(error),
+            Err(error) => change_rejection(error),
         }
     }
 
@@ -230,7 +230,7 @@
         match ended {
             Ok(Ok(cache)) => PeerResponse::SessionEnded { cache },
             Ok(Err(code)) => PeerResponse::Rejected(code),
-            Err(error) => rejection(error),
+            Err(error) => change_rejection(error),
         }
     }
 
@@ -275,7 +275,7 @@
     value: &[u8],
 ) -> ValueUpdate<CommitDecision> {
     let mut record = SessionRecord::read(value);
-    if let Some(mark) = record.mark(&commit.request_id) {
+    if let Some(mark) = record.finished_request(&commit.request_id) {
         let is_same = mark.nonce == commit.nonce && mark.code == commit.code;
         return ValueUpdate::Keep(if is_same {
             CommitDecision::Committed { budget: None }
--- a/yewcross-state/src/segment_log/compaction.rs
+++ b/yewcross-state/src/segment_log/compaction.rs
@@ -51,7 +51,7 @@
         if is_small_enough && index.needs_segment(segment) {
             return None;
         }
-        let records = index.take_segment(segment);
+        let records = index.take_segment_records(segment);
         Some(OldestSegment { segment, records })
     }
 
--- a/yewcross-state/src/segment_log/reader.rs
+++ b/yewcross-state/src/segment_log/reader.rs
@@ -71,14 +71,14 @@
             }
         }
     }
-    scan.judge_ends(&invalid_ends, &marked, newest_with_frames);
+    scan.classify_invalid_ends(&invalid_ends, &marked, newest_with_frames);
     Ok(scan)
 }
 
 impl LogScan {
     /// Only the last batch written can have been cut short before it was acknowledged: every other
     /// invalid end is damage, unless a later start found it to be the last and marked it.
-    fn judge_ends(
+    fn classify_invalid_ends(
         &mut self,
         invalid_ends: &[InvalidEnd],
         marked: &[TornEnd],
--- a/yewcross-state/src/segment_log/writer.rs
+++ b/yewcross-state/src/segment_log/writer.rs
@@ -62,7 +62,7 @@
     }
 
     /// After a failed write: what is queued is never acknowledged.
-    fn abandon(&mut self) {
+    fn discard_queue(&mut self) {
         self.queue.clear();
         self.pending_bytes = 0;
         self.is_writing = false;
@@ -131,7 +131,7 @@
             let batch_bytes: usize = batch.records().map(LogRecord::bytes).sum();
             if let Err(error) = self.write_batch(&batch).await {
                 self.storage.mark_failed(&error);
-                self.log.lock().unwrap().abandon();
+                self.log.lock().unwrap().discard_queue();
                 return;
             }
             {
