--- a/yewcross-state/src/records/begin_decision.rs
+++ b/yewcross-state/src/records/begin_decision.rs
@@ -1,5 +1,5 @@
-//! What a begin makes of a session's record: the turn runs, its stored outcome is given, or it is
-//! rejected.
+//! Decides a request to begin a turn from the session's record: the turn begins, the stored outcome
+//! of an earlier attempt is returned, or the request is rejected.
 
 use super::record::{FinishedRequest, RunningTurn, SessionRecord};
 use yewcross_common::constants::{DEADLINE_MAX_MS, MS, RETENTION_MAX_MS, RUN_GRACE};
@@ -10,15 +10,17 @@
 /// A turn that may be dispatched.
 pub(super) struct Begun {
     pub(super) answer: TurnBegun,
+    /// History of the session, before this turn.
     pub(super) history: Vec<u8>,
-    /// An earlier turn that was past its deadline, and was closed.
+    /// An earlier turn that was past its deadline and has been closed.
     pub(super) closed: Option<RunningTurn>,
 }
 
-/// The answer to a begin.
+/// Result of a request to begin a turn.
 pub(super) enum BeginDecision {
+    /// The turn is in flight and may be dispatched.
     Begun(Box<Begun>),
-    /// The request finished before, with this outcome.
+    /// An earlier attempt of the request finished with this outcome.
     Stored {
         code: Code,
         outcome: String,
@@ -26,8 +28,8 @@
     Rejected(Code),
 }
 
-/// Decides a begin at a clock of `now_ms`. `is_unreserved` says that the turn's budget has no
-/// reservation for it: it may then be answered from the record, but not begin.
+/// Decides a request to begin a turn. `is_unreserved` means that the turn's budget holds no
+/// reservation for it: the request may then be answered from the record, but the turn may not begin.
 pub(super) fn decide_begin(
     begin: &BeginTurn,
     value: &[u8],
@@ -44,7 +46,7 @@
             return reject(code);
         }
         if is_same_attempt(begin, run) {
-            // The answer of this very begin was lost.
+            // A repetition of the same attempt, whose response was lost.
             return ValueUpdate::Keep(begun_decision(record, None));
         }
         let is_same_request = run.request_id == begin.request_id;
@@ -69,13 +71,14 @@
     ValueUpdate::Keep(BeginDecision::Rejected(code))
 }
 
-/// The answer to a request that finished before, or to an attempt that was barred.
+/// The answer to a request that has already finished, or to an attempt that was barred. `None` if
+/// neither applies.
 fn decide_from_earlier_attempts(
     begin: &BeginTurn,
     record: &SessionRecord,
 ) -> Option<BeginDecision> {
-    if let Some(mark) = record.finished_request(&begin.request_id) {
-        return Some(stored_outcome(begin, record, mark));
+    if let Some(finished) = record.finished_request(&begin.request_id) {
+        return Some(stored_outcome(begin, record, finished));
     }
     if record.metadata.barred.contains(&begin.nonce) {
         return Some(BeginDecision::Rejected(Code::StoreAway));
@@ -88,18 +91,18 @@
 fn stored_outcome(
     begin: &BeginTurn,
     record: &SessionRecord,
-    mark: &FinishedRequest,
+    finished: &FinishedRequest,
 ) -> BeginDecision {
-    if mark.digest != begin.digest {
+    if finished.digest != begin.digest {
         return BeginDecision::Rejected(Code::OtherBody);
     }
-    if mark.code != Code::Done {
-        return BeginDecision::Rejected(mark.code);
+    if finished.code != Code::Done {
+        return BeginDecision::Rejected(finished.code);
     }
-    let mut kept = record.metadata.retained_outcomes.iter();
-    match kept.find(|outcome| outcome.0 == begin.request_id) {
+    let mut retained = record.metadata.retained_outcomes.iter();
+    match retained.find(|outcome| outcome.0 == begin.request_id) {
         Some((_, outcome)) => BeginDecision::Stored {
-            code: mark.code,
+            code: finished.code,
             outcome: outcome.clone(),
         },
         None => BeginDecision::Rejected(Code::Forgotten),
@@ -110,8 +113,8 @@
     run.nonce == begin.nonce && run.request_id == begin.request_id
 }
 
-/// Why the turn in flight keeps this one from beginning; None also for a second begin of the same
-/// attempt, and for a turn in flight that is past its deadline.
+/// Why the turn in flight prevents this one from beginning. `None` if the request repeats the attempt
+/// in flight, or if the turn in flight is past its deadline.
 fn conflict(begin: &BeginTurn, run: &RunningTurn, now_ms: u64) -> Option<Code> {
     let is_same_request = run.request_id == begin.request_id;
     if is_same_request && run.digest != begin.digest {
@@ -128,11 +131,11 @@
 }
 
 fn start_turn(begin: &BeginTurn, record: &mut SessionRecord, now_ms: u64) {
-    let head = &mut record.metadata;
-    head.epoch += 1;
-    head.retention_start_ms = now_ms;
-    head.retain_ms = begin.retain_ms.min(RETENTION_MAX_MS);
-    head.running = Some(RunningTurn {
+    let metadata = &mut record.metadata;
+    metadata.epoch += 1;
+    metadata.retention_start_ms = now_ms;
+    metadata.retain_ms = begin.retain_ms.min(RETENTION_MAX_MS);
+    metadata.running = Some(RunningTurn {
         request_id: begin.request_id.clone(),
         digest: begin.digest.clone(),
         nonce: begin.nonce,
--- a/yewcross-state/src/records/budget_record.rs
+++ b/yewcross-state/src/records/budget_record.rs
@@ -1,42 +1,42 @@
-//! The record of a budget: what was spent, and what is reserved.
+//! The record of a budget: tokens spent and tokens reserved.
 
 use super::lines::{LINE_END, append_line};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Settled entries that a budget remembers, so that none is reserved a second time.
+/// Number of settled entries retained in the record, so that a repeated request does not reserve
+/// them again.
 const MAX_SETTLED_ENTRIES: usize = 256;
 
-/// Tokens reserved for one attempt of a turn.
+/// Tokens reserved for one attempt to run a turn.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reservation {
-    /// Most tokens that the attempt may use.
+    /// Maximum number of tokens that the attempt may use.
     pub amount: u64,
-    /// Key of the session's record.
+    /// Key of the session's register.
     #[serde(rename = "key")]
     pub session_key: String,
     /// Request id of the turn.
     #[serde(rename = "job")]
     pub request_id: String,
-    /// Identifies the attempt among those of the same request.
+    /// Identifies the attempt among the attempts of the same request.
     pub nonce: u64,
-    /// Clock at which it was made, ms.
-    #[serde(rename = "at")]
-    pub reserved_at_ms: u64,
-    /// ms that the session's record is kept at least; 0 where an older process wrote it.
-    #[serde(rename = "keep")]
+    /// Time of the reservation, in ms of the cluster's median clock.
+    pub at: u64,
+    /// Minimum retention period of the session's record, in ms; 0 if written by an older version.
     #[serde(default)]
+    #[serde(rename = "keep")]
     pub retain_ms: u64,
 }
 
-/// What a budget's register holds.
+/// Value of a budget's register.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetRecord {
-    /// Tokens of all settled entries.
+    /// Sum of all settled entries, in tokens.
     pub spent: u64,
-    /// Reservations that are not settled yet, by entry.
+    /// Unsettled reservations by entry.
     pub open: BTreeMap<String, Reservation>,
-    /// Entries settled last, oldest first.
+    /// The most recently settled entries, oldest first.
     pub settled: VecDeque<String>,
 }
 
@@ -49,9 +49,9 @@
 }
 
 impl BudgetRecord {
-    /// Reads a stored record. A line that cannot be read is passed over without an error: its
-    /// reservation no longer counts, its settled entry is forgotten, and without a readable line
-    /// for it the sum spent is 0.
+    /// Decodes a stored record. A line that cannot be decoded is skipped without an error: its
+    /// reservation no longer counts, or its settled entry is lost. `spent` is 0 if its line cannot
+    /// be decoded.
     pub fn read(value: &[u8]) -> BudgetRecord {
         let mut record = BudgetRecord::default();
         for line in value.split(|byte| *byte == LINE_END) {
@@ -67,6 +67,7 @@
         record
     }
 
+    /// Encodes the record in its stored form.
     pub(super) fn write(&self) -> Vec<u8> {
         let mut value = vec![];
         for entry in &self.settled {
@@ -80,7 +81,7 @@
         value
     }
 
-    /// Tokens spent and reserved.
+    /// Sum of the tokens spent and reserved.
     pub(super) fn committed_tokens(&self) -> u64 {
         let reserved = self.open.values().fold(0u64, |sum, reservation| {
             sum.saturating_add(reservation.amount)
@@ -88,8 +89,8 @@
         self.spent.saturating_add(reserved)
     }
 
-    /// Replaces a reservation by what was used of it, at most its amount; all of it where the usage
-    /// is unknown. False if there is no such reservation.
+    /// Replaces a reservation by the tokens used, at most the reserved amount. The full amount is
+    /// charged if the usage is unknown. Returns whether the reservation existed.
     pub(super) fn settle(&mut self, entry: &str, used: Option<u64>) -> bool {
         let Some(reservation) = self.open.remove(entry) else {
             return false;
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -1,4 +1,5 @@
-//! Budgets: reservations are made, settled, and audited when their proxy no longer reports.
+//! Operations on budgets: reserving, settling, and auditing reservations that their proxy has not
+//! settled.
 
 use super::RecordStore;
 use super::budget_record::{BudgetRecord, Reservation, budget_key};
@@ -8,23 +9,24 @@
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::ValueUpdate;
 
-/// Attempts of a settlement in the background; the audit settles what they miss.
+/// Maximum number of attempts to settle a reservation in the background; the audit settles those
+/// that all fail.
 const SETTLE_ATTEMPTS: u32 = 4;
-/// us. Backoff after the first attempt; it doubles with each.
+/// Backoff after the first attempt, us. It doubles with each further attempt.
 const SETTLE_BACKOFF_US: u64 = 100 * MS;
 
-/// What an audit learnt of a reservation.
+/// Result of auditing a reservation.
 enum AuditOutcome {
-    /// Its turn is in flight, or a peer could not say.
+    /// The turn is in flight, or its state could not be determined.
     Pending,
-    /// Its turn is over; `used` is None where nobody knows how many tokens it took.
+    /// The turn has finished; `used` is `None` if the number of tokens used is unknown.
     Finished { used: Option<u64> },
 }
 
 impl RecordStore {
-    /// Reserves tokens while less than `limit` is spent and reserved, so that a budget is exceeded
-    /// by one turn at most. An entry that is reserved already is confirmed; one that was settled is
-    /// rejected as a conflict.
+    /// Reserves tokens if the sum of the tokens spent and reserved is below `limit`, so that a budget
+    /// is exceeded by one turn at most. Reserving an entry again succeeds without a change; an entry
+    /// that has been settled is rejected as a conflict.
     pub async fn reserve(
         &self,
         budget: &str,
@@ -52,7 +54,7 @@
         changed.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
     }
 
-    /// Settles a reservation at `used` tokens, in full where the usage is unknown. Settling an entry
+    /// Settles a reservation at `used` tokens, or in full if the usage is unknown. Settling an entry
     /// that is not reserved changes nothing.
     pub async fn settle(&self, budget: &str, entry: &str, used: Option<u64>) -> PeerResponse {
         let changed = self
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Settles in the background. Until this is through, the reservation counts in full.
+    /// Settles a reservation in the background. Until it is settled, the reservation counts in full.
     pub(super) fn settle_in_background(
         self: &Arc<Self>,
         budget: &str,
@@ -96,15 +98,15 @@
         });
     }
 
-    /// Settles reservations that are older than `RESERVATION_AUDIT_AGE_MS` and whose turn is over: at the usage
-    /// that the session's record tells, in full if it tells none.
+    /// Settles the reservations that are older than `RESERVATION_AUDIT_AGE_MS` and whose turn has
+    /// finished: at the usage in the session's record, or in full if the record has none.
     pub async fn audit(self: &Arc<Self>, budget: &str) {
         let Some(value) = self.registers.cached_value(&budget_key(budget)) else {
             return;
         };
         let now_ms = self.clock_ms();
         for (entry, reservation) in BudgetRecord::read(&value).open {
-            if now_ms <= reservation.reserved_at_ms + RESERVATION_AUDIT_AGE_MS {
+            if now_ms <= reservation.at + RESERVATION_AUDIT_AGE_MS {
                 continue;
             }
             if let AuditOutcome::Finished { used } =
@@ -130,20 +132,15 @@
         }
         let finished = done.iter().find(|turn| is_audited(&turn.0, turn.1));
         let used = finished.map(|turn| turn.2);
-        // Never begun, as far as the record tells, and the record cannot have been forgotten
-        // since: once the attempt is barred it never will begin.
-        if used.is_none()
-            && now_ms
-                < reservation
-                    .reserved_at_ms
-                    .saturating_add(reservation.retain_ms)
-        {
+        // The record does not contain the attempt, and cannot have expired since the reservation was
+        // made. The attempt never began, and cannot begin once it is barred.
+        if used.is_none() && now_ms < reservation.at.saturating_add(reservation.retain_ms) {
             return self.abort_unrecorded(reservation).await;
         }
         AuditOutcome::Finished { used }
     }
 
-    /// Bars an attempt of which the session's record knows nothing.
+    /// Bars an attempt that the session's record does not contain.
     async fn abort_unrecorded(&self, reservation: &Reservation) -> AuditOutcome {
         let abort = PeerRequest::AbortTurn {
             key: reservation.session_key.clone(),
--- a/yewcross-state/src/records/mod.rs
+++ b/yewcross-state/src/records/mod.rs
@@ -1,8 +1,9 @@
-//! Sessions, histories, once-only outcomes and budgets, each a key of the registers.
+//! Records of sessions and budgets, each stored under a key of the registers. A session's record
+//! contains its history, and the outcomes that prevent a request from running twice.
 //!
-//! [`RecordStore`] answers the requests: `sessions` and `budgets` hold its operations,
-//! `begin_decision` what a begin makes of a session's record. [`SessionRecord`] and [`BudgetRecord`]
-//! are what the registers hold. Who may propose for a key is settled by the caller.
+//! [`RecordStore`] handles the requests: `sessions` and `budgets` implement its operations, and
+//! `begin_decision` decides whether a turn may begin. [`SessionRecord`] and [`BudgetRecord`] are the
+//! values of the registers. The caller ensures that this process may propose for the key.
 
 mod begin_decision;
 mod budget_record;
@@ -21,29 +22,29 @@
 use yewcross_common::register::RegisterClient;
 use yewcross_common::runtime::{BoxFuture, Runtime};
 
-/// Puts a request to the process that proposes for the key; None if none answered.
+/// Sends a request to the process that proposes for the key; `None` if no process answered.
 pub type RequestRoute =
     Arc<dyn Fn(String, PeerRequest) -> BoxFuture<'static, Option<PeerResponse>> + Send + Sync>;
 
-/// Changes the records of sessions and budgets.
+/// Reads and changes the records of sessions and budgets.
 pub struct RecordStore {
     /// The registers that hold the records.
     pub registers: Arc<RegisterClient>,
-    /// Tells the cluster's clock.
+    /// Source of the cluster's median clock.
     pub members: Arc<Membership>,
     pub runtime: Runtime,
-    /// Reaches the proposer of another key.
+    /// Sends requests to the proposers of other keys.
     pub route: RequestRoute,
 }
 
 impl RecordStore {
-    /// Calendar time, ms: the middle one of the known clocks. A single clock that is far off closes
-    /// no run and erases no record.
+    /// The cluster's median clock: Unix time in ms. Because it is the median, a single wrong clock
+    /// can neither close a running turn nor erase a record.
     pub fn clock_ms(&self) -> u64 {
         self.members.clock().0
     }
 
-    /// Answers a request for a session or budget; the second part is the answer's blob.
+    /// Handles a request for a session or budget. Returns the response and its blob.
     pub async fn handle(
         self: &Arc<Self>,
         request: PeerRequest,
@@ -77,10 +78,10 @@
                 let reservation = Reservation {
                     amount,
                     session_key: key,
-                    request_id: request_id,
+                    request_id,
                     nonce,
-                    reserved_at_ms: self.clock_ms(),
-                    retain_ms: retain_ms,
+                    at: self.clock_ms(),
+                    retain_ms,
                 };
                 let budget = budget.trim_start_matches("budget/");
                 self.reserve(budget, &entry, reservation, limit).await
@@ -96,7 +97,7 @@
         (response, vec![])
     }
 
-    /// Brings every replica of the key to its newest value.
+    /// Updates every replica of the key to its newest value.
     async fn repair(&self, key: &str) -> PeerResponse {
         if self.registers.repair(key).await {
             PeerResponse::Ok
--- a/yewcross-state/src/records/record.rs
+++ b/yewcross-state/src/records/record.rs
@@ -1,4 +1,4 @@
-//! The record of a session: history, marks of finished requests, kept outcomes, cache state.
+//! The record of a session: history, finished requests, retained outcomes, cache state.
 
 use super::lines::{LINE_END, append_line};
 use serde::de::DeserializeOwned;
@@ -11,12 +11,12 @@
 use yewcross_common::hash::rendezvous_weight;
 use yewcross_common::protocol::SessionCacheState;
 
-/// Bytes of a bare id: 16 hex digits.
+/// Size of a request id's hash in bytes: 16 hex digits.
 const ID_HASH_BYTES: usize = 16;
-/// Bytes of bare ids at which a session is full: each counts with the end of a line.
+/// Size of the hashes, in bytes, at which a session is full. Each hash is counted with a line end.
 const MAX_ID_HASH_BYTES: usize = (ID_HASH_BYTES + 1) * RETAINED_REQUEST_IDS;
 
-/// A turn in flight: begun, and neither committed nor aborted.
+/// A turn in flight: it has begun, and has been neither committed nor aborted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunningTurn {
     /// The caller's id of the request.
@@ -24,22 +24,22 @@
     pub request_id: String,
     /// Digest of the request's body.
     pub digest: String,
-    /// Identifies the attempt among those of the same request.
+    /// Identifies the attempt among the attempts of the same request.
     pub nonce: u64,
-    /// The proxy that began it.
+    /// The proxy that began the turn.
     #[serde(rename = "front")]
     pub proxy: String,
-    /// Clock after which it counts as lost, ms.
+    /// Time after which the turn is considered lost, in ms of the cluster's median clock.
     #[serde(rename = "until")]
     pub deadline_ms: u64,
-    /// Most tokens of output, reserved from the budget.
+    /// Maximum number of output tokens, reserved from the budget.
     #[serde(rename = "max_out")]
     pub max_output_tokens: u64,
-    /// Name of the budget that pays for it.
+    /// Name of the budget that the turn is charged to.
     pub budget: Option<String>,
 }
 
-/// What is remembered of a finished request, so that it never runs again.
+/// A finished request, recorded so that it never runs again.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FinishedRequest {
     /// The caller's id of the request.
@@ -47,97 +47,100 @@
     pub request_id: String,
     /// Digest of the request's body.
     pub digest: String,
-    /// Identifies the attempt that finished it.
+    /// Identifies the attempt that finished the request.
     pub nonce: u64,
-    /// Its outcome.
+    /// Outcome of the request.
     pub code: Code,
-    /// Tokens that it used.
+    /// Number of tokens used.
     pub used: u64,
 }
 
-/// All of a session's record but the history and the bare ids.
+/// All of a session's record except the history and the hashes of request ids.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SessionMetadata {
-    /// Rises with every turn that begins, and when the session ends.
+    /// Incremented with every turn that begins, and when the session ends.
     pub epoch: u64,
-    /// The turn in flight.
+    /// The turn in flight, if any.
     pub running: Option<RunningTurn>,
-    /// Finished requests, oldest first.
+    /// The most recently finished requests, oldest first.
     #[serde(skip)]
     pub finished: VecDeque<FinishedRequest>,
-    /// Request id and outcome of the requests finished last, oldest first.
+    /// Request id and outcome of the most recently committed requests, oldest first.
     #[serde(skip)]
     pub retained_outcomes: VecDeque<(String, String)>,
-    /// Where the session's prefix is cached.
+    /// Locations where the session's prefix is cached.
     #[serde(rename = "kv")]
     pub cache: SessionCacheState,
-    /// Clock of the last begin, ms.
+    /// Start of the retention period, in ms of the cluster's median clock: the time at which the last
+    /// turn began, or at which an attempt was barred in a record without a retention period.
     #[serde(rename = "touched")]
     pub retention_start_ms: u64,
-    /// ms after `touched` until the record may be forgotten; 0: never.
+    /// Retention period, in ms, after which the record may be erased; 0: never.
     #[serde(default)]
     #[serde(rename = "keep")]
     pub retain_ms: u64,
-    /// Nonces of attempts that may never begin any more.
+    /// Nonces of attempts that must not begin.
     #[serde(default)]
     pub barred: VecDeque<u64>,
-    /// Lines of bare ids in the stored form.
+    /// Number of lines with hashes of request ids in the stored form.
     #[serde(default, rename = "olds")]
     hash_lines: usize,
 }
 
-/// What a session's register holds.
+/// Value of a session's register.
 ///
-/// Stored as one line for each thing that may change by itself, so that a change is a small delta
-/// of the value: history, bare ids of requests whose marks are gone, kept outcomes, marks, the rest.
+/// The stored form has a separate line for each part that may change independently, so that a change
+/// produces a small delta of the value. The order of the lines is: history, hashes of older request
+/// ids, retained outcomes, finished requests, metadata.
 #[derive(Clone, Debug, Default)]
 pub struct SessionRecord {
-    /// The conversation so far.
+    /// History of the conversation.
     pub history: Vec<u8>,
-    /// Bare ids of requests older than the marks, 16 hex digits each.
+    /// Hashes of the ids of requests that are no longer listed in the metadata, 16 hex digits each.
     pub request_id_hashes: Vec<u8>,
-    /// The rest.
+    /// All other parts of the record.
     pub metadata: SessionMetadata,
 }
 
 impl SessionRecord {
-    /// Reads a stored record. No error is reported: a value whose last line cannot be read is taken
-    /// for an empty record, and a mark or outcome that cannot be read is passed over.
+    /// Decodes a stored record, without reporting errors: a value whose last line cannot be decoded
+    /// gives an empty record, and a finished request or outcome that cannot be decoded is skipped.
     pub fn read(value: &[u8]) -> SessionRecord {
         let mut lines = value.split_inclusive(|byte| *byte == LINE_END).rev();
         let Some(last) = lines.next() else {
             return SessionRecord::default();
         };
-        let Ok((mut head, marks, kept)) =
+        let Ok((mut metadata, finished_count, outcome_count)) =
             serde_json::from_slice::<(SessionMetadata, usize, usize)>(last)
         else {
             return SessionRecord::default();
         };
         let mut end = value.len() - last.len();
         let mut bytes;
-        (head.finished, bytes) = decode_lines_in_reverse(lines.by_ref().take(marks));
+        (metadata.finished, bytes) = decode_lines_in_reverse(lines.by_ref().take(finished_count));
         end -= bytes;
-        (head.retained_outcomes, bytes) = decode_lines_in_reverse(lines.by_ref().take(kept));
+        (metadata.retained_outcomes, bytes) =
+            decode_lines_in_reverse(lines.by_ref().take(outcome_count));
         end -= bytes;
-        let bare_ids: usize = lines.take(head.hash_lines).map(|line| line.len()).sum();
+        let hashes_bytes: usize = lines.take(metadata.hash_lines).map(|line| line.len()).sum();
         SessionRecord {
-            history: value[..end - bare_ids].to_vec(),
-            request_id_hashes: value[end - bare_ids..end].to_vec(),
-            metadata: head,
+            history: value[..end - hashes_bytes].to_vec(),
+            request_id_hashes: value[end - hashes_bytes..end].to_vec(),
+            metadata,
         }
     }
 
-    /// The stored form.
+    /// Encodes the record in its stored form.
     pub fn write(&self) -> Vec<u8> {
         let mut value = self.history.clone();
         value.extend(&self.request_id_hashes);
         for outcome in &self.metadata.retained_outcomes {
             append_line(&mut value, outcome);
         }
-        for mark in &self.metadata.finished {
-            append_line(&mut value, mark);
+        for finished in &self.metadata.finished {
+            append_line(&mut value, finished);
         }
-        let head = SessionMetadata {
+        let metadata = SessionMetadata {
             hash_lines: self
                 .request_id_hashes
                 .iter()
@@ -149,11 +152,12 @@
             self.metadata.finished.len(),
             self.metadata.retained_outcomes.len(),
         );
-        append_line(&mut value, &(&head, counts.0, counts.1));
+        append_line(&mut value, &(&metadata, counts.0, counts.1));
         value
     }
 
-    /// Ends the turn in flight with an outcome; gives it back, None if there was none.
+    /// Ends the turn in flight with an outcome. Returns that turn, or `None` if no turn was in flight.
+    /// The oldest finished requests above the limit are reduced to the hashes of their ids.
     pub fn close(&mut self, code: Code, used: u64) -> Option<RunningTurn> {
         let run = self.metadata.running.take()?;
         self.metadata.finished.push_back(FinishedRequest {
@@ -164,38 +168,42 @@
             used,
         });
         while self.metadata.finished.len() > RETAINED_REQUEST_DIGESTS {
-            if let Some(mark) = self.metadata.finished.pop_front() {
+            if let Some(finished) = self.metadata.finished.pop_front() {
                 append_id_hash(
                     &mut self.request_id_hashes,
-                    &request_id_hash(&mark.request_id),
+                    &request_id_hash(&finished.request_id),
                 );
             }
         }
         Some(run)
     }
 
-    /// The mark of a finished request.
+    /// The finished request with this id, if it is still listed.
     pub(super) fn finished_request(&self, request_id: &str) -> Option<&FinishedRequest> {
         self.metadata
             .finished
             .iter()
-            .find(|mark| mark.request_id == request_id)
+            .find(|finished| finished.request_id == request_id)
     }
 
-    /// Whether the request finished so long ago that only its bare id is left.
+    /// Whether the request finished so long ago that only the hash of its id is retained.
     pub fn ran_before(&self, request_id: &str) -> bool {
-        let id = request_id_hash(request_id);
+        let hash = request_id_hash(request_id);
         self.request_id_hashes
             .split(|byte| *byte == LINE_END)
-            .any(|line| line.chunks(ID_HASH_BYTES).any(|old| old == id.as_bytes()))
+            .any(|line| {
+                line.chunks(ID_HASH_BYTES)
+                    .any(|stored| stored == hash.as_bytes())
+            })
     }
 
-    /// Whether the session has used all the ids that it can remember.
+    /// Whether the session cannot record any further request ids.
     pub fn is_full(&self) -> bool {
         self.request_id_hashes.len() >= MAX_ID_HASH_BYTES
     }
 
-    /// The attempt may never begin any more.
+    /// Bars an attempt, so that it can never begin. Only the most recently barred attempts are
+    /// retained.
     pub fn bar_attempt(&mut self, nonce: u64) {
         self.metadata.barred.push_back(nonce);
         while self.metadata.barred.len() > RETAINED_BARRED_ATTEMPTS {
@@ -204,7 +212,8 @@
     }
 }
 
-/// Items of lines that come last line first, and the bytes of these lines.
+/// Decodes the items of lines given in reverse order. Returns the items in stored order and the total
+/// size of the lines in bytes.
 fn decode_lines_in_reverse<'a, T: DeserializeOwned>(
     lines: impl Iterator<Item = &'a [u8]>,
 ) -> (VecDeque<T>, usize) {
@@ -223,15 +232,16 @@
     format!("{:016x}", rendezvous_weight(request_id, ""))
 }
 
-/// Ids stand in lines of a fixed length, so that a change stays a small delta.
-fn append_id_hash(old: &mut Vec<u8>, id: &str) {
-    let last_line = old
+/// Appends a hash to the last line, or to a new line if that is full. Lines hold at most
+/// `REQUEST_IDS_PER_LINE` hashes, so that a change produces a small delta.
+fn append_id_hash(hashes: &mut Vec<u8>, hash: &str) {
+    let last_line_bytes = hashes
         .split_inclusive(|byte| *byte == LINE_END)
         .next_back()
         .map_or(0, |line| line.len());
-    if last_line > 0 && last_line <= ID_HASH_BYTES * REQUEST_IDS_PER_LINE {
-        old.pop();
+    if last_line_bytes > 0 && last_line_bytes <= ID_HASH_BYTES * REQUEST_IDS_PER_LINE {
+        hashes.pop();
     }
-    old.extend(id.as_bytes());
-    old.push(LINE_END);
+    hashes.extend(hash.as_bytes());
+    hashes.push(LINE_END);
 }
--- a/yewcross-state/src/records/sessions.rs
+++ b/yewcross-state/src/records/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: a turn begins, is committed or aborted; the session ends or expires.
+//! Operations on sessions: beginning, committing and aborting turns; ending and expiring sessions.
 
 use super::RecordStore;
 use super::begin_decision::{BeginDecision, Begun, decide_begin};
@@ -15,9 +15,10 @@
 };
 use yewcross_common::register::{ChangeError, ValueUpdate};
 
-/// What a commit found.
+/// Result of a request to commit a turn.
 enum CommitDecision {
-    /// The turn is in the record. The budget is named where this very change put it there.
+    /// The turn is in the record. `budget` is set only if this change added the turn, and its
+    /// reservation therefore has to be settled.
     Committed { budget: Option<String> },
     /// Another attempt or another outcome is in the record, or the turn is no longer in flight.
     Conflict,
@@ -28,12 +29,12 @@
     format!("{key}|{request_id}|{nonce}")
 }
 
-/// Name of the reservation that a begin asks for.
+/// Name of the reservation for the attempt that a begin request describes.
 fn begin_entry(begin: &BeginTurn) -> String {
     reservation_entry(&begin.key, &begin.request_id, begin.nonce)
 }
 
-/// The answer to a request whose change failed: only an undecided one may have taken effect.
+/// The response to a request whose change failed. Only an undecided change may have taken effect.
 fn change_rejection(error: ChangeError) -> PeerResponse {
     PeerResponse::Rejected(match error {
         ChangeError::NotApplied | ChangeError::NotProposer => Code::StoreAway,
@@ -42,7 +43,7 @@
 }
 
 impl RecordStore {
-    /// Begins a turn, after its budget has reserved the tokens. The blob of the answer is the
+    /// Begins a turn after reserving its tokens in its budget. The blob of the response is the
     /// history, or a stored outcome.
     pub async fn begin(self: &Arc<Self>, begin: BeginTurn) -> (PeerResponse, Vec<u8>) {
         let reserved = match self.reserve_for(&begin).await {
@@ -63,7 +64,7 @@
                 self.release_reservation(reserved, &begin);
                 (PeerResponse::StoredOutcome { code }, outcome.into_bytes())
             }
-            // The proxy may send this very attempt again: it keeps its reservation until it is
+            // The proxy may repeat this attempt, so its reservation is kept until the attempt is
             // barred.
             Ok(BeginDecision::Rejected(Code::StoreAway)) => {
                 (PeerResponse::Rejected(Code::StoreAway), vec![])
@@ -76,10 +77,10 @@
         }
     }
 
-    /// Reserves a turn's tokens; the name of the budget, None where nothing was reserved.
+    /// Reserves a turn's tokens. Returns the name of the budget, or `None` if nothing was reserved.
     async fn reserve_for(&self, begin: &BeginTurn) -> Result<Option<String>, Code> {
-        let is_known = self.is_rejected_by_cached_record(begin);
-        let Some((budget, limit)) = begin.budget.clone().filter(|_| !is_known) else {
+        let is_unnecessary = self.is_rejected_by_cached_record(begin);
+        let Some((budget, limit)) = begin.budget.clone().filter(|_| !is_unnecessary) else {
             return Ok(None);
         };
         let request = PeerRequest::ReserveBudget {
@@ -94,15 +95,16 @@
         };
         match (self.route)(budget_key(&budget), request).await {
             Some(PeerResponse::Ok) => Ok(Some(budget)),
-            // Released already: this attempt may be answered from the record, and not begin.
+            // The reservation was already settled: this attempt may be answered from the record, but
+            // must not begin.
             Some(PeerResponse::Rejected(Code::Conflict)) => Ok(None),
             Some(PeerResponse::Rejected(code)) => Err(code),
             _ => Err(Code::StoreAway),
         }
     }
 
-    /// Whether the value last known here says that the turn will not begin, so that a reservation
-    /// would be for nothing.
+    /// Whether the locally cached record shows that the turn will not begin, so that no reservation
+    /// is necessary.
     fn is_rejected_by_cached_record(&self, begin: &BeginTurn) -> bool {
         let Some(value) = self.registers.cached_value(&begin.key) else {
             return false;
@@ -115,6 +117,8 @@
                 .is_some_and(|run| self.clock_ms() < run.deadline_ms)
     }
 
+    /// Settles the reservation of a closed turn in the background. Omits the history from the response
+    /// if the proxy already has it.
     fn answer_begun(self: &Arc<Self>, begin: &BeginTurn, begun: Begun) -> (PeerResponse, Vec<u8>) {
         if let Some(closed) = begun.closed
             && let Some(budget) = closed.budget
@@ -135,15 +139,15 @@
         (PeerResponse::TurnBegun(answer), blob)
     }
 
-    /// Gives back the reservation of a turn that did not begin.
+    /// Releases the reservation of a turn that did not begin.
     fn release_reservation(self: &Arc<Self>, reserved: Option<String>, begin: &BeginTurn) {
         if let Some(budget) = reserved {
             self.settle_in_background(&budget, begin_entry(begin), Some(0));
         }
     }
 
-    /// Commits a turn: its history and outcome go into the record, its usage into the budget.
-    /// Committing it again with the same outcome changes nothing.
+    /// Commits a turn: adds its history and outcome to the record and charges its usage to the
+    /// budget. Committing it again with the same outcome changes nothing.
     pub async fn commit(self: &Arc<Self>, commit: CommitTurn, blob: Vec<u8>) -> PeerResponse {
         let history_bytes = (commit.history_bytes as usize).min(blob.len());
         let (history, outcome) = blob.split_at(history_bytes);
@@ -167,8 +171,8 @@
         }
     }
 
-    /// Bars an attempt that will never be dispatched: as if it had not begun, and it never can begin
-    /// any more. Only then is its reservation given back.
+    /// Bars an attempt that will not be dispatched: the turn is treated as not begun, and the attempt
+    /// can never begin afterwards. Its reservation is released only once the attempt is barred.
     pub async fn abort(
         self: &Arc<Self>,
         key: &str,
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Records where the session's prefix is cached, if no turn began since `epoch`.
+    /// Records where the session's prefix is cached, unless a turn has begun since `epoch`.
     pub async fn record_cache_state(
         &self,
         key: &str,
@@ -221,7 +225,8 @@
         }
     }
 
-    /// Ends the session: history and cache state go, marks and kept outcomes stay.
+    /// Ends the session: removes the history and the cache state, and keeps finished requests and
+    /// retained outcomes.
     pub async fn end_session(&self, key: &str) -> PeerResponse {
         let ended = self
             .registers
@@ -234,18 +239,18 @@
         }
     }
 
-    /// Whether a stored session has outlived its retention. Never while a turn is in flight, or
-    /// while too few clocks are known to be sure of the time.
+    /// Whether a stored session's retention period has ended. A session does not expire while a turn
+    /// is in flight, or while too few clocks are known for the cluster's time to be certain.
     pub fn is_expired(&self, value: &[u8]) -> bool {
-        let head = SessionRecord::read(value).metadata;
-        let (now_ms, is_sure) = self.members.clock();
-        head.retain_ms > 0
-            && head.running.is_none()
-            && is_sure
-            && now_ms > head.retention_start_ms + head.retain_ms
+        let metadata = SessionRecord::read(value).metadata;
+        let (now_ms, is_clock_certain) = self.members.clock();
+        metadata.retain_ms > 0
+            && metadata.running.is_none()
+            && is_clock_certain
+            && now_ms > metadata.retention_start_ms + metadata.retain_ms
     }
 
-    /// Erases a session that has outlived its retention.
+    /// Erases a session whose retention period has ended.
     pub async fn expire_session(&self, key: &str) -> PeerResponse {
         let is_erased = self.registers.erase(key, |value| self.is_expired(value));
         if is_erased.await {
@@ -255,7 +260,8 @@
         }
     }
 
-    /// Tells the session's turns in flight and finished; one past its deadline is closed first.
+    /// Returns the session's turns in flight and finished turns. A turn past its deadline is closed
+    /// first.
     pub async fn inspect_session(&self, key: &str) -> PeerResponse {
         let now_ms = self.clock_ms();
         let inspected = self
@@ -268,6 +274,7 @@
     }
 }
 
+/// Adds the turn to the record if it is the one in flight.
 fn decide_commit(
     commit: &CommitTurn,
     history: &[u8],
@@ -275,8 +282,8 @@
     value: &[u8],
 ) -> ValueUpdate<CommitDecision> {
     let mut record = SessionRecord::read(value);
-    if let Some(mark) = record.finished_request(&commit.request_id) {
-        let is_same = mark.nonce == commit.nonce && mark.code == commit.code;
+    if let Some(finished) = record.finished_request(&commit.request_id) {
+        let is_same = finished.nonce == commit.nonce && finished.code == commit.code;
         return ValueUpdate::Keep(if is_same {
             CommitDecision::Committed { budget: None }
         } else {
@@ -295,10 +302,10 @@
     record.history.extend(history);
     commit.rule.trim(&mut record.history);
     if !outcome.is_empty() {
-        let kept = &mut record.metadata.retained_outcomes;
-        kept.push_back((commit.request_id.clone(), outcome.into()));
-        while kept.len() > RETAINED_OUTCOMES {
-            kept.pop_front();
+        let retained = &mut record.metadata.retained_outcomes;
+        retained.push_back((commit.request_id.clone(), outcome.into()));
+        while retained.len() > RETAINED_OUTCOMES {
+            retained.pop_front();
         }
     }
     record.metadata.cache = commit.cache.clone();
@@ -306,14 +313,15 @@
     ValueUpdate::Write(record.write(), CommitDecision::Committed { budget })
 }
 
-/// Whether the attempt is barred; not one that finished, or whose request ran before.
+/// Bars an attempt. Returns whether it is barred: an attempt that has finished, or whose request
+/// finished earlier, cannot be barred.
 fn decide_abort(request_id: &str, nonce: u64, now_ms: u64, value: &[u8]) -> ValueUpdate<bool> {
     let mut record = SessionRecord::read(value);
     let is_attempt_finished = record
         .metadata
         .finished
         .iter()
-        .any(|mark| mark.request_id == request_id && mark.nonce == nonce);
+        .any(|finished| finished.request_id == request_id && finished.nonce == nonce);
     if is_attempt_finished || record.ran_before(request_id) {
         return ValueUpdate::Keep(false);
     }
@@ -332,15 +340,15 @@
     ValueUpdate::Write(record.write(), true)
 }
 
-/// The cache state that the session had, unless a turn is in flight.
+/// Returns the cache state that the session had, or an error if a turn is in flight.
 fn decide_end(value: &[u8]) -> ValueUpdate<Result<SessionCacheState, Code>> {
     let mut record = SessionRecord::read(value);
     if record.metadata.running.is_some() {
         return ValueUpdate::Keep(Err(Code::SessionBusy));
     }
     let cache = std::mem::take(&mut record.metadata.cache);
-    let has_nothing = record.history.is_empty() && cache == SessionCacheState::default();
-    if value.is_empty() || has_nothing {
+    let is_already_ended = record.history.is_empty() && cache == SessionCacheState::default();
+    if value.is_empty() || is_already_ended {
         return ValueUpdate::Keep(Ok(cache));
     }
     record.history.clear();
@@ -348,15 +356,16 @@
     ValueUpdate::Write(record.write(), Ok(cache))
 }
 
+/// Lists the turn in flight and the finished turns; closes a turn that is past its deadline.
 fn decide_inspect(now_ms: u64, value: &[u8]) -> ValueUpdate<PeerResponse> {
     let mut record = SessionRecord::read(value);
-    let lost = record
+    let overdue = record
         .metadata
         .running
         .as_ref()
         .filter(|run| now_ms > run.deadline_ms);
-    let reserved_by_lost = lost.map(|run| run.max_output_tokens);
-    if let Some(reserved) = reserved_by_lost {
+    let tokens_of_overdue = overdue.map(|run| run.max_output_tokens);
+    if let Some(reserved) = tokens_of_overdue {
         record.close(Code::MayHaveRun, reserved);
     }
     let in_flight = record.metadata.running.iter();
@@ -366,10 +375,10 @@
             .map(|run| (run.request_id.clone(), run.nonce))
             .collect(),
         done: finished
-            .map(|mark| (mark.request_id.clone(), mark.nonce, mark.used))
+            .map(|finished| (finished.request_id.clone(), finished.nonce, finished.used))
             .collect(),
     };
-    if reserved_by_lost.is_some() {
+    if tokens_of_overdue.is_some() {
         ValueUpdate::Write(record.write(), answer)
     } else {
         ValueUpdate::Keep(answer)
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -324,7 +324,7 @@
     let open = |(entry, o): (&String, &Reservation)| {
         format!(
             "{entry}: {} {} {} {} {} {}",
-            o.amount, o.session_key, o.request_id, o.nonce, o.reserved_at_ms, o.retain_ms
+            o.amount, o.session_key, o.request_id, o.nonce, o.at, o.retain_ms
         )
     };
     let open: Vec<String> = purse.open.iter().map(open).collect();
@@ -1155,7 +1155,7 @@
         session_key: "key".into(),
         request_id: "job".into(),
         nonce: 72,
-        reserved_at_ms: 73,
+        at: 73,
         retain_ms: 74,
     }
 }
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -561,7 +561,7 @@
         session_key: text("open key"),
         request_id: text("open job"),
         nonce: 352,
-        reserved_at_ms: 353,
+        at: 353,
         retain_ms: 354,
     }
 }
