--- a/yewcross-state/src/segment_log/compaction.rs
+++ b/yewcross-state/src/segment_log/compaction.rs
@@ -1,4 +1,4 @@
-//! Removes the oldest segments of a log that is much larger than what is still retained.
+//! Removes the oldest segments of a log that is much larger than its retained records.
 
 use crate::segment_log::{LogRecord, path};
 use crate::turn_store::TurnStore;
@@ -7,16 +7,16 @@
 use yewcross_common::constants::{LOG_SLACK_BYTES, TRANSFER_BATCH_BYTES};
 use yewcross_common::storage::CHAIN_FOLDER;
 
-/// The oldest segment, and the records in it that are still needed.
+/// The oldest segment, and those of its records that are still retained.
 struct OldestSegment {
     segment: u64,
     records: Vec<LogRecord>,
 }
 
 impl TurnStore {
-    /// Appends again what is needed of the oldest segment and removes it, until the log is small
-    /// enough. Segments are removed in their order only: the mark of a torn end is in a later
-    /// segment than the end itself.
+    /// Rewrites the retained records of the oldest segment to the end of the log and removes the
+    /// segment, until the log is small enough. Segments are removed strictly in order, because the
+    /// mark of a torn end is in a later segment than the torn end itself.
     pub(crate) async fn compact(self: &Arc<Self>) {
         while let Some(oldest) = self.take_oldest_segment() {
             let is_rewritten = self.rewrite(oldest.records).await;
@@ -35,7 +35,8 @@
         }
     }
 
-    /// `None` where only the segment that is written to is left, or the log is small enough.
+    /// The oldest segment and its retained records. `None` if only the segment being written is left,
+    /// or if the log is small enough and the segment contains retained records.
     fn take_oldest_segment(&self) -> Option<OldestSegment> {
         let live_bytes = self.index.lock().unwrap().turn_bytes as u64;
         let (segment, log_bytes) = {
@@ -55,8 +56,8 @@
         Some(OldestSegment { segment, records })
     }
 
-    /// Appends in small batches, which do not hold up the requests' syncs; whether all of them are
-    /// durable.
+    /// Appends the records in small batches, which do not delay the syncs of requests. Returns
+    /// whether all of them are durable.
     async fn rewrite(self: &Arc<Self>, records: Vec<LogRecord>) -> bool {
         let mut batch = vec![];
         let mut batch_bytes = 0;
--- a/yewcross-state/src/segment_log/mod.rs
+++ b/yewcross-state/src/segment_log/mod.rs
@@ -1,15 +1,15 @@
-//! The durable log of a store: frames of records, appended to segments.
+//! The durable log of a store: frames of records, appended to segment files.
 //!
-//! A frame is one batch, with one sync for it. A batch is acknowledged once its frame is synced, so
-//! only the last frame written can be cut short by a crash; it is then a torn end, which is not
-//! damage.
+//! A frame contains one batch of records and is written with one sync. A batch is acknowledged only
+//! after its frame is synced, so a crash can truncate only the last frame. Such a torn end does not
+//! count as damage, since nothing acknowledged is lost.
 //!
-//! [`read`] reads the segments at the start, `writer` appends batches, `compaction` removes the
-//! oldest segments, and `restore` reads the log again after a failed write.
+//! [`read`] reads the segments at startup, `writer` appends batches, `compaction` removes the oldest
+//! segments, and `reload` reads the log again after a failed write.
 
 mod compaction;
 mod reader;
-mod restore;
+mod reload;
 mod writer;
 
 pub use reader::{LogScan, read};
@@ -19,13 +19,13 @@
 use yewcross_common::storage::CHAIN_FOLDER;
 use yewcross_common::turn_log::{LedgerRecord, StoredTurn};
 
-/// Bytes of a ledger record beside its program and entries, estimated.
+/// Estimated size of a ledger record without its program and entries, in bytes.
 const LEDGER_BYTES: usize = 64;
 
-/// Bytes of a ledger's entry beside its turn's id, estimated.
+/// Estimated size of a ledger entry without its turn's id, in bytes.
 const ENTRY_BYTES: usize = 10;
 
-/// Bytes of the mark of a torn end, estimated.
+/// Estimated size of the mark of a torn end, in bytes.
 const TORN_END_BYTES: usize = 24;
 
 /// One record of the log. The order of the variants is part of the stored format.
@@ -33,28 +33,29 @@
 pub enum LogRecord {
     /// A turn.
     Turn(StoredTurn),
-    /// Entries to add to a ledger; its epoch is a promise where it is above the one before.
+    /// Entries to merge into a ledger. The record's epoch counts as promised if it is higher than
+    /// that of earlier records.
     Ledger {
         /// The entries and the epoch.
         record: LedgerRecord,
         /// Time of the change, in ms of the cluster's median clock.
         changed_at_ms: u64,
     },
-    /// A segment was found torn: what follows its end was never acknowledged.
+    /// Marks a torn end of a segment: the bytes after it were never acknowledged.
     Torn(TornEnd),
 }
 
-/// Where a segment was cut short by a crash.
+/// The position at which a crash truncated a segment's last frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TornEnd {
-    /// The segment.
+    /// Number of the segment.
     pub segment: u64,
-    /// Bytes of it, from its start, that are complete frames.
+    /// Length of the segment's prefix of valid frames, in bytes.
     pub valid_bytes: u64,
 }
 
 impl LogRecord {
-    /// Its size, estimated.
+    /// Estimated size of the record in bytes.
     pub(crate) fn bytes(&self) -> usize {
         match self {
             LogRecord::Turn(stored) => stored.bytes(),
@@ -71,17 +72,17 @@
     }
 }
 
-/// The file of a segment.
+/// Path of a segment's file.
 pub fn path(segment: u64) -> String {
     format!("{CHAIN_FOLDER}/s-{segment:016x}")
 }
 
-/// The segment of a file's name.
+/// Number of the segment with this file name; `None` if the file is not a segment.
 fn segment_of(file_name: &str) -> Option<u64> {
     u64::from_str_radix(file_name.strip_prefix("s-")?, 16).ok()
 }
 
-/// The segment to write to after a start: one that nothing was written to before.
+/// The segment to write to after startup: a new one, so that nothing is appended after a torn end.
 pub(crate) fn next_segment(scan: &LogScan) -> u64 {
     scan.segment_bytes
         .keys()
--- a/yewcross-state/src/segment_log/reader.rs
+++ b/yewcross-state/src/segment_log/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the segments of a log, and tells a torn end from damage.
+//! Reads the segments of a log, and distinguishes torn ends from damage.
 
 use crate::segment_log::{LogRecord, TornEnd, path, segment_of};
 use std::collections::BTreeMap;
@@ -8,31 +8,33 @@
 use yewcross_common::storage::{CHAIN_FOLDER, decode_first_frame};
 use yewcross_common::turn_log::messages::decode;
 
-/// What a scan of the segments found beside their records.
+/// Result of scanning the segments, except for their records.
 #[derive(Default)]
 pub struct LogScan {
-    /// Bytes in each segment.
+    /// Size of each segment in bytes.
     pub segment_bytes: BTreeMap<u64, u64>,
-    /// Torn ends that the log does not mark as such yet.
+    /// Torn ends that are not yet marked in the log.
     pub torn: Vec<TornEnd>,
-    /// Segments with damage to what had been acknowledged.
+    /// Segments with damage to acknowledged records.
     pub damaged: Vec<u64>,
 }
 
-/// A segment's frames from its start to the first that is not valid.
+/// The frames of a segment up to the first invalid one.
 struct ValidFrames<'a> {
     bodies: Vec<&'a [u8]>,
     bytes: usize,
-    /// A valid frame follows the invalid one: this is damage, as a crash tears only the last.
+    /// Whether a valid frame follows the invalid one. This indicates damage, as a crash truncates only
+    /// the last frame.
     is_followed_by_valid: bool,
 }
 
+/// The end of a segment's valid frames, followed by invalid bytes.
 struct InvalidEnd {
     end: TornEnd,
     is_followed_by_valid: bool,
 }
 
-/// Reads one segment at a time, and calls `visit` with each record and its segment.
+/// Reads all segments in order, one at a time, and calls `visit` with each record and its segment.
 pub async fn read(
     runtime: &Runtime,
     mut visit: impl FnMut(&LogRecord, u64),
@@ -76,8 +78,9 @@
 }
 
 impl LogScan {
-    /// Only the last batch written can have been cut short before it was acknowledged: every other
-    /// invalid end is damage, unless a later start found it to be the last and marked it.
+    /// Classifies invalid ends as torn or damaged. Only the last batch written can have been truncated
+    /// before it was acknowledged. Every other invalid end is damage, unless an earlier startup found
+    /// it at the end of the log and marked it as torn.
     fn classify_invalid_ends(
         &mut self,
         invalid_ends: &[InvalidEnd],
@@ -96,7 +99,7 @@
     }
 }
 
-/// The segments in their order, the newest of them synced.
+/// Lists the segments in ascending order, and syncs the newest one.
 async fn list_segments(runtime: &Runtime) -> io::Result<Vec<u64>> {
     let mut segments: Vec<u64> = runtime
         .list(CHAIN_FOLDER)
@@ -106,14 +109,16 @@
         .collect();
     segments.sort();
     if let Some(newest) = segments.last() {
-        // A killed process may have left a batch unsynced: what is read here will be acknowledged,
-        // so it must outlast a loss of power.
+        // A process that was killed may have left a batch unsynced. The records read here will be
+        // acknowledged, so they must survive a power failure.
         runtime.sync(&path(*newest)).await?;
         runtime.sync(CHAIN_FOLDER).await?;
     }
     Ok(segments)
 }
 
+/// Decodes the frames from the start of a segment up to the first invalid one, and searches the rest
+/// for a valid frame.
 fn valid_frames(content: &[u8]) -> ValidFrames<'_> {
     let mut bodies = vec![];
     let mut bytes = 0;
@@ -121,9 +126,9 @@
         bodies.push(body);
         bytes += frame_bytes;
     }
-    let format_mark = DISK_FORMAT.to_le_bytes();
+    let version_prefix = DISK_FORMAT.to_le_bytes();
     let is_followed_by_valid = (bytes + 1..content.len()).any(|start| {
-        content[start..].starts_with(&format_mark)
+        content[start..].starts_with(&version_prefix)
             && decode_first_frame(&content[start..]).is_some()
     });
     ValidFrames {
--- a/yewcross-state/src/segment_log/reload.rs
+++ b/yewcross-state/src/segment_log/reload.rs
@@ -1,4 +1,4 @@
-//! Reads a store's log again after a write of unknown outcome.
+//! Reloads a store's log after a write whose outcome is unknown.
 
 use crate::segment_log::{LogRecord, LogScan, LogWriter, next_segment, path};
 use crate::turn_store::{TurnIndex, TurnStore};
@@ -10,35 +10,35 @@
 use yewcross_common::storage::encode_frame;
 use yewcross_common::turn_log::messages::encode;
 
-/// How often a write in flight is looked at, us.
+/// Interval at which a write in flight is polled for its completion, us.
 const WRITE_POLL_US: u64 = DISK_RETRY_INTERVAL / 10;
 
 impl TurnStore {
-    /// Replaces what is in memory, which may be ahead of the disk, by what the log holds. Only
-    /// called while the disk counts as failed, so that no request is answered meanwhile. Where
-    /// bytes that were acknowledged are gone, recovery is pending, as after a start that finds
-    /// damage.
+    /// Replaces the index in memory, which may be ahead of the disk, by the contents of the log. Must
+    /// only be called while the disk is marked as failed, so that no request is answered in the
+    /// meantime. If acknowledged bytes are missing, recovery becomes pending, as after a startup that
+    /// finds damage.
     pub async fn reload_log(self: &Arc<Self>) -> io::Result<()> {
         while self.log.lock().unwrap().is_writing() {
             self.runtime.sleep(WRITE_POLL_US).await;
         }
         let acknowledged = self.log.lock().unwrap().segment_bytes.clone();
         let (index, scan) = TurnIndex::load(&self.runtime).await?;
-        let is_damaged = !scan.damaged.is_empty() || is_shorter(&scan, &acknowledged);
+        let is_damaged = !scan.damaged.is_empty() || is_truncated(&scan, &acknowledged);
         let segment = next_segment(&scan);
         let segment_bytes = self.write_torn_marks(segment, scan).await?;
         *self.index.lock().unwrap() = index;
         *self.log.lock().unwrap() = LogWriter::new(segment, segment_bytes);
         if is_damaged {
             self.runtime
-                .log("the log lost acknowledged records; asking the other disks");
+                .log("acknowledged records of the turn log are lost; requesting repair from the other disks");
             self.recovery_pending.store(true, SeqCst);
         }
         Ok(())
     }
 
-    /// Torn ends are marked before anything else is written behind them. Returns the bytes in each
-    /// segment.
+    /// Writes the marks of torn ends as the first records of the new segment, so that no segment is
+    /// written after an unmarked torn end. Returns the size of each segment in bytes.
     async fn write_torn_marks(
         &self,
         segment: u64,
@@ -57,8 +57,8 @@
     }
 }
 
-/// Whether a segment has fewer bytes than were acknowledged.
-fn is_shorter(scan: &LogScan, acknowledged: &BTreeMap<u64, u64>) -> bool {
+/// Whether a segment is missing or has fewer bytes than were acknowledged.
+fn is_truncated(scan: &LogScan, acknowledged: &BTreeMap<u64, u64>) -> bool {
     acknowledged.iter().any(|(segment, bytes)| {
         scan.segment_bytes
             .get(segment)
--- a/yewcross-state/src/segment_log/writer.rs
+++ b/yewcross-state/src/segment_log/writer.rs
@@ -1,7 +1,7 @@
 //! Appends batches of records to the log.
 //!
-//! All records that arrive while a batch is being written make up the next one, so that one sync
-//! serves any number of requests.
+//! All records queued while a batch is being written form the next batch, so that one sync makes the
+//! records of any number of requests durable.
 
 use crate::segment_log::{LogRecord, path};
 use crate::turn_store::TurnStore;
@@ -14,28 +14,29 @@
 use yewcross_common::storage::encode_frame;
 use yewcross_common::turn_log::messages::encode;
 
-/// The queue of records to write, and the segments written.
+/// The write queue, and the sizes of the segments.
 #[derive(Default)]
 pub(crate) struct LogWriter {
-    /// The segment that is written to.
+    /// The segment being written.
     pub(super) segment: u64,
-    /// Bytes in each segment.
+    /// Size of each segment in bytes.
     pub(crate) segment_bytes: BTreeMap<u64, u64>,
     queue: Vec<QueuedAppend>,
-    /// Bytes of the records in the queue and in the batch being written.
+    /// Estimated size of the records in the queue and in the batch being written, in bytes.
     pending_bytes: usize,
-    /// A task writes batches until the queue is empty.
+    /// Whether a task is writing batches; it runs until the queue is empty.
     is_writing: bool,
-    /// When the batch being written was begun, us.
+    /// Time at which the write of the current batch started, us; `None` if none is in progress.
     batch_started_at_us: Option<u64>,
 }
 
 struct QueuedAppend {
     records: Vec<LogRecord>,
+    /// Receives `true` once the records are durable; closed if the write fails.
     written: Sender<bool>,
 }
 
-/// What was in the queue, and the segment that it goes to.
+/// The appends taken from the queue, and the segment to write them to.
 struct Batch {
     appends: Vec<QueuedAppend>,
     segment: u64,
@@ -56,19 +57,19 @@
         }
     }
 
-    /// Whether a batch is being written.
+    /// Whether a task is writing batches.
     pub(super) fn is_writing(&self) -> bool {
         self.is_writing
     }
 
-    /// After a failed write: what is queued is never acknowledged.
+    /// Discards the queue after a failed write, so that its records are never acknowledged.
     fn discard_queue(&mut self) {
         self.queue.clear();
         self.pending_bytes = 0;
         self.is_writing = false;
     }
 
-    /// The next batch, in a new segment if this one is full.
+    /// Takes the next batch from the queue; starts a new segment if the current one is full.
     fn next_batch(&mut self) -> Option<Batch> {
         if self.queue.is_empty() {
             self.is_writing = false;
@@ -89,9 +90,9 @@
 }
 
 impl TurnStore {
-    /// Queues records for the log; `true` is received once they are durable. Called under the
-    /// index's lock where the order of changes matters. An empty list is durable once all that was
-    /// queued before it is.
+    /// Queues records for the log; the receiver gets `true` once they are durable, and is closed if
+    /// they cannot be written. Must be called under the index's lock if the order of changes matters.
+    /// An empty list counts as durable once all records queued before it are durable.
     pub fn append(self: &Arc<Self>, records: Vec<LogRecord>) -> Receiver<bool> {
         let (written, receiver) = async_channel::bounded(1);
         if self.storage.failed.load(SeqCst) {
@@ -108,7 +109,8 @@
         receiver
     }
 
-    /// Whether the disk is too far behind for new requests.
+    /// Whether new requests must be rejected: the queue is too long, or the current write exceeds
+    /// `SYNC_TIMEOUT`.
     pub(crate) fn is_saturated(&self) -> bool {
         let log = self.log.lock().unwrap();
         log.pending_bytes > LOG_QUEUE_BYTES
@@ -117,12 +119,13 @@
                 .is_some_and(|started_us| self.runtime.now() > started_us + SYNC_TIMEOUT)
     }
 
-    /// Whether an append became durable, within the time that a disk has for it. `false` says
-    /// nothing: the records may become durable later.
+    /// Waits up to `SYNC_TIMEOUT` for an append. Returns `true` if it is durable; `false` is
+    /// inconclusive, as the records may still become durable later.
     pub(crate) async fn is_durable(&self, written: Receiver<bool>) -> bool {
         self.runtime.timeout(SYNC_TIMEOUT, written.recv()).await == Some(Ok(true))
     }
 
+    /// Writes batches until the queue is empty. A failed write marks the disk as failed.
     async fn write_batches(self: Arc<Self>) {
         loop {
             let Some(batch) = self.log.lock().unwrap().next_batch() else {
@@ -142,13 +145,13 @@
             }
             self.log.lock().unwrap().pending_bytes -= batch_bytes;
             for append in &batch.appends {
-                // Nobody waits any more where this fails.
+                // Fails only if the receiver was dropped.
                 let _ = append.written.try_send(true);
             }
         }
     }
 
-    /// Writes one frame; nothing for a batch without records.
+    /// Writes a batch as one frame. Writes nothing if the batch has no records.
     async fn write_batch(&self, batch: &Batch) -> io::Result<()> {
         let records: Vec<&LogRecord> = batch.records().collect();
         if records.is_empty() {
@@ -163,7 +166,7 @@
         };
         let appended = self.runtime.append(&path(batch.segment), frame).await;
         self.log.lock().unwrap().batch_started_at_us = None;
-        // A new file costs a sync of its folder, too.
+        // A new file requires an additional sync of its directory.
         let syncs = 1 + is_new_segment as u64;
         self.storage.syncs.fetch_add(syncs, Relaxed);
         self.storage.bytes.fetch_add(frame_bytes, Relaxed);
--- a/yewcross-state/src/turn_store/ownership.rs
+++ b/yewcross-state/src/turn_store/ownership.rs
@@ -23,7 +23,7 @@
     pub(super) epoch: Option<Ballot>,
     /// Disks that have promised the epoch.
     pub(super) promised_by: BTreeSet<String>,
-    /// The highest epoch number that another store is known to have acquired.
+    /// The highest epoch number known to be promised to another store.
     pub(super) highest_number: u64,
     /// Time at which a read quorum last returned its entries, us.
     pub(super) refreshed_at_us: u64,
--- a/yewcross-state/src/turn_store/reservation.rs
+++ b/yewcross-state/src/turn_store/reservation.rs
@@ -280,7 +280,8 @@
         LocalEntry::Added { record, written }
     }
 
-    /// Replicates an entry to a write quorum, starting with the disks that have promised its epoch.
+    /// Replicates an entry to a write quorum. Fast disks come first, and among these the disks that
+    /// have promised its epoch.
     async fn replicate_entry(
         self: &Arc<Self>,
         ownership: &SharedOwnership,
