--- a/yewcross-state/src/anti_entropy/ledgers.rs
+++ b/yewcross-state/src/anti_entropy/ledgers.rs
@@ -1,4 +1,4 @@
-//! Which disks the ledgers go to.
+//! Transfers ledgers to the disks that lack them.
 
 use crate::turn_store::TurnStore;
 use std::sync::Arc;
@@ -6,9 +6,10 @@
 use yewcross_common::turn_log::StoreReplicas;
 
 impl TurnStore {
-    /// Brings all ledgers to the disks that lack them. Where one of those cannot be reached, they
-    /// go to every disk of the incoming set, and as many disks may be missed as losses are
-    /// tolerated: a read quorum meets the rest.
+    /// Transfers all ledgers to the disks `to`, which lack them. If one of these cannot be reached,
+    /// the ledgers are transferred to every disk of the new set instead; the number of unreachable
+    /// disks may then be up to the number of tolerated losses, as every read quorum includes one of
+    /// the other disks.
     pub(super) async fn sweep_ledgers(
         self: &Arc<Self>,
         replicas: &StoreReplicas,
@@ -19,9 +20,9 @@
             return true;
         }
         let others = self.other_disks(&replicas.current);
-        let own = replicas.current.len() - others.len();
+        let own_copies = replicas.current.len() - others.len();
         let reached = self.transfer_ledgers_to(&others).await;
-        reached + own + replicas.max_missing_disks() >= replicas.current.len()
+        reached + own_copies + replicas.max_missing_disks() >= replicas.current.len()
     }
 
     fn other_disks(&self, disks: &[String]) -> Vec<String> {
@@ -32,7 +33,8 @@
             .collect()
     }
 
-    /// Brings all ledgers to these disks at once; returns how many of them have them.
+    /// Transfers all ledgers to these disks concurrently. Returns the number of disks that stored
+    /// them.
     async fn transfer_ledgers_to(self: &Arc<Self>, disks: &[String]) -> usize {
         let transfers: Vec<BoxFuture<'static, bool>> = disks
             .iter()
@@ -45,7 +47,7 @@
         let results = self.run_all(transfers).await;
         results
             .into_iter()
-            .filter(|reached| *reached == Some(true))
+            .filter(|is_transferred| *is_transferred == Some(true))
             .count()
     }
 }
--- a/yewcross-state/src/anti_entropy/mod.rs
+++ b/yewcross-state/src/anti_entropy/mod.rs
@@ -1,8 +1,9 @@
-//! Anti-entropy: after a change of the set of disks, or after damage to one, every store transfers
-//! what it holds to the disks that need it.
+//! Anti-entropy: after a change of the set of disks, or after a disk was damaged, every store sweeps
+//! its records and transfers them to the disks that lack them.
 //!
-//! [`TurnStore::swept`] is what the change of disks waits for. `ledgers` and `turns` decide what
-//! goes where, `transfer` sends it.
+//! A change of the set of disks completes once [`TurnStore::sweep_status`] reports that the sweep has
+//! finished. `ledgers` and `turns` decide which records to transfer to which disks, and `transfer`
+//! sends them.
 
 mod ledgers;
 mod transfer;
@@ -18,15 +19,16 @@
     Gather, GatherStep, StoreReplicas, TurnLogOperation, TurnLogResponse,
 };
 
-/// How long the other stores have to repair this one, us.
+/// Time-out for the other stores to repair this one, us.
 const REPAIR_TIMEOUT_US: u64 = 10 * SEC;
 
-/// Pause before a pass that failed is repeated, us; a change of the layout ends it early.
+/// Delay before a failed sweep or repair is repeated, us; a change of the layout ends it early.
 const RETRY_DELAY_US: u64 = 2 * STORE_RETRY_DELAY;
 
 impl TurnStore {
-    /// Whether all that this disk held when it adopted the layout is where that layout needs it,
-    /// and how many turns are not yet. A disk that is no replica has nothing to transfer.
+    /// Whether all records that this disk held when it adopted the layout are on the disks that the
+    /// layout requires, and the number of turns that are still under-replicated. A disk that is not a
+    /// replica has nothing to transfer.
     pub fn sweep_status(&self, layout: u64) -> (bool, u64) {
         let is_replica = self.stores.replicas().contains(&self.own_disk);
         (
@@ -35,10 +37,10 @@
         )
     }
 
-    /// Runs anti-entropy for each layout, and has damage to this disk repaired.
+    /// Runs anti-entropy for each layout, and requests the repair of damage to this disk.
     pub(crate) async fn run_anti_entropy(self: Arc<Self>) {
         loop {
-            // Listened to first: a change during the pass must not be missed.
+            // Registered before the sweep, so that a change during the sweep is not missed.
             let layout_changed = self.stores.documents.changed.listen();
             let replicas = self.stores.replicas();
             let is_replica = replicas.contains(&self.own_disk);
@@ -49,7 +51,7 @@
                 continue;
             }
             if is_replica && (self.needs_sweep(&replicas) || self.recovery_pending.load(SeqCst)) {
-                // Either way the state is looked at again.
+                // The loop continues after the delay as well as after a change of the layout.
                 self.runtime.timeout(RETRY_DELAY_US, layout_changed).await;
             } else {
                 layout_changed.await;
@@ -61,7 +63,7 @@
         self.swept_layout.load(SeqCst) < replicas.group_version
     }
 
-    /// Whether the sweep for this layout has finished, and the layout is still the present one.
+    /// Sweeps for this layout. Returns whether the sweep has finished and the layout is still current.
     async fn sweep_layout(self: &Arc<Self>, replicas: &StoreReplicas) -> bool {
         let started_us = self.runtime.now();
         let is_change = !replicas.previous.is_empty();
@@ -72,7 +74,7 @@
         self.swept_layout.fetch_max(replicas.group_version, SeqCst);
         if is_change {
             self.runtime.log(&format!(
-                "swept for layout {} in {} ms",
+                "anti-entropy of the turn log finished for layout {} in {} ms",
                 replicas.group_version,
                 (self.runtime.now() - started_us) / MS
             ));
@@ -80,7 +82,7 @@
         true
     }
 
-    /// Transfers what this disk holds for the change of disks that is in progress.
+    /// Transfers this disk's records as required by the change of disks in progress.
     async fn sweep_change(self: &Arc<Self>, replicas: &StoreReplicas) -> bool {
         let added: Vec<String> = replicas
             .current
@@ -88,7 +90,8 @@
             .filter(|disk| !replicas.previous.contains(disk))
             .cloned()
             .collect();
-        // Fewer disks than before: what was a quorum of the old ones may be none of those that stay.
+        // With fewer disks than before, a quorum of the old set may not include a quorum of the
+        // remaining disks.
         let is_smaller = replicas.current.len() < replicas.previous.len();
         let to = if is_smaller {
             &replicas.current
@@ -98,10 +101,11 @@
         self.sweep_to(replicas, to).await
     }
 
-    /// Brings ledgers to these disks, and every turn to as many present disks as it needs.
+    /// Transfers the ledgers to the disks `to`, and every turn to as many current disks as it
+    /// requires.
     async fn sweep_to(self: &Arc<Self>, replicas: &StoreReplicas, to: &[String]) -> bool {
-        // Requests check their layout under this lock: whatever was accepted under an older layout
-        // is durable, and in the index, once this append is.
+        // Requests check the layout under this lock. Once this empty append is durable, all records
+        // accepted under an older layout are durable and in the index.
         let written = {
             let _index = self.index.lock().unwrap();
             self.append(vec![])
@@ -112,8 +116,8 @@
         self.sweep_turns(replicas, to).await
     }
 
-    /// Another disk was damaged: transfers to all disks what they lack. A store that itself is
-    /// damaged cannot vouch for its part.
+    /// Handles a repair request from a store with a damaged disk: transfers to all disks the records
+    /// that they lack. Fails if this store is damaged itself, as its own records are incomplete.
     pub(crate) async fn repair_replicas(self: &Arc<Self>) -> TurnLogResponse {
         let replicas = self.stores.replicas();
         let is_pending = self.recovery_pending.load(SeqCst);
@@ -124,8 +128,8 @@
         }
     }
 
-    /// Has the other stores repair this one. It has recovered once as many did as to meet every
-    /// write.
+    /// Requests the other stores to repair this one. Recovery is complete once a read quorum has done
+    /// so.
     async fn request_repair(self: &Arc<Self>, replicas: &StoreReplicas) {
         let layout_version = replicas.layout_version;
         let mut order = replicas.all();
@@ -169,11 +173,13 @@
             .await;
         if outcome.is_enough {
             self.recovery_pending.store(false, SeqCst);
-            self.runtime.log("the damaged log is repaired");
+            self.runtime
+                .log("damaged turn log repaired from the other disks");
         }
     }
 
-    /// Runs these at once and waits for all; `None` for one that was cancelled.
+    /// Runs the futures concurrently and waits for all of them; the result of a cancelled one is
+    /// `None`.
     async fn run_all<T: Send + 'static>(
         &self,
         futures: Vec<BoxFuture<'static, T>>,
--- a/yewcross-state/src/anti_entropy/transfer.rs
+++ b/yewcross-state/src/anti_entropy/transfer.rs
@@ -1,4 +1,4 @@
-//! Sends turns and ledgers to another disk, in parts of bounded size.
+//! Sends turns and ledgers to another disk, in batches of bounded size.
 
 use crate::turn_store::TurnStore;
 use std::sync::Arc;
@@ -6,15 +6,14 @@
 use yewcross_common::constants::{PEER_REQUEST_TIMEOUT, SYNC_TIMEOUT, TRANSFER_BATCH_BYTES};
 use yewcross_common::turn_log::{LedgerRecord, StoredTurn, TurnLogOperation, TurnLogResponse};
 
-/// Longest wait for a disk that records are transferred to, us: its sync, and the way there and
-/// back.
+/// Time-out of a transfer request, us: the network round trip and the sync of the receiving disk.
 const TRANSFER_TIMEOUT_US: u64 = PEER_REQUEST_TIMEOUT + SYNC_TIMEOUT;
 
-/// Ledgers in one transfer.
+/// Maximum number of ledgers in one transfer request.
 const LEDGERS_PER_TRANSFER: usize = 1024;
 
 impl TurnStore {
-    /// Transfers all ledgers; whether they are durable there.
+    /// Transfers all ledgers to the disk. Returns whether they are durable there.
     pub(super) async fn transfer_ledgers(self: &Arc<Self>, disk: &str) -> bool {
         let ledgers: Vec<LedgerRecord> = self
             .index
@@ -24,32 +23,36 @@
             .iter()
             .map(|(program, ledger)| ledger.to_record(program))
             .collect();
-        for part in ledgers.chunks(LEDGERS_PER_TRANSFER) {
-            if !self.transfer(disk, vec![], part.to_vec()).await {
+        for batch in ledgers.chunks(LEDGERS_PER_TRANSFER) {
+            if !self.transfer(disk, vec![], batch.to_vec()).await {
                 return false;
             }
         }
         true
     }
 
-    /// Transfers turns, each after those before it; whether they are durable there.
+    /// Transfers turns, given with each turn after its predecessors, to the disk. Returns whether
+    /// they are durable there.
     pub(super) async fn transfer_turns(
         self: &Arc<Self>,
         disk: &str,
         turns: Vec<StoredTurn>,
     ) -> bool {
-        let mut part = vec![];
-        let mut part_bytes = 0;
+        let mut batch = vec![];
+        let mut batch_bytes = 0;
         let mut remaining = turns.len();
         for stored in turns {
-            part_bytes += stored.bytes();
-            part.push(stored);
+            batch_bytes += stored.bytes();
+            batch.push(stored);
             remaining -= 1;
-            if part_bytes >= TRANSFER_BATCH_BYTES || remaining == 0 {
-                if !self.transfer(disk, std::mem::take(&mut part), vec![]).await {
+            if batch_bytes >= TRANSFER_BATCH_BYTES || remaining == 0 {
+                if !self
+                    .transfer(disk, std::mem::take(&mut batch), vec![])
+                    .await
+                {
                     return false;
                 }
-                part_bytes = 0;
+                batch_bytes = 0;
             }
         }
         true
--- a/yewcross-state/src/anti_entropy/turns.rs
+++ b/yewcross-state/src/anti_entropy/turns.rs
@@ -1,4 +1,4 @@
-//! Which turns go to which disks.
+//! Transfers turns until each is on enough disks.
 
 use crate::turn_store::{TurnIndex, TurnStore};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -9,16 +9,18 @@
 use yewcross_common::runtime::BoxFuture;
 use yewcross_common::turn_log::{StoreReplicas, StoredTurn, TurnLogOperation, TurnLogResponse};
 
-/// The last pass before a sweep is given up, to be begun anew.
+/// The last pass of a sweep; if turns are still under-replicated after it, the sweep fails and is
+/// restarted.
 const LAST_PASS: usize = 50;
 
-/// The pass from which every holder of a turn transfers it; before, the first in rank alone does.
+/// The first pass in which every holder of a turn transfers it. In earlier passes only the
+/// highest-ranked holder does.
 const FIRST_SHARED_PASS: usize = 3;
 
-/// Pause after a pass that transferred nothing, or not all, us.
+/// Delay after a pass that had nothing to transfer or failed to transfer everything, us.
 const PASS_DELAY_US: u64 = STORE_RETRY_DELAY * 2;
 
-/// The turns, by the hash of their ids, that each of the other disks holds.
+/// For each other disk, the turns that it holds, by the hash of their ids.
 struct TurnHolders(HashMap<String, BTreeSet<u128>>);
 
 impl TurnHolders {
@@ -38,26 +40,26 @@
     }
 }
 
-/// The turns to transfer to one disk, each after those before it.
+/// The turns to transfer to one disk, each after its predecessors.
 #[derive(Default)]
 struct Transfer {
     turns: Vec<StoredTurn>,
     ids: BTreeSet<u128>,
 }
 
-/// What a pass goes by to plan its transfers.
+/// Inputs for planning the transfers of one pass.
 struct PassPlan<'a> {
     pass: usize,
     replicas: &'a StoreReplicas,
-    /// Disks that a turn goes to before others.
+    /// Disks that are preferred as targets of transfers.
     preferred: &'a [String],
     under_replicated: &'a [u128],
     holders: &'a TurnHolders,
 }
 
 impl TurnStore {
-    /// Transfers turns, in passes, until each is on as many present disks as outlast the tolerated
-    /// losses.
+    /// Transfers turns, in passes, until each is on as many current disks as are required to survive
+    /// the tolerated losses.
     pub(super) async fn sweep_turns(
         self: &Arc<Self>,
         replicas: &StoreReplicas,
@@ -92,7 +94,7 @@
         false
     }
 
-    /// While the clock is uncertain, all turns count as retained.
+    /// The turns whose retention period has not ended; all turns while the clock is uncertain.
     fn retained_turns(&self) -> Vec<u128> {
         let (now_ms, is_clock_certain) = self.stores.members.clock();
         let index = self.index.lock().unwrap();
@@ -104,8 +106,8 @@
             .collect()
     }
 
-    /// Asks the other disks which of these turns they hold. One that does not answer counts as
-    /// holding none, and is not waited for in every pass.
+    /// Queries the other disks for which of these turns they hold. A disk that does not respond counts
+    /// as holding none, and is skipped in later passes while it is unresponsive.
     async fn find_holders(self: &Arc<Self>, replicas: &StoreReplicas, ids: &[u128]) -> TurnHolders {
         let requests = replicas
             .current
@@ -126,12 +128,15 @@
         TurnHolders(answers.into_iter().flatten().collect())
     }
 
-    /// Which of these turns a disk holds, as far as it answers.
+    /// Queries one disk for which of these turns it holds. The result is incomplete if the disk stops
+    /// responding.
     async fn find_held(&self, disk: &str, layout_version: u64, ids: &[u128]) -> BTreeSet<u128> {
         let mut held = BTreeSet::new();
         let started_us = self.runtime.now();
-        for part in ids.chunks(TURN_IDS_PER_REQUEST) {
-            let operation = TurnLogOperation::ContainsTurns { ids: part.to_vec() };
+        for batch in ids.chunks(TURN_IDS_PER_REQUEST) {
+            let operation = TurnLogOperation::ContainsTurns {
+                ids: batch.to_vec(),
+            };
             let response = self
                 .stores
                 .request(disk, layout_version, &operation, PEER_REQUEST_TIMEOUT)
@@ -141,27 +146,27 @@
                 self.stores.mark_slow(disk);
                 break;
             };
-            let answered = part.iter().zip(contains);
-            held.extend(answered.filter(|(_, is_held)| *is_held).map(|(id, _)| *id));
+            let checked = batch.iter().zip(contains);
+            held.extend(checked.filter(|(_, is_held)| *is_held).map(|(id, _)| *id));
         }
         held
     }
 
-    /// Those of the turns that too few present disks hold.
+    /// The turns that too few of the current disks hold.
     fn under_replicated_turns(
         &self,
         replicas: &StoreReplicas,
         ids: Vec<u128>,
         holders: &TurnHolders,
     ) -> Vec<u128> {
-        let own = replicas.current.contains(&self.own_disk) as usize;
+        let own_copies = replicas.current.contains(&self.own_disk) as usize;
         ids.into_iter()
-            .filter(|id| own + holders.count(*id) < replicas.replica_count())
+            .filter(|id| own_copies + holders.count(*id) < replicas.replica_count())
             .collect()
     }
 
-    /// Which turns this store transfers to which disk. Of a turn's holders the first in rank does
-    /// it; the others join in after some passes.
+    /// The turns that this store transfers, by target disk. The highest-ranked holder of a turn
+    /// transfers it; from `FIRST_SHARED_PASS` on, all holders do.
     fn plan_transfers(&self, plan: &PassPlan<'_>) -> BTreeMap<String, Transfer> {
         let index = self.index.lock().unwrap();
         let mut transfers: BTreeMap<String, Transfer> = BTreeMap::new();
@@ -179,7 +184,7 @@
         transfers
     }
 
-    /// The disks that this store transfers a turn to: none where another holder does it.
+    /// The disks that this store transfers a turn to; empty if another holder transfers it.
     fn targets(&self, plan: &PassPlan<'_>, id: u128, stored: &StoredTurn) -> Vec<String> {
         let current = &plan.replicas.current;
         let holders: Vec<&str> = plan
@@ -192,16 +197,16 @@
         } else {
             &stored.program
         };
-        let is_first =
+        let is_highest_ranked =
             ranked(key, holders.iter().copied()).first() == Some(&self.own_disk.as_str());
-        if plan.pass < FIRST_SHARED_PASS && !is_first {
+        if plan.pass < FIRST_SHARED_PASS && !is_highest_ranked {
             return vec![];
         }
-        let present = holders
+        let current_copies = holders
             .iter()
             .filter(|holder| current.iter().any(|disk| disk == *holder))
             .count();
-        let missing = plan.replicas.replica_count().saturating_sub(present);
+        let missing = plan.replicas.replica_count().saturating_sub(current_copies);
         let mut candidates: Vec<&str> = ranked(key, current.iter().map(|disk| disk.as_str()));
         candidates.retain(|disk| {
             !holders.contains(disk) && *disk != self.own_disk && self.stores.is_alive(disk)
@@ -214,7 +219,7 @@
             .collect()
     }
 
-    /// Runs all transfers at once; whether all of them succeeded.
+    /// Runs all transfers concurrently. Returns whether all of them succeeded.
     async fn run_transfers(self: &Arc<Self>, transfers: BTreeMap<String, Transfer>) -> bool {
         let transfers = transfers
             .into_iter()
@@ -229,8 +234,8 @@
 }
 
 impl Transfer {
-    /// Adds a turn and what comes before it, oldest first, without what the disk holds or gets
-    /// already.
+    /// Adds a turn and its predecessors, oldest first, except those that the disk holds or that are
+    /// already batch of the transfer.
     fn add_history(&mut self, index: &TurnIndex, id: &str, is_held: impl Fn(u128) -> bool) {
         let mut history: Vec<StoredTurn> = index
             .history(id)
