--- a/yewcross-state/tests/budget_record.rs
+++ b/yewcross-state/tests/budget_record.rs
@@ -1,9 +1,9 @@
-//! A budget's record as it is read from its stored lines.
+//! Decoding a budget's record from its stored lines.
 
 use yewcross_state::records::BudgetRecord;
 
 #[test]
-fn a_line_that_cannot_be_read_is_passed_over() {
+fn an_undecodable_line_of_a_budget_is_skipped() {
     let stored = br#"{"Settled":"settled"}
 not json
 {"Open":["damaged",{"amount":"seven"}]}
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_record_without_a_readable_sum_has_spent_nothing() {
+fn a_budget_without_a_decodable_sum_has_spent_nothing() {
     let record = BudgetRecord::read(b"{\"Settled\":\"settled\"}\n{\"Spent\":\"nine\"}\n");
     assert_eq!((record.settled.len(), record.spent), (1, 0));
 }
