--- a/yewcross-state/src/anti_entropy/turns.rs
+++ b/yewcross-state/src/anti_entropy/turns.rs
@@ -48,7 +48,7 @@
 }
 
 /// Inputs for planning the transfers of one pass.
-struct PassPlan<'a> {
+struct PassInputs<'a> {
     pass: usize,
     replicas: &'a StoreReplicas,
     /// Disks that are preferred as targets of transfers.
@@ -78,7 +78,7 @@
             if under_replicated.is_empty() {
                 return true;
             }
-            let transfers = self.plan_transfers(&PassPlan {
+            let transfers = self.plan_transfers(&PassInputs {
                 pass,
                 replicas,
                 preferred,
@@ -167,17 +167,17 @@
 
     /// The turns that this store transfers, by target disk. The highest-ranked holder of a turn
     /// transfers it; from `FIRST_SHARED_PASS` on, all holders do.
-    fn plan_transfers(&self, plan: &PassPlan<'_>) -> BTreeMap<String, Transfer> {
+    fn plan_transfers(&self, inputs: &PassInputs<'_>) -> BTreeMap<String, Transfer> {
         let index = self.index.lock().unwrap();
         let mut transfers: BTreeMap<String, Transfer> = BTreeMap::new();
-        for id in plan.under_replicated {
+        for id in inputs.under_replicated {
             let Some(indexed) = index.turns.get(id) else {
                 continue;
             };
-            for disk in self.targets(plan, *id, &indexed.stored) {
+            for disk in self.targets(inputs, *id, &indexed.stored) {
                 let transfer = transfers.entry(disk.clone()).or_default();
                 transfer.add_history(&index, &indexed.stored.turn.id, |id| {
-                    plan.holders.holds(&disk, id)
+                    inputs.holders.holds(&disk, id)
                 });
             }
         }
@@ -185,9 +185,9 @@
     }
 
     /// The disks that this store transfers a turn to; empty if another holder transfers it.
-    fn targets(&self, plan: &PassPlan<'_>, id: u128, stored: &StoredTurn) -> Vec<String> {
-        let current = &plan.replicas.current;
-        let holders: Vec<&str> = plan
+    fn targets(&self, inputs: &PassInputs<'_>, id: u128, stored: &StoredTurn) -> Vec<String> {
+        let current = &inputs.replicas.current;
+        let holders: Vec<&str> = inputs
             .holders
             .holders_of(id)
             .chain([self.own_disk.as_str()])
@@ -199,19 +199,22 @@
         };
         let is_highest_ranked =
             ranked(key, holders.iter().copied()).first() == Some(&self.own_disk.as_str());
-        if plan.pass < FIRST_SHARED_PASS && !is_highest_ranked {
+        if inputs.pass < FIRST_SHARED_PASS && !is_highest_ranked {
             return vec![];
         }
         let current_copies = holders
             .iter()
             .filter(|holder| current.iter().any(|disk| disk == *holder))
             .count();
-        let missing = plan.replicas.replica_count().saturating_sub(current_copies);
+        let missing = inputs
+            .replicas
+            .replica_count()
+            .saturating_sub(current_copies);
         let mut candidates: Vec<&str> = ranked(key, current.iter().map(|disk| disk.as_str()));
         candidates.retain(|disk| {
             !holders.contains(disk) && *disk != self.own_disk && self.stores.is_alive(disk)
         });
-        candidates.sort_by_key(|candidate| !plan.preferred.iter().any(|disk| disk == candidate));
+        candidates.sort_by_key(|candidate| !inputs.preferred.iter().any(|disk| disk == candidate));
         candidates
             .into_iter()
             .take(missing)
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -9,8 +9,8 @@
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::ValueUpdate;
 
-/// Maximum number of attempts to settle a reservation in the background; the audit settles those
-/// that all fail.
+/// Maximum number of attempts to settle a reservation in the background. If all fail, the audit
+/// settles it.
 const SETTLE_ATTEMPTS: u32 = 4;
 /// Backoff after the first attempt, us. It doubles with each further attempt.
 const SETTLE_BACKOFF_US: u64 = 100 * MS;
