--- a/yewcross-state/src/records/budget_record.rs
+++ b/yewcross-state/src/records/budget_record.rs
@@ -14,8 +14,7 @@
     /// Maximum number of tokens that the attempt may use.
     pub amount: u64,
     /// Key of the session's register.
-    #[serde(rename = "key")]
-    pub session_key: String,
+    pub key: String,
     /// Request id of the turn.
     #[serde(rename = "job")]
     pub request_id: String,
@@ -26,7 +25,7 @@
     /// Minimum retention period of the session's record, in ms; 0 if written by an older version.
     #[serde(default)]
     #[serde(rename = "keep")]
-    pub retain_ms: u64,
+    pub session_retain_ms: u64,
 }
 
 /// Value of a budget's register.
--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -118,7 +118,7 @@
     }
 
     async fn audit_reservation(&self, reservation: &Reservation, now_ms: u64) -> AuditOutcome {
-        let key = &reservation.session_key;
+        let key = &reservation.key;
         let inspect = PeerRequest::InspectSession { key: key.clone() };
         let answer = (self.route)(key.clone(), inspect).await;
         let Some(PeerResponse::SessionReservations { open, done }) = answer else {
@@ -134,7 +134,7 @@
         let used = finished.map(|turn| turn.2);
         // The record does not contain the attempt, and cannot have expired since the reservation was
         // made. The attempt never began, and cannot begin once it is barred.
-        if used.is_none() && now_ms < reservation.at.saturating_add(reservation.retain_ms) {
+        if used.is_none() && now_ms < reservation.at.saturating_add(reservation.session_retain_ms) {
             return self.abort_unrecorded(reservation).await;
         }
         AuditOutcome::Finished { used }
@@ -143,12 +143,12 @@
     /// Bars an attempt that the session's record does not contain.
     async fn abort_unrecorded(&self, reservation: &Reservation) -> AuditOutcome {
         let abort = PeerRequest::AbortTurn {
-            key: reservation.session_key.clone(),
+            key: reservation.key.clone(),
             request_id: reservation.request_id.clone(),
             nonce: reservation.nonce,
             budget: None,
         };
-        match (self.route)(reservation.session_key.clone(), abort).await {
+        match (self.route)(reservation.key.clone(), abort).await {
             Some(PeerResponse::Ok) => AuditOutcome::Finished { used: Some(0) },
             Some(PeerResponse::Rejected(Code::Conflict)) => AuditOutcome::Finished { used: None },
             _ => AuditOutcome::Pending,
--- a/yewcross-state/src/records/mod.rs
+++ b/yewcross-state/src/records/mod.rs
@@ -77,11 +77,11 @@
             } => {
                 let reservation = Reservation {
                     amount,
-                    session_key: key,
+                    key,
                     request_id,
                     nonce,
                     at: self.clock_ms(),
-                    retain_ms,
+                    session_retain_ms: retain_ms,
                 };
                 let budget = budget.trim_start_matches("budget/");
                 self.reserve(budget, &entry, reservation, limit).await
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -324,7 +324,7 @@
     let open = |(entry, o): (&String, &Reservation)| {
         format!(
             "{entry}: {} {} {} {} {} {}",
-            o.amount, o.session_key, o.request_id, o.nonce, o.at, o.retain_ms
+            o.amount, o.key, o.request_id, o.nonce, o.at, o.session_retain_ms
         )
     };
     let open: Vec<String> = purse.open.iter().map(open).collect();
@@ -1152,11 +1152,11 @@
 fn reservation() -> Reservation {
     Reservation {
         amount: 71,
-        session_key: "key".into(),
+        key: "key".into(),
         request_id: "job".into(),
         nonce: 72,
         at: 73,
-        retain_ms: 74,
+        session_retain_ms: 74,
     }
 }
 
--- a/yewcross-testkit/tests/wire_samples/mod.rs
+++ b/yewcross-testkit/tests/wire_samples/mod.rs
@@ -558,11 +558,11 @@
 pub fn open_entry() -> Reservation {
     Reservation {
         amount: 351,
-        session_key: text("open key"),
+        key: text("open key"),
         request_id: text("open job"),
         nonce: 352,
         at: 353,
-        retain_ms: 354,
+        session_retain_ms: 354,
     }
 }
 
