--- a/yewcross-state/src/records/budgets.rs
+++ b/yewcross-state/src/records/budgets.rs
@@ -1,4 +1,5 @@
-//! Budgets: reservations are made, settled, and audited when their proxy no longer reports.
+//! Operations on budgets: reserving, settling, and auditing reservations that their proxy has not
+//! settled.
 
 use super::RecordStore;
 use super::budget_record::{BudgetRecord, Reservation, budget_key};
@@ -8,23 +9,24 @@
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
 use yewcross_common::register::ValueUpdate;
 
-/// Attempts of a settlement in the background; the audit settles what they miss.
+/// Maximum number of attempts to settle a reservation in the background. If all fail, the audit
+/// settles it.
 const SETTLE_ATTEMPTS: u32 = 4;
-/// us. Backoff after the first attempt; it doubles with each.
-const SETTLE_BACKOFF: u64 = 100 * MS;
+/// Backoff after the first attempt, us. It doubles with each further attempt.
+const SETTLE_BACKOFF_US: u64 = 100 * MS;
 
-/// What an audit learnt of a reservation.
+/// Result of auditing a reservation.
 enum AuditOutcome {
-    /// Its turn is in flight, or a peer could not say.
+    /// The turn is in flight, or its state could not be determined.
     Pending,
-    /// Its turn is over; `used` is None where nobody knows how many tokens it took.
-    Over { used: Option<u64> },
+    /// The turn has finished; `used` is `None` if the number of tokens used is unknown.
+    Finished { used: Option<u64> },
 }
 
 impl RecordStore {
-    /// Reserves tokens while less than `limit` is spent and reserved, so that a budget is exceeded
-    /// by one turn at most. An entry that is reserved already is confirmed; one that was settled is
-    /// rejected as a conflict.
+    /// Reserves tokens if the sum of the tokens spent and reserved is below `limit`, so that a budget
+    /// is exceeded by one turn at most. Reserving an entry again succeeds without a change; an entry
+    /// that has been settled is rejected as a conflict.
     pub async fn reserve(
         &self,
         budget: &str,
@@ -52,7 +54,7 @@
         changed.unwrap_or(PeerResponse::Rejected(Code::StoreAway))
     }
 
-    /// Settles a reservation at `used` tokens, in full where the usage is unknown. Settling an entry
+    /// Settles a reservation at `used` tokens, or in full if the usage is unknown. Settling an entry
     /// that is not reserved changes nothing.
     pub async fn settle(&self, budget: &str, entry: &str, used: Option<u64>) -> PeerResponse {
         let changed = self
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Settles in the background. Until this is through, the reservation counts in full.
+    /// Settles a reservation in the background. Until it is settled, the reservation counts in full.
     pub(super) fn settle_in_background(
         self: &Arc<Self>,
         budget: &str,
@@ -91,23 +93,24 @@
                 if let Some(PeerResponse::Ok) = answer {
                     return;
                 }
-                store.runtime.sleep(SETTLE_BACKOFF << attempt).await;
+                store.runtime.sleep(SETTLE_BACKOFF_US << attempt).await;
             }
         });
     }
 
-    /// Settles reservations that are older than `RESERVATION_AUDIT_AGE_MS` and whose turn is over: at the usage
-    /// that the session's record tells, in full if it tells none.
+    /// Settles the reservations that are older than `RESERVATION_AUDIT_AGE_MS` and whose turn has
+    /// finished: at the usage in the session's record, or in full if the record has none.
     pub async fn audit(self: &Arc<Self>, budget: &str) {
         let Some(value) = self.registers.cached_value(&budget_key(budget)) else {
             return;
         };
         let now_ms = self.clock_ms();
         for (entry, reservation) in BudgetRecord::read(&value).open {
-            if now_ms <= reservation.reserved_at_ms + RESERVATION_AUDIT_AGE_MS {
+            if now_ms <= reservation.at + RESERVATION_AUDIT_AGE_MS {
                 continue;
             }
-            if let AuditOutcome::Over { used } = self.audit_reservation(&reservation, now_ms).await
+            if let AuditOutcome::Finished { used } =
+                self.audit_reservation(&reservation, now_ms).await
             {
                 self.settle(budget, &entry, used).await;
             }
@@ -115,7 +118,7 @@
     }
 
     async fn audit_reservation(&self, reservation: &Reservation, now_ms: u64) -> AuditOutcome {
-        let key = &reservation.session_key;
+        let key = &reservation.key;
         let inspect = PeerRequest::InspectSession { key: key.clone() };
         let answer = (self.route)(key.clone(), inspect).await;
         let Some(PeerResponse::SessionReservations { open, done }) = answer else {
@@ -129,30 +132,25 @@
         }
         let finished = done.iter().find(|turn| is_audited(&turn.0, turn.1));
         let used = finished.map(|turn| turn.2);
-        // Never begun, as far as the record tells, and the record cannot have been forgotten
-        // since: once the attempt is barred it never will begin.
-        if used.is_none()
-            && now_ms
-                < reservation
-                    .reserved_at_ms
-                    .saturating_add(reservation.retain_ms)
-        {
-            return self.abort_unbegun(reservation).await;
+        // The record does not contain the attempt, and cannot have expired since the reservation was
+        // made. The attempt never began, and cannot begin once it is barred.
+        if used.is_none() && now_ms < reservation.at.saturating_add(reservation.session_retain_ms) {
+            return self.abort_unrecorded(reservation).await;
         }
-        AuditOutcome::Over { used }
+        AuditOutcome::Finished { used }
     }
 
-    /// Bars an attempt of which the session's record knows nothing.
-    async fn abort_unbegun(&self, reservation: &Reservation) -> AuditOutcome {
+    /// Bars an attempt that the session's record does not contain.
+    async fn abort_unrecorded(&self, reservation: &Reservation) -> AuditOutcome {
         let abort = PeerRequest::AbortTurn {
-            key: reservation.session_key.clone(),
+            key: reservation.key.clone(),
             request_id: reservation.request_id.clone(),
             nonce: reservation.nonce,
             budget: None,
         };
-        match (self.route)(reservation.session_key.clone(), abort).await {
-            Some(PeerResponse::Ok) => AuditOutcome::Over { used: Some(0) },
-            Some(PeerResponse::Rejected(Code::Conflict)) => AuditOutcome::Over { used: None },
+        match (self.route)(reservation.key.clone(), abort).await {
+            Some(PeerResponse::Ok) => AuditOutcome::Finished { used: Some(0) },
+            Some(PeerResponse::Rejected(Code::Conflict)) => AuditOutcome::Finished { used: None },
             _ => AuditOutcome::Pending,
         }
     }
