--- a/yewcross-control/src/layout/mod.rs
+++ b/yewcross-control/src/layout/mod.rs
@@ -3,9 +3,8 @@
 //!
 //! # Who may change it
 //!
-//! The layout is a document that the core replicas agree on. In a tier that maintains itself
-//! (`Options::maintains_layout`) only the holder of the lease changes it:
-
+//! The layout is a document that the core replicas decide by majority. In a tier that maintains itself
+//! (`Options::maintains_layout`) only the lease holder changes it:
 //!
 //! - [`bootstrap`](bootstrap_automatically) writes the first layout;
 //! - [`maintain_replicas`] replaces lost disks, adds new ones and ends changes;
--- a/yewcross-proxy/src/lib.rs
+++ b/yewcross-proxy/src/lib.rs
@@ -149,7 +149,7 @@
 pub struct FrontOptions {
     /// Reads callers' requests and writes their responses.
     pub caller: Arc<dyn CallerProtocol>,
-    /// Writes requests to servers and reads their responses.,
+    /// Writes requests to servers and reads their responses.
     pub upstream_protocol: Arc<dyn UpstreamProtocol>,
     pub turn_log: Option<Arc<dyn TurnLogService>>,
 }
