--- a/yewcross-capacity/src/capacity/balancing.rs
+++ b/yewcross-capacity/src/capacity/balancing.rs
@@ -1,128 +1,153 @@
-//! Load reports, balancing, transfer of KV caches, metrics.
+//! Costs of load reports, load balancing, transfers of KV caches, and metrics.
 
-use crate::capacity::cost::{Cost, core, mb, polls_s, spread_s};
+use crate::capacity::cost::{
+    Cost, failure_dissemination_s, megabytes, message_core_pct, polls_per_s,
+};
 use crate::capacity::inputs::Inputs;
-use crate::capacity::messages::{Messages, PACKET};
+use crate::capacity::messages::{MessageSizes, PACKET_HEADER_BYTES};
 use yewcross_common::constants::KV_TOKEN_BYTES;
 
-/// The home node of a service and zone polls every server there, tells its zone, and passes on what
-/// other zones tell. A service is a model.
-pub(super) fn news_home(i: &Inputs, m: &Messages) -> Cost {
-    let mine = i.size.servers / i.size.zones / i.size.models;
-    let near = (i.fronts() / i.size.zones - 1.0).max(0.0);
-    let far = i.size.zones - 1.0;
-    let polls = mine * polls_s();
-    let told = polls_s() * (near * (1.0 + far) + 2.0 * far);
-    let s = 2.0 * (polls + told);
-    let heard = polls_s() * far * mine * m.report;
+/// The designated front of a service and zone polls every server of the service there, distributes
+/// the reports within its zone, and forwards those it receives from other zones. Every model is a
+/// service of its own.
+pub(super) fn load_reports_at_designated_front(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let polled_servers = inputs.size.servers / inputs.size.zones / inputs.size.models;
+    let zone_fronts = (inputs.fronts() / inputs.size.zones - 1.0).max(0.0);
+    let other_zones = inputs.size.zones - 1.0;
+    let polls = polled_servers * polls_per_s();
+    let notifications = polls_per_s() * (zone_fronts * (1.0 + other_zones) + 2.0 * other_zones);
+    let messages_s = 2.0 * (polls + notifications);
+    let received_bytes = polls_per_s() * other_zones * polled_servers * sizes.load_report;
     Cost {
-        messages_s: s,
-        bytes_s: polls * (m.poll + m.report + 4.0 * PACKET)
-            + polls_s() * mine * m.report * (near + far)
-            + heard * (1.0 + near)
-            + told * 2.0 * PACKET,
-        memory_mb: mb(3.0 * i.size.servers * m.report),
-        core_pct: core(i, s) + (polls * m.report + heard) / 1000.0 * i.costs.parse_us_kb / 10_000.0,
-        recovery_s: spread_s(i),
+        messages_s,
+        bytes_s: polls * (sizes.poll_headers + sizes.load_report + 4.0 * PACKET_HEADER_BYTES)
+            + polls_per_s() * polled_servers * sizes.load_report * (zone_fronts + other_zones)
+            + received_bytes * (1.0 + zone_fronts)
+            + notifications * 2.0 * PACKET_HEADER_BYTES,
+        memory_mb: megabytes(3.0 * inputs.size.servers * sizes.load_report),
+        core_pct: message_core_pct(inputs, messages_s)
+            + (polls * sizes.load_report + received_bytes) / 1000.0 * inputs.costs.parse_us_kb
+                / 10_000.0,
+        recovery_s: failure_dissemination_s(inputs),
         ..Default::default()
     }
 }
 
-/// Any other front hears every report.
-pub(super) fn news_front(i: &Inputs, m: &Messages) -> Cost {
-    let s = polls_s() * i.size.zones * i.size.models;
-    let bytes = polls_s() * i.size.servers * m.report;
+/// A front that is not designated for any service receives the reports of all servers.
+pub(super) fn load_reports_at_other_front(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let notifications = polls_per_s() * inputs.size.zones * inputs.size.models;
+    let report_bytes = polls_per_s() * inputs.size.servers * sizes.load_report;
     Cost {
-        messages_s: 2.0 * s,
-        bytes_s: bytes + s * 2.0 * PACKET,
-        memory_mb: mb(3.0 * i.size.servers * m.report),
-        core_pct: core(i, 2.0 * s) + bytes / 1000.0 * i.costs.parse_us_kb / 10_000.0,
-        recovery_s: spread_s(i),
+        messages_s: 2.0 * notifications,
+        bytes_s: report_bytes + notifications * 2.0 * PACKET_HEADER_BYTES,
+        memory_mb: megabytes(3.0 * inputs.size.servers * sizes.load_report),
+        core_pct: message_core_pct(inputs, 2.0 * notifications)
+            + report_bytes / 1000.0 * inputs.costs.parse_us_kb / 10_000.0,
+        recovery_s: failure_dissemination_s(inputs),
         ..Default::default()
     }
 }
 
-/// Load comes on the answers of the servers that a front balances over; one that was not used for a
-/// while is asked.
-pub(super) fn news_subset(i: &Inputs, m: &Messages) -> Cost {
-    let used = i.size.requests_s / i.fronts() / i.ours.subset;
-    let idle = i.ours.subset * (-used * i.ours.idle_s).exp() / i.ours.idle_s;
+/// Responses of the servers in a front's subset carry the server's load. The front polls only the
+/// servers to which it has sent no request for `idle_s` seconds.
+pub(super) fn load_reports_in_responses(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let requests_per_server = inputs.size.requests_s / inputs.fronts() / inputs.design.subset;
+    let idle_polls = inputs.design.subset * (-requests_per_server * inputs.design.idle_s).exp()
+        / inputs.design.idle_s;
     Cost {
-        messages_s: 2.0 * idle,
-        bytes_s: idle * (m.poll + m.report + 4.0 * PACKET),
-        memory_mb: mb(3.0 * i.ours.subset * m.report + i.size.servers * m.listed),
-        core_pct: core(i, 2.0 * idle),
-        recovery_s: i.ours.idle_s,
+        messages_s: 2.0 * idle_polls,
+        bytes_s: idle_polls * (sizes.poll_headers + sizes.load_report + 4.0 * PACKET_HEADER_BYTES),
+        memory_mb: megabytes(
+            3.0 * inputs.design.subset * sizes.load_report
+                + inputs.size.servers * sizes.listed_server,
+        ),
+        core_pct: message_core_pct(inputs, 2.0 * idle_polls),
+        recovery_s: inputs.design.idle_s,
         ..Default::default()
     }
 }
 
-/// A part of a prompt is some thousand tokens; a server's memory holds 257,309 tokens today.
-pub(super) const PARTS: f64 = 257.0;
+/// Prompt blocks cached per server: a block has about 1,000 tokens, and the memory of a current
+/// server holds 257,309 tokens.
+pub(super) const BLOCKS_PER_SERVER: f64 = 257.0;
 
-/// bytes. A part in a list of those used latest.
-pub(super) const PART: f64 = 64.0;
+/// Bytes of one prompt block in the list of recently used blocks.
+pub(super) const BLOCK_ENTRY_BYTES: f64 = 64.0;
 
-/// bytes. What is counted of a server beside its parts.
-pub(super) const SEAT: f64 = 300.0;
+/// Bytes of the state of a server, apart from its prompt blocks.
+pub(super) const SERVER_STATE_BYTES: f64 = 300.0;
 
-pub(super) fn balance(i: &Inputs, servers: f64) -> Cost {
-    let each = i.fronts() * servers / i.size.servers;
-    let conns = 480.0;
-    let few = conns / each < 8.0;
+/// Load balancing at a front that uses `servers` of all servers. Of 480 connections to a server,
+/// fewer than 8 for each front that uses the server are too few.
+pub(super) fn balancing(inputs: &Inputs, servers: f64) -> Cost {
+    let fronts_per_server = inputs.fronts() * servers / inputs.size.servers;
+    let connections_per_server = 480.0;
+    let too_few = connections_per_server / fronts_per_server < 8.0;
     Cost {
-        memory_mb: mb(servers * (PARTS * PART + SEAT)),
-        wrong: few.then(|| {
+        memory_mb: megabytes(
+            servers * (BLOCKS_PER_SERVER * BLOCK_ENTRY_BYTES + SERVER_STATE_BYTES),
+        ),
+        violation: too_few.then(|| {
             format!(
-                "{:.1} connections to a server for each of its {each:.0} fronts",
-                conns / each
+                "{:.1} connections to a server for each of its {fronts_per_server:.0} fronts",
+                connections_per_server / fronts_per_server
             )
         }),
         ..Default::default()
     }
 }
 
-pub(super) fn balance_all(i: &Inputs, _: &Messages) -> Cost {
-    balance(i, i.size.servers)
+/// Every front balances over all servers.
+pub(super) fn balancing_over_all(inputs: &Inputs, _: &MessageSizes) -> Cost {
+    balancing(inputs, inputs.size.servers)
 }
 
-pub(super) fn balance_subset(i: &Inputs, _: &Messages) -> Cost {
-    balance(i, i.ours.subset.min(i.size.servers))
+/// Every front balances over its subset of the servers.
+pub(super) fn balancing_over_subset(inputs: &Inputs, _: &MessageSizes) -> Cost {
+    balancing(inputs, inputs.design.subset.min(inputs.size.servers))
 }
 
-pub(super) fn push_each(i: &Inputs, _: &Messages) -> Cost {
-    let tokens = i.size.history_tokens / i.size.turns_max;
-    let s = i.size.requests_s / i.size.servers;
+/// After every long turn, the server pushes the new part of the KV cache to the replica's server.
+pub(super) fn kv_push_per_turn(inputs: &Inputs, _: &MessageSizes) -> Cost {
+    let turn_tokens = inputs.size.history_tokens / inputs.size.turns_max;
+    let turns_s = inputs.size.requests_s / inputs.size.servers;
     Cost {
-        bytes_s: 2.0 * s * tokens * KV_TOKEN_BYTES as f64,
-        recovery_s: i.size.history_tokens * KV_TOKEN_BYTES as f64 / i.ours.server_link_bytes_s,
+        bytes_s: 2.0 * turns_s * turn_tokens * KV_TOKEN_BYTES as f64,
+        recovery_s: inputs.size.history_tokens * KV_TOKEN_BYTES as f64
+            / inputs.design.server_link_bytes_s,
         ..Default::default()
     }
 }
 
-pub(super) fn push_paced(i: &Inputs, m: &Messages) -> Cost {
-    let c = push_each(i, m);
+/// As [`kv_push_per_turn`], limited to half of the server's link.
+pub(super) fn kv_push_rate_limited(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let unlimited = kv_push_per_turn(inputs, sizes);
     Cost {
-        bytes_s: c.bytes_s.min(i.ours.server_link_bytes_s / 2.0),
-        ..c
+        bytes_s: unlimited
+            .bytes_s
+            .min(inputs.design.server_link_bytes_s / 2.0),
+        ..unlimited
     }
 }
 
-pub(super) fn per_tenant(i: &Inputs, _: &Messages) -> Cost {
-    let n = i.size.tenants * i.size.models * 8.0;
+/// Time series per tenant and model.
+pub(super) fn metrics_per_tenant(inputs: &Inputs, _: &MessageSizes) -> Cost {
+    let series = inputs.size.tenants * inputs.size.models * 8.0;
     Cost {
-        memory_mb: mb(n * 16.0),
-        bytes_s: n * 20.0 / 15.0,
+        memory_mb: megabytes(series * 16.0),
+        bytes_s: series * 20.0 / 15.0,
         ..Default::default()
     }
 }
 
-pub(super) fn per_class(i: &Inputs, _: &Messages) -> Cost {
-    let n = 100.0 + i.size.models * 3.0 * 8.0;
-    let lines = i.moves_s() * 60.0 + i.config_s() * 60.0;
+/// Time series per model and class, and a line for each change of membership or configuration.
+pub(super) fn metrics_per_class(inputs: &Inputs, _: &MessageSizes) -> Cost {
+    let series = 100.0 + inputs.size.models * 3.0 * 8.0;
+    let line_bytes_s =
+        inputs.membership_changes_per_s() * 60.0 + inputs.config_changes_per_s() * 60.0;
     Cost {
-        memory_mb: mb(n * 16.0),
-        bytes_s: n * 20.0 / 15.0 + lines,
+        memory_mb: megabytes(series * 16.0),
+        bytes_s: series * 20.0 / 15.0 + line_bytes_s,
         messages_s: 2.0 / 15.0,
         ..Default::default()
     }
--- a/yewcross-capacity/src/capacity/configuration.rs
+++ b/yewcross-capacity/src/capacity/configuration.rs
@@ -1,118 +1,147 @@
-//! Configuration and server list: how they reach every node, and when they are in force.
+//! Costs of distributing the configuration and the server list to every node, and of confirming
+//! that a configuration is in force.
 
-use crate::capacity::cost::{Cost, core, mb};
-use crate::capacity::inputs::{DAY, Inputs};
-use crate::capacity::messages::{Messages, PACKET};
+use crate::capacity::cost::{Cost, megabytes, message_core_pct};
+use crate::capacity::inputs::{Inputs, SECONDS_PER_DAY};
+use crate::capacity::messages::{MessageSizes, PACKET_HEADER_BYTES};
 use yewcross_common::constants::{
     MAX_BODY_BYTES, PEER_REQUEST_TIMEOUT, RETAINED_VERSIONS, SEC, SERVING_LEASE_RENEWAL,
 };
 
-pub(super) fn config_text(i: &Inputs, m: &Messages) -> f64 {
-    i.ours.routes * m.route
+/// Bytes of the configuration's text.
+pub(super) fn config_bytes(inputs: &Inputs, sizes: &MessageSizes) -> f64 {
+    inputs.design.routes * sizes.route
 }
 
-/// The document carries the texts of the versions before along with the newest.
-pub(super) fn whole_text(i: &Inputs, m: &Messages) -> Cost {
-    let t = config_text(i, m);
-    let doc = t * (1.0 + RETAINED_VERSIONS as f64);
+/// Every node fetches the complete document from one core. The document contains the retained
+/// previous versions in addition to the newest one.
+pub(super) fn full_config_from_core(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let text = config_bytes(inputs, sizes);
+    let document = text * (1.0 + RETAINED_VERSIONS as f64);
     Cost {
-        messages_s: 2.0 * i.config_s(),
-        bytes_s: i.config_s() * doc,
-        // Page, and the parsed tree, as large as its text.
-        memory_mb: mb(doc + t),
-        core_pct: core(i, 2.0 * i.config_s())
-            + i.config_s() * (doc + t) / 1000.0 * i.costs.parse_us_kb / 10_000.0,
-        // One machine sends it to all.
-        recovery_s: doc * i.size.nodes / i.ours.link_bytes_s,
-        wrong: (t > MAX_BODY_BYTES as f64).then(|| {
+        messages_s: 2.0 * inputs.config_changes_per_s(),
+        bytes_s: inputs.config_changes_per_s() * document,
+        // The document, and the parsed configuration, which is as large as its text.
+        memory_mb: megabytes(document + text),
+        core_pct: message_core_pct(inputs, 2.0 * inputs.config_changes_per_s())
+            + inputs.config_changes_per_s() * (document + text) / 1000.0 * inputs.costs.parse_us_kb
+                / 10_000.0,
+        // One machine sends the document to all nodes.
+        recovery_s: document * inputs.size.nodes / inputs.design.link_bytes_s,
+        violation: (text > MAX_BODY_BYTES as f64).then(|| {
             format!(
                 "a text of {:.1} MB, of which {:.1} are taken",
-                mb(t),
-                mb(MAX_BODY_BYTES as f64)
+                megabytes(text),
+                megabytes(MAX_BODY_BYTES as f64)
             )
         }),
         ..Default::default()
     }
 }
 
-pub(super) fn text_by_delegates(i: &Inputs, m: &Messages) -> Cost {
-    let t = config_text(i, m);
-    let per_zone = i.size.nodes / i.size.zones;
+/// One delegate per zone receives the complete text and forwards it to the nodes of its zone.
+pub(super) fn full_config_by_delegates(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let text = config_bytes(inputs, sizes);
+    let nodes_per_zone = inputs.size.nodes / inputs.size.zones;
     Cost {
-        messages_s: 2.0 * i.config_s() * (1.0 + per_zone),
-        bytes_s: i.config_s() * t * (1.0 + per_zone),
-        memory_mb: mb(2.0 * t),
-        core_pct: core(i, 2.0 * i.config_s() * (1.0 + per_zone))
-            + i.config_s() * t / 1000.0 * i.costs.parse_us_kb / 10_000.0,
-        recovery_s: t * (i.size.zones + per_zone) / i.ours.link_bytes_s,
+        messages_s: 2.0 * inputs.config_changes_per_s() * (1.0 + nodes_per_zone),
+        bytes_s: inputs.config_changes_per_s() * text * (1.0 + nodes_per_zone),
+        memory_mb: megabytes(2.0 * text),
+        core_pct: message_core_pct(
+            inputs,
+            2.0 * inputs.config_changes_per_s() * (1.0 + nodes_per_zone),
+        ) + inputs.config_changes_per_s() * text / 1000.0 * inputs.costs.parse_us_kb
+            / 10_000.0,
+        recovery_s: text * (inputs.size.zones + nodes_per_zone) / inputs.design.link_bytes_s,
         ..Default::default()
     }
 }
 
-pub(super) fn differences(i: &Inputs, m: &Messages) -> Cost {
-    let d = i.ours.routes_changed * m.route;
-    let per_zone = i.size.nodes / i.size.zones;
-    // A delegate passes it on within its zone. A restarted node fetches the whole from a neighbour.
-    let whole = config_text(i, m) * (i.day.failed + i.day.restarted) / DAY / i.size.nodes * 2.0;
+/// One delegate per zone receives the difference to the previous version and forwards it to the
+/// nodes of its zone.
+pub(super) fn config_deltas_by_delegates(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let delta = inputs.design.routes_changed * sizes.route;
+    let nodes_per_zone = inputs.size.nodes / inputs.size.zones;
+    // A restarted node fetches the complete text from a neighbour.
+    let full_transfers = config_bytes(inputs, sizes) * (inputs.day.failed + inputs.day.restarted)
+        / SECONDS_PER_DAY
+        / inputs.size.nodes
+        * 2.0;
     Cost {
-        messages_s: 2.0 * i.config_s() * (1.0 + per_zone),
-        bytes_s: i.config_s() * (d + 2.0 * PACKET) * (1.0 + per_zone) + whole,
-        memory_mb: mb(2.0 * config_text(i, m)),
-        core_pct: core(i, 2.0 * i.config_s() * (1.0 + per_zone))
-            + i.config_s() * d / 1000.0 * i.costs.parse_us_kb / 10_000.0,
-        recovery_s: config_text(i, m) / i.ours.link_bytes_s
+        messages_s: 2.0 * inputs.config_changes_per_s() * (1.0 + nodes_per_zone),
+        bytes_s: inputs.config_changes_per_s()
+            * (delta + 2.0 * PACKET_HEADER_BYTES)
+            * (1.0 + nodes_per_zone)
+            + full_transfers,
+        memory_mb: megabytes(2.0 * config_bytes(inputs, sizes)),
+        core_pct: message_core_pct(
+            inputs,
+            2.0 * inputs.config_changes_per_s() * (1.0 + nodes_per_zone),
+        ) + inputs.config_changes_per_s() * delta / 1000.0 * inputs.costs.parse_us_kb
+            / 10_000.0,
+        recovery_s: config_bytes(inputs, sizes) / inputs.design.link_bytes_s
             + 3.0 * PEER_REQUEST_TIMEOUT as f64 / SEC as f64,
         ..Default::default()
     }
 }
 
-/// A front that holds a lease asks three cores and more, three times a second; shown for a core.
-pub(super) fn leases(i: &Inputs, m: &Messages) -> Cost {
-    let n = i.size.control_machines;
-    let asked = n - (n / 2.0).floor() - 1.0 + 2.0;
-    let s = i.fronts() * asked * (SEC as f64 / SERVING_LEASE_RENEWAL as f64) / n;
+/// A front that holds a serving lease queries three or more cores, three times a second. The cost is
+/// that of one core.
+pub(super) fn front_leases(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let cores = inputs.size.control_machines;
+    let asked_cores = cores - (cores / 2.0).floor() - 1.0 + 2.0;
+    let requests_s =
+        inputs.fronts() * asked_cores * (SEC as f64 / SERVING_LEASE_RENEWAL as f64) / cores;
     Cost {
-        messages_s: 2.0 * s,
-        bytes_s: s * (m.newer + 2.0 * PACKET),
-        core_pct: core(i, 2.0 * s),
+        messages_s: 2.0 * requests_s,
+        bytes_s: requests_s * (sizes.version_query + 2.0 * PACKET_HEADER_BYTES),
+        core_pct: message_core_pct(inputs, 2.0 * requests_s),
         ..Default::default()
     }
 }
 
-/// Every node asks one core five times in the time allowed for a configuration; shown for a core.
-pub(super) fn asked_in_turn(i: &Inputs, m: &Messages) -> Cost {
-    let s = i.size.nodes * 5.0 / i.limits.in_force_s / i.size.control_machines;
+/// Every node queries one core, each time the next one, five times within the time allowed for a
+/// configuration to come into force. The cost is that of one core.
+pub(super) fn round_robin_version_queries(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let requests_s =
+        inputs.size.nodes * 5.0 / inputs.limits.in_force_s / inputs.size.control_machines;
     Cost {
-        messages_s: 2.0 * s,
-        bytes_s: s * (m.newer + 2.0 * PACKET),
-        core_pct: core(i, 2.0 * s),
-        recovery_s: i.limits.in_force_s / 5.0,
+        messages_s: 2.0 * requests_s,
+        bytes_s: requests_s * (sizes.version_query + 2.0 * PACKET_HEADER_BYTES),
+        core_pct: message_core_pct(inputs, 2.0 * requests_s),
+        recovery_s: inputs.limits.in_force_s / 5.0,
         ..Default::default()
     }
 }
 
-/// While all servers are replaced one after another, each replacement changes the list twice.
-pub(super) fn list_whole(i: &Inputs, m: &Messages) -> Cost {
-    let t = i.size.servers * m.listed;
-    let s = 2.0 / i.ours.turnover_s;
+/// The complete server list is sent on every change. While all servers are replaced one after
+/// another, each replacement changes the list twice.
+pub(super) fn full_server_list(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let list_bytes = inputs.size.servers * sizes.listed_server;
+    let changes_s = 2.0 / inputs.design.turnover_s;
     Cost {
-        messages_s: 2.0 * s,
-        bytes_s: s * t,
-        memory_mb: mb(2.0 * t),
-        core_pct: core(i, 2.0 * s) + s * t / 1000.0 * i.costs.parse_us_kb / 10_000.0,
-        recovery_s: t * i.size.nodes / i.ours.link_bytes_s,
+        messages_s: 2.0 * changes_s,
+        bytes_s: changes_s * list_bytes,
+        memory_mb: megabytes(2.0 * list_bytes),
+        core_pct: message_core_pct(inputs, 2.0 * changes_s)
+            + changes_s * list_bytes / 1000.0 * inputs.costs.parse_us_kb / 10_000.0,
+        recovery_s: list_bytes * inputs.size.nodes / inputs.design.link_bytes_s,
         ..Default::default()
     }
 }
 
-pub(super) fn list_differences(i: &Inputs, m: &Messages) -> Cost {
-    let s = 2.0 / i.ours.turnover_s;
-    let per_zone = i.size.nodes / i.size.zones;
+/// One delegate per zone receives the changed entries of the server list and forwards them to the
+/// nodes of its zone.
+pub(super) fn server_list_deltas(inputs: &Inputs, sizes: &MessageSizes) -> Cost {
+    let changes_s = 2.0 / inputs.design.turnover_s;
+    let nodes_per_zone = inputs.size.nodes / inputs.size.zones;
     Cost {
-        messages_s: 2.0 * s * (1.0 + per_zone),
-        bytes_s: s * (m.listed + 2.0 * PACKET) * (1.0 + per_zone),
-        memory_mb: mb(2.0 * i.size.servers * m.listed),
-        core_pct: core(i, 2.0 * s * (1.0 + per_zone)),
+        messages_s: 2.0 * changes_s * (1.0 + nodes_per_zone),
+        bytes_s: changes_s
+            * (sizes.listed_server + 2.0 * PACKET_HEADER_BYTES)
+            * (1.0 + nodes_per_zone),
+        memory_mb: megabytes(2.0 * inputs.size.servers * sizes.listed_server),
+        core_pct: message_core_pct(inputs, 2.0 * changes_s * (1.0 + nodes_per_zone)),
         recovery_s: 3.0 * PEER_REQUEST_TIMEOUT as f64 / SEC as f64,
         ..Default::default()
     }
--- a/yewcross-capacity/src/capacity/cost.rs
+++ b/yewcross-capacity/src/capacity/cost.rs
@@ -1,90 +1,93 @@
-//! What a mechanism costs a node, and what it is held to.
+//! The cost of a mechanism to a node, and the limits that apply to it.
 
 use crate::capacity::inputs::Inputs;
-use crate::capacity::messages::Messages;
+use crate::capacity::messages::MessageSizes;
 use serde::Serialize;
 use yewcross_common::constants::{
     LOAD_REPORT_INTERVAL, PROBE_INTERVAL, PROBE_TIMEOUT, SEC, SUSPICION_TIMEOUT,
 };
 
-/// What a mechanism costs one node: the one that bears the most of it, where they differ.
+/// The cost of a mechanism to one node; where nodes differ, to the node with the highest cost.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Messages sent, received and answered a second.
+    /// Messages per second, sent and received, requests and responses.
     pub messages_s: f64,
-    /// Bytes in and out a second.
+    /// Bytes per second, sent and received.
     pub bytes_s: f64,
-    /// MB that it holds.
+    /// Memory in MB.
     pub memory_mb: f64,
-    /// Percent of a core.
+    /// Processor time in percent of a core.
     pub core_pct: f64,
-    /// Syncs of the disk a second.
+    /// Disk syncs per second.
     pub syncs_s: f64,
-    /// s until it has done its work after a failure or a change.
+    /// Seconds from a failure or a change until the mechanism has handled it.
     pub recovery_s: f64,
-    /// What else keeps it from working.
-    pub wrong: Option<String>,
+    /// A condition other than the limits that the mechanism violates at this size.
+    #[serde(rename = "wrong")]
+    pub violation: Option<String>,
 }
 
-/// What a mechanism is held to.
+/// The limits that apply to a mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Held {
-    /// The limits of control.
+pub enum LimitSet {
+    /// The limits of the control functions on a node.
     Control,
-    /// A store's memory, link and disk.
+    /// Memory, link and disk of a store.
     Store,
-    /// A front's memory and link.
+    /// Memory and link of a front.
     Front,
-    /// A server's link.
+    /// The link of a server.
     Server,
 }
 
-/// Where a mechanism stands in the design.
+/// The status of a mechanism in the design. The table prints the names of the variants in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Stand {
-    /// Built, and to be replaced.
+pub enum DesignStatus {
+    /// Implemented, and to be replaced.
     Today,
-    /// Built, and stays.
+    /// Implemented, and to be kept.
     Kept,
-    /// Replaces what is built.
+    /// Planned: replaces an implemented mechanism.
     Next,
-    /// Weighed and not taken.
+    /// Considered and rejected.
     Weighed,
 }
 
-/// A mechanism of the design, with its arithmetic.
+/// A mechanism of the design, and the function that computes its cost.
 pub struct Mechanism {
-    /// As the table names it.
+    /// Its name in the table.
     pub name: &'static str,
-    /// Where it stands in the design.
-    pub stand: Stand,
-    /// What it is held to.
-    pub held: Held,
-    /// Its cost at a size.
-    pub cost: fn(&Inputs, &Messages) -> Cost,
+    /// Its status in the design.
+    pub status: DesignStatus,
+    /// The limits that apply to it.
+    pub limit_set: LimitSet,
+    /// Computes its cost for the given inputs and message sizes.
+    pub cost: fn(&Inputs, &MessageSizes) -> Cost,
 }
 
-/// Pure processor time of so many messages a second.
-pub(super) fn core(i: &Inputs, messages_s: f64) -> f64 {
-    messages_s * i.costs.message_us / 10_000.0
+/// Processor time in percent of a core for handling this many messages per second, without parsing
+/// their contents.
+pub(super) fn message_core_pct(inputs: &Inputs, messages_s: f64) -> f64 {
+    messages_s * inputs.costs.message_us / 10_000.0
 }
 
-pub(super) fn mb(b: f64) -> f64 {
-    b / 1e6
+pub(super) fn megabytes(bytes: f64) -> f64 {
+    bytes / 1e6
 }
 
-pub(super) fn beats_s() -> f64 {
+pub(super) fn probes_per_s() -> f64 {
     SEC as f64 / PROBE_INTERVAL as f64
 }
 
-/// s from a node's end until all know it: a probe's turn, its wait, the helpers' wait, suspicion,
-/// and its spread.
-pub(super) fn spread_s(i: &Inputs) -> f64 {
-    let us = (PROBE_INTERVAL + 3 * PROBE_TIMEOUT + SUSPICION_TIMEOUT) as f64
-        + i.size.nodes.log2().ceil() * PROBE_INTERVAL as f64;
-    us / SEC as f64
+/// Seconds from the failure of a node until all others have recorded it: up to one probe interval
+/// until it is probed, the time-outs of the direct and the indirect probes, the suspicion time-out,
+/// and the dissemination in a logarithmic number of probe intervals.
+pub(super) fn failure_dissemination_s(inputs: &Inputs) -> f64 {
+    let total_us = (PROBE_INTERVAL + 3 * PROBE_TIMEOUT + SUSPICION_TIMEOUT) as f64
+        + inputs.size.nodes.log2().ceil() * PROBE_INTERVAL as f64;
+    total_us / SEC as f64
 }
 
-pub(super) fn polls_s() -> f64 {
+pub(super) fn polls_per_s() -> f64 {
     SEC as f64 / LOAD_REPORT_INTERVAL as f64
 }
--- a/yewcross-capacity/src/capacity/measure.rs
+++ b/yewcross-capacity/src/capacity/measure.rs
@@ -10,37 +10,40 @@
 use yewcross_common::runtime::{BoxFuture, Runtime};
 use yewcross_common::transport::{Envelope, PeerClient, Reply, RequestHandler};
 
-/// us of processor this process has used.
-fn used() -> f64 {
-    let s = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    let f: Vec<f64> = s
+/// Processor time in µs that this process has used, in user and kernel mode. The kernel reports it
+/// in ticks of 10 ms.
+fn process_cpu_us() -> f64 {
+    let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
+    let ticks: Vec<f64> = stat
         .rsplit(')')
         .next()
         .unwrap_or("")
         .split_whitespace()
         .skip(11)
         .take(2)
-        .filter_map(|x| x.parse().ok())
+        .filter_map(|field| field.parse().ok())
         .collect();
-    f.iter().sum::<f64>() * 10_000.0
+    ticks.iter().sum::<f64>() * 10_000.0
 }
 
-/// kB of memory that this process holds.
-fn resident() -> f64 {
-    let s = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    s.split_whitespace()
+/// Resident memory of this process in kB, counted in pages of 4,096 bytes.
+fn resident_kb() -> f64 {
+    let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    statm
+        .split_whitespace()
         .nth(1)
-        .and_then(|x| x.parse::<f64>().ok())
+        .and_then(|field| field.parse::<f64>().ok())
         .unwrap_or(0.0)
         * 4.096
 }
 
-struct Echo;
+/// Decodes each request and sends a fixed response.
+struct FixedResponder;
 
-impl RequestHandler for Echo {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
+impl RequestHandler for FixedResponder {
+    fn handle(self: Arc<Self>, request: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
-            let _ = p.decode::<PeerRequest>();
+            let _ = request.decode::<PeerRequest>();
             Reply {
                 message: serde_json::to_vec(&PeerResponse::ProbeOnBehalf { reachable: true })
                     .unwrap_or_default(),
@@ -50,73 +53,82 @@
     }
 }
 
-async fn ends(w: &Runtime, n: usize) -> Vec<SocketAddr> {
-    let mut v = vec![];
-    for i in 0..n {
-        let at = SocketAddr::from(([127, 0, 0, 1], 21_000 + i as u16));
-        if let Ok(d) = w.bind(at).await {
-            let p = PeerClient::new(w, &format!("end-{i}"), "zone", WIRE_VERSION);
-            w.spawn(p.serve(d, Arc::new(Echo)));
-            v.push(at);
+/// Starts `count` responders on loopback ports from 21,000 and returns the addresses that could be
+/// bound.
+async fn start_responders(runtime: &Runtime, count: usize) -> Vec<SocketAddr> {
+    let mut addresses = vec![];
+    for i in 0..count {
+        let address = SocketAddr::from(([127, 0, 0, 1], 21_000 + i as u16));
+        if let Ok(listener) = runtime.bind(address).await {
+            let peer = PeerClient::new(runtime, &format!("end-{i}"), "zone", WIRE_VERSION);
+            runtime.spawn(peer.serve(listener, Arc::new(FixedResponder)));
+            addresses.push(address);
         }
     }
-    v
+    addresses
 }
 
-/// Measures `Costs` on this machine, over loopback and with one thread.
+/// Measures [`Costs`] on this machine, over loopback and with one thread.
 pub fn measure() -> Costs {
-    let w = OsRuntime::start(".", 1);
+    let runtime = OsRuntime::start(".", 1);
     smol::block_on(async {
-        let to = ends(&w, 200).await;
-        let me = PeerClient::new(&w, "probe", "zone", WIRE_VERSION);
-        let a = PeerRequest::ProbeOnBehalf {
+        let targets = start_responders(&runtime, 200).await;
+        let client = PeerClient::new(&runtime, "probe", "zone", WIRE_VERSION);
+        let request = PeerRequest::ProbeOnBehalf {
             target: SocketAddr::from(([127, 0, 0, 1], 1)),
         };
-        let before = resident();
-        for t in &to {
-            let _ = me.request(*t, &a, &[], SEC).await;
+        let resident_before = resident_kb();
+        for target in &targets {
+            let _ = client.request(*target, &request, &[], SEC).await;
         }
-        let links = (resident() - before) / to.len().max(1) as f64 / 2.0;
-        let (k, t0) = (20_000, used());
-        for i in 0..k {
-            let _ = me.request(to[i % to.len().max(1)], &a, &[], SEC).await;
+        // Both ends of each link are in this process.
+        let link_kb = (resident_kb() - resident_before) / targets.len().max(1) as f64 / 2.0;
+        let (rounds, cpu_before) = (20_000, process_cpu_us());
+        for i in 0..rounds {
+            let _ = client
+                .request(targets[i % targets.len().max(1)], &request, &[], SEC)
+                .await;
         }
-        // A question and its answer, at both ends: four messages handled.
-        let message = (used() - t0) / k as f64 / 4.0;
+        // The request and the response are each handled at both ends: four messages per round.
+        let message_us = (process_cpu_us() - cpu_before) / rounds as f64 / 4.0;
         let names: Vec<String> = (0..410).map(|i| format!("front-{i:04}")).collect();
-        let (k, t0) = (4_000, used());
-        let mut sum = 0u64;
-        for _ in 0..k {
-            let s: String = names
+        let (rounds, cpu_before) = (4_000, process_cpu_us());
+        let mut combined_hash = 0u64;
+        for _ in 0..rounds {
+            let text: String = names
                 .iter()
-                .map(|n| format!("{n}{:?}", (459_776_000_000_000u64, 0u32, "Alive")))
+                .map(|name| format!("{name}{:?}", (459_776_000_000_000u64, 0u32, "Alive")))
                 .collect();
-            sum ^= yewcross_common::hash::rendezvous_weight(&s, "");
+            combined_hash ^= yewcross_common::hash::rendezvous_weight(&text, "");
         }
-        let digest = (used() - t0) / k as f64 / 410.0 + (sum & 1) as f64 * 1e-12;
+        // The hash enters the result so that the compiler cannot remove the loop.
+        let digest_us = (process_cpu_us() - cpu_before) / rounds as f64 / 410.0
+            + (combined_hash & 1) as f64 * 1e-12;
         let route = json!({"name": "r-b9wu3fe", "host": "tenant-01234.example", "prefix": "/pufi791/", "mode": "stream",
             "variants": [["model-07", 100]], "timeout_ms": 6000, "retained": true, "retain_ms": 3_600_000});
         let routes: Vec<Value> = (0..4000)
             .map(|i| {
-                let mut r = route.clone();
-                (r["name"], r["prefix"]) = (json!(format!("r-{i}")), json!(format!("/p{i}/")));
-                r
+                let mut numbered = route.clone();
+                (numbered["name"], numbered["prefix"]) =
+                    (json!(format!("r-{i}")), json!(format!("/p{i}/")));
+                numbered
             })
             .collect();
-        let t = serde_json::to_vec(
+        let text = serde_json::to_vec(
             &json!({"routing": {"routes": routes, "upstreams": [{"name": "model-07"}]}}),
         )
         .unwrap_or_default();
-        let (k, t0) = (40, used());
-        for _ in 0..k {
-            let _ = yewcross_common::configuration::Configuration::read(&t);
+        let (rounds, cpu_before) = (40, process_cpu_us());
+        for _ in 0..rounds {
+            let _ = yewcross_common::configuration::Configuration::read(&text);
         }
-        let parse = (used() - t0) / k as f64 / (t.len() as f64 / 1000.0);
+        let parse_us =
+            (process_cpu_us() - cpu_before) / rounds as f64 / (text.len() as f64 / 1000.0);
         Costs {
-            message_us: message,
-            digest_us_node: digest,
-            parse_us_kb: parse,
-            link_kb: links.max(0.0),
+            message_us,
+            digest_us_node: digest_us,
+            parse_us_kb: parse_us,
+            link_kb: link_kb.max(0.0),
         }
     })
 }
--- a/yewcross-capacity/src/capacity/mod.rs
+++ b/yewcross-capacity/src/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! What each mechanism costs at a given size, worked out from its own arithmetic, and the size at
-//! which it breaks.
+//! The cost model: computes what each mechanism costs a node at a given size of the tier, and up to
+//! which size it stays within its limits.
 //!
-//! Sizes of messages are those of real ones, put together here; intervals are the daemons' own
-//! constants; what a message costs in processor time is measured (`measure`).
+//! Message sizes are those of real messages, which are constructed here; intervals are the
+//! constants that the daemons use; the processor time of a message is measured (see [`measure`]).
 
 mod balancing;
 mod configuration;
@@ -15,9 +15,9 @@
 mod state;
 mod table;
 
-pub use cost::{Cost, Held, Mechanism, Stand};
-pub use inputs::{Costs, Day, GIVEN, Inputs, Limits, Ours, Size};
+pub use cost::{Cost, DesignStatus, LimitSet, Mechanism};
+pub use inputs::{Costs, DEFAULT_INPUTS, DailyEvents, DesignParameters, Inputs, Limits, Size};
 pub use measure::measure;
 pub use mechanisms::MECHANISMS;
-pub use messages::Messages;
-pub use table::{Line, passes, sum, table, text};
+pub use messages::MessageSizes;
+pub use table::{TableRow, control_total, cost_table, exceeded_limits, format_table};
--- a/yewcross-capacity/src/capacity/table.rs
+++ b/yewcross-capacity/src/capacity/table.rs
@@ -1,170 +1,191 @@
-//! Holds each mechanism against its limits, and finds the size at which it breaks.
+//! Compares the cost of each mechanism with its limits, and finds the largest size that fits.
 
-use crate::capacity::cost::{Cost, Held, Mechanism, Stand};
+use crate::capacity::cost::{Cost, DesignStatus, LimitSet, Mechanism};
 use crate::capacity::inputs::Inputs;
 use crate::capacity::mechanisms::MECHANISMS;
-use crate::capacity::messages::Messages;
+use crate::capacity::messages::MessageSizes;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// A mechanism at one size.
+/// The cost of a mechanism at one size.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
-    /// As the table names it.
+pub struct TableRow {
+    /// Name of the mechanism.
     pub name: &'static str,
-    /// Where it stands in the design.
-    pub stand: Stand,
-    /// What it is held to.
-    pub held: Held,
-    /// What it costs at the given size.
+    /// Its status in the design.
+    #[serde(rename = "stand")]
+    pub status: DesignStatus,
+    /// The limits that apply to it.
+    #[serde(rename = "held")]
+    pub limit_set: LimitSet,
+    /// Its cost at the given size.
     pub cost: Cost,
-    /// What is passed, in words; empty where it fits.
+    /// Descriptions of the exceeded limits; empty if it is within all of them.
     pub passes: Vec<String>,
-    /// Up to which part of the given size it fits; where a machine's own load counts, of the load
-    /// on the same machines.
-    pub up_to: f64,
+    /// The largest factor at which it is within its limits: for limits of control, a factor of the
+    /// given size; for limits of a machine, a factor of the load on the same machines.
+    #[serde(rename = "up_to")]
+    pub max_factor: f64,
 }
 
-/// Everything of the next design that control has to do, as if one node bore all of it.
-pub fn sum(lines: &[Line]) -> Cost {
-    let of = |f: fn(&Cost) -> f64| {
-        let mine =
-            |l: &&Line| l.held == Held::Control && [Stand::Kept, Stand::Next].contains(&l.stand);
-        lines.iter().filter(mine).map(|l| f(&l.cost)).sum::<f64>()
+/// The total cost of the control mechanisms that are kept or planned, as if one node had the
+/// highest cost of each.
+pub fn control_total(rows: &[TableRow]) -> Cost {
+    let total = |field: fn(&Cost) -> f64| {
+        let included = |row: &&TableRow| {
+            row.limit_set == LimitSet::Control
+                && [DesignStatus::Kept, DesignStatus::Next].contains(&row.status)
+        };
+        rows.iter()
+            .filter(included)
+            .map(|row| field(&row.cost))
+            .sum::<f64>()
     };
     Cost {
-        messages_s: of(|c| c.messages_s),
-        bytes_s: of(|c| c.bytes_s),
-        memory_mb: of(|c| c.memory_mb),
-        core_pct: of(|c| c.core_pct),
+        messages_s: total(|cost| cost.messages_s),
+        bytes_s: total(|cost| cost.bytes_s),
+        memory_mb: total(|cost| cost.memory_mb),
+        core_pct: total(|cost| cost.core_pct),
         ..Default::default()
     }
 }
 
-/// What a cost passes, in words.
-pub fn passes(i: &Inputs, held: Held, c: &Cost) -> Vec<String> {
-    let mut v: Vec<String> = c.wrong.iter().cloned().collect();
-    let mut over = |what: &str, got: f64, max: f64| {
-        if got > max {
-            v.push(format!("{what} {:.1} times", got / max));
+/// Descriptions of the limits that a cost exceeds, each with the ratio of cost and limit.
+pub fn exceeded_limits(inputs: &Inputs, limit_set: LimitSet, cost: &Cost) -> Vec<String> {
+    let mut exceeded: Vec<String> = cost.violation.iter().cloned().collect();
+    let mut check = |resource: &str, value: f64, limit: f64| {
+        if value > limit {
+            exceeded.push(format!("{resource} {:.1} times", value / limit));
         }
     };
-    match held {
-        Held::Control => {
-            over("core", c.core_pct, i.limits.core_pct);
-            over("memory", c.memory_mb, i.limits.memory_mb);
-            over("bytes", c.bytes_s, i.limits.bytes_s);
-            over("time", c.recovery_s, i.limits.in_force_s);
+    match limit_set {
+        LimitSet::Control => {
+            check("core", cost.core_pct, inputs.limits.core_pct);
+            check("memory", cost.memory_mb, inputs.limits.memory_mb);
+            check("bytes", cost.bytes_s, inputs.limits.bytes_s);
+            check("time", cost.recovery_s, inputs.limits.in_force_s);
         }
-        Held::Store => {
-            over("memory", c.memory_mb, i.ours.store_memory_mb);
-            over("link", c.bytes_s, i.ours.link_bytes_s);
-            over("syncs", c.syncs_s, 1000.0 / i.ours.sync_ms);
+        LimitSet::Store => {
+            check("memory", cost.memory_mb, inputs.design.store_memory_mb);
+            check("link", cost.bytes_s, inputs.design.link_bytes_s);
+            check("syncs", cost.syncs_s, 1000.0 / inputs.design.sync_ms);
         }
-        Held::Front => {
-            over("memory", c.memory_mb, i.limits.memory_mb);
-            over("link", c.bytes_s, i.ours.link_bytes_s);
+        LimitSet::Front => {
+            check("memory", cost.memory_mb, inputs.limits.memory_mb);
+            check("link", cost.bytes_s, inputs.design.link_bytes_s);
         }
-        // Half of a link at most goes to replicas.
-        Held::Server => over("half a link", c.bytes_s, i.ours.server_link_bytes_s / 2.0),
+        // Replicas of KV caches may use at most half of a server's link.
+        LimitSet::Server => check(
+            "half a link",
+            cost.bytes_s,
+            inputs.design.server_link_bytes_s / 2.0,
+        ),
     }
-    v
+    exceeded
 }
 
-/// The largest part of the given size that fits, up to 64 times it.
-pub(super) fn up_to(i: &Inputs, msg: &Messages, m: &Mechanism) -> f64 {
-    let fits = |x: f64| {
-        let j = if m.held == Held::Control {
-            i.times(x)
+/// The largest factor of the given size or load at which the mechanism is within its limits, at
+/// most 64.
+pub(super) fn max_factor(inputs: &Inputs, sizes: &MessageSizes, mechanism: &Mechanism) -> f64 {
+    let fits = |factor: f64| {
+        let scaled = if mechanism.limit_set == LimitSet::Control {
+            inputs.scaled(factor)
         } else {
-            i.load(x)
+            inputs.with_scaled_load(factor)
         };
-        passes(&j, m.held, &(m.cost)(&j, msg)).is_empty()
+        exceeded_limits(
+            &scaled,
+            mechanism.limit_set,
+            &(mechanism.cost)(&scaled, sizes),
+        )
+        .is_empty()
     };
-    let (mut lo, mut hi) = (0.0, 64.0);
-    if fits(hi) {
-        return hi;
+    let (mut low, mut high) = (0.0, 64.0);
+    if fits(high) {
+        return high;
     }
     (0..60).for_each(|_| {
-        let x = (lo + hi) / 2.0;
-        *(if fits(x) { &mut lo } else { &mut hi }) = x;
+        let middle = (low + high) / 2.0;
+        *(if fits(middle) { &mut low } else { &mut high }) = middle;
     });
-    lo
+    low
 }
 
-/// Every mechanism at the given size.
-pub fn table(i: &Inputs) -> Vec<Line> {
-    let msg = Messages::now();
-    let line = |m: &Mechanism| {
-        let cost = (m.cost)(i, &msg);
-        let x = up_to(i, &msg, m);
-        Line {
-            name: m.name,
-            stand: m.stand,
-            held: m.held,
-            passes: passes(i, m.held, &cost),
+/// Computes the rows of all mechanisms at the given size.
+pub fn cost_table(inputs: &Inputs) -> Vec<TableRow> {
+    let sizes = MessageSizes::compute();
+    let row = |mechanism: &Mechanism| {
+        let cost = (mechanism.cost)(inputs, &sizes);
+        let factor = max_factor(inputs, &sizes, mechanism);
+        TableRow {
+            name: mechanism.name,
+            status: mechanism.status,
+            limit_set: mechanism.limit_set,
+            passes: exceeded_limits(inputs, mechanism.limit_set, &cost),
             cost,
-            up_to: x,
+            max_factor: factor,
         }
     };
-    MECHANISMS.iter().map(line).collect()
+    MECHANISMS.iter().map(row).collect()
 }
 
-pub(super) fn short(x: f64) -> String {
-    match x {
+/// Formats a value with a decimal prefix; `-` for 0.
+pub(super) fn format_value(value: f64) -> String {
+    match value {
         0.0 => "-".into(),
-        x if x >= 1e9 => format!("{:.1} G", x / 1e9),
-        x if x >= 1e6 => format!("{:.1} M", x / 1e6),
-        x if x >= 1e4 => format!("{:.0} k", x / 1e3),
-        x if x >= 100.0 => format!("{x:.0}"),
-        x if x >= 1.0 => format!("{x:.1}"),
-        x => format!("{x:.3}"),
+        value if value >= 1e9 => format!("{:.1} G", value / 1e9),
+        value if value >= 1e6 => format!("{:.1} M", value / 1e6),
+        value if value >= 1e4 => format!("{:.0} k", value / 1e3),
+        value if value >= 100.0 => format!("{value:.0}"),
+        value if value >= 1.0 => format!("{value:.1}"),
+        value => format!("{value:.3}"),
     }
 }
 
-/// The page's table: per node, bytes in and out.
-pub fn text(lines: &[Line]) -> String {
-    let mut s = String::new();
-    let mut say = |l: String| writeln!(s, "{l}").unwrap_or_default();
-    say(
+/// The table as Markdown: costs per node, bytes sent and received. `docs/CAPACITY.md` contains
+/// these lines.
+pub fn format_table(rows: &[TableRow]) -> String {
+    let mut output = String::new();
+    let mut write_line = |line: String| writeln!(output, "{line}").unwrap_or_default();
+    write_line(
         "| mechanism | | messages/s | bytes/s | MB | % core | syncs/s | s | fits up to | passes |"
             .into(),
     );
-    say("|---|---|---|---|---|---|---|---|---|---|".into());
-    let cells = |c: &Cost| {
+    write_line("|---|---|---|---|---|---|---|---|---|---|".into());
+    let cells = |cost: &Cost| {
         [
-            c.messages_s,
-            c.bytes_s,
-            c.memory_mb,
-            c.core_pct,
-            c.syncs_s,
-            c.recovery_s,
+            cost.messages_s,
+            cost.bytes_s,
+            cost.memory_mb,
+            cost.core_pct,
+            cost.syncs_s,
+            cost.recovery_s,
         ]
-        .map(short)
+        .map(format_value)
         .join(" | ")
     };
-    lines.iter().for_each(|l| {
-        let stand = format!("{:?}", l.stand).to_lowercase();
-        let to = match l.up_to {
-            x if x >= 64.0 => "64 x".to_string(),
-            x if x < 0.0005 => "no size".to_string(),
-            x if x < 0.1 => format!("{x:.3} x"),
-            x => format!("{x:.2} x"),
+    rows.iter().for_each(|row| {
+        let status = format!("{:?}", row.status).to_lowercase();
+        let max_factor = match row.max_factor {
+            factor if factor >= 64.0 => "64 x".to_string(),
+            factor if factor < 0.0005 => "no size".to_string(),
+            factor if factor < 0.1 => format!("{factor:.3} x"),
+            factor => format!("{factor:.2} x"),
         };
-        let bad = if l.passes.is_empty() {
+        let exceeded = if row.passes.is_empty() {
             "fits".into()
         } else {
-            l.passes.join("; ")
+            row.passes.join("; ")
         };
-        say(format!(
-            "| {} | {stand} | {} | {to} | {bad} |",
-            l.name,
-            cells(&l.cost)
+        write_line(format!(
+            "| {} | {status} | {} | {max_factor} | {exceeded} |",
+            row.name,
+            cells(&row.cost)
         ));
     });
-    say(format!(
+    write_line(format!(
         "| all of control that is kept or next, on one node | | {} | | |",
-        cells(&sum(lines))
+        cells(&control_total(rows))
     ));
-    s
+    output
 }
--- a/yewcross-capacity/src/lib.rs
+++ b/yewcross-capacity/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a change would move. Every rule is the daemons' own: settings, copies, spill targets, home
-//! nodes.
+//! Computes what a change of the configuration or of machines would move, without making it. Rules
+//! for settings, replicas, spill targets and designated fronts are those that the daemons use.
 
 #![deny(missing_docs)]
 
@@ -22,66 +22,74 @@
 use yewcross_proxy::scoring::{self, HomeServer, ScoreWeights};
 use yewcross_proxy::server_table::{Server, designated_front};
 
-/// Why the tier's state could not be read.
+/// The reason why the state of the tier could not be read.
 #[derive(Debug, Snafu)]
-pub enum Fault {
-    /// A file that cannot be read, or holds something else.
-    #[snafu(display("{path}: {why}"))]
+pub enum CheckpointError {
+    /// A file that cannot be read or does not contain a checkpoint.
+    #[snafu(display("{path}: {reason}"))]
     #[allow(missing_docs)]
-    File { path: String, why: String },
-    /// A machine that did not answer as it should.
-    #[snafu(display("{at}: {why}"))]
+    File { path: String, reason: String },
+    /// A node that did not respond, or whose response is invalid.
+    #[snafu(display("{address}: {reason}"))]
     #[allow(missing_docs)]
-    Live { at: SocketAddr, why: String },
+    Node { address: SocketAddr, reason: String },
 }
 
+/// The response of a control node to `/v1/checkpoint`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Part {
+struct NodeCheckpoint {
     disk: String,
     name: String,
     damaged: u64,
-    held: Vec<CheckpointKey>,
+    #[serde(rename = "held")]
+    keys: Vec<CheckpointKey>,
     nodes: Vec<Node>,
     versions: Vec<(String, u64)>,
     config: String,
     layout: String,
     list: String,
-    duties: Vec<(String, Option<String>)>,
+    #[serde(rename = "duties")]
+    singleton_tasks: Vec<(String, Option<String>)>,
 }
 
-/// The tier at a moment, as its machines told it.
+/// The state of the tier at one time, as its nodes reported it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Checkpoint {
     /// Version of the configuration.
-    pub config_seq: u64,
-    /// Its text.
+    #[serde(rename = "config_seq")]
+    pub config_version: u64,
+    /// Text of the configuration.
     pub config: String,
     /// Version of the layout.
-    pub layout_seq: u64,
-    /// Which disks hold which seats.
+    #[serde(rename = "layout_seq")]
+    pub layout_version: u64,
+    /// The disks of each replica group.
     pub layout: Layout,
-    /// The platform's list of servers.
+    /// The platform's server list.
     pub list: ServerList,
-    /// The members.
+    /// The members of the tier.
     pub nodes: Vec<Node>,
-    /// Servers by service, as a front sees them.
+    /// Servers by service, as reported by the first front that responded.
     pub servers: BTreeMap<String, Vec<Server>>,
-    /// Duties, and who holds each.
-    pub duties: Vec<(String, Option<String>)>,
-    /// Keys by the disk that holds them.
-    pub held: BTreeMap<String, Vec<CheckpointKey>>,
-    /// Machines that did not answer.
-    pub silent: Vec<String>,
+    /// Singleton tasks with the current holder of each.
+    #[serde(rename = "duties")]
+    pub singleton_tasks: Vec<(String, Option<String>)>,
+    /// Stored keys by disk.
+    #[serde(rename = "held")]
+    pub keys_by_disk: BTreeMap<String, Vec<CheckpointKey>>,
+    /// Names of the nodes that did not respond.
+    #[serde(rename = "silent")]
+    pub unreachable_nodes: Vec<String>,
 }
 
-async fn get<T: for<'a> Deserialize<'a>>(
+async fn fetch_json<T: for<'a> Deserialize<'a>>(
     runtime: &Runtime,
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
-) -> Result<T, Fault> {
-    let r = fetch(
+) -> Result<T, CheckpointError> {
+    let response = fetch(
         runtime,
-        at,
+        address,
         http_types::Method::Get,
         path,
         &[],
@@ -89,530 +97,667 @@
         5 * SEC,
     )
     .await;
-    let (s, _, b) = r.map_err(|e| Fault::Live {
-        at,
-        why: e.to_string(),
+    let (status, _, body) = response.map_err(|e| CheckpointError::Node {
+        address,
+        reason: e.to_string(),
     })?;
-    let bad = |why: String| Fault::Live { at, why };
-    if s != 200 {
-        return Err(bad(format!("{path} answered {s}")));
+    let node_error = |reason: String| CheckpointError::Node { address, reason };
+    if status != 200 {
+        return Err(node_error(format!("{path} answered {status}")));
     }
-    serde_json::from_slice(&b).map_err(|e| bad(format!("{path}: {e}")))
+    serde_json::from_slice(&body).map_err(|e| node_error(format!("{path}: {e}")))
 }
 
-/// Asks a core, and through it every machine that it knows.
-pub async fn take(runtime: &Runtime, core: SocketAddr) -> Result<Checkpoint, Fault> {
-    let first: Part = get(runtime, core, "/v1/checkpoint").await?;
-    let seq = |d: &str| {
-        first
+/// Reads the state of the tier from a core and from all members that it lists.
+pub async fn take_checkpoint(
+    runtime: &Runtime,
+    core: SocketAddr,
+) -> Result<Checkpoint, CheckpointError> {
+    let from_core: NodeCheckpoint = fetch_json(runtime, core, "/v1/checkpoint").await?;
+    let version_of = |document: &str| {
+        from_core
             .versions
             .iter()
-            .find(|v| v.0 == d)
-            .map(|v| v.1)
+            .find(|entry| entry.0 == document)
+            .map(|entry| entry.1)
             .unwrap_or(0)
     };
-    let bad = |e: serde_json::Error| Fault::Live {
-        at: core,
-        why: e.to_string(),
+    let invalid_json = |e: serde_json::Error| CheckpointError::Node {
+        address: core,
+        reason: e.to_string(),
     };
-    let doc: ConfigDoc = serde_json::from_str(&first.config).map_err(bad)?;
-    let mut c = Checkpoint {
-        config_seq: seq("config"),
-        config: doc.text,
-        layout_seq: seq("layout"),
-        layout: serde_json::from_str(&first.layout).map_err(bad)?,
-        list: serde_json::from_str(&first.list).unwrap_or_default(),
-        nodes: first.nodes.clone(),
-        duties: first.duties.clone(),
+    let config_doc: ConfigDoc = serde_json::from_str(&from_core.config).map_err(invalid_json)?;
+    let mut checkpoint = Checkpoint {
+        config_version: version_of("config"),
+        config: config_doc.text,
+        layout_version: version_of("layout"),
+        layout: serde_json::from_str(&from_core.layout).map_err(invalid_json)?,
+        list: serde_json::from_str(&from_core.list).unwrap_or_default(),
+        nodes: from_core.nodes.clone(),
+        singleton_tasks: from_core.singleton_tasks.clone(),
         ..Default::default()
     };
-    for n in &first.nodes {
-        if n.role == Role::Front {
-            if c.servers.is_empty() {
-                c.servers = get(runtime, n.http, "/v1/servers")
+    for node in &from_core.nodes {
+        if node.role == Role::Front {
+            if checkpoint.servers.is_empty() {
+                checkpoint.servers = fetch_json(runtime, node.http, "/v1/servers")
                     .await
                     .unwrap_or_default();
             }
             continue;
         }
-        match get::<Part>(runtime, n.http, "/v1/checkpoint").await {
-            Ok(p) => {
-                c.held.insert(p.disk, p.held);
+        match fetch_json::<NodeCheckpoint>(runtime, node.http, "/v1/checkpoint").await {
+            Ok(from_node) => {
+                checkpoint
+                    .keys_by_disk
+                    .insert(from_node.disk, from_node.keys);
             }
-            Err(_) => c.silent.push(n.name.clone()),
+            Err(_) => checkpoint.unreachable_nodes.push(node.name.clone()),
         }
     }
-    Ok(c)
+    Ok(checkpoint)
 }
 
-/// Reads a checkpoint that was saved before.
-pub fn load(path: &str) -> Result<Checkpoint, Fault> {
-    let bad = |why: String| Fault::File {
+/// Reads a saved checkpoint from a file.
+pub fn load_checkpoint(path: &str) -> Result<Checkpoint, CheckpointError> {
+    let file_error = |reason: String| CheckpointError::File {
         path: path.into(),
-        why,
+        reason,
     };
-    let b = std::fs::read(path).map_err(|e| bad(e.to_string()))?;
-    serde_json::from_slice(&b).map_err(|e| bad(e.to_string()))
+    let content = std::fs::read(path).map_err(|e| file_error(e.to_string()))?;
+    serde_json::from_slice(&content).map_err(|e| file_error(e.to_string()))
 }
 
-/// A change whose effect is to be shown.
+/// A change whose effects are to be computed.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// This configuration is put.
+    /// The configuration is replaced by this one (JSON).
     Config(String),
-    /// Disks are admitted, emptied or replaced.
+    /// A disk is added, removed or replaced.
     Disks(DiskChange),
-    /// A machine or server goes away without notice.
-    Without(String),
+    /// The machine or server of this name fails.
+    Failure(String),
 }
 
-/// A setting that a configuration changes.
+/// A setting of a program class that a new configuration changes.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Setting {
-    /// The program whose setting it is.
-    pub family: String,
-    /// Its name.
+pub struct ChangedSetting {
+    /// Name of the program class.
+    #[serde(rename = "family")]
+    pub program_class: String,
+    /// Name of the setting.
     pub key: String,
-    /// Its value before.
-    pub was: serde_json::Value,
-    /// Its value after.
-    pub is: serde_json::Value,
-    /// The part of the configuration that the new value comes from.
-    pub from: String,
+    /// Its value under the current configuration.
+    #[serde(rename = "was")]
+    pub before: serde_json::Value,
+    /// Its value under the new configuration.
+    #[serde(rename = "is")]
+    pub after: serde_json::Value,
+    /// The part of the new configuration that sets the value.
+    #[serde(rename = "from")]
+    pub origin: String,
 }
 
-/// Something that changes its place.
+/// A session, singleton task or service that is assigned to another server or node.
 #[derive(Clone, Debug, Serialize, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moved {
-    /// The session, duty or service.
-    pub what: String,
-    /// Where it was.
-    pub was: String,
-    /// Where it will be.
-    pub is: String,
+pub struct Reassignment {
+    /// The session, singleton task or service.
+    #[serde(rename = "what")]
+    pub subject: String,
+    /// The server or node before the change.
+    #[serde(rename = "was")]
+    pub before: String,
+    /// The server or node after the change.
+    #[serde(rename = "is")]
+    pub after: String,
 }
 
-/// A copy of a key that is to be made.
+/// A replica of a key that is to be copied to a disk.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
-pub struct Copying {
+pub struct PlannedCopy {
     /// The key that is copied.
     pub key: String,
-    /// The disk that gets it.
-    pub to: String,
-    /// Its size.
+    /// The disk that it is copied to.
+    #[serde(rename = "to")]
+    pub target_disk: String,
+    /// Size of the value in bytes.
     pub bytes: u64,
-    /// No disk of the same site holds it yet.
-    pub across: bool,
+    /// True if no disk of the same site has a replica yet.
+    #[serde(rename = "across")]
+    pub between_sites: bool,
 }
 
-/// All that a change would move.
+/// All effects of a change.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Plan {
-    /// Why the change would be refused; then nothing else is filled.
-    pub refused: Vec<InvalidSetting>,
-    /// Settings that change.
-    pub settings: Vec<Setting>,
-    /// Programs whose turns would be refused.
-    pub families_gone: Vec<String>,
-    /// Programs that are added.
-    pub families_new: Vec<String>,
-    /// Sessions whose home may no longer take their turns; `is` names the replica they can resume
-    /// from.
-    pub homes: Vec<Moved>,
+    /// The reasons why the change would be rejected. A configuration or layout that is invalid has
+    /// no other effects.
+    #[serde(rename = "refused")]
+    pub rejections: Vec<InvalidSetting>,
+    /// Settings of program classes that change.
+    #[serde(rename = "settings")]
+    pub changed_settings: Vec<ChangedSetting>,
+    /// Program classes that are removed; turns of their programs would be rejected.
+    #[serde(rename = "families_gone")]
+    pub removed_classes: Vec<String>,
+    /// Program classes that are added.
+    #[serde(rename = "families_new")]
+    pub added_classes: Vec<String>,
+    /// Sessions whose home server may no longer run their turns; `after` is the server of the
+    /// replica that they can resume from, or `cold`.
+    #[serde(rename = "homes")]
+    pub home_changes: Vec<Reassignment>,
     /// Sessions whose spill target changes.
-    pub spills: Vec<Moved>,
-    /// Duties that change their holder.
-    pub duties: Vec<Moved>,
-    /// Fronts that take over polling a service's servers in a site.
-    pub news: Vec<Moved>,
-    /// How many keys change their usual owner.
-    pub owners: u64,
-    /// ReplicaSet to be made.
-    pub copies: Vec<Copying>,
+    #[serde(rename = "spills")]
+    pub spill_target_changes: Vec<Reassignment>,
+    /// Singleton tasks that get another holder.
+    #[serde(rename = "duties")]
+    pub singleton_task_changes: Vec<Reassignment>,
+    /// Services and sites whose servers are polled by another front.
+    #[serde(rename = "news")]
+    pub designated_front_changes: Vec<Reassignment>,
+    /// Number of keys whose preferred owner changes.
+    #[serde(rename = "owners")]
+    pub owner_changes: u64,
+    /// Replicas that are to be copied.
+    pub copies: Vec<PlannedCopy>,
     /// Bytes copied within sites.
-    pub bytes_within: u64,
+    #[serde(rename = "bytes_within")]
+    pub bytes_within_sites: u64,
     /// Bytes copied between sites.
-    pub bytes_across: u64,
-    /// Bytes of KV caches to be pushed to new spill targets.
-    pub replica_bytes: u64,
-    /// Machines that did not answer.
-    pub silent: Vec<String>,
+    #[serde(rename = "bytes_across")]
+    pub bytes_between_sites: u64,
+    /// Bytes of KV caches that are to be pushed to new spill targets.
+    #[serde(rename = "replica_bytes")]
+    pub kv_replica_bytes: u64,
+    /// Names of the nodes that did not respond; the keys that they store are not counted.
+    #[serde(rename = "silent")]
+    pub unreachable_nodes: Vec<String>,
 }
 
-fn sessions(c: &Checkpoint) -> BTreeMap<String, SessionCacheState> {
-    let mut top: BTreeMap<String, (u64, SessionCacheState)> = BTreeMap::new();
-    c.held.values().flatten().for_each(|h| {
-        if let Some(kv) = &h.kv {
-            let e = top.entry(h.key.clone()).or_default();
-            if h.seq >= e.0 {
-                *e = (h.seq, kv.clone());
+/// The cache states of all sessions, from the newest version of each key.
+fn session_cache_states(checkpoint: &Checkpoint) -> BTreeMap<String, SessionCacheState> {
+    let mut newest: BTreeMap<String, (u64, SessionCacheState)> = BTreeMap::new();
+    checkpoint
+        .keys_by_disk
+        .values()
+        .flatten()
+        .for_each(|stored| {
+            if let Some(cache_state) = &stored.kv {
+                let entry = newest.entry(stored.key.clone()).or_default();
+                if stored.seq >= entry.0 {
+                    *entry = (stored.seq, cache_state.clone());
+                }
             }
-        }
-    });
-    top.into_iter().map(|(k, v)| (k, v.1)).collect()
+        });
+    newest
+        .into_iter()
+        .map(|(key, entry)| (key, entry.1))
+        .collect()
 }
 
-fn spill(
-    fam: &ProgramClass,
+/// The spill target of a session; `None` if its cache is not replicated.
+fn session_spill_target(
+    class: &ProgramClass,
     servers: &[Server],
     key: &str,
-    kv: &SessionCacheState,
+    cache_state: &SessionCacheState,
 ) -> Option<String> {
-    let home = kv.home.as_ref()?;
-    let at = servers.iter().find(|s| s.listed.server == home.server)?;
-    let h = HomeServer {
+    let home = cache_state.home.as_ref()?;
+    let server = servers
+        .iter()
+        .find(|server| server.listed.server == home.server)?;
+    let home_server = HomeServer {
         server: home.server.clone(),
-        site: at.listed.site.clone(),
+        site: server.listed.site.clone(),
     };
-    (home.tokens >= fam.kv_min_tokens && fam.kv_share).then(|| {
-        scoring::spill_target(servers, key, &h, &ScoreWeights::from(fam))
-            .map(|s| s.listed.server.clone())
+    (home.tokens >= class.kv_min_tokens && class.kv_share).then(|| {
+        scoring::spill_target(servers, key, &home_server, &ScoreWeights::from(class))
+            .map(|target| target.listed.server.clone())
     })?
 }
 
-fn allowed(t: &Configuration, servers: &BTreeMap<String, Vec<Server>>, svc: &str) -> Vec<Server> {
-    let s = t.services.get(svc);
+/// The servers of a service that the configuration allows.
+fn allowed_servers(
+    config: &Configuration,
+    servers: &BTreeMap<String, Vec<Server>>,
+    service_name: &str,
+) -> Vec<Server> {
+    let service = config.services.get(service_name);
     servers
-        .get(svc)
+        .get(service_name)
         .into_iter()
         .flatten()
-        .filter(|x| s.is_some_and(|s| s.allows(&x.listed.server)))
+        .filter(|server| service.is_some_and(|service| service.allows(&server.listed.server)))
         .cloned()
         .collect()
 }
 
-/// What each session would meet under another tree or another set of servers.
-fn turns(
-    c: &Checkpoint,
-    p: &mut Plan,
-    was: (&Configuration, &BTreeMap<String, Vec<Server>>),
-    is: (&Configuration, &BTreeMap<String, Vec<Server>>),
+/// Compares the home server and the spill target of each session under two configurations or sets
+/// of servers.
+fn compare_sessions(
+    checkpoint: &Checkpoint,
+    plan: &mut Plan,
+    before: (&Configuration, &BTreeMap<String, Vec<Server>>),
+    after: (&Configuration, &BTreeMap<String, Vec<Server>>),
 ) {
-    for (key, kv) in sessions(c) {
-        let Some(f0) = key.split('/').nth(1).and_then(|n| was.0.families.get(n)) else {
+    for (key, cache_state) in session_cache_states(checkpoint) {
+        let Some(class_before) = key
+            .split('/')
+            .nth(1)
+            .and_then(|name| before.0.families.get(name))
+        else {
             continue;
         };
-        let f1 = key.split('/').nth(1).and_then(|n| is.0.families.get(n));
-        let v0 = allowed(was.0, was.1, &f0.settings.service);
-        let v1 = f1
-            .map(|f| allowed(is.0, is.1, &f.settings.service))
+        let class_after = key
+            .split('/')
+            .nth(1)
+            .and_then(|name| after.0.families.get(name));
+        let servers_before = allowed_servers(before.0, before.1, &class_before.settings.service);
+        let servers_after = class_after
+            .map(|class| allowed_servers(after.0, after.1, &class.settings.service))
             .unwrap_or_default();
-        let Some(home) = kv.home.clone() else {
+        let Some(home) = cache_state.home.clone() else {
             continue;
         };
-        let (had, has) = (
-            v0.iter().any(|s| s.listed.server == home.server),
-            v1.iter().any(|s| s.listed.server == home.server),
+        let (allowed_before, allowed_after) = (
+            servers_before
+                .iter()
+                .any(|server| server.listed.server == home.server),
+            servers_after
+                .iter()
+                .any(|server| server.listed.server == home.server),
         );
-        if had && !has {
-            let warm = kv.replica.as_ref().filter(|r| {
-                v1.iter()
-                    .any(|s| s.listed.server == r.server && s.report.instance == r.instance)
+        if allowed_before && !allowed_after {
+            let usable_replica = cache_state.replica.as_ref().filter(|replica| {
+                servers_after.iter().any(|server| {
+                    server.listed.server == replica.server
+                        && server.report.instance == replica.instance
+                })
             });
-            p.homes.push(Moved {
-                what: key.clone(),
-                was: home.server.clone(),
-                is: warm.map(|r| r.server.clone()).unwrap_or("cold".into()),
+            plan.home_changes.push(Reassignment {
+                subject: key.clone(),
+                before: home.server.clone(),
+                after: usable_replica
+                    .map(|replica| replica.server.clone())
+                    .unwrap_or("cold".into()),
             });
             continue;
         }
-        let s0 = spill(&f0.settings, &v0, &key, &kv);
-        let s1 = f1.and_then(|f| spill(&f.settings, &v1, &key, &kv));
-        if s0 != s1 {
-            p.replica_bytes += if s1.is_some() {
+        let target_before =
+            session_spill_target(&class_before.settings, &servers_before, &key, &cache_state);
+        let target_after = class_after.and_then(|class| {
+            session_spill_target(&class.settings, &servers_after, &key, &cache_state)
+        });
+        if target_before != target_after {
+            plan.kv_replica_bytes += if target_after.is_some() {
                 home.tokens * KV_TOKEN_BYTES
             } else {
                 0
             };
             let none = || "none".to_string();
-            p.spills.push(Moved {
-                what: key,
-                was: s0.unwrap_or_else(none),
-                is: s1.unwrap_or_else(none),
+            plan.spill_target_changes.push(Reassignment {
+                subject: key,
+                before: target_before.unwrap_or_else(none),
+                after: target_after.unwrap_or_else(none),
             });
         }
     }
 }
 
-fn changed(p: &mut Plan, a: &Configuration, b: &Configuration) {
-    for (n, f1) in &b.families {
-        let Some(f0) = a.families.get(n) else {
-            p.families_new.push(n.clone());
+/// Lists the program classes that are added, removed or changed.
+fn compare_program_classes(plan: &mut Plan, before: &Configuration, after: &Configuration) {
+    for (name, class_after) in &after.families {
+        let Some(class_before) = before.families.get(name) else {
+            plan.added_classes.push(name.clone());
             continue;
         };
-        let (x, y) = (
-            serde_json::to_value(&f0.settings).unwrap_or_default(),
-            serde_json::to_value(&f1.settings).unwrap_or_default(),
+        let (settings_before, settings_after) = (
+            serde_json::to_value(&class_before.settings).unwrap_or_default(),
+            serde_json::to_value(&class_after.settings).unwrap_or_default(),
         );
-        y.as_object()
+        settings_after
+            .as_object()
             .into_iter()
             .flatten()
-            .filter(|(k, v)| x[k.as_str()] != **v)
-            .for_each(|(k, v)| {
-                let from = f1.origins.get(k).cloned().unwrap_or_default();
-                p.settings.push(Setting {
-                    family: n.clone(),
-                    key: k.clone(),
-                    was: x[k.as_str()].clone(),
-                    is: v.clone(),
-                    from,
+            .filter(|(key, value)| settings_before[key.as_str()] != **value)
+            .for_each(|(key, value)| {
+                let origin = class_after.origins.get(key).cloned().unwrap_or_default();
+                plan.changed_settings.push(ChangedSetting {
+                    program_class: name.clone(),
+                    key: key.clone(),
+                    before: settings_before[key.as_str()].clone(),
+                    after: value.clone(),
+                    origin,
                 });
             });
     }
-    p.families_gone = a
+    plan.removed_classes = before
         .families
         .keys()
-        .filter(|n| !b.families.contains_key(*n))
+        .filter(|name| !after.families.contains_key(*name))
         .cloned()
         .collect();
 }
 
-fn disks(c: &Checkpoint, p: &mut Plan, m: &DiskChange) {
-    let of = |d: &str| c.nodes.iter().find(|n| n.disk == d || n.name == d).cloned();
-    let next = match propose(&c.layout, c.layout_seq, m, of) {
-        Err(why) => {
-            return p.refused.push(InvalidSetting {
+/// Adds the copies, owners and singleton tasks that a change of disks moves.
+fn plan_disk_change(checkpoint: &Checkpoint, plan: &mut Plan, change: &DiskChange) {
+    let find_node = |disk: &str| {
+        checkpoint
+            .nodes
+            .iter()
+            .find(|node| node.disk == disk || node.name == disk)
+            .cloned()
+    };
+    let next_layout = match propose(
+        &checkpoint.layout,
+        checkpoint.layout_version,
+        change,
+        find_node,
+    ) {
+        Err(reason) => {
+            return plan.rejections.push(InvalidSetting {
                 path: "layout".into(),
-                reason: why.to_string(),
+                reason: reason.to_string(),
             });
         }
         Ok(None) => return,
-        Ok(Some(n)) => n,
+        Ok(Some(layout)) => layout,
     };
-    let site = |d: &str| {
-        c.nodes
+    let site_of = |disk: &str| {
+        checkpoint
+            .nodes
             .iter()
-            .find(|n| n.disk == d)
-            .map(|n| n.site.clone())
+            .find(|node| node.disk == disk)
+            .map(|node| node.site.clone())
             .unwrap_or_default()
     };
-    let mut top: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-    c.held.values().flatten().for_each(|h| {
-        let e = top.entry(&h.key).or_default();
-        *e = (*e).max((h.seq, h.bytes));
-    });
-    for (key, (_, bytes)) in top {
-        let a = ReplicaSet::of(key, &c.layout, 0, |_| None).current;
-        let b = ReplicaSet::of(key, &next, 0, |_| None).current;
-        let owner = |v: &[yewcross_common::register::ReplicaLocation]| {
-            v.first().map(|s| s.disk.clone()).unwrap_or_default()
+    let mut newest: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
+    checkpoint
+        .keys_by_disk
+        .values()
+        .flatten()
+        .for_each(|stored| {
+            let entry = newest.entry(&stored.key).or_default();
+            *entry = (*entry).max((stored.seq, stored.bytes));
+        });
+    for (key, (_, bytes)) in newest {
+        let replicas_before = ReplicaSet::of(key, &checkpoint.layout, 0, |_| None).current;
+        let replicas_after = ReplicaSet::of(key, &next_layout, 0, |_| None).current;
+        let preferred_owner = |replicas: &[yewcross_common::register::ReplicaLocation]| {
+            replicas
+                .first()
+                .map(|replica| replica.disk.clone())
+                .unwrap_or_default()
         };
-        p.owners += (owner(&a) != owner(&b)) as u64;
-        b.iter().filter(|s| !a.contains(s)).for_each(|s| {
-            let across = !a.iter().any(|x| site(&x.disk) == site(&s.disk));
-            *(if across {
-                &mut p.bytes_across
-            } else {
-                &mut p.bytes_within
-            }) += bytes;
-            p.copies.push(Copying {
-                key: key.into(),
-                to: s.disk.clone(),
-                bytes,
-                across,
+        plan.owner_changes +=
+            (preferred_owner(&replicas_before) != preferred_owner(&replicas_after)) as u64;
+        replicas_after
+            .iter()
+            .filter(|replica| !replicas_before.contains(replica))
+            .for_each(|replica| {
+                let between_sites = !replicas_before
+                    .iter()
+                    .any(|source| site_of(&source.disk) == site_of(&replica.disk));
+                *(if between_sites {
+                    &mut plan.bytes_between_sites
+                } else {
+                    &mut plan.bytes_within_sites
+                }) += bytes;
+                plan.copies.push(PlannedCopy {
+                    key: key.into(),
+                    target_disk: replica.disk.clone(),
+                    bytes,
+                    between_sites,
+                });
             });
-        });
     }
-    let gone: BTreeSet<&String> = c
+    let removed_core_disks: BTreeSet<&String> = checkpoint
         .layout
         .core
         .current
         .iter()
-        .filter(|d| !next.core.current.contains(d))
+        .filter(|disk| !next_layout.core.current.contains(disk))
         .collect();
-    let cores: Vec<&Node> = c
+    let remaining_cores: Vec<&Node> = checkpoint
         .nodes
         .iter()
-        .filter(|n| n.role == Role::Core && next.core.current.contains(&n.disk))
+        .filter(|node| node.role == Role::Core && next_layout.core.current.contains(&node.disk))
         .collect();
-    let lost: BTreeSet<&str> = c
+    let removed_nodes: BTreeSet<&str> = checkpoint
         .nodes
         .iter()
-        .filter(|n| gone.contains(&n.disk))
-        .map(|n| n.name.as_str())
+        .filter(|node| removed_core_disks.contains(&node.disk))
+        .map(|node| node.name.as_str())
         .collect();
-    duties(c, p, &lost, &cores);
+    plan_singleton_tasks(checkpoint, plan, &removed_nodes, &remaining_cores);
 }
 
-fn duties(c: &Checkpoint, p: &mut Plan, lost: &BTreeSet<&str>, cores: &[&Node]) {
-    c.duties.iter().for_each(|(d, h)| {
-        let holder = h
-            .as_deref()
-            .and_then(|h| h.split('#').next())
-            .unwrap_or("none");
-        if lost.contains(holder) {
-            let next =
-                yewcross_common::hash::rank_by_weight(d, cores.iter().map(|n| n.name.as_str()))
-                    .first()
-                    .map(|s| s.to_string());
-            p.duties.push(Moved {
-                what: d.clone(),
-                was: holder.into(),
-                is: next.unwrap_or("none".into()),
-            });
-        }
-    });
+/// Adds the singleton tasks whose holder is removed, each with the remaining core that takes it
+/// over.
+fn plan_singleton_tasks(
+    checkpoint: &Checkpoint,
+    plan: &mut Plan,
+    removed_nodes: &BTreeSet<&str>,
+    remaining_cores: &[&Node],
+) {
+    checkpoint
+        .singleton_tasks
+        .iter()
+        .for_each(|(task, holder_instance)| {
+            let holder = holder_instance
+                .as_deref()
+                .and_then(|instance| instance.split('#').next())
+                .unwrap_or("none");
+            if removed_nodes.contains(holder) {
+                let next_holder = yewcross_common::hash::rank_by_weight(
+                    task,
+                    remaining_cores.iter().map(|node| node.name.as_str()),
+                )
+                .first()
+                .map(|name| name.to_string());
+                plan.singleton_task_changes.push(Reassignment {
+                    subject: task.clone(),
+                    before: holder.into(),
+                    after: next_holder.unwrap_or("none".into()),
+                });
+            }
+        });
 }
 
-fn without(c: &Checkpoint, p: &mut Plan, t: &Configuration, gone: &str) {
-    let known = c.nodes.iter().any(|n| n.name == gone)
-        || c.servers
+/// Adds what the failure of a machine or server moves.
+fn plan_failure(checkpoint: &Checkpoint, plan: &mut Plan, config: &Configuration, failed: &str) {
+    let exists = checkpoint.nodes.iter().any(|node| node.name == failed)
+        || checkpoint
+            .servers
             .values()
             .flatten()
-            .any(|s| s.listed.server == gone);
-    if !known {
-        return p.refused.push(InvalidSetting {
-            path: gone.into(),
+            .any(|server| server.listed.server == failed);
+    if !exists {
+        return plan.rejections.push(InvalidSetting {
+            path: failed.into(),
             reason: "no machine or server of this name".into(),
         });
     }
-    let left: BTreeMap<String, Vec<Server>> = c
+    let remaining_servers: BTreeMap<String, Vec<Server>> = checkpoint
         .servers
         .iter()
-        .map(|(k, v)| {
+        .map(|(service, servers)| {
             (
-                k.clone(),
-                v.iter()
-                    .filter(|s| s.listed.server != gone)
+                service.clone(),
+                servers
+                    .iter()
+                    .filter(|server| server.listed.server != failed)
                     .cloned()
                     .collect(),
             )
         })
         .collect();
-    turns(c, p, (t, &c.servers), (t, &left));
-    let fronts = |skip: &str| {
-        c.nodes
+    compare_sessions(
+        checkpoint,
+        plan,
+        (config, &checkpoint.servers),
+        (config, &remaining_servers),
+    );
+    let fronts_without = |excluded: &str| {
+        checkpoint
+            .nodes
             .iter()
-            .filter(|n| n.role == Role::Front && n.name != skip)
+            .filter(|node| node.role == Role::Front && node.name != excluded)
             .cloned()
             .collect::<Vec<_>>()
     };
-    let (all, rest) = (fronts(""), fronts(gone));
-    let sites: BTreeSet<&str> = c.list.servers.iter().map(|s| s.site.as_str()).collect();
-    t.services.keys().for_each(|svc| {
-        sites.iter().for_each(|z| {
-            let (a, b) = (
-                designated_front(&all, svc, z),
-                designated_front(&rest, svc, z),
+    let (all_fronts, remaining_fronts) = (fronts_without(""), fronts_without(failed));
+    let sites: BTreeSet<&str> = checkpoint
+        .list
+        .servers
+        .iter()
+        .map(|server| server.site.as_str())
+        .collect();
+    config.services.keys().for_each(|service| {
+        sites.iter().for_each(|site| {
+            let (front_before, front_after) = (
+                designated_front(&all_fronts, service, site),
+                designated_front(&remaining_fronts, service, site),
             );
-            if a != b {
+            if front_before != front_after {
                 let none = || "none".to_string();
-                p.news.push(Moved {
-                    what: format!("{svc} in {z}"),
-                    was: a.unwrap_or_else(none),
-                    is: b.unwrap_or_else(none),
+                plan.designated_front_changes.push(Reassignment {
+                    subject: format!("{service} in {site}"),
+                    before: front_before.unwrap_or_else(none),
+                    after: front_after.unwrap_or_else(none),
                 });
             }
         })
     });
-    let cores: Vec<&Node> = c
+    let remaining_cores: Vec<&Node> = checkpoint
         .nodes
         .iter()
-        .filter(|n| n.role == Role::Core && n.name != gone)
+        .filter(|node| node.role == Role::Core && node.name != failed)
         .collect();
-    duties(c, p, &[gone].into(), &cores);
-    let disk = c
+    plan_singleton_tasks(checkpoint, plan, &[failed].into(), &remaining_cores);
+    let failed_disk = checkpoint
         .nodes
         .iter()
-        .find(|n| n.name == gone)
-        .map(|n| n.disk.clone())
+        .find(|node| node.name == failed)
+        .map(|node| node.disk.clone())
         .unwrap_or_default();
-    let keys: BTreeSet<&str> = c.held.values().flatten().map(|h| h.key.as_str()).collect();
-    p.owners = keys
+    let keys: BTreeSet<&str> = checkpoint
+        .keys_by_disk
+        .values()
+        .flatten()
+        .map(|stored| stored.key.as_str())
+        .collect();
+    plan.owner_changes = keys
         .iter()
-        .filter(|k| {
-            ReplicaSet::of(k, &c.layout, 0, |_| None)
+        .filter(|key| {
+            ReplicaSet::of(key, &checkpoint.layout, 0, |_| None)
                 .current
                 .first()
-                .is_some_and(|s| s.disk == disk)
+                .is_some_and(|replica| replica.disk == failed_disk)
         })
         .count() as u64;
 }
 
-/// What the change would move. Nothing is changed.
-pub fn plan(c: &Checkpoint, ch: &Change) -> Plan {
-    let mut p = Plan {
-        silent: c.silent.clone(),
+/// Computes the effects of a change. Nothing is changed.
+pub fn plan(checkpoint: &Checkpoint, change: &Change) -> Plan {
+    let mut plan = Plan {
+        unreachable_nodes: checkpoint.unreachable_nodes.clone(),
         ..Default::default()
     };
-    let now = Configuration::read(c.config.as_bytes()).unwrap_or_default();
-    match ch {
+    let current_config = Configuration::read(checkpoint.config.as_bytes()).unwrap_or_default();
+    match change {
         Change::Config(text) => match Configuration::read(text.as_bytes()) {
-            Err(bad) => p.refused = bad,
-            Ok(next) => {
-                let ls: Vec<_> = [&now, &next]
+            Err(invalid) => plan.rejections = invalid,
+            Ok(next_config) => {
+                let front_lists: Vec<_> = [&current_config, &next_config]
                     .into_iter()
-                    .map(|t| t.fronts.clone())
-                    .filter(|l| !l.is_empty())
+                    .map(|config| config.fronts.clone())
+                    .filter(|fronts| !fronts.is_empty())
                     .collect();
-                p.refused
-                    .extend(yewcross_control::config::find_unavailable_group(&ls, |f| {
-                        c.nodes.iter().any(|n| n.name == f)
-                    }));
-                changed(&mut p, &now, &next);
-                turns(c, &mut p, (&now, &c.servers), (&next, &c.servers));
+                plan.rejections
+                    .extend(yewcross_control::config::find_unavailable_group(
+                        &front_lists,
+                        |front| checkpoint.nodes.iter().any(|node| node.name == front),
+                    ));
+                compare_program_classes(&mut plan, &current_config, &next_config);
+                compare_sessions(
+                    checkpoint,
+                    &mut plan,
+                    (&current_config, &checkpoint.servers),
+                    (&next_config, &checkpoint.servers),
+                );
             }
         },
-        Change::Disks(m) => disks(c, &mut p, m),
-        Change::Without(n) => without(c, &mut p, &now, n),
+        Change::Disks(disk_change) => plan_disk_change(checkpoint, &mut plan, disk_change),
+        Change::Failure(name) => plan_failure(checkpoint, &mut plan, &current_config, name),
     }
-    p
+    plan
 }
 
 impl Plan {
-    /// The plan as lines for an operator.
+    /// The plan as text for operators, one effect per line.
     pub fn text(&self) -> String {
-        let mut s = String::new();
-        let mut say = |l: String| writeln!(s, "{l}").unwrap_or_default();
-        self.silent.iter().for_each(|n| {
-            say(format!(
-                "warning: {n} did not answer; what it holds is not counted"
+        let mut output = String::new();
+        let mut write_line = |line: String| writeln!(output, "{line}").unwrap_or_default();
+        self.unreachable_nodes.iter().for_each(|name| {
+            write_line(format!(
+                "warning: {name} did not answer; what it holds is not counted"
             ))
         });
-        if !self.refused.is_empty() {
-            self.refused
-                .iter()
-                .for_each(|b| say(format!("refused: {}: {}", b.path, b.reason)));
-            return s;
+        if !self.rejections.is_empty() {
+            self.rejections.iter().for_each(|rejection| {
+                write_line(format!("refused: {}: {}", rejection.path, rejection.reason))
+            });
+            return output;
         }
-        self.families_new
-            .iter()
-            .for_each(|f| say(format!("family {f}: new")));
-        self.families_gone
+        self.added_classes
             .iter()
-            .for_each(|f| say(format!("family {f}: gone; its turns will be refused")));
-        self.settings.iter().for_each(|x| {
-            say(format!(
+            .for_each(|class| write_line(format!("family {class}: new")));
+        self.removed_classes.iter().for_each(|class| {
+            write_line(format!("family {class}: gone; its turns will be refused"))
+        });
+        self.changed_settings.iter().for_each(|setting| {
+            write_line(format!(
                 "family {}: {} {} -> {} (from {})",
-                x.family, x.key, x.was, x.is, x.from
+                setting.program_class, setting.key, setting.before, setting.after, setting.origin
             ))
         });
-        self.homes.iter().for_each(|m| {
-            say(format!(
+        self.home_changes.iter().for_each(|session| {
+            write_line(format!(
                 "{}: leaves {}, resumes from {}",
-                m.what, m.was, m.is
+                session.subject, session.before, session.after
             ))
         });
-        self.spills
-            .iter()
-            .for_each(|m| say(format!("{}: spill target {} -> {}", m.what, m.was, m.is)));
-        self.duties
-            .iter()
-            .for_each(|m| say(format!("duty {}: {} -> {}", m.what, m.was, m.is)));
-        self.news
-            .iter()
-            .for_each(|m| say(format!("news of {}: {} -> {}", m.what, m.was, m.is)));
-        say(format!(
+        self.spill_target_changes.iter().for_each(|session| {
+            write_line(format!(
+                "{}: spill target {} -> {}",
+                session.subject, session.before, session.after
+            ))
+        });
+        self.singleton_task_changes.iter().for_each(|task| {
+            write_line(format!(
+                "duty {}: {} -> {}",
+                task.subject, task.before, task.after
+            ))
+        });
+        self.designated_front_changes.iter().for_each(|service| {
+            write_line(format!(
+                "news of {}: {} -> {}",
+                service.subject, service.before, service.after
+            ))
+        });
+        write_line(format!(
             "{} copies of keys to make, {} bytes within sites and {} across; {} keys change owner; {} bytes of replicas to push; \
              {} sessions leave their home, {} change spill target",
             self.copies.len(),
-            self.bytes_within,
-            self.bytes_across,
-            self.owners,
-            self.replica_bytes,
-            self.homes.len(),
-            self.spills.len()
+            self.bytes_within_sites,
+            self.bytes_between_sites,
+            self.owner_changes,
+            self.kv_replica_bytes,
+            self.home_changes.len(),
+            self.spill_target_changes.len()
         ));
-        s
+        output
     }
 }
--- a/yewcross-capacity/src/main.rs
+++ b/yewcross-capacity/src/main.rs
@@ -1,5 +1,9 @@
+//! `yewcross-plan`: prints the effects of a change, or the cost of each mechanism at a given size.
+
 use std::net::SocketAddr;
-use yewcross_capacity::{Change, Checkpoint, Fault, capacity, load, plan, take};
+use yewcross_capacity::{
+    Change, Checkpoint, CheckpointError, capacity, load_checkpoint, plan, take_checkpoint,
+};
 use yewcross_common::process_settings::exit;
 use yewcross_common::runtime::os::OsRuntime;
 use yewcross_control::layout::DiskChange;
@@ -40,90 +44,107 @@
     }
 }
 
-fn fail(code: i32, why: impl std::fmt::Display) -> ! {
-    eprintln!("{why}");
-    std::process::exit(code)
+/// Prints the reason to standard error and exits with this code.
+fn fail(exit_code: i32, reason: impl std::fmt::Display) -> ! {
+    eprintln!("{reason}");
+    std::process::exit(exit_code)
 }
 
-fn state(a: &Moves) -> Result<Checkpoint, Fault> {
-    match (&a.checkpoint, a.core) {
-        (Some(f), None) => load(f),
-        (None, Some(at)) => smol::block_on(take(&OsRuntime::start(".", 1), at)),
+/// The state of the tier, from a file or from its nodes.
+fn read_checkpoint(args: &Moves) -> Result<Checkpoint, CheckpointError> {
+    match (&args.checkpoint, args.core) {
+        (Some(path), None) => load_checkpoint(path),
+        (None, Some(core)) => smol::block_on(take_checkpoint(&OsRuntime::start(".", 1), core)),
         _ => fail(exit::USAGE, "name one of --core and --checkpoint"),
     }
 }
 
-fn size(a: &Capacity) {
-    if a.measure {
-        let c = capacity::measure();
-        return print!("[costs]\n{}", toml::to_string(&c).unwrap_or_default());
+fn run_capacity(args: &Capacity) {
+    if args.measure {
+        let costs = capacity::measure();
+        return print!("[costs]\n{}", toml::to_string(&costs).unwrap_or_default());
     }
-    let read = |f: &String| {
-        std::fs::read_to_string(f).unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{f}: {e}")))
+    let read_file = |path: &String| {
+        std::fs::read_to_string(path)
+            .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{path}: {e}")))
     };
-    let (name, given) = ("the given inputs".to_string(), capacity::GIVEN.to_string());
-    let (at, t) = a
+    let (default_name, default_text) = (
+        "the given inputs".to_string(),
+        capacity::DEFAULT_INPUTS.to_string(),
+    );
+    let (name, text) = args
         .inputs
         .as_ref()
-        .map_or((name, given), |f| (f.clone(), read(f)));
-    let i = capacity::Inputs::read(&t)
-        .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{at}: {e}")));
-    let v = capacity::table(&i);
+        .map_or((default_name, default_text), |path| {
+            (path.clone(), read_file(path))
+        });
+    let inputs = capacity::Inputs::parse(&text)
+        .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{name}: {e}")));
+    let rows = capacity::cost_table(&inputs);
     print!(
         "{}",
-        if a.json {
-            serde_json::to_string_pretty(&v).unwrap_or_default() + "\n"
+        if args.json {
+            serde_json::to_string_pretty(&rows).unwrap_or_default() + "\n"
         } else {
-            capacity::text(&v)
+            capacity::format_table(&rows)
         }
     );
 }
 
 fn main() {
     match YewcrossPlan::from_env_or_exit().subcommand {
-        YewcrossPlanCmd::Moves(a) => moves(&a),
-        YewcrossPlanCmd::Capacity(a) => size(&a),
+        YewcrossPlanCmd::Moves(args) => run_moves(&args),
+        YewcrossPlanCmd::Capacity(args) => run_capacity(&args),
     }
 }
 
-fn moves(a: &Moves) {
-    let mut ch = vec![];
-    a.empty
+fn run_moves(args: &Moves) {
+    let mut changes = vec![];
+    args.empty
         .iter()
-        .for_each(|d| ch.push(Change::Disks(DiskChange::Remove(d.clone()))));
-    a.admit
+        .for_each(|disk| changes.push(Change::Disks(DiskChange::Remove(disk.clone()))));
+    args.admit
         .iter()
-        .for_each(|d| ch.push(Change::Disks(DiskChange::Add(d.clone()))));
-    a.replace.iter().for_each(|p| match p.split_once(':') {
-        Some((x, y)) => ch.push(Change::Disks(DiskChange::Replace(x.into(), y.into()))),
-        None => fail(exit::USAGE, "--replace: OLD:NEW"),
-    });
-    a.without
+        .for_each(|machine| changes.push(Change::Disks(DiskChange::Add(machine.clone()))));
+    args.replace
         .iter()
-        .for_each(|n| ch.push(Change::Without(n.clone())));
-    a.config.iter().for_each(|f| {
-        let t = std::fs::read_to_string(f)
-            .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{f}: {e}")));
-        ch.push(Change::Config(t));
+        .for_each(|pair| match pair.split_once(':') {
+            Some((old, new)) => {
+                changes.push(Change::Disks(DiskChange::Replace(old.into(), new.into())))
+            }
+            None => fail(exit::USAGE, "--replace: OLD:NEW"),
+        });
+    args.without
+        .iter()
+        .for_each(|name| changes.push(Change::Failure(name.clone())));
+    args.config.iter().for_each(|path| {
+        let text = std::fs::read_to_string(path)
+            .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{path}: {e}")));
+        changes.push(Change::Config(text));
     });
-    if ch.len() != 1 && a.save.is_none() {
+    if changes.len() != 1 && args.save.is_none() {
         fail(
             exit::USAGE,
             "name one change: --config, --empty, --admit, --replace or --without",
         );
     }
-    let c = state(a).unwrap_or_else(|e| fail(exit::BAD_STARTUP, e));
-    if let Some(f) = &a.save {
-        let b = serde_json::to_vec_pretty(&c).unwrap_or_default();
-        std::fs::write(f, b).unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{f}: {e}")));
+    let checkpoint = read_checkpoint(args).unwrap_or_else(|e| fail(exit::BAD_STARTUP, e));
+    if let Some(path) = &args.save {
+        let json = serde_json::to_vec_pretty(&checkpoint).unwrap_or_default();
+        std::fs::write(path, json)
+            .unwrap_or_else(|e| fail(exit::BAD_STARTUP, format!("{path}: {e}")));
         return;
     }
-    let p = plan(&c, &ch[0]);
-    let text = if a.json {
-        serde_json::to_string_pretty(&p).unwrap_or_default() + "\n"
+    let plan = plan(&checkpoint, &changes[0]);
+    let text = if args.json {
+        serde_json::to_string_pretty(&plan).unwrap_or_default() + "\n"
     } else {
-        p.text()
+        plan.text()
     };
     print!("{text}");
-    std::process::exit(if p.refused.is_empty() { exit::OK } else { 1 });
+    std::process::exit(if plan.rejections.is_empty() {
+        exit::OK
+    } else {
+        1
+    });
 }
--- a/yewcross-capacity/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -1,248 +1,291 @@
-//! The arithmetic of docs/CAPACITY.md: it is that page's, it scales as it should, and the
-//! simulator's counters agree.
+//! The cost model: docs/CAPACITY.md contains its table, the largest sizes that fit are computed
+//! correctly, and the computed rates match the counters of the simulator.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use yewcross_capacity::capacity::{
-    Cost, GIVEN, Held, Inputs, MECHANISMS, Messages, Stand, passes, sum, table, text,
+    Cost, DEFAULT_INPUTS, DesignStatus, Inputs, LimitSet, MECHANISMS, MessageSizes, control_total,
+    cost_table, exceeded_limits, format_table,
 };
 use yewcross_common::constants::SEC;
 use yewcross_common::process_settings::{ProcessSettings, Role};
 use yewcross_testkit::proof::{Process, TestCluster};
 
-fn cost(i: &Inputs, name: &str) -> Cost {
-    let m = MECHANISMS
+fn cost_of(inputs: &Inputs, name: &str) -> Cost {
+    let mechanism = MECHANISMS
         .iter()
-        .find(|m| m.name == name)
-        .unwrap_or_else(|| panic!("no {name}"));
-    (m.cost)(i, &Messages::now())
+        .find(|mechanism| mechanism.name == name)
+        .unwrap_or_else(|| panic!("no mechanism is named {name}"));
+    (mechanism.cost)(inputs, &MessageSizes::compute())
 }
 
 #[test]
-fn the_pages_table_is_made_from_the_given_inputs() {
+fn capacity_page_contains_the_table_of_the_default_inputs() {
     let page = std::fs::read_to_string(format!(
         "{}/../docs/CAPACITY.md",
         env!("CARGO_MANIFEST_DIR")
     ))
     .unwrap();
-    let made = text(&table(&Inputs::read(GIVEN).unwrap()));
-    let differs: Vec<&str> = made.lines().filter(|l| !page.contains(l)).collect();
-    assert!(differs.is_empty(), "not on the page: {differs:#?}");
+    let text = format_table(&cost_table(&Inputs::parse(DEFAULT_INPUTS).unwrap()));
+    let missing: Vec<&str> = text.lines().filter(|line| !page.contains(line)).collect();
+    assert!(
+        missing.is_empty(),
+        "docs/CAPACITY.md lacks these lines of the table: {missing:#?}"
+    );
 }
 
 #[test]
-fn what_is_kept_or_next_fits_alone_and_together() {
-    let i = Inputs::read(GIVEN).unwrap();
-    let lines = table(&i);
-    let bad = |s: &[Stand]| {
-        lines
-            .iter()
-            .filter(|l| s.contains(&l.stand) && !l.passes.is_empty())
-            .map(|l| l.name)
+fn kept_and_planned_mechanisms_fit_individually_and_in_total() {
+    let inputs = Inputs::parse(DEFAULT_INPUTS).unwrap();
+    let rows = cost_table(&inputs);
+    let exceeding = |statuses: &[DesignStatus]| {
+        rows.iter()
+            .filter(|row| statuses.contains(&row.status) && !row.passes.is_empty())
+            .map(|row| row.name)
             .collect::<Vec<_>>()
     };
-    assert_eq!(bad(&[Stand::Kept, Stand::Next]), Vec::<&str>::new());
     assert_eq!(
-        passes(&i, Held::Control, &sum(&lines)),
+        exceeding(&[DesignStatus::Kept, DesignStatus::Next]),
+        Vec::<&str>::new()
+    );
+    assert_eq!(
+        exceeded_limits(&inputs, LimitSet::Control, &control_total(&rows)),
         Vec::<String>::new()
     );
-    // Whatever is to be replaced, and whatever was weighed and is not taken for its cost, breaks.
-    let today = lines.iter().filter(|l| l.stand == Stand::Today).count();
-    assert_eq!(bad(&[Stand::Today]).len(), today);
+    // Every mechanism that is to be replaced exceeds a limit.
+    let to_be_replaced = rows
+        .iter()
+        .filter(|row| row.status == DesignStatus::Today)
+        .count();
+    assert_eq!(exceeding(&[DesignStatus::Today]).len(), to_be_replaced);
 }
 
-/// Just below the size at which a mechanism is said to break it fits, and just above it does not.
+/// A mechanism fits at 0.999 times its maximum factor and does not fit at 1.001 times.
 #[test]
-fn the_breaking_size_is_where_it_breaks() {
-    let i = Inputs::read(GIVEN).unwrap();
-    let (msg, lines) = (Messages::now(), table(&i));
-    let mut tried = 0;
-    for (m, l) in MECHANISMS
+fn max_factor_is_the_largest_that_fits() {
+    let inputs = Inputs::parse(DEFAULT_INPUTS).unwrap();
+    let (sizes, rows) = (MessageSizes::compute(), cost_table(&inputs));
+    let mut checked = 0;
+    for (mechanism, row) in MECHANISMS
         .iter()
-        .zip(&lines)
-        .filter(|x| x.1.up_to > 0.001 && x.1.up_to < 64.0)
+        .zip(&rows)
+        .filter(|pair| pair.1.max_factor > 0.001 && pair.1.max_factor < 64.0)
     {
-        let at = |x: f64| {
-            if m.held == Held::Control {
-                i.times(x)
+        let scaled = |factor: f64| {
+            if mechanism.limit_set == LimitSet::Control {
+                inputs.scaled(factor)
             } else {
-                i.load(x)
+                inputs.with_scaled_load(factor)
             }
         };
-        let fits = |x: f64| passes(&at(x), m.held, &(m.cost)(&at(x), &msg)).is_empty();
+        let fits = |factor: f64| {
+            exceeded_limits(
+                &scaled(factor),
+                mechanism.limit_set,
+                &(mechanism.cost)(&scaled(factor), &sizes),
+            )
+            .is_empty()
+        };
         assert!(
-            fits(l.up_to * 0.999) && !fits(l.up_to * 1.001),
-            "{} at {}",
-            m.name,
-            l.up_to
+            fits(row.max_factor * 0.999) && !fits(row.max_factor * 1.001),
+            "{}: {} is not the maximum factor",
+            mechanism.name,
+            row.max_factor
         );
-        tried += 1;
+        checked += 1;
     }
-    println!("{tried} breaking sizes held");
-    assert!(tried >= 12);
+    println!("maximum factors checked: {checked}");
+    assert!(checked >= 12);
 }
 
 #[test]
-fn wrong_inputs_are_named() {
-    let i = |a: &str, b: &str| Inputs::read(&GIVEN.replacen(a, b, 1)).unwrap_err();
-    assert!(i("servers = 3800", "servers = -1").contains("size.servers"));
-    assert!(i("nodes = 410", "nodes = 10").contains("size.nodes"));
-    assert!(i("zones = 16", "zones = 0").contains("size.zones"));
-    assert!(i("servers = 3800", "sellers = 3800").contains("sellers"));
-    assert!(Inputs::read("[size").is_err());
-    let bin = env!("CARGO_BIN_EXE_yewcross-plan");
-    let run = |a: &[&str]| {
-        let o = std::process::Command::new(bin).args(a).output().unwrap();
+fn invalid_inputs_are_reported() {
+    let error_after =
+        |old: &str, new: &str| Inputs::parse(&DEFAULT_INPUTS.replacen(old, new, 1)).unwrap_err();
+    assert!(error_after("servers = 3800", "servers = -1").contains("size.servers"));
+    assert!(error_after("nodes = 410", "nodes = 10").contains("size.nodes"));
+    assert!(error_after("zones = 16", "zones = 0").contains("size.zones"));
+    assert!(error_after("servers = 3800", "sellers = 3800").contains("sellers"));
+    assert!(Inputs::parse("[size").is_err());
+    let binary = env!("CARGO_BIN_EXE_yewcross-plan");
+    let run = |args: &[&str]| {
+        let output = std::process::Command::new(binary)
+            .args(args)
+            .output()
+            .unwrap();
         (
-            o.status.code(),
-            String::from_utf8_lossy(&o.stdout).into_owned(),
-            String::from_utf8_lossy(&o.stderr).into_owned(),
+            output.status.code(),
+            String::from_utf8_lossy(&output.stdout).into_owned(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
     assert_eq!(
         run(&["capacity"]).1,
-        text(&table(&Inputs::read(GIVEN).unwrap()))
+        format_table(&cost_table(&Inputs::parse(DEFAULT_INPUTS).unwrap()))
+    );
+    let (exit_code, _, stderr) = run(&["capacity", "--inputs", "/nowhere"]);
+    assert!(
+        exit_code == Some(3) && stderr.contains("/nowhere"),
+        "{exit_code:?} {stderr}"
     );
-    let (c, _, e) = run(&["capacity", "--inputs", "/nowhere"]);
-    assert!(c == Some(3) && e.contains("/nowhere"), "{c:?} {e}");
     assert!(run(&["capacity", "--json"]).1.starts_with('['));
 }
 
-/// Counters of a simulated tier at rest: per kind of question, how many a second all nodes asked,
-/// and bytes of them.
-struct Rest {
+/// Rates in a simulated tier without load.
+struct IdleRates {
     nodes: f64,
     fronts: f64,
     cores: f64,
     servers: f64,
-    kinds: BTreeMap<String, (f64, f64)>,
+    /// Requests per second and their bytes per second, over all nodes, by kind of request.
+    requests: BTreeMap<String, (f64, f64)>,
+    /// Polls of servers per second, over all fronts.
     polls: f64,
 }
 
-fn at_rest(seed: u64, more: usize) -> Rest {
-    const SECS: u64 = 10;
-    let lab = TestCluster::with_topology(seed, "kowhai", |sh| {
-        let like: ProcessSettings = sh.of(Role::Front)[0].clone();
-        (0..more).for_each(|i| {
-            let at = |p: u16| {
-                std::net::SocketAddr::from(([10, 7, (i / 200) as u8, (i % 200) as u8 + 1], p))
+/// Runs a tier with this many additional fronts and counts for ten seconds, from ten seconds after
+/// its configuration was submitted.
+fn measure_idle_rates(seed: u64, additional_fronts: usize) -> IdleRates {
+    const SECONDS: u64 = 10;
+    let cluster = TestCluster::with_topology(seed, "kowhai", |topology| {
+        let template: ProcessSettings = topology.of(Role::Front)[0].clone();
+        (0..additional_fronts).for_each(|i| {
+            let address = |port: u16| {
+                std::net::SocketAddr::from(([10, 7, (i / 200) as u8, (i % 200) as u8 + 1], port))
             };
-            let site = sh.sites[i % sh.sites.len()].clone();
-            sh.nodes.push(ProcessSettings {
+            let site = topology.sites[i % topology.sites.len()].clone();
+            topology.nodes.push(ProcessSettings {
                 name: format!("front{}", 100 + i),
                 site,
-                peer: at(1000),
-                http: at(1001),
-                ..like.clone()
+                peer: address(1000),
+                http: address(1001),
+                ..template.clone()
             });
         });
     });
-    lab.boot_all();
+    cluster.boot_all();
     type Counts = (BTreeMap<&'static str, (u64, u64)>, u64);
-    let count = |lab: &TestCluster| -> Counts {
-        let mut c: Counts = Default::default();
-        lab.processes.lock().unwrap().values().for_each(|p| {
-            let peers = match p {
-                Process::Front(f) => {
-                    c.1 += f.counts.polls.load(SeqCst);
-                    &f.peers
-                }
-                Process::Control(x) => &x.peers,
-                Process::Server(_) => return,
-            };
-            peers
-                .metrics
-                .kinds
-                .lock()
-                .unwrap()
-                .iter()
-                .for_each(|(k, v)| {
-                    let e = c.0.entry(k).or_default();
-                    *e = (e.0 + v.0, e.1 + v.1 + v.2);
-                });
-        });
-        c
+    let read_counts = |cluster: &TestCluster| -> Counts {
+        let mut counts: Counts = Default::default();
+        cluster
+            .processes
+            .lock()
+            .unwrap()
+            .values()
+            .for_each(|process| {
+                let peers = match process {
+                    Process::Front(front) => {
+                        counts.1 += front.counts.polls.load(SeqCst);
+                        &front.peers
+                    }
+                    Process::Control(node) => &node.peers,
+                    Process::Server(_) => return,
+                };
+                peers
+                    .metrics
+                    .kinds
+                    .lock()
+                    .unwrap()
+                    .iter()
+                    .for_each(|(kind, added)| {
+                        let total = counts.0.entry(kind).or_default();
+                        *total = (total.0 + added.0, total.1 + added.1 + added.2);
+                    });
+            });
+        counts
     };
-    let out: Arc<Mutex<Option<(Counts, Counts)>>> = Default::default();
-    let (me, o) = (lab.clone(), out.clone());
-    lab.operator.spawn(async move {
-        me.operator.sleep(3 * SEC).await;
-        me.bootstrap().await;
-        me.put("core1", 1, "first").await;
-        me.operator.sleep(10 * SEC).await;
-        let a = count(&me);
-        me.operator.sleep(SECS * SEC).await;
-        *o.lock().unwrap() = Some((a, count(&me)));
+    let result: Arc<Mutex<Option<(Counts, Counts)>>> = Default::default();
+    let (task_cluster, task_result) = (cluster.clone(), result.clone());
+    cluster.operator.spawn(async move {
+        task_cluster.operator.sleep(3 * SEC).await;
+        task_cluster.bootstrap().await;
+        task_cluster.put("core1", 1, "first").await;
+        task_cluster.operator.sleep(10 * SEC).await;
+        let before = read_counts(&task_cluster);
+        task_cluster.operator.sleep(SECONDS * SEC).await;
+        *task_result.lock().unwrap() = Some((before, read_counts(&task_cluster)));
     });
-    lab.sim.run(300 * SEC, || out.lock().unwrap().is_some());
-    let (a, b) = out.lock().unwrap().take().unwrap();
-    let s = SECS as f64;
-    let kinds = b.0.iter().map(|(k, v)| {
-        let w = a.0.get(k).cloned().unwrap_or_default();
+    cluster
+        .sim
+        .run(300 * SEC, || result.lock().unwrap().is_some());
+    let (before, after) = result.lock().unwrap().take().unwrap();
+    let seconds = SECONDS as f64;
+    let requests = after.0.iter().map(|(kind, end)| {
+        let start = before.0.get(kind).cloned().unwrap_or_default();
         (
-            k.to_string(),
-            ((v.0 - w.0) as f64 / s, (v.1 - w.1) as f64 / s),
+            kind.to_string(),
+            (
+                (end.0 - start.0) as f64 / seconds,
+                (end.1 - start.1) as f64 / seconds,
+            ),
         )
     });
-    Rest {
-        nodes: lab.topology.nodes.len() as f64,
-        fronts: lab.topology.of(Role::Front).len() as f64,
-        cores: lab.topology.of(Role::Core).len() as f64,
-        servers: lab.topology.servers.len() as f64,
-        kinds: kinds.collect(),
-        polls: (b.1 - a.1) as f64 / s,
+    IdleRates {
+        nodes: cluster.topology.nodes.len() as f64,
+        fronts: cluster.topology.of(Role::Front).len() as f64,
+        cores: cluster.topology.of(Role::Core).len() as f64,
+        servers: cluster.topology.servers.len() as f64,
+        requests: requests.collect(),
+        polls: (after.1 - before.1) as f64 / seconds,
     }
 }
 
-/// Two sizes, at rest: what the arithmetic says of probes, leases and polls is what the simulator
-/// counts.
+/// In idle tiers of two sizes, the computed rates of probes, leases and polls match the counters of
+/// the simulator.
 #[test]
-fn the_simulators_counters_agree_with_the_arithmetic() {
-    let near = |what: &str, nodes: f64, got: f64, said: f64, by: f64| {
-        println!("{nodes} nodes, {what}: counted {got:.1} a second, worked out {said:.1}");
+fn computed_rates_match_simulator_counters() {
+    let assert_near = |rate: &str, nodes: f64, counted: f64, computed: f64, tolerance: f64| {
+        println!("{nodes} nodes, {rate}: counted {counted:.1} per second, computed {computed:.1}");
         assert!(
-            (got - said).abs() <= by * said,
-            "{what} at {nodes} nodes: {got} and {said}"
+            (counted - computed).abs() <= tolerance * computed,
+            "{rate} at {nodes} nodes: counted {counted} per second, computed {computed}"
         );
     };
-    for (seed, more) in [(81, 0), (82, 43)] {
-        let r = at_rest(seed, more);
-        let kind = |k: &str| r.kinds.get(k).cloned().unwrap_or_default();
-        let mut i = Inputs::read(GIVEN).unwrap();
-        (i.size.nodes, i.size.control_machines, i.size.servers) =
-            (r.nodes, r.nodes - r.fronts, r.servers);
-        (i.day.failed, i.day.restarted, i.ours.stores) = (0.0, 0.0, 0.0);
-        // Each exchange of probes is asked by one node and answered by another.
-        let c = cost(&i, "membership: probes, whole tables on a change");
-        near(
+    for (seed, additional_fronts) in [(81, 0), (82, 43)] {
+        let idle = measure_idle_rates(seed, additional_fronts);
+        let requests = |kind: &str| idle.requests.get(kind).cloned().unwrap_or_default();
+        let mut inputs = Inputs::parse(DEFAULT_INPUTS).unwrap();
+        (
+            inputs.size.nodes,
+            inputs.size.control_machines,
+            inputs.size.servers,
+        ) = (idle.nodes, idle.nodes - idle.fronts, idle.servers);
+        (
+            inputs.day.failed,
+            inputs.day.restarted,
+            inputs.design.stores,
+        ) = (0.0, 0.0, 0.0);
+        // In each exchange, one node sends the probe and another one responds.
+        let cost = cost_of(&inputs, "membership: probes, whole tables on a change");
+        assert_near(
             "probes",
-            r.nodes,
-            kind("Probe").0,
-            r.nodes * c.messages_s / 4.0,
+            idle.nodes,
+            requests("Probe").0,
+            idle.nodes * cost.messages_s / 4.0,
             0.05,
         );
-        // The counters leave out the frame of an answer and the packets' heads; names in the
-        // simulator are shorter.
-        let heads = 2.0 * 66.0 + Messages::now().frame;
-        near(
+        // The counters include neither the frame of a response nor the packet headers. The names in
+        // the simulator are shorter than those in the message sizes.
+        let header_bytes = 2.0 * 66.0 + MessageSizes::compute().empty_frame;
+        assert_near(
             "bytes of probes",
-            r.nodes,
-            kind("Probe").1,
-            r.nodes * (c.bytes_s / 2.0 - heads * c.messages_s / 4.0),
+            idle.nodes,
+            requests("Probe").1,
+            idle.nodes * (cost.bytes_s / 2.0 - header_bytes * cost.messages_s / 4.0),
             0.15,
         );
-        (i.size.nodes, i.size.control_machines) = (r.fronts + r.cores, r.cores);
-        let c = cost(&i, "in force: leases of fronts (at a core)");
-        // Control nodes ask one core as often.
-        let control = (r.nodes - r.fronts) / 0.3;
-        near(
+        (inputs.size.nodes, inputs.size.control_machines) = (idle.fronts + idle.cores, idle.cores);
+        let cost = cost_of(&inputs, "in force: leases of fronts (at a core)");
+        // Control nodes query one core at the same interval, every 0.3 s.
+        let control_queries = (idle.nodes - idle.fronts) / 0.3;
+        assert_near(
             "leases",
-            r.nodes,
-            kind("Newer").0,
-            r.cores * c.messages_s / 2.0 + control,
+            idle.nodes,
+            requests("Newer").0,
+            idle.cores * cost.messages_s / 2.0 + control_queries,
             0.1,
         );
-        near("polls", r.nodes, r.polls, r.servers * 4.0, 0.05);
+        assert_near("polls", idle.nodes, idle.polls, idle.servers * 4.0, 0.05);
     }
 }
--- a/yewcross-capacity/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -1,109 +1,120 @@
-//! A plan is compared with what then happens.
+//! Plans are compared with the effects of the change in a simulated tier.
 
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use yewcross_capacity::{Change, Checkpoint, plan, take};
+use yewcross_capacity::{Change, Checkpoint, plan, take_checkpoint};
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_control::layout::DiskChange;
 use yewcross_testkit::caller::{self, Ask, Heard};
 use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
-async fn talk(lab: &Arc<TestCluster>, turns: std::ops::Range<usize>) -> Vec<caller::Seen> {
-    let fronts: Vec<_> = lab
+/// Runs these turns of ten sessions, distributed over all fronts, and checks that each succeeds.
+async fn run_turns(cluster: &Arc<TestCluster>, turns: std::ops::Range<usize>) -> Vec<caller::Seen> {
+    let fronts: Vec<_> = cluster
         .topology
         .of(Role::Front)
         .iter()
-        .map(|n| n.http)
+        .map(|front| front.http)
         .collect();
-    let mut v = vec![];
-    for t in turns {
-        for s in 0..10 {
-            let a = Ask {
+    let mut results = vec![];
+    for turn in turns {
+        for session in 0..10 {
+            let request = Ask {
                 program: "chargeback".into(),
                 budget: "chargeback".into(),
-                session: format!("p{s}"),
-                job: format!("p{s}-{t}"),
+                session: format!("p{session}"),
+                job: format!("p{session}-{turn}"),
                 horizon_ms: 6000,
-                text: if t == 0 {
-                    format!("{s} ").repeat(18_000)
+                text: if turn == 0 {
+                    format!("{session} ").repeat(18_000)
                 } else {
                     "more".into()
                 },
                 max_output: 16,
                 stream: false,
             };
-            let x = caller::turn(&lab.operator, fronts[s % fronts.len()], &a).await;
-            assert_eq!(x.heard, Heard::Done, "{x:?}");
-            v.push(x);
+            let result =
+                caller::turn(&cluster.operator, fronts[session % fronts.len()], &request).await;
+            assert_eq!(result.heard, Heard::Done, "{result:?}");
+            results.push(result);
         }
-        lab.operator.sleep(8 * SEC).await;
+        cluster.operator.sleep(8 * SEC).await;
     }
-    v
+    results
 }
 
-async fn checkpoint(lab: &Arc<TestCluster>) -> Checkpoint {
-    take(&lab.operator, lab.topology.of(Role::Core)[0].http)
+async fn take_cluster_checkpoint(cluster: &Arc<TestCluster>) -> Checkpoint {
+    take_checkpoint(&cluster.operator, cluster.topology.of(Role::Core)[0].http)
         .await
         .unwrap()
 }
 
 #[test]
-fn emptying_a_store_copies_exactly_what_was_planned() {
+fn removing_a_store_copies_exactly_the_planned_replicas() {
     with_cluster_of(
         "kowhai",
         11,
         |_| (),
-        |lab| {
+        |cluster| {
             Box::pin(async move {
-                talk(&lab, 0..1).await;
-                let before = checkpoint(&lab).await;
-                let p = plan(&before, &Change::Disks(DiskChange::Remove("store2".into())));
-                assert!(p.refused.is_empty() && p.copies.len() >= 5, "{}", p.text());
-                assert_eq!(lab.post("core2", "/v1/disks/store2/empty").await.0, 200);
-                let mut safe = false;
+                run_turns(&cluster, 0..1).await;
+                let before = take_cluster_checkpoint(&cluster).await;
+                let planned = plan(&before, &Change::Disks(DiskChange::Remove("store2".into())));
+                assert!(
+                    planned.rejections.is_empty() && planned.copies.len() >= 5,
+                    "{}",
+                    planned.text()
+                );
+                assert_eq!(cluster.post("core2", "/v1/disks/store2/empty").await.0, 200);
+                let mut safe_to_remove = false;
                 for _ in 0..60 {
-                    lab.operator.sleep(SEC).await;
-                    safe = lab.get("core2", "/v1/disks/store2").await.1["safe_to_remove"]
+                    cluster.operator.sleep(SEC).await;
+                    safe_to_remove = cluster.get("core2", "/v1/disks/store2").await.1["safe_to_remove"]
                         == json!(true);
-                    if safe {
+                    if safe_to_remove {
                         break;
                     }
                 }
-                assert!(safe, "store2 did not become safe to remove");
-                let after = checkpoint(&lab).await;
-                let pairs = |c: &Checkpoint| -> BTreeSet<(String, String, u64)> {
-                    let gone = before
+                assert!(safe_to_remove, "store2 is not safe to remove after 60 s");
+                let after = take_cluster_checkpoint(&cluster).await;
+                let stored_replicas = |checkpoint: &Checkpoint| -> BTreeSet<(String, String, u64)> {
+                    let removed_disk = before
                         .nodes
                         .iter()
-                        .find(|n| n.name == "store2")
-                        .map(|n| n.disk.clone())
+                        .find(|node| node.name == "store2")
+                        .map(|node| node.disk.clone())
                         .unwrap();
-                    c.held
+                    checkpoint
+                        .keys_by_disk
                         .iter()
-                        .filter(|h| *h.0 != gone)
-                        .flat_map(|(d, v)| v.iter().map(|h| (h.key.clone(), d.clone(), h.bytes)))
+                        .filter(|entry| *entry.0 != removed_disk)
+                        .flat_map(|(disk, keys)| {
+                            keys.iter()
+                                .map(|stored| (stored.key.clone(), disk.clone(), stored.bytes))
+                        })
                         .collect()
                 };
-                let new: BTreeSet<_> = pairs(&after)
-                    .difference(&pairs(&before))
-                    .filter(|x| {
-                        !yewcross_common::documents::cache::DOCUMENT_NAMES.contains(&x.0.as_str())
+                let copied: BTreeSet<_> = stored_replicas(&after)
+                    .difference(&stored_replicas(&before))
+                    .filter(|replica| {
+                        !yewcross_common::documents::cache::DOCUMENT_NAMES
+                            .contains(&replica.0.as_str())
                     })
                     .cloned()
                     .collect();
-                let said: BTreeSet<_> = p
+                let planned_copies: BTreeSet<_> = planned
                     .copies
                     .iter()
-                    .map(|c| (c.key.clone(), c.to.clone(), c.bytes))
+                    .map(|copy| (copy.key.clone(), copy.target_disk.clone(), copy.bytes))
                     .collect();
-                assert_eq!(new, said);
+                assert_eq!(copied, planned_copies);
                 println!(
-                    "planned and made: {} copies, {} bytes within sites, {} across",
-                    said.len(),
-                    p.bytes_within,
-                    p.bytes_across
+                    "planned and made: {} copies, {} bytes within sites, {} between sites",
+                    planned_copies.len(),
+                    planned.bytes_within_sites,
+                    planned.bytes_between_sites
                 );
             })
         },
@@ -111,41 +122,54 @@
 }
 
 #[test]
-fn a_lost_server_sends_sessions_where_the_plan_said() {
+fn after_server_failure_sessions_resume_at_planned_servers() {
     with_cluster_of(
         "kowhai",
         12,
         |_| (),
-        |lab| {
+        |cluster| {
             Box::pin(async move {
-                talk(&lab, 0..2).await;
-                let c = checkpoint(&lab).await;
-                let busiest = (1..=12)
+                run_turns(&cluster, 0..2).await;
+                let before = take_cluster_checkpoint(&cluster).await;
+                let server_with_most_sessions = (1..=12)
                     .map(|i| format!("m{i}"))
-                    .max_by_key(|m| plan(&c, &Change::Without(m.clone())).homes.len())
+                    .max_by_key(|server| {
+                        plan(&before, &Change::Failure(server.clone()))
+                            .home_changes
+                            .len()
+                    })
                     .unwrap();
-                let p = plan(&c, &Change::Without(busiest.clone()));
+                let planned = plan(&before, &Change::Failure(server_with_most_sessions.clone()));
                 assert!(
-                    !p.homes.is_empty() && p.homes.iter().any(|m| m.is != "cold"),
+                    !planned.home_changes.is_empty()
+                        && planned
+                            .home_changes
+                            .iter()
+                            .any(|session| session.after != "cold"),
                     "{}",
-                    p.text()
+                    planned.text()
                 );
-                lab.sim.kill(lab.sim.find(&busiest), false);
-                lab.operator.sleep(3 * SEC).await;
-                let seen = talk(&lab, 2..3).await;
-                for m in &p.homes {
-                    let s = seen
+                cluster
+                    .sim
+                    .kill(cluster.sim.find(&server_with_most_sessions), false);
+                cluster.operator.sleep(3 * SEC).await;
+                let results = run_turns(&cluster, 2..3).await;
+                for session in &planned.home_changes {
+                    let result = results
                         .iter()
-                        .find(|s| m.what.ends_with(&format!("/{}", s.session)))
+                        .find(|result| session.subject.ends_with(&format!("/{}", result.session)))
                         .unwrap();
                     println!(
-                        "{}: planned {}, ran at {} reusing {} of {}",
-                        m.what, m.is, s.server, s.reused, s.prompt
+                        "{}: planned {}, ran at {}, reused {} of {} prompt tokens",
+                        session.subject, session.after, result.server, result.reused, result.prompt
                     );
-                    if m.is != "cold" {
+                    if session.after != "cold" {
                         assert_eq!(
-                            (&s.server, 100 * s.reused / s.prompt >= KV_WARM_PERCENT),
-                            (&m.is, true)
+                            (
+                                &result.server,
+                                100 * result.reused / result.prompt >= KV_WARM_PERCENT
+                            ),
+                            (&session.after, true)
                         );
                     }
                 }
@@ -155,68 +179,92 @@
 }
 
 #[test]
-fn a_configuration_is_refused_or_told_setting_by_setting() {
+fn invalid_configuration_is_rejected_and_changed_settings_are_listed() {
     with_cluster_of(
         "small",
         13,
         |_| (),
-        |lab| {
+        |cluster| {
             Box::pin(async move {
-                let c = checkpoint(&lab).await;
-                let seq = c.config_seq;
-                assert_eq!(plan(&c, &Change::Config("{".into())).refused.len(), 1);
-                let mut t: serde_json::Value = serde_json::from_str(&c.config).unwrap();
-                t["families"]["talk"]["set"]["max_output"] = json!(77);
-                let p = plan(&c, &Change::Config(t.to_string()));
-                let got: BTreeSet<_> = p
-                    .settings
+                let checkpoint = take_cluster_checkpoint(&cluster).await;
+                let config_version = checkpoint.config_version;
+                assert_eq!(
+                    plan(&checkpoint, &Change::Config("{".into()))
+                        .rejections
+                        .len(),
+                    1
+                );
+                let mut config: serde_json::Value =
+                    serde_json::from_str(&checkpoint.config).unwrap();
+                config["families"]["talk"]["set"]["max_output"] = json!(77);
+                let planned = plan(&checkpoint, &Change::Config(config.to_string()));
+                let changed: BTreeSet<_> = planned
+                    .changed_settings
                     .iter()
-                    .map(|s| {
+                    .map(|setting| {
                         (
-                            s.family.as_str(),
-                            s.key.as_str(),
-                            s.is.as_u64(),
-                            s.from.as_str(),
+                            setting.program_class.as_str(),
+                            setting.key.as_str(),
+                            setting.after.as_u64(),
+                            setting.origin.as_str(),
                         )
                     })
                     .collect();
-                let want = ["chargeback", "onboarding", "talk"]
-                    .map(|f| (f, "max_output", Some(77), "talk"));
-                assert_eq!(got, BTreeSet::from(want));
-                t["fronts"] = json!(["front8", "front9"]);
+                let expected = ["chargeback", "onboarding", "talk"]
+                    .map(|class| (class, "max_output", Some(77), "talk"));
+                assert_eq!(changed, BTreeSet::from(expected));
+                config["fronts"] = json!(["front8", "front9"]);
                 assert_eq!(
-                    plan(&c, &Change::Config(t.to_string())).refused[0].path,
+                    plan(&checkpoint, &Change::Config(config.to_string())).rejections[0].path,
                     "fronts"
                 );
-                assert_eq!(plan(&c, &Change::Without("nobody".into())).refused.len(), 1);
-                assert_eq!(lab.version().await, seq, "planning changed something");
+                assert_eq!(
+                    plan(&checkpoint, &Change::Failure("nobody".into()))
+                        .rejections
+                        .len(),
+                    1
+                );
+                assert_eq!(
+                    cluster.version().await,
+                    config_version,
+                    "planning changed the configuration"
+                );
             })
         },
     );
 }
 
 #[test]
-fn bad_files_are_named_and_nothing_is_touched() {
-    let bin = env!("CARGO_BIN_EXE_yewcross-plan");
-    let run = |a: &[&str]| {
-        let o = std::process::Command::new(bin).args(a).output().unwrap();
+fn invalid_files_are_reported_and_not_modified() {
+    let binary = env!("CARGO_BIN_EXE_yewcross-plan");
+    let run = |args: &[&str]| {
+        let output = std::process::Command::new(binary)
+            .args(args)
+            .output()
+            .unwrap();
         (
-            o.status.code(),
-            String::from_utf8_lossy(&o.stderr).into_owned(),
+            output.status.code(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
-    let f = std::env::temp_dir().join(format!("yewcross-plan-{}", std::process::id()));
-    std::fs::write(&f, "{\"config_seq\": true}").unwrap();
-    let p = f.display().to_string();
-    let (c, e) = run(&["--checkpoint", &p, "--empty", "store1"]);
-    assert!(c == Some(3) && e.contains(&p), "{c:?} {e}");
-    let (c, e) = run(&["--checkpoint", &p, "--config", "/nowhere"]);
-    assert!(c == Some(3) && e.contains("/nowhere"), "{c:?} {e}");
-    assert_eq!(run(&["--checkpoint", &p]).0, Some(2));
+    let file = std::env::temp_dir().join(format!("yewcross-plan-{}", std::process::id()));
+    std::fs::write(&file, "{\"config_seq\": true}").unwrap();
+    let path = file.display().to_string();
+    let (exit_code, stderr) = run(&["--checkpoint", &path, "--empty", "store1"]);
+    assert!(
+        exit_code == Some(3) && stderr.contains(&path),
+        "{exit_code:?} {stderr}"
+    );
+    let (exit_code, stderr) = run(&["--checkpoint", &path, "--config", "/nowhere"]);
+    assert!(
+        exit_code == Some(3) && stderr.contains("/nowhere"),
+        "{exit_code:?} {stderr}"
+    );
+    assert_eq!(run(&["--checkpoint", &path]).0, Some(2));
     assert_eq!(run(&["--empty", "x"]).0, Some(2));
     assert_eq!(
-        std::fs::read_to_string(&f).unwrap(),
+        std::fs::read_to_string(&file).unwrap(),
         "{\"config_seq\": true}"
     );
-    let _ = std::fs::remove_file(&f);
+    let _ = std::fs::remove_file(&file);
 }
