--- a/yewcross-capacity/src/capacity/cost.rs
+++ b/yewcross-capacity/src/capacity/cost.rs
@@ -40,7 +40,8 @@
     Server,
 }
 
-/// The status of a mechanism in the design. The table prints the names of the variants in lower case.
+/// The status of a mechanism in the design. The table prints the names of the variants in lower
+/// case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum DesignStatus {
     /// Implemented, and to be replaced.
--- a/yewcross-capacity/src/capacity/table.rs
+++ b/yewcross-capacity/src/capacity/table.rs
@@ -21,7 +21,8 @@
     /// Its cost at the given size.
     pub cost: Cost,
     /// Descriptions of the exceeded limits; empty if it is within all of them.
-    pub passes: Vec<String>,
+    #[serde(rename = "passes")]
+    pub exceeded: Vec<String>,
     /// The largest factor at which it is within its limits: for limits of control, a factor of the
     /// given size; for limits of a machine, a factor of the load on the same machines.
     #[serde(rename = "up_to")]
@@ -121,7 +122,7 @@
             name: mechanism.name,
             status: mechanism.status,
             limit_set: mechanism.limit_set,
-            passes: exceeded_limits(inputs, mechanism.limit_set, &cost),
+            exceeded: exceeded_limits(inputs, mechanism.limit_set, &cost),
             cost,
             max_factor: factor,
         }
@@ -172,10 +173,10 @@
             factor if factor < 0.1 => format!("{factor:.3} x"),
             factor => format!("{factor:.2} x"),
         };
-        let exceeded = if row.passes.is_empty() {
+        let exceeded = if row.exceeded.is_empty() {
             "fits".into()
         } else {
-            row.passes.join("; ")
+            row.exceeded.join("; ")
         };
         write_line(format!(
             "| {} | {status} | {} | {max_factor} | {exceeded} |",
--- a/yewcross-capacity/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -41,7 +41,7 @@
     let rows = cost_table(&inputs);
     let exceeding = |statuses: &[DesignStatus]| {
         rows.iter()
-            .filter(|row| statuses.contains(&row.status) && !row.passes.is_empty())
+            .filter(|row| statuses.contains(&row.status) && !row.exceeded.is_empty())
             .map(|row| row.name)
             .collect::<Vec<_>>()
     };
