--- a/yewcross-testkit/src/history.rs
+++ b/yewcross-testkit/src/history.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// count. States tried before the search gives up.
-pub const STATES_MOST: usize = 2_000_000;
+pub const MAX_STATES: usize = 2_000_000;
 
 /// What a register does with one call at a time.
 pub trait Specification: Clone + Eq + Hash + Debug {
@@ -27,14 +27,14 @@
 /// A call as its caller saw it. Times in us.
 #[derive(Clone, Debug)]
 pub struct Operation<S: Specification> {
-    pub begin: u64,
+    pub invoked_at: u64,
     pub call: S::Call,
     /// `None`: it got no clear answer and may yet take effect.
-    pub ended: Option<Ended<S::Answer>>,
+    pub completion: Option<Completion<S::Answer>>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Ended<A> {
+pub struct Completion<A> {
     pub at: u64,
     pub answer: A,
 }
@@ -44,20 +44,20 @@
     /// With the number of states that the search went through.
     Linearizable { states: usize },
     /// With the calls that could not be placed after the longest order found.
-    Broken { placed: usize, left: Vec<String> },
+    NotLinearizable { placed: usize, left: Vec<String> },
     /// The search gave up.
-    TooLarge,
+    StateLimitExceeded,
 }
 
 impl Verdict {
-    pub fn holds(&self) -> bool {
+    pub fn is_linearizable(&self) -> bool {
         matches!(self, Verdict::Linearizable { .. })
     }
 }
 
 /// A partial order: which calls are placed, and the register after them.
 #[derive(Clone)]
-struct Partial<S> {
+struct PartialOrder<S> {
     placed: Vec<bool>,
     count: usize,
     register: S,
@@ -65,22 +65,22 @@
 
 /// Whether the calls have an order in which the register, beginning as given, answers each as it
 /// did.
-pub fn check<S: Specification>(first: S, calls: &[Operation<S>]) -> Verdict {
+pub fn check_linearizability<S: Specification>(first: S, calls: &[Operation<S>]) -> Verdict {
     let mut calls = calls.to_vec();
-    calls.sort_by_key(|c| c.begin);
+    calls.sort_by_key(|c| c.invoked_at);
     let mut tried: HashSet<(Vec<bool>, S)> = HashSet::new();
-    let mut longest: Option<Partial<S>> = None;
-    let mut open = vec![Partial {
+    let mut longest: Option<PartialOrder<S>> = None;
+    let mut open = vec![PartialOrder {
         placed: vec![false; calls.len()],
         count: 0,
         register: first,
     }];
     while let Some(mut partial) = open.pop() {
-        place_without_effect(&mut partial, &calls);
+        place_calls_without_effect(&mut partial, &calls);
         if calls
             .iter()
             .zip(&partial.placed)
-            .all(|(c, placed)| *placed || c.ended.is_none())
+            .all(|(c, placed)| *placed || c.completion.is_none())
         {
             return Verdict::Linearizable {
                 states: tried.len(),
@@ -89,23 +89,24 @@
         if !tried.insert((partial.placed.clone(), partial.register.clone())) {
             continue;
         }
-        if tried.len() > STATES_MOST {
-            return Verdict::TooLarge;
+        if tried.len() > MAX_STATES {
+            return Verdict::StateLimitExceeded;
         }
         if longest.as_ref().is_none_or(|l| l.count < partial.count) {
             longest = Some(partial.clone());
         }
         let next = candidates(&partial, &calls);
         // The last one pushed is tried first: calls with an answer before those without.
-        let (answered, unanswered): (Vec<usize>, Vec<usize>) =
-            next.into_iter().partition(|i| calls[*i].ended.is_some());
+        let (answered, unanswered): (Vec<usize>, Vec<usize>) = next
+            .into_iter()
+            .partition(|i| calls[*i].completion.is_some());
         for index in unanswered.into_iter().chain(answered.into_iter().rev()) {
             let call = &calls[index];
-            let answer = call.ended.as_ref().map(|e| &e.answer);
+            let answer = call.completion.as_ref().map(|e| &e.answer);
             if let Some(register) = partial.register.apply(&call.call, answer) {
                 let mut placed = partial.placed.clone();
                 placed[index] = true;
-                open.push(Partial {
+                open.push(PartialOrder {
                     placed,
                     count: partial.count + 1,
                     register,
@@ -114,7 +115,7 @@
         }
     }
     let Some(longest) = longest else {
-        return Verdict::Broken {
+        return Verdict::NotLinearizable {
             placed: 0,
             left: vec![],
         };
@@ -124,33 +125,36 @@
         .map(|i| format!("{:?}", calls[i]))
         .collect();
     left.insert(0, format!("register: {:?}", longest.register));
-    Verdict::Broken {
+    Verdict::NotLinearizable {
         placed: longest.count,
         left,
     }
 }
 
 /// Calls that may come next: none that is not placed had ended before they began.
-fn candidates<S: Specification>(partial: &Partial<S>, calls: &[Operation<S>]) -> Vec<usize> {
+fn candidates<S: Specification>(partial: &PartialOrder<S>, calls: &[Operation<S>]) -> Vec<usize> {
     let waiting = calls
         .iter()
         .enumerate()
         .filter(|(i, _)| !partial.placed[*i]);
     let first_end = waiting
         .clone()
-        .filter_map(|(_, c)| c.ended.as_ref().map(|e| e.at))
+        .filter_map(|(_, c)| c.completion.as_ref().map(|e| e.at))
         .min()
         .unwrap_or(u64::MAX);
     waiting
-        .take_while(|(_, c)| c.begin <= first_end)
+        .take_while(|(_, c)| c.invoked_at <= first_end)
         .map(|(i, _)| i)
         .collect()
 }
 
-fn place_without_effect<S: Specification>(partial: &mut Partial<S>, calls: &[Operation<S>]) {
+fn place_calls_without_effect<S: Specification>(
+    partial: &mut PartialOrder<S>,
+    calls: &[Operation<S>],
+) {
     loop {
         let fits = |i: &usize| {
-            let Some(ended) = &calls[*i].ended else {
+            let Some(ended) = &calls[*i].completion else {
                 return false;
             };
             partial
@@ -184,7 +188,7 @@
 pub struct ConfigRegister {
     pub number: u64,
     pub text: String,
-    taken: Arc<BTreeSet<OrderIdentity>>,
+    accepted: Arc<BTreeSet<OrderIdentity>>,
 }
 
 #[derive(Clone, Debug)]
@@ -199,7 +203,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigAnswer {
-    Taken {
+    Accepted {
         number: u64,
     },
     Conflict {
@@ -207,26 +211,26 @@
     },
     Invalid,
     /// Refused with the promise that nothing was done and never will be.
-    NotDone,
+    NotExecuted,
     Text {
         number: u64,
         text: String,
     },
-    Nothing,
+    NoConfiguration,
 }
 
 impl ConfigRegister {
-    fn has_taken(&self, base: u64, text: &str) -> bool {
+    fn has_accepted(&self, base: u64, text: &str) -> bool {
         let text = text.into();
-        self.taken.contains(&OrderIdentity { base, text })
+        self.accepted.contains(&OrderIdentity { base, text })
     }
 
     fn put(&self, base: u64, number: u64, text: &str) -> Option<ConfigRegister> {
-        if base != self.number || number <= self.number || self.has_taken(base, text) {
+        if base != self.number || number <= self.number || self.has_accepted(base, text) {
             return None;
         }
         let text = String::from(text);
-        let mut taken = BTreeSet::clone(&self.taken);
+        let mut taken = BTreeSet::clone(&self.accepted);
         taken.insert(OrderIdentity {
             base,
             text: text.clone(),
@@ -234,7 +238,7 @@
         Some(ConfigRegister {
             number,
             text,
-            taken: Arc::new(taken),
+            accepted: Arc::new(taken),
         })
     }
 }
@@ -249,23 +253,23 @@
             (ConfigCall::Put { base, number, text }, None) => self.put(*base, *number, text),
             (
                 ConfigCall::Put { base, number, text },
-                Some(ConfigAnswer::Taken { number: told }),
-            ) if self.has_taken(*base, text) => same(number == told),
+                Some(ConfigAnswer::Accepted { number: told }),
+            ) if self.has_accepted(*base, text) => same(number == told),
             (
                 ConfigCall::Put { base, number, text },
-                Some(ConfigAnswer::Taken { number: told }),
+                Some(ConfigAnswer::Accepted { number: told }),
             ) => self.put(*base, *number, text).filter(|_| number == told),
             (ConfigCall::Put { base, text, .. }, Some(ConfigAnswer::Conflict { current })) => same(
-                *base != self.number && *current == self.number && !self.has_taken(*base, text),
+                *base != self.number && *current == self.number && !self.has_accepted(*base, text),
             ),
-            (ConfigCall::Put { base, number, text }, Some(ConfigAnswer::Invalid)) => {
-                same(*base == self.number && *number <= self.number && !self.has_taken(*base, text))
-            }
-            (ConfigCall::Put { .. }, Some(ConfigAnswer::NotDone)) => same(true),
+            (ConfigCall::Put { base, number, text }, Some(ConfigAnswer::Invalid)) => same(
+                *base == self.number && *number <= self.number && !self.has_accepted(*base, text),
+            ),
+            (ConfigCall::Put { .. }, Some(ConfigAnswer::NotExecuted)) => same(true),
             (ConfigCall::Read, Some(ConfigAnswer::Text { number, text })) => {
                 same(*number == self.number && *text == self.text)
             }
-            (ConfigCall::Read, Some(ConfigAnswer::Nothing)) => same(self.text.is_empty()),
+            (ConfigCall::Read, Some(ConfigAnswer::NoConfiguration)) => same(self.text.is_empty()),
             _ => None,
         }
     }
@@ -275,7 +279,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum RetireRegister {
     #[default]
-    Seated,
+    NotRequested,
     Running,
     Finished,
 }
@@ -302,10 +306,10 @@
     fn apply(&self, call: &RetireCall, answer: Option<&RetireAnswer>) -> Option<RetireRegister> {
         use RetireRegister::*;
         match (call, answer, self) {
-            (RetireCall::Begin, None | Some(RetireAnswer::Begun), Seated) => Some(Running),
+            (RetireCall::Begin, None | Some(RetireAnswer::Begun), NotRequested) => Some(Running),
             (RetireCall::Begin, Some(RetireAnswer::Begun), _) => Some(*self),
-            (RetireCall::Begin, Some(RetireAnswer::TooFew), Seated) => Some(Seated),
-            (RetireCall::Read, Some(RetireAnswer::Unknown), Seated) => Some(Seated),
+            (RetireCall::Begin, Some(RetireAnswer::TooFew), NotRequested) => Some(NotRequested),
+            (RetireCall::Read, Some(RetireAnswer::Unknown), NotRequested) => Some(NotRequested),
             (RetireCall::Read, Some(RetireAnswer::Running), Running) => Some(Running),
             // It is finished by itself, at any time before this was read.
             (RetireCall::Read, Some(RetireAnswer::Finished), Running | Finished) => Some(Finished),
--- a/yewcross-testkit/src/routed.rs
+++ b/yewcross-testkit/src/routed.rs
@@ -4,12 +4,12 @@
 
 pub mod caller;
 pub mod cfg;
-pub mod ports;
 pub mod server;
+pub mod test_adapter;
 pub mod tier;
 pub mod verdict;
 
 /// Tokens in each event.
-pub const PER_EVENT: u64 = 2;
+pub const TOKENS_PER_EVENT: u64 = 2;
 /// Servers that a try may be sent to.
-pub const TRIES: usize = 3;
+pub const MAX_TRIES: usize = 3;
--- a/yewcross-testkit/src/routed/server.rs
+++ b/yewcross-testkit/src/routed/server.rs
@@ -2,7 +2,7 @@
 //! to nothing, break off, slow down, end, and whose addresses go to others; each run is written
 //! down as it begins.
 
-use super::ports::Page;
+use super::test_adapter::Page;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -30,38 +30,51 @@
 #[strum(serialize_all = "snake_case")]
 pub enum Fault {
     /// It runs, and the connection closes without a word.
-    Lose,
+    #[strum(serialize = "lose")]
+    LoseAnswer,
     /// The connection closes, and it does not run.
     Reset,
     /// It says that it did not run.
-    NotRun,
+    #[strum(serialize = "not_run")]
+    NotExecuted,
     /// It runs and says nothing for ten seconds.
-    Silent,
+    #[strum(serialize = "silent")]
+    Hang,
     /// It runs and the answer is cut in its middle.
-    Half,
+    #[strum(serialize = "half")]
+    TruncateAnswer,
     /// It runs and answers 500 without a stamp.
-    Fails,
-    NoStamp,
+    #[strum(serialize = "fails")]
+    UnstampedError,
+    #[strum(serialize = "no_stamp")]
+    MissingStamp,
     /// It runs and answers for another try.
-    OtherTry,
+    #[strum(serialize = "other_try")]
+    WrongAttempt,
     /// It runs and sends what is no answer.
-    Garble,
+    #[strum(serialize = "garble")]
+    MalformedAnswer,
     /// A good answer with bytes behind it that belong to nothing.
-    Surplus,
+    #[strum(serialize = "surplus")]
+    TrailingBytes,
     /// A good answer, and a whole answer to another try behind it a little later.
-    Late,
+    #[strum(serialize = "late")]
+    LateExtraAnswer,
     /// A good answer; the connection closes soon after.
-    ThenClose,
+    #[strum(serialize = "then_close")]
+    CloseAfterAnswer,
     /// A row of events breaks off.
-    Break,
+    #[strum(serialize = "break")]
+    BreakStream,
     /// It takes five times as long.
     Slow,
     /// A row of events pauses for a second.
-    Pause,
+    #[strum(serialize = "pause")]
+    PauseStream,
 }
 
 /// How often of a thousand requests each fault comes.
-pub type Mood = Vec<(Fault, u64)>;
+pub type FaultRates = Vec<(Fault, u64)>;
 
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
@@ -71,17 +84,17 @@
     pub addr: SocketAddr,
     pub site: String,
     pub slots: usize,
-    pub queue: usize,
-    pub max_conns: usize,
+    pub queue_limit: usize,
+    pub max_connections: usize,
     /// us a plain request, and between events.
-    pub work: u64,
-    pub gap: u64,
+    pub service_time: u64,
+    pub event_interval: u64,
 }
 
 /// A request that a server began work on.
 #[derive(Clone, Debug)]
-pub struct Run {
-    pub at: u64,
+pub struct Execution {
+    pub started_at: u64,
     pub server: String,
     pub service: String,
     pub attempt: String,
@@ -89,7 +102,7 @@
     pub target: String,
     pub body: Vec<u8>,
     /// What a whole answer has as its body, and as its status.
-    pub out: Vec<u8>,
+    pub answer_body: Vec<u8>,
     pub status: u16,
     /// The server knew that it was leaving.
     pub leaving: bool,
@@ -97,36 +110,36 @@
 
 /// What all servers saw.
 #[derive(Default)]
-pub struct Ground {
-    pub runs: Mutex<Vec<Run>>,
+pub struct ServerRecords {
+    pub executions: Mutex<Vec<Execution>>,
     /// When a request came to a server, and it was not answered 421: us, server, try.
-    pub reached: Mutex<Vec<(u64, String, String)>>,
-    pub conns: AtomicU64,
-    pub faults: Mutex<BTreeMap<Fault, u64>>,
+    pub arrivals: Mutex<Vec<(u64, String, String)>>,
+    pub connections: AtomicU64,
+    pub fault_counts: Mutex<BTreeMap<Fault, u64>>,
     /// What no server should be sent.
-    pub odd: Mutex<Vec<String>>,
+    pub protocol_errors: Mutex<Vec<String>>,
 }
 
 pub struct Server {
     pub spec: ServerSpec,
-    pub mood: Mutex<Mood>,
+    pub fault_rates: Mutex<FaultRates>,
     pub leaving: AtomicBool,
-    w: Runtime,
-    g: Arc<Ground>,
+    runtime: Runtime,
+    records: Arc<ServerRecords>,
     active: AtomicUsize,
     waiting: AtomicUsize,
-    conns: AtomicUsize,
-    freed: Notifier,
+    connections: AtomicUsize,
+    slot_freed: Notifier,
 }
 
-struct Head {
+struct RequestHead {
     method: String,
     target: String,
-    heads: BTreeMap<String, String>,
+    headers: BTreeMap<String, String>,
 }
 
 /// One head, by httparse; none when the caller is gone or falls silent.
-async fn head(c: &mut Connection, buf: &mut Vec<u8>) -> Result<Option<Head>, String> {
+async fn read_head(c: &mut Connection, buf: &mut Vec<u8>) -> Result<Option<RequestHead>, String> {
     loop {
         let mut hs = [httparse::EMPTY_HEADER; 64];
         let mut q = httparse::Request::new(&mut hs);
@@ -141,10 +154,10 @@
                 {
                     return Err(format!("{} comes twice", h.name));
                 }
-                let h = Head {
+                let h = RequestHead {
                     method: q.method.unwrap_or_default().into(),
                     target: q.path.unwrap_or_default().into(),
-                    heads: q
+                    headers: q
                         .headers
                         .iter()
                         .map(|h| (h.name.to_ascii_lowercase(), text(h.value)))
@@ -164,7 +177,7 @@
     }
 }
 
-async fn fill(c: &mut Connection, buf: &mut Vec<u8>, n: usize) -> Option<Vec<u8>> {
+async fn read_body(c: &mut Connection, buf: &mut Vec<u8>, n: usize) -> Option<Vec<u8>> {
     while buf.len() < n {
         let mut b = [0; 4096];
         let k = c.read(&mut b).await.ok().filter(|k| *k > 0)?;
@@ -177,12 +190,12 @@
     [format!("{:x}\r\n", b.len()).as_bytes(), b, b"\r\n"].concat()
 }
 
-struct Seat<'a>(&'a Server);
+struct SlotGuard<'a>(&'a Server);
 
-impl Drop for Seat<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         self.0.active.fetch_sub(1, SeqCst);
-        self.0.freed.notify();
+        self.0.slot_freed.notify();
     }
 }
 
@@ -190,33 +203,33 @@
     pub async fn start(
         runtime: &Runtime,
         spec: ServerSpec,
-        g: Arc<Ground>,
-        mood: Mood,
+        g: Arc<ServerRecords>,
+        mood: FaultRates,
     ) -> io::Result<Arc<Server>> {
         let door = runtime.bind(spec.addr).await?;
         let s = Arc::new(Server {
             spec,
-            mood: Mutex::new(mood),
+            fault_rates: Mutex::new(mood),
             leaving: AtomicBool::new(false),
-            w: runtime.clone(),
-            g,
+            runtime: runtime.clone(),
+            records: g,
             active: AtomicUsize::new(0),
             waiting: AtomicUsize::new(0),
-            conns: AtomicUsize::new(0),
-            freed: Notifier::default(),
+            connections: AtomicUsize::new(0),
+            slot_freed: Notifier::default(),
         });
         let me = s.clone();
         runtime.spawn(async move {
             while let Ok(c) = door.accept().await {
-                me.g.conns.fetch_add(1, SeqCst);
-                if me.conns.fetch_add(1, SeqCst) >= me.spec.max_conns {
-                    me.conns.fetch_sub(1, SeqCst);
+                me.records.connections.fetch_add(1, SeqCst);
+                if me.connections.fetch_add(1, SeqCst) >= me.spec.max_connections {
+                    me.connections.fetch_sub(1, SeqCst);
                     continue;
                 }
                 let s = me.clone();
-                me.w.spawn(async move {
-                    s.attend(c).await;
-                    s.conns.fetch_sub(1, SeqCst);
+                me.runtime.spawn(async move {
+                    s.serve_connection(c).await;
+                    s.connections.fetch_sub(1, SeqCst);
                 });
             }
         });
@@ -234,9 +247,9 @@
         }
     }
 
-    fn fault(&self) -> Option<Fault> {
-        let mut x = self.w.random() % 1000;
-        let m = self.mood.lock().unwrap();
+    fn draw_fault(&self) -> Option<Fault> {
+        let mut x = self.runtime.random() % 1000;
+        let m = self.fault_rates.lock().unwrap();
         m.iter().find_map(|(f, n)| {
             let hit = x < *n;
             x = x.saturating_sub(*n);
@@ -244,17 +257,17 @@
         })
     }
 
-    async fn seat(&self) -> Option<Seat<'_>> {
+    async fn acquire_slot(&self) -> Option<SlotGuard<'_>> {
         if self.active.load(SeqCst) >= self.spec.slots {
-            if self.waiting.load(SeqCst) >= self.spec.queue {
+            if self.waiting.load(SeqCst) >= self.spec.queue_limit {
                 return None;
             }
             self.waiting.fetch_add(1, SeqCst);
             let free = self
-                .w
+                .runtime
                 .timeout(
                     500 * MS,
-                    self.freed
+                    self.slot_freed
                         .wait_until(|| self.active.load(SeqCst) < self.spec.slots),
                 )
                 .await;
@@ -262,41 +275,45 @@
             free?;
         }
         self.active.fetch_add(1, SeqCst);
-        Some(Seat(self))
+        Some(SlotGuard(self))
     }
 
-    async fn attend(self: &Arc<Self>, mut c: Connection) {
+    async fn serve_connection(self: &Arc<Self>, mut c: Connection) {
         let mut buf = vec![];
         loop {
-            let h = match self.w.timeout(20 * SEC, head(&mut c, &mut buf)).await {
+            let h = match self
+                .runtime
+                .timeout(20 * SEC, read_head(&mut c, &mut buf))
+                .await
+            {
                 Some(Ok(Some(h))) => h,
                 Some(Err(e)) => {
                     return self
-                        .g
-                        .odd
+                        .records
+                        .protocol_errors
                         .lock()
                         .unwrap()
                         .push(format!("{}: {e}", self.spec.id));
                 }
                 _ => return,
             };
-            if h.heads.contains_key("transfer-encoding") {
+            if h.headers.contains_key("transfer-encoding") {
                 return self
-                    .g
-                    .odd
+                    .records
+                    .protocol_errors
                     .lock()
                     .unwrap()
                     .push(format!("{}: a body in chunks", self.spec.id));
             }
             let n = h
-                .heads
+                .headers
                 .get("content-length")
                 .and_then(|v| v.parse().ok())
                 .unwrap_or(0);
-            let Some(body) = fill(&mut c, &mut buf, n).await else {
+            let Some(body) = read_body(&mut c, &mut buf, n).await else {
                 return;
             };
-            if self.answer(&mut c, h, body).await.is_none() {
+            if self.serve_request(&mut c, h, body).await.is_none() {
                 let _ = c.close().await;
                 return;
             }
@@ -304,8 +321,13 @@
     }
 
     /// None: the connection ends.
-    async fn answer(self: &Arc<Self>, c: &mut Connection, h: Head, body: Vec<u8>) -> Option<()> {
-        let get = |n: &str| h.heads.get(n).cloned().unwrap_or_default();
+    async fn serve_request(
+        self: &Arc<Self>,
+        c: &mut Connection,
+        h: RequestHead,
+        body: Vec<u8>,
+    ) -> Option<()> {
+        let get = |n: &str| h.headers.get(n).cloned().unwrap_or_default();
         let attempt = get("try");
         let load = format!(
             "{},{},{}",
@@ -325,24 +347,30 @@
             );
             [top.as_bytes(), body].concat()
         };
-        if h.heads.get("for").is_some_and(|x| *x != self.spec.id) {
+        if h.headers.get("for").is_some_and(|x| *x != self.spec.id) {
             return c
                 .write_all(&say(421, &attempt, "unrun: 1\r\n", b""))
                 .await
                 .ok();
         }
-        self.g
-            .reached
-            .lock()
-            .unwrap()
-            .push((self.w.now(), self.spec.id.clone(), attempt.clone()));
-        let fault = self.fault();
-        fault
-            .iter()
-            .for_each(|f| *self.g.faults.lock().unwrap().entry(*f).or_default() += 1);
+        self.records.arrivals.lock().unwrap().push((
+            self.runtime.now(),
+            self.spec.id.clone(),
+            attempt.clone(),
+        ));
+        let fault = self.draw_fault();
+        fault.iter().for_each(|f| {
+            *self
+                .records
+                .fault_counts
+                .lock()
+                .unwrap()
+                .entry(*f)
+                .or_default() += 1
+        });
         match fault {
             Some(Fault::Reset) => return None,
-            Some(Fault::NotRun) => {
+            Some(Fault::NotExecuted) => {
                 return c
                     .write_all(&say(503, &attempt, "unrun: 1\r\n", b""))
                     .await
@@ -350,7 +378,7 @@
             }
             _ => {}
         }
-        let Some(_seat) = self.seat().await else {
+        let Some(_seat) = self.acquire_slot().await else {
             return c
                 .write_all(&say(503, &attempt, "unrun: 1\r\n", b"full"))
                 .await
@@ -359,86 +387,89 @@
         let most: u64 = get("most").parse().unwrap_or(0);
         let stream = most > 0;
         let (n, events) = {
-            let mut g = self.g.runs.lock().unwrap();
+            let mut g = self.records.executions.lock().unwrap();
             let n = g.len();
             let k = if stream {
-                1 + self.w.random() % (most / super::PER_EVENT).max(1)
+                1 + self.runtime.random() % (most / super::TOKENS_PER_EVENT).max(1)
             } else {
                 0
             };
             let events: Vec<String> = (0..k).map(|i| format!("{attempt}.{i}")).collect();
-            let own = self.w.random().is_multiple_of(40);
+            let own = self.runtime.random().is_multiple_of(40);
             let out = match (stream, own) {
                 (true, _) => events
                     .iter()
                     .enumerate()
-                    .map(|(i, d)| event(i, d))
+                    .map(|(i, d)| encode_event(i, d))
                     .collect::<String>()
                     .into_bytes(),
                 (_, true) => format!("none of that for {attempt}").into_bytes(),
                 _ => format!(
                     "run {n} of {attempt}: {}",
-                    "z".repeat((self.w.random() % 6000) as usize)
+                    "z".repeat((self.runtime.random() % 6000) as usize)
                 )
                 .into_bytes(),
             };
-            g.push(Run {
-                at: self.w.now(),
+            g.push(Execution {
+                started_at: self.runtime.now(),
                 server: self.spec.id.clone(),
                 service: self.spec.service.clone(),
                 attempt: attempt.clone(),
                 method: h.method,
                 target: h.target,
                 body,
-                out,
+                answer_body: out,
                 status: if own && !stream { 404 } else { 200 },
                 leaving: self.leaving.load(SeqCst),
             });
             (n, events)
         };
         let (status, out) = {
-            let g = self.g.runs.lock().unwrap();
-            (g[n].status, g[n].out.clone())
+            let g = self.records.executions.lock().unwrap();
+            (g[n].status, g[n].answer_body.clone())
         };
         let slow = if fault == Some(Fault::Slow) { 5 } else { 1 };
-        self.w
-            .sleep(slow * (self.spec.work / 2 + self.w.random() % (self.spec.work + 1)))
+        self.runtime
+            .sleep(
+                slow * (self.spec.service_time / 2
+                    + self.runtime.random() % (self.spec.service_time + 1)),
+            )
             .await;
         let stamp = format!("stamp: r{n}\r\n");
         if stream
             && !matches!(
                 fault,
                 Some(
-                    Fault::Lose
-                        | Fault::Silent
-                        | Fault::Fails
-                        | Fault::Garble
-                        | Fault::OtherTry
-                        | Fault::NoStamp
+                    Fault::LoseAnswer
+                        | Fault::Hang
+                        | Fault::UnstampedError
+                        | Fault::MalformedAnswer
+                        | Fault::WrongAttempt
+                        | Fault::MissingStamp
                 )
             )
         {
             return self
-                .row(c, fault, &attempt, &stamp, bye, slow, &events)
+                .write_events(c, fault, &attempt, &stamp, bye, slow, &events)
                 .await;
         }
         let good = say(status, &attempt, &stamp, &out);
         let whole = match fault {
-            Some(Fault::Lose) => return None,
-            Some(Fault::Silent) => {
-                self.w.sleep(10 * SEC).await;
+            Some(Fault::LoseAnswer) => return None,
+            Some(Fault::Hang) => {
+                self.runtime.sleep(10 * SEC).await;
                 return None;
             }
-            Some(Fault::Half) => {
+            Some(Fault::TruncateAnswer) => {
                 c.write_all(&good[..good.len() - 1 - out.len() / 2])
                     .await
                     .ok()?;
                 return None;
             }
-            Some(Fault::Fails) => say(500, &attempt, "", b"mine"),
-            Some(Fault::NoStamp) => say(200, &attempt, "", &out),
-            Some(Fault::OtherTry) => say(200, "nobody", &stamp, &out),
-            Some(Fault::Garble) => {
+            Some(Fault::UnstampedError) => say(500, &attempt, "", b"mine"),
+            Some(Fault::MissingStamp) => say(200, &attempt, "", &out),
+            Some(Fault::WrongAttempt) => say(200, "nobody", &stamp, &out),
+            Some(Fault::MalformedAnswer) => {
                 c.write_all(b"\x00\x01no answer at all\r\n\r\n")
                     .await
                     .ok()?;
@@ -447,28 +478,28 @@
             _ => good,
         };
         c.write_all(&whole).await.ok()?;
-        self.after(c, fault).await
+        self.finish_answer(c, fault).await
     }
 
     /// What follows a whole answer.
-    async fn after(&self, c: &mut Connection, fault: Option<Fault>) -> Option<()> {
+    async fn finish_answer(&self, c: &mut Connection, fault: Option<Fault>) -> Option<()> {
         match fault {
-            Some(Fault::Surplus) => c
+            Some(Fault::TrailingBytes) => c
                 .write_all(
                     b"HTTP/1.1 200 X\r\ntry: nobody\r\nstamp: r0\r\ncontent-length: 2\r\n\r\nno",
                 )
                 .await
                 .ok(),
-            Some(Fault::Late) => {
-                self.w.sleep(20 * MS).await;
+            Some(Fault::LateExtraAnswer) => {
+                self.runtime.sleep(20 * MS).await;
                 c.write_all(
                     b"HTTP/1.1 200 X\r\ntry: nobody\r\nstamp: r0\r\ncontent-length: 5\r\n\r\nstale",
                 )
                 .await
                 .ok()
             }
-            Some(Fault::ThenClose) => {
-                self.w.sleep(30 * MS).await;
+            Some(Fault::CloseAfterAnswer) => {
+                self.runtime.sleep(30 * MS).await;
                 None
             }
             _ => (!self.leaving.load(SeqCst)).then_some(()),
@@ -476,7 +507,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    async fn row(
+    async fn write_events(
         &self,
         c: &mut Connection,
         f: Option<Fault>,
@@ -490,73 +521,73 @@
             "HTTP/1.1 200 X\r\ntry: {attempt}\r\n{stamp}{bye}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
         );
         c.write_all(top.as_bytes()).await.ok()?;
-        let cut = self.w.random() as usize % (events.len() + 1);
+        let cut = self.runtime.random() as usize % (events.len() + 1);
         for (i, d) in events.iter().enumerate() {
             if i == cut {
                 match f {
-                    Some(Fault::Break | Fault::Half) => return None,
-                    Some(Fault::Pause) => self.w.sleep(SEC).await,
+                    Some(Fault::BreakStream | Fault::TruncateAnswer) => return None,
+                    Some(Fault::PauseStream) => self.runtime.sleep(SEC).await,
                     _ => {}
                 }
             }
-            let e = event(i, d);
-            let at = self.w.random() as usize % e.len();
+            let e = encode_event(i, d);
+            let at = self.runtime.random() as usize % e.len();
             // Events come in any pieces.
             if at > 0 {
                 c.write_all(&chunk(&e.as_bytes()[..at])).await.ok()?;
             }
             c.write_all(&chunk(&e.as_bytes()[at..])).await.ok()?;
-            self.w.sleep(slow * self.spec.gap).await;
+            self.runtime.sleep(slow * self.spec.event_interval).await;
         }
-        if matches!(f, Some(Fault::Break | Fault::Half)) {
+        if matches!(f, Some(Fault::BreakStream | Fault::TruncateAnswer)) {
             return None;
         }
         c.write_all(b"0\r\n\r\n").await.ok()?;
-        self.after(c, f).await
+        self.finish_answer(c, f).await
     }
 }
 
-pub fn event(i: usize, data: &str) -> String {
+pub fn encode_event(i: usize, data: &str) -> String {
     format!("id: {}\ndata: {data}\n\n", i + 1)
 }
 
 /// The platform's list: it lags, comes in pages, and takes only so many calls a second.
-pub struct Roster {
-    w: Runtime,
+pub struct CatalogueServer {
+    runtime: Runtime,
     /// us that it lags.
     pub lag: u64,
-    pub page: usize,
-    pub rate: u64,
+    pub page_size: usize,
+    pub max_calls_per_second: u64,
     /// Down: it answers nothing.
-    pub away: AtomicBool,
-    past: Mutex<Vec<(u64, Vec<ListedServer>)>>,
-    calls: Mutex<(u64, u64)>,
+    pub unavailable: AtomicBool,
+    revisions: Mutex<Vec<(u64, Vec<ListedServer>)>>,
+    calls_this_second: Mutex<(u64, u64)>,
     pub refused: AtomicU64,
     pub served: AtomicU64,
 }
 
-impl Roster {
+impl CatalogueServer {
     pub async fn start(
         runtime: &Runtime,
         at: SocketAddr,
         lag: u64,
         page: usize,
         rate: u64,
-    ) -> io::Result<Arc<Roster>> {
+    ) -> io::Result<Arc<CatalogueServer>> {
         let door = runtime.bind(at).await?;
-        let r = Arc::new(Roster {
-            w: runtime.clone(),
+        let r = Arc::new(CatalogueServer {
+            runtime: runtime.clone(),
             lag,
-            page,
-            rate,
-            away: AtomicBool::new(false),
-            past: Default::default(),
-            calls: Default::default(),
+            page_size: page,
+            max_calls_per_second: rate,
+            unavailable: AtomicBool::new(false),
+            revisions: Default::default(),
+            calls_this_second: Default::default(),
             refused: AtomicU64::new(0),
             served: AtomicU64::new(0),
         });
         let me = r.clone();
-        let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
+        let h: buffered_http::Handler = Arc::new(move |j| Box::pin(serve_catalogue(me.clone(), j)));
         runtime.spawn(buffered_http::serve(
             runtime.clone(),
             door,
@@ -566,15 +597,15 @@
         Ok(r)
     }
 
-    pub fn set(&self, v: Vec<ListedServer>) {
-        let mut g = self.past.lock().unwrap();
-        g.push((self.w.now(), v));
+    pub fn publish(&self, v: Vec<ListedServer>) {
+        let mut g = self.revisions.lock().unwrap();
+        g.push((self.runtime.now(), v));
     }
 
     /// As it is shown now.
-    pub fn shown(&self) -> Vec<ListedServer> {
-        let t = self.w.now();
-        let g = self.past.lock().unwrap();
+    pub fn listed_now(&self) -> Vec<ListedServer> {
+        let t = self.runtime.now();
+        let g = self.revisions.lock().unwrap();
         g.iter()
             .rev()
             .find(|x| x.0 + self.lag <= t)
@@ -584,31 +615,31 @@
     }
 }
 
-async fn answer(r: Arc<Roster>, j: BufferedRequest) -> http_types::Response {
-    if r.away.load(SeqCst) {
-        r.w.sleep(30 * SEC).await;
+async fn serve_catalogue(r: Arc<CatalogueServer>, j: BufferedRequest) -> http_types::Response {
+    if r.unavailable.load(SeqCst) {
+        r.runtime.sleep(30 * SEC).await;
     }
     let over = {
-        let s = r.w.now() / SEC;
-        let mut g = r.calls.lock().unwrap();
+        let s = r.runtime.now() / SEC;
+        let mut g = r.calls_this_second.lock().unwrap();
         *g = if g.0 == s { (s, g.1 + 1) } else { (s, 1) };
-        g.1 > r.rate
+        g.1 > r.max_calls_per_second
     };
     // The product's own list, whole and numbered.
     if !over && j.path == "/servers" {
         let rev = r
-            .past
+            .revisions
             .lock()
             .unwrap()
             .iter()
-            .filter(|x| x.0 + r.lag <= r.w.now())
+            .filter(|x| x.0 + r.lag <= r.runtime.now())
             .count() as u64;
         return buffered_http::json_response(
             200,
             &yewcross_common::protocol::ServerList {
                 revision: rev.max(1),
                 term: 0,
-                servers: r.shown(),
+                servers: r.listed_now(),
             },
         );
     }
@@ -623,8 +654,8 @@
         .and_then(|q| q.strip_prefix("page="))
         .and_then(|p| p.parse().ok())
         .unwrap_or(0);
-    let all = r.shown();
-    let servers: Vec<ListedServer> = all.iter().skip(from).take(r.page).cloned().collect();
+    let all = r.listed_now();
+    let servers: Vec<ListedServer> = all.iter().skip(from).take(r.page_size).cloned().collect();
     let next = (from + servers.len() < all.len()).then(|| (from + servers.len()).to_string());
     buffered_http::json_response(200, &Page { servers, next })
 }
--- a/yewcross-testkit/src/routed/ports.rs
+++ b/yewcross-testkit/src/routed/test_adapter.rs
@@ -9,13 +9,13 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ListedServer;
 
-pub struct Ports;
+pub struct TestAdapter;
 
-pub fn text<'a>(h: &'a HeaderMap, n: &str) -> &'a str {
+pub fn header_text<'a>(h: &'a HeaderMap, n: &str) -> &'a str {
     h.get(n).and_then(|v| v.to_str().ok()).unwrap_or_default()
 }
 
-fn parts(s: &str) -> Option<Vec<(u64, u64)>> {
+fn parse_segments(s: &str) -> Option<Vec<(u64, u64)>> {
     s.split(',')
         .filter(|p| !p.is_empty())
         .map(|p| {
@@ -25,24 +25,24 @@
         .collect()
 }
 
-impl CallerProtocol for Ports {
+impl CallerProtocol for TestAdapter {
     fn parse_request(&self, h: &HeaderMap) -> Result<RequestMeta, String> {
-        let num = |n: &str| text(h, n).parse().ok();
-        let attempt = text(h, "try").to_string();
+        let num = |n: &str| header_text(h, n).parse().ok();
+        let attempt = header_text(h, "try").to_string();
         if attempt.is_empty() {
             return Err("try".into());
         }
         Ok(RequestMeta {
             attempt,
             deadline_ms: num("patience"),
-            program: text(h, "program").into(),
-            session: text(h, "session").into(),
+            program: header_text(h, "program").into(),
+            session: header_text(h, "session").into(),
             budget: num("budget"),
             prompt_tokens: num("tokens").unwrap_or(0),
             max_output_tokens: num("most").unwrap_or(0),
-            prompt_segments: parts(text(h, "parts")).ok_or("parts")?,
-            previous_turn: text(h, "after").into(),
-            affinity: text(h, "affinity").into(),
+            prompt_segments: parse_segments(header_text(h, "parts")).ok_or("parts")?,
+            previous_turn: header_text(h, "after").into(),
+            affinity: header_text(h, "affinity").into(),
             ..Default::default()
         })
     }
@@ -55,7 +55,7 @@
     }
 }
 
-impl UpstreamProtocol for Ports {
+impl UpstreamProtocol for TestAdapter {
     fn add_headers(&self, h: &mut HeaderMap, to: &ListedServer, left: u64, urgency: Option<u8>) {
         to.server.parse().into_iter().for_each(|v| {
             h.insert("for", v);
@@ -73,17 +73,17 @@
             });
     }
     fn parse_response(&self, status: u16, h: &HeaderMap) -> ResponseMeta {
-        let load: Vec<u32> = text(h, "load")
+        let load: Vec<u32> = header_text(h, "load")
             .split(',')
             .filter_map(|x| x.parse().ok())
             .collect();
         ResponseMeta {
-            attempt: text(h, "try").into(),
+            attempt: header_text(h, "try").into(),
             from_server: h.contains_key("stamp"),
             not_executed: h.contains_key("unrun") || status == 421,
             load: (load.len() == 3).then(|| (load[0], load[1], load[2])),
-            idle_ms: text(h, "idle-ms").parse().ok(),
-            closes_connection: text(h, "connection") == "close",
+            idle_ms: header_text(h, "idle-ms").parse().ok(),
+            closes_connection: header_text(h, "connection") == "close",
             weights: String::new(),
         }
     }
@@ -95,7 +95,7 @@
     pub next: Option<String>,
 }
 
-impl ServerCatalogue for Ports {
+impl ServerCatalogue for TestAdapter {
     fn page_target(&self, page: Option<&str>) -> String {
         page.map_or("/roster".into(), |p| format!("/roster?page={p}"))
     }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -1,9 +1,9 @@
 //! A tier under a plan of troubles.
 
-use super::caller::{self, Book, Caller, Fronts};
-use super::cfg::{self, Version};
-use super::ports::Ports;
-use super::server::{Fault, Ground, Mood, Roster, Server, ServerSpec};
+use super::caller::{self, Caller, CallerRecords, Fronts};
+use super::cfg::{self, ConfigVersion};
+use super::server::{CatalogueServer, Fault, FaultRates, Server, ServerRecords, ServerSpec};
+use super::test_adapter::TestAdapter;
 use super::verdict::Evidence;
 use crate::sim::{NetworkConditions, Sim};
 use crate::topology::{Topology, topology};
@@ -23,44 +23,61 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
-pub enum Act {
+pub enum Disruption {
     KillFront,
-    PowerFront,
+    #[strum(serialize = "power_front")]
+    PowerOffFront,
     FreezeFront,
-    CutFront,
+    #[strum(serialize = "cut_front")]
+    IsolateFront,
     StopFront,
     KillStore,
-    PowerStore,
+    #[strum(serialize = "power_store")]
+    PowerOffStore,
     WipeStore,
     FreezeStore,
     KillCore,
-    PowerCore,
+    #[strum(serialize = "power_core")]
+    PowerOffCore,
     WipeCore,
     FreezeCore,
-    SplitCores,
+    #[strum(serialize = "split_cores")]
+    PartitionCores,
     /// Frames between our processes are lost, come twice or late.
-    Storm,
+    #[strum(serialize = "storm")]
+    UnreliableNetwork,
     /// Servers show every fault.
-    Faults,
+    #[strum(serialize = "faults")]
+    ServerFaults,
     KillServer,
     /// A server ends and its address goes to another service.
     ReuseAddress,
-    LeaveServer,
+    #[strum(serialize = "leave_server")]
+    DrainServer,
     /// A service's servers are replaced one after the other.
-    Release,
-    RosterAway,
+    #[strum(serialize = "release")]
+    RollingRelease,
+    #[strum(serialize = "roster_away")]
+    CatalogueOutage,
     PutConfig,
-    TwoOperators,
-    Burst,
+    #[strum(serialize = "two_operators")]
+    ConcurrentPuts,
+    #[strum(serialize = "burst")]
+    TrafficBurst,
     KillAll,
-    PowerAll,
+    #[strum(serialize = "power_all")]
+    PowerOffAll,
     /// One store's disk is lost while all other machines lose power.
-    WipeOnePowerRest,
+    #[strum(serialize = "wipe_one_power_rest")]
+    WipeOnePowerOffRest,
 }
 
-impl Act {
-    pub fn closing(self) -> bool {
-        matches!(self, Act::KillAll | Act::PowerAll | Act::WipeOnePowerRest)
+impl Disruption {
+    pub fn affects_all_nodes(self) -> bool {
+        matches!(
+            self,
+            Disruption::KillAll | Disruption::PowerOffAll | Disruption::WipeOnePowerOffRest
+        )
     }
 }
 
@@ -71,25 +88,25 @@
 
 pub struct Tier {
     pub sim: Sim,
-    pub sh: Topology,
-    pub op: Runtime,
-    pub ground: Arc<Ground>,
-    pub callers: Arc<Book>,
-    roster: Mutex<Option<Arc<Roster>>>,
+    pub topology: Topology,
+    pub operator: Runtime,
+    pub server_records: Arc<ServerRecords>,
+    pub caller_records: Arc<CallerRecords>,
+    catalogue: Mutex<Option<Arc<CatalogueServer>>>,
     nodes: Mutex<BTreeMap<String, Node>>,
     servers: Mutex<BTreeMap<String, Arc<Server>>>,
-    lives: Mutex<u64>,
-    founded: Mutex<bool>,
-    pub versions: Mutex<Vec<Version>>,
-    leaving: Mutex<Vec<(u64, String)>>,
-    troubles: Mutex<Vec<(u64, u64)>>,
-    blind: Mutex<Vec<(u64, u64)>>,
-    back: Mutex<u64>,
-    mood: Mutex<Mood>,
-    pub wrong: Mutex<Vec<String>>,
+    server_starts: Mutex<u64>,
+    bootstrapped: Mutex<bool>,
+    pub versions: Mutex<Vec<ConfigVersion>>,
+    leaving_since: Mutex<Vec<(u64, String)>>,
+    disruptions: Mutex<Vec<(u64, u64)>>,
+    catalogue_outages: Mutex<Vec<(u64, u64)>>,
+    restored_at: Mutex<u64>,
+    fault_rates: Mutex<FaultRates>,
+    pub errors: Mutex<Vec<String>>,
 }
 
-fn addr(n: usize, k: u16) -> SocketAddr {
+fn machine_addr(n: usize, k: u16) -> SocketAddr {
     SocketAddr::new(
         IpAddr::from([10, 0, (n / 250) as u8, (n % 250) as u8 + 1]),
         1000 + k,
@@ -97,7 +114,7 @@
 }
 
 /// Servers' machines, each with the service of its first life.
-fn machines() -> Vec<(String, &'static str)> {
+fn server_machines() -> Vec<(String, &'static str)> {
     cfg::SERVICES
         .iter()
         .flat_map(|(s, n)| (0..*n).map(move |k| (format!("{s}{k}"), *s)))
@@ -105,48 +122,56 @@
 }
 
 /// us that the list lags.
-const LAG: u64 = 800 * MS;
+const CATALOGUE_LAG: u64 = 800 * MS;
 
 impl Tier {
     pub fn new(seed: u64, name: &str) -> Arc<Tier> {
-        let mut sh = topology(name, &addr).unwrap_or_else(|| panic!("no shape {name}"));
+        let mut sh = topology(name, &machine_addr).unwrap_or_else(|| panic!("no shape {name}"));
         sh.nodes.iter_mut().for_each(|n| n.bootstrap = true);
         let sim = Sim::new(seed, sh.site_latency);
         let z = sh.sites[0].clone();
-        let m = sim.machine("operator", &z, addr(900, 0).ip());
+        let m = sim.machine("operator", &z, machine_addr(900, 0).ip());
         let op = sim.boot(m);
-        sim.machine("callers", &z, addr(901, 0).ip());
+        sim.machine("callers", &z, machine_addr(901, 0).ip());
         sim.machine("platform", &z, sh.platform.ip());
         sh.nodes.iter().for_each(|n| {
             sim.machine(&n.name, &n.site, n.peer.ip());
         });
-        machines().iter().enumerate().for_each(|(i, (n, _))| {
-            sim.machine(n, &sh.sites[i % 4], addr(300 + i, 0).ip());
-        });
+        server_machines()
+            .iter()
+            .enumerate()
+            .for_each(|(i, (n, _))| {
+                sim.machine(n, &sh.sites[i % 4], machine_addr(300 + i, 0).ip());
+            });
         Arc::new(Tier {
             sim,
-            sh,
-            op,
-            ground: Default::default(),
-            callers: Default::default(),
-            roster: Default::default(),
+            topology: sh,
+            operator: op,
+            server_records: Default::default(),
+            caller_records: Default::default(),
+            catalogue: Default::default(),
             nodes: Default::default(),
             servers: Default::default(),
-            lives: Default::default(),
-            founded: Default::default(),
+            server_starts: Default::default(),
+            bootstrapped: Default::default(),
             versions: Default::default(),
-            leaving: Default::default(),
-            troubles: Default::default(),
-            blind: Default::default(),
-            back: Default::default(),
-            mood: Default::default(),
-            wrong: Default::default(),
+            leaving_since: Default::default(),
+            disruptions: Default::default(),
+            catalogue_outages: Default::default(),
+            restored_at: Default::default(),
+            fault_rates: Default::default(),
+            errors: Default::default(),
         })
     }
 
-    fn startup(&self, name: &str) -> Option<ProcessSettings> {
-        let mut st = self.sh.nodes.iter().find(|n| n.name == name).cloned()?;
-        st.bootstrap = !*self.founded.lock().unwrap();
+    fn startup_settings(&self, name: &str) -> Option<ProcessSettings> {
+        let mut st = self
+            .topology
+            .nodes
+            .iter()
+            .find(|n| n.name == name)
+            .cloned()?;
+        st.bootstrap = !*self.bootstrapped.lock().unwrap();
         Some(st)
     }
 
@@ -160,16 +185,18 @@
         nodes.values().filter_map(control).collect()
     }
 
-    pub fn names(&self, r: Role) -> Vec<String> {
-        self.sh.of(r).iter().map(|n| n.name.clone()).collect()
+    pub fn node_names(&self, r: Role) -> Vec<String> {
+        self.topology.of(r).iter().map(|n| n.name.clone()).collect()
     }
 
     pub fn boot(self: &Arc<Self>, name: &str) {
         let m = self.sim.find(name);
         self.sim.power_on(m);
         let w = self.sim.boot(m);
-        let Some(st) = self.startup(name) else { return };
-        self.sim.set_costs(m, self.sh.costs.of(st.role));
+        let Some(st) = self.startup_settings(name) else {
+            return;
+        };
+        self.sim.set_costs(m, self.topology.costs.of(st.role));
         let (me, n) = (self.clone(), name.to_string());
         self.nodes.lock().unwrap().remove(name);
         w.clone().spawn(async move {
@@ -178,8 +205,8 @@
                     let f = Front::open_without_leases(&w, st, Arc::new(NativeFormat));
                     let chains = TurnLogClient::new(&f.members, &f.documents, &f.settings);
                     let o = FrontOptions {
-                        caller: Arc::new(Ports),
-                        upstream_protocol: Arc::new(Ports),
+                        caller: Arc::new(TestAdapter),
+                        upstream_protocol: Arc::new(TestAdapter),
                         turn_log: Some(Arc::new(chains)),
                     };
                     f.serve_routes(o).await.ok().map(|_| Node::Front(f))
@@ -187,7 +214,7 @@
                 _ => {
                     let o = Options {
                         configuration_format: Arc::new(NativeFormat),
-                        server_catalogue: Some(Arc::new(Ports)),
+                        server_catalogue: Some(Arc::new(TestAdapter)),
                         put_acknowledgement: PutAcknowledgement::Decided,
                         bind_http: true,
                         maintains_layout: true,
@@ -201,7 +228,7 @@
                     me.nodes.lock().unwrap().insert(n, p);
                 }
                 None => me
-                    .wrong
+                    .errors
                     .lock()
                     .unwrap()
                     .push(format!("START {n} did not start")),
@@ -209,42 +236,45 @@
         });
     }
 
-    fn server(self: &Arc<Self>, machine: &str, service: &str) {
+    fn start_server(self: &Arc<Self>, machine: &str, service: &str) {
         let m = self.sim.find(machine);
         self.sim.power_on(m);
         let w = self.sim.boot(m);
         let id = {
-            let mut g = self.lives.lock().unwrap();
+            let mut g = self.server_starts.lock().unwrap();
             *g += 1;
             format!("{machine}-{}", *g)
         };
-        let i = machines().iter().position(|x| x.0 == machine).unwrap_or(0);
+        let i = server_machines()
+            .iter()
+            .position(|x| x.0 == machine)
+            .unwrap_or(0);
         let spec = ServerSpec {
             id,
             service: service.into(),
-            addr: addr(300 + i, 0),
+            addr: machine_addr(300 + i, 0),
             site: self.sim.site(m),
             slots: 8,
-            queue: 4,
-            max_conns: 128,
-            work: 20 * MS,
-            gap: 10 * MS,
+            queue_limit: 4,
+            max_connections: 128,
+            service_time: 20 * MS,
+            event_interval: 10 * MS,
         };
         let (me, n, mood) = (
             self.clone(),
             machine.to_string(),
-            self.mood.lock().unwrap().clone(),
+            self.fault_rates.lock().unwrap().clone(),
         );
         w.clone().spawn(async move {
-            if let Ok(s) = Server::start(&w, spec, me.ground.clone(), mood).await {
+            if let Ok(s) = Server::start(&w, spec, me.server_records.clone(), mood).await {
                 me.servers.lock().unwrap().insert(n, s);
-                me.list();
+                me.publish_servers();
             }
         });
     }
 
     /// Tells the platform's list what runs.
-    fn list(&self) {
+    fn publish_servers(&self) {
         let v: Vec<_> = self
             .servers
             .lock()
@@ -252,14 +282,14 @@
             .values()
             .map(|s| s.listed())
             .collect();
-        self.roster
+        self.catalogue
             .lock()
             .unwrap()
             .iter()
-            .for_each(|r| r.set(v.clone()));
+            .for_each(|r| r.publish(v.clone()));
     }
 
-    fn machines_of(&self, service: &str) -> Vec<String> {
+    fn machines_of_service(&self, service: &str) -> Vec<String> {
         self.servers
             .lock()
             .unwrap()
@@ -270,22 +300,26 @@
     }
 
     /// Starts all, puts the first configuration, and returns once it is acknowledged.
-    pub async fn rise(self: &Arc<Self>) {
+    pub async fn start_all(self: &Arc<Self>) {
         let m = self.sim.find("platform");
         let w = self.sim.boot(m);
-        let r = Roster::start(&w, self.sh.platform, LAG, 5, 40).await.ok();
-        *self.roster.lock().unwrap() = r;
-        machines().iter().for_each(|(n, s)| self.server(n, s));
-        self.sh.nodes.iter().for_each(|n| self.boot(&n.name));
-        self.op.sleep(2 * SEC).await;
-        *self.founded.lock().unwrap() = true;
+        let r = CatalogueServer::start(&w, self.topology.platform, CATALOGUE_LAG, 5, 40)
+            .await
+            .ok();
+        *self.catalogue.lock().unwrap() = r;
+        server_machines()
+            .iter()
+            .for_each(|(n, s)| self.start_server(n, s));
+        self.topology.nodes.iter().for_each(|n| self.boot(&n.name));
+        self.operator.sleep(2 * SEC).await;
+        *self.bootstrapped.lock().unwrap() = true;
         // Where the tier does not found itself.
-        let names = |r| self.names(r);
+        let names = |r| self.node_names(r);
         let v = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)})
             .to_string();
-        let to = self.sh.of(Role::Core)[0].http;
+        let to = self.topology.of(Role::Core)[0].http;
         let _ = yewcross_common::buffered_http::fetch(
-            &self.op,
+            &self.operator,
             to,
             http_types::Method::Post,
             "/v1/found",
@@ -294,51 +328,55 @@
             8 * SEC,
         )
         .await;
-        self.put(0).await;
-        self.op.sleep(3 * SEC).await;
+        self.put_next_config(0).await;
+        self.operator.sleep(3 * SEC).await;
     }
 
-    fn core(&self) -> Option<Arc<Control>> {
+    fn random_running_core(&self) -> Option<Arc<Control>> {
         let g = self.nodes.lock().unwrap();
         let v: Vec<&Arc<Control>> = self
-            .names(Role::Core)
+            .node_names(Role::Core)
             .iter()
             .filter_map(|n| match g.get(n) {
                 Some(Node::Control(c)) if self.sim.is_up(self.sim.find(n)) => Some(c),
                 _ => None,
             })
             .collect();
-        v.get(self.op.random_index(v.len())).map(|c| (*c).clone())
+        v.get(self.operator.random_index(v.len()))
+            .map(|c| (*c).clone())
     }
 
     /// Sends the next configuration as an operator does: the same text again until the answer is
     /// clear.
-    pub async fn put(self: &Arc<Self>, shift: u64) {
+    pub async fn put_next_config(self: &Arc<Self>, shift: u64) {
         let n = {
             let mut g = self.versions.lock().unwrap();
             let n = g.len();
-            g.push(Version {
-                sent: self.op.now(),
-                ..cfg::version(n as u64 + 1 + shift)
+            g.push(ConfigVersion {
+                sent_at: self.operator.now(),
+                ..cfg::nth_version(n as u64 + 1 + shift)
             });
             n
         };
         let text = self.versions.lock().unwrap()[n].text.clone().into_bytes();
-        let mut base = self.newest();
-        let until = self.op.now() + 20 * SEC;
-        while self.op.now() < until {
-            let Some(c) = self.core() else {
-                self.op.sleep(200 * MS).await;
+        let mut base = self.newest_version();
+        let until = self.operator.now() + 20 * SEC;
+        while self.operator.now() < until {
+            let Some(c) = self.random_running_core() else {
+                self.operator.sleep(200 * MS).await;
                 continue;
             };
-            let got = self.op.timeout(5 * SEC, c.put(base, text.clone())).await;
+            let got = self
+                .operator
+                .timeout(5 * SEC, c.put(base, text.clone()))
+                .await;
             self.sim.note(&format!("put {n} on {base}: {got:?}"));
             let got = match got {
                 Some(PutAnswer::NotBootstrapped) => {
                     let to = c.settings.http;
                     let h = [("if-match", format!("\"{}\"", base.max(1)))];
                     let r = yewcross_common::buffered_http::fetch(
-                        &self.op,
+                        &self.operator,
                         to,
                         http_types::Method::Put,
                         "/v1/config",
@@ -365,24 +403,24 @@
             match got {
                 Some(PutAnswer::InForce(k)) => {
                     let mut g = self.versions.lock().unwrap();
-                    (g[n].number, g[n].acked) = (k, Some(self.op.now()));
+                    (g[n].number, g[n].acknowledged_at) = (k, Some(self.operator.now()));
                     return;
                 }
                 Some(PutAnswer::Conflict(k)) if n == 0 => base = k,
                 Some(PutAnswer::Conflict(_)) => return,
                 Some(PutAnswer::Invalid(b)) => {
                     return self
-                        .wrong
+                        .errors
                         .lock()
                         .unwrap()
                         .push(format!("BAD a proper configuration: {b:?}"));
                 }
-                _ => self.op.sleep(200 * MS).await,
+                _ => self.operator.sleep(200 * MS).await,
             }
         }
     }
 
-    fn newest(&self) -> u64 {
+    fn newest_version(&self) -> u64 {
         self.versions
             .lock()
             .unwrap()
@@ -392,17 +430,23 @@
             .unwrap_or(0)
     }
 
-    pub fn traffic(self: &Arc<Self>, plain: usize, programs: usize) {
+    pub fn start_traffic(self: &Arc<Self>, plain: usize, programs: usize) {
         let w = self.sim.boot(self.sim.find("callers"));
-        self.more(&w, plain, programs, 100 * MS);
+        self.spawn_callers(&w, plain, programs, 100 * MS);
     }
 
-    fn more(self: &Arc<Self>, runtime: &Runtime, plain: usize, programs: usize, pause: u64) {
+    fn spawn_callers(
+        self: &Arc<Self>,
+        runtime: &Runtime,
+        plain: usize,
+        programs: usize,
+        pause: u64,
+    ) {
         let me = self.clone();
         // What the platform's probes of readiness tell; all while none is in.
         let fronts: Fronts = Arc::new(move || {
             let g = me.nodes.lock().unwrap();
-            let fs = me.sh.of(Role::Front);
+            let fs = me.topology.of(Role::Front);
             let ready = |n: &str| {
                 matches!(g.get(n), Some(Node::Front(f)) if f.ready())
                     && me.sim.is_up(me.sim.find(n))
@@ -418,11 +462,13 @@
                 v
             }
         });
-        let all = cfg::known();
-        let new = || Caller::new(runtime, &self.callers, &fronts);
-        (0..plain).for_each(|_| runtime.spawn(caller::plain(new(), all[..3].to_vec(), pause)));
+        let all = cfg::base_routes();
+        let new = || Caller::new(runtime, &self.caller_records, &fronts);
+        (0..plain).for_each(|_| {
+            runtime.spawn(caller::run_plain_requests(new(), all[..3].to_vec(), pause))
+        });
         (0..programs).for_each(|_| {
-            runtime.spawn(caller::programs(
+            runtime.spawn(caller::run_programs(
                 new(),
                 all[3].clone(),
                 all[..2].to_vec(),
@@ -431,252 +477,274 @@
         });
     }
 
-    fn trouble(&self, from: u64) {
-        self.troubles.lock().unwrap().push((from, self.op.now()));
+    fn record_disruption(&self, from: u64) {
+        self.disruptions
+            .lock()
+            .unwrap()
+            .push((from, self.operator.now()));
     }
 
-    fn any(&self, r: Role) -> String {
-        let v = self.names(r);
-        v[self.op.random_index(v.len())].clone()
+    fn random_node(&self, r: Role) -> String {
+        let v = self.node_names(r);
+        v[self.operator.random_index(v.len())].clone()
     }
 
-    async fn down(self: &Arc<Self>, name: &str, power: bool, wipe: bool, us: u64) {
-        let (t, m) = (self.op.now(), self.sim.find(name));
+    async fn restart_node(self: &Arc<Self>, name: &str, power: bool, wipe: bool, us: u64) {
+        let (t, m) = (self.operator.now(), self.sim.find(name));
         self.sim.kill(m, power);
         self.nodes.lock().unwrap().remove(name);
         if wipe {
             self.sim.wipe(m);
         }
-        self.op.sleep(us).await;
+        self.operator.sleep(us).await;
         self.boot(name);
         // Its disk is filled again.
-        self.op.sleep(4_200 * MS).await;
-        self.trouble(t);
+        self.operator.sleep(4_200 * MS).await;
+        self.record_disruption(t);
     }
 
-    async fn frozen(&self, name: &str, us: u64) {
-        let (t, m) = (self.op.now(), self.sim.find(name));
+    async fn freeze_node(&self, name: &str, us: u64) {
+        let (t, m) = (self.operator.now(), self.sim.find(name));
         self.sim.freeze(m);
-        self.op.sleep(us).await;
+        self.operator.sleep(us).await;
         self.sim.thaw(m);
-        self.op.sleep(4_200 * MS).await;
-        self.trouble(t);
+        self.operator.sleep(4_200 * MS).await;
+        self.record_disruption(t);
     }
 
-    async fn apart(&self, xs: &[usize], us: u64) {
-        let t = self.op.now();
+    async fn partition_nodes(&self, xs: &[usize], us: u64) {
+        let t = self.operator.now();
         let rest: Vec<usize> = self
-            .sh
+            .topology
             .nodes
             .iter()
             .map(|n| self.sim.find(&n.name))
             .filter(|m| !xs.contains(m))
             .collect();
         self.sim.partition(xs, &rest);
-        self.op.sleep(us).await;
+        self.operator.sleep(us).await;
         self.sim.heal();
-        self.op.sleep(4_200 * MS).await;
-        self.trouble(t);
+        self.operator.sleep(4_200 * MS).await;
+        self.record_disruption(t);
     }
 
     /// Shown as leaving, still serving for a while, and gone; another life begins where `service`
     /// is given.
-    async fn leave(self: &Arc<Self>, machine: &str, service: Option<&str>) {
+    async fn drain_server(self: &Arc<Self>, machine: &str, service: Option<&str>) {
         let Some(s) = self.servers.lock().unwrap().get(machine).cloned() else {
             return;
         };
         s.leaving.store(true, SeqCst);
-        self.list();
-        self.leaving
+        self.publish_servers();
+        self.leaving_since
             .lock()
             .unwrap()
-            .push((self.op.now() + LAG, s.spec.id.clone()));
-        self.op.sleep(LAG + 4_000 * MS).await;
+            .push((self.operator.now() + CATALOGUE_LAG, s.spec.id.clone()));
+        self.operator.sleep(CATALOGUE_LAG + 4_000 * MS).await;
         self.servers.lock().unwrap().remove(machine);
-        self.list();
+        self.publish_servers();
         self.sim.kill(self.sim.find(machine), false);
         if let Some(x) = service {
-            self.op.sleep(2_500 * MS).await;
-            self.server(machine, x);
+            self.operator.sleep(2_500 * MS).await;
+            self.start_server(machine, x);
         }
     }
 
-    pub async fn act(self: &Arc<Self>, a: Act) {
-        let back = (1 + self.op.random() % 4) * SEC;
+    pub async fn inject(self: &Arc<Self>, a: Disruption) {
+        let back = (1 + self.operator.random() % 4) * SEC;
         self.sim.note(&format!("act {a}"));
         match a {
-            Act::KillFront => {
-                self.down(&self.any(Role::Front), false, false, back / 4)
+            Disruption::KillFront => {
+                self.restart_node(&self.random_node(Role::Front), false, false, back / 4)
                     .await
             }
-            Act::PowerFront => self.down(&self.any(Role::Front), true, false, back).await,
-            Act::FreezeFront => self.frozen(&self.any(Role::Front), back).await,
-            Act::CutFront => {
-                self.apart(&[self.sim.find(&self.any(Role::Front))], back)
+            Disruption::PowerOffFront => {
+                self.restart_node(&self.random_node(Role::Front), true, false, back)
                     .await
             }
-            Act::StopFront => {
-                let n = self.any(Role::Front);
+            Disruption::FreezeFront => self.freeze_node(&self.random_node(Role::Front), back).await,
+            Disruption::IsolateFront => {
+                self.partition_nodes(&[self.sim.find(&self.random_node(Role::Front))], back)
+                    .await
+            }
+            Disruption::StopFront => {
+                let n = self.random_node(Role::Front);
                 let f = match self.nodes.lock().unwrap().get(&n) {
                     Some(Node::Front(f)) => f.clone(),
                     _ => return,
                 };
-                self.op.timeout(8 * SEC, f.stop()).await;
+                self.operator.timeout(8 * SEC, f.stop()).await;
                 let m = self.sim.find(&n);
                 self.sim.kill(m, false);
                 self.nodes.lock().unwrap().remove(&n);
-                self.op.sleep(500 * MS).await;
+                self.operator.sleep(500 * MS).await;
                 self.boot(&n);
             }
-            Act::KillStore => {
-                self.down(&self.any(Role::Store), false, false, back / 4)
+            Disruption::KillStore => {
+                self.restart_node(&self.random_node(Role::Store), false, false, back / 4)
+                    .await
+            }
+            Disruption::PowerOffStore => {
+                self.restart_node(&self.random_node(Role::Store), true, false, back)
+                    .await
+            }
+            Disruption::WipeStore => {
+                self.restart_node(&self.random_node(Role::Store), true, true, back)
+                    .await
+            }
+            Disruption::FreezeStore => self.freeze_node(&self.random_node(Role::Store), back).await,
+            Disruption::KillCore => {
+                self.restart_node(&self.random_node(Role::Core), false, false, back / 4)
+                    .await
+            }
+            Disruption::PowerOffCore => {
+                self.restart_node(&self.random_node(Role::Core), true, false, back)
                     .await
             }
-            Act::PowerStore => self.down(&self.any(Role::Store), true, false, back).await,
-            Act::WipeStore => self.down(&self.any(Role::Store), true, true, back).await,
-            Act::FreezeStore => self.frozen(&self.any(Role::Store), back).await,
-            Act::KillCore => {
-                self.down(&self.any(Role::Core), false, false, back / 4)
+            Disruption::WipeCore => {
+                self.restart_node(&self.random_node(Role::Core), true, true, back)
                     .await
             }
-            Act::PowerCore => self.down(&self.any(Role::Core), true, false, back).await,
-            Act::WipeCore => self.down(&self.any(Role::Core), true, true, back).await,
-            Act::FreezeCore => self.frozen(&self.any(Role::Core), back).await,
-            Act::SplitCores => {
+            Disruption::FreezeCore => self.freeze_node(&self.random_node(Role::Core), back).await,
+            Disruption::PartitionCores => {
                 let v: Vec<usize> = self
-                    .names(Role::Core)
+                    .node_names(Role::Core)
                     .iter()
                     .map(|n| self.sim.find(n))
                     .collect();
-                let k = 1 + self.op.random_index(v.len() - 1);
-                self.apart(&v[..k], back).await
+                let k = 1 + self.operator.random_index(v.len() - 1);
+                self.partition_nodes(&v[..k], back).await
             }
-            Act::Storm => {
-                let t = self.op.now();
+            Disruption::UnreliableNetwork => {
+                let t = self.operator.now();
                 self.sim.set_network_conditions(NetworkConditions {
                     drop_per_mille: 50,
                     duplicate_per_mille: 50,
                     delay_per_mille: 50,
                     max_jitter: 20 * MS,
                 });
-                self.op.sleep(back).await;
+                self.operator.sleep(back).await;
                 self.sim
                     .set_network_conditions(NetworkConditions::default());
-                self.op.sleep(SEC).await;
-                self.trouble(t);
+                self.operator.sleep(SEC).await;
+                self.record_disruption(t);
             }
-            Act::Faults => {
-                let v: Mood = Fault::iter().map(|f| (f, 15)).collect();
-                *self.mood.lock().unwrap() = v.clone();
+            Disruption::ServerFaults => {
+                let v: FaultRates = Fault::iter().map(|f| (f, 15)).collect();
+                *self.fault_rates.lock().unwrap() = v.clone();
                 self.servers
                     .lock()
                     .unwrap()
                     .values()
-                    .for_each(|s| *s.mood.lock().unwrap() = v.clone());
-                self.op.sleep(back + 4 * SEC).await;
-                self.mood.lock().unwrap().clear();
+                    .for_each(|s| *s.fault_rates.lock().unwrap() = v.clone());
+                self.operator.sleep(back + 4 * SEC).await;
+                self.fault_rates.lock().unwrap().clear();
                 self.servers
                     .lock()
                     .unwrap()
                     .values()
-                    .for_each(|s| s.mood.lock().unwrap().clear());
+                    .for_each(|s| s.fault_rates.lock().unwrap().clear());
             }
-            Act::KillServer => {
+            Disruption::KillServer => {
                 let v: Vec<String> = self.servers.lock().unwrap().keys().cloned().collect();
-                let m = v[self.op.random_index(v.len())].clone();
+                let m = v[self.operator.random_index(v.len())].clone();
                 let service = self.servers.lock().unwrap()[&m].spec.service.clone();
                 self.sim
-                    .kill(self.sim.find(&m), self.op.random().is_multiple_of(2));
-                self.op.sleep(back).await;
-                self.server(&m, &service);
+                    .kill(self.sim.find(&m), self.operator.random().is_multiple_of(2));
+                self.operator.sleep(back).await;
+                self.start_server(&m, &service);
             }
-            Act::ReuseAddress => {
+            Disruption::ReuseAddress => {
                 // A crash, which the list learns late; a server of another service comes to the
                 // address.
-                let v = self.machines_of("read");
+                let v = self.machines_of_service("read");
                 let Some(m) = v
-                    .get(self.op.random_index(v.len()))
+                    .get(self.operator.random_index(v.len()))
                     .filter(|_| v.len() > 1)
                     .cloned()
                 else {
                     return;
                 };
                 self.sim.kill(self.sim.find(&m), false);
-                self.op.sleep(2_500 * MS).await;
-                self.server(&m, "write");
+                self.operator.sleep(2_500 * MS).await;
+                self.start_server(&m, "write");
             }
-            Act::LeaveServer => {
-                let v = self.machines_of("read");
+            Disruption::DrainServer => {
+                let v = self.machines_of_service("read");
                 if v.len() > 1 {
-                    self.leave(&v[0], Some("read")).await;
+                    self.drain_server(&v[0], Some("read")).await;
                 }
             }
-            Act::Release => {
-                for m in self.machines_of("write") {
-                    self.leave(&m, Some("write")).await;
+            Disruption::RollingRelease => {
+                for m in self.machines_of_service("write") {
+                    self.drain_server(&m, Some("write")).await;
                 }
             }
-            Act::RosterAway => {
-                let t = self.op.now();
-                let r = self.roster.lock().unwrap().clone();
-                r.iter().for_each(|r| r.away.store(true, SeqCst));
-                self.op.sleep(back).await;
-                r.iter().for_each(|r| r.away.store(false, SeqCst));
-                self.blind.lock().unwrap().push((t, self.op.now()));
+            Disruption::CatalogueOutage => {
+                let t = self.operator.now();
+                let r = self.catalogue.lock().unwrap().clone();
+                r.iter().for_each(|r| r.unavailable.store(true, SeqCst));
+                self.operator.sleep(back).await;
+                r.iter().for_each(|r| r.unavailable.store(false, SeqCst));
+                self.catalogue_outages
+                    .lock()
+                    .unwrap()
+                    .push((t, self.operator.now()));
             }
-            Act::PutConfig => self.put(0).await,
-            Act::TwoOperators => {
+            Disruption::PutConfig => self.put_next_config(0).await,
+            Disruption::ConcurrentPuts => {
                 let me = self.clone();
-                self.op.spawn(async move { me.put(1).await });
-                self.put(0).await;
+                self.operator
+                    .spawn(async move { me.put_next_config(1).await });
+                self.put_next_config(0).await;
             }
-            Act::Burst => {
+            Disruption::TrafficBurst => {
                 let m = self.sim.find("callers");
                 let w = self.sim.runtime_of(m);
-                self.more(&w, 40, 20, 20 * MS);
-                self.op.sleep(3 * SEC).await;
+                self.spawn_callers(&w, 40, 20, 20 * MS);
+                self.operator.sleep(3 * SEC).await;
             }
-            Act::KillAll | Act::PowerAll | Act::WipeOnePowerRest => {
-                self.put(0).await;
-                let t = self.op.now();
-                let lost = self.any(Role::Store);
-                self.sh
-                    .nodes
-                    .iter()
-                    .for_each(|n| self.sim.kill(self.sim.find(&n.name), a != Act::KillAll));
+            Disruption::KillAll | Disruption::PowerOffAll | Disruption::WipeOnePowerOffRest => {
+                self.put_next_config(0).await;
+                let t = self.operator.now();
+                let lost = self.random_node(Role::Store);
+                self.topology.nodes.iter().for_each(|n| {
+                    self.sim
+                        .kill(self.sim.find(&n.name), a != Disruption::KillAll)
+                });
                 self.nodes.lock().unwrap().clear();
-                if a == Act::WipeOnePowerRest {
+                if a == Disruption::WipeOnePowerOffRest {
                     self.sim.wipe(self.sim.find(&lost));
                 }
-                self.op.sleep(SEC).await;
-                for n in &self.sh.nodes {
+                self.operator.sleep(SEC).await;
+                for n in &self.topology.nodes {
                     self.boot(&n.name);
-                    let p = self.op.random() % (300 * MS);
-                    self.op.sleep(p).await;
+                    let p = self.operator.random() % (300 * MS);
+                    self.operator.sleep(p).await;
                 }
-                *self.back.lock().unwrap() = self.op.now();
-                self.op.sleep(20 * SEC).await;
-                self.trouble(t);
+                *self.restored_at.lock().unwrap() = self.operator.now();
+                self.operator.sleep(20 * SEC).await;
+                self.record_disruption(t);
             }
         }
     }
 
     /// What the operator reads back at the end must be the newest that was acknowledged, or newer.
-    pub async fn read_back(&self) {
+    pub async fn check_read_back(&self) {
         let acked = self
             .versions
             .lock()
             .unwrap()
             .iter()
-            .filter(|v| v.acked.is_some())
+            .filter(|v| v.acknowledged_at.is_some())
             .map(|v| v.number)
             .max()
             .unwrap_or(0);
-        let until = self.op.now() + 6 * SEC;
+        let until = self.operator.now() + 6 * SEC;
         let mut last = "nobody to ask".to_string();
-        while self.op.now() < until {
-            if let Some(c) = self.core() {
-                match self.op.timeout(3 * SEC, c.read_config()).await {
+        while self.operator.now() < until {
+            if let Some(c) = self.random_running_core() {
+                match self.operator.timeout(3 * SEC, c.read_config()).await {
                     Some(ReadAnswer::Text(n, t)) if n >= acked => {
                         let sent = self
                             .versions
@@ -685,7 +753,7 @@
                             .iter()
                             .any(|v| v.text == *t && (v.number == n || v.number == 0));
                         if !sent {
-                            self.wrong
+                            self.errors
                                 .lock()
                                 .unwrap()
                                 .push(format!("CONFIG what is read back as {n} was not sent so"));
@@ -696,9 +764,9 @@
                     x => last = format!("{x:?}"),
                 }
             }
-            self.op.sleep(300 * MS).await;
+            self.operator.sleep(300 * MS).await;
         }
-        self.wrong
+        self.errors
             .lock()
             .unwrap()
             .push(format!("CONFIG read back: {last}"));
@@ -706,28 +774,28 @@
 
     pub fn evidence(&self) -> Evidence {
         Evidence {
-            tries: self.callers.tries.lock().unwrap().clone(),
-            runs: self.ground.runs.lock().unwrap().clone(),
-            reached: self.ground.reached.lock().unwrap().clone(),
-            odd: self
-                .ground
-                .odd
+            attempts: self.caller_records.attempts.lock().unwrap().clone(),
+            executions: self.server_records.executions.lock().unwrap().clone(),
+            arrivals: self.server_records.arrivals.lock().unwrap().clone(),
+            errors: self
+                .server_records
+                .protocol_errors
                 .lock()
                 .unwrap()
                 .iter()
-                .chain(self.wrong.lock().unwrap().iter())
+                .chain(self.errors.lock().unwrap().iter())
                 .cloned()
                 .collect(),
             versions: self.versions.lock().unwrap().clone(),
-            leaving: self.leaving.lock().unwrap().clone(),
-            troubles: self.troubles.lock().unwrap().clone(),
-            blind: self.blind.lock().unwrap().clone(),
-            back: *self.back.lock().unwrap(),
-            end: self.sim.now(),
-            contact: 3 * SEC,
-            apply: 2 * SEC,
-            drain: 3 * SEC,
-            recover: 12 * SEC,
+            leaving_since: self.leaving_since.lock().unwrap().clone(),
+            disruptions: self.disruptions.lock().unwrap().clone(),
+            catalogue_outages: self.catalogue_outages.lock().unwrap().clone(),
+            restored_at: *self.restored_at.lock().unwrap(),
+            ended_at: self.sim.now(),
+            disruption_grace: 3 * SEC,
+            config_grace: 2 * SEC,
+            drain_grace: 3 * SEC,
+            recovery_grace: 12 * SEC,
         }
     }
 }
@@ -735,32 +803,32 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
-    pub shape: String,
-    pub acts: Vec<Act>,
+    pub topology: String,
+    pub disruptions: Vec<Disruption>,
 }
 
 pub fn run(p: &Plan) -> (Arc<Tier>, Evidence) {
-    let t = Tier::new(p.seed, &p.shape);
+    let t = Tier::new(p.seed, &p.topology);
     let done: Arc<Mutex<bool>> = Default::default();
-    let (me, d, acts) = (t.clone(), done.clone(), p.acts.clone());
-    t.op.spawn(async move {
-        me.rise().await;
-        me.traffic(8, 8);
-        me.op.sleep(4 * SEC).await;
+    let (me, d, acts) = (t.clone(), done.clone(), p.disruptions.clone());
+    t.operator.spawn(async move {
+        me.start_all().await;
+        me.start_traffic(8, 8);
+        me.operator.sleep(4 * SEC).await;
         for a in acts {
-            me.act(a).await;
-            let p = me.op.random() % (2 * SEC);
-            me.op.sleep(p).await;
+            me.inject(a).await;
+            let p = me.operator.random() % (2 * SEC);
+            me.operator.sleep(p).await;
         }
-        me.op.sleep(4 * SEC).await;
-        me.callers.stop.store(true, SeqCst);
-        me.op.sleep(6 * SEC).await;
-        me.read_back().await;
+        me.operator.sleep(4 * SEC).await;
+        me.caller_records.stop.store(true, SeqCst);
+        me.operator.sleep(6 * SEC).await;
+        me.check_read_back().await;
         *d.lock().unwrap() = true;
     });
     t.sim.run(600 * SEC, || *done.lock().unwrap());
     if !*done.lock().unwrap() {
-        t.wrong
+        t.errors
             .lock()
             .unwrap()
             .push("STUCK the plan did not end".into());
--- a/yewcross-testkit/tests/calls.rs
+++ b/yewcross-testkit/tests/calls.rs
@@ -8,33 +8,37 @@
 use yewcross_common::configuration::route::Mode;
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
-use yewcross_testkit::routed::TRIES;
-use yewcross_testkit::routed::tier::{Act, Tier};
-use yewcross_testkit::routed::verdict::{Evidence, judge};
+use yewcross_testkit::routed::MAX_TRIES;
+use yewcross_testkit::routed::tier::{Disruption, Tier};
+use yewcross_testkit::routed::verdict::{Evidence, find_violations};
 
 /// Troubles that follow each other; the rows go on side by side.
-const ROWS: [&[Act]; 4] = [
-    &[Act::Faults, Act::Burst, Act::Faults],
+const ROWS: [&[Disruption]; 4] = [
     &[
-        Act::FreezeFront,
-        Act::KillFront,
-        Act::FreezeFront,
-        Act::StopFront,
-        Act::PowerFront,
+        Disruption::ServerFaults,
+        Disruption::TrafficBurst,
+        Disruption::ServerFaults,
     ],
     &[
-        Act::ReuseAddress,
-        Act::KillServer,
-        Act::Release,
-        Act::ReuseAddress,
-        Act::LeaveServer,
+        Disruption::FreezeFront,
+        Disruption::KillFront,
+        Disruption::FreezeFront,
+        Disruption::StopFront,
+        Disruption::PowerOffFront,
     ],
     &[
-        Act::PutConfig,
-        Act::Storm,
-        Act::CutFront,
-        Act::PutConfig,
-        Act::RosterAway,
+        Disruption::ReuseAddress,
+        Disruption::KillServer,
+        Disruption::RollingRelease,
+        Disruption::ReuseAddress,
+        Disruption::DrainServer,
+    ],
+    &[
+        Disruption::PutConfig,
+        Disruption::UnreliableNetwork,
+        Disruption::IsolateFront,
+        Disruption::PutConfig,
+        Disruption::CatalogueOutage,
     ],
 ];
 
@@ -43,13 +47,13 @@
 const SLOW_TO: u64 = 5;
 
 async fn slow_a_front(t: &Tier) {
-    let fronts = t.names(Role::Front);
-    let machine = t.sim.find(&fronts[t.op.random_index(fronts.len())]);
-    let usual = t.sh.costs.of(Role::Front);
+    let fronts = t.node_names(Role::Front);
+    let machine = t.sim.find(&fronts[t.operator.random_index(fronts.len())]);
+    let usual = t.topology.costs.of(Role::Front);
     let mut slow = usual;
     slow.core_percent = (usual.core_percent / SLOW_TO).max(1);
     t.sim.set_costs(machine, slow);
-    t.op.sleep(SLOW_FOR).await;
+    t.operator.sleep(SLOW_FOR).await;
     t.sim.set_costs(machine, usual);
 }
 
@@ -57,19 +61,19 @@
     let t = Tier::new(seed, "metered");
     let over: Arc<Mutex<usize>> = Default::default();
     let (me, o) = (t.clone(), over.clone());
-    t.op.spawn(async move {
-        me.rise().await;
-        me.traffic(10, 6);
-        me.op.sleep(2 * SEC).await;
+    t.operator.spawn(async move {
+        me.start_all().await;
+        me.start_traffic(10, 6);
+        me.operator.sleep(2 * SEC).await;
         let mut rows = vec![];
         for row in ROWS {
             let (t, ended) = (me.clone(), async_channel::bounded::<()>(1));
             rows.push(ended.1);
-            me.op.spawn(async move {
+            me.operator.spawn(async move {
                 for a in row {
-                    let pause = t.op.random() % SEC;
-                    t.op.sleep(pause).await;
-                    t.act(*a).await;
+                    let pause = t.operator.random() % SEC;
+                    t.operator.sleep(pause).await;
+                    t.inject(*a).await;
                     slow_a_front(&t).await;
                 }
                 ended.0.close();
@@ -78,15 +82,15 @@
         for r in rows {
             let _ = r.recv().await;
         }
-        me.op.sleep(4 * SEC).await;
-        me.callers.stop.store(true, SeqCst);
+        me.operator.sleep(4 * SEC).await;
+        me.caller_records.stop.store(true, SeqCst);
         // What was refused and runs later is seen to run.
-        me.op.sleep(12 * SEC).await;
+        me.operator.sleep(12 * SEC).await;
         *o.lock().unwrap() = 1;
     });
     t.sim.run(600 * SEC, || *over.lock().unwrap() > 0);
     if *over.lock().unwrap() == 0 {
-        t.wrong
+        t.errors
             .lock()
             .unwrap()
             .push("STUCK the plan did not end".into());
@@ -98,25 +102,30 @@
 /// One try is sent to no more servers than its route allows, run or not.
 fn spread(e: &Evidence) -> Vec<String> {
     let mut servers: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-    e.reached.iter().for_each(|(_, server, attempt)| {
+    e.arrivals.iter().for_each(|(_, server, attempt)| {
         servers.entry(attempt).or_default().insert(server);
     });
     servers
         .iter()
-        .filter(|(_, s)| s.len() > TRIES)
+        .filter(|(_, s)| s.len() > MAX_TRIES)
         .map(|(a, s)| format!("TRIES {a} reached {s:?}"))
         .collect()
 }
 
 /// An answer is not older than its request, and a run is not older than the try that asked for it.
 fn in_time(e: &Evidence) -> Vec<String> {
-    let begun: BTreeMap<&str, u64> = e.tries.iter().map(|t| (t.attempt.as_str(), t.at)).collect();
-    let early = e
-        .runs
+    let begun: BTreeMap<&str, u64> = e
+        .attempts
         .iter()
-        .filter(|r| begun.get(r.attempt.as_str()).is_some_and(|at| r.at < *at));
+        .map(|t| (t.id.as_str(), t.sent_at))
+        .collect();
+    let early = e.executions.iter().filter(|r| {
+        begun
+            .get(r.attempt.as_str())
+            .is_some_and(|at| r.started_at < *at)
+    });
     early
-        .map(|r| format!("EARLY {} ran at {} us", r.attempt, r.at))
+        .map(|r| format!("EARLY {} ran at {} us", r.attempt, r.started_at))
         .collect()
 }
 
@@ -124,41 +133,45 @@
 fn ends(e: &Evidence) -> Vec<String> {
     let count = |b: &[u8]| String::from_utf8_lossy(b).matches("\n\n").count();
     let whole = e
-        .tries
+        .attempts
         .iter()
-        .filter(|t| t.route.mode == Mode::Stream && t.good());
+        .filter(|t| t.route.mode == Mode::Stream && t.is_success());
     whole
         .filter(|t| {
-            e.runs
+            e.executions
                 .iter()
-                .find(|r| r.attempt == t.attempt)
-                .is_none_or(|r| count(&r.out) != count(&t.heard))
+                .find(|r| r.attempt == t.id)
+                .is_none_or(|r| count(&r.answer_body) != count(&t.received))
         })
         .map(|t| {
             format!(
                 "END {} looks complete with {} events",
-                t.attempt,
-                count(&t.heard)
+                t.id,
+                count(&t.received)
             )
         })
         .collect()
 }
 
 fn wrongs(e: &Evidence) -> Vec<String> {
-    [judge(e), spread(e), in_time(e), ends(e)].concat()
+    [find_violations(e), spread(e), in_time(e), ends(e)].concat()
 }
 
 fn check(seed: u64) -> bool {
     let (t, e) = play(seed);
     let v = wrongs(&e);
-    let served = e.tries.iter().filter(|t| t.good()).count();
-    let faults: u64 = t.ground.faults.lock().unwrap().values().sum();
-    let refused = e.tries.iter().filter(|t| t.promised()).count();
+    let served = e.attempts.iter().filter(|t| t.is_success()).count();
+    let faults: u64 = t.server_records.fault_counts.lock().unwrap().values().sum();
+    let refused = e
+        .attempts
+        .iter()
+        .filter(|t| t.is_rejected_unexecuted())
+        .count();
     println!(
         "seed {seed}: {} tries, {served} good, {refused} refused, {} runs, {faults} faults of servers, {} s, {} wrong",
-        e.tries.len(),
-        e.runs.len(),
-        e.end / SEC,
+        e.attempts.len(),
+        e.executions.len(),
+        e.ended_at / SEC,
         v.len()
     );
     v.iter().take(20).for_each(|l| println!("  {l}"));
@@ -192,17 +205,21 @@
 fn every_check_of_calls_sees_its_own_wrong() {
     let (_, mut e) = play(9);
     assert_eq!(wrongs(&e), Vec::<String>::new());
-    let attempt = e.reached[0].2.clone();
-    (0..=TRIES).for_each(|i| e.reached.push((1, format!("server {i}"), attempt.clone())));
+    let attempt = e.arrivals[0].2.clone();
+    (0..=MAX_TRIES).for_each(|i| e.arrivals.push((1, format!("server {i}"), attempt.clone())));
     assert!(spread(&e).iter().any(|l| l.contains(&attempt)));
-    e.runs[0].at = 0;
-    assert!(in_time(&e).iter().any(|l| l.contains(&e.runs[0].attempt)));
+    e.executions[0].started_at = 0;
+    assert!(
+        in_time(&e)
+            .iter()
+            .any(|l| l.contains(&e.executions[0].attempt))
+    );
     let i = e
-        .tries
+        .attempts
         .iter()
-        .position(|t| t.route.mode == Mode::Stream && t.good())
+        .position(|t| t.route.mode == Mode::Stream && t.is_success())
         .unwrap();
-    let cut = e.tries[i].heard.len() / 2;
-    e.tries[i].heard.truncate(cut);
-    assert!(ends(&e).iter().any(|l| l.contains(&e.tries[i].attempt)));
+    let cut = e.attempts[i].received.len() / 2;
+    e.attempts[i].received.truncate(cut);
+    assert!(ends(&e).iter().any(|l| l.contains(&e.attempts[i].id)));
 }
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -74,9 +74,9 @@
     fn record(&self, begin: u64, call: ConfigCall, answer: Option<ConfigAnswer>) {
         let at = self.tier.op.now();
         self.calls.lock().unwrap().push(Operation {
-            begin,
+            invoked_at: begin,
             call,
-            ended: answer.map(|answer| Ended { at, answer }),
+            completion: answer.map(|answer| Completion { at, answer }),
         });
     }
 
@@ -101,7 +101,7 @@
                 Some(number)
             }
             Some(ReadAnswer::None) => {
-                self.record(begin, ConfigCall::Read, Some(ConfigAnswer::Nothing));
+                self.record(begin, ConfigCall::Read, Some(ConfigAnswer::NoConfiguration));
                 Some(0)
             }
             // A read without an answer has no effect.
@@ -126,13 +126,13 @@
             _ => self.tier.put(&core, order.base, &order.text).await,
         };
         let answer = got.and_then(|a| match a {
-            PutAnswer::InForce(number) => Some(ConfigAnswer::Taken { number }),
+            PutAnswer::InForce(number) => Some(ConfigAnswer::Accepted { number }),
             PutAnswer::Conflict(current) => Some(ConfigAnswer::Conflict { current }),
             PutAnswer::Invalid(_) => Some(ConfigAnswer::Invalid),
             PutAnswer::NotBootstrapped
             | PutAnswer::NoMajority
             | PutAnswer::Busy
-            | PutAnswer::Forgotten => Some(ConfigAnswer::NotDone),
+            | PutAnswer::Forgotten => Some(ConfigAnswer::NotExecuted),
             PutAnswer::Undecided => None,
         });
         let answer = answer.filter(|_| !answer_is_lost);
@@ -241,7 +241,7 @@
         for _ in 0..12 {
             let answer_is_lost = self.tier.op.random().is_multiple_of(6);
             match self.send(order, answer_is_lost).await {
-                Some(ConfigAnswer::Taken { .. }) => return Some(true),
+                Some(ConfigAnswer::Accepted { .. }) => return Some(true),
                 Some(ConfigAnswer::Conflict { .. } | ConfigAnswer::Invalid) => return Some(false),
                 _ => {
                     self.tier
@@ -326,7 +326,7 @@
 /// number.
 fn check_fronts(tier: &Tier, calls: &[Operation<ConfigRegister>]) {
     let refused = |c: &&Operation<ConfigRegister>| {
-        c.ended.as_ref().is_some_and(|e| {
+        c.completion.as_ref().is_some_and(|e| {
             matches!(
                 e.answer,
                 ConfigAnswer::Conflict { .. } | ConfigAnswer::Invalid
@@ -425,9 +425,9 @@
         .iter()
         .filter(|c| matches!(c.call, ConfigCall::Put { .. }))
     {
-        match &call.ended {
-            Some(Ended {
-                answer: ConfigAnswer::Taken { .. },
+        match &call.completion {
+            Some(Completion {
+                answer: ConfigAnswer::Accepted { .. },
                 ..
             }) => outcome.taken += 1,
             Some(_) => outcome.refused += 1,
@@ -436,7 +436,7 @@
     }
     outcome.slowest = calls
         .iter()
-        .filter_map(|c| c.ended.as_ref().map(|e| e.at - c.begin))
+        .filter_map(|c| c.completion.as_ref().map(|e| e.at - c.invoked_at))
         .max()
         .unwrap_or(0);
     (calls, outcome, tier)
@@ -448,12 +448,16 @@
 
 fn holds(plan: Plan) {
     let (calls, outcome, tier) = run(plan);
-    let verdict = check(first_register(), &calls);
+    let verdict = check_linearizability(first_register(), &calls);
     println!(
         "seed {} cores {} tolerance {} operators {}: {outcome:?} {verdict:?}",
         plan.seed, plan.counts[0], plan.tolerance, plan.operators
     );
-    assert!(verdict.holds(), "{plan:?}: {verdict:#?}\n{}", tell(&tier));
+    assert!(
+        verdict.is_linearizable(),
+        "{plan:?}: {verdict:#?}\n{}",
+        tell(&tier)
+    );
     check_fronts(&tier, &calls);
     assert!(outcome.calls > 200 && outcome.taken > 30, "{outcome:?}");
     assert!(outcome.slowest < 4 * SEC, "{outcome:?}");
@@ -584,16 +588,17 @@
                         };
                         let begin = tier.op.now();
                         let answer = ask_retire(&tier, core, "store2", call).await;
-                        let ended = answer.map(|answer| Ended {
+                        let completion = answer.map(|answer| Completion {
                             at: tier.op.now(),
                             answer,
                         });
                         // A read without an answer has no effect.
-                        if ended.is_some() || matches!(call, RetireCall::Begin) {
-                            recorded
-                                .lock()
-                                .unwrap()
-                                .push(Operation { begin, call, ended });
+                        if completion.is_some() || matches!(call, RetireCall::Begin) {
+                            recorded.lock().unwrap().push(Operation {
+                                invoked_at: begin,
+                                call,
+                                completion,
+                            });
                         }
                         tier.op.sleep(tier.op.random() % (150 * MS)).await;
                     }
@@ -616,7 +621,7 @@
         let told = |answer| {
             calls
                 .iter()
-                .filter(|c| c.ended.as_ref().is_some_and(|e| e.answer == answer))
+                .filter(|c| c.completion.as_ref().is_some_and(|e| e.answer == answer))
                 .count()
         };
         let counts = [
@@ -626,12 +631,12 @@
             RetireAnswer::Finished,
         ]
         .map(told);
-        let verdict = check(RetireRegister::default(), &calls);
+        let verdict = check_linearizability(RetireRegister::default(), &calls);
         println!(
             "seed {seed}: {} calls; unknown, begun, running, finished {counts:?}; {verdict:?}",
             calls.len()
         );
-        assert!(verdict.holds(), "{verdict:#?}");
+        assert!(verdict.is_linearizable(), "{verdict:#?}");
         assert!(counts[1] > 0 && counts[3] > 0, "{counts:?}");
     }
 }
@@ -641,9 +646,9 @@
     calls: &[(u64, u64, ConfigCall, ConfigAnswer)],
 ) -> Vec<Operation<ConfigRegister>> {
     let operation = |c: &(u64, u64, ConfigCall, ConfigAnswer)| Operation {
-        begin: c.0,
+        invoked_at: c.0,
         call: c.2.clone(),
-        ended: Some(Ended {
+        completion: Some(Completion {
             at: c.1,
             answer: c.3.clone(),
         }),
@@ -669,9 +674,9 @@
 /// Histories that no register gives, one for each rule, and the sound ones beside them.
 #[test]
 fn planted_histories_are_told_apart() {
-    let taken = |number| ConfigAnswer::Taken { number };
+    let taken = |number| ConfigAnswer::Accepted { number };
     let verdict = |calls: &[(u64, u64, ConfigCall, ConfigAnswer)]| {
-        check(first_register(), &config_history(calls)).holds()
+        check_linearizability(first_register(), &config_history(calls)).is_linearizable()
     };
     let first = (0, 1, put(0, 1, "a"), taken(1));
     // Two on one base.
@@ -734,13 +739,13 @@
     // A change without an answer may be read or not, but once it was, it stays.
     let mut open = config_history(&[first.clone(), (6, 7, ConfigCall::Read, text(2, "b"))]);
     open.push(Operation {
-        begin: 2,
+        invoked_at: 2,
         call: put(1, 2, "b"),
-        ended: None,
+        completion: None,
     });
-    assert!(check(first_register(), &open).holds());
+    assert!(check_linearizability(first_register(), &open).is_linearizable());
     open.extend(config_history(&[(8, 9, ConfigCall::Read, text(1, "a"))]));
-    assert!(!check(first_register(), &open).holds());
+    assert!(!check_linearizability(first_register(), &open).is_linearizable());
     // A machine that was told finished is not running again.
     let retire = |answers: &[RetireAnswer]| {
         let call = |a: &RetireAnswer| {
@@ -751,14 +756,14 @@
             }
         };
         let operation = |(i, a): (usize, &RetireAnswer)| Operation {
-            begin: 2 * i as u64,
+            invoked_at: 2 * i as u64,
             call: call(a),
-            ended: Some(Ended {
+            completion: Some(Completion {
                 at: 2 * i as u64 + 1,
                 answer: *a,
             }),
         };
-        check(
+        check_linearizability(
             RetireRegister::default(),
             &answers
                 .iter()
@@ -766,7 +771,7 @@
                 .map(operation)
                 .collect::<Vec<_>>(),
         )
-        .holds()
+        .is_linearizable()
     };
     use RetireAnswer::*;
     assert!(retire(&[
@@ -785,9 +790,9 @@
             operators: 4,
             ..PLAN
         });
-        let verdict = check(first_register(), &calls);
+        let verdict = check_linearizability(first_register(), &calls);
         println!("{broken:?} seed {}: {verdict:?}", 7280 + i);
-        matches!(verdict, Verdict::Broken { .. })
+        matches!(verdict, Verdict::NotLinearizable { .. })
     })
 }
 
--- a/yewcross-testkit/tests/relay/requests.rs
+++ b/yewcross-testkit/tests/relay/requests.rs
@@ -14,7 +14,7 @@
 use yewcross_common::register::Ballot;
 use yewcross_common::runtime::*;
 use yewcross_proxy::relay::Relay;
-use yewcross_testkit::routed::ports::Ports;
+use yewcross_testkit::routed::test_adapter::TestAdapter;
 
 #[test]
 fn targets_pass_byte_for_byte_or_are_refused() {
@@ -115,8 +115,8 @@
                 runtime: w.clone(),
                 documents: book.clone(),
                 site: "z".into(),
-                caller: Arc::new(Ports),
-                upstream_protocol: Arc::new(Ports),
+                caller: Arc::new(TestAdapter),
+                upstream_protocol: Arc::new(TestAdapter),
                 turn_log: None,
                 front_count: AtomicUsize::new(1),
                 pool: Default::default(),
--- a/yewcross-testkit/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -19,7 +19,7 @@
 use yewcross_proxy::balance::LoadBalancer;
 use yewcross_proxy::policy::Policies;
 use yewcross_proxy::relay::{Relay, RetryBudget};
-use yewcross_testkit::routed::ports::Ports;
+use yewcross_testkit::routed::test_adapter::TestAdapter;
 use yewcross_testkit::sim::Sim;
 
 #[derive(Default)]
@@ -147,8 +147,8 @@
             runtime: w.clone(),
             documents: book,
             site: "z".into(),
-            caller: Arc::new(Ports),
-            upstream_protocol: Arc::new(Ports),
+            caller: Arc::new(TestAdapter),
+            upstream_protocol: Arc::new(TestAdapter),
             turn_log: Some(memory.clone()),
             front_count: AtomicUsize::new(1),
             pool: Default::default(),
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -426,10 +426,10 @@
 fn routed_calls_keep_nothing_in_registers_of_stores() {
     let (t, evidence) = yewcross_testkit::routed::tier::run(&Plan {
         seed: 7,
-        shape: "metered".into(),
-        acts: vec![],
+        topology: "metered".into(),
+        disruptions: vec![],
     });
-    assert!(evidence.tries.len() > 200);
+    assert!(evidence.attempts.len() > 200);
     let (mut stores, mut turns) = (0, 0);
     for c in t
         .control_nodes()
