--- a/yewcross-testkit/src/history.rs
+++ b/yewcross-testkit/src/history.rs
@@ -1,51 +1,59 @@
-//! Checks recorded calls for linearizability: each call has an order in which one after another
-//! gives the same answers, and no call stands there before one that had ended when it began.
+//! A linearizability checker for recorded calls. A history is linearizable if some total order of
+//! its calls yields the recorded answers and places no call before one that had completed before it
+//! was invoked.
 //!
-//! The search is the one of Wing and Gong, with Lowe's memory of what was tried. A call that
-//! changes nothing is placed as soon as it fits, which loses no order; so only calls that change
-//! the register branch. A call without an answer may take effect at any time after its beginning,
-//! or never.
+//! The search is the algorithm of Wing and Gong with Lowe's memoization of visited states. A call
+//! that does not change the register is placed as soon as it fits, which excludes no order, so only
+//! calls that change the register branch. A call without an answer may take effect at any time after
+//! its invocation, or never.
 
 use std::collections::{BTreeSet, HashSet};
 use std::fmt::Debug;
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// count. States tried before the search gives up.
+/// Number of states after which the search is abandoned.
 pub const MAX_STATES: usize = 2_000_000;
 
-/// What a register does with one call at a time.
+/// The sequential specification of a register; the implementing type is its state.
 pub trait Specification: Clone + Eq + Hash + Debug {
     type Call: Clone + Debug;
     type Answer: Clone + Debug;
 
-    /// The register after the call; `None` where it would not answer so. Without an answer: after
-    /// the call took effect, or `None` where it would have none.
+    /// Applies a call and returns the register after it, or `None` if the register would not give
+    /// this answer. With no answer given: the register after the call took effect, or `None` if the
+    /// call would have no effect.
     fn apply(&self, call: &Self::Call, answer: Option<&Self::Answer>) -> Option<Self>;
 }
 
-/// A call as its caller saw it. Times in us.
+/// A call as its caller observed it. Times are in us.
 #[derive(Clone, Debug)]
 pub struct Operation<S: Specification> {
     pub invoked_at: u64,
     pub call: S::Call,
-    /// `None`: it got no clear answer and may yet take effect.
+    /// `None` if the caller got no definite answer; the call may still take effect.
     pub completion: Option<Completion<S::Answer>>,
 }
 
+/// The answer to a call and the time at which it arrived.
 #[derive(Clone, Debug)]
 pub struct Completion<A> {
     pub at: u64,
     pub answer: A,
 }
 
+/// The result of a check.
 #[derive(Debug, PartialEq)]
 pub enum Verdict {
-    /// With the number of states that the search went through.
+    /// An order exists. `states` is the number of states that the search visited.
     Linearizable { states: usize },
-    /// With the calls that could not be placed after the longest order found.
-    NotLinearizable { placed: usize, left: Vec<String> },
-    /// The search gave up.
+    /// No order exists. `placed` is the length of the longest prefix found, and `remaining` describes
+    /// its register and the calls that could not be placed next.
+    NotLinearizable {
+        placed: usize,
+        remaining: Vec<String>,
+    },
+    /// The search was abandoned after [`MAX_STATES`] states.
     StateLimitExceeded,
 }
 
@@ -55,60 +63,65 @@
     }
 }
 
-/// A partial order: which calls are placed, and the register after them.
+/// The calls that are placed so far, and the register after them.
 #[derive(Clone)]
-struct PartialOrder<S> {
+struct Prefix<S> {
     placed: Vec<bool>,
     count: usize,
     register: S,
 }
 
-/// Whether the calls have an order in which the register, beginning as given, answers each as it
-/// did.
-pub fn check_linearizability<S: Specification>(first: S, calls: &[Operation<S>]) -> Verdict {
+/// Checks whether the calls are linearizable on a register that starts as `initial`.
+pub fn check_linearizability<S: Specification>(initial: S, calls: &[Operation<S>]) -> Verdict {
     let mut calls = calls.to_vec();
-    calls.sort_by_key(|c| c.invoked_at);
-    let mut tried: HashSet<(Vec<bool>, S)> = HashSet::new();
-    let mut longest: Option<PartialOrder<S>> = None;
-    let mut open = vec![PartialOrder {
+    calls.sort_by_key(|call| call.invoked_at);
+    let mut visited: HashSet<(Vec<bool>, S)> = HashSet::new();
+    let mut longest: Option<Prefix<S>> = None;
+    let mut pending = vec![Prefix {
         placed: vec![false; calls.len()],
         count: 0,
-        register: first,
+        register: initial,
     }];
-    while let Some(mut partial) = open.pop() {
-        place_calls_without_effect(&mut partial, &calls);
+    while let Some(mut prefix) = pending.pop() {
+        place_calls_without_effect(&mut prefix, &calls);
         if calls
             .iter()
-            .zip(&partial.placed)
-            .all(|(c, placed)| *placed || c.completion.is_none())
+            .zip(&prefix.placed)
+            .all(|(call, placed)| *placed || call.completion.is_none())
         {
             return Verdict::Linearizable {
-                states: tried.len(),
+                states: visited.len(),
             };
         }
-        if !tried.insert((partial.placed.clone(), partial.register.clone())) {
+        if !visited.insert((prefix.placed.clone(), prefix.register.clone())) {
             continue;
         }
-        if tried.len() > MAX_STATES {
+        if visited.len() > MAX_STATES {
             return Verdict::StateLimitExceeded;
         }
-        if longest.as_ref().is_none_or(|l| l.count < partial.count) {
-            longest = Some(partial.clone());
+        if longest
+            .as_ref()
+            .is_none_or(|longest| longest.count < prefix.count)
+        {
+            longest = Some(prefix.clone());
         }
-        let next = candidates(&partial, &calls);
-        // The last one pushed is tried first: calls with an answer before those without.
-        let (answered, unanswered): (Vec<usize>, Vec<usize>) = next
+        let next_calls = candidates(&prefix, &calls);
+        // The last prefix that is pushed is tried first: calls with an answer before those without.
+        let (answered, unanswered): (Vec<usize>, Vec<usize>) = next_calls
             .into_iter()
-            .partition(|i| calls[*i].completion.is_some());
+            .partition(|index| calls[*index].completion.is_some());
         for index in unanswered.into_iter().chain(answered.into_iter().rev()) {
             let call = &calls[index];
-            let answer = call.completion.as_ref().map(|e| &e.answer);
-            if let Some(register) = partial.register.apply(&call.call, answer) {
-                let mut placed = partial.placed.clone();
+            let answer = call
+                .completion
+                .as_ref()
+                .map(|completion| &completion.answer);
+            if let Some(register) = prefix.register.apply(&call.call, answer) {
+                let mut placed = prefix.placed.clone();
                 placed[index] = true;
-                open.push(PartialOrder {
+                pending.push(Prefix {
                     placed,
-                    count: partial.count + 1,
+                    count: prefix.count + 1,
                     register,
                 });
             }
@@ -117,82 +130,82 @@
     let Some(longest) = longest else {
         return Verdict::NotLinearizable {
             placed: 0,
-            left: vec![],
+            remaining: vec![],
         };
     };
-    let mut left: Vec<String> = candidates(&longest, &calls)
+    let mut remaining: Vec<String> = candidates(&longest, &calls)
         .into_iter()
-        .map(|i| format!("{:?}", calls[i]))
+        .map(|index| format!("{:?}", calls[index]))
         .collect();
-    left.insert(0, format!("register: {:?}", longest.register));
+    remaining.insert(0, format!("register: {:?}", longest.register));
     Verdict::NotLinearizable {
         placed: longest.count,
-        left,
+        remaining,
     }
 }
 
-/// Calls that may come next: none that is not placed had ended before they began.
-fn candidates<S: Specification>(partial: &PartialOrder<S>, calls: &[Operation<S>]) -> Vec<usize> {
-    let waiting = calls
+/// The calls that may be placed next: those that were invoked no later than the first completion of
+/// an unplaced call.
+fn candidates<S: Specification>(prefix: &Prefix<S>, calls: &[Operation<S>]) -> Vec<usize> {
+    let unplaced = calls
         .iter()
         .enumerate()
-        .filter(|(i, _)| !partial.placed[*i]);
-    let first_end = waiting
+        .filter(|(index, _)| !prefix.placed[*index]);
+    let first_completion = unplaced
         .clone()
-        .filter_map(|(_, c)| c.completion.as_ref().map(|e| e.at))
+        .filter_map(|(_, call)| call.completion.as_ref().map(|completion| completion.at))
         .min()
         .unwrap_or(u64::MAX);
-    waiting
-        .take_while(|(_, c)| c.invoked_at <= first_end)
-        .map(|(i, _)| i)
+    unplaced
+        .take_while(|(_, call)| call.invoked_at <= first_completion)
+        .map(|(index, _)| index)
         .collect()
 }
 
-fn place_calls_without_effect<S: Specification>(
-    partial: &mut PartialOrder<S>,
-    calls: &[Operation<S>],
-) {
+/// Places all calls that may come next and whose answers leave the register as it is.
+fn place_calls_without_effect<S: Specification>(prefix: &mut Prefix<S>, calls: &[Operation<S>]) {
     loop {
-        let fits = |i: &usize| {
-            let Some(ended) = &calls[*i].completion else {
+        let fits = |index: &usize| {
+            let Some(completion) = &calls[*index].completion else {
                 return false;
             };
-            partial
+            prefix
                 .register
-                .apply(&calls[*i].call, Some(&ended.answer))
-                .is_some_and(|r| r == partial.register)
+                .apply(&calls[*index].call, Some(&completion.answer))
+                .is_some_and(|register| register == prefix.register)
         };
-        let fitting: Vec<usize> = candidates(partial, calls)
-            .into_iter()
-            .filter(fits)
-            .collect();
+        let fitting: Vec<usize> = candidates(prefix, calls).into_iter().filter(fits).collect();
         if fitting.is_empty() {
             return;
         }
         for index in fitting {
-            partial.placed[index] = true;
-            partial.count += 1;
+            prefix.placed[index] = true;
+            prefix.count += 1;
         }
     }
 }
 
-/// The text of an order and the version that it is on top of.
+/// Identifies an order by its text and the version that it was based on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct OrderIdentity {
     base: u64,
     text: String,
 }
 
-/// The configuration's register: a compare-and-set by version that knows the orders it has taken.
+/// The register of the configuration: compare-and-set by version. It remembers the accepted orders,
+/// so that a repeated one is acknowledged again.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ConfigRegister {
+    /// Version number; 0 while there is no configuration.
     pub number: u64,
     pub text: String,
     accepted: Arc<BTreeSet<OrderIdentity>>,
 }
 
+/// A call on the configuration.
 #[derive(Clone, Debug)]
 pub enum ConfigCall {
+    /// Replaces version `base` by the text, which carries the version `number`.
     Put {
         base: u64,
         number: u64,
@@ -201,6 +214,7 @@
     Read,
 }
 
+/// The answer to a [`ConfigCall`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigAnswer {
     Accepted {
@@ -210,7 +224,7 @@
         current: u64,
     },
     Invalid,
-    /// Refused with the promise that nothing was done and never will be.
+    /// Rejected with the guarantee that the call had no effect and never will.
     NotExecuted,
     Text {
         number: u64,
@@ -230,15 +244,15 @@
             return None;
         }
         let text = String::from(text);
-        let mut taken = BTreeSet::clone(&self.accepted);
-        taken.insert(OrderIdentity {
+        let mut accepted = BTreeSet::clone(&self.accepted);
+        accepted.insert(OrderIdentity {
             base,
             text: text.clone(),
         });
         Some(ConfigRegister {
             number,
             text,
-            accepted: Arc::new(taken),
+            accepted: Arc::new(accepted),
         })
     }
 }
@@ -248,34 +262,46 @@
     type Answer = ConfigAnswer;
 
     fn apply(&self, call: &ConfigCall, answer: Option<&ConfigAnswer>) -> Option<ConfigRegister> {
-        let same = |fits: bool| fits.then(|| self.clone());
+        let unchanged = |fits: bool| fits.then(|| self.clone());
         match (call, answer) {
             (ConfigCall::Put { base, number, text }, None) => self.put(*base, *number, text),
             (
                 ConfigCall::Put { base, number, text },
-                Some(ConfigAnswer::Accepted { number: told }),
-            ) if self.has_accepted(*base, text) => same(number == told),
+                Some(ConfigAnswer::Accepted {
+                    number: acknowledged,
+                }),
+            ) if self.has_accepted(*base, text) => unchanged(number == acknowledged),
             (
                 ConfigCall::Put { base, number, text },
-                Some(ConfigAnswer::Accepted { number: told }),
-            ) => self.put(*base, *number, text).filter(|_| number == told),
-            (ConfigCall::Put { base, text, .. }, Some(ConfigAnswer::Conflict { current })) => same(
-                *base != self.number && *current == self.number && !self.has_accepted(*base, text),
-            ),
-            (ConfigCall::Put { base, number, text }, Some(ConfigAnswer::Invalid)) => same(
+                Some(ConfigAnswer::Accepted {
+                    number: acknowledged,
+                }),
+            ) => self
+                .put(*base, *number, text)
+                .filter(|_| number == acknowledged),
+            (ConfigCall::Put { base, text, .. }, Some(ConfigAnswer::Conflict { current })) => {
+                unchanged(
+                    *base != self.number
+                        && *current == self.number
+                        && !self.has_accepted(*base, text),
+                )
+            }
+            (ConfigCall::Put { base, number, text }, Some(ConfigAnswer::Invalid)) => unchanged(
                 *base == self.number && *number <= self.number && !self.has_accepted(*base, text),
             ),
-            (ConfigCall::Put { .. }, Some(ConfigAnswer::NotExecuted)) => same(true),
+            (ConfigCall::Put { .. }, Some(ConfigAnswer::NotExecuted)) => unchanged(true),
             (ConfigCall::Read, Some(ConfigAnswer::Text { number, text })) => {
-                same(*number == self.number && *text == self.text)
+                unchanged(*number == self.number && *text == self.text)
+            }
+            (ConfigCall::Read, Some(ConfigAnswer::NoConfiguration)) => {
+                unchanged(self.text.is_empty())
             }
-            (ConfigCall::Read, Some(ConfigAnswer::NoConfiguration)) => same(self.text.is_empty()),
             _ => None,
         }
     }
 }
 
-/// What is known of a machine that may be retired.
+/// The register of a machine's retirement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum RetireRegister {
     #[default]
@@ -284,16 +310,20 @@
     Finished,
 }
 
+/// A call on a machine's retirement.
 #[derive(Clone, Copy, Debug)]
 pub enum RetireCall {
     Begin,
     Read,
 }
 
+/// The answer to a [`RetireCall`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetireAnswer {
     Begun,
+    /// Rejected because too few machines would remain.
     TooFew,
+    /// No retirement was requested.
     Unknown,
     Running,
     Finished,
@@ -311,7 +341,7 @@
             (RetireCall::Begin, Some(RetireAnswer::TooFew), NotRequested) => Some(NotRequested),
             (RetireCall::Read, Some(RetireAnswer::Unknown), NotRequested) => Some(NotRequested),
             (RetireCall::Read, Some(RetireAnswer::Running), Running) => Some(Running),
-            // It is finished by itself, at any time before this was read.
+            // A retirement finishes without a call, at any time before this read.
             (RetireCall::Read, Some(RetireAnswer::Finished), Running | Finished) => Some(Finished),
             _ => None,
         }
--- a/yewcross-testkit/src/routed.rs
+++ b/yewcross-testkit/src/routed.rs
@@ -1,6 +1,6 @@
-//! Whole tiers that serve routed requests, in virtual time: stand-ins of a platform of our own
-//! making that misbehave, callers that keep to the rules, troubles, and what must hold in spite of
-//! them.
+//! Simulated tiers that serve routed requests in virtual time: a test adapter of the platform's
+//! protocols, servers with injectable faults, callers that follow the retry rules, disruptions of
+//! machines and networks, and the checks that must pass regardless.
 
 pub mod caller;
 pub mod cfg;
@@ -9,7 +9,7 @@
 pub mod tier;
 pub mod verdict;
 
-/// Tokens in each event.
+/// Output tokens in each event of a stream.
 pub const TOKENS_PER_EVENT: u64 = 2;
-/// Servers that a try may be sent to.
+/// Maximum number of servers that one attempt may be sent to.
 pub const MAX_TRIES: usize = 3;
--- a/yewcross-testkit/src/routed/cfg.rs
+++ b/yewcross-testkit/src/routed/cfg.rs
@@ -1,4 +1,4 @@
-//! Configurations of routes, one after the other.
+//! The sequence of routing configurations that the simulated operator puts.
 
 use super::caller::{HOST, RouteSpec};
 use super::{MAX_TRIES, TOKENS_PER_EVENT};
@@ -6,21 +6,26 @@
 use std::collections::BTreeMap;
 use yewcross_common::configuration::route::Mode;
 
-/// A configuration that was sent. `number` is the tier's; 0 while it told none.
+/// A configuration that the operator put.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigVersion {
+    /// Version number that the tier assigned; 0 until an acknowledgement states it.
     pub number: u64,
+    /// Time in us at which the operator first sent it.
     pub sent_at: u64,
+    /// Time in us at which the tier acknowledged it.
     pub acknowledged_at: Option<u64>,
     pub text: String,
-    /// Services that each route may go to.
+    /// Services that each route may be sent to, by the route's name.
     pub services: BTreeMap<String, Vec<String>>,
 }
 
+/// Services, each with its number of servers.
 pub const SERVICES: [(&str, usize); 4] = [("read", 3), ("write", 3), ("spare", 2), ("model", 3)];
 
+/// The routes that every configuration contains.
 pub fn base_routes() -> Vec<RouteSpec> {
-    let of = |name: &str, mode, retained, deadline_ms| RouteSpec {
+    let route = |name: &str, mode, retained, deadline_ms| RouteSpec {
         name: name.into(),
         mode,
         retained,
@@ -28,52 +33,58 @@
         deadline_ms,
     };
     vec![
-        of("look", Mode::Pure, false, 1500),
-        of("do", Mode::Effectful, false, 1500),
-        of("tell", Mode::Stream, false, 4000),
-        of("talk", Mode::Stream, true, 4000),
+        route("look", Mode::Pure, false, 1500),
+        route("do", Mode::Effectful, false, 1500),
+        route("tell", Mode::Stream, false, 4000),
+        route("talk", Mode::Stream, true, 4000),
     ]
 }
 
-/// The `n`th: plain routes move, split and move back; one route more each time.
+/// The `n`th configuration. The routes `look` and `do` cycle through their own service, a split
+/// between it and `spare`, and `spare` alone. Every version after the first adds one route.
 pub fn nth_version(n: u64) -> ConfigVersion {
-    let split = |a: &str, b: &str| match n % 3 {
-        1 => vec![(a.to_string(), 1)],
-        2 => vec![(a.to_string(), 1), (b.to_string(), 1)],
-        _ => vec![(b.to_string(), 1)],
+    let split = |own: &str, spare: &str| match n % 3 {
+        1 => vec![(own.to_string(), 1)],
+        2 => vec![(own.to_string(), 1), (spare.to_string(), 1)],
+        _ => vec![(spare.to_string(), 1)],
     };
-    let mut to: BTreeMap<String, Vec<(String, u64)>> = BTreeMap::new();
-    to.insert("look".into(), split("read", "spare"));
-    to.insert("do".into(), split("write", "spare"));
-    to.insert("tell".into(), vec![("model".into(), 1)]);
-    to.insert("talk".into(), vec![("model".into(), 1)]);
+    let mut services: BTreeMap<String, Vec<(String, u64)>> = BTreeMap::new();
+    services.insert("look".into(), split("read", "spare"));
+    services.insert("do".into(), split("write", "spare"));
+    services.insert("tell".into(), vec![("model".into(), 1)]);
+    services.insert("talk".into(), vec![("model".into(), 1)]);
     (1..n).for_each(|i| {
-        to.insert(format!("more{i}"), vec![("read".into(), 1)]);
+        services.insert(format!("more{i}"), vec![("read".into(), 1)]);
     });
-    let all = base_routes();
-    let routes: Vec<Value> = to
+    let known_routes = base_routes();
+    let routes: Vec<Value> = services
         .iter()
         .map(|(name, variants)| {
-            let k = all.iter().find(|k| k.name == *name).cloned().unwrap_or_else(|| RouteSpec { name: name.clone(), ..all[0].clone() });
-            json!({"name": name, "host": HOST, "prefix": format!("/{name}/"), "mode": k.mode, "variants": variants,
-                "timeout_ms": k.deadline_ms, "target_ms": 300, "max_tries": MAX_TRIES, "retained": k.retained, "retain_ms": k.retain_ms})
+            let route = known_routes.iter().find(|route| route.name == *name).cloned().unwrap_or_else(|| RouteSpec { name: name.clone(), ..known_routes[0].clone() });
+            json!({"name": name, "host": HOST, "prefix": format!("/{name}/"), "mode": route.mode, "variants": variants,
+                "timeout_ms": route.deadline_ms, "target_ms": 300, "max_tries": MAX_TRIES, "retained": route.retained, "retain_ms": route.retain_ms})
         })
         .collect();
-    let ups: Vec<Value> = SERVICES
+    let upstreams: Vec<Value> = SERVICES
         .iter()
-        .map(|(s, _)| match *s {
-            "model" => json!({"name": s, "max_conns": 256, "engine": {"slots": 8, "cache_tokens": 1_000_000, "token_bytes": 1000, "tokens_per_event": TOKENS_PER_EVENT}}),
-            _ => json!({"name": s, "max_conns": 128}),
+        .map(|(service, _)| match *service {
+            "model" => json!({"name": service, "max_conns": 256, "engine": {"slots": 8, "cache_tokens": 1_000_000, "token_bytes": 1000, "tokens_per_event": TOKENS_PER_EVENT}}),
+            _ => json!({"name": service, "max_conns": 128}),
         })
         .collect();
-    let text = json!({"routing": {"routes": routes, "upstreams": ups}}).to_string();
-    let to = to
+    let text = json!({"routing": {"routes": routes, "upstreams": upstreams}}).to_string();
+    let services = services
         .into_iter()
-        .map(|(k, v)| (k, v.into_iter().map(|x| x.0).collect()))
+        .map(|(route, variants)| {
+            (
+                route,
+                variants.into_iter().map(|variant| variant.0).collect(),
+            )
+        })
         .collect();
     ConfigVersion {
         text,
-        services: to,
+        services,
         ..ConfigVersion::default()
     }
 }
--- a/yewcross-testkit/src/routed/test_adapter.rs
+++ b/yewcross-testkit/src/routed/test_adapter.rs
@@ -1,4 +1,5 @@
-//! A platform of our own making: plain heads, a list in pages.
+//! The adapter of a simple test platform: its metadata is in plain headers, and its server list
+//! consists of pages in JSON.
 
 use bytes::Bytes;
 use http::{HeaderMap, Response};
@@ -9,98 +10,113 @@
 use yewcross_common::error_code::Code;
 use yewcross_common::protocol::ListedServer;
 
+/// The adapter of the test platform.
 pub struct TestAdapter;
 
-pub fn header_text<'a>(h: &'a HeaderMap, n: &str) -> &'a str {
-    h.get(n).and_then(|v| v.to_str().ok()).unwrap_or_default()
+/// The value of a header; empty if it is absent or not visible ASCII.
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+    headers
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or_default()
 }
 
-fn parse_segments(s: &str) -> Option<Vec<(u64, u64)>> {
-    s.split(',')
-        .filter(|p| !p.is_empty())
-        .map(|p| {
-            p.split_once(':')
-                .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)))
+/// Parses prompt segments of the form `digest:tokens,digest:tokens`.
+fn parse_segments(list: &str) -> Option<Vec<(u64, u64)>> {
+    list.split(',')
+        .filter(|segment| !segment.is_empty())
+        .map(|segment| {
+            segment
+                .split_once(':')
+                .and_then(|(digest, tokens)| Some((digest.parse().ok()?, tokens.parse().ok()?)))
         })
         .collect()
 }
 
 impl CallerProtocol for TestAdapter {
-    fn parse_request(&self, h: &HeaderMap) -> Result<RequestMeta, String> {
-        let num = |n: &str| header_text(h, n).parse().ok();
-        let attempt = header_text(h, "try").to_string();
+    fn parse_request(&self, headers: &HeaderMap) -> Result<RequestMeta, String> {
+        let number = |name: &str| header_text(headers, name).parse().ok();
+        let attempt = header_text(headers, "try").to_string();
         if attempt.is_empty() {
             return Err("try".into());
         }
         Ok(RequestMeta {
             attempt,
-            deadline_ms: num("patience"),
-            program: header_text(h, "program").into(),
-            session: header_text(h, "session").into(),
-            budget: num("budget"),
-            prompt_tokens: num("tokens").unwrap_or(0),
-            max_output_tokens: num("most").unwrap_or(0),
-            prompt_segments: parse_segments(header_text(h, "parts")).ok_or("parts")?,
-            previous_turn: header_text(h, "after").into(),
-            affinity: header_text(h, "affinity").into(),
+            deadline_ms: number("patience"),
+            program: header_text(headers, "program").into(),
+            session: header_text(headers, "session").into(),
+            budget: number("budget"),
+            prompt_tokens: number("tokens").unwrap_or(0),
+            max_output_tokens: number("most").unwrap_or(0),
+            prompt_segments: parse_segments(header_text(headers, "parts")).ok_or("parts")?,
+            previous_turn: header_text(headers, "after").into(),
+            affinity: header_text(headers, "affinity").into(),
             ..Default::default()
         })
     }
-    fn reject(&self, c: Code, why: &str, back: u64) -> Response<Bytes> {
-        let r = Response::builder()
-            .status(c.http())
-            .header("back-ms", back)
-            .header("why", why);
-        r.body(Bytes::new()).unwrap_or_default()
+    fn reject(&self, code: Code, reason: &str, retry_after_ms: u64) -> Response<Bytes> {
+        let response = Response::builder()
+            .status(code.http())
+            .header("back-ms", retry_after_ms)
+            .header("why", reason);
+        response.body(Bytes::new()).unwrap_or_default()
     }
 }
 
 impl UpstreamProtocol for TestAdapter {
-    fn add_headers(&self, h: &mut HeaderMap, to: &ListedServer, left: u64, urgency: Option<u8>) {
-        to.server.parse().into_iter().for_each(|v| {
-            h.insert("for", v);
+    fn add_headers(
+        &self,
+        headers: &mut HeaderMap,
+        server: &ListedServer,
+        remaining_ms: u64,
+        urgency: Option<u8>,
+    ) {
+        server.server.parse().into_iter().for_each(|value| {
+            headers.insert("for", value);
         });
-        h.insert("patience", left.into());
-        urgency.into_iter().for_each(|u| {
-            h.insert("urgency", u16::from(u).into());
+        headers.insert("patience", remaining_ms.into());
+        urgency.into_iter().for_each(|urgency| {
+            headers.insert("urgency", u16::from(urgency).into());
         });
     }
-    fn resume_after(&self, h: &mut HeaderMap, event_id: &[u8]) {
+    fn resume_after(&self, headers: &mut HeaderMap, event_id: &[u8]) {
         http::HeaderValue::from_bytes(event_id)
             .into_iter()
-            .for_each(|v| {
-                h.insert("resume-after", v);
+            .for_each(|value| {
+                headers.insert("resume-after", value);
             });
     }
-    fn parse_response(&self, status: u16, h: &HeaderMap) -> ResponseMeta {
-        let load: Vec<u32> = header_text(h, "load")
+    fn parse_response(&self, status: u16, headers: &HeaderMap) -> ResponseMeta {
+        let load: Vec<u32> = header_text(headers, "load")
             .split(',')
-            .filter_map(|x| x.parse().ok())
+            .filter_map(|number| number.parse().ok())
             .collect();
         ResponseMeta {
-            attempt: header_text(h, "try").into(),
-            from_server: h.contains_key("stamp"),
-            not_executed: h.contains_key("unrun") || status == 421,
+            attempt: header_text(headers, "try").into(),
+            from_server: headers.contains_key("stamp"),
+            not_executed: headers.contains_key("unrun") || status == 421,
             load: (load.len() == 3).then(|| (load[0], load[1], load[2])),
-            idle_ms: header_text(h, "idle-ms").parse().ok(),
-            closes_connection: header_text(h, "connection") == "close",
+            idle_ms: header_text(headers, "idle-ms").parse().ok(),
+            closes_connection: header_text(headers, "connection") == "close",
             weights: String::new(),
         }
     }
 }
 
+/// One page of the server list.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Page {
     pub servers: Vec<ListedServer>,
+    /// Token of the next page, if there is one.
     pub next: Option<String>,
 }
 
 impl ServerCatalogue for TestAdapter {
     fn page_target(&self, page: Option<&str>) -> String {
-        page.map_or("/roster".into(), |p| format!("/roster?page={p}"))
+        page.map_or("/roster".into(), |token| format!("/roster?page={token}"))
     }
     fn parse_page(&self, body: &[u8]) -> Result<(Vec<ListedServer>, Option<String>), String> {
-        let p: Page = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-        Ok((p.servers, p.next))
+        let page: Page = serde_json::from_slice(body).map_err(|error| error.to_string())?;
+        Ok((page.servers, page.next))
     }
 }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -1,4 +1,4 @@
-//! A tier under a plan of troubles.
+//! A simulated tier under a plan of disruptions.
 
 use super::caller::{self, Caller, CallerRecords, Fronts};
 use super::cfg::{self, ConfigVersion};
@@ -21,6 +21,8 @@
 use yewcross_control::api::{Options, PutAcknowledgement, PutAnswer, ReadAnswer};
 use yewcross_proxy::{Front, FrontOptions};
 
+/// A failure or an operation that a plan applies to the tier. `Kill` ends a process, `PowerOff` also
+/// loses what was not synced to disk, and `Wipe` also loses the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
 pub enum Disruption {
@@ -30,6 +32,7 @@
     FreezeFront,
     #[strum(serialize = "cut_front")]
     IsolateFront,
+    /// A front is stopped gracefully and started again.
     StopFront,
     KillStore,
     #[strum(serialize = "power_store")]
@@ -43,23 +46,26 @@
     FreezeCore,
     #[strum(serialize = "split_cores")]
     PartitionCores,
-    /// Frames between our processes are lost, come twice or late.
+    /// Frames between the tier's processes are lost, duplicated or delayed.
     #[strum(serialize = "storm")]
     UnreliableNetwork,
-    /// Servers show every fault.
+    /// Servers inject every kind of fault.
     #[strum(serialize = "faults")]
     ServerFaults,
     KillServer,
-    /// A server ends and its address goes to another service.
+    /// A server crashes, and a server of another service starts at its address.
     ReuseAddress,
+    /// A server is removed gracefully and replaced.
     #[strum(serialize = "leave_server")]
     DrainServer,
-    /// A service's servers are replaced one after the other.
+    /// All servers of a service are replaced one after another.
     #[strum(serialize = "release")]
     RollingRelease,
+    /// The platform's server list does not respond.
     #[strum(serialize = "roster_away")]
     CatalogueOutage,
     PutConfig,
+    /// Two operators put different configurations at the same time.
     #[strum(serialize = "two_operators")]
     ConcurrentPuts,
     #[strum(serialize = "burst")]
@@ -67,12 +73,13 @@
     KillAll,
     #[strum(serialize = "power_all")]
     PowerOffAll,
-    /// One store's disk is lost while all other machines lose power.
+    /// All nodes lose power, and one store also loses its disk.
     #[strum(serialize = "wipe_one_power_rest")]
     WipeOnePowerOffRest,
 }
 
 impl Disruption {
+    /// Whether all nodes fail at once. Random plans contain at most one such disruption, at the end.
     pub fn affects_all_nodes(self) -> bool {
         matches!(
             self,
@@ -86,67 +93,89 @@
     Control(Arc<Control>),
 }
 
+/// A simulated tier with its servers, callers and operator.
 pub struct Tier {
     pub sim: Sim,
     pub topology: Topology,
+    /// Runtime of the operator's machine, on which the plan runs.
     pub operator: Runtime,
     pub server_records: Arc<ServerRecords>,
     pub caller_records: Arc<CallerRecords>,
     catalogue: Mutex<Option<Arc<CatalogueServer>>>,
+    /// Running nodes of the tier by name.
     nodes: Mutex<BTreeMap<String, Node>>,
+    /// Servers by the name of their machine.
     servers: Mutex<BTreeMap<String, Arc<Server>>>,
+    /// Number of server processes that were started; makes their ids unique.
     server_starts: Mutex<u64>,
+    /// Whether nodes that start from now on join the existing tier instead of bootstrapping it.
     bootstrapped: Mutex<bool>,
+    /// Every configuration that was put.
     pub versions: Mutex<Vec<ConfigVersion>>,
+    /// Time in us from which the list shows a server as leaving, with the server's id.
     leaving_since: Mutex<Vec<(u64, String)>>,
+    /// Begin and end in us of every disruption of nodes or the network.
     disruptions: Mutex<Vec<(u64, u64)>>,
+    /// Begin and end in us of every outage of the server list.
     catalogue_outages: Mutex<Vec<(u64, u64)>>,
+    /// Time in us at which all nodes had been started again after an outage of all nodes.
     restored_at: Mutex<u64>,
+    /// Fault rates of servers that start from now on.
     fault_rates: Mutex<FaultRates>,
+    /// Violations that were found while the plan ran.
     pub errors: Mutex<Vec<String>>,
 }
 
-fn machine_addr(n: usize, k: u16) -> SocketAddr {
+fn machine_addr(machine: usize, port: u16) -> SocketAddr {
     SocketAddr::new(
-        IpAddr::from([10, 0, (n / 250) as u8, (n % 250) as u8 + 1]),
-        1000 + k,
+        IpAddr::from([10, 0, (machine / 250) as u8, (machine % 250) as u8 + 1]),
+        1000 + port,
     )
 }
 
-/// Servers' machines, each with the service of its first life.
+/// Names of the servers' machines, each with the service of its first server.
 fn server_machines() -> Vec<(String, &'static str)> {
     cfg::SERVICES
         .iter()
-        .flat_map(|(s, n)| (0..*n).map(move |k| (format!("{s}{k}"), *s)))
+        .flat_map(|(service, count)| (0..*count).map(move |k| (format!("{service}{k}"), *service)))
         .collect()
 }
 
-/// us that the list lags.
+/// Time in us after which a change of the servers appears in the platform's list.
 const CATALOGUE_LAG: u64 = 800 * MS;
 
 impl Tier {
+    /// Creates the machines of a topology; no process runs yet.
     pub fn new(seed: u64, name: &str) -> Arc<Tier> {
-        let mut sh = topology(name, &machine_addr).unwrap_or_else(|| panic!("no shape {name}"));
-        sh.nodes.iter_mut().for_each(|n| n.bootstrap = true);
-        let sim = Sim::new(seed, sh.site_latency);
-        let z = sh.sites[0].clone();
-        let m = sim.machine("operator", &z, machine_addr(900, 0).ip());
-        let op = sim.boot(m);
-        sim.machine("callers", &z, machine_addr(901, 0).ip());
-        sim.machine("platform", &z, sh.platform.ip());
-        sh.nodes.iter().for_each(|n| {
-            sim.machine(&n.name, &n.site, n.peer.ip());
+        let mut topology =
+            topology(name, &machine_addr).unwrap_or_else(|| panic!("unknown topology {name}"));
+        topology
+            .nodes
+            .iter_mut()
+            .for_each(|node| node.bootstrap = true);
+        let sim = Sim::new(seed, topology.site_latency);
+        let site = topology.sites[0].clone();
+        let machine = sim.machine("operator", &site, machine_addr(900, 0).ip());
+        let operator = sim.boot(machine);
+        sim.machine("callers", &site, machine_addr(901, 0).ip());
+        sim.machine("platform", &site, topology.platform.ip());
+        topology.nodes.iter().for_each(|node| {
+            sim.machine(&node.name, &node.site, node.peer.ip());
         });
         server_machines()
             .iter()
             .enumerate()
-            .for_each(|(i, (n, _))| {
-                sim.machine(n, &sh.sites[i % 4], machine_addr(300 + i, 0).ip());
+            .for_each(|(i, (machine, _))| {
+                sim.machine(
+                    machine,
+                    &topology.sites[i % 4],
+                    machine_addr(300 + i, 0).ip(),
+                );
             });
         Arc::new(Tier {
             sim,
-            topology: sh,
-            operator: op,
+            topology,
+            operator,
             server_records: Default::default(),
             caller_records: Default::default(),
             catalogue: Default::default(),
@@ -165,54 +194,67 @@
     }
 
     fn startup_settings(&self, name: &str) -> Option<ProcessSettings> {
-        let mut st = self
+        let mut settings = self
             .topology
             .nodes
             .iter()
-            .find(|n| n.name == name)
+            .find(|node| node.name == name)
             .cloned()?;
-        st.bootstrap = !*self.bootstrapped.lock().unwrap();
-        Some(st)
+        settings.bootstrap = !*self.bootstrapped.lock().unwrap();
+        Some(settings)
     }
 
-    /// The core and store nodes that run.
+    /// The running core and store nodes.
     pub fn control_nodes(&self) -> Vec<Arc<Control>> {
         let nodes = self.nodes.lock().unwrap();
         let control = |node: &Node| match node {
-            Node::Control(c) => Some(c.clone()),
+            Node::Control(control) => Some(control.clone()),
             Node::Front(_) => None,
         };
         nodes.values().filter_map(control).collect()
     }
 
-    pub fn node_names(&self, r: Role) -> Vec<String> {
-        self.topology.of(r).iter().map(|n| n.name.clone()).collect()
+    /// Names of all nodes with a role.
+    pub fn node_names(&self, role: Role) -> Vec<String> {
+        self.topology
+            .of(role)
+            .iter()
+            .map(|node| node.name.clone())
+            .collect()
     }
 
+    /// Powers a node's machine on and starts the node's process.
     pub fn boot(self: &Arc<Self>, name: &str) {
-        let m = self.sim.find(name);
-        self.sim.power_on(m);
-        let w = self.sim.boot(m);
-        let Some(st) = self.startup_settings(name) else {
+        let machine = self.sim.find(name);
+        self.sim.power_on(machine);
+        let runtime = self.sim.boot(machine);
+        let Some(settings) = self.startup_settings(name) else {
             return;
         };
-        self.sim.set_costs(m, self.topology.costs.of(st.role));
-        let (me, n) = (self.clone(), name.to_string());
+        self.sim
+            .set_costs(machine, self.topology.costs.of(settings.role));
+        let (tier, node_name) = (self.clone(), name.to_string());
         self.nodes.lock().unwrap().remove(name);
-        w.clone().spawn(async move {
-            let p = match st.role {
+        runtime.clone().spawn(async move {
+            let node = match settings.role {
                 Role::Front => {
-                    let f = Front::open_without_leases(&w, st, Arc::new(NativeFormat));
-                    let chains = TurnLogClient::new(&f.members, &f.documents, &f.settings);
-                    let o = FrontOptions {
+                    let front =
+                        Front::open_without_leases(&runtime, settings, Arc::new(NativeFormat));
+                    let turn_log =
+                        TurnLogClient::new(&front.members, &front.documents, &front.settings);
+                    let options = FrontOptions {
                         caller: Arc::new(TestAdapter),
                         upstream_protocol: Arc::new(TestAdapter),
-                        turn_log: Some(Arc::new(chains)),
+                        turn_log: Some(Arc::new(turn_log)),
                     };
-                    f.serve_routes(o).await.ok().map(|_| Node::Front(f))
+                    front
+                        .serve_routes(options)
+                        .await
+                        .ok()
+                        .map(|_| Node::Front(front))
                 }
                 _ => {
-                    let o = Options {
+                    let options = Options {
                         configuration_format: Arc::new(NativeFormat),
                         server_catalogue: Some(Arc::new(TestAdapter)),
                         put_acknowledgement: PutAcknowledgement::Decided,
@@ -220,73 +262,79 @@
                         maintains_layout: true,
                         outranks_younger_process: true,
                     };
-                    Control::start_with(&w, st, o).await.ok().map(Node::Control)
+                    Control::start_with(&runtime, settings, options)
+                        .await
+                        .ok()
+                        .map(Node::Control)
                 }
             };
-            match p {
-                Some(p) => {
-                    me.nodes.lock().unwrap().insert(n, p);
+            match node {
+                Some(node) => {
+                    tier.nodes.lock().unwrap().insert(node_name, node);
                 }
-                None => me
+                None => tier
                     .errors
                     .lock()
                     .unwrap()
-                    .push(format!("START {n} did not start")),
+                    .push(format!("START node {node_name} failed to start")),
             }
         });
     }
 
+    /// Powers a machine on and starts a server of a service on it.
     fn start_server(self: &Arc<Self>, machine: &str, service: &str) {
-        let m = self.sim.find(machine);
-        self.sim.power_on(m);
-        let w = self.sim.boot(m);
+        let machine_id = self.sim.find(machine);
+        self.sim.power_on(machine_id);
+        let runtime = self.sim.boot(machine_id);
         let id = {
-            let mut g = self.server_starts.lock().unwrap();
-            *g += 1;
-            format!("{machine}-{}", *g)
+            let mut starts = self.server_starts.lock().unwrap();
+            *starts += 1;
+            format!("{machine}-{}", *starts)
         };
-        let i = server_machines()
+        let index = server_machines()
             .iter()
-            .position(|x| x.0 == machine)
+            .position(|entry| entry.0 == machine)
             .unwrap_or(0);
         let spec = ServerSpec {
             id,
             service: service.into(),
-            addr: machine_addr(300 + i, 0),
-            site: self.sim.site(m),
+            addr: machine_addr(300 + index, 0),
+            site: self.sim.site(machine_id),
             slots: 8,
             queue_limit: 4,
             max_connections: 128,
             service_time: 20 * MS,
             event_interval: 10 * MS,
         };
-        let (me, n, mood) = (
+        let (tier, name, fault_rates) = (
             self.clone(),
             machine.to_string(),
             self.fault_rates.lock().unwrap().clone(),
         );
-        w.clone().spawn(async move {
-            if let Ok(s) = Server::start(&w, spec, me.server_records.clone(), mood).await {
-                me.servers.lock().unwrap().insert(n, s);
-                me.publish_servers();
+        runtime.clone().spawn(async move {
+            if let Ok(server) =
+                Server::start(&runtime, spec, tier.server_records.clone(), fault_rates).await
+            {
+                tier.servers.lock().unwrap().insert(name, server);
+                tier.publish_servers();
             }
         });
     }
 
-    /// Tells the platform's list what runs.
+    /// Publishes the current servers in the platform's list.
     fn publish_servers(&self) {
-        let v: Vec<_> = self
+        let servers: Vec<_> = self
             .servers
             .lock()
             .unwrap()
             .values()
-            .map(|s| s.listed())
+            .map(|server| server.listed())
             .collect();
         self.catalogue
             .lock()
             .unwrap()
             .iter()
-            .for_each(|r| r.publish(v.clone()));
+            .for_each(|catalogue| catalogue.publish(servers.clone()));
     }
 
     fn machines_of_service(&self, service: &str) -> Vec<String> {
@@ -294,37 +342,42 @@
             .lock()
             .unwrap()
             .iter()
-            .filter(|(_, s)| s.spec.service == service)
-            .map(|(m, _)| m.clone())
+            .filter(|(_, server)| server.spec.service == service)
+            .map(|(machine, _)| machine.clone())
             .collect()
     }
 
-    /// Starts all, puts the first configuration, and returns once it is acknowledged.
+    /// Starts the list, the servers and the nodes, and puts the first configuration. Returns 3 s
+    /// after it was acknowledged.
     pub async fn start_all(self: &Arc<Self>) {
-        let m = self.sim.find("platform");
-        let w = self.sim.boot(m);
-        let r = CatalogueServer::start(&w, self.topology.platform, CATALOGUE_LAG, 5, 40)
-            .await
-            .ok();
-        *self.catalogue.lock().unwrap() = r;
+        let machine = self.sim.find("platform");
+        let runtime = self.sim.boot(machine);
+        let catalogue =
+            CatalogueServer::start(&runtime, self.topology.platform, CATALOGUE_LAG, 5, 40)
+                .await
+                .ok();
+        *self.catalogue.lock().unwrap() = catalogue;
         server_machines()
             .iter()
-            .for_each(|(n, s)| self.start_server(n, s));
-        self.topology.nodes.iter().for_each(|n| self.boot(&n.name));
+            .for_each(|(machine, service)| self.start_server(machine, service));
+        self.topology
+            .nodes
+            .iter()
+            .for_each(|node| self.boot(&node.name));
         self.operator.sleep(2 * SEC).await;
         *self.bootstrapped.lock().unwrap() = true;
-        // Where the tier does not found itself.
-        let names = |r| self.node_names(r);
-        let v = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)})
+        // Bootstraps the tier if the nodes did not do so by themselves.
+        let names = |role| self.node_names(role);
+        let request = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)})
             .to_string();
-        let to = self.topology.of(Role::Core)[0].http;
+        let addr = self.topology.of(Role::Core)[0].http;
         let _ = yewcross_common::buffered_http::fetch(
             &self.operator,
-            to,
+            addr,
             http_types::Method::Post,
             "/v1/found",
             &[],
-            v.into_bytes(),
+            request.into_bytes(),
             8 * SEC,
         )
         .await;
@@ -333,106 +386,113 @@
     }
 
     fn random_running_core(&self) -> Option<Arc<Control>> {
-        let g = self.nodes.lock().unwrap();
-        let v: Vec<&Arc<Control>> = self
+        let nodes = self.nodes.lock().unwrap();
+        let running: Vec<&Arc<Control>> = self
             .node_names(Role::Core)
             .iter()
-            .filter_map(|n| match g.get(n) {
-                Some(Node::Control(c)) if self.sim.is_up(self.sim.find(n)) => Some(c),
+            .filter_map(|name| match nodes.get(name) {
+                Some(Node::Control(core)) if self.sim.is_up(self.sim.find(name)) => Some(core),
                 _ => None,
             })
             .collect();
-        v.get(self.operator.random_index(v.len()))
-            .map(|c| (*c).clone())
+        running
+            .get(self.operator.random_index(running.len()))
+            .map(|core| (*core).clone())
     }
 
-    /// Sends the next configuration as an operator does: the same text again until the answer is
-    /// clear.
+    /// Puts the next configuration as an operator does: repeats the same text until the answer is
+    /// definite, for at most 20 s. `shift` distinguishes the texts of concurrent operators.
     pub async fn put_next_config(self: &Arc<Self>, shift: u64) {
-        let n = {
-            let mut g = self.versions.lock().unwrap();
-            let n = g.len();
-            g.push(ConfigVersion {
+        let index = {
+            let mut versions = self.versions.lock().unwrap();
+            let index = versions.len();
+            versions.push(ConfigVersion {
                 sent_at: self.operator.now(),
-                ..cfg::nth_version(n as u64 + 1 + shift)
+                ..cfg::nth_version(index as u64 + 1 + shift)
             });
-            n
+            index
         };
-        let text = self.versions.lock().unwrap()[n].text.clone().into_bytes();
+        let text = self.versions.lock().unwrap()[index]
+            .text
+            .clone()
+            .into_bytes();
         let mut base = self.newest_version();
-        let until = self.operator.now() + 20 * SEC;
-        while self.operator.now() < until {
-            let Some(c) = self.random_running_core() else {
+        let deadline = self.operator.now() + 20 * SEC;
+        while self.operator.now() < deadline {
+            let Some(core) = self.random_running_core() else {
                 self.operator.sleep(200 * MS).await;
                 continue;
             };
-            let got = self
+            let answer = self
                 .operator
-                .timeout(5 * SEC, c.put(base, text.clone()))
+                .timeout(5 * SEC, core.put(base, text.clone()))
                 .await;
-            self.sim.note(&format!("put {n} on {base}: {got:?}"));
-            let got = match got {
+            self.sim.note(&format!(
+                "put configuration {index} on version {base}: {answer:?}"
+            ));
+            let answer = match answer {
                 Some(PutAnswer::NotBootstrapped) => {
-                    let to = c.settings.http;
-                    let h = [("if-match", format!("\"{}\"", base.max(1)))];
-                    let r = yewcross_common::buffered_http::fetch(
+                    let addr = core.settings.http;
+                    let headers = [("if-match", format!("\"{}\"", base.max(1)))];
+                    let response = yewcross_common::buffered_http::fetch(
                         &self.operator,
-                        to,
+                        addr,
                         http_types::Method::Put,
                         "/v1/config",
-                        &h,
+                        &headers,
                         text.clone(),
                         5 * SEC,
                     )
                     .await;
-                    r.ok().and_then(|r| {
+                    response.ok().and_then(|response| {
                         self.sim.note(&format!(
-                            "http put {n} on {base}: {} {}",
-                            r.0,
-                            String::from_utf8_lossy(&r.2)
+                            "put configuration {index} on version {base} over HTTP: {} {}",
+                            response.0,
+                            String::from_utf8_lossy(&response.2)
                         ));
-                        let v: serde_json::Value = serde_json::from_slice(&r.2).ok()?;
-                        v["version"]
+                        let body: serde_json::Value = serde_json::from_slice(&response.2).ok()?;
+                        body["version"]
                             .as_u64()
-                            .filter(|_| r.0 == 200)
+                            .filter(|_| response.0 == 200)
                             .map(PutAnswer::InForce)
                     })
                 }
-                x => x,
+                other => other,
             };
-            match got {
-                Some(PutAnswer::InForce(k)) => {
-                    let mut g = self.versions.lock().unwrap();
-                    (g[n].number, g[n].acknowledged_at) = (k, Some(self.operator.now()));
+            match answer {
+                Some(PutAnswer::InForce(number)) => {
+                    let mut versions = self.versions.lock().unwrap();
+                    (versions[index].number, versions[index].acknowledged_at) =
+                        (number, Some(self.operator.now()));
                     return;
                 }
-                Some(PutAnswer::Conflict(k)) if n == 0 => base = k,
+                Some(PutAnswer::Conflict(current)) if index == 0 => base = current,
                 Some(PutAnswer::Conflict(_)) => return,
-                Some(PutAnswer::Invalid(b)) => {
-                    return self
-                        .errors
-                        .lock()
-                        .unwrap()
-                        .push(format!("BAD a proper configuration: {b:?}"));
+                Some(PutAnswer::Invalid(problems)) => {
+                    return self.errors.lock().unwrap().push(format!(
+                        "BAD valid configuration rejected as invalid: {problems:?}"
+                    ));
                 }
                 _ => self.operator.sleep(200 * MS).await,
             }
         }
     }
 
+    /// The highest version number that was acknowledged; 0 if there is none.
     fn newest_version(&self) -> u64 {
         self.versions
             .lock()
             .unwrap()
             .iter()
-            .map(|v| v.number)
+            .map(|version| version.number)
             .max()
             .unwrap_or(0)
     }
 
+    /// Starts the given numbers of callers that send plain requests and that run programs.
     pub fn start_traffic(self: &Arc<Self>, plain: usize, programs: usize) {
-        let w = self.sim.boot(self.sim.find("callers"));
-        self.spawn_callers(&w, plain, programs, 100 * MS);
+        let runtime = self.sim.boot(self.sim.find("callers"));
+        self.spawn_callers(&runtime, plain, programs, 100 * MS);
     }
 
     fn spawn_callers(
@@ -442,41 +502,49 @@
         programs: usize,
         pause: u64,
     ) {
-        let me = self.clone();
-        // What the platform's probes of readiness tell; all while none is in.
+        let tier = self.clone();
+        // The fronts that pass the platform's readiness probes; all fronts if none passes.
         let fronts: Fronts = Arc::new(move || {
-            let g = me.nodes.lock().unwrap();
-            let fs = me.topology.of(Role::Front);
-            let ready = |n: &str| {
-                matches!(g.get(n), Some(Node::Front(f)) if f.ready())
-                    && me.sim.is_up(me.sim.find(n))
+            let nodes = tier.nodes.lock().unwrap();
+            let fronts = tier.topology.of(Role::Front);
+            let is_ready = |name: &str| {
+                matches!(nodes.get(name), Some(Node::Front(front)) if front.ready())
+                    && tier.sim.is_up(tier.sim.find(name))
             };
-            let v: Vec<_> = fs
+            let ready: Vec<_> = fronts
                 .iter()
-                .filter(|n| ready(&n.name))
-                .map(|n| (n.name.clone(), n.http))
+                .filter(|front| is_ready(&front.name))
+                .map(|front| (front.name.clone(), front.http))
                 .collect();
-            if v.is_empty() {
-                fs.iter().map(|n| (n.name.clone(), n.http)).collect()
+            if ready.is_empty() {
+                fronts
+                    .iter()
+                    .map(|front| (front.name.clone(), front.http))
+                    .collect()
             } else {
-                v
+                ready
             }
         });
-        let all = cfg::base_routes();
-        let new = || Caller::new(runtime, &self.caller_records, &fronts);
+        let routes = cfg::base_routes();
+        let new_caller = || Caller::new(runtime, &self.caller_records, &fronts);
         (0..plain).for_each(|_| {
-            runtime.spawn(caller::run_plain_requests(new(), all[..3].to_vec(), pause))
+            runtime.spawn(caller::run_plain_requests(
+                new_caller(),
+                routes[..3].to_vec(),
+                pause,
+            ))
         });
         (0..programs).for_each(|_| {
             runtime.spawn(caller::run_programs(
-                new(),
-                all[3].clone(),
-                all[..2].to_vec(),
+                new_caller(),
+                routes[3].clone(),
+                routes[..2].to_vec(),
                 pause,
             ))
         });
     }
 
+    /// Records a disruption that began at `from` and ends now.
     fn record_disruption(&self, from: u64) {
         self.disruptions
             .lock()
@@ -484,294 +552,320 @@
             .push((from, self.operator.now()));
     }
 
-    fn random_node(&self, r: Role) -> String {
-        let v = self.node_names(r);
-        v[self.operator.random_index(v.len())].clone()
+    fn random_node(&self, role: Role) -> String {
+        let names = self.node_names(role);
+        names[self.operator.random_index(names.len())].clone()
     }
 
-    async fn restart_node(self: &Arc<Self>, name: &str, power: bool, wipe: bool, us: u64) {
-        let (t, m) = (self.operator.now(), self.sim.find(name));
-        self.sim.kill(m, power);
+    /// Ends a node and starts it again after `downtime` us.
+    async fn restart_node(
+        self: &Arc<Self>,
+        name: &str,
+        power_off: bool,
+        wipe: bool,
+        downtime: u64,
+    ) {
+        let (started_at, machine) = (self.operator.now(), self.sim.find(name));
+        self.sim.kill(machine, power_off);
         self.nodes.lock().unwrap().remove(name);
         if wipe {
-            self.sim.wipe(m);
+            self.sim.wipe(machine);
         }
-        self.operator.sleep(us).await;
+        self.operator.sleep(downtime).await;
         self.boot(name);
-        // Its disk is filled again.
+        // Time for the restored node to copy its data from other nodes.
         self.operator.sleep(4_200 * MS).await;
-        self.record_disruption(t);
+        self.record_disruption(started_at);
     }
 
-    async fn freeze_node(&self, name: &str, us: u64) {
-        let (t, m) = (self.operator.now(), self.sim.find(name));
-        self.sim.freeze(m);
-        self.operator.sleep(us).await;
-        self.sim.thaw(m);
+    /// Suspends a node for `duration` us.
+    async fn freeze_node(&self, name: &str, duration: u64) {
+        let (started_at, machine) = (self.operator.now(), self.sim.find(name));
+        self.sim.freeze(machine);
+        self.operator.sleep(duration).await;
+        self.sim.thaw(machine);
         self.operator.sleep(4_200 * MS).await;
-        self.record_disruption(t);
+        self.record_disruption(started_at);
     }
 
-    async fn partition_nodes(&self, xs: &[usize], us: u64) {
-        let t = self.operator.now();
-        let rest: Vec<usize> = self
+    /// Separates machines from all other nodes for `duration` us.
+    async fn partition_nodes(&self, machines: &[usize], duration: u64) {
+        let started_at = self.operator.now();
+        let others: Vec<usize> = self
             .topology
             .nodes
             .iter()
-            .map(|n| self.sim.find(&n.name))
-            .filter(|m| !xs.contains(m))
+            .map(|node| self.sim.find(&node.name))
+            .filter(|machine| !machines.contains(machine))
             .collect();
-        self.sim.partition(xs, &rest);
-        self.operator.sleep(us).await;
+        self.sim.partition(machines, &others);
+        self.operator.sleep(duration).await;
         self.sim.heal();
         self.operator.sleep(4_200 * MS).await;
-        self.record_disruption(t);
+        self.record_disruption(started_at);
     }
 
-    /// Shown as leaving, still serving for a while, and gone; another life begins where `service`
-    /// is given.
+    /// Marks a server as leaving, removes it from the list 4 s after the mark is visible, and ends
+    /// it. Starts a server of `service` on the machine, if one is given.
     async fn drain_server(self: &Arc<Self>, machine: &str, service: Option<&str>) {
-        let Some(s) = self.servers.lock().unwrap().get(machine).cloned() else {
+        let Some(server) = self.servers.lock().unwrap().get(machine).cloned() else {
             return;
         };
-        s.leaving.store(true, SeqCst);
+        server.leaving.store(true, SeqCst);
         self.publish_servers();
         self.leaving_since
             .lock()
             .unwrap()
-            .push((self.operator.now() + CATALOGUE_LAG, s.spec.id.clone()));
+            .push((self.operator.now() + CATALOGUE_LAG, server.spec.id.clone()));
         self.operator.sleep(CATALOGUE_LAG + 4_000 * MS).await;
         self.servers.lock().unwrap().remove(machine);
         self.publish_servers();
         self.sim.kill(self.sim.find(machine), false);
-        if let Some(x) = service {
+        if let Some(service) = service {
             self.operator.sleep(2_500 * MS).await;
-            self.start_server(machine, x);
+            self.start_server(machine, service);
         }
     }
 
-    pub async fn inject(self: &Arc<Self>, a: Disruption) {
-        let back = (1 + self.operator.random() % 4) * SEC;
-        self.sim.note(&format!("act {a}"));
-        match a {
+    /// Applies one disruption and returns once it has ended.
+    pub async fn inject(self: &Arc<Self>, disruption: Disruption) {
+        let duration = (1 + self.operator.random() % 4) * SEC;
+        self.sim.note(&format!("disruption {disruption}"));
+        match disruption {
             Disruption::KillFront => {
-                self.restart_node(&self.random_node(Role::Front), false, false, back / 4)
+                self.restart_node(&self.random_node(Role::Front), false, false, duration / 4)
                     .await
             }
             Disruption::PowerOffFront => {
-                self.restart_node(&self.random_node(Role::Front), true, false, back)
+                self.restart_node(&self.random_node(Role::Front), true, false, duration)
+                    .await
+            }
+            Disruption::FreezeFront => {
+                self.freeze_node(&self.random_node(Role::Front), duration)
                     .await
             }
-            Disruption::FreezeFront => self.freeze_node(&self.random_node(Role::Front), back).await,
             Disruption::IsolateFront => {
-                self.partition_nodes(&[self.sim.find(&self.random_node(Role::Front))], back)
+                self.partition_nodes(&[self.sim.find(&self.random_node(Role::Front))], duration)
                     .await
             }
             Disruption::StopFront => {
-                let n = self.random_node(Role::Front);
-                let f = match self.nodes.lock().unwrap().get(&n) {
-                    Some(Node::Front(f)) => f.clone(),
+                let name = self.random_node(Role::Front);
+                let front = match self.nodes.lock().unwrap().get(&name) {
+                    Some(Node::Front(front)) => front.clone(),
                     _ => return,
                 };
-                self.operator.timeout(8 * SEC, f.stop()).await;
-                let m = self.sim.find(&n);
-                self.sim.kill(m, false);
-                self.nodes.lock().unwrap().remove(&n);
+                self.operator.timeout(8 * SEC, front.stop()).await;
+                let machine = self.sim.find(&name);
+                self.sim.kill(machine, false);
+                self.nodes.lock().unwrap().remove(&name);
                 self.operator.sleep(500 * MS).await;
-                self.boot(&n);
+                self.boot(&name);
             }
             Disruption::KillStore => {
-                self.restart_node(&self.random_node(Role::Store), false, false, back / 4)
+                self.restart_node(&self.random_node(Role::Store), false, false, duration / 4)
                     .await
             }
             Disruption::PowerOffStore => {
-                self.restart_node(&self.random_node(Role::Store), true, false, back)
+                self.restart_node(&self.random_node(Role::Store), true, false, duration)
                     .await
             }
             Disruption::WipeStore => {
-                self.restart_node(&self.random_node(Role::Store), true, true, back)
+                self.restart_node(&self.random_node(Role::Store), true, true, duration)
+                    .await
+            }
+            Disruption::FreezeStore => {
+                self.freeze_node(&self.random_node(Role::Store), duration)
                     .await
             }
-            Disruption::FreezeStore => self.freeze_node(&self.random_node(Role::Store), back).await,
             Disruption::KillCore => {
-                self.restart_node(&self.random_node(Role::Core), false, false, back / 4)
+                self.restart_node(&self.random_node(Role::Core), false, false, duration / 4)
                     .await
             }
             Disruption::PowerOffCore => {
-                self.restart_node(&self.random_node(Role::Core), true, false, back)
+                self.restart_node(&self.random_node(Role::Core), true, false, duration)
                     .await
             }
             Disruption::WipeCore => {
-                self.restart_node(&self.random_node(Role::Core), true, true, back)
+                self.restart_node(&self.random_node(Role::Core), true, true, duration)
+                    .await
+            }
+            Disruption::FreezeCore => {
+                self.freeze_node(&self.random_node(Role::Core), duration)
                     .await
             }
-            Disruption::FreezeCore => self.freeze_node(&self.random_node(Role::Core), back).await,
             Disruption::PartitionCores => {
-                let v: Vec<usize> = self
+                let machines: Vec<usize> = self
                     .node_names(Role::Core)
                     .iter()
-                    .map(|n| self.sim.find(n))
+                    .map(|name| self.sim.find(name))
                     .collect();
-                let k = 1 + self.operator.random_index(v.len() - 1);
-                self.partition_nodes(&v[..k], back).await
+                let size = 1 + self.operator.random_index(machines.len() - 1);
+                self.partition_nodes(&machines[..size], duration).await
             }
             Disruption::UnreliableNetwork => {
-                let t = self.operator.now();
+                let started_at = self.operator.now();
                 self.sim.set_network_conditions(NetworkConditions {
                     drop_per_mille: 50,
                     duplicate_per_mille: 50,
                     delay_per_mille: 50,
                     max_jitter: 20 * MS,
                 });
-                self.operator.sleep(back).await;
+                self.operator.sleep(duration).await;
                 self.sim
                     .set_network_conditions(NetworkConditions::default());
                 self.operator.sleep(SEC).await;
-                self.record_disruption(t);
+                self.record_disruption(started_at);
             }
             Disruption::ServerFaults => {
-                let v: FaultRates = Fault::iter().map(|f| (f, 15)).collect();
-                *self.fault_rates.lock().unwrap() = v.clone();
+                let rates: FaultRates = Fault::iter().map(|fault| (fault, 15)).collect();
+                *self.fault_rates.lock().unwrap() = rates.clone();
                 self.servers
                     .lock()
                     .unwrap()
                     .values()
-                    .for_each(|s| *s.fault_rates.lock().unwrap() = v.clone());
-                self.operator.sleep(back + 4 * SEC).await;
+                    .for_each(|server| *server.fault_rates.lock().unwrap() = rates.clone());
+                self.operator.sleep(duration + 4 * SEC).await;
                 self.fault_rates.lock().unwrap().clear();
                 self.servers
                     .lock()
                     .unwrap()
                     .values()
-                    .for_each(|s| s.fault_rates.lock().unwrap().clear());
+                    .for_each(|server| server.fault_rates.lock().unwrap().clear());
             }
             Disruption::KillServer => {
-                let v: Vec<String> = self.servers.lock().unwrap().keys().cloned().collect();
-                let m = v[self.operator.random_index(v.len())].clone();
-                let service = self.servers.lock().unwrap()[&m].spec.service.clone();
-                self.sim
-                    .kill(self.sim.find(&m), self.operator.random().is_multiple_of(2));
-                self.operator.sleep(back).await;
-                self.start_server(&m, &service);
+                let machines: Vec<String> = self.servers.lock().unwrap().keys().cloned().collect();
+                let machine = machines[self.operator.random_index(machines.len())].clone();
+                let service = self.servers.lock().unwrap()[&machine].spec.service.clone();
+                self.sim.kill(
+                    self.sim.find(&machine),
+                    self.operator.random().is_multiple_of(2),
+                );
+                self.operator.sleep(duration).await;
+                self.start_server(&machine, &service);
             }
             Disruption::ReuseAddress => {
-                // A crash, which the list learns late; a server of another service comes to the
-                // address.
-                let v = self.machines_of_service("read");
-                let Some(m) = v
-                    .get(self.operator.random_index(v.len()))
-                    .filter(|_| v.len() > 1)
+                // The list still contains the crashed server until a server of another service
+                // starts at its address.
+                let machines = self.machines_of_service("read");
+                let Some(machine) = machines
+                    .get(self.operator.random_index(machines.len()))
+                    .filter(|_| machines.len() > 1)
                     .cloned()
                 else {
                     return;
                 };
-                self.sim.kill(self.sim.find(&m), false);
+                self.sim.kill(self.sim.find(&machine), false);
                 self.operator.sleep(2_500 * MS).await;
-                self.start_server(&m, "write");
+                self.start_server(&machine, "write");
             }
             Disruption::DrainServer => {
-                let v = self.machines_of_service("read");
-                if v.len() > 1 {
-                    self.drain_server(&v[0], Some("read")).await;
+                let machines = self.machines_of_service("read");
+                if machines.len() > 1 {
+                    self.drain_server(&machines[0], Some("read")).await;
                 }
             }
             Disruption::RollingRelease => {
-                for m in self.machines_of_service("write") {
-                    self.drain_server(&m, Some("write")).await;
+                for machine in self.machines_of_service("write") {
+                    self.drain_server(&machine, Some("write")).await;
                 }
             }
             Disruption::CatalogueOutage => {
-                let t = self.operator.now();
-                let r = self.catalogue.lock().unwrap().clone();
-                r.iter().for_each(|r| r.unavailable.store(true, SeqCst));
-                self.operator.sleep(back).await;
-                r.iter().for_each(|r| r.unavailable.store(false, SeqCst));
+                let started_at = self.operator.now();
+                let catalogue = self.catalogue.lock().unwrap().clone();
+                catalogue
+                    .iter()
+                    .for_each(|catalogue| catalogue.unavailable.store(true, SeqCst));
+                self.operator.sleep(duration).await;
+                catalogue
+                    .iter()
+                    .for_each(|catalogue| catalogue.unavailable.store(false, SeqCst));
                 self.catalogue_outages
                     .lock()
                     .unwrap()
-                    .push((t, self.operator.now()));
+                    .push((started_at, self.operator.now()));
             }
             Disruption::PutConfig => self.put_next_config(0).await,
             Disruption::ConcurrentPuts => {
-                let me = self.clone();
+                let tier = self.clone();
                 self.operator
-                    .spawn(async move { me.put_next_config(1).await });
+                    .spawn(async move { tier.put_next_config(1).await });
                 self.put_next_config(0).await;
             }
             Disruption::TrafficBurst => {
-                let m = self.sim.find("callers");
-                let w = self.sim.runtime_of(m);
-                self.spawn_callers(&w, 40, 20, 20 * MS);
+                let machine = self.sim.find("callers");
+                let runtime = self.sim.runtime_of(machine);
+                self.spawn_callers(&runtime, 40, 20, 20 * MS);
                 self.operator.sleep(3 * SEC).await;
             }
             Disruption::KillAll | Disruption::PowerOffAll | Disruption::WipeOnePowerOffRest => {
                 self.put_next_config(0).await;
-                let t = self.operator.now();
-                let lost = self.random_node(Role::Store);
-                self.topology.nodes.iter().for_each(|n| {
+                let started_at = self.operator.now();
+                let wiped = self.random_node(Role::Store);
+                self.topology.nodes.iter().for_each(|node| {
                     self.sim
-                        .kill(self.sim.find(&n.name), a != Disruption::KillAll)
+                        .kill(self.sim.find(&node.name), disruption != Disruption::KillAll)
                 });
                 self.nodes.lock().unwrap().clear();
-                if a == Disruption::WipeOnePowerOffRest {
-                    self.sim.wipe(self.sim.find(&lost));
+                if disruption == Disruption::WipeOnePowerOffRest {
+                    self.sim.wipe(self.sim.find(&wiped));
                 }
                 self.operator.sleep(SEC).await;
-                for n in &self.topology.nodes {
-                    self.boot(&n.name);
-                    let p = self.operator.random() % (300 * MS);
-                    self.operator.sleep(p).await;
+                for node in &self.topology.nodes {
+                    self.boot(&node.name);
+                    let pause = self.operator.random() % (300 * MS);
+                    self.operator.sleep(pause).await;
                 }
                 *self.restored_at.lock().unwrap() = self.operator.now();
                 self.operator.sleep(20 * SEC).await;
-                self.record_disruption(t);
+                self.record_disruption(started_at);
             }
         }
     }
 
-    /// What the operator reads back at the end must be the newest that was acknowledged, or newer.
+    /// Checks that the configuration that is read back at the end is the newest acknowledged one, or
+    /// a newer one, and that it was put in this form.
     pub async fn check_read_back(&self) {
-        let acked = self
+        let acknowledged = self
             .versions
             .lock()
             .unwrap()
             .iter()
-            .filter(|v| v.acknowledged_at.is_some())
-            .map(|v| v.number)
+            .filter(|version| version.acknowledged_at.is_some())
+            .map(|version| version.number)
             .max()
             .unwrap_or(0);
-        let until = self.operator.now() + 6 * SEC;
-        let mut last = "nobody to ask".to_string();
-        while self.operator.now() < until {
-            if let Some(c) = self.random_running_core() {
-                match self.operator.timeout(3 * SEC, c.read_config()).await {
-                    Some(ReadAnswer::Text(n, t)) if n >= acked => {
-                        let sent = self
-                            .versions
-                            .lock()
-                            .unwrap()
-                            .iter()
-                            .any(|v| v.text == *t && (v.number == n || v.number == 0));
-                        if !sent {
-                            self.errors
-                                .lock()
-                                .unwrap()
-                                .push(format!("CONFIG what is read back as {n} was not sent so"));
+        let deadline = self.operator.now() + 6 * SEC;
+        let mut last_result = "no core is running".to_string();
+        while self.operator.now() < deadline {
+            if let Some(core) = self.random_running_core() {
+                match self.operator.timeout(3 * SEC, core.read_config()).await {
+                    Some(ReadAnswer::Text(number, text)) if number >= acknowledged => {
+                        let was_sent = self.versions.lock().unwrap().iter().any(|version| {
+                            version.text == *text
+                                && (version.number == number || version.number == 0)
+                        });
+                        if !was_sent {
+                            self.errors.lock().unwrap().push(format!(
+                                "CONFIG version {number} was read back with a text that was not put"
+                            ));
                         }
                         return;
                     }
-                    Some(ReadAnswer::Text(n, _)) => last = format!("{n}, older than {acked}"),
-                    x => last = format!("{x:?}"),
+                    Some(ReadAnswer::Text(number, _)) => {
+                        last_result =
+                            format!("version {number} is older than acknowledged {acknowledged}")
+                    }
+                    other => last_result = format!("{other:?}"),
                 }
             }
             self.operator.sleep(300 * MS).await;
         }
-        self.errors
-            .lock()
-            .unwrap()
-            .push(format!("CONFIG read back: {last}"));
+        self.errors.lock().unwrap().push(format!(
+            "CONFIG reading back the configuration failed: {last_result}"
+        ));
     }
 
+    /// What was recorded so far, for the checks.
     pub fn evidence(&self) -> Evidence {
         Evidence {
             attempts: self.caller_records.attempts.lock().unwrap().clone(),
@@ -800,39 +894,44 @@
     }
 }
 
+/// A simulation run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
+    /// Name of the topology.
     pub topology: String,
+    /// Disruptions that are injected one after another.
     pub disruptions: Vec<Disruption>,
 }
 
-pub fn run(p: &Plan) -> (Arc<Tier>, Evidence) {
-    let t = Tier::new(p.seed, &p.topology);
-    let done: Arc<Mutex<bool>> = Default::default();
-    let (me, d, acts) = (t.clone(), done.clone(), p.disruptions.clone());
-    t.operator.spawn(async move {
-        me.start_all().await;
-        me.start_traffic(8, 8);
-        me.operator.sleep(4 * SEC).await;
-        for a in acts {
-            me.inject(a).await;
-            let p = me.operator.random() % (2 * SEC);
-            me.operator.sleep(p).await;
+/// Runs a plan for at most 600 s of virtual time.
+pub fn run(plan: &Plan) -> (Arc<Tier>, Evidence) {
+    let tier = Tier::new(plan.seed, &plan.topology);
+    let completed: Arc<Mutex<bool>> = Default::default();
+    let (running_tier, completion, disruptions) =
+        (tier.clone(), completed.clone(), plan.disruptions.clone());
+    tier.operator.spawn(async move {
+        running_tier.start_all().await;
+        running_tier.start_traffic(8, 8);
+        running_tier.operator.sleep(4 * SEC).await;
+        for disruption in disruptions {
+            running_tier.inject(disruption).await;
+            let pause = running_tier.operator.random() % (2 * SEC);
+            running_tier.operator.sleep(pause).await;
         }
-        me.operator.sleep(4 * SEC).await;
-        me.caller_records.stop.store(true, SeqCst);
-        me.operator.sleep(6 * SEC).await;
-        me.check_read_back().await;
-        *d.lock().unwrap() = true;
+        running_tier.operator.sleep(4 * SEC).await;
+        running_tier.caller_records.stop.store(true, SeqCst);
+        running_tier.operator.sleep(6 * SEC).await;
+        running_tier.check_read_back().await;
+        *completion.lock().unwrap() = true;
     });
-    t.sim.run(600 * SEC, || *done.lock().unwrap());
-    if !*done.lock().unwrap() {
-        t.errors
+    tier.sim.run(600 * SEC, || *completed.lock().unwrap());
+    if !*completed.lock().unwrap() {
+        tier.errors
             .lock()
             .unwrap()
-            .push("STUCK the plan did not end".into());
+            .push("STUCK the plan did not end within 600 s".into());
     }
-    let e = t.evidence();
-    (t, e)
+    let evidence = tier.evidence();
+    (tier, evidence)
 }
--- a/yewcross-testkit/src/routed/verdict.rs
+++ b/yewcross-testkit/src/routed/verdict.rs
@@ -1,4 +1,5 @@
-//! What must hold whatever happens, checked against what callers heard and servers ran.
+//! The checks of a simulation run. They compare what callers received with what servers executed.
+//! Each violation starts with a code in capitals.
 
 use super::caller::Attempt;
 use super::server::Execution;
@@ -8,50 +9,66 @@
 use yewcross_common::configuration::route::Mode;
 use yewcross_common::constants::*;
 
-/// All there is to judge by. Times in us of the world's clock.
+/// Everything that a run recorded. All times are in us of virtual time.
 #[derive(Default)]
 pub struct Evidence {
     pub attempts: Vec<Attempt>,
     pub executions: Vec<Execution>,
+    /// Requests that arrived at a server: time, the server's id and the attempt's id.
     pub arrivals: Vec<(u64, String, String)>,
+    /// Violations that were found while the run was in progress.
     pub errors: Vec<String>,
-    /// Every configuration that was ever sent, with when it was acknowledged.
+    /// Every configuration that was put.
     pub versions: Vec<ConfigVersion>,
-    /// From when on the list showed a server as leaving.
+    /// Time from which the list shows a server as leaving, with the server's id.
     pub leaving_since: Vec<(u64, String)>,
-    /// When machines or links were in trouble.
+    /// Begin and end of every disruption of nodes or the network.
     pub disruptions: Vec<(u64, u64)>,
-    /// When the platform's list was away.
+    /// Begin and end of every outage of the platform's server list.
     pub catalogue_outages: Vec<(u64, u64)>,
-    /// Everything is back and runs from then on; 0: nothing was ever taken away.
+    /// Time at which all nodes had been started again after an outage of all nodes; 0 if there was
+    /// no such outage.
     pub restored_at: u64,
+    /// Time at which the run ended.
     pub ended_at: u64,
+    /// How long after a disruption its effects are excused.
     pub disruption_grace: u64,
+    /// How long after its acknowledgement a configuration may not be in force everywhere yet.
     pub config_grace: u64,
+    /// How long requests may still arrive at a server that the list shows as leaving.
     pub drain_grace: u64,
+    /// How long after `restored_at` requests may fail.
     pub recovery_grace: u64,
 }
 
 impl Evidence {
+    /// Whether no disruption, nor the grace period after one, overlaps the interval.
     fn is_undisturbed(&self, from: u64, to: u64) -> bool {
         self.disruptions
             .iter()
-            .all(|(a, b)| to < *a || from > b + self.disruption_grace)
+            .all(|(begin, end)| to < *begin || from > end + self.disruption_grace)
     }
     fn attempts_by_id(&self) -> BTreeMap<&str, &Attempt> {
-        self.attempts.iter().map(|t| (t.id.as_str(), t)).collect()
+        self.attempts
+            .iter()
+            .map(|attempt| (attempt.id.as_str(), attempt))
+            .collect()
     }
     fn executions_by_attempt(&self) -> BTreeMap<&str, Vec<&Execution>> {
-        let mut m: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
-        self.executions
-            .iter()
-            .for_each(|r| m.entry(&r.attempt).or_default().push(r));
-        m
+        let mut executions: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
+        self.executions.iter().for_each(|execution| {
+            executions
+                .entry(&execution.attempt)
+                .or_default()
+                .push(execution)
+        });
+        executions
     }
 }
 
-pub fn find_violations(e: &Evidence) -> Vec<String> {
-    let all: [fn(&Evidence) -> Vec<String>; 12] = [
+/// Runs all checks and returns the violations.
+pub fn find_violations(evidence: &Evidence) -> Vec<String> {
+    let checks: [fn(&Evidence) -> Vec<String>; 12] = [
         unrequested_executions,
         repeated_executions,
         executed_rejections,
@@ -65,345 +82,449 @@
         outdated_configurations,
         failed_recovery,
     ];
-    let mut v: Vec<String> = e.errors.iter().map(|o| format!("ODD {o}")).collect();
-    v.extend(all.iter().flat_map(|f| f(e)));
-    v
+    let mut violations: Vec<String> = evidence
+        .errors
+        .iter()
+        .map(|error| format!("ODD {error}"))
+        .collect();
+    violations.extend(checks.iter().flat_map(|check| check(evidence)));
+    violations
 }
 
-/// Runs only what some caller sent, unchanged, where some configuration lets it go.
-fn unrequested_executions(e: &Evidence) -> Vec<String> {
-    let by = e.attempts_by_id();
-    let mut v = vec![];
-    for r in &e.executions {
-        let Some(t) = by.get(r.attempt.as_str()) else {
-            v.push(format!(
-                "UNASKED {} ran {} that nobody sent",
-                r.server, r.attempt
+/// Executions of requests that no caller sent, that were changed on the way, or that no
+/// configuration routes to the server's service.
+fn unrequested_executions(evidence: &Evidence) -> Vec<String> {
+    let attempts = evidence.attempts_by_id();
+    let mut violations = vec![];
+    for execution in &evidence.executions {
+        let Some(attempt) = attempts.get(execution.attempt.as_str()) else {
+            violations.push(format!(
+                "UNASKED {} executed {}, which no caller sent",
+                execution.server, execution.attempt
             ));
             continue;
         };
-        if (&r.method, &r.target) != (&t.method, &t.target) {
-            v.push(format!("UNASKED {} became {} {}", t.id, r.method, r.target));
+        if (&execution.method, &execution.target) != (&attempt.method, &attempt.target) {
+            violations.push(format!(
+                "UNASKED {} was executed as {} {}",
+                attempt.id, execution.method, execution.target
+            ));
         }
-        if !t.route.retained && r.body != t.input {
-            v.push(format!("UNASKED the body of {} changed", t.id));
+        if !attempt.route.retained && execution.body != attempt.input {
+            violations.push(format!(
+                "UNASKED {} was executed with a different body",
+                attempt.id
+            ));
         }
-        let may = e.versions.iter().any(|x| {
-            x.services
-                .get(&t.route.name)
-                .is_some_and(|s| s.contains(&r.service))
+        let is_allowed = evidence.versions.iter().any(|version| {
+            version
+                .services
+                .get(&attempt.route.name)
+                .is_some_and(|services| services.contains(&execution.service))
         });
-        if !may {
-            v.push(format!(
-                "ROUTE {} of {} ran at {} of {}",
-                t.id, t.route.name, r.server, r.service
+        if !is_allowed {
+            violations.push(format!(
+                "ROUTE {} of route {} was executed by {} of service {}",
+                attempt.id, attempt.route.name, execution.server, execution.service
             ));
         }
     }
-    v
+    violations
 }
 
-fn repeated_executions(e: &Evidence) -> Vec<String> {
-    let by = e.attempts_by_id();
-    let bad = |a: &str, n: usize| {
-        by.get(a).is_some_and(|t| {
-            n > if t.route.mode == Mode::Pure {
-                super::MAX_TRIES
-            } else {
-                1
-            }
+/// Attempts that were executed more than once, or on pure routes more than [`super::MAX_TRIES`]
+/// times.
+fn repeated_executions(evidence: &Evidence) -> Vec<String> {
+    let attempts = evidence.attempts_by_id();
+    let is_repeated = |id: &str, count: usize| {
+        attempts.get(id).is_some_and(|attempt| {
+            count
+                > if attempt.route.mode == Mode::Pure {
+                    super::MAX_TRIES
+                } else {
+                    1
+                }
         })
     };
-    e.executions_by_attempt()
+    evidence
+        .executions_by_attempt()
         .into_iter()
-        .filter(|(a, r)| bad(a, r.len()))
-        .map(|(a, r)| format!("TWICE {a} ran {} times", r.len()))
+        .filter(|(id, executions)| is_repeated(id, executions.len()))
+        .map(|(id, executions)| format!("TWICE {id} was executed {} times", executions.len()))
         .collect()
 }
 
-fn executed_rejections(e: &Evidence) -> Vec<String> {
-    let runs = e.executions_by_attempt();
-    let ran = |t: &&Attempt| runs.contains_key(t.id.as_str());
-    e.attempts
+/// Attempts that were executed although the status guaranteed that they were not.
+fn executed_rejections(evidence: &Evidence) -> Vec<String> {
+    let executions = evidence.executions_by_attempt();
+    let was_executed = |attempt: &&Attempt| executions.contains_key(attempt.id.as_str());
+    evidence
+        .attempts
         .iter()
-        .filter(|t| t.is_rejected_unexecuted() && t.route.mode != Mode::Pure)
-        .filter(ran)
-        .map(|t| format!("REFUSED {} got {} and ran", t.id, t.status))
+        .filter(|attempt| attempt.is_rejected_unexecuted() && attempt.route.mode != Mode::Pure)
+        .filter(was_executed)
+        .map(|attempt| {
+            format!(
+                "REFUSED {} was rejected with {} and executed",
+                attempt.id, attempt.status
+            )
+        })
         .collect()
 }
 
-/// A success is its own server's whole answer, stamp and all.
-fn wrong_answers(e: &Evidence) -> Vec<String> {
-    let mut v = vec![];
-    for t in e.attempts.iter().filter(|t| (200..300).contains(&t.status)) {
-        let n: Option<usize> = header_text(&t.headers, "stamp")
+/// Successful responses that are not what a server sent for the same attempt, or that look complete
+/// although bytes are missing.
+fn wrong_answers(evidence: &Evidence) -> Vec<String> {
+    let mut violations = vec![];
+    for attempt in evidence
+        .attempts
+        .iter()
+        .filter(|attempt| (200..300).contains(&attempt.status))
+    {
+        let index: Option<usize> = header_text(&attempt.headers, "stamp")
             .strip_prefix('r')
-            .and_then(|n| n.parse().ok());
-        let Some(r) = n.and_then(|n| e.executions.get(n)) else {
-            v.push(format!("MIXED {} has no server's stamp", t.id));
+            .and_then(|index| index.parse().ok());
+        let Some(execution) = index.and_then(|index| evidence.executions.get(index)) else {
+            violations.push(format!(
+                "MIXED the response to {} has no stamp of a server",
+                attempt.id
+            ));
             continue;
         };
-        if !(200..300).contains(&r.status) {
-            v.push(format!(
-                "MIXED {} got {} where its server said {}",
-                t.id, t.status, r.status
+        if !(200..300).contains(&execution.status) {
+            violations.push(format!(
+                "MIXED {} got status {} while its server sent {}",
+                attempt.id, attempt.status, execution.status
             ));
-        } else if r.attempt != t.id || header_text(&t.headers, "try") != t.id {
-            v.push(format!("MIXED {} got the answer of {}", t.id, r.attempt));
-        } else if t.complete && t.received != r.answer_body {
-            v.push(format!(
-                "MIXED {} looks whole with {} of {} bytes",
-                t.id,
-                t.received.len(),
-                r.answer_body.len()
+        } else if execution.attempt != attempt.id
+            || header_text(&attempt.headers, "try") != attempt.id
+        {
+            violations.push(format!(
+                "MIXED {} got the response to {}",
+                attempt.id, execution.attempt
+            ));
+        } else if attempt.complete && attempt.received != execution.answer_body {
+            violations.push(format!(
+                "MIXED the response to {} looks complete with {} of {} bytes",
+                attempt.id,
+                attempt.received.len(),
+                execution.answer_body.len()
             ));
-        } else if !r.answer_body.starts_with(&t.received) {
-            v.push(format!(
+        } else if !execution.answer_body.starts_with(&attempt.received) {
+            violations.push(format!(
                 "MIXED {} got bytes that its server did not send",
-                t.id
+                attempt.id
             ));
         }
     }
-    v
+    violations
 }
 
-/// Events come in their order, none missing, none twice.
-fn misordered_events(e: &Evidence) -> Vec<String> {
-    let ids = |t: &Attempt| -> Vec<usize> {
-        let s = String::from_utf8_lossy(&t.received).into_owned();
-        s.lines()
-            .filter_map(|l| l.strip_prefix("id: ")?.parse().ok())
+/// Streams in which an event is missing, duplicated or out of order.
+fn misordered_events(evidence: &Evidence) -> Vec<String> {
+    let event_ids = |attempt: &Attempt| -> Vec<usize> {
+        let received = String::from_utf8_lossy(&attempt.received).into_owned();
+        received
+            .lines()
+            .filter_map(|line| line.strip_prefix("id: ")?.parse().ok())
             .collect()
     };
-    e.attempts
+    evidence
+        .attempts
         .iter()
-        .filter(|t| t.route.mode == Mode::Stream && t.status == 200)
-        .filter(|t| ids(t).iter().enumerate().any(|(i, n)| *n != i + 1))
-        .map(|t| format!("ORDER {} got {:?}", t.id, ids(t)))
+        .filter(|attempt| attempt.route.mode == Mode::Stream && attempt.status == 200)
+        .filter(|attempt| {
+            event_ids(attempt)
+                .iter()
+                .enumerate()
+                .any(|(i, id)| *id != i + 1)
+        })
+        .map(|attempt| {
+            format!(
+                "ORDER {} got events with the ids {:?}",
+                attempt.id,
+                event_ids(attempt)
+            )
+        })
         .collect()
 }
 
-/// A turn's server gets its whole chain, byte for byte.
-fn incomplete_chains(e: &Evidence) -> Vec<String> {
-    let by = e.attempts_by_id();
-    let mut v = vec![];
-    for r in &e.executions {
-        let Some(t) = by.get(r.attempt.as_str()).filter(|t| t.route.retained) else {
+/// Turns that were executed without the exact bytes of all the turns that they continue.
+fn incomplete_chains(evidence: &Evidence) -> Vec<String> {
+    let attempts = evidence.attempts_by_id();
+    let mut violations = vec![];
+    for execution in &evidence.executions {
+        let Some(attempt) = attempts
+            .get(execution.attempt.as_str())
+            .filter(|attempt| attempt.route.retained)
+        else {
             continue;
         };
-        let (mut want, mut at, mut known) = (vec![t.input.clone()], t.previous_turn.clone(), true);
-        while known && !at.is_empty() {
-            match by.get(at.as_str()).filter(|p| p.is_success()) {
-                Some(p) => {
-                    want.push(p.event_data());
-                    want.push(p.input.clone());
-                    at = p.previous_turn.clone();
+        let (mut expected, mut previous, mut is_answered) = (
+            vec![attempt.input.clone()],
+            attempt.previous_turn.clone(),
+            true,
+        );
+        while is_answered && !previous.is_empty() {
+            match attempts
+                .get(previous.as_str())
+                .filter(|turn| turn.is_success())
+            {
+                Some(turn) => {
+                    expected.push(turn.event_data());
+                    expected.push(turn.input.clone());
+                    previous = turn.previous_turn.clone();
                 }
-                None => known = false,
+                None => is_answered = false,
             }
         }
-        want.reverse();
-        if !known {
-            v.push(format!(
-                "UNASKED {} ran on {at}, which was never answered whole",
-                t.id
+        expected.reverse();
+        if !is_answered {
+            violations.push(format!(
+                "UNASKED {} continued {previous}, which was not answered completely",
+                attempt.id
             ));
-        } else if want.concat() != r.body {
-            v.push(format!(
-                "UNASKED {} ran with {} bytes of chain instead of {}",
-                t.id,
-                r.body.len(),
-                want.concat().len()
+        } else if expected.concat() != execution.body {
+            violations.push(format!(
+                "UNASKED {} was executed with a wrong chain of {} bytes, expected {}",
+                attempt.id,
+                execution.body.len(),
+                expected.concat().len()
             ));
         }
     }
-    v
+    violations
 }
 
-fn exceeded_budgets(e: &Evidence) -> Vec<String> {
-    let mut m: BTreeMap<&str, (u64, u64, u64)> = BTreeMap::new();
-    e.attempts
+/// Programs whose turns put out more tokens than the budget and one turn together.
+fn exceeded_budgets(evidence: &Evidence) -> Vec<String> {
+    let mut programs: BTreeMap<&str, (u64, u64, u64)> = BTreeMap::new();
+    evidence
+        .attempts
         .iter()
-        .filter(|t| t.route.retained && !t.program.is_empty())
-        .for_each(|t| {
-            let x = m.entry(&t.program).or_default();
-            *x = (
-                x.0 + t.event_count() * TOKENS_PER_EVENT,
-                x.1.max(t.max_tokens),
-                t.budget,
+        .filter(|attempt| attempt.route.retained && !attempt.program.is_empty())
+        .for_each(|attempt| {
+            let usage = programs.entry(&attempt.program).or_default();
+            *usage = (
+                usage.0 + attempt.event_count() * TOKENS_PER_EVENT,
+                usage.1.max(attempt.max_tokens),
+                attempt.budget,
             );
         });
-    m.into_iter()
-        .filter(|(_, (got, most, budget))| *got > budget + most)
-        .map(|(p, (got, most, budget))| format!("BUDGET {p} got {got} of {budget} and {most}"))
+    programs
+        .into_iter()
+        .filter(|(_, (used, max_tokens, budget))| *used > budget + max_tokens)
+        .map(|(program, (used, max_tokens, budget))| {
+            format!(
+                "BUDGET {program} got {used} tokens with a budget of {budget} and turns of {max_tokens}"
+            )
+        })
         .collect()
 }
 
-/// us. What a turn that has ended used is known to the stores this much later.
+/// Time in us after the end of a turn within which the stores may not have recorded its usage yet.
 const USAGE_DELAY: u64 = SEC;
 
-/// The most that the turns of a program before this one may have put out: what was answered whole
-/// counts by its events, what was turned away counts nothing, and anything else, or what has only
-/// just ended, counts at its most.
-fn max_tokens_used_before(e: &Evidence, refused: &Attempt) -> u64 {
-    let before = e.attempts.iter().filter(|t| {
-        t.route.retained && t.program == refused.program && t.sent_at < refused.sent_at
+/// The maximum number of tokens that earlier turns of the program may have used. A turn that was
+/// answered completely counts with its events, and a rejected one with nothing. Any other turn, and
+/// one that ended less than [`USAGE_DELAY`] before, counts with its limit.
+fn max_tokens_used_before(evidence: &Evidence, rejected: &Attempt) -> u64 {
+    let earlier = evidence.attempts.iter().filter(|attempt| {
+        attempt.route.retained
+            && attempt.program == rejected.program
+            && attempt.sent_at < rejected.sent_at
     });
-    before
-        .map(|t| match t.status {
-            _ if t.ended_at + USAGE_DELAY > refused.sent_at => t.max_tokens,
-            _ if t.is_success() => t.event_count() * TOKENS_PER_EVENT,
-            400..500 | 503 if t.complete => 0,
-            _ => t.max_tokens,
+    earlier
+        .map(|attempt| match attempt.status {
+            _ if attempt.ended_at + USAGE_DELAY > rejected.sent_at => attempt.max_tokens,
+            _ if attempt.is_success() => attempt.event_count() * TOKENS_PER_EVENT,
+            400..500 | 503 if attempt.complete => 0,
+            _ => attempt.max_tokens,
         })
         .sum()
 }
 
-/// The tries that were told that their budget is spent although it held one turn more.
-pub fn rejected_within_budget(e: &Evidence) -> Vec<&Attempt> {
-    let spent = e.attempts.iter().filter(|t| t.status == 402);
-    spent
-        .filter(|t| max_tokens_used_before(e, t) + t.max_tokens <= t.budget)
+/// Attempts that were rejected with 402 although the budget sufficed for one more turn.
+pub fn rejected_within_budget(evidence: &Evidence) -> Vec<&Attempt> {
+    let rejected = evidence
+        .attempts
+        .iter()
+        .filter(|attempt| attempt.status == 402);
+    rejected
+        .filter(|attempt| {
+            max_tokens_used_before(evidence, attempt) + attempt.max_tokens <= attempt.budget
+        })
         .collect()
 }
 
-/// 402 is told only where the budget does not hold one turn more.
-fn premature_budget_rejections(e: &Evidence) -> Vec<String> {
-    let early = rejected_within_budget(e).into_iter();
-    early
-        .map(|t| {
+/// The violations of [`rejected_within_budget`].
+fn premature_budget_rejections(evidence: &Evidence) -> Vec<String> {
+    let premature = rejected_within_budget(evidence).into_iter();
+    premature
+        .map(|attempt| {
             format!(
-                "DENIED {} got 402 with {} of {} spent",
-                t.id,
-                max_tokens_used_before(e, t),
-                t.budget
+                "DENIED {} was rejected with 402 after at most {} of {} tokens",
+                attempt.id,
+                max_tokens_used_before(evidence, attempt),
+                attempt.budget
             )
         })
         .collect()
 }
 
-/// No turn that was answered whole lately is unknown.
-fn lost_turns(e: &Evidence) -> Vec<String> {
-    let by = e.attempts_by_id();
-    e.attempts
+/// Attempts that were rejected because the turn that they continue is unknown, although it was
+/// answered completely within the retention period.
+fn lost_turns(evidence: &Evidence) -> Vec<String> {
+    let attempts = evidence.attempts_by_id();
+    evidence
+        .attempts
         .iter()
-        .filter(|t| {
-            t.route.retained && matches!(t.status, 404 | 410) && !t.previous_turn.is_empty()
+        .filter(|attempt| {
+            attempt.route.retained
+                && matches!(attempt.status, 404 | 410)
+                && !attempt.previous_turn.is_empty()
         })
-        .filter(|t| {
-            by.get(t.previous_turn.as_str())
-                .is_some_and(|p| p.is_success() && t.ended_at < p.ended_at + p.route.retain_ms * MS)
+        .filter(|attempt| {
+            attempts
+                .get(attempt.previous_turn.as_str())
+                .is_some_and(|turn| {
+                    turn.is_success()
+                        && attempt.ended_at < turn.ended_at + turn.route.retain_ms * MS
+                })
+        })
+        .map(|attempt| {
+            format!(
+                "LOST {} was rejected because its previous turn {} is unknown",
+                attempt.id, attempt.previous_turn
+            )
         })
-        .map(|t| format!("LOST {} was told that {} is unknown", t.id, t.previous_turn))
         .collect()
 }
 
-/// Nothing reaches a server that has long been shown as leaving.
-fn arrivals_after_drain(e: &Evidence) -> Vec<String> {
-    let by = e.attempts_by_id();
-    let mut v = vec![];
-    for (from, server) in &e.leaving_since {
-        let sighted = |at: u64| {
-            e.catalogue_outages
+/// Requests that arrived at a server more than `drain_grace` after the list showed it as leaving.
+/// Outages of the list and disruptions are excused.
+fn arrivals_after_drain(evidence: &Evidence) -> Vec<String> {
+    let attempts = evidence.attempts_by_id();
+    let mut violations = vec![];
+    for (from, server) in &evidence.leaving_since {
+        let is_list_available = |at: u64| {
+            evidence
+                .catalogue_outages
                 .iter()
-                .all(|(a, b)| at < *a || *from > b + e.disruption_grace)
+                .all(|(begin, end)| at < *begin || *from > end + evidence.disruption_grace)
         };
-        for (at, s, a) in e
+        for (at, server, id) in evidence
             .arrivals
             .iter()
-            .filter(|x| x.1 == *server && x.0 > from + e.drain_grace)
+            .filter(|arrival| arrival.1 == *server && arrival.0 > from + evidence.drain_grace)
         {
-            let calm = by
-                .get(a.as_str())
-                .is_some_and(|t| e.is_undisturbed(*from.min(&t.sent_at), *at))
-                && sighted(*at);
-            if calm {
-                v.push(format!(
-                    "DRAIN {a} reached {s} {} ms after it was shown leaving",
+            let is_violation = attempts
+                .get(id.as_str())
+                .is_some_and(|attempt| evidence.is_undisturbed(*from.min(&attempt.sent_at), *at))
+                && is_list_available(*at);
+            if is_violation {
+                violations.push(format!(
+                    "DRAIN {id} arrived at {server} {} ms after the list showed it as leaving",
                     (at - from) / MS
                 ));
             }
         }
     }
-    v
+    violations
 }
 
-/// What is sent well after a version was acknowledged runs where that version, or a newer one, lets
-/// it.
-fn outdated_configurations(e: &Evidence) -> Vec<String> {
-    let runs = e.executions_by_attempt();
-    let mut v = vec![];
-    for t in &e.attempts {
-        let newest = e
+/// Attempts that were sent more than `config_grace` after a version was acknowledged, but were not
+/// executed where that version or a newer one routes them. Disruptions are excused.
+fn outdated_configurations(evidence: &Evidence) -> Vec<String> {
+    let executions = evidence.executions_by_attempt();
+    let mut violations = vec![];
+    for attempt in &evidence.attempts {
+        let newest = evidence
             .versions
             .iter()
-            .filter(|x| {
-                x.acknowledged_at
-                    .is_some_and(|a| t.sent_at > a + e.config_grace)
+            .filter(|version| {
+                version
+                    .acknowledged_at
+                    .is_some_and(|at| attempt.sent_at > at + evidence.config_grace)
             })
-            .map(|x| x.number)
+            .map(|version| version.number)
             .max();
-        let Some(n) = newest else { continue };
-        let mut may: Vec<_> = e.versions.iter().filter(|x| x.number >= n).collect();
-        may.sort_by_key(|x| x.number);
-        let acked = e
+        let Some(number) = newest else { continue };
+        let mut valid: Vec<_> = evidence
             .versions
             .iter()
-            .find(|x| x.number == n)
-            .and_then(|x| x.acknowledged_at)
+            .filter(|version| version.number >= number)
+            .collect();
+        valid.sort_by_key(|version| version.number);
+        let acknowledged_at = evidence
+            .versions
+            .iter()
+            .find(|version| version.number == number)
+            .and_then(|version| version.acknowledged_at)
             .unwrap_or(0);
-        if !e.is_undisturbed(acked, t.ended_at) {
+        if !evidence.is_undisturbed(acknowledged_at, attempt.ended_at) {
             continue;
         }
-        let ok: BTreeSet<&String> = may
+        let services: BTreeSet<&String> = valid
             .iter()
-            .filter_map(|x| x.services.get(&t.route.name))
+            .filter_map(|version| version.services.get(&attempt.route.name))
             .flatten()
             .collect();
-        let bad = runs
-            .get(t.id.as_str())
+        let misrouted = executions
+            .get(attempt.id.as_str())
             .into_iter()
             .flatten()
-            .find(|r| !ok.contains(&r.service));
-        bad.iter().for_each(|r| {
-            v.push(format!(
-                "CONFIG {} ran at {} long after version {n}",
-                t.id, r.service
+            .find(|execution| !services.contains(&execution.service));
+        misrouted.iter().for_each(|execution| {
+            violations.push(format!(
+                "CONFIG {} was executed by service {}, which no version from {number} on allows",
+                attempt.id, execution.service
             ))
         });
-        let there = may.iter().all(|x| x.services.contains_key(&t.route.name));
-        if there
-            && t.status == 404
-            && t.previous_turn.is_empty()
-            && !t.headers.contains_key("stamp")
+        let has_route = valid
+            .iter()
+            .all(|version| version.services.contains_key(&attempt.route.name));
+        if has_route
+            && attempt.status == 404
+            && attempt.previous_turn.is_empty()
+            && !attempt.headers.contains_key("stamp")
         {
-            v.push(format!(
-                "CONFIG {} was told there is no route {}",
-                t.id, t.route.name
+            violations.push(format!(
+                "CONFIG {} was rejected because route {} is unknown",
+                attempt.id, attempt.route.name
             ));
         }
     }
-    v
+    violations
 }
 
-/// Once all machines are back a good part is served again.
-fn failed_recovery(e: &Evidence) -> Vec<String> {
-    let share = |from: u64, to: u64| {
-        let v: Vec<&Attempt> = e
+/// Whether less than a quarter of the attempts got a server's response once the recovery period
+/// after an outage of all nodes, or after the start of the run, had passed. Fewer than 20 attempts
+/// are not judged.
+fn failed_recovery(evidence: &Evidence) -> Vec<String> {
+    let count_served = |from: u64, to: u64| {
+        let attempts: Vec<&Attempt> = evidence
             .attempts
             .iter()
-            .filter(|t| t.sent_at >= from && t.sent_at < to && t.ended_at + SEC < e.ended_at.max(1))
+            .filter(|attempt| {
+                attempt.sent_at >= from
+                    && attempt.sent_at < to
+                    && attempt.ended_at + SEC < evidence.ended_at.max(1)
+            })
             .collect();
         (
-            v.len(),
-            v.iter()
-                .filter(|t| t.is_success() || t.headers.contains_key("stamp"))
+            attempts.len(),
+            attempts
+                .iter()
+                .filter(|attempt| attempt.is_success() || attempt.headers.contains_key("stamp"))
                 .count(),
         )
     };
-    let (n, good) = share(e.restored_at + e.recovery_grace, u64::MAX);
-    if n >= 20 && good * 4 < n {
-        vec![format!("RECOVER {good} of {n} served after all are back")]
+    let (total, served) = count_served(evidence.restored_at + evidence.recovery_grace, u64::MAX);
+    if total >= 20 && served * 4 < total {
+        vec![format!(
+            "RECOVER {served} of {total} attempts served after all nodes were restored"
+        )]
     } else {
         vec![]
     }
