--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -1,6 +1,6 @@
 //! Callers: sessions that speak turn after turn, lookups between, all of it written down.
 
-use crate::stub_server::{MARKS, mark};
+use crate::stub_server::{DIGESTED_LINES, line_digest};
 use crate::topology::Topology;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -347,7 +347,9 @@
                         .unwrap_or("")
                         .to_string();
                     let mut have = listed.split(',');
-                    let due = known.len().saturating_sub(MARKS.saturating_sub(unsure));
+                    let due = known
+                        .len()
+                        .saturating_sub(DIGESTED_LINES.saturating_sub(unsure));
                     if !s.replayed && !known[due..].iter().all(|k| have.any(|h| h == k)) {
                         s.fault = format!("forgot a turn: knew {known:?}, prompt had [{listed}]");
                     }
@@ -357,7 +359,7 @@
                         msgs,
                         serde_json::to_string(&s.text).unwrap_or_default()
                     );
-                    known.push(mark(&line));
+                    known.push(line_digest(&line));
                     false
                 }
                 Heard::Code(c) => {
--- a/yewcross-testkit/src/proof/cluster/mod.rs
+++ b/yewcross-testkit/src/proof/cluster/mod.rs
@@ -94,16 +94,16 @@
 
 fn add_machines(sim: &Sim, topology: &Topology) -> Runtime {
     let site = &topology.sites[0];
-    let operator = sim.machine("operator", site, address(OPERATOR_ADDRESS, 0).ip());
+    let operator = sim.add_machine("operator", site, address(OPERATOR_ADDRESS, 0).ip());
     let operator = sim.boot(operator);
-    let callers = sim.machine("callers", site, address(CALLERS_ADDRESS, 0).ip());
+    let callers = sim.add_machine("callers", site, address(CALLERS_ADDRESS, 0).ip());
     sim.boot(callers);
-    sim.machine("platform", site, topology.platform.ip());
+    sim.add_machine("platform", site, topology.platform.ip());
     for node in &topology.nodes {
-        sim.machine(&node.name, &node.site, node.peer.ip());
+        sim.add_machine(&node.name, &node.site, node.peer.ip());
     }
     for server in &topology.servers {
-        sim.machine(&server.server, &server.site, server.addr.ip());
+        sim.add_machine(&server.server, &server.site, server.addr.ip());
     }
     operator
 }
--- a/yewcross-testkit/src/proof/cluster/operator.rs
+++ b/yewcross-testkit/src/proof/cluster/operator.rs
@@ -101,7 +101,7 @@
             code,
             version: answer["version"].as_u64().unwrap_or(0),
         };
-        self.sim.note(&format!(
+        self.sim.append_log(&format!(
             "put {mark} over {base} by {core}: {code} {}",
             ack.version
         ));
@@ -126,7 +126,7 @@
             at: self.sim.now(),
             server: server.into(),
         };
-        self.sim.note(&format!("{server} begins to leave"));
+        self.sim.append_log(&format!("{server} begins to leave"));
         self.departures.lock().unwrap().push(departure);
         if let Some(server) = self.server(server) {
             server.set_draining(true);
@@ -145,7 +145,8 @@
             http: address(host, 1),
             ..model
         };
-        self.sim.machine(&name, &settings.site, settings.peer.ip());
+        self.sim
+            .add_machine(&name, &settings.site, settings.peer.ip());
         self.changed_nodes
             .lock()
             .unwrap()
@@ -155,7 +156,8 @@
         if role != Role::Front {
             let path = format!("/v1/disks/{name}/admit");
             let (status, answer) = self.post("core1", &path).await;
-            self.sim.note(&format!("admit {name}: {status} {answer}"));
+            self.sim
+                .append_log(&format!("admit {name}: {status} {answer}"));
             self.wait_fully_replicated(REPLICATION_SECONDS).await;
         }
         name
--- a/yewcross-testkit/src/proof/faults/disks.rs
+++ b/yewcross-testkit/src/proof/faults/disks.rs
@@ -50,8 +50,8 @@
         self.sim.kill(machine, false);
         for _ in 0..CORRUPTED_FILES {
             let draw = self.sim.rand();
-            let file = self.sim.disk(machine, |disk| disk.corrupt(draw));
-            self.sim.note(&format!("rot {file:?}"));
+            let file = self.sim.disk(machine, |disk| disk.flip_key_file_bit(draw));
+            self.sim.append_log(&format!("rot {file:?}"));
         }
         self.record_disruption(&store);
         self.sleep_seconds(1).await;
@@ -75,7 +75,7 @@
                 self.record_disruption(&node);
                 self.sleep_seconds(2).await;
                 if fault == Fault::TripStoreDisk {
-                    self.sim.wipe(self.sim.find(&node));
+                    self.sim.wipe_disk(self.sim.find(&node));
                 }
                 self.boot(&node);
             }
@@ -89,8 +89,9 @@
         let delays = [0, self.sim.rand() % MAX_DELAY];
         let delay = delays[self.sim.rand() as usize % 2];
         let plan = |syncs| {
-            self.sim
-                .disk(machine, |disk| disk.trip = Some((syncs, delay)))
+            self.sim.disk(machine, |disk| {
+                disk.planned_power_loss = Some((syncs, delay))
+            })
         };
         plan(syncs);
         if fault == Fault::TripCore {
@@ -113,7 +114,8 @@
         while self.sim.is_up(machine) && self.sim.now() < deadline {
             self.operator.sleep(5 * MS).await;
         }
-        self.sim.disk(machine, |disk| disk.trip = None);
+        self.sim
+            .disk(machine, |disk| disk.planned_power_loss = None);
         !self.sim.is_up(machine)
     }
 
@@ -121,10 +123,10 @@
     pub(super) async fn fill_disk_slowly(self: &Arc<Self>) {
         let store = self.any(Role::Store);
         let machine = self.sim.find(&store);
-        self.sim.disk(machine, |disk| disk.room = Some(ROOM));
+        self.sim.disk(machine, |disk| disk.free_bytes = Some(ROOM));
         self.sleep_seconds(8).await;
         self.record_disruption(&store);
-        self.sim.disk(machine, |disk| disk.room = None);
+        self.sim.disk(machine, |disk| disk.free_bytes = None);
         self.restart(&store, Crash::Process, 1).await;
     }
 
--- a/yewcross-testkit/src/proof/faults/load.rs
+++ b/yewcross-testkit/src/proof/faults/load.rs
@@ -73,7 +73,7 @@
     fn add_callers(&self, crowd: Crowd, topology: Arc<Topology>) {
         let site = &self.topology.sites[crowd.site];
         let ip = address(crowd.host, 0).ip();
-        let machine = self.sim.machine(crowd.machine, site, ip);
+        let machine = self.sim.add_machine(crowd.machine, site, ip);
         let runtime = self.sim.boot(machine);
         for caller in 0..crowd.callers {
             runtime.spawn(caller::session(
--- a/yewcross-testkit/src/proof/faults/mod.rs
+++ b/yewcross-testkit/src/proof/faults/mod.rs
@@ -56,14 +56,14 @@
     /// Injects the fault; returns once it is undone.
     pub async fn inject(self: Arc<Self>, fault: Fault) {
         let name: &str = fault.into();
-        self.sim.note(&format!("act {name}"));
+        self.sim.append_log(&format!("act {name}"));
         if needs_full_replication(fault) && !self.wait_fully_replicated(REPLICATION_SECONDS).await {
             // The checkers look for this line.
-            self.sim.note("not whole in time; act left out");
+            self.sim.append_log("not whole in time; act left out");
         } else {
             self.run_fault(fault).await;
         }
-        self.sim.note(&format!("act {name} over"));
+        self.sim.append_log(&format!("act {name} over"));
     }
 
     async fn run_fault(self: &Arc<Self>, fault: Fault) {
@@ -151,7 +151,7 @@
         self.record_disruption(name);
         self.sleep_seconds(seconds).await;
         if matches!(crash, Crash::Disk) {
-            self.sim.wipe(machine);
+            self.sim.wipe_disk(machine);
         }
         self.boot(name);
     }
--- a/yewcross-testkit/src/proof/faults/network.rs
+++ b/yewcross-testkit/src/proof/faults/network.rs
@@ -134,7 +134,7 @@
         self.record_disruption(&node);
         // A lookup service takes the old address and answers HTTP where frames were spoken.
         let old = settings.peer;
-        let squatter = self.sim.machine("x-squatter", &settings.site, old.ip());
+        let squatter = self.sim.add_machine("x-squatter", &settings.site, old.ip());
         let squatter_settings = StubServerSettings {
             server: "x9".into(),
             service: "squat".into(),
@@ -147,7 +147,8 @@
         let host = FIRST_OTHER_ADDRESS + self.sim.rand() as usize % OTHER_ADDRESSES;
         settings.peer = address(host, 0);
         settings.http = address(host, 1);
-        self.sim.machine(&node, &settings.site, settings.peer.ip());
+        self.sim
+            .add_machine(&node, &settings.site, settings.peer.ip());
         self.changed_nodes
             .lock()
             .unwrap()
--- a/yewcross-testkit/src/proof/faults/operations.rs
+++ b/yewcross-testkit/src/proof/faults/operations.rs
@@ -126,7 +126,8 @@
     async fn begin_drain(&self, core: &str, store: &str) {
         let path = format!("/v1/disks/{store}/empty");
         let (status, answer) = self.post(core, &path).await;
-        self.sim.note(&format!("empty {store}: {status} {answer}"));
+        self.sim
+            .append_log(&format!("empty {store}: {status} {answer}"));
     }
 
     async fn remove_once_safe(&self, core: &str, store: &str) {
@@ -134,7 +135,7 @@
             self.sleep_seconds(1).await;
             let (_, answer) = self.get(core, &format!("/v1/disks/{store}")).await;
             if answer["safe_to_remove"] == json!(true) {
-                self.sim.note(&format!("{store} is safe to remove"));
+                self.sim.append_log(&format!("{store} is safe to remove"));
                 self.sim.kill(self.sim.find(store), true);
                 return;
             }
@@ -208,7 +209,7 @@
         };
         let machine = self
             .sim
-            .machine(&settings.server, &settings.site, settings.addr.ip());
+            .add_machine(&settings.server, &settings.site, settings.addr.ip());
         self.boot_server(self.sim.boot(machine), settings.clone());
         let listed = ListedServer {
             server: settings.server,
--- a/yewcross-testkit/src/proof/faults/servers.rs
+++ b/yewcross-testkit/src/proof/faults/servers.rs
@@ -119,9 +119,9 @@
                 addr: address(FIRST_MODEL_ADDRESS + number, 0),
                 ..replaced.clone()
             };
-            let machine = self
-                .sim
-                .machine(&settings.server, &settings.site, settings.addr.ip());
+            let machine =
+                self.sim
+                    .add_machine(&settings.server, &settings.site, settings.addr.ip());
             self.boot_server(self.sim.boot(machine), settings.clone());
             self.edit_server_list(|listed| {
                 let replaced = |entry: &&mut ListedServer| entry.server == replaced.server;
@@ -150,7 +150,7 @@
                 server: "x9".into(),
                 ..settings
             };
-            let machine = self.sim.machine("x9", &other.site, other.addr.ip());
+            let machine = self.sim.add_machine("x9", &other.site, other.addr.ip());
             self.boot_server(self.sim.boot(machine), other);
             self.sleep_seconds(8).await;
             self.sim.kill(machine, true);
--- a/yewcross-testkit/src/proof/long_day.rs
+++ b/yewcross-testkit/src/proof/long_day.rs
@@ -192,7 +192,7 @@
         budgets: BTreeMap::new(),
         has_small_budgets: false,
         end: cluster.sim.now(),
-        hash: cluster.sim.hash(),
+        hash: cluster.sim.log_hash(),
         fingerprint: cluster.sim.fingerprint(),
         figures: Value::Null,
         is_bootstrapped: true,
--- a/yewcross-testkit/src/proof/run.rs
+++ b/yewcross-testkit/src/proof/run.rs
@@ -91,7 +91,7 @@
         budgets: cluster.accounts.lock().unwrap().clone(),
         has_small_budgets: plan.budget.is_some(),
         end: progress.end,
-        hash: cluster.sim.hash(),
+        hash: cluster.sim.log_hash(),
         fingerprint: cluster.sim.fingerprint(),
         figures,
         is_bootstrapped: progress.is_bootstrapped,
--- a/yewcross-testkit/src/protocol_violation.rs
+++ b/yewcross-testkit/src/protocol_violation.rs
@@ -108,7 +108,7 @@
     };
     let machine = cluster
         .sim
-        .machine(STRANGER, &settings.site, settings.addr.ip());
+        .add_machine(STRANGER, &settings.site, settings.addr.ip());
     cluster.boot_server(cluster.sim.boot(machine), settings);
 }
 
--- a/yewcross-testkit/src/register_stress.rs
+++ b/yewcross-testkit/src/register_stress.rs
@@ -90,11 +90,11 @@
 
 /// Runs with disks that acknowledge syncs without making them, and a power loss everywhere: the
 /// check must fail.
-pub fn run_with_lying_disks(seed: u64) -> StressRun {
+pub fn run_with_ignored_syncs(seed: u64) -> StressRun {
     let cluster = TestCluster::new(seed, "disks");
     for store in cluster.names(Role::Store) {
         let machine = cluster.sim.find(&store);
-        cluster.sim.disk(machine, |disk| disk.lies = true);
+        cluster.sim.disk(machine, |disk| disk.ignores_syncs = true);
     }
     run_on(cluster, &[Fault::PowerAllStores], 3, 16)
 }
@@ -125,7 +125,7 @@
     StressRun {
         changes: recording.changes.lock().unwrap().clone(),
         final_values: recording.final_values.lock().unwrap().clone(),
-        hash: cluster.sim.hash(),
+        hash: cluster.sim.log_hash(),
         log: cluster.sim.log(),
     }
 }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -113,15 +113,15 @@
         sh.nodes.iter_mut().for_each(|n| n.bootstrap = true);
         let sim = Sim::new(seed, sh.site_latency);
         let z = sh.sites[0].clone();
-        let m = sim.machine("operator", &z, addr(900, 0).ip());
+        let m = sim.add_machine("operator", &z, addr(900, 0).ip());
         let op = sim.boot(m);
-        sim.machine("callers", &z, addr(901, 0).ip());
-        sim.machine("platform", &z, sh.platform.ip());
+        sim.add_machine("callers", &z, addr(901, 0).ip());
+        sim.add_machine("platform", &z, sh.platform.ip());
         sh.nodes.iter().for_each(|n| {
-            sim.machine(&n.name, &n.site, n.peer.ip());
+            sim.add_machine(&n.name, &n.site, n.peer.ip());
         });
         machines().iter().enumerate().for_each(|(i, (n, _))| {
-            sim.machine(n, &sh.sites[i % 4], addr(300 + i, 0).ip());
+            sim.add_machine(n, &sh.sites[i % 4], addr(300 + i, 0).ip());
         });
         Arc::new(Tier {
             sim,
@@ -332,7 +332,7 @@
                 continue;
             };
             let got = self.op.timeout(5 * SEC, c.put(base, text.clone())).await;
-            self.sim.note(&format!("put {n} on {base}: {got:?}"));
+            self.sim.append_log(&format!("put {n} on {base}: {got:?}"));
             let got = match got {
                 Some(PutAnswer::NotBootstrapped) => {
                     let to = c.settings.http;
@@ -348,7 +348,7 @@
                     )
                     .await;
                     r.ok().and_then(|r| {
-                        self.sim.note(&format!(
+                        self.sim.append_log(&format!(
                             "http put {n} on {base}: {} {}",
                             r.0,
                             String::from_utf8_lossy(&r.2)
@@ -445,7 +445,7 @@
         self.sim.kill(m, power);
         self.nodes.lock().unwrap().remove(name);
         if wipe {
-            self.sim.wipe(m);
+            self.sim.wipe_disk(m);
         }
         self.op.sleep(us).await;
         self.boot(name);
@@ -503,7 +503,7 @@
 
     pub async fn act(self: &Arc<Self>, a: Act) {
         let back = (1 + self.op.random() % 4) * SEC;
-        self.sim.note(&format!("act {a}"));
+        self.sim.append_log(&format!("act {a}"));
         match a {
             Act::KillFront => {
                 self.down(&self.any(Role::Front), false, false, back / 4)
@@ -646,7 +646,7 @@
                     .for_each(|n| self.sim.kill(self.sim.find(&n.name), a != Act::KillAll));
                 self.nodes.lock().unwrap().clear();
                 if a == Act::WipeOnePowerRest {
-                    self.sim.wipe(self.sim.find(&lost));
+                    self.sim.wipe_disk(self.sim.find(&lost));
                 }
                 self.op.sleep(SEC).await;
                 for n in &self.sh.nodes {
--- a/yewcross-testkit/src/sim/disk.rs
+++ b/yewcross-testkit/src/sim/disk.rs
@@ -26,12 +26,12 @@
     /// Every operation takes so many times as long; 0 as 1.
     pub slowness: u64,
     /// Says that it synced, and did not.
-    pub lies: bool,
+    pub ignores_syncs: bool,
     /// Power goes so many us after so many more syncs.
-    pub trip: Option<(u64, u64)>,
+    pub planned_power_loss: Option<(u64, u64)>,
     /// Bytes that may yet be written.
-    pub room: Option<usize>,
-    pub syncs: u64,
+    pub free_bytes: Option<usize>,
+    pub sync_count: u64,
 }
 
 /// Whether the path names something directly in the folder; the root is the empty folder.
@@ -125,12 +125,12 @@
     }
 
     /// Turns one bit of some stored key file; returns its name.
-    pub fn corrupt(&mut self, r: u64) -> Option<String> {
-        self.spoil("keys/", r)
+    pub fn flip_key_file_bit(&mut self, r: u64) -> Option<String> {
+        self.flip_bit("keys/", r)
     }
 
     /// Bytes in a folder and those beneath it.
-    pub fn bytes(&self, dir: &str) -> u64 {
+    pub fn bytes_under(&self, dir: &str) -> u64 {
         self.live
             .iter()
             .filter(|x| x.0.starts_with(dir))
@@ -139,7 +139,7 @@
     }
 
     /// Turns one bit of some file of the folder; returns its name.
-    pub fn spoil(&mut self, dir: &str, r: u64) -> Option<String> {
+    pub fn flip_bit(&mut self, dir: &str, r: u64) -> Option<String> {
         let v: Vec<String> = self
             .live
             .keys()
@@ -162,12 +162,12 @@
         Some(n)
     }
 
-    pub fn files(&self) -> usize {
+    pub fn file_count(&self) -> usize {
         self.live.len()
     }
 
     /// Names of files in a folder and beneath it.
-    pub fn names(&self, dir: &str) -> Vec<String> {
+    pub fn files_under(&self, dir: &str) -> Vec<String> {
         self.live
             .keys()
             .filter(|k| k.starts_with(dir))
@@ -177,8 +177,8 @@
 
     /// Syncs a file's contents, or a folder's names.
     pub(super) fn sync(&mut self, path: &str) {
-        self.syncs += 1;
-        if self.lies {
+        self.sync_count += 1;
+        if self.ignores_syncs {
             return;
         }
         if let Some(file) = self.live.get_mut(path) {
@@ -227,8 +227,8 @@
 
     /// Whether there is room for so many bytes more, which then are taken.
     fn take_room(&mut self, bytes: usize) -> io::Result<()> {
-        let short = self.room.is_some_and(|room| room < bytes);
-        self.room = self.room.map(|room| room.saturating_sub(bytes));
+        let short = self.free_bytes.is_some_and(|room| room < bytes);
+        self.free_bytes = self.free_bytes.map(|room| room.saturating_sub(bytes));
         if self.full || short {
             Err(io::ErrorKind::StorageFull.into())
         } else {
--- a/yewcross-testkit/src/sim/host.rs
+++ b/yewcross-testkit/src/sim/host.rs
@@ -186,13 +186,13 @@
 /// Syncs the path and counts down to the power loss that is planned after so many syncs.
 fn sync_and_count(disk: &mut Disk, path: &str) -> PowerLossDelay {
     disk.sync(path);
-    let (syncs_left, delay) = disk.trip.as_mut()?;
+    let (syncs_left, delay) = disk.planned_power_loss.as_mut()?;
     *syncs_left = syncs_left.saturating_sub(1);
     if *syncs_left > 0 {
         return None;
     }
     let delay = *delay;
-    disk.trip = None;
+    disk.planned_power_loss = None;
     Some(delay)
 }
 
--- a/yewcross-testkit/src/sim/machine.rs
+++ b/yewcross-testkit/src/sim/machine.rs
@@ -153,7 +153,7 @@
 
 impl Sim {
     /// Adds a machine with power and without a process.
-    pub fn machine(&self, name: &str, site: &str, ip: IpAddr) -> MachineId {
+    pub fn add_machine(&self, name: &str, site: &str, ip: IpAddr) -> MachineId {
         let mut world = self.world();
         world.machines.push(Machine::new(name, site, ip));
         world.machines.len() - 1
@@ -232,7 +232,7 @@
     }
 
     /// Replaces the machine's disk by an empty one.
-    pub fn wipe(&self, machine: MachineId) {
+    pub fn wipe_disk(&self, machine: MachineId) {
         let mut world = self.world();
         world.note_of(machine, "loses its disk");
         world.record(machine, Event::LostDisk);
--- a/yewcross-testkit/src/sim/mod.rs
+++ b/yewcross-testkit/src/sim/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// Digest of all lines logged so far, in their words.
-    pub fn hash(&self) -> u64 {
+    pub fn log_hash(&self) -> u64 {
         self.world().log_hash
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Writes a line to the log in the test's own name.
-    pub fn note(&self, line: &str) {
+    pub fn append_log(&self, line: &str) {
         self.world().note("lab", line);
     }
 
@@ -177,7 +177,7 @@
         ObjectCounts {
             tasks: world.tasks.len(),
             connections: world.connections.len(),
-            files: world.machines.iter().map(|m| m.disk.files()).sum(),
+            files: world.machines.iter().map(|m| m.disk.file_count()).sum(),
         }
     }
 }
--- a/yewcross-testkit/src/stub_server/mod.rs
+++ b/yewcross-testkit/src/stub_server/mod.rs
@@ -13,7 +13,7 @@
 pub use executions::{Execution, ExecutionLog, LateArrival};
 pub use faults::StubFaults;
 pub use kv_cache::HeldTokens;
-pub use turn::{MARKS, mark, marks};
+pub use turn::{DIGESTED_LINES, line_digest, recent_line_digests};
 
 use executions::LiveExecutions;
 use http_types::Response;
--- a/yewcross-testkit/src/stub_server/turn.rs
+++ b/yewcross-testkit/src/stub_server/turn.rs
@@ -12,7 +12,7 @@
 use yewcross_proxy::turn::tokens;
 
 /// Lines of history of which an answer gives the marks.
-pub const MARKS: usize = 12;
+pub const DIGESTED_LINES: usize = 12;
 /// Characters of a mark.
 const MARK_LENGTH: usize = 6;
 /// Words in a piece of a stream.
@@ -29,18 +29,18 @@
 const STREAM_BUFFER: usize = 16;
 
 /// Marks of the newest lines of history in a prompt, so that a caller can see what was kept.
-pub fn marks(prompt: &str) -> String {
+pub fn recent_line_digests(prompt: &str) -> String {
     let lines: Vec<&str> = prompt
         .split_inclusive('\n')
         .filter(|line| line.ends_with('\n'))
         .collect();
-    let newest = &lines[lines.len().saturating_sub(MARKS)..];
-    let marks: Vec<String> = newest.iter().map(|line| mark(line)).collect();
+    let newest = &lines[lines.len().saturating_sub(DIGESTED_LINES)..];
+    let marks: Vec<String> = newest.iter().map(|line| line_digest(line)).collect();
     marks.join(",")
 }
 
 /// A short digest of a line.
-pub fn mark(line: &str) -> String {
+pub fn line_digest(line: &str) -> String {
     digest(line.as_bytes())[..MARK_LENGTH].to_string()
 }
 
@@ -68,7 +68,7 @@
     fn output(&self) -> Vec<String> {
         let max_output = self.max_output as usize;
         let seed = digest(self.prompt.as_bytes());
-        let head = format!("[{}]", marks(&self.prompt));
+        let head = format!("[{}]", recent_line_digests(&self.prompt));
         let room = (max_output * BYTES_PER_TOKEN).saturating_sub(head.len());
         let count = (room / WORD_BYTES).min(max_output / 2);
         let words = (0..count).map(|i| {
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -130,7 +130,7 @@
 impl Tier {
     pub fn new(seed: u64, counts: [usize; 3], lost: usize) -> Arc<Tier> {
         let sim = Sim::new(seed, 900);
-        let m = sim.machine("operator", "z1", IpAddr::from([10, 9, 0, 1]));
+        let m = sim.add_machine("operator", "z1", IpAddr::from([10, 9, 0, 1]));
         let op = sim.boot(m);
         let t = Arc::new(Tier {
             sim,
@@ -152,7 +152,7 @@
 
     pub fn add(&self, name: &str, role: Role, site: usize, n: usize, lost: usize) {
         let site = format!("z{}", site + 1);
-        self.sim.machine(name, &site, addr(n).ip());
+        self.sim.add_machine(name, &site, addr(n).ip());
         let st = ProcessSettings {
             name: name.into(),
             role,
--- a/yewcross-testkit/tests/behaviour.rs
+++ b/yewcross-testkit/tests/behaviour.rs
@@ -175,7 +175,7 @@
     fn fingerprint(&self) -> u128 {
         let sim = Sim::new(1, 900);
         let [caller, machine] = [(self.caller, 1), ("machine", 2)].map(|(name, last)| {
-            let index = sim.machine(name, "site", IpAddr::from([10, 0, 0, last]));
+            let index = sim.add_machine(name, "site", IpAddr::from([10, 0, 0, last]));
             sim.boot(index)
         });
         let Talk {
--- a/yewcross-testkit/tests/catching_up.rs
+++ b/yewcross-testkit/tests/catching_up.rs
@@ -140,7 +140,12 @@
                     .into_iter()
                     .chain(tier.names(Role::Store));
                 names
-                    .map(|n| (n.clone(), tier.sim.disk(tier.sim.find(&n), |d| d.files())))
+                    .map(|n| {
+                        (
+                            n.clone(),
+                            tier.sim.disk(tier.sim.find(&n), |d| d.file_count()),
+                        )
+                    })
                     .collect()
             };
             let before = files(&tier);
--- a/yewcross-testkit/tests/chain.rs
+++ b/yewcross-testkit/tests/chain.rs
@@ -123,7 +123,7 @@
             |tag: &str, n: usize| -> Vec<String> { (1..=n).map(|i| format!("{tag}{i}")).collect() };
         let (s, f) = (names("store", stores), names("front", fronts));
         s.iter().chain(&f).enumerate().for_each(|(i, n)| {
-            sim.machine(n, &format!("z{}", i % 4), addr(i).ip());
+            sim.add_machine(n, &format!("z{}", i % 4), addr(i).ip());
         });
         let t = Arc::new(Town {
             sim,
@@ -174,7 +174,7 @@
         let mut g = self.lay.lock().unwrap();
         *g = (g.0 + 1, l);
         self.past.lock().unwrap().insert(g.0, g.1.clone());
-        self.sim.note(&format!(
+        self.sim.append_log(&format!(
             "layout {}: {:?} from {:?}",
             g.0, g.1.store.current, g.1.store.previous
         ));
@@ -263,7 +263,7 @@
     /// The disk is lost; the machine comes back with an empty one.
     fn wipe(&self, n: &str) {
         self.kill(n, true);
-        self.sim.wipe(self.sim.find(n));
+        self.sim.wipe_disk(self.sim.find(n));
         self.had.lock().unwrap().remove(n);
     }
 
@@ -581,7 +581,7 @@
             OpenTurnError::UnknownTurn => j.bad(format!("{id}: {prev} is not known")),
             OpenTurnError::Unavailable => {
                 j.away += 1;
-                self.sim.note(&format!("{id} of {}: away", p.program));
+                self.sim.append_log(&format!("{id} of {}: away", p.program));
             }
         }
         false
@@ -636,7 +636,7 @@
     fn syncs(&self) -> u64 {
         self.stores
             .iter()
-            .map(|n| self.sim.disk(self.sim.find(n), |d| d.syncs))
+            .map(|n| self.sim.disk(self.sim.find(n), |d| d.sync_count))
             .sum()
     }
 
@@ -1572,7 +1572,7 @@
         t.finish(60_000);
         let m = t.sim.find("store2");
         t.kill("store2", true);
-        let hit = t.sim.disk(m, |d| d.spoil("chain/", seed * 7919));
+        let hit = t.sim.disk(m, |d| d.flip_bit("chain/", seed * 7919));
         assert!(hit.is_some(), "nothing to damage");
         // Alone it cannot be mended, and answers for nothing that it does not hold.
         let others: Vec<String> = t
@@ -1707,7 +1707,7 @@
     let logs: u64 = t
         .stores
         .iter()
-        .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/")))
+        .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes_under("chain/")))
         .sum();
     println!("{logs} bytes of log for {}", 2 * 50 * 25 * 20_000);
     assert!(logs < 3 * 50 * 25 * 20_000 + 4 * (LOG_SLACK_BYTES + SEGMENT_BYTES));
@@ -1715,7 +1715,7 @@
     let logs: u64 = t
         .stores
         .iter()
-        .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes("chain/")))
+        .map(|n| t.sim.disk(t.sim.find(n), |d| d.bytes_under("chain/")))
         .sum();
     println!("{logs} bytes of log when all is over");
     assert!(logs < 4 * 2 * SEGMENT_BYTES);
--- a/yewcross-testkit/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -346,7 +346,7 @@
                 up(&t).await;
                 t.put_surely(0, "5 a").await;
                 t.kill(n, true);
-                t.sim.wipe(t.sim.find(n));
+                t.sim.wipe_disk(t.sim.find(n));
                 t.op.sleep(1500 * MS).await;
                 t.boot(n, false);
                 let (c, s) = (t.names(Role::Core), t.names(Role::Store));
@@ -496,7 +496,7 @@
             // It goes on running, and comes back empty: it has no seat.
             t.op.sleep(2 * SEC).await;
             t.kill("store2", true);
-            t.sim.wipe(t.sim.find("store2"));
+            t.sim.wipe_disk(t.sim.find("store2"));
             t.boot("store2", false);
             t.op.sleep(3 * SEC).await;
             let (_, s, still) = t.seats().await.unwrap();
@@ -533,7 +533,7 @@
                     let mut v = cores.clone();
                     (0..lost).for_each(|_| {
                         t.sim
-                            .wipe(t.sim.find(&v.swap_remove(t.op.random() as usize % v.len())))
+                            .wipe_disk(t.sim.find(&v.swap_remove(t.op.random() as usize % v.len())))
                     });
                     t.op.sleep(700 * MS).await;
                     all.iter().for_each(|n| t.boot(n, false));
@@ -716,7 +716,7 @@
                         1 | 2 => {
                             t.kill(&n, true);
                             if t.op.random().is_multiple_of(2) {
-                                t.sim.wipe(t.sim.find(&n));
+                                t.sim.wipe_disk(t.sim.find(&n));
                             }
                             back.push((n, false));
                         }
--- a/yewcross-testkit/tests/core_outages.rs
+++ b/yewcross-testkit/tests/core_outages.rs
@@ -46,7 +46,7 @@
                 let all: Vec<String> = tier.specs.lock().unwrap().keys().cloned().collect();
                 all.iter().for_each(|name| tier.kill(name, true));
                 lost.iter()
-                    .for_each(|name| tier.sim.wipe(tier.sim.find(name)));
+                    .for_each(|name| tier.sim.wipe_disk(tier.sim.find(name)));
                 tier.op.sleep(600 * MS).await;
                 all.iter().for_each(|name| tier.boot(name, false));
                 let begin = tier.op.now();
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -28,7 +28,7 @@
 impl Bench {
     fn new(seed: u64) -> Bench {
         let sim = Sim::new(seed, 900);
-        let machine = sim.machine("m", "z1", IpAddr::from([10, 1, 0, 1]));
+        let machine = sim.add_machine("m", "z1", IpAddr::from([10, 1, 0, 1]));
         Bench {
             sim,
             machine,
@@ -505,7 +505,7 @@
             t.put_surely(1, "2 b").await;
             t.op.sleep(SEC).await;
             assert!(t.at("core2").unwrap().storage.failed.load(SeqCst));
-            t.sim.wipe(t.sim.find("core2"));
+            t.sim.wipe_disk(t.sim.find("core2"));
             assert_eq!(
                 until_restored(&t, "core2", 5 * SEC).await,
                 None,
--- a/yewcross-testkit/tests/documents.rs
+++ b/yewcross-testkit/tests/documents.rs
@@ -10,7 +10,7 @@
 
 fn book() -> Arc<DocumentCache> {
     let sim = Sim::new(1, 900);
-    let machine = sim.machine("node", "z1", [10, 0, 0, 1].into());
+    let machine = sim.add_machine("node", "z1", [10, 0, 0, 1].into());
     DocumentCache::new(&sim.boot(machine))
 }
 
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -293,7 +293,7 @@
                 }
                 6 => {
                     tier.kill(&name, true);
-                    tier.sim.wipe(machine);
+                    tier.sim.wipe_disk(machine);
                     back.push(name);
                     settle = 4_200 * MS;
                 }
--- a/yewcross-testkit/tests/links.rs
+++ b/yewcross-testkit/tests/links.rs
@@ -95,8 +95,8 @@
 fn answers_to_other_questions_are_dropped() {
     let sim = Sim::new(1, 1_000);
     let (a, b) = (
-        sim.machine("asker", "z", ASKER.parse().unwrap()),
-        sim.machine("asked", "z", "10.0.0.2".parse().unwrap()),
+        sim.add_machine("asker", "z", ASKER.parse().unwrap()),
+        sim.add_machine("asked", "z", "10.0.0.2".parse().unwrap()),
     );
     let (w, wb) = (sim.boot(a), sim.boot(b));
     wb.spawn(scripted(wb.clone(), |n| match n {
@@ -182,8 +182,8 @@
     for power in [false, true] {
         let sim = Sim::new(2, 1_000);
         let (a, b) = (
-            sim.machine("asker", "z", ASKER.parse().unwrap()),
-            sim.machine("asked", "z", "10.0.0.2".parse().unwrap()),
+            sim.add_machine("asker", "z", ASKER.parse().unwrap()),
+            sim.add_machine("asked", "z", "10.0.0.2".parse().unwrap()),
         );
         let (w, wb) = (sim.boot(a), sim.boot(b));
         wb.spawn(listen(wb.clone(), "asked"));
@@ -216,8 +216,8 @@
     for power in [false, true] {
         let sim = Sim::new(3, 1_000);
         let (a, b) = (
-            sim.machine("asker", "z", ASKER.parse().unwrap()),
-            sim.machine("asked", "z", "10.0.0.2".parse().unwrap()),
+            sim.add_machine("asker", "z", ASKER.parse().unwrap()),
+            sim.add_machine("asked", "z", "10.0.0.2".parse().unwrap()),
         );
         let (w, wb) = (sim.boot(a), sim.boot(b));
         wb.spawn(listen(wb.clone(), "first"));
--- a/yewcross-testkit/tests/orders.rs
+++ b/yewcross-testkit/tests/orders.rs
@@ -108,7 +108,7 @@
                 check_taken_orders(&tier, when).await;
             }
             tier.kill("core2", true);
-            tier.sim.wipe(tier.sim.find("core2"));
+            tier.sim.wipe_disk(tier.sim.find("core2"));
             tier.op.sleep(300 * MS).await;
             tier.boot("core2", false);
             tier.op.sleep(6 * SEC).await;
@@ -216,7 +216,7 @@
             up(&tier).await;
             tier.op.sleep(2 * SEC).await;
             let store = tier.at("store1").unwrap();
-            let files = |tier: &Tier| tier.sim.disk(tier.sim.find("store1"), |d| d.files());
+            let files = |tier: &Tier| tier.sim.disk(tier.sim.find("store1"), |d| d.file_count());
             let before = files(&tier);
             let layout = store.documents.document("layout");
             for nth in 1..=30 {
--- a/yewcross-testkit/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -392,7 +392,7 @@
     let bad = (1..=6u64)
         .filter(|s| {
             !yewcross_testkit::register_stress::violations(
-                &yewcross_testkit::register_stress::run_with_lying_disks(*s),
+                &yewcross_testkit::register_stress::run_with_ignored_syncs(*s),
             )
             .is_empty()
         })
@@ -458,8 +458,8 @@
     let sim = yewcross_testkit::sim::Sim::new(3, 500);
     let at = |i: u8| std::net::SocketAddr::from(([10, 0, 0, i], 1));
     let (a, b) = (
-        sim.boot(sim.machine("a", "z1", at(1).ip())),
-        sim.boot(sim.machine("b", "z2", at(2).ip())),
+        sim.boot(sim.add_machine("a", "z1", at(1).ip())),
+        sim.boot(sim.add_machine("b", "z2", at(2).ip())),
     );
     let (pa, pb) = (
         PeerClient::new(&a, "a", "z1", WIRE_VERSION),
--- a/yewcross-testkit/tests/relay/requests.rs
+++ b/yewcross-testkit/tests/relay/requests.rs
@@ -126,7 +126,7 @@
             };
             let (fresh, w2) = (Arc::new(fresh), w.clone());
             let own: SocketAddr = "10.9.9.9:81".parse().unwrap();
-            let me = r.sim.machine("young", "z", own.ip());
+            let me = r.sim.add_machine("young", "z", own.ip());
             let wd = r.sim.boot(me);
             let d = wd.bind(own).await.unwrap();
             let h: yewcross_common::streaming_http::Handler =
--- a/yewcross-testkit/tests/relay/rig.rs
+++ b/yewcross-testkit/tests/relay/rig.rs
@@ -138,7 +138,7 @@
     /// A front in which some mechanisms may be switched off.
     pub fn with_policies(seed: u64, servers: usize, policies: Policies) -> Rig {
         let sim = Sim::new(seed, 1_000);
-        let fm = sim.machine("front", "z", "10.0.0.1".parse().unwrap());
+        let fm = sim.add_machine("front", "z", "10.0.0.1".parse().unwrap());
         let w = sim.boot(fm);
         let floor: Arc<Floor> = Default::default();
         let memory: Arc<Memory> = Default::default();
@@ -226,7 +226,7 @@
     pub fn server(&mut self, i: usize) {
         let m = self
             .sim
-            .machine(&format!("s{i}"), "z", [10, 0, 1, i as u8].into());
+            .add_machine(&format!("s{i}"), "z", [10, 0, 1, i as u8].into());
         self.machines.push(m);
         self.worlds.lock().unwrap().push(self.sim.boot(m));
         ["a", "model"]
@@ -279,7 +279,7 @@
         f: impl FnOnce(Rig, Runtime) -> BoxFuture<'static, T>,
     ) -> T {
         let n = self.sim.rand() as u16;
-        let m = self.sim.machine(
+        let m = self.sim.add_machine(
             &format!("caller{n}"),
             "z",
             [10, 1, (n >> 8) as u8, n as u8].into(),
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -55,7 +55,7 @@
 
 fn lose(t: &Tier, name: &str) {
     t.kill(name, true);
-    t.sim.wipe(t.sim.find(name));
+    t.sim.wipe_disk(t.sim.find(name));
 }
 
 /// Turns of some bytes, each on as many stores as a front writes it to, with an entry in its
--- a/yewcross-testkit/tests/second_loss.rs
+++ b/yewcross-testkit/tests/second_loss.rs
@@ -65,7 +65,7 @@
     assert_eq!(begun, Some(RetireOutcome::Begun));
     tier.op.sleep(wipe_after).await;
     tier.kill("store3", true);
-    tier.sim.wipe(tier.sim.find("store3"));
+    tier.sim.wipe_disk(tier.sim.find("store3"));
     tier.op.sleep(900 * MS).await;
     tier.boot("store3", false);
     let (core, stay) = (
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -148,7 +148,7 @@
 }
 
 fn files_of(sim: &Sim, machine: usize) -> Files {
-    let names = sim.disk(machine, |disk| disk.names(""));
+    let names = sim.disk(machine, |disk| disk.files_under(""));
     run_on(sim, machine, move |w| {
         Box::pin(async move {
             let mut files = Files::new();
@@ -202,7 +202,7 @@
 /// One machine that holds the files, and no process yet.
 fn machine_with(files: Files) -> (Sim, usize) {
     let sim = Sim::new(1, 900);
-    let machine = sim.machine("m", "z1", IpAddr::from([10, 1, 0, 1]));
+    let machine = sim.add_machine("m", "z1", IpAddr::from([10, 1, 0, 1]));
     fill(&sim, machine, files);
     (sim, machine)
 }
@@ -942,7 +942,7 @@
             Box::pin(async move {
                 lab.names(Role::Front)
                     .iter()
-                    .map(|f| lab.sim.disk(lab.sim.find(f), |d| d.files()))
+                    .map(|f| lab.sim.disk(lab.sim.find(f), |d| d.file_count()))
                     .sum::<usize>()
             })
         },
--- a/yewcross-testkit/tests/support/placement.rs
+++ b/yewcross-testkit/tests/support/placement.rs
@@ -8,7 +8,7 @@
 /// A front in a world of its own.
 pub fn front_runtime() -> (Sim, Runtime) {
     let sim = Sim::new(1, 1_000);
-    let machine = sim.machine("front", "z", "10.0.0.1".parse().unwrap());
+    let machine = sim.add_machine("front", "z", "10.0.0.1".parse().unwrap());
     let runtime = sim.boot(machine);
     (sim, runtime)
 }
--- a/yewcross-testkit/tests/votes.rs
+++ b/yewcross-testkit/tests/votes.rs
@@ -57,7 +57,7 @@
                 {}
                 lab.sim.kill(machine("store1"), true);
                 lab.sim.kill(machine("store2"), true);
-                lab.sim.wipe(machine("store2"));
+                lab.sim.wipe_disk(machine("store2"));
                 lab.sim.power_on(machine("store2"));
                 // Nobody tells `store3` yet which disk answers there now.
                 let others: Vec<usize> = lab
--- a/yewcross-testkit/tests/wire_compatibility.rs
+++ b/yewcross-testkit/tests/wire_compatibility.rs
@@ -580,8 +580,8 @@
 
 fn two_machines() -> (Sim, Runtime, Runtime) {
     let sim = Sim::new(1, 1_000);
-    let asker = sim.machine("asker", "z", "10.0.0.1".parse().unwrap());
-    let asked = sim.machine("asked", "z", "10.0.0.2".parse().unwrap());
+    let asker = sim.add_machine("asker", "z", "10.0.0.1".parse().unwrap());
+    let asked = sim.add_machine("asked", "z", "10.0.0.2".parse().unwrap());
     let worlds = (sim.boot(asker), sim.boot(asked));
     (sim, worlds.0, worlds.1)
 }
