--- a/yewcross-testkit/src/sim/clock.rs
+++ b/yewcross-testkit/src/sim/clock.rs
@@ -1,6 +1,7 @@
 //! The virtual clock: timers, and the future that waits for one.
 //!
-//! Time stands still while any task is runnable and jumps to the next timer otherwise.
+//! Virtual time does not advance while any task is runnable; otherwise it jumps to the expiry of the
+//! next timer.
 
 use super::connection::{ConnectionId, Side};
 use super::machine::MachineId;
@@ -12,18 +13,18 @@
 
 /// What happens when a timer expires.
 pub(super) enum TimerEvent {
-    /// The machine's processor is free for the task that waited longest.
+    /// The machine's processor is free to poll the task at the head of its queue.
     ProcessorFree(MachineId),
     /// The machine loses power.
     LosePower(MachineId),
-    /// A sleeping task continues.
+    /// A sleeping task is woken.
     Wake(Waker),
-    /// Bytes, or the end of the stream, that this side sent reach the other.
+    /// Bytes, or the end of the stream, sent by this side arrive at the other.
     Arrival(ConnectionId, Side),
 }
 
-/// When a timer expires (us), and its sequence number: timers of one instant expire in the order
-/// in which they were set.
+/// Expiry of a timer (us) and its sequence number: timers with the same expiry fire in the order in
+/// which they were set.
 type TimerKey = (u64, u64);
 
 #[derive(Default)]
@@ -32,26 +33,26 @@
 }
 
 impl Timers {
-    /// When the next timer expires.
+    /// Expiry (us) of the next timer.
     pub(super) fn next_expiry(&self) -> Option<u64> {
         self.pending.first_key_value().map(|(key, _)| key.0)
     }
 
-    /// Removes the next timer.
+    /// Removes the next timer and returns its event.
     pub(super) fn pop(&mut self) -> Option<TimerEvent> {
         self.pending.pop_first().map(|(_, event)| event)
     }
 }
 
 impl World {
-    /// Sets a timer.
+    /// Sets a timer that expires at the given virtual time (us).
     pub(super) fn schedule(&mut self, at: u64, event: TimerEvent) {
         let sequence = self.next_id();
         self.timers.pending.insert((at, sequence), event);
     }
 }
 
-/// Waits until an instant of virtual time.
+/// Completes at an instant of virtual time.
 pub(super) struct Sleep {
     sim: Sim,
     until: u64,
@@ -76,7 +77,7 @@
 }
 
 impl Sim {
-    /// us since the simulation began.
+    /// The virtual time, in us since the start of the simulation.
     pub fn now(&self) -> u64 {
         self.world().now
     }
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Sleeps from now, not from the first poll.
+    /// Sleeps for so many us, counted from this call and not from the first poll.
     pub(super) fn sleep_for(&self, us: u64) -> Sleep {
         self.sleep_until(self.now() + us)
     }
--- a/yewcross-testkit/src/sim/connection.rs
+++ b/yewcross-testkit/src/sim/connection.rs
@@ -1,4 +1,4 @@
-//! The state of connections: two directions with the bytes on their way.
+//! The state of connections: two directions, each with its bytes in flight.
 
 use super::World;
 use super::clock::TimerEvent;
@@ -8,12 +8,12 @@
 use std::io;
 use std::task::Waker;
 
-/// Arrival of what a partition holds back.
+/// Arrival time of data that a partition delays.
 const NEVER: u64 = u64::MAX;
 
 pub(super) type ConnectionId = u64;
 
-/// 0: the end that connected, 1: the end that accepted.
+/// Index of an endpoint: 0 for the process that connected, 1 for the one that accepted.
 pub(super) type Side = usize;
 
 pub(super) fn opposite(side: Side) -> Side {
@@ -22,6 +22,7 @@
 
 /// Bytes of one write.
 struct Chunk {
+    /// us
     arrival: u64,
     bytes: Vec<u8>,
 }
@@ -30,39 +31,39 @@
 #[derive(Default)]
 pub(super) struct HalfConnection {
     chunks: VecDeque<Chunk>,
-    /// Arrival of the latest chunk: none overtakes another.
+    /// Arrival (us) of the latest chunk. Later chunks arrive no earlier, so bytes stay in order.
     last_arrival: u64,
-    /// When the reader sees the end of the stream.
+    /// Time (us) at which the end of the stream arrives at the reader.
     closed_at: Option<u64>,
     /// Whether the stream ends by a reset.
     is_reset: bool,
-    is_reader_gone: bool,
-    /// Waits for bytes.
-    reader: Option<Waker>,
+    is_reader_closed: bool,
+    /// Wakes the task that waits for bytes.
+    reader_waker: Option<Waker>,
     /// Bytes written and not yet read.
-    buffered: usize,
-    /// Waits for room to write.
-    writer: Option<Waker>,
+    unread_bytes: usize,
+    /// Wakes the task that waits for space in the receive window.
+    writer_waker: Option<Waker>,
 }
 
 pub(super) struct ConnectionState {
-    /// Counts the world's connections by the order of opening.
+    /// Position in the order in which connections were opened, from 1.
     number: u64,
-    pub(super) ends: [ProcessId; 2],
-    /// What each side sends.
+    pub(super) endpoints: [ProcessId; 2],
+    /// The direction in which each side sends.
     halves: [HalfConnection; 2],
 }
 
-/// The way from one end of a connection to the other, as it is now.
+/// The current path from one endpoint of a connection to the other.
 pub(super) struct Route {
     from: MachineId,
-    /// When bytes sent now arrive, unless blocked.
+    /// Arrival time (us) of bytes sent now, unless the path is blocked.
     arrival: u64,
     is_blocked: bool,
 }
 
 impl HalfConnection {
-    /// Takes bytes that have arrived.
+    /// Moves arrived bytes into the buffer. Returns their number, or None if nothing has arrived.
     fn read(&mut self, now: u64, buffer: &mut [u8]) -> Option<usize> {
         let chunk = self
             .chunks
@@ -74,14 +75,14 @@
         if chunk.bytes.is_empty() {
             self.chunks.pop_front();
         }
-        self.buffered -= count;
+        self.unread_bytes -= count;
         Some(count)
     }
 
-    /// How the stream ended, once the reader has taken all of it.
+    /// How the stream ended, once the reader has read all of it.
     fn end_of_stream(&self, now: u64) -> Option<io::Result<usize>> {
-        let is_over = self.chunks.is_empty() && self.closed_at.is_some_and(|at| at <= now);
-        is_over.then(|| {
+        let is_finished = self.chunks.is_empty() && self.closed_at.is_some_and(|at| at <= now);
+        is_finished.then(|| {
             if self.is_reset {
                 Err(io::ErrorKind::ConnectionReset.into())
             } else {
@@ -90,31 +91,31 @@
         })
     }
 
-    fn is_broken(&self) -> bool {
-        self.closed_at.is_some() || self.is_reader_gone
+    fn is_closed(&self) -> bool {
+        self.closed_at.is_some() || self.is_reader_closed
     }
 
-    /// How many of the bytes may be written now. None while the window is nearly full: it takes
-    /// all of them or a good part of the window, so that no tiny chunks arise.
-    fn writable(&self, length: usize, window: usize) -> Option<usize> {
-        let free = window.saturating_sub(self.buffered);
+    /// How many of the bytes may be written now. None unless the free space holds all of them or at
+    /// least a quarter of the window, so that no tiny chunks are sent.
+    fn writable_bytes(&self, length: usize, window: usize) -> Option<usize> {
+        let free = window.saturating_sub(self.unread_bytes);
         (free >= length.min(window / 4)).then_some(length.min(free))
     }
 
-    /// Sends the bytes and returns when they arrive.
+    /// Sends the bytes and returns their arrival time (us).
     fn send(&mut self, bytes: &[u8], route: &Route) -> u64 {
-        let is_held_back = route.is_blocked
+        let is_delayed = route.is_blocked
             || self
                 .chunks
                 .back()
                 .is_some_and(|chunk| chunk.arrival == NEVER);
-        let arrival = if is_held_back {
+        let arrival = if is_delayed {
             NEVER
         } else {
             self.last_arrival = route.arrival.max(self.last_arrival);
             self.last_arrival
         };
-        self.buffered += bytes.len();
+        self.unread_bytes += bytes.len();
         self.chunks.push_back(Chunk {
             arrival,
             bytes: bytes.to_vec(),
@@ -122,7 +123,7 @@
         arrival
     }
 
-    /// Ends the stream behind what was sent; returns when the reader sees it.
+    /// Ends the stream after the bytes sent so far; returns when the end arrives at the reader (us).
     fn close(&mut self, route: &Route) -> u64 {
         let arrival = if route.is_blocked {
             NEVER
@@ -133,38 +134,43 @@
         arrival
     }
 
-    /// Lets what was held back arrive at the given time. Returns whether anything was.
-    fn release_held(&mut self, arrival: u64) -> bool {
-        let is_close_held = self.closed_at == Some(NEVER);
-        let mut is_any_held = is_close_held;
-        for chunk in self.chunks.iter_mut().filter(|c| c.arrival == NEVER) {
+    /// Sets the arrival time of everything that a partition delayed. Returns whether there was
+    /// anything.
+    fn release_delayed(&mut self, arrival: u64) -> bool {
+        let is_close_delayed = self.closed_at == Some(NEVER);
+        let mut is_any_delayed = is_close_delayed;
+        for chunk in self
+            .chunks
+            .iter_mut()
+            .filter(|chunk| chunk.arrival == NEVER)
+        {
             chunk.arrival = arrival;
-            is_any_held = true;
+            is_any_delayed = true;
         }
-        if is_close_held {
+        if is_close_delayed {
             self.closed_at = Some(arrival);
         }
-        if is_any_held {
+        if is_any_delayed {
             self.last_arrival = arrival;
         }
-        is_any_held
+        is_any_delayed
     }
 }
 
-/// What came of a write.
+/// The outcome of a write.
 pub(super) enum WriteOutcome {
     Written(usize),
     Broken,
-    /// The reader has to make room first.
+    /// The receive window is full: the reader has to read first.
     Full,
 }
 
-/// What came of a read.
+/// The outcome of a read.
 pub(super) enum ReadOutcome {
-    /// Bytes were read; the writer that waited for room.
+    /// The number of bytes read, and the waker of the writer that waited for space.
     Read(usize, Option<Waker>),
     EndOfStream(io::Result<usize>),
-    /// Nothing has arrived.
+    /// No bytes have arrived.
     Empty,
 }
 
@@ -175,16 +181,16 @@
         self.connections_opened += 1;
         let connection = ConnectionState {
             number: self.connections_opened,
-            ends,
+            endpoints: ends,
             halves: Default::default(),
         };
         self.connections.insert(id, connection);
         id
     }
 
-    /// Takes an event on a connection into the fingerprint. `event` gets the connection's number
-    /// and the name of the machine at its other end.
-    pub(super) fn record_on<'a>(
+    /// Adds an event on a connection to the fingerprint. `event` is called with the connection's
+    /// number and the name of the machine at its other endpoint.
+    pub(super) fn record_connection_event<'a>(
         &'a mut self,
         connection: ConnectionId,
         side: Side,
@@ -193,15 +199,15 @@
         let Some(state) = self.connections.get(&connection) else {
             return;
         };
-        let [own, peer] =
-            [side, opposite(side)].map(|end| self.machines[state.ends[end].machine].name.as_str());
+        let [own, peer] = [side, opposite(side)]
+            .map(|end| self.machines[state.endpoints[end].machine].name.as_str());
         self.fingerprint
             .add(self.now, own, event(state.number, peer));
     }
 
-    /// Draws the latency from the side to the other.
+    /// Draws the latency from this side to the other and returns the path.
     pub(super) fn route(&mut self, connection: ConnectionId, side: Side) -> Option<Route> {
-        let ends = self.connections.get(&connection)?.ends;
+        let ends = self.connections.get(&connection)?.endpoints;
         let from = ends[side].machine;
         let to = ends[opposite(side)].machine;
         let latency = self.latency(from, to);
@@ -212,14 +218,22 @@
         })
     }
 
-    fn sent_by(&mut self, connection: ConnectionId, side: Side) -> Option<&mut HalfConnection> {
+    fn outgoing_half(
+        &mut self,
+        connection: ConnectionId,
+        side: Side,
+    ) -> Option<&mut HalfConnection> {
         let state = self.connections.get_mut(&connection)?;
         Some(&mut state.halves[side])
     }
 
-    /// Takes the waker of whoever reads what the side sends.
-    pub(super) fn take_reader(&mut self, connection: ConnectionId, side: Side) -> Option<Waker> {
-        self.sent_by(connection, side)?.reader.take()
+    /// Takes the waker of the task that waits for bytes from this side.
+    pub(super) fn take_reader_waker(
+        &mut self,
+        connection: ConnectionId,
+        side: Side,
+    ) -> Option<Waker> {
+        self.outgoing_half(connection, side)?.reader_waker.take()
     }
 
     fn schedule_arrival(&mut self, arrival: u64, connection: ConnectionId, side: Side) {
@@ -228,7 +242,7 @@
         }
     }
 
-    /// Reads what the other side sent; `waker` is kept until something arrives.
+    /// Reads what the other side sent. If nothing has arrived, `waker` is woken once something does.
     pub(super) fn read(
         &mut self,
         connection: ConnectionId,
@@ -240,21 +254,22 @@
         let Some(state) = self.connections.get_mut(&connection) else {
             return ReadOutcome::EndOfStream(Ok(0));
         };
-        let machine = state.ends[side].machine;
+        let machine = state.endpoints[side].machine;
         let half = &mut state.halves[opposite(side)];
         if let Some(count) = half.read(now, buffer) {
-            let writer = half.writer.take();
+            let writer = half.writer_waker.take();
             self.machines[machine].processor.count_bytes(count);
             return ReadOutcome::Read(count, writer);
         }
         if let Some(end) = half.end_of_stream(now) {
             return ReadOutcome::EndOfStream(end);
         }
-        half.reader = Some(waker.clone());
+        half.reader_waker = Some(waker.clone());
         ReadOutcome::Empty
     }
 
-    /// Writes to the other side; `waker` is kept while there is no room.
+    /// Writes to the other side. While the receive window is full, `waker` is stored and woken once
+    /// the reader has read.
     pub(super) fn write(
         &mut self,
         connection: ConnectionId,
@@ -266,17 +281,20 @@
         let Some(route) = self.route(connection, side) else {
             return WriteOutcome::Broken;
         };
-        let Some(half) = self.sent_by(connection, side).filter(|h| !h.is_broken()) else {
+        let Some(half) = self
+            .outgoing_half(connection, side)
+            .filter(|half| !half.is_closed())
+        else {
             return WriteOutcome::Broken;
         };
-        let Some(count) = half.writable(bytes.len(), window) else {
-            half.writer = Some(waker.clone());
+        let Some(count) = half.writable_bytes(bytes.len(), window) else {
+            half.writer_waker = Some(waker.clone());
             return WriteOutcome::Full;
         };
         let written = &bytes[..count];
         let arrival = half.send(written, &route);
         self.machines[route.from].processor.count_bytes(count);
-        self.record_on(connection, side, |number, to| Event::Wrote {
+        self.record_connection_event(connection, side, |number, to| Event::Wrote {
             connection: number,
             to,
             data: written,
@@ -285,42 +303,42 @@
         WriteOutcome::Written(count)
     }
 
-    /// Ends what the side sends.
+    /// Closes the direction in which this side sends.
     pub(super) fn close(&mut self, connection: ConnectionId, side: Side) {
         let Some(route) = self.route(connection, side) else {
             return;
         };
         let is_open = |half: &&mut HalfConnection| half.closed_at.is_none();
-        let Some(half) = self.sent_by(connection, side).filter(is_open) else {
+        let Some(half) = self.outgoing_half(connection, side).filter(is_open) else {
             return;
         };
         let arrival = half.close(&route);
-        self.record_on(connection, side, |number, to| Event::Closed {
+        self.record_connection_event(connection, side, |number, to| Event::Closed {
             connection: number,
             to,
         });
         self.schedule_arrival(arrival, connection, side);
     }
 
-    /// The side neither writes nor reads any more. Returns the writer at the other side that
-    /// waited for room.
-    pub(super) fn drop_end(&mut self, connection: ConnectionId, side: Side) -> Option<Waker> {
-        self.record_on(connection, side, |number, to| Event::Left {
+    /// Closes this side for writing and reading. Returns the waker of the writer at the other side
+    /// that waited for space.
+    pub(super) fn drop_endpoint(&mut self, connection: ConnectionId, side: Side) -> Option<Waker> {
+        self.record_connection_event(connection, side, |number, to| Event::Dropped {
             connection: number,
             to,
         });
         let state = self.connections.get_mut(&connection)?;
         let received = &mut state.halves[opposite(side)];
-        received.is_reader_gone = true;
-        let writer = received.writer.take();
-        if state.halves.iter().all(|half| half.is_reader_gone) {
+        received.is_reader_closed = true;
+        let writer = received.writer_waker.take();
+        if state.halves.iter().all(|half| half.is_reader_closed) {
             self.connections.remove(&connection);
         }
         writer
     }
 
-    /// The side's process was killed: its peer sees a reset. Returns the writer at the other side
-    /// that waited for room.
+    /// Resets the connection towards the peer, as when this side's process is killed. Returns the
+    /// waker of the writer at the other side that waited for space.
     pub(super) fn reset(
         &mut self,
         connection: ConnectionId,
@@ -332,21 +350,21 @@
         sent.closed_at.get_or_insert(route.arrival);
         sent.is_reset = true;
         let received = &mut state.halves[opposite(side)];
-        received.is_reader_gone = true;
-        let writer = received.writer.take();
+        received.is_reader_closed = true;
+        let writer = received.writer_waker.take();
         self.schedule_arrival(route.arrival, connection, side);
         writer
     }
 
-    /// Delivers what a partition held back of what the side sends.
-    pub(super) fn release_held(&mut self, connection: ConnectionId, side: Side) {
+    /// Delivers what this side sent and a partition delayed.
+    pub(super) fn release_delayed(&mut self, connection: ConnectionId, side: Side) {
         let Some(route) = self.route(connection, side) else {
             return;
         };
-        let is_any_held = self
-            .sent_by(connection, side)
-            .is_some_and(|half| half.release_held(route.arrival));
-        if is_any_held {
+        let is_any_delayed = self
+            .outgoing_half(connection, side)
+            .is_some_and(|half| half.release_delayed(route.arrival));
+        if is_any_delayed {
             self.schedule_arrival(route.arrival, connection, side);
         }
     }
--- a/yewcross-testkit/src/sim/disk.rs
+++ b/yewcross-testkit/src/sim/disk.rs
@@ -1,8 +1,9 @@
-//! A machine's disk: names and contents that are safe, and those that are not yet.
+//! A machine's disk, with its durable state and the state that a power loss may discard.
 //!
-//! Contents are safe once their file was synced, names once their folder was. A loss of power keeps
-//! or loses each name by itself that was made, renamed or removed since; of writes after the last
-//! sync of a file, any part is present, missing or torn.
+//! The contents of a file are durable once the file was synced, its name once its directory was.
+//! At a power loss each name that was created, renamed or removed since the last sync of its
+//! directory is independently kept or lost. Of the writes since the last sync of a file, any part
+//! may be present, missing or torn.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -11,287 +12,326 @@
 #[derive(Clone, Default)]
 struct File {
     data: Arc<Vec<u8>>,
-    synced: bool,
+    is_synced: bool,
 }
 
+/// A simulated disk and the faults that it shows.
 #[derive(Default)]
 pub struct Disk {
-    live: BTreeMap<String, File>,
-    safe: BTreeMap<String, Arc<Vec<u8>>>,
-    folders: BTreeSet<String>,
-    safe_folders: BTreeSet<String>,
+    /// The files as processes see them, by path.
+    current: BTreeMap<String, File>,
+    /// The synced contents of the files whose names are durable, by path.
+    durable: BTreeMap<String, Arc<Vec<u8>>>,
+    directories: BTreeSet<String>,
+    /// The directories whose parent directory was synced since they were created.
+    durable_directories: BTreeSet<String>,
+    /// Operations wait until this is reset.
     pub stalled: bool,
+    /// Writes fail for lack of space.
     pub full: bool,
+    /// Every operation fails with an input/output error.
     pub failing: bool,
-    /// Every operation takes so many times as long; 0 as 1.
+    /// Factor by which every operation takes longer; 0 counts as 1.
     pub slowness: u64,
-    /// Says that it synced, and did not.
+    /// Syncs are acknowledged without being performed.
     pub ignores_syncs: bool,
-    /// Power goes so many us after so many more syncs.
+    /// The machine loses power the second value's us after as many more syncs as the first value.
     pub planned_power_loss: Option<(u64, u64)>,
-    /// Bytes that may yet be written.
+    /// Bytes that can still be written; None for no limit.
     pub free_bytes: Option<usize>,
+    /// Syncs acknowledged so far, including ignored ones.
     pub sync_count: u64,
 }
 
-/// Whether the path names something directly in the folder; the root is the empty folder.
-fn is_in(folder: &str, path: &str) -> bool {
-    let rest = if folder.is_empty() {
+/// Whether the path is a direct child of the directory; the root directory is the empty path.
+fn is_direct_child(directory: &str, path: &str) -> bool {
+    let relative = if directory.is_empty() {
         Some(path)
     } else {
-        path.strip_prefix(folder).and_then(|r| r.strip_prefix('/'))
+        path.strip_prefix(directory)
+            .and_then(|rest| rest.strip_prefix('/'))
     };
-    rest.is_some_and(|r| !r.is_empty() && !r.contains('/'))
+    relative.is_some_and(|name| !name.is_empty() && !name.contains('/'))
 }
 
 fn parent(path: &str) -> &str {
-    path.rsplit_once('/').map_or("", |x| x.0)
+    path.rsplit_once('/').map_or("", |parts| parts.0)
 }
 
-/// Either of two, by lot, where they differ.
-fn either<T: PartialEq>(live: Option<T>, safe: Option<T>, random: &mut fastrand::Rng) -> Option<T> {
-    if live == safe || random.bool() {
-        live
+/// Chooses at random between the current and the durable version if they differ.
+fn pick_version<T: PartialEq>(
+    current: Option<T>,
+    durable: Option<T>,
+    random: &mut fastrand::Rng,
+) -> Option<T> {
+    if current == durable || random.bool() {
+        current
     } else {
-        safe
+        durable
     }
 }
 
 impl Disk {
-    /// What a loss of power leaves.
+    /// Replaces the contents by those that remain after a power loss.
     pub(super) fn lose_power(&mut self, random: &mut fastrand::Rng) {
-        let folders = self.folders_left(random);
-        let names: BTreeSet<String> = self.live.keys().chain(self.safe.keys()).cloned().collect();
-        let mut left = BTreeMap::new();
+        let directories = self.surviving_directories(random);
+        let names: BTreeSet<String> = self
+            .current
+            .keys()
+            .chain(self.durable.keys())
+            .cloned()
+            .collect();
+        let mut remaining = BTreeMap::new();
         for name in names {
-            let live = self
-                .live
+            let current = self
+                .current
                 .get(&name)
-                .map(|file| self.contents_left(&name, file, random));
-            let safe = self.safe.get(&name).cloned();
-            let kept = either(live, safe, random);
-            if let Some(data) = kept.filter(|_| folders.contains(parent(&name))) {
-                left.insert(name, data);
+                .map(|file| self.surviving_contents(&name, file, random));
+            let durable = self.durable.get(&name).cloned();
+            let kept = pick_version(current, durable, random);
+            if let Some(data) = kept.filter(|_| directories.contains(parent(&name))) {
+                remaining.insert(name, data);
             }
         }
-        self.live = left
+        self.current = remaining
             .iter()
-            .map(|(k, d)| {
+            .map(|(path, data)| {
                 (
-                    k.clone(),
+                    path.clone(),
                     File {
-                        data: d.clone(),
-                        synced: true,
+                        data: data.clone(),
+                        is_synced: true,
                     },
                 )
             })
             .collect();
-        self.safe = left;
-        self.safe_folders = folders.clone();
-        self.folders = folders;
+        self.durable = remaining;
+        self.durable_directories = directories.clone();
+        self.directories = directories;
         self.stalled = false;
     }
 
-    /// A folder whose name is lost takes with it what is in it.
-    fn folders_left(&self, random: &mut fastrand::Rng) -> BTreeSet<String> {
-        let mut left: BTreeSet<String> = [String::new()].into();
-        for folder in self.folders.union(&self.safe_folders) {
-            let kept = self.safe_folders.contains(folder) || random.bool();
-            if kept && left.contains(parent(folder)) {
-                left.insert(folder.clone());
+    /// The directories that remain after a power loss. A lost directory also loses everything in it.
+    fn surviving_directories(&self, random: &mut fastrand::Rng) -> BTreeSet<String> {
+        let mut remaining: BTreeSet<String> = [String::new()].into();
+        for directory in self.directories.union(&self.durable_directories) {
+            let is_kept = self.durable_directories.contains(directory) || random.bool();
+            if is_kept && remaining.contains(parent(directory)) {
+                remaining.insert(directory.clone());
             }
         }
-        left
+        remaining
     }
 
-    /// What a sync had made safe stays, however much of the rest is torn.
-    fn contents_left(&self, name: &str, file: &File, random: &mut fastrand::Rng) -> Arc<Vec<u8>> {
-        if file.synced {
+    /// The contents of a file that remain after a power loss: all bytes made durable by a sync, and a
+    /// random, possibly torn, part of the bytes appended since.
+    fn surviving_contents(
+        &self,
+        name: &str,
+        file: &File,
+        random: &mut fastrand::Rng,
+    ) -> Arc<Vec<u8>> {
+        if file.is_synced {
             return file.data.clone();
         }
-        let safe = self
-            .safe
+        let durable = self
+            .durable
             .get(name)
-            .filter(|s| file.data.starts_with(s))
-            .map_or(0, |s| s.len());
-        let end = safe + random.usize(0..=file.data.len() - safe);
+            .filter(|durable| file.data.starts_with(durable))
+            .map_or(0, |durable| durable.len());
+        let end = durable + random.usize(0..=file.data.len() - durable);
         let mut data = file.data[..end].to_vec();
-        if random.u8(0..4) == 0 && end > safe {
+        if random.u8(0..4) == 0 && end > durable {
             // A later block was written, and an earlier one was not.
-            let hole = random.usize(safe..end);
-            data[safe..hole].fill(0);
+            let hole_end = random.usize(durable..end);
+            data[durable..hole_end].fill(0);
         }
         Arc::new(data)
     }
 
-    /// Turns one bit of some stored key file; returns its name.
-    pub fn flip_key_file_bit(&mut self, r: u64) -> Option<String> {
-        self.flip_bit("keys/", r)
+    /// Flips one bit of a key file, both drawn from `random`; returns the file's path.
+    pub fn flip_key_file_bit(&mut self, random: u64) -> Option<String> {
+        self.flip_bit("keys/", random)
     }
 
-    /// Bytes in a folder and those beneath it.
-    pub fn bytes_under(&self, dir: &str) -> u64 {
-        self.live
+    /// Total size in bytes of the files whose paths start with the prefix.
+    pub fn bytes_under(&self, prefix: &str) -> u64 {
+        self.current
             .iter()
-            .filter(|x| x.0.starts_with(dir))
-            .map(|x| x.1.data.len() as u64)
+            .filter(|entry| entry.0.starts_with(prefix))
+            .map(|entry| entry.1.data.len() as u64)
             .sum()
     }
 
-    /// Turns one bit of some file of the folder; returns its name.
-    pub fn flip_bit(&mut self, dir: &str, r: u64) -> Option<String> {
-        let v: Vec<String> = self
-            .live
+    /// Flips one bit of a file whose path starts with the prefix, both drawn from `random`, in its
+    /// current and durable contents; returns the file's path.
+    pub fn flip_bit(&mut self, prefix: &str, random: u64) -> Option<String> {
+        let paths: Vec<String> = self
+            .current
             .keys()
-            .filter(|k| k.starts_with(dir))
+            .filter(|path| path.starts_with(prefix))
             .cloned()
             .collect();
-        let n = v.get(r as usize % v.len().max(1))?.clone();
-        let mut d = self.live.get(&n)?.data.to_vec();
-        let i = (r >> 16) as usize % d.len().max(1);
-        *d.get_mut(i)? ^= 1 << (r % 8);
-        let d = Arc::new(d);
-        self.live.insert(
-            n.clone(),
+        let path = paths.get(random as usize % paths.len().max(1))?.clone();
+        let mut data = self.current.get(&path)?.data.to_vec();
+        let index = (random >> 16) as usize % data.len().max(1);
+        *data.get_mut(index)? ^= 1 << (random % 8);
+        let data = Arc::new(data);
+        self.current.insert(
+            path.clone(),
             File {
-                data: d.clone(),
-                synced: true,
+                data: data.clone(),
+                is_synced: true,
             },
         );
-        self.safe.insert(n.clone(), d);
-        Some(n)
+        self.durable.insert(path.clone(), data);
+        Some(path)
     }
 
+    /// Number of files on the disk.
     pub fn file_count(&self) -> usize {
-        self.live.len()
+        self.current.len()
     }
 
-    /// Names of files in a folder and beneath it.
-    pub fn files_under(&self, dir: &str) -> Vec<String> {
-        self.live
+    /// Paths of the files whose paths start with the prefix.
+    pub fn files_under(&self, prefix: &str) -> Vec<String> {
+        self.current
             .keys()
-            .filter(|k| k.starts_with(dir))
+            .filter(|path| path.starts_with(prefix))
             .cloned()
             .collect()
     }
 
-    /// Syncs a file's contents, or a folder's names.
+    /// Makes the contents of a file, or the names in a directory, durable.
     pub(super) fn sync(&mut self, path: &str) {
         self.sync_count += 1;
         if self.ignores_syncs {
             return;
         }
-        if let Some(file) = self.live.get_mut(path) {
-            file.synced = true;
+        if let Some(file) = self.current.get_mut(path) {
+            file.is_synced = true;
             let data = file.data.clone();
-            self.safe
+            self.durable
                 .get_mut(path)
                 .into_iter()
-                .for_each(|s| *s = data.clone());
+                .for_each(|durable| *durable = data.clone());
             return;
         }
-        let named: Vec<(String, Arc<Vec<u8>>)> = self
-            .live
+        let durable_names: Vec<(String, Arc<Vec<u8>>)> = self
+            .current
             .iter()
-            .filter(|x| is_in(path, x.0))
-            .map(|(k, f)| {
+            .filter(|entry| is_direct_child(path, entry.0))
+            .map(|(name, file)| {
                 (
-                    k.clone(),
-                    if f.synced {
-                        f.data.clone()
+                    name.clone(),
+                    if file.is_synced {
+                        file.data.clone()
                     } else {
-                        self.safe.get(k).cloned().unwrap_or_default()
+                        self.durable.get(name).cloned().unwrap_or_default()
                     },
                 )
             })
             .collect();
-        self.safe.retain(|k, _| !is_in(path, k));
-        self.safe.extend(named);
-        self.safe_folders.retain(|f| !is_in(path, f));
-        self.safe_folders
-            .extend(self.folders.iter().filter(|f| is_in(path, f)).cloned());
+        self.durable.retain(|name, _| !is_direct_child(path, name));
+        self.durable.extend(durable_names);
+        self.durable_directories
+            .retain(|directory| !is_direct_child(path, directory));
+        self.durable_directories.extend(
+            self.directories
+                .iter()
+                .filter(|directory| is_direct_child(path, directory))
+                .cloned(),
+        );
     }
 
-    /// Makes a folder and those above it.
-    pub(super) fn make_folder(&mut self, path: &str) {
-        let mut at = path;
-        while !at.is_empty() {
-            self.folders.insert(at.into());
-            at = parent(at);
+    /// Creates a directory and its missing ancestors.
+    pub(super) fn create_directory(&mut self, path: &str) {
+        let mut directory = path;
+        while !directory.is_empty() {
+            self.directories.insert(directory.into());
+            directory = parent(directory);
         }
     }
 
-    fn has_folder(&self, path: &str) -> bool {
-        path.is_empty() || self.folders.contains(path)
+    fn has_directory(&self, path: &str) -> bool {
+        path.is_empty() || self.directories.contains(path)
     }
 
-    /// Whether there is room for so many bytes more, which then are taken.
-    fn take_room(&mut self, bytes: usize) -> io::Result<()> {
-        let short = self.free_bytes.is_some_and(|room| room < bytes);
-        self.free_bytes = self.free_bytes.map(|room| room.saturating_sub(bytes));
-        if self.full || short {
+    /// Reserves space for so many bytes. Fails if the disk is full or its free space is too small.
+    fn reserve_space(&mut self, bytes: usize) -> io::Result<()> {
+        let is_insufficient = self.free_bytes.is_some_and(|free| free < bytes);
+        self.free_bytes = self.free_bytes.map(|free| free.saturating_sub(bytes));
+        if self.full || is_insufficient {
             Err(io::ErrorKind::StorageFull.into())
         } else {
             Ok(())
         }
     }
 
+    /// Replaces the contents of a file, creating it if it is missing.
     pub(super) fn write(&mut self, path: String, data: Vec<u8>) -> io::Result<()> {
-        self.take_room(data.len())?;
-        if !self.has_folder(parent(&path)) {
+        self.reserve_space(data.len())?;
+        if !self.has_directory(parent(&path)) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        self.live.insert(
+        self.current.insert(
             path,
             File {
                 data: Arc::new(data),
-                synced: false,
+                is_synced: false,
             },
         );
         Ok(())
     }
 
-    /// Tells whether the file is new.
+    /// Appends to a file, creating it if it is missing. Returns whether it was created.
     pub(super) fn append(&mut self, path: String, data: Vec<u8>) -> io::Result<bool> {
-        self.take_room(data.len())?;
-        if !self.has_folder(parent(&path)) {
+        self.reserve_space(data.len())?;
+        if !self.has_directory(parent(&path)) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        let new = !self.live.contains_key(&path);
-        let file = self.live.entry(path).or_default();
-        file.synced = false;
+        let is_new = !self.current.contains_key(&path);
+        let file = self.current.entry(path).or_default();
+        file.is_synced = false;
         Arc::make_mut(&mut file.data).extend(data);
-        Ok(new)
+        Ok(is_new)
     }
 
     pub(super) fn rename(&mut self, from: &str, to: String) -> io::Result<()> {
-        let file = self.live.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        self.live.insert(to, file);
+        let file = self.current.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        self.current.insert(to, file);
         Ok(())
     }
 
     pub(super) fn remove(&mut self, path: &str) -> io::Result<()> {
-        self.live
+        self.current
             .remove(path)
             .map(|_| ())
             .ok_or(io::ErrorKind::NotFound.into())
     }
 
     pub(super) fn read(&self, path: &str) -> io::Result<Vec<u8>> {
-        self.live
+        self.current
             .get(path)
-            .map(|f| f.data.to_vec())
+            .map(|file| file.data.to_vec())
             .ok_or(io::ErrorKind::NotFound.into())
     }
 
-    /// Files directly in the folder.
-    pub(super) fn list(&self, folder: &str) -> io::Result<Vec<String>> {
-        if !self.has_folder(folder) {
+    /// Names of the files directly in the directory.
+    pub(super) fn list(&self, directory: &str) -> io::Result<Vec<String>> {
+        if !self.has_directory(directory) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        let inside = self.live.keys().filter(|k| is_in(folder, k));
-        Ok(inside
-            .map(|k| k.rsplit_once('/').map_or(k.as_str(), |x| x.1).to_string())
+        let children = self
+            .current
+            .keys()
+            .filter(|path| is_direct_child(directory, path));
+        Ok(children
+            .map(|path| {
+                path.rsplit_once('/')
+                    .map_or(path.as_str(), |parts| parts.1)
+                    .to_string()
+            })
             .collect())
     }
 }
--- a/yewcross-testkit/src/sim/host.rs
+++ b/yewcross-testkit/src/sim/host.rs
@@ -1,10 +1,10 @@
-//! The runtime of a simulated process.
+//! The runtime backend of a simulated process.
 
 use super::Sim;
 use super::clock::TimerEvent;
 use super::connection::ConnectionId;
 use super::disk::Disk;
-use super::fingerprint::{DiskKind, DiskStep, Event};
+use super::fingerprint::{DiskOperation, DiskOperationKind, Event};
 use super::listener::SimListener;
 use super::machine::{MachineId, ProcessId};
 use super::stream::SimStream;
@@ -14,41 +14,43 @@
 use yewcross_common::constants::MS;
 use yewcross_common::runtime::{BoxFuture, Connection, FrameFault, Listener, RuntimeBackend};
 
-/// The calendar's ms when a simulation begins.
-const CALENDAR_START_MS: i64 = 1_790_000_000_000;
-/// us after which a connection attempt that nobody answered is sent again.
+/// Wall clock at the start of a simulation, in ms since the Unix epoch.
+const WALL_CLOCK_START_MS: i64 = 1_790_000_000_000;
+/// us after which an unanswered connection attempt is repeated.
 const CONNECT_RETRY: u64 = 200 * MS;
-/// us after which an operation looks again whether its disk still stalls.
+/// us between two checks of a stalled disk.
 const STALL_POLL: u64 = 50 * MS;
-/// us of disk operations, before jitter.
+/// us of a read, a write, an append or a directory listing, before jitter.
 const TRANSFER_TIME: u64 = 60;
-const NAME_CHANGE_TIME: u64 = 20;
-/// us of a sync on a disk without costs, and the most that is added at random.
+/// us of a rename or a removal, before jitter.
+const METADATA_TIME: u64 = 20;
+/// us of a sync on a machine without a configured sync cost.
 const SYNC_TIME: u64 = 400;
+/// us, the largest random addition to `SYNC_TIME`.
 const SYNC_JITTER: u64 = 200;
-/// us, the longest delay of a frame.
+/// us, the exclusive upper bound of a frame's delay.
 const FRAME_DELAY_LIMIT: u64 = 300 * MS;
-/// The port that connections seem to come from.
+/// The source port that all connections show to the accepting process.
 const CLIENT_PORT: u16 = 1;
 
-/// Runs a process on a machine of the simulation.
+/// The runtime of one process on a machine of the simulation.
 #[derive(Clone)]
 pub struct SimHost {
     sim: Sim,
     process: ProcessId,
 }
 
-/// What a connection attempt meets.
-enum Route {
-    /// No machine with power has the address: packets vanish.
-    Unknown,
-    /// A partition or a frozen machine: nobody answers for now.
-    Silent,
-    /// Answers after so many us.
+/// What a connection attempt finds at its address.
+enum Reachability {
+    /// No machine with power has the address: packets are lost.
+    NoHost,
+    /// The machine is partitioned or frozen: it does not answer now.
+    Unresponsive,
+    /// The machine answers after so many us.
     Reachable { machine: MachineId, round_trip: u64 },
 }
 
-/// A power loss that a sync sets off, in so many us.
+/// us until the power loss that a sync triggers, if it triggers one.
 type PowerLossDelay = Option<u64>;
 
 impl SimHost {
@@ -56,21 +58,21 @@
         SimHost { sim, process }
     }
 
-    fn probe(&self, to: SocketAddr) -> Route {
+    fn probe(&self, to: SocketAddr) -> Reachability {
         let mut world = self.sim.world();
         let own = self.process.machine;
         let Some(machine) = world.machine_at(to.ip()) else {
-            world.record(own, Event::Unheard { at: to });
-            return Route::Unknown;
+            world.record(own, Event::Unreachable { at: to });
+            return Reachability::NoHost;
         };
         let round_trip = world.latency(own, machine) + world.latency(machine, own);
-        let is_silent = world.is_blocked(own, machine)
+        let is_unresponsive = world.is_blocked(own, machine)
             || world.is_blocked(machine, own)
             || world.machines[machine].is_frozen;
-        if is_silent {
-            Route::Silent
+        if is_unresponsive {
+            Reachability::Unresponsive
         } else {
-            Route::Reachable {
+            Reachability::Reachable {
                 machine,
                 round_trip,
             }
@@ -80,9 +82,9 @@
     async fn connect_to(self, to: SocketAddr) -> io::Result<Connection> {
         loop {
             match self.probe(to) {
-                Route::Unknown => std::future::pending::<()>().await,
-                Route::Silent => self.sim.sleep_for(CONNECT_RETRY).await,
-                Route::Reachable {
+                Reachability::NoHost => std::future::pending::<()>().await,
+                Reachability::Unresponsive => self.sim.sleep_for(CONNECT_RETRY).await,
+                Reachability::Reachable {
                     machine,
                     round_trip,
                 } => {
@@ -93,32 +95,32 @@
         }
     }
 
-    /// Opens a connection to the listener on the machine, or is refused.
+    /// Opens a connection to the listener at the address. Refused if the machine has none there.
     fn open(&self, to: SocketAddr, machine: MachineId) -> io::Result<Connection> {
         let own = self.process.machine;
         let mut world = self.sim.world();
-        let listening = world.listeners.get(&to).map(|listener| listener.process);
-        let Some(peer) = listening.filter(|process| process.machine == machine) else {
+        let listener_process = world.listeners.get(&to).map(|listener| listener.process);
+        let Some(peer) = listener_process.filter(|process| process.machine == machine) else {
             let name = world.machines[machine].name.clone();
             let event = Event::Refused { to: &name, at: to };
             world.record(own, event);
             return Err(io::ErrorKind::ConnectionRefused.into());
         };
         let id = world.open_connection([self.process, peer]);
-        world.record_on(id, 0, |number, name| Event::Opened {
+        world.record_connection_event(id, 0, |number, name| Event::Opened {
             connection: number,
             to: name,
             at: to,
         });
         let from = SocketAddr::new(world.machines[own].ip, CLIENT_PORT);
         let accepted = self.stream(id, 1, from);
-        let acceptor = world
+        let acceptor_waker = world
             .listeners
             .get_mut(&to)
             .and_then(|listener| listener.push(accepted));
         drop(world);
-        if let Some(acceptor) = acceptor {
-            acceptor.wake();
+        if let Some(waker) = acceptor_waker {
+            waker.wake();
         }
         Ok(self.stream(id, 0, to))
     }
@@ -128,23 +130,23 @@
         Connection::new(Arc::new(stream), peer)
     }
 
-    /// Runs a disk operation that takes so many us and up to half as many more.
-    fn on_disk<T: Send + 'static>(
+    /// Runs a disk operation that takes so many us and a random addition of up to half of them.
+    fn run_disk_operation<T: Send + 'static>(
         &self,
         us: u64,
-        step: DiskStep,
-        operation: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
+        operation: DiskOperation,
+        action: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
     ) -> BoxFuture<'static, io::Result<T>> {
         let jitter = self.sim.rand() % (us / 2 + 1);
-        self.on_disk_for(us + jitter, step, operation)
+        self.run_disk_operation_for(us + jitter, operation, action)
     }
 
-    /// Runs a disk operation that takes so many us on a disk of usual speed.
-    fn on_disk_for<T: Send + 'static>(
+    /// Runs a disk operation that takes so many us on a disk without slowdown.
+    fn run_disk_operation_for<T: Send + 'static>(
         &self,
         us: u64,
-        step: DiskStep,
-        operation: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
+        operation: DiskOperation,
+        action: impl FnOnce(&mut Disk) -> io::Result<T> + Send + 'static,
     ) -> BoxFuture<'static, io::Result<T>> {
         let sim = self.sim.clone();
         let machine = self.process.machine;
@@ -158,11 +160,11 @@
                 if disk.failing {
                     Err(io::Error::other("input/output error"))
                 } else {
-                    operation(disk)
+                    action(disk)
                 }
             });
-            let event = Event::Stored {
-                step: &step,
+            let event = Event::DiskAccessed {
+                operation: &operation,
                 ok: result.is_ok(),
             };
             sim.world().record(machine, event);
@@ -170,7 +172,7 @@
         })
     }
 
-    /// Waits until the machine's disk has done the syncs before this one and this one.
+    /// Waits until the machine's disk has completed the syncs queued before this one, and this one.
     async fn wait_for_disk(sim: &Sim, machine: MachineId, sync_us: u64) {
         let until = {
             let mut world = sim.world();
@@ -183,7 +185,8 @@
     }
 }
 
-/// Syncs the path and counts down to the power loss that is planned after so many syncs.
+/// Syncs the path and counts the sync towards the planned power loss. Returns the delay of the power
+/// loss if this sync triggers it.
 fn sync_and_count(disk: &mut Disk, path: &str) -> PowerLossDelay {
     disk.sync(path);
     let (syncs_left, delay) = disk.planned_power_loss.as_mut()?;
@@ -205,7 +208,7 @@
         let world = self.sim.world();
         let elapsed_ms = (world.now / MS) as i64;
         let skew_ms = world.machines[self.process.machine].clock_skew_ms;
-        (CALENDAR_START_MS + elapsed_ms + skew_ms) as u64
+        (WALL_CLOCK_START_MS + elapsed_ms + skew_ms) as u64
     }
 
     fn random(&self) -> u64 {
@@ -246,9 +249,9 @@
     }
 
     fn write_file(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
-        let step = DiskStep::new(DiskKind::Put, path, &data);
+        let operation = DiskOperation::new(DiskOperationKind::Write, path, &data);
         let path = path.to_string();
-        self.on_disk(TRANSFER_TIME, step, move |disk| disk.write(path, data))
+        self.run_disk_operation(TRANSFER_TIME, operation, move |disk| disk.write(path, data))
     }
 
     fn sync(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
@@ -260,14 +263,15 @@
         } else {
             SYNC_TIME + sim.rand() % (SYNC_JITTER + 1)
         };
-        let step = DiskStep::new(DiskKind::Sync, path, &[]);
+        let operation = DiskOperation::new(DiskOperationKind::Sync, path, &[]);
         let path = path.to_string();
-        let synced = self.on_disk_for(us, step, move |disk| Ok(sync_and_count(disk, &path)));
+        let disk_sync =
+            self.run_disk_operation_for(us, operation, move |disk| Ok(sync_and_count(disk, &path)));
         Box::pin(async move {
             if sync_us > 0 {
                 SimHost::wait_for_disk(&sim, machine, sync_us).await;
             }
-            if let Some(delay) = synced.await? {
+            if let Some(delay) = disk_sync.await? {
                 let mut world = sim.world();
                 let at = world.now + delay;
                 world.schedule(at, TimerEvent::LosePower(machine));
@@ -277,73 +281,78 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> BoxFuture<'static, io::Result<()>> {
-        let step = DiskStep::new(DiskKind::Rename, from, to.as_bytes());
+        let operation = DiskOperation::new(DiskOperationKind::Rename, from, to.as_bytes());
         let (from, to) = (from.to_string(), to.to_string());
-        self.on_disk(NAME_CHANGE_TIME, step, move |disk| disk.rename(&from, to))
+        self.run_disk_operation(METADATA_TIME, operation, move |disk| disk.rename(&from, to))
     }
 
     fn write_durably(
         &self,
-        aside: &str,
-        at: &str,
-        dir: &str,
+        temporary_path: &str,
+        path: &str,
+        directory: &str,
         data: Vec<u8>,
     ) -> BoxFuture<'static, io::Result<()>> {
         let host = self.clone();
-        let aside = aside.to_string();
-        let at = at.to_string();
-        let dir = dir.to_string();
+        let temporary_path = temporary_path.to_string();
+        let path = path.to_string();
+        let directory = directory.to_string();
         Box::pin(async move {
-            host.write_file(&aside, data).await?;
-            host.sync(&aside).await?;
-            host.rename(&aside, &at).await?;
-            host.sync(&dir).await
+            host.write_file(&temporary_path, data).await?;
+            host.sync(&temporary_path).await?;
+            host.rename(&temporary_path, &path).await?;
+            host.sync(&directory).await
         })
     }
 
     fn remove(&self, path: &str) -> BoxFuture<'static, io::Result<()>> {
-        let step = DiskStep::new(DiskKind::Remove, path, &[]);
+        let operation = DiskOperation::new(DiskOperationKind::Remove, path, &[]);
         let path = path.to_string();
-        self.on_disk(NAME_CHANGE_TIME, step, move |disk| disk.remove(&path))
+        self.run_disk_operation(METADATA_TIME, operation, move |disk| disk.remove(&path))
     }
 
     fn append(&self, path: &str, data: Vec<u8>) -> BoxFuture<'static, io::Result<()>> {
-        let step = DiskStep::new(DiskKind::Append, path, &data);
+        let operation = DiskOperation::new(DiskOperationKind::Append, path, &data);
         let file = path.to_string();
-        let folder = path.rsplit_once('/').map_or("", |(folder, _)| folder);
-        let appended = self.on_disk(TRANSFER_TIME, step, move |disk| disk.append(file, data));
-        // Both draw their times now, whether or not the folder needs its sync.
-        let content_synced = self.sync(path);
-        let name_synced = self.sync(folder);
+        let directory = path.rsplit_once('/').map_or("", |(directory, _)| directory);
+        let content_append = self.run_disk_operation(TRANSFER_TIME, operation, move |disk| {
+            disk.append(file, data)
+        });
+        // Both syncs draw their durations here, whether or not the directory's sync is then awaited, so
+        // that the random numbers drawn do not depend on it.
+        let content_sync = self.sync(path);
+        let directory_sync = self.sync(directory);
         Box::pin(async move {
-            let is_new = appended.await?;
-            content_synced.await?;
-            if is_new { name_synced.await } else { Ok(()) }
+            let is_new = content_append.await?;
+            content_sync.await?;
+            if is_new { directory_sync.await } else { Ok(()) }
         })
     }
 
     fn read_file(&self, path: &str) -> BoxFuture<'static, io::Result<Vec<u8>>> {
-        let step = DiskStep::new(DiskKind::Get, path, &[]);
+        let operation = DiskOperation::new(DiskOperationKind::Read, path, &[]);
         let path = path.to_string();
-        self.on_disk(TRANSFER_TIME, step, move |disk| disk.read(&path))
+        self.run_disk_operation(TRANSFER_TIME, operation, move |disk| disk.read(&path))
     }
 
-    fn list(&self, dir: &str) -> BoxFuture<'static, io::Result<Vec<String>>> {
-        let step = DiskStep::new(DiskKind::List, dir, &[]);
-        let dir = dir.to_string();
-        self.on_disk(TRANSFER_TIME, step, move |disk| disk.list(&dir))
+    fn list(&self, directory: &str) -> BoxFuture<'static, io::Result<Vec<String>>> {
+        let operation = DiskOperation::new(DiskOperationKind::List, directory, &[]);
+        let directory = directory.to_string();
+        self.run_disk_operation(TRANSFER_TIME, operation, move |disk| disk.list(&directory))
     }
 
-    fn mkdir(&self, dir: &str) -> BoxFuture<'static, io::Result<()>> {
-        let step = DiskStep::new(DiskKind::MakeFolder, dir, &[]);
-        let dir = dir.to_string();
-        self.on_disk_for(0, step, move |disk| {
-            disk.make_folder(&dir);
+    fn mkdir(&self, directory: &str) -> BoxFuture<'static, io::Result<()>> {
+        let operation = DiskOperation::new(DiskOperationKind::CreateDirectory, directory, &[]);
+        let directory = directory.to_string();
+        self.run_disk_operation_for(0, operation, move |disk| {
+            disk.create_directory(&directory);
             Ok(())
         })
     }
 
     fn log(&self, line: &str) {
-        self.sim.world().note_of(self.process.machine, line);
+        self.sim
+            .world()
+            .append_machine_log(self.process.machine, line);
     }
 }
--- a/yewcross-testkit/src/sim/listener.rs
+++ b/yewcross-testkit/src/sim/listener.rs
@@ -13,16 +13,16 @@
 
 pub(super) struct ListenerState {
     pub(super) process: ProcessId,
-    /// Connections that were opened and not yet accepted.
+    /// Connections that are opened and not yet accepted.
     backlog: VecDeque<Connection>,
-    acceptor: Option<Waker>,
+    acceptor_waker: Option<Waker>,
 }
 
 impl ListenerState {
-    /// Adds a connection to the backlog. Returns the task that waits for one.
+    /// Adds a connection to the backlog. Returns the waker of the task that waits for one.
     pub(super) fn push(&mut self, connection: Connection) -> Option<Waker> {
         self.backlog.push_back(connection);
-        self.acceptor.take()
+        self.acceptor_waker.take()
     }
 }
 
@@ -32,28 +32,28 @@
 }
 
 impl SimListener {
-    /// Listens at the address, if nobody does yet.
+    /// Listens at the address. Fails if it is in use.
     pub(super) fn bind(
         sim: &Sim,
         process: ProcessId,
         address: SocketAddr,
     ) -> io::Result<SimListener> {
         let mut world = sim.world();
-        let is_taken = world.listeners.contains_key(&address);
-        if !is_taken {
+        let is_in_use = world.listeners.contains_key(&address);
+        if !is_in_use {
             let state = ListenerState {
                 process,
                 backlog: VecDeque::new(),
-                acceptor: None,
+                acceptor_waker: None,
             };
             world.listeners.insert(address, state);
         }
         let event = Event::Bound {
             at: address,
-            ok: !is_taken,
+            ok: !is_in_use,
         };
         world.record(process.machine, event);
-        if is_taken {
+        if is_in_use {
             return Err(io::ErrorKind::AddrInUse.into());
         }
         Ok(SimListener {
@@ -70,14 +70,14 @@
 
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<Connection>> {
         let mut world = self.0.sim.world();
-        // Absent once the process was killed: its tasks are about to be dropped.
+        // Absent if the process was killed; its tasks are about to be dropped.
         let Some(state) = world.listeners.get_mut(&self.0.address) else {
             return Poll::Pending;
         };
         if let Some(connection) = state.backlog.pop_front() {
             return Poll::Ready(Ok(connection));
         }
-        state.acceptor = Some(context.waker().clone());
+        state.acceptor_waker = Some(context.waker().clone());
         Poll::Pending
     }
 }
@@ -97,7 +97,7 @@
             world.record(state.process.machine, event);
         }
         drop(world);
-        // Closes the backlog, which takes the lock.
+        // Closes the connections of the backlog. Their destructors lock the world.
         drop(state);
     }
 }
--- a/yewcross-testkit/src/sim/machine.rs
+++ b/yewcross-testkit/src/sim/machine.rs
@@ -1,4 +1,4 @@
-//! Machines: their power, their processes and their calendars.
+//! Machines: their power, their processes and their wall clocks.
 
 use super::connection::{ConnectionId, Side};
 use super::disk::Disk;
@@ -13,14 +13,14 @@
 use std::task::Waker;
 use yewcross_common::runtime::Runtime;
 
-/// Index of a machine, by the order in which they were added.
+/// Index of a machine, in the order in which machines were added.
 pub type MachineId = usize;
 
-/// A process, of which a machine runs one at a time.
+/// Identifies a process. A machine runs one process at a time.
 #[derive(Clone, Copy)]
 pub(super) struct ProcessId {
     pub(super) machine: MachineId,
-    /// Counts the machine's starts of a process.
+    /// Number of the process among those started on the machine, from 1.
     pub(super) incarnation: u32,
 }
 
@@ -33,10 +33,10 @@
     pub(super) has_power: bool,
     pub(super) is_frozen: bool,
     /// Tasks that became runnable while the machine was frozen.
-    pub(super) parked: Vec<TaskId>,
+    pub(super) deferred_tasks: Vec<TaskId>,
     pub(super) processor: Processor,
     pub(super) disk: Disk,
-    /// ms added to the calendar.
+    /// ms by which the wall clock differs from the simulation's.
     pub(super) clock_skew_ms: i64,
 }
 
@@ -50,7 +50,7 @@
             is_process_running: false,
             has_power: true,
             is_frozen: false,
-            parked: vec![],
+            deferred_tasks: vec![],
             processor: Processor::default(),
             disk: Disk::default(),
             clock_skew_ms: 0,
@@ -62,11 +62,12 @@
     }
 }
 
-/// What a killed process owned. The destructors take the lock, so they run unlocked.
-struct Remains {
+/// What a killed process owned. The destructors lock the world, so it is dropped after the lock is
+/// released.
+struct ProcessResources {
     tasks: Vec<Task>,
     listeners: Vec<ListenerState>,
-    /// Peers that wait for room to write.
+    /// Wakers of the peers that wait for space to write.
     blocked_writers: Vec<Waker>,
 }
 
@@ -76,17 +77,17 @@
         machine.is_up() && machine.incarnation == process.incarnation
     }
 
-    /// Writes the line to the log under the machine's name.
-    pub(super) fn note_of(&mut self, machine: MachineId, line: &str) {
+    /// Appends a line to the log under the machine's name.
+    pub(super) fn append_machine_log(&mut self, machine: MachineId, line: &str) {
         let name = self.machines[machine].name.clone();
-        self.note(&name, line);
+        self.append_log(&name, line);
     }
 
     fn stop_process(&mut self, machine: MachineId) {
         let machine = &mut self.machines[machine];
         machine.is_process_running = false;
         machine.is_frozen = false;
-        machine.parked.clear();
+        machine.deferred_tasks.clear();
         machine.processor.clear();
     }
 
@@ -111,22 +112,22 @@
             .collect()
     }
 
-    /// The ends of connections that stand on the machine.
-    fn ends_on(&self, machine: MachineId) -> Vec<(ConnectionId, Side)> {
-        let mut ends = vec![];
+    /// The endpoints of connections on the machine.
+    fn endpoints_on(&self, machine: MachineId) -> Vec<(ConnectionId, Side)> {
+        let mut endpoints = vec![];
         for (id, connection) in &self.connections {
             for side in 0..2 {
-                if connection.ends[side].machine == machine {
-                    ends.push((*id, side));
+                if connection.endpoints[side].machine == machine {
+                    endpoints.push((*id, side));
                 }
             }
         }
-        ends
+        endpoints
     }
 
-    /// Ends the machine's process and returns what it owned. Without power nobody resets its
-    /// connections.
-    fn end_process(&mut self, machine: MachineId, loses_power: bool) -> Remains {
+    /// Ends the machine's process and returns what it owned. Its connections are reset unless the
+    /// machine loses power.
+    fn end_process(&mut self, machine: MachineId, loses_power: bool) -> ProcessResources {
         self.stop_process(machine);
         if loses_power {
             self.cut_power(machine);
@@ -134,8 +135,9 @@
         let tasks = self.take_tasks(machine);
         let listeners = self.take_listeners(machine);
         let mut blocked_writers = vec![];
-        for (connection, side) in self.ends_on(machine) {
-            // Drawn with and without power: the draws that follow depend on it.
+        for (connection, side) in self.endpoints_on(machine) {
+            // The latency is also drawn if the machine loses power, so that the random numbers drawn
+            // later do not depend on it.
             let Some(route) = self.route(connection, side) else {
                 continue;
             };
@@ -143,7 +145,7 @@
                 blocked_writers.extend(self.reset(connection, side, &route));
             }
         }
-        Remains {
+        ProcessResources {
             tasks,
             listeners,
             blocked_writers,
@@ -159,7 +161,7 @@
         world.machines.len() - 1
     }
 
-    /// The machine of that name; the latest, if there are several.
+    /// The machine of that name; the one added last if there are several.
     ///
     /// # Panics
     /// If there is none.
@@ -168,7 +170,7 @@
             .machines
             .iter()
             .rposition(|machine| machine.name == name)
-            .unwrap_or_else(|| panic!("no machine {name}"))
+            .unwrap_or_else(|| panic!("no machine is named {name}"))
     }
 
     /// Starts a process on the machine.
@@ -183,7 +185,7 @@
         self.runtime_of(machine)
     }
 
-    /// The runtime of the process that runs on the machine, for more tasks of that process.
+    /// The runtime of the machine's current process, to start further tasks of that process.
     pub fn runtime_of(&self, machine: MachineId) -> Runtime {
         let incarnation = self.world().machines[machine].incarnation;
         let process = ProcessId {
@@ -193,7 +195,7 @@
         Runtime(Arc::new(SimHost::new(self.clone(), process)))
     }
 
-    /// Whether the machine has power and a process.
+    /// Whether the machine has power and runs a process.
     pub fn is_up(&self, machine: MachineId) -> bool {
         self.world().machines[machine].is_up()
     }
@@ -203,30 +205,30 @@
         self.world().machines[machine].site.clone()
     }
 
-    /// Moves the machine's calendar by so many ms from the true one.
+    /// Sets by how many ms the machine's wall clock differs from the simulation's.
     pub fn set_clock_skew(&self, machine: MachineId, ms: i64) {
         self.world().machines[machine].clock_skew_ms = ms;
     }
 
-    /// Ends the process. With `loses_power` the machine goes too: its peers see no reset, and
-    /// unsynced bytes may be lost.
+    /// Ends the process. With `loses_power` the machine also loses power: its peers receive no reset,
+    /// and data that was not synced may be lost.
     pub fn kill(&self, machine: MachineId, loses_power: bool) {
         let mut world = self.world();
         if loses_power {
-            world.note_of(machine, "loses power");
+            world.append_machine_log(machine, "loses power");
             world.record(machine, Event::LostPower);
         } else {
-            world.note_of(machine, "killed");
+            world.append_machine_log(machine, "killed");
             world.record(machine, Event::Killed);
         }
-        let remains = world.end_process(machine, loses_power);
+        let resources = world.end_process(machine, loses_power);
         drop(world);
-        remains.blocked_writers.into_iter().for_each(Waker::wake);
-        drop(remains.tasks);
-        drop(remains.listeners);
+        resources.blocked_writers.into_iter().for_each(Waker::wake);
+        drop(resources.tasks);
+        drop(resources.listeners);
     }
 
-    /// Gives the machine power again; its process is not started.
+    /// Restores the machine's power. No process is started.
     pub fn power_on(&self, machine: MachineId) {
         self.world().machines[machine].has_power = true;
     }
@@ -234,30 +236,30 @@
     /// Replaces the machine's disk by an empty one.
     pub fn wipe_disk(&self, machine: MachineId) {
         let mut world = self.world();
-        world.note_of(machine, "loses its disk");
+        world.append_machine_log(machine, "disk wiped");
         world.record(machine, Event::LostDisk);
         world.machines[machine].disk = Disk::default();
     }
 
-    /// Stops the machine's process without ending it.
+    /// Suspends the machine's process.
     pub fn freeze(&self, machine: MachineId) {
         let mut world = self.world();
-        world.note_of(machine, "freezes");
-        world.record(machine, Event::Froze);
+        world.append_machine_log(machine, "process frozen");
+        world.record(machine, Event::Frozen);
         world.machines[machine].is_frozen = true;
     }
 
-    /// Continues a frozen process.
+    /// Resumes a frozen process and makes its deferred tasks runnable.
     pub fn thaw(&self, machine: MachineId) {
         let mut world = self.world();
-        world.note_of(machine, "wakes");
-        world.record(machine, Event::Woke);
+        world.append_machine_log(machine, "process resumed");
+        world.record(machine, Event::Resumed);
         let state = &mut world.machines[machine];
         state.is_frozen = false;
-        let parked = std::mem::take(&mut state.parked);
+        let deferred = std::mem::take(&mut state.deferred_tasks);
         drop(world);
         let mut run_queue = self.run_queue.lock().unwrap();
-        parked.into_iter().for_each(|task| run_queue.push(task));
+        deferred.into_iter().for_each(|task| run_queue.push(task));
     }
 
     /// Calls `access` with the machine's disk.
--- a/yewcross-testkit/src/sim/mod.rs
+++ b/yewcross-testkit/src/sim/mod.rs
@@ -1,12 +1,12 @@
-//! A deterministic simulator: many machines in one thread, with virtual time, faults, and every
-//! choice drawn from one seed.
+//! A deterministic simulator: many machines in one thread, with virtual time, injected faults, and
+//! every random choice drawn from one seed.
 //!
-//! `scheduler` polls tasks and `clock` moves time; `machine`, `processor` and `disk` are what a
-//! process runs on; `network`, `connection`, `stream` and `listener` what it talks over. `host`
-//! offers all of it to a process as its runtime. `fingerprint` digests what happens.
+//! `scheduler` polls tasks and `clock` advances virtual time. `machine`, `processor` and `disk`
+//! simulate the hardware; `network`, `connection`, `stream` and `listener` the network. `host`
+//! provides all of it to a process as its runtime. `fingerprint` computes a digest of the events.
 //!
 //! One lock guards the world. Wakers and destructors call back into the simulator, so they run
-//! after it is released.
+//! after the lock is released.
 
 mod clock;
 mod connection;
@@ -36,28 +36,28 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Bytes that a connection takes before its reader must read, unless set otherwise.
+/// Unread bytes that a connection holds at most, unless set otherwise.
 const DEFAULT_RECEIVE_WINDOW: usize = 256 << 10;
 
-/// A line of the log: when (us), whose, and what.
+/// A line of the log: its time (us), its source and its text.
 pub type LogLine = (u64, String, String);
 
-/// How much the world contains.
+/// Numbers of objects in the world.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectCounts {
     /// Tasks of all processes.
     pub tasks: usize,
-    /// Connections that an end still holds.
+    /// Connections of which at least one endpoint is open.
     pub connections: usize,
     /// Files on all disks.
     pub files: usize,
 }
 
 struct World {
-    /// us
+    /// Virtual time, us.
     now: u64,
     random: fastrand::Rng,
-    /// Of tasks, timers and connections together.
+    /// The last id assigned; tasks, timers and connections share one sequence.
     latest_id: u64,
     tasks: BTreeMap<TaskId, Task>,
     timers: Timers,
@@ -65,9 +65,9 @@
     listeners: BTreeMap<SocketAddr, ListenerState>,
     connections: BTreeMap<ConnectionId, ConnectionState>,
     connections_opened: u64,
-    /// Pairs of machines whose traffic, from the first to the second, is held back.
+    /// Pairs of machines whose traffic from the first to the second is blocked.
     blocked: BTreeSet<(usize, usize)>,
-    /// us between sites, one way.
+    /// One-way latency between sites, us.
     site_latency: u64,
     receive_window: usize,
     conditions: NetworkConditions,
@@ -75,7 +75,7 @@
     /// Digest of the log.
     log_hash: u64,
     fingerprint: Fingerprint,
-    /// Polls so far, also those that a frozen machine put off.
+    /// Polls of tasks so far, including those that a frozen machine deferred.
     polls: u64,
 }
 
@@ -85,7 +85,7 @@
         self.latest_id
     }
 
-    fn note(&mut self, source: &str, line: &str) {
+    fn append_log(&mut self, source: &str, line: &str) {
         self.log_hash = yewcross_common::hash::rendezvous_weight(
             &format!("{} {source} {line}", self.now),
             &self.log_hash.to_string(),
@@ -93,7 +93,7 @@
         self.log.push((self.now, source.into(), line.into()));
     }
 
-    /// Takes what the machine does into the fingerprint.
+    /// Adds an event on the machine to the fingerprint.
     fn record(&mut self, machine: MachineId, event: Event) {
         let name = &self.machines[machine].name;
         self.fingerprint.add(self.now, name, event);
@@ -104,12 +104,12 @@
 #[derive(Clone)]
 pub struct Sim {
     world: Arc<Mutex<World>>,
-    /// Apart from the world: wakers use it while the world may be locked.
+    /// Has a lock of its own, because wakers use it while the world may be locked.
     run_queue: Arc<Mutex<RunQueue>>,
 }
 
 impl Sim {
-    /// A world without machines, whose sites are `site_latency` us apart.
+    /// A world without machines, with a one-way latency between sites of `site_latency` us.
     pub fn new(seed: u64, site_latency: u64) -> Sim {
         let world = World {
             now: 1,
@@ -140,7 +140,7 @@
         self.world.lock().unwrap()
     }
 
-    /// A random number from the world's seed.
+    /// Draws a random number from the world's generator.
     pub fn rand(&self) -> u64 {
         self.world().random.u64(..)
     }
@@ -150,13 +150,13 @@
         self.world().log.clone()
     }
 
-    /// Digest of all lines logged so far, in their words.
+    /// Digest of all lines logged so far, including their text.
     pub fn log_hash(&self) -> u64 {
         self.world().log_hash
     }
 
-    /// Digest of what the machines did on connections and disks, and when. What is logged does not
-    /// enter.
+    /// Digest of the events on machines, connections and disks and of their times. It does not depend
+    /// on the log.
     pub fn fingerprint(&self) -> u128 {
         self.world().fingerprint.value()
     }
@@ -166,18 +166,22 @@
         self.world().polls
     }
 
-    /// Writes a line to the log in the test's own name.
+    /// Appends a line to the log on behalf of the test.
     pub fn append_log(&self, line: &str) {
-        self.world().note("lab", line);
+        self.world().append_log("lab", line);
     }
 
-    /// How much the world contains.
+    /// Counts the objects in the world.
     pub fn object_counts(&self) -> ObjectCounts {
         let world = self.world();
         ObjectCounts {
             tasks: world.tasks.len(),
             connections: world.connections.len(),
-            files: world.machines.iter().map(|m| m.disk.file_count()).sum(),
+            files: world
+                .machines
+                .iter()
+                .map(|machine| machine.disk.file_count())
+                .sum(),
         }
     }
 }
--- a/yewcross-testkit/src/sim/network.rs
+++ b/yewcross-testkit/src/sim/network.rs
@@ -1,30 +1,30 @@
-//! The network between machines: latency, partitions and bad conditions.
+//! The network between machines: latency, partitions, and loss, duplication and delay of frames.
 
 use super::fingerprint::Event;
 use super::machine::MachineId;
 use super::{Sim, World};
 use std::net::IpAddr;
 
-/// us between two processes of one machine, one way.
+/// One-way latency within one machine, us.
 const LATENCY_WITHIN_MACHINE: u64 = 10;
-/// us between two machines of one site, one way.
+/// One-way latency between two machines of one site, us.
 const LATENCY_WITHIN_SITE: u64 = 100;
 
-/// How badly the network behaves; well by default.
+/// Rates at which the network disturbs traffic; 0 by default.
 #[derive(Clone, Copy, Default)]
 pub struct NetworkConditions {
-    /// Frames between our processes that are dropped, of a thousand.
+    /// Frames between the system's processes that are dropped, per 1000.
     pub drop_per_mille: u64,
-    /// Frames that are delivered twice, of a thousand.
+    /// Frames that are delivered twice, per 1000.
     pub duplicate_per_mille: u64,
-    /// Frames that are delayed, of a thousand.
+    /// Frames that are delayed, per 1000.
     pub delay_per_mille: u64,
-    /// us, the largest extra delay of any chunk.
+    /// Largest extra delay of a chunk, in addition to the usual jitter, us.
     pub max_jitter: u64,
 }
 
 impl World {
-    /// Draws how long bytes take from one machine to another, in us.
+    /// Draws the one-way latency from one machine to another, us.
     pub(super) fn latency(&mut self, from: MachineId, to: MachineId) -> u64 {
         let base = if from == to {
             LATENCY_WITHIN_MACHINE
@@ -40,7 +40,7 @@
         self.blocked.contains(&(from, to))
     }
 
-    /// The machine with that address that has power.
+    /// The machine with that address and power; the one added last if there are several.
     pub(super) fn machine_at(&self, ip: IpAddr) -> Option<MachineId> {
         self.machines
             .iter()
@@ -49,22 +49,22 @@
 }
 
 impl Sim {
-    /// Sets how the network behaves from now on.
+    /// Sets the conditions of the network from now on.
     pub fn set_network_conditions(&self, conditions: NetworkConditions) {
         self.world().conditions = conditions;
     }
 
-    /// Sets how many bytes a connection takes before its reader must read.
+    /// Sets how many unread bytes a connection holds at most.
     pub fn set_receive_window(&self, bytes: usize) {
         self.world().receive_window = bytes;
     }
 
-    /// Holds back what flows from one machine to another until `heal`.
+    /// Delays all traffic from one machine to another until `heal`.
     pub fn block(&self, from: MachineId, to: MachineId) {
         self.world().blocked.insert((from, to));
     }
 
-    /// Blocks both ways between each machine of one group and each of the other.
+    /// Blocks the traffic in both directions between each machine of one group and each of the other.
     pub fn partition(&self, group: &[MachineId], others: &[MachineId]) {
         for machine in group {
             for other in others.iter().filter(|other| *other != machine) {
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Ends all partitions and delivers what they held back.
+    /// Ends all partitions and delivers the traffic that they delayed.
     pub fn heal(&self) {
         let mut world = self.world();
         world.blocked.clear();
-        world.note("lab", "cuts heal");
+        world.append_log("lab", "partitions healed");
         let now = world.now;
         world.fingerprint.add(now, "", Event::Healed);
         let connections: Vec<_> = world.connections.keys().copied().collect();
         for connection in connections {
             for side in 0..2 {
-                world.release_held(connection, side);
+                world.release_delayed(connection, side);
             }
         }
     }
--- a/yewcross-testkit/src/sim/processor.rs
+++ b/yewcross-testkit/src/sim/processor.rs
@@ -1,4 +1,5 @@
-//! What a machine's work costs: one processor that runs a task at a time, and a disk that syncs.
+//! The cost of a machine's work: a processor that runs one task at a time, and a disk that performs
+//! one sync at a time.
 
 use super::Sim;
 use super::clock::TimerEvent;
@@ -7,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Costs of a machine's work. All 0 by default: its processor is free and a sync takes about
-/// 400 us.
+/// Costs of a machine's work. All 0 by default: processor time costs nothing, and a sync takes 400 to
+/// 600 us.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MachineCosts {
-    /// Percent of a core that the machine has; 0: its processor is free.
+    /// Share of a core that the machine has, percent; 0: processor time costs nothing.
     #[serde(rename = "share")]
     pub core_percent: u64,
-    /// us of a whole core for each poll of a task.
+    /// Core time of each poll of a task, us.
     #[serde(rename = "wake")]
     pub poll_us: u64,
-    /// ns of a whole core for each byte read from or written to a connection.
+    /// Core time of each byte read from or written to a connection, ns.
     #[serde(rename = "byte")]
     pub byte_ns: u64,
-    /// us that a sync occupies the disk, one at a time; 0: 400 us and up to half of it, all at
-    /// once.
+    /// Time that a sync occupies the disk, us; syncs run one at a time. 0: each sync takes 400 us and a
+    /// random addition of up to 200 us, and syncs run concurrently.
     #[serde(rename = "sync")]
     pub sync_us: u64,
 }
@@ -37,9 +38,9 @@
     queued: BTreeSet<TaskId>,
     /// Whether a timer is set for the head of the queue.
     is_timer_set: bool,
-    /// Moved over connections in the poll under way.
-    bytes_moved: u64,
-    /// us of a whole core, in total.
+    /// Bytes read from or written to connections in the current poll.
+    poll_bytes: u64,
+    /// Core time charged so far, us.
     used_us: u64,
     disk_busy_until: u64,
 }
@@ -63,19 +64,19 @@
     }
 
     pub(super) fn begin_poll(&mut self) {
-        self.bytes_moved = 0;
+        self.poll_bytes = 0;
     }
 
-    /// Counts bytes that the poll under way moves over a connection.
+    /// Counts bytes that the current poll reads from or writes to a connection.
     pub(super) fn count_bytes(&mut self, bytes: usize) {
-        self.bytes_moved += bytes as u64;
+        self.poll_bytes += bytes as u64;
     }
 
-    /// Charges the poll that just ended.
+    /// Charges the poll that just ended to the processor.
     pub(super) fn end_poll(&mut self, now: u64) {
         let costs = self.costs;
         let used = if costs.core_percent > 0 {
-            costs.poll_us + self.bytes_moved * costs.byte_ns / 1000
+            costs.poll_us + self.poll_bytes * costs.byte_ns / 1000
         } else {
             0
         };
@@ -84,7 +85,7 @@
         self.busy_until = now + elapsed;
     }
 
-    /// Drops all waiting work, as the end of the process does.
+    /// Discards all queued tasks when the process ends.
     pub(super) fn clear(&mut self) {
         self.busy_until = 0;
         self.is_timer_set = false;
@@ -92,7 +93,7 @@
         self.queued.clear();
     }
 
-    /// Reserves the disk for one sync behind those already reserved; returns when it ends.
+    /// Reserves the disk for one sync after those already reserved; returns when it ends (us).
     pub(super) fn reserve_disk(&mut self, now: u64, duration: u64) -> u64 {
         self.disk_busy_until = self.disk_busy_until.max(now) + duration;
         self.disk_busy_until
@@ -105,17 +106,17 @@
         self.world().machines[machine].processor.costs = costs;
     }
 
-    /// us of a whole core that the machine's tasks were charged so far.
+    /// Core time charged to the machine's tasks so far, us.
     pub fn processor_time_used(&self, machine: MachineId) -> u64 {
         self.world().machines[machine].processor.used_us
     }
 
-    /// The machine's processor is free again: polls the task that has waited longest.
+    /// Polls the task at the head of the machine's queue, as its processor is free again.
     pub(super) fn run_next_queued(&self, machine: MachineId) {
         let task = {
             let mut world = self.world();
             let processor = &mut world.machines[machine].processor;
-            // The process ended since the timer was set.
+            // Not set if the process ended after the timer was scheduled.
             if !std::mem::take(&mut processor.is_timer_set) {
                 return;
             }
@@ -127,7 +128,7 @@
         self.set_processor_timer(machine);
     }
 
-    /// Makes sure that a timer is set while tasks wait for the machine's processor.
+    /// Schedules a timer if tasks wait for the machine's processor and none is scheduled.
     pub(super) fn set_processor_timer(&self, machine: MachineId) {
         let mut world = self.world();
         let now = world.now;
--- a/yewcross-testkit/src/sim/scheduler.rs
+++ b/yewcross-testkit/src/sim/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: polls one runnable task at a time, drawn by the seed.
+//! The scheduler: polls one runnable task at a time, chosen by the seeded random generator.
 
 use super::clock::TimerEvent;
 use super::machine::ProcessId;
@@ -54,12 +54,12 @@
 
 pub(super) struct Task {
     pub(super) process: ProcessId,
-    /// Absent while it is polled.
+    /// Absent during a poll.
     future: Option<TaskFuture>,
     waker: Waker,
 }
 
-/// A task taken out for a poll.
+/// The parts of a task that a poll needs.
 struct TaskPoll {
     process: ProcessId,
     future: TaskFuture,
@@ -67,14 +67,14 @@
 }
 
 impl World {
-    /// Takes the task's future for a poll. None if it is gone, or its machine is frozen: then it
-    /// stays parked.
+    /// Takes the task's future for a poll. None if the task has ended, or if its machine is frozen: then
+    /// the task is deferred until the machine is thawed.
     fn begin_poll(&mut self, task: TaskId, process: ProcessId) -> Option<TaskPoll> {
         let machine = &mut self.machines[process.machine];
         machine.processor.begin_poll();
         self.polls += 1;
         if machine.is_frozen {
-            machine.parked.push(task);
+            machine.deferred_tasks.push(task);
             return None;
         }
         let state = self.tasks.get_mut(&task)?;
@@ -85,8 +85,8 @@
         })
     }
 
-    /// Puts the future back, or hands it back if the task has ended: its destructor may take the
-    /// lock, so the caller drops it unlocked.
+    /// Stores the future again, or returns it if the task has ended: its destructor may lock the world,
+    /// so the caller drops it after releasing the lock.
     fn end_poll(&mut self, task: TaskId, poll: TaskPoll, is_finished: bool) -> Option<TaskFuture> {
         let now = self.now;
         let process = poll.process;
@@ -104,7 +104,7 @@
 }
 
 impl Sim {
-    /// Starts a task of a process; it is dropped if the process has ended.
+    /// Starts a task of a process. If the process has ended, the future is dropped.
     pub(super) fn spawn(&self, process: ProcessId, future: TaskFuture) {
         let mut world = self.world();
         if !world.is_running(process) {
@@ -125,7 +125,8 @@
         waker.wake();
     }
 
-    /// Runs the world until the given time, or until `is_done` says so.
+    /// Runs the world until the given virtual time (us), until `is_done` returns true, or until no task
+    /// is runnable and no timer is set.
     pub fn run(&self, until: u64, mut is_done: impl FnMut() -> bool) {
         while !is_done() {
             match self.next_runnable() {
@@ -146,7 +147,7 @@
         run_queue.take_random(&mut world.random)
     }
 
-    /// Moves the clock to the next timer and takes it. None if no timer expires up to `until`.
+    /// Advances the clock to the next timer and removes it. None if no timer expires by `until`.
     fn advance_clock(&self, until: u64) -> Option<TimerEvent> {
         let mut world = self.world();
         let expiry = world.timers.next_expiry()?;
@@ -164,7 +165,7 @@
             TimerEvent::ProcessorFree(machine) => self.run_next_queued(machine),
             TimerEvent::Wake(waker) => waker.wake(),
             TimerEvent::Arrival(connection, sender) => {
-                let waker = self.world().take_reader(connection, sender);
+                let waker = self.world().take_reader_waker(connection, sender);
                 if let Some(waker) = waker {
                     waker.wake();
                 }
@@ -190,7 +191,7 @@
         self.poll(task, process);
     }
 
-    /// Polls a task that waited for its machine's processor.
+    /// Polls a task that was queued for its machine's processor.
     pub(super) fn poll_dequeued(&self, task: TaskId) {
         let process = self.world().tasks.get(&task).map(|task| task.process);
         if let Some(process) = process {
@@ -199,14 +200,14 @@
     }
 
     fn poll(&self, task: TaskId, process: ProcessId) {
-        // The lock is free during the poll: the future calls back into the simulator.
-        let begun = self.world().begin_poll(task, process);
-        let Some(mut poll) = begun else {
+        // The world is unlocked during the poll, because the future calls back into the simulator.
+        let started = self.world().begin_poll(task, process);
+        let Some(mut poll) = started else {
             return;
         };
         let mut context = Context::from_waker(&poll.waker);
         let is_finished = poll.future.as_mut().poll(&mut context).is_ready();
-        let ended = self.world().end_poll(task, poll, is_finished);
-        drop(ended);
+        let finished_future = self.world().end_poll(task, poll, is_finished);
+        drop(finished_future);
     }
 }
--- a/yewcross-testkit/src/sim/stream.rs
+++ b/yewcross-testkit/src/sim/stream.rs
@@ -1,4 +1,4 @@
-//! One end of a connection, as the process that owns it sees it.
+//! One endpoint of a connection, as the byte stream of the process that owns it.
 
 use super::Sim;
 use super::connection::{ConnectionId, ReadOutcome, Side, WriteOutcome};
@@ -65,7 +65,7 @@
 impl Drop for SimStream {
     fn drop(&mut self) {
         self.close_sending();
-        let writer = self.sim.world().drop_end(self.connection, self.side);
+        let writer = self.sim.world().drop_endpoint(self.connection, self.side);
         if let Some(writer) = writer {
             writer.wake();
         }
