--- a/yewcross-testkit/src/protocol_violation.rs
+++ b/yewcross-testkit/src/protocol_violation.rs
@@ -1,4 +1,4 @@
-//! A front that violates its protocol, one rule at a time, to show that each checker can fail.
+//! A front that violates one rule of its protocol at a time, to show that each checker can fail.
 
 use crate::proof::evidence::Ack;
 use crate::proof::{TestCluster, stranger};
@@ -18,97 +18,110 @@
 use yewcross_common::hash::digest;
 use yewcross_common::runtime::Runtime;
 
-/// The server that every turn goes to, unless the violation says another.
-const USUAL_SERVER: &str = "m1";
-/// Name of a server that the configuration does not allow.
-const STRANGER: &str = "x9";
+/// Server that turns are sent to, unless the violation requires another one.
+const DEFAULT_SERVER: &str = "m1";
+/// Name of a server that the configuration does not list.
+const UNLISTED_SERVER: &str = "x9";
 
-/// A rule that is broken. The discriminant is the number of the checker that must see it.
+/// A protocol violation. The discriminant is the number of the checker that must detect it.
 #[derive(Clone, Copy, Debug, PartialEq, EnumIter, IntoStaticStr)]
 pub enum ProtocolViolation {
-    /// Answers are stamped for another job.
-    OthersAnswer = 1,
-    /// A job runs at two servers.
-    RunsTwice = 2,
-    /// A job runs and is then rejected as not run.
-    RunsRefused = 3,
-    /// The budget is not looked at.
-    Overspends = 4,
-    /// The history of the session is not sent to the server.
-    Forgets = 5,
-    /// The first piece of a stream comes twice.
-    RepeatsPiece = 6,
-    /// Turns go to a server that is draining.
-    UsesLeaving = 7,
-    /// Answers name an old configuration.
-    OldConfig = 8,
-    /// A put is acknowledged that was never made.
-    FalseAck = 9,
-    /// Turns go to a server that nobody allowed.
-    UsesStranger = 10,
-    /// Some streams break off.
-    Drops = 11,
-    /// Everything is rejected.
-    RefusesAll = 12,
-    /// Turns are rejected without a time to come back.
-    NoComeBack = 13,
+    /// Responses are stamped for another job.
+    #[strum(serialize = "OthersAnswer")]
+    MisattributedAnswer = 1,
+    /// A job is executed by two servers.
+    #[strum(serialize = "RunsTwice")]
+    DuplicateExecution = 2,
+    /// A job is executed and then rejected as not executed.
+    #[strum(serialize = "RunsRefused")]
+    RejectedAfterExecution = 3,
+    /// The budget is not checked.
+    #[strum(serialize = "Overspends")]
+    BudgetIgnored = 4,
+    /// The session's history is not sent to the server.
+    #[strum(serialize = "Forgets")]
+    HistoryOmitted = 5,
+    /// The first piece of a stream is sent twice.
+    #[strum(serialize = "RepeatsPiece")]
+    RepeatedPiece = 6,
+    /// Turns are sent to a server that is draining.
+    #[strum(serialize = "UsesLeaving")]
+    DrainingServerUsed = 7,
+    /// Responses name an outdated configuration version.
+    #[strum(serialize = "OldConfig")]
+    StaleConfiguration = 8,
+    /// A configuration change is acknowledged that was never applied.
+    #[strum(serialize = "FalseAck")]
+    FalseAcknowledgement = 9,
+    /// Turns are sent to a server that the configuration does not list.
+    #[strum(serialize = "UsesStranger")]
+    UnlistedServerUsed = 10,
+    /// Some streams end without their end line.
+    #[strum(serialize = "Drops")]
+    TruncatedStreams = 11,
+    /// All requests are rejected.
+    #[strum(serialize = "RefusesAll")]
+    AllRejected = 12,
+    /// Turns are rejected without a time after which to retry.
+    #[strum(serialize = "NoComeBack")]
+    NoRetryAfter = 13,
 }
 
 struct ViolatingFront {
     runtime: Runtime,
     cluster: Arc<TestCluster>,
     violation: ProtocolViolation,
-    requests: AtomicU64,
+    request_count: AtomicU64,
 }
 
-/// Takes the place of a front at its callers' side.
+/// Serves callers at a front's address in place of the front.
 pub async fn serve(
     cluster: Arc<TestCluster>,
     runtime: Runtime,
-    at: SocketAddr,
+    address: SocketAddr,
     violation: ProtocolViolation,
 ) {
-    let Ok(listener) = runtime.bind(at).await else {
+    let Ok(listener) = runtime.bind(address).await else {
         return;
     };
     let front = Arc::new(ViolatingFront {
         runtime: runtime.clone(),
         cluster,
         violation,
-        requests: AtomicU64::new(0),
+        request_count: AtomicU64::new(0),
     });
     let handler: buffered_http::Handler =
-        Arc::new(move |request| Box::pin(answer(front.clone(), request)));
+        Arc::new(move |request| Box::pin(handle_request(front.clone(), request)));
     let connections = Arc::new(ConnectionTracker::default());
     buffered_http::serve(runtime, listener, handler, connections).await;
 }
 
-/// Brings about what must hold around the front for the violation to show.
+/// Sets up the conditions under which the violation becomes visible.
 pub async fn prepare(cluster: &Arc<TestCluster>, violation: ProtocolViolation) {
     match violation {
-        ProtocolViolation::UsesLeaving => cluster.drain_server(USUAL_SERVER),
-        ProtocolViolation::UsesStranger => start_stranger(cluster),
-        ProtocolViolation::Drops => {
+        ProtocolViolation::DrainingServerUsed => cluster.drain_server(DEFAULT_SERVER),
+        ProtocolViolation::UnlistedServerUsed => start_unlisted_server(cluster),
+        ProtocolViolation::TruncatedStreams => {
             let now = cluster.sim.now();
             cluster.planned_stops.lock().unwrap().push((now, now));
         }
-        ProtocolViolation::OldConfig => {
+        ProtocolViolation::StaleConfiguration => {
             cluster.put("core1", 2, "newer").await;
         }
-        ProtocolViolation::FalseAck => record_false_acknowledgement(cluster),
+        ProtocolViolation::FalseAcknowledgement => record_false_acknowledgement(cluster),
         _ => {}
     }
 }
 
-fn start_stranger(cluster: &Arc<TestCluster>) {
+fn start_unlisted_server(cluster: &Arc<TestCluster>) {
     let settings = StubServerSettings {
-        server: STRANGER.into(),
+        server: UNLISTED_SERVER.into(),
         addr: stranger(),
         ..cluster.topology.servers[0].clone()
     };
     let machine = cluster
         .sim
-        .add_machine(STRANGER, &settings.site, settings.addr.ip());
+        .add_machine(UNLISTED_SERVER, &settings.site, settings.addr.ip());
     cluster.boot_server(cluster.sim.boot(machine), settings);
 }
 
@@ -124,11 +137,11 @@
     cluster.acks.lock().unwrap().push(acknowledgement);
 }
 
-/// What the front makes of one turn.
+/// The front's response to one turn.
 struct TurnAnswer {
-    /// Position of the request among all that the front got.
-    number: u64,
-    /// The job in the stamp.
+    /// Position of the request among all requests to the front, from 0.
+    request_number: u64,
+    /// Job named in the stamp.
     job: String,
     server: String,
     text: String,
@@ -136,20 +149,20 @@
 }
 
 impl ViolatingFront {
-    fn chosen_server(&self) -> String {
+    fn target_server(&self) -> String {
         match self.violation {
-            ProtocolViolation::UsesLeaving => {
+            ProtocolViolation::DrainingServerUsed => {
                 let draining = self.cluster.departures.lock().unwrap();
                 draining
                     .first()
-                    .map_or(USUAL_SERVER.into(), |departure| departure.server.clone())
+                    .map_or(DEFAULT_SERVER.into(), |departure| departure.server.clone())
             }
-            ProtocolViolation::UsesStranger => STRANGER.into(),
-            _ => USUAL_SERVER.into(),
+            ProtocolViolation::UnlistedServerUsed => UNLISTED_SERVER.into(),
+            _ => DEFAULT_SERVER.into(),
         }
     }
 
-    /// Runs the turn at the server and returns its whole text.
+    /// Runs the turn at the server and returns its complete text.
     async fn run_turn(&self, job: &str, turn: &Value, server: &str) -> String {
         let servers = &self.cluster.topology.servers;
         let address = servers
@@ -186,8 +199,8 @@
             .collect()
     }
 
-    fn answer_lookup(&self, lookup: &Value) -> Response {
-        if self.violation == ProtocolViolation::RefusesAll {
+    fn handle_lookup(&self, lookup: &Value) -> Response {
+        if self.violation == ProtocolViolation::AllRejected {
             return error_response(Code::NoServer, "", 1);
         }
         let key = lookup["key"].as_str().unwrap_or("");
@@ -197,11 +210,11 @@
         json_response(200, &json!({"code": 1000, "value": value, "stamp": stamp}))
     }
 
-    async fn answer_turn(&self, number: u64, turn: &Value) -> Response {
-        let server = self.chosen_server();
+    async fn handle_turn(&self, number: u64, turn: &Value) -> Response {
+        let server = self.target_server();
         match self.violation {
-            ProtocolViolation::RefusesAll => return error_response(Code::NoServer, "", 1),
-            ProtocolViolation::NoComeBack => return error_response(Code::NoServer, "", 0),
+            ProtocolViolation::AllRejected => return error_response(Code::NoServer, "", 1),
+            ProtocolViolation::NoRetryAfter => return error_response(Code::NoServer, "", 0),
             _ => {}
         }
         let job = turn["job"].as_str().unwrap_or("").to_string();
@@ -209,17 +222,17 @@
         let text = self
             .run_turn(&format!("{job}#{attempt}"), turn, &server)
             .await;
-        if self.violation == ProtocolViolation::RunsTwice {
+        if self.violation == ProtocolViolation::DuplicateExecution {
             self.run_turn(&job, turn, "m2").await;
         }
-        if self.violation == ProtocolViolation::RunsRefused {
+        if self.violation == ProtocolViolation::RejectedAfterExecution {
             let mut rejection = error_response(Code::NoServer, "", 1);
             rejection.insert_header("yewcross-shot", attempt);
             return rejection;
         }
         let answer = TurnAnswer {
-            number,
-            job: if self.violation == ProtocolViolation::OthersAnswer {
+            request_number: number,
+            job: if self.violation == ProtocolViolation::MisattributedAnswer {
                 "another".into()
             } else {
                 job
@@ -229,31 +242,31 @@
             max_output: turn["max_output"].clone(),
         };
         let mut response = if turn["stream"] == json!(true) {
-            self.stream_answer(&answer)
+            self.streamed_response(&answer)
         } else {
-            answer.buffered()
+            answer.buffered_response()
         };
-        if self.violation == ProtocolViolation::OldConfig {
+        if self.violation == ProtocolViolation::StaleConfiguration {
             response.insert_header("yewcross-config", "1");
         }
         response
     }
 
-    fn stream_answer(&self, answer: &TurnAnswer) -> Response {
-        // Room for all lines, so that none waits.
+    fn streamed_response(&self, answer: &TurnAnswer) -> Response {
+        // Has capacity for all lines of a stream, so that sending never blocks.
         let (lines, body) = async_channel::bounded::<Vec<u8>>(4);
         let send = |line: String| {
-            // Fails only when the caller is gone.
+            // Fails only if the caller has disconnected.
             let _ = lines.try_send(line.into_bytes());
         };
         let piece = format!("{}\n", json!({"n": 0, "text": answer.text}));
         send(piece.clone());
-        if self.violation == ProtocolViolation::RepeatsPiece {
+        if self.violation == ProtocolViolation::RepeatedPiece {
             send(piece);
         }
-        let breaks_off =
-            self.violation == ProtocolViolation::Drops && answer.number.is_multiple_of(7);
-        if !breaks_off {
+        let is_truncated = self.violation == ProtocolViolation::TruncatedStreams
+            && answer.request_number.is_multiple_of(7);
+        if !is_truncated {
             send(format!("{}\n", answer.end_line()));
         }
         ndjson_stream_response(body)
@@ -273,19 +286,19 @@
         })
     }
 
-    fn buffered(&self) -> Response {
+    fn buffered_response(&self) -> Response {
         let mut answer = self.end_line();
         answer["text"] = json!(self.text);
         json_response(200, &answer)
     }
 }
 
-async fn answer(front: Arc<ViolatingFront>, request: BufferedRequest) -> Response {
-    let number = front.requests.fetch_add(1, SeqCst);
+async fn handle_request(front: Arc<ViolatingFront>, request: BufferedRequest) -> Response {
+    let number = front.request_count.fetch_add(1, SeqCst);
     let body: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
     if request.path == "/v1/turn" {
-        front.answer_turn(number, &body).await
+        front.handle_turn(number, &body).await
     } else {
-        front.answer_lookup(&body)
+        front.handle_lookup(&body)
     }
 }
--- a/yewcross-testkit/src/register_stress.rs
+++ b/yewcross-testkit/src/register_stress.rs
@@ -1,6 +1,6 @@
-//! Stress of the register alone: every store changes the same few keys at once while disks and
-//! links fail. An acknowledged change must stand exactly once and in order, a rejected one must
-//! not stand.
+//! Stress test of the register alone: all stores change the same few keys concurrently while disks
+//! and links fail. At the end each acknowledged change must be present exactly once and in order, and
+//! no rejected change may be present.
 
 use crate::proof::{Fault, TestCluster};
 use std::collections::BTreeMap;
@@ -10,24 +10,24 @@
 use yewcross_common::register::{ChangeError, ValueUpdate};
 use yewcross_control::Control;
 
-/// us from the nodes' start to bootstrap.
-const BOOT_TIME: u64 = 1500 * MS;
+/// us between the start of the nodes and the bootstrap.
+const BOOTSTRAP_DELAY: u64 = 1500 * MS;
 /// us for the stores to recover after the last change.
 const RECOVERY_TIME: u64 = 8 * SEC;
-/// us of simulated time after which a run is given up.
+/// us of simulated time after which a run is aborted.
 const RUN_TIMEOUT: u64 = 300 * SEC;
-/// us for one change.
+/// Time-out of a change, us.
 const CHANGE_TIMEOUT: u64 = 900 * MS;
-/// us for the last read of a key.
+/// Time-out of the final read of a key, us.
 const READ_TIMEOUT: u64 = 5 * SEC;
-/// us, the longest pause of a client between two changes.
-const MAX_PAUSE: u64 = 60 * MS;
-/// Faults in one run of a sweep.
+/// us, the exclusive upper bound of a client's pause between two changes.
+const MAX_CHANGE_INTERVAL: u64 = 60 * MS;
+/// Faults injected in each run of a sweep.
 const FAULTS_PER_RUN: usize = 3;
-/// Violations that a sweep prints of one run.
+/// Violations that a sweep prints for one run at most.
 const PRINTED_VIOLATIONS: usize = 6;
 
-/// Faults that the register must survive.
+/// Faults that the register must tolerate.
 pub const FAULTS: [Fault; 12] = [
     Fault::KillStore,
     Fault::PowerStore,
@@ -43,53 +43,54 @@
     Fault::ClockJump,
 ];
 
-/// One change: it adds its id to the key's value.
+/// A change, which appends its id to the key's value.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Counts from 1.
+    /// Position among all changes, from 1.
     pub id: u64,
-    /// The key that it changes.
+    /// The changed key.
     pub key: String,
-    /// us at which it began.
-    pub began: u64,
-    /// us at which its outcome was known, if it was.
-    pub ended: Option<u64>,
-    /// What its client was answered.
+    /// us at which the change started.
+    pub started_at: u64,
+    /// us at which the outcome was returned; None if the process ended before.
+    pub ended_at: Option<u64>,
+    /// Outcome returned to the client; None if the process ended before.
     pub outcome: Option<Result<(), ChangeError>>,
 }
 
-/// What happened in one run.
+/// The record of one run.
 pub struct StressRun {
     /// All changes, by id.
     pub changes: Vec<Change>,
-    /// Each key's value at the end: the ids in it, or None where nobody could read it.
+    /// Final value of each key: the ids in it, or None if no store could read it.
     pub final_values: BTreeMap<String, Option<Vec<u64>>>,
     /// Digest of the log.
-    pub hash: u64,
-    /// Time (us), machine and text of each line.
+    pub log_hash: u64,
+    /// Time (us), machine and text of each log line.
     pub log: Vec<(u64, String, String)>,
 }
 
-/// How many changes came out how.
+/// Number of changes by outcome.
 struct OutcomeCounts {
-    all: usize,
+    total: usize,
     acknowledged: usize,
     rejected: usize,
     undecided: usize,
 }
 
-fn ids(value: &[u8]) -> Vec<u64> {
+fn decode_change_ids(value: &[u8]) -> Vec<u64> {
     let (chunks, _) = value.as_chunks::<8>();
     chunks.iter().map(|id| u64::from_le_bytes(*id)).collect()
 }
 
-/// Runs clients on all stores for so many seconds while the faults come one after another.
+/// Runs clients on all stores for so many simulated seconds while the faults are injected one after
+/// another.
 pub fn run(seed: u64, faults: &[Fault], keys: usize, seconds: u64) -> StressRun {
     run_on(TestCluster::new(seed, "disks"), faults, keys, seconds)
 }
 
-/// Runs with disks that acknowledge syncs without making them, and a power loss everywhere: the
-/// check must fail.
+/// Runs with disks that acknowledge syncs without performing them, and with a power loss of all stores.
+/// The check must fail.
 pub fn run_with_ignored_syncs(seed: u64) -> StressRun {
     let cluster = TestCluster::new(seed, "disks");
     for store in cluster.names(Role::Store) {
@@ -103,7 +104,7 @@
 struct Recording {
     changes: Mutex<Vec<Change>>,
     final_values: Mutex<BTreeMap<String, Option<Vec<u64>>>>,
-    is_over: Mutex<bool>,
+    is_finished: Mutex<bool>,
 }
 
 fn run_on(cluster: Arc<TestCluster>, faults: &[Fault], keys: usize, seconds: u64) -> StressRun {
@@ -112,7 +113,7 @@
         cluster.boot(&node.name);
     }
     let recording = Arc::new(Recording::default());
-    cluster.operator.spawn(drive(
+    cluster.operator.spawn(run_scenario(
         cluster.clone(),
         recording.clone(),
         faults.to_vec(),
@@ -121,16 +122,16 @@
     ));
     cluster
         .sim
-        .run(RUN_TIMEOUT, || *recording.is_over.lock().unwrap());
+        .run(RUN_TIMEOUT, || *recording.is_finished.lock().unwrap());
     StressRun {
         changes: recording.changes.lock().unwrap().clone(),
         final_values: recording.final_values.lock().unwrap().clone(),
-        hash: cluster.sim.log_hash(),
+        log_hash: cluster.sim.log_hash(),
         log: cluster.sim.log(),
     }
 }
 
-async fn drive(
+async fn run_scenario(
     cluster: Arc<TestCluster>,
     recording: Arc<Recording>,
     faults: Vec<Fault>,
@@ -138,7 +139,7 @@
     seconds: u64,
 ) {
     let operator = &cluster.operator;
-    operator.sleep(BOOT_TIME).await;
+    operator.sleep(BOOTSTRAP_DELAY).await;
     cluster.bootstrap().await;
     operator.sleep(SEC).await;
     let stop = cluster.sim.now() + seconds * SEC;
@@ -156,10 +157,10 @@
     }
     operator.sleep(RECOVERY_TIME).await;
     for key in (0..keys).map(key_name) {
-        let value = read_anywhere(&cluster, &key).await;
+        let value = read_from_any_store(&cluster, &key).await;
         recording.final_values.lock().unwrap().insert(key, value);
     }
-    *recording.is_over.lock().unwrap() = true;
+    *recording.is_finished.lock().unwrap() = true;
 }
 
 fn key_name(index: usize) -> String {
@@ -172,20 +173,20 @@
     cluster.sim.is_up(machine).then_some(control)
 }
 
-/// The key's value as the first store that can read it says.
-async fn read_anywhere(cluster: &TestCluster, key: &str) -> Option<Vec<u64>> {
+/// The key's value as read by the first store that succeeds.
+async fn read_from_any_store(cluster: &TestCluster, key: &str) -> Option<Vec<u64>> {
     for node in cluster.names(Role::Store) {
         let Some(control) = running_control(cluster, &node) else {
             continue;
         };
         if let Ok((_, _, value)) = control.registers.read_with_ballot(key, READ_TIMEOUT).await {
-            return Some(ids(&value));
+            return Some(decode_change_ids(&value));
         }
     }
     None
 }
 
-/// Changes drawn keys through one store until `stop`.
+/// Changes randomly drawn keys through one store until `stop` (us).
 async fn run_client(
     cluster: Arc<TestCluster>,
     node: String,
@@ -194,63 +195,66 @@
     stop: u64,
 ) {
     while cluster.sim.now() < stop {
-        let pause = cluster.sim.rand() % MAX_PAUSE;
+        let pause = cluster.sim.rand() % MAX_CHANGE_INTERVAL;
         cluster.operator.sleep(pause).await;
         let Some(control) = running_control(&cluster, &node) else {
             continue;
         };
         let key = key_name(cluster.sim.rand() as usize % keys);
-        let id = begin_change(&cluster, &recording, &key);
+        let id = record_change_start(&cluster, &recording, &key);
         let (done, wait_done) = async_channel::bounded::<()>(1);
-        // A change belongs to the store's own process and ends with it: then `done` is dropped.
+        // The change runs as a task of the store's process. If that process ends, the task and `done`
+        // are dropped.
         let runtime = control.runtime.clone();
         let (cluster, recording) = (cluster.clone(), recording.clone());
         runtime.spawn(async move {
             let outcome = append_id(&control, &key, id).await;
             let mut changes = recording.changes.lock().unwrap();
             let change = &mut changes[id as usize - 1];
-            change.ended = Some(cluster.sim.now());
+            change.ended_at = Some(cluster.sim.now());
             change.outcome = Some(outcome);
             drop(changes);
-            // The client waits for this one signal.
+            // The channel has capacity for this one signal; it fails only if the client has ended.
             let _ = done.try_send(());
         });
-        // An error says that the process has ended.
+        // An error means that the process has ended.
         let _ = wait_done.recv().await;
     }
 }
 
-fn begin_change(cluster: &TestCluster, recording: &Recording, key: &str) -> u64 {
+fn record_change_start(cluster: &TestCluster, recording: &Recording, key: &str) -> u64 {
     let mut changes = recording.changes.lock().unwrap();
     let id = changes.len() as u64 + 1;
     changes.push(Change {
         id,
         key: key.into(),
-        began: cluster.sim.now(),
-        ended: None,
+        started_at: cluster.sim.now(),
+        ended_at: None,
         outcome: None,
     });
     id
 }
 
 async fn append_id(control: &Control, key: &str, id: u64) -> Result<(), ChangeError> {
-    let add = |_: u64, value: &[u8]| {
-        if ids(value).contains(&id) {
+    let append = |_: u64, value: &[u8]| {
+        if decode_change_ids(value).contains(&id) {
             return ValueUpdate::Keep(());
         }
-        let mut longer = value.to_vec();
-        longer.extend(id.to_le_bytes());
-        ValueUpdate::Write(longer, ())
+        let mut extended = value.to_vec();
+        extended.extend(id.to_le_bytes());
+        ValueUpdate::Write(extended, ())
     };
-    control.registers.change(key, CHANGE_TIMEOUT, add).await
+    control.registers.change(key, CHANGE_TIMEOUT, append).await
 }
 
-/// What the run shows that must not be.
+/// The violations of the register's guarantees that the run shows.
 pub fn violations(run: &StressRun) -> Vec<String> {
-    let mut found = vec![];
+    let mut violations = vec![];
     for (key, value) in &run.final_values {
         let Some(value) = value else {
-            found.push(format!("{key} cannot be read at the end"));
+            violations.push(format!(
+                "{key} could not be read from any store at the end of the run"
+            ));
             continue;
         };
         let changes: BTreeMap<u64, &Change> = run
@@ -259,57 +263,63 @@
             .filter(|change| change.key == *key)
             .map(|change| (change.id, change))
             .collect();
-        check_presence(key, value, &changes, &mut found);
-        check_order(key, value, &changes, &mut found);
+        check_presence(key, value, &changes, &mut violations);
+        check_order(key, value, &changes, &mut violations);
     }
-    found
+    violations
 }
 
+/// Checks that no change is present twice, and that each acknowledged change and no rejected change is
+/// present.
 fn check_presence(
     key: &str,
     value: &[u64],
     changes: &BTreeMap<u64, &Change>,
-    found: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) {
     let present: std::collections::BTreeSet<u64> = value.iter().copied().collect();
     if present.len() != value.len() {
-        found.push(format!("{key} holds a change twice"));
+        violations.push(format!("{key} contains a change more than once"));
     }
     for (id, change) in changes {
         match (&change.outcome, present.contains(id)) {
-            (Some(Ok(())), false) => found.push(format!(
-                "{key}: change {id} was acknowledged at {:?} and is lost",
-                change.ended
+            (Some(Ok(())), false) => violations.push(format!(
+                "{key}: change {id} was acknowledged at {:?} us but is missing",
+                change.ended_at
             )),
-            (Some(Err(ChangeError::NotApplied)), true) => found.push(format!(
-                "{key}: change {id} was refused at {:?} and stands",
-                change.ended
+            (Some(Err(ChangeError::NotApplied)), true) => violations.push(format!(
+                "{key}: change {id} was rejected at {:?} us but is present",
+                change.ended_at
             )),
             _ => {}
         }
     }
 }
 
-/// A change that was acknowledged before another began stands before it.
+/// Checks that a change acknowledged before another started is stored before it.
 fn check_order(
     key: &str,
     value: &[u64],
     changes: &BTreeMap<u64, &Change>,
-    found: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) {
-    let mut latest_began = 0;
+    let mut latest_start = 0;
     let mut latest_id = 0;
     for id in value {
         let Some(change) = changes.get(id) else {
             continue;
         };
         let is_acknowledged = change.outcome == Some(Ok(()));
-        if is_acknowledged && change.ended.is_some_and(|ended| ended < latest_began) {
-            found.push(format!(
-                "{key}: change {id} ended before {latest_id} began, yet stands after it"
+        if is_acknowledged
+            && change
+                .ended_at
+                .is_some_and(|ended_at| ended_at < latest_start)
+        {
+            violations.push(format!(
+                "{key}: change {id} was acknowledged before change {latest_id} started, but is stored after it"
             ));
         }
-        (latest_began, latest_id) = (latest_began, latest_id).max((change.began, *id));
+        (latest_start, latest_id) = (latest_start, latest_id).max((change.started_at, *id));
     }
 }
 
@@ -322,14 +332,14 @@
             .count()
     };
     OutcomeCounts {
-        all: run.changes.len(),
+        total: run.changes.len(),
         acknowledged: count(Ok(())),
         rejected: count(Err(ChangeError::NotApplied)),
         undecided: count(Err(ChangeError::Undecided)),
     }
 }
 
-/// The faults of a seed's run in a sweep.
+/// Draws the faults of a seed's run.
 fn draw_faults(seed: u64) -> Vec<Fault> {
     let mut random = fastrand::Rng::with_seed(seed);
     (0..FAULTS_PER_RUN)
@@ -337,7 +347,7 @@
         .collect()
 }
 
-/// Runs and judges every seed; prints a line for each. Returns how many showed a violation.
+/// Runs and checks every seed and prints a report for each. Returns how many showed a violation.
 pub fn sweep(seeds: Vec<u64>, trace: bool) -> usize {
     crate::proof::each(seeds, |seed| {
         let faults = draw_faults(seed);
@@ -357,13 +367,13 @@
 ) -> String {
     let counts = count_outcomes(run);
     let mut report = format!(
-        "seed {seed} {faults:?}: {} of {} changes {} won, {} refused, {} undecided",
+        "seed {seed} {faults:?}: {} of {} changes {} acknowledged, {} rejected, {} undecided",
         if violations.is_empty() {
             "holds"
         } else {
             "BROKEN"
         },
-        counts.all,
+        counts.total,
         counts.acknowledged,
         counts.rejected,
         counts.undecided
--- a/yewcross-testkit/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -96,7 +96,7 @@
 #[test]
 fn every_checker_can_fail() {
     for violation in ProtocolViolation::iter() {
-        let budget = (violation == ProtocolViolation::Overspends).then_some(500);
+        let budget = (violation == ProtocolViolation::BudgetIgnored).then_some(500);
         let v = judge(&run(&Plan {
             violation: Some(violation),
             budget,
@@ -114,7 +114,8 @@
             "{violation:?} went unseen: {v:?}"
         );
         assert!(
-            violation != ProtocolViolation::RunsRefused || v.iter().any(|x| x.contains("its shot")),
+            violation != ProtocolViolation::RejectedAfterExecution
+                || v.iter().any(|x| x.contains("its shot")),
             "the shot alone tells it: {v:?}"
         );
     }
