--- a/yewcross-testkit/src/register_stress.rs
+++ b/yewcross-testkit/src/register_stress.rs
@@ -1,6 +1,6 @@
 //! Stress test of the register alone: all stores change the same few keys concurrently while disks
-//! and links fail. At the end each acknowledged change must be present exactly once and in order, and
-//! no rejected change may be present.
+//! and links fail. At the end each acknowledged change must be present exactly once and in order,
+//! and no rejected change may be present.
 
 use crate::proof::{Fault, TestCluster};
 use std::collections::BTreeMap;
@@ -89,8 +89,8 @@
     run_on(TestCluster::new(seed, "disks"), faults, keys, seconds)
 }
 
-/// Runs with disks that acknowledge syncs without performing them, and with a power loss of all stores.
-/// The check must fail.
+/// Runs with disks that acknowledge syncs without performing them, and with a power loss of all
+/// stores. The check must fail.
 pub fn run_with_ignored_syncs(seed: u64) -> StressRun {
     let cluster = TestCluster::new(seed, "disks");
     for store in cluster.names(Role::Store) {
@@ -203,8 +203,8 @@
         let key = key_name(cluster.sim.rand() as usize % keys);
         let id = record_change_start(&cluster, &recording, &key);
         let (done, wait_done) = async_channel::bounded::<()>(1);
-        // The change runs as a task of the store's process. If that process ends, the task and `done`
-        // are dropped.
+        // The change runs as a task of the store's process. If that process ends, the task and
+        // `done` are dropped.
         let runtime = control.runtime.clone();
         let (cluster, recording) = (cluster.clone(), recording.clone());
         runtime.spawn(async move {
@@ -269,8 +269,8 @@
     violations
 }
 
-/// Checks that no change is present twice, and that each acknowledged change and no rejected change is
-/// present.
+/// Checks that no change is present twice, and that each acknowledged change and no rejected change
+/// is present.
 fn check_presence(
     key: &str,
     value: &[u64],
@@ -284,11 +284,11 @@
     for (id, change) in changes {
         match (&change.outcome, present.contains(id)) {
             (Some(Ok(())), false) => violations.push(format!(
-                "{key}: change {id} was acknowledged at {:?} us but is missing",
+                "{key}: change {id} was acknowledged (at {:?}, in us) but is missing",
                 change.ended_at
             )),
             (Some(Err(ChangeError::NotApplied)), true) => violations.push(format!(
-                "{key}: change {id} was rejected at {:?} us but is present",
+                "{key}: change {id} was rejected (at {:?}, in us) but is present",
                 change.ended_at
             )),
             _ => {}
@@ -316,7 +316,7 @@
                 .is_some_and(|ended_at| ended_at < latest_start)
         {
             violations.push(format!(
-                "{key}: change {id} was acknowledged before change {latest_id} started, but is stored after it"
+                "{key}: change {id} was acknowledged before {latest_id} started but is stored after it"
             ));
         }
         (latest_start, latest_id) = (latest_start, latest_id).max((change.started_at, *id));
@@ -367,7 +367,7 @@
 ) -> String {
     let counts = count_outcomes(run);
     let mut report = format!(
-        "seed {seed} {faults:?}: {} of {} changes {} acknowledged, {} rejected, {} undecided",
+        "seed {seed} {faults:?}: {}; {} changes: {} acknowledged, {} rejected, {} undecided",
         if violations.is_empty() {
             "holds"
         } else {
@@ -387,7 +387,7 @@
         report += &format!("\n  {violation}");
     }
     if !violations.is_empty() {
-        report += &format!("\n  again: yewcross-lab grind --from {seed} --trace");
+        report += &format!("\n  reproduce with: yewcross-lab grind --from {seed} --trace");
     }
     report
 }
--- a/yewcross-testkit/src/sim/clock.rs
+++ b/yewcross-testkit/src/sim/clock.rs
@@ -1,7 +1,7 @@
 //! The virtual clock: timers, and the future that waits for one.
 //!
-//! Virtual time does not advance while any task is runnable; otherwise it jumps to the expiry of the
-//! next timer.
+//! Virtual time does not advance while any task is runnable; otherwise it jumps to the expiry of
+//! the next timer.
 
 use super::connection::{ConnectionId, Side};
 use super::machine::MachineId;
--- a/yewcross-testkit/src/sim/connection.rs
+++ b/yewcross-testkit/src/sim/connection.rs
@@ -22,7 +22,7 @@
 
 /// Bytes of one write.
 struct Chunk {
-    /// us
+    /// Time of arrival, us.
     arrival: u64,
     bytes: Vec<u8>,
 }
@@ -123,7 +123,8 @@
         arrival
     }
 
-    /// Ends the stream after the bytes sent so far; returns when the end arrives at the reader (us).
+    /// Ends the stream after the bytes sent so far; returns when the end arrives at the reader
+    /// (us).
     fn close(&mut self, route: &Route) -> u64 {
         let arrival = if route.is_blocked {
             NEVER
@@ -242,7 +243,8 @@
         }
     }
 
-    /// Reads what the other side sent. If nothing has arrived, `waker` is woken once something does.
+    /// Reads what the other side sent. If nothing has arrived, `waker` is woken once something
+    /// does.
     pub(super) fn read(
         &mut self,
         connection: ConnectionId,
--- a/yewcross-testkit/src/sim/disk.rs
+++ b/yewcross-testkit/src/sim/disk.rs
@@ -9,6 +9,7 @@
 use std::io;
 use std::sync::Arc;
 
+/// The current contents of a file, and whether they are synced.
 #[derive(Clone, Default)]
 struct File {
     data: Arc<Vec<u8>>,
@@ -111,7 +112,8 @@
         self.stalled = false;
     }
 
-    /// The directories that remain after a power loss. A lost directory also loses everything in it.
+    /// The directories that remain after a power loss. A lost directory also loses everything in
+    /// it.
     fn surviving_directories(&self, random: &mut fastrand::Rng) -> BTreeSet<String> {
         let mut remaining: BTreeSet<String> = [String::new()].into();
         for directory in self.directories.union(&self.durable_directories) {
@@ -123,8 +125,8 @@
         remaining
     }
 
-    /// The contents of a file that remain after a power loss: all bytes made durable by a sync, and a
-    /// random, possibly torn, part of the bytes appended since.
+    /// The contents of a file that remain after a power loss: all bytes made durable by a sync, and
+    /// a random, possibly torn, part of the bytes appended since.
     fn surviving_contents(
         &self,
         name: &str,
--- a/yewcross-testkit/src/sim/host.rs
+++ b/yewcross-testkit/src/sim/host.rs
@@ -185,8 +185,8 @@
     }
 }
 
-/// Syncs the path and counts the sync towards the planned power loss. Returns the delay of the power
-/// loss if this sync triggers it.
+/// Syncs the path and counts the sync towards the planned power loss. Returns the delay of the
+/// power loss if this sync triggers it.
 fn sync_and_count(disk: &mut Disk, path: &str) -> PowerLossDelay {
     disk.sync(path);
     let (syncs_left, delay) = disk.planned_power_loss.as_mut()?;
@@ -318,8 +318,8 @@
         let content_append = self.run_disk_operation(TRANSFER_TIME, operation, move |disk| {
             disk.append(file, data)
         });
-        // Both syncs draw their durations here, whether or not the directory's sync is then awaited, so
-        // that the random numbers drawn do not depend on it.
+        // Both syncs draw their durations here, whether or not the directory's sync is then
+        // awaited, so that the random numbers drawn do not depend on it.
         let content_sync = self.sync(path);
         let directory_sync = self.sync(directory);
         Box::pin(async move {
--- a/yewcross-testkit/src/sim/machine.rs
+++ b/yewcross-testkit/src/sim/machine.rs
@@ -136,8 +136,8 @@
         let listeners = self.take_listeners(machine);
         let mut blocked_writers = vec![];
         for (connection, side) in self.endpoints_on(machine) {
-            // The latency is also drawn if the machine loses power, so that the random numbers drawn
-            // later do not depend on it.
+            // The latency is also drawn if the machine loses power, so that the random numbers
+            // drawn later do not depend on it.
             let Some(route) = self.route(connection, side) else {
                 continue;
             };
@@ -210,8 +210,8 @@
         self.world().machines[machine].clock_skew_ms = ms;
     }
 
-    /// Ends the process. With `loses_power` the machine also loses power: its peers receive no reset,
-    /// and data that was not synced may be lost.
+    /// Ends the process. With `loses_power` the machine also loses power: its peers receive no
+    /// reset, and data that was not synced may be lost.
     pub fn kill(&self, machine: MachineId, loses_power: bool) {
         let mut world = self.world();
         if loses_power {
--- a/yewcross-testkit/src/sim/mod.rs
+++ b/yewcross-testkit/src/sim/mod.rs
@@ -155,8 +155,8 @@
         self.world().log_hash
     }
 
-    /// Digest of the events on machines, connections and disks and of their times. It does not depend
-    /// on the log.
+    /// Digest of the events on machines, connections and disks and of their times. It does not
+    /// depend on the log.
     pub fn fingerprint(&self) -> u128 {
         self.world().fingerprint.value()
     }
--- a/yewcross-testkit/src/sim/network.rs
+++ b/yewcross-testkit/src/sim/network.rs
@@ -64,7 +64,8 @@
         self.world().blocked.insert((from, to));
     }
 
-    /// Blocks the traffic in both directions between each machine of one group and each of the other.
+    /// Blocks the traffic in both directions between each machine of one group and each of the
+    /// other.
     pub fn partition(&self, group: &[MachineId], others: &[MachineId]) {
         for machine in group {
             for other in others.iter().filter(|other| *other != machine) {
--- a/yewcross-testkit/src/sim/processor.rs
+++ b/yewcross-testkit/src/sim/processor.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Costs of a machine's work. All 0 by default: processor time costs nothing, and a sync takes 400 to
-/// 600 us.
+/// Costs of a machine's work. All 0 by default: processor time costs nothing, and a sync takes 400
+/// to 600 us.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MachineCosts {
@@ -22,8 +22,8 @@
     /// Core time of each byte read from or written to a connection, ns.
     #[serde(rename = "byte")]
     pub byte_ns: u64,
-    /// Time that a sync occupies the disk, us; syncs run one at a time. 0: each sync takes 400 us and a
-    /// random addition of up to 200 us, and syncs run concurrently.
+    /// Time that a sync occupies the disk, us; syncs run one at a time. 0: each sync takes 400 us
+    /// and a random addition of up to 200 us, and syncs run concurrently.
     #[serde(rename = "sync")]
     pub sync_us: u64,
 }
--- a/yewcross-testkit/src/sim/scheduler.rs
+++ b/yewcross-testkit/src/sim/scheduler.rs
@@ -67,8 +67,8 @@
 }
 
 impl World {
-    /// Takes the task's future for a poll. None if the task has ended, or if its machine is frozen: then
-    /// the task is deferred until the machine is thawed.
+    /// Takes the task's future for a poll. None if the task has ended, or if its machine is frozen:
+    /// then the task is deferred until the machine is thawed.
     fn begin_poll(&mut self, task: TaskId, process: ProcessId) -> Option<TaskPoll> {
         let machine = &mut self.machines[process.machine];
         machine.processor.begin_poll();
@@ -85,8 +85,8 @@
         })
     }
 
-    /// Stores the future again, or returns it if the task has ended: its destructor may lock the world,
-    /// so the caller drops it after releasing the lock.
+    /// Stores the future again, or returns it if the task has ended: its destructor may lock the
+    /// world, so the caller drops it after releasing the lock.
     fn end_poll(&mut self, task: TaskId, poll: TaskPoll, is_finished: bool) -> Option<TaskFuture> {
         let now = self.now;
         let process = poll.process;
@@ -125,8 +125,8 @@
         waker.wake();
     }
 
-    /// Runs the world until the given virtual time (us), until `is_done` returns true, or until no task
-    /// is runnable and no timer is set.
+    /// Runs the world until the given virtual time (us), until `is_done` returns true, or until no
+    /// task is runnable and no timer is set.
     pub fn run(&self, until: u64, mut is_done: impl FnMut() -> bool) {
         while !is_done() {
             match self.next_runnable() {
--- a/yewcross-testkit/src/stub_server/executions.rs
+++ b/yewcross-testkit/src/stub_server/executions.rs
@@ -1,62 +1,64 @@
-//! The record of what ran, against which checkers hold what callers were answered.
+//! The log of executed jobs, which checkers compare with the responses that callers received.
 
 use super::StubServer;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
 
-/// One execution, recorded as it starts; its output grows with each piece made.
+/// One execution, recorded at its start; its output is updated with each piece generated.
 #[derive(Clone, Debug, Serialize)]
 pub struct Execution {
-    /// us at which it started.
+    /// Start of the execution, us.
     pub at: u64,
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// What the front called this attempt.
+    /// Id that the front assigned to this attempt.
     #[serde(rename = "shot")]
     pub attempt: String,
-    /// Where it ran.
+    /// Name of the server that executed it.
     pub server: String,
-    /// The server's service.
+    /// Service of that server.
     pub service: String,
     /// The turn's session, or the lookup's key.
     pub session: String,
     /// The turn's program, or the lookup's method.
     pub program: String,
-    /// Tokens put out so far.
+    /// Output tokens generated so far.
     pub output: u64,
 }
 
 /// A request that reached a server after it began to drain.
 #[derive(Clone, Debug)]
 pub struct LateArrival {
-    /// us
+    /// Time of arrival, us.
     pub at: u64,
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// The job, or what else was asked.
+    /// Id of the job, or a description of another request.
     pub request: String,
 }
 
-/// What ran at all servers that share it.
+/// Executions and late arrivals of all servers that share this log.
 #[derive(Default)]
 pub struct ExecutionLog {
-    /// In order of their start.
+    /// Executions, in the order in which they started.
     pub executions: Mutex<Vec<Execution>>,
-    /// In order of their arrival.
+    /// Requests to draining servers, in the order in which they arrived.
     pub late_arrivals: Mutex<Vec<LateArrival>>,
 }
 
-/// Executions under way at one server.
+/// Executions in progress at one server.
 #[derive(Default)]
-pub(super) struct LiveExecutions {
-    /// Indexes in the log, by job.
+pub(super) struct RunningExecutions {
+    /// Index in the log of each job's execution.
     by_job: BTreeMap<String, usize>,
+    /// Jobs whose cancellation was requested and not yet taken.
     cancelled: BTreeSet<String>,
 }
 
-impl LiveExecutions {
-    /// Cancels the job. Returns its index in the log, or None if it is not under way.
+impl RunningExecutions {
+    /// Marks the job as cancelled. Returns the index of its execution in the log, or None if it is
+    /// not running.
     fn cancel(&mut self, job: &str) -> Option<usize> {
         let index = self.by_job.get(job).copied()?;
         self.cancelled.insert(job.into());
@@ -64,14 +66,14 @@
     }
 }
 
-/// Marks an execution as under way until it is dropped.
-pub(super) struct LiveExecution<'a> {
+/// Guard of an execution in progress, which ends when the guard is dropped.
+pub(super) struct RunningExecution<'a> {
     server: &'a StubServer,
     job: String,
     index: usize,
 }
 
-impl LiveExecution<'_> {
+impl RunningExecution<'_> {
     pub(super) fn set_output(&self, tokens: u64) {
         let mut executions = self.server.log.executions.lock().unwrap();
         executions[self.index].output = tokens;
@@ -79,20 +81,25 @@
 
     /// Whether the job was cancelled since the last call.
     pub(super) fn take_cancelled(&self) -> bool {
-        self.server.state().live.cancelled.remove(&self.job)
+        self.server
+            .state()
+            .running_executions
+            .cancelled
+            .remove(&self.job)
     }
 }
 
-impl Drop for LiveExecution<'_> {
+impl Drop for RunningExecution<'_> {
     fn drop(&mut self) {
         let mut state = self.server.state();
-        state.live.by_job.remove(&self.job);
-        state.live.cancelled.remove(&self.job);
+        state.running_executions.by_job.remove(&self.job);
+        state.running_executions.cancelled.remove(&self.job);
     }
 }
 
 impl StubServer {
-    /// Records the start of a job, which names its attempt behind a `#`; returns its index.
+    /// Records the start of an execution; returns its index in the log. `job` has the form
+    /// `<job>#<attempt>`.
     pub(super) fn record_execution(&self, job: &str, session: &str, program: &str) -> usize {
         let execution = Execution {
             at: self.runtime.now(),
@@ -109,30 +116,33 @@
         executions.len() - 1
     }
 
-    /// Records the start of a job that can be cancelled while it runs.
+    /// Records the start of an execution that can be cancelled while it runs.
     pub(super) fn begin_execution(
         &self,
         job: &str,
         session: &str,
         program: &str,
-    ) -> LiveExecution<'_> {
+    ) -> RunningExecution<'_> {
         let index = self.record_execution(job, session, program);
-        self.state().live.by_job.insert(job.into(), index);
-        LiveExecution {
+        self.state()
+            .running_executions
+            .by_job
+            .insert(job.into(), index);
+        RunningExecution {
             server: self,
             job: job.into(),
             index,
         }
     }
 
-    /// Cancels a job. Returns its output so far, or None if it is not under way.
+    /// Cancels a job. Returns its output tokens so far, or None if it is not running.
     pub(super) fn cancel(&self, job: &str) -> Option<u64> {
-        let index = self.state().live.cancel(job)?;
+        let index = self.state().running_executions.cancel(job)?;
         Some(self.log.executions.lock().unwrap()[index].output)
     }
 
-    /// Records a request that arrives while the server drains.
-    pub(super) fn record_arrival(&self, request: &str) {
+    /// Records a request if the server is draining.
+    pub(super) fn record_late_arrival(&self, request: &str) {
         if !self.is_draining() {
             return;
         }
--- a/yewcross-testkit/src/stub_server/faults.rs
+++ b/yewcross-testkit/src/stub_server/faults.rs
@@ -1,55 +1,55 @@
-//! Misbehaviour that a stub server is told to show.
+//! Faults that can be injected into a stub server.
 
 use super::StubServer;
 use serde::{Deserialize, Serialize};
 
-/// How many of the next jobs go wrong, each in its way. The members' names in a request are those
-/// of `/lab/fault`.
+/// The faults to inject; the counters say how many of the next jobs each fault affects. The names
+/// in `serde` attributes are those of the body of `/lab/fault`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StubFaults {
-    /// Jobs that run and whose answers are lost.
+    /// Jobs that are executed without their response being sent.
     #[serde(rename = "lose")]
     pub lost_answers: u32,
-    /// Jobs that hang.
+    /// Jobs that hang for a fixed time.
     #[serde(rename = "stall")]
     pub stalls: u32,
-    /// Streams with another job's text in them.
+    /// Streams in which a piece has another job's text.
     #[serde(rename = "splice")]
     pub spliced_streams: u32,
-    /// Streams that break off.
+    /// Streams that end without their end line.
     #[serde(rename = "truncate")]
     pub truncated_streams: u32,
-    /// Answers that are stamped for another job.
+    /// Responses that are stamped for another job.
     #[serde(rename = "mistake")]
     pub misattributed_answers: u32,
-    /// Streams in which a piece comes twice.
+    /// Streams in which a piece is sent twice.
     #[serde(rename = "repeat")]
     pub repeated_pieces: u32,
     /// Imports that fail.
     #[serde(rename = "fail_import")]
     pub failed_imports: u32,
-    /// Imports take so many times as long; 0 as 1.
+    /// Factor by which imports take longer; 0 counts as 1.
     #[serde(rename = "slow_import")]
     pub import_slowdown: u32,
-    /// Everything takes so many times as long; 0 as 1.
+    /// Factor by which execution takes longer; 0 counts as 1.
     #[serde(rename = "slow")]
     pub slowdown: u32,
-    /// Whether the server drains from now on; as before if absent.
+    /// Whether the server drains from now on; unchanged if absent.
     #[serde(rename = "leaving")]
     pub is_draining: Option<bool>,
-    /// Claims to be this server from now on.
+    /// Name that the server reports from now on instead of its own.
     #[serde(rename = "become_server")]
     pub impersonate: Option<String>,
 }
 
 impl StubServer {
-    /// Whether the fault is due, and if so counts it down.
+    /// Whether the fault affects the current job; if so, decrements its counter.
     pub(super) fn take_fault(&self, fault: impl Fn(&mut StubFaults) -> &mut u32) -> bool {
         let mut state = self.state();
-        let left = fault(&mut state.faults);
-        let is_due = *left > 0;
-        *left = left.saturating_sub(1);
+        let remaining = fault(&mut state.faults);
+        let is_due = *remaining > 0;
+        *remaining = remaining.saturating_sub(1);
         is_due
     }
 
--- a/yewcross-testkit/src/stub_server/kv_cache.rs
+++ b/yewcross-testkit/src/stub_server/kv_cache.rs
@@ -1,6 +1,6 @@
-//! The cache of session prefixes, and its transfer between servers.
+//! The KV cache of session prefixes, and the transfer of prefixes between servers.
 
-use super::{StubServer, text};
+use super::{StubServer, string_member};
 use http_types::{Method, Response};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -11,25 +11,25 @@
 };
 use yewcross_common::hash::digest;
 
-/// Bytes that a save writes in one us.
+/// Write rate of a save, bytes per us.
 const SAVE_BYTES_PER_US: u64 = 4_000;
-/// Replicas may take so many times the room of the cache.
-const REPLICA_ROOM: u64 = 4;
+/// Capacity for replicas, as a multiple of the cache's capacity.
+const REPLICA_CAPACITY_FACTOR: u64 = 4;
 
-/// A session's history as far as it is computed.
+/// The computed prefix of a session's history.
 #[derive(Clone, Debug)]
 pub(super) struct Prefix {
-    /// Bytes of the history.
+    /// Length of the prefix, bytes.
     pub(super) length: usize,
-    /// Digest of these bytes.
+    /// Digest of the prefix.
     pub(super) digest: String,
     pub(super) tokens: u64,
-    /// us; the least recently used is evicted first.
+    /// Time of the last use, us; the least recently used prefix is evicted first.
     pub(super) used_at: u64,
 }
 
-/// What was last saved of a session.
-struct Saved {
+/// The last save of a session.
+struct SavedPrefix {
     digest: String,
     tokens: u64,
 }
@@ -38,23 +38,25 @@
 pub(super) struct KvCache {
     /// Prefixes that turns reuse, by session.
     prefixes: BTreeMap<String, Prefix>,
-    /// Prefixes that other servers sent and that are not imported, by session.
+    /// Prefixes received from other servers and not part of the cache, by session.
     replicas: BTreeMap<String, Prefix>,
-    saved: BTreeMap<String, Saved>,
-    /// Tokens put into the cache so far.
+    /// The last save of each session.
+    saved: BTreeMap<String, SavedPrefix>,
+    /// Tokens added to the cache so far.
     pub(super) placed_tokens: u64,
 }
 
-/// What a server holds of a session.
+/// Numbers of a session's tokens that a server stores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeldTokens {
-    /// Of its replica, if there is one.
+    /// Tokens of its replica, if there is one.
     pub replica: Option<u64>,
-    /// Of its prefix in the cache, if there is one.
+    /// Tokens of its prefix in the cache, if there is one.
     pub cached: Option<u64>,
 }
 
-/// Evicts the least recently used entries but one until the rest fits.
+/// Evicts the least recently used prefixes until the rest fits the capacity (tokens). The last
+/// prefix is never evicted.
 fn evict(prefixes: &mut BTreeMap<String, Prefix>, capacity: u64) {
     let total = |prefixes: &BTreeMap<String, Prefix>| -> u64 {
         prefixes.values().map(|prefix| prefix.tokens).sum()
@@ -70,9 +72,9 @@
 }
 
 impl KvCache {
-    /// Puts a prefix into the cache, of which so many tokens are new there; returns the tokens
-    /// placed so far.
-    pub(super) fn place(
+    /// Inserts a prefix into the cache, `added` tokens of which are new there. Returns the tokens
+    /// added to the cache so far.
+    pub(super) fn insert_prefix(
         &mut self,
         session: &str,
         prefix: Prefix,
@@ -99,10 +101,10 @@
 
     fn store_replica(&mut self, session: String, prefix: Prefix, cache_tokens: u64) {
         self.replicas.insert(session, prefix);
-        evict(&mut self.replicas, REPLICA_ROOM * cache_tokens);
+        evict(&mut self.replicas, REPLICA_CAPACITY_FACTOR * cache_tokens);
     }
 
-    /// Tokens of the session that were saved with that digest.
+    /// Tokens of the session's last save, if it has that digest.
     fn saved_tokens(&self, session: &str, digest: &str) -> Option<u64> {
         let saved = self.saved.get(session)?;
         (saved.digest == digest).then_some(saved.tokens)
@@ -110,7 +112,7 @@
 }
 
 impl StubServer {
-    /// Tokens of the session that the server holds.
+    /// The session's tokens that the server stores.
     pub fn held_tokens(&self, session: &str) -> HeldTokens {
         let state = self.state();
         HeldTokens {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Tokens at the prompt's beginning that the cache holds, which counts as a use of them.
+    /// Number of tokens at the start of the prompt that the cache holds. Counts as a use of them.
     pub(super) fn reuse_prefix(&self, session: &str, prompt: &str) -> u64 {
         let mut state = self.state();
         let now = self.runtime.now();
@@ -134,17 +136,21 @@
         prefix.tokens
     }
 
-    /// Saves a cached session, of which only what is new is written if the last save is its base.
-    pub(super) async fn answer_save(&self, body: &Value) -> Response {
-        let session = text(body, "session");
-        let cached = self.state().kv.cached(&session, &text(body, "digest"));
+    /// Saves a cached session. If the last save has the request's base digest, only the tokens
+    /// since are written.
+    pub(super) async fn handle_save(&self, body: &Value) -> Response {
+        let session = string_member(body, "session");
+        let cached = self
+            .state()
+            .kv
+            .cached(&session, &string_member(body, "digest"));
         let Some(prefix) = cached else {
             return json_response(404, &json!({"ok": false}));
         };
         let base = body["base"].as_str();
         let saved = base.and_then(|digest| self.state().kv.saved_tokens(&session, digest));
         let bytes = prefix.tokens.saturating_sub(saved.unwrap_or(0)) * KV_TOKEN_BYTES;
-        let save = Saved {
+        let save = SavedPrefix {
             digest: prefix.digest.clone(),
             tokens: prefix.tokens,
         };
@@ -156,17 +162,21 @@
         )
     }
 
-    /// Sends a cached session to another server: a delta if that has the base, else all of it.
-    pub(super) async fn answer_send(&self, body: &Value) -> Response {
-        let session = text(body, "session");
-        let cached = self.state().kv.cached(&session, &text(body, "digest"));
-        let to = text(body, "to").parse::<SocketAddr>();
+    /// Sends a cached session to another server: a delta if that server has the base, else all of
+    /// it.
+    pub(super) async fn handle_send(&self, body: &Value) -> Response {
+        let session = string_member(body, "session");
+        let cached = self
+            .state()
+            .kv
+            .cached(&session, &string_member(body, "digest"));
+        let to = string_member(body, "to").parse::<SocketAddr>();
         let (Some(prefix), Ok(to)) = (cached, to) else {
             return json_response(404, &json!({"ok": false, "bytes": 0}));
         };
-        let target = text(body, "target");
+        let target = string_member(body, "target");
         let mut bytes = 0;
-        for base in [text(body, "base"), String::new()] {
+        for base in [string_member(body, "base"), String::new()] {
             let offer = json!({
                 "session": session,
                 "digest": prefix.digest,
@@ -207,12 +217,13 @@
         Some((status, serde_json::from_slice(&answer).unwrap_or_default()))
     }
 
-    /// Receives a replica: a delta only on top of the base it names. The link's time passes here.
-    pub(super) async fn answer_put(&self, body: &Value) -> Response {
-        let session = text(body, "session");
-        let base = text(body, "base");
-        self.record_arrival(&format!("push of {session}"));
-        if text(body, "target") != self.name() {
+    /// Receives a replica. A delta is accepted only if the replica it is based on is stored. The
+    /// transfer time of the link is simulated here.
+    pub(super) async fn handle_put(&self, body: &Value) -> Response {
+        let session = string_member(body, "session");
+        let base = string_member(body, "base");
+        self.record_late_arrival(&format!("push of {session}"));
+        if string_member(body, "target") != self.reported_name() {
             return json_response(403, &json!({"ok": false, "bytes": 0}));
         }
         let base_tokens = if base.is_empty() {
@@ -230,7 +241,7 @@
         self.runtime.sleep(bytes.saturating_mul(SEC) / link).await;
         let prefix = Prefix {
             length: body["len"].as_u64().unwrap_or(0) as usize,
-            digest: text(body, "digest"),
+            digest: string_member(body, "digest"),
             tokens,
             used_at: self.runtime.now(),
         };
@@ -242,11 +253,14 @@
         )
     }
 
-    /// Puts a replica into the cache.
-    pub(super) async fn answer_import(&self, body: &Value) -> Response {
-        let session = text(body, "session");
-        self.record_arrival(&format!("import of {session}"));
-        let replica = self.state().kv.replica(&session, &text(body, "digest"));
+    /// Imports a replica into the cache.
+    pub(super) async fn handle_import(&self, body: &Value) -> Response {
+        let session = string_member(body, "session");
+        self.record_late_arrival(&format!("import of {session}"));
+        let replica = self
+            .state()
+            .kv
+            .replica(&session, &string_member(body, "digest"));
         let Some(prefix) = replica else {
             return json_response(200, &json!({"ok": false}));
         };
@@ -261,16 +275,19 @@
             ..prefix
         };
         let capacity = self.settings.cache_tokens;
-        let placed = self.state().kv.place(&session, imported, tokens, capacity);
+        let placed = self
+            .state()
+            .kv
+            .insert_prefix(&session, imported, tokens, capacity);
         json_response(
             200,
             &json!({"ok": true, "tokens": tokens, "placed": placed}),
         )
     }
 
-    /// Forgets what is stored of a session outside the cache.
-    pub(super) fn answer_drop(&self, body: &Value) -> Response {
-        let session = text(body, "session");
+    /// Removes a session's replica and save. Its prefix in the cache stays.
+    pub(super) fn handle_drop(&self, body: &Value) -> Response {
+        let session = string_member(body, "session");
         let mut state = self.state();
         state.kv.replicas.remove(&session);
         state.kv.saved.remove(&session);
--- a/yewcross-testkit/src/stub_server/mod.rs
+++ b/yewcross-testkit/src/stub_server/mod.rs
@@ -1,7 +1,8 @@
-//! A model or lookup server that behaves as docs/backends.md says, and can be made to misbehave.
+//! A model or lookup server that implements docs/backends.md and can inject faults.
 //!
-//! `http` dispatches requests, `turn` and `lookup` execute them, `kv_cache` moves sessions between
-//! servers, `executions` records what ran.
+//! `http` dispatches requests, `turn` and `lookup` execute them, `kv_cache` caches sessions and
+//! transfers them between servers, `executions` records what was executed, and `faults` has the
+//! faults that can be injected.
 
 mod executions;
 mod faults;
@@ -15,7 +16,7 @@
 pub use kv_cache::HeldTokens;
 pub use turn::{DIGESTED_LINES, line_digest, recent_line_digests};
 
-use executions::LiveExecutions;
+use executions::RunningExecutions;
 use http_types::Response;
 use kv_cache::KvCache;
 use serde::{Deserialize, Serialize};
@@ -27,68 +28,70 @@
 use yewcross_common::protocol::LoadReport;
 use yewcross_common::runtime::Runtime;
 
-/// us between two looks for a free slot.
+/// us between two checks for a free slot.
 const SLOT_POLL: u64 = 5 * MS;
-/// us that a stalled job takes.
+/// us by which a stalled job is delayed.
 const STALL_TIME: u64 = 60 * SEC;
 
-/// What a stub server is; the members' names in a file are those of its `--spec`.
+/// Settings of a stub server. The names in `serde` attributes are those of the `--spec` file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StubServerSettings {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Site of the server.
     pub site: String,
-    /// Whether it runs turns, not lookups.
+    /// Whether the server executes turns; if not, it executes lookups.
     #[serde(rename = "model")]
     pub is_model: bool,
-    /// Jobs that it runs at once; as many more may queue.
+    /// Jobs that the server executes concurrently; as many more may queue.
     pub slots: u32,
-    /// us for a thousand prompt tokens.
+    /// Prefill time of 1000 prompt tokens, us.
     #[serde(rename = "per_k")]
     pub prefill_us_per_1000: u64,
-    /// us for an output token, or for a lookup.
+    /// Time to generate an output token or to execute a lookup, us.
     #[serde(rename = "per_out")]
     pub output_us: u64,
-    /// Tokens that its cache holds.
+    /// Capacity of the KV cache, tokens.
     #[serde(rename = "cache")]
     pub cache_tokens: u64,
-    /// Bytes a second between servers.
+    /// Bandwidth between servers, bytes per second.
     #[serde(rename = "link")]
     pub link_bytes_per_second: u64,
-    /// Names the weights that it has loaded.
+    /// Identifies the loaded weights.
     pub weights: String,
 }
 
 #[derive(Default)]
-struct State {
+struct ServerState {
+    /// Jobs that occupy a slot.
     running: u32,
+    /// Jobs that wait for a slot.
     waiting: u32,
     /// Sequence number of the latest load report.
     report_sequence: u64,
     kv: KvCache,
     faults: StubFaults,
     is_draining: bool,
-    live: LiveExecutions,
+    running_executions: RunningExecutions,
 }
 
 /// A running stub server.
 pub struct StubServer {
     runtime: Runtime,
-    /// What ran here and at the servers that share it.
+    /// Executions of this server and of others that share the log.
     pub log: Arc<ExecutionLog>,
-    /// What it is.
+    /// Settings of the server.
     pub settings: StubServerSettings,
     /// Identifies this start of the server.
     pub instance: u64,
-    state: Mutex<State>,
+    state: Mutex<ServerState>,
 }
 
-/// A slot in which a job runs; free again once dropped.
+/// A slot occupied by a job; released when dropped.
 struct Slot<'a>(&'a StubServer);
 
 impl Drop for Slot<'_> {
@@ -98,7 +101,7 @@
 }
 
 impl StubServer {
-    /// Listens and serves. What runs is recorded in `log`, which outlives the server.
+    /// Starts the server. Executions are recorded in `log`, which outlives the server.
     pub async fn start(
         runtime: &Runtime,
         settings: StubServerSettings,
@@ -122,7 +125,7 @@
         Ok(server)
     }
 
-    /// Replaces the faults that the server shows.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: StubFaults) {
         let mut state = self.state();
         if let Some(is_draining) = faults.is_draining {
@@ -131,12 +134,12 @@
         state.faults = faults;
     }
 
-    /// Sets whether the server announces that it leaves, and takes no more jobs.
+    /// Sets whether the server is draining: it reports that it is leaving and accepts no more jobs.
     pub fn set_draining(&self, is_draining: bool) {
         self.state().is_draining = is_draining;
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap()
     }
 
@@ -144,17 +147,17 @@
         self.state().is_draining
     }
 
-    /// The name that it goes by, which a fault may change.
-    fn name(&self) -> String {
+    /// The name that the server reports, which a fault may replace.
+    fn reported_name(&self) -> String {
         let impersonated = self.state().faults.impersonate.clone();
         impersonated.unwrap_or_else(|| self.settings.server.clone())
     }
 
-    /// Says which server, in which start, answers for the job.
+    /// The stamp of a response: the server, its instance and the job.
     fn stamp(&self, job: &str) -> Value {
         json!({
             "service": self.settings.service,
-            "server": self.name(),
+            "server": self.reported_name(),
             "inst": self.instance,
             "weights": self.settings.weights,
             "job": job,
@@ -162,7 +165,7 @@
     }
 
     fn load_report(&self) -> LoadReport {
-        let server = self.name();
+        let server = self.reported_name();
         let mut state = self.state();
         state.report_sequence += 1;
         LoadReport {
@@ -187,7 +190,7 @@
         json_response(503, &json!({"refused": true, "stamp": self.stamp(job)}))
     }
 
-    /// Waits for a free slot. None if the server drains or its queue is full.
+    /// Waits for a free slot. None if the server is draining or its queue is full.
     async fn acquire_slot(&self) -> Option<Slot<'_>> {
         {
             let mut state = self.state();
@@ -210,7 +213,7 @@
     }
 }
 
-/// A string member of a request's body; empty if it is missing.
-fn text(body: &Value, member: &str) -> String {
+/// A string member of a request body; empty if it is missing.
+fn string_member(body: &Value, member: &str) -> String {
     body[member].as_str().unwrap_or("").to_string()
 }
--- a/yewcross-testkit/src/stub_server/turn.rs
+++ b/yewcross-testkit/src/stub_server/turn.rs
@@ -1,7 +1,7 @@
-//! Turns of a model server: prefill, a stream of pieces, and the end line.
+//! Turns of a model server: prefill, the stream of pieces, and the end line.
 
 use super::kv_cache::Prefix;
-use super::{STALL_TIME, StubServer, text};
+use super::{STALL_TIME, StubServer, string_member};
 use async_channel::{Receiver, Sender};
 use http_types::Response;
 use serde_json::{Value, json};
@@ -11,40 +11,41 @@
 use yewcross_common::hash::digest;
 use yewcross_proxy::turn::tokens;
 
-/// Lines of history of which an answer gives the marks.
+/// Number of history lines whose digests a response contains.
 pub const DIGESTED_LINES: usize = 12;
-/// Characters of a mark.
-const MARK_LENGTH: usize = 6;
-/// Words in a piece of a stream.
+/// Length of a line's digest, characters.
+const LINE_DIGEST_LENGTH: usize = 6;
+/// Words per piece of a stream.
 const PIECE_WORDS: usize = 4;
-/// Bytes of a word, with its blank.
+/// Length of a word with its leading blank, bytes.
 const WORD_BYTES: usize = 8;
-/// Positions of the prompt's digest from which words are cut.
-const WORD_POSITIONS: usize = 24;
-/// The piece at which faults of the stream show.
-const FAULTY_PIECE: usize = 1;
-/// Output tokens of a turn that says no limit.
+/// Number of offsets in the prompt's digest at which words start.
+const WORD_OFFSETS: usize = 24;
+/// Index of the piece that stream faults affect.
+const FAULTY_PIECE_INDEX: usize = 1;
+/// Limit of output tokens for a turn that specifies none.
 const DEFAULT_MAX_OUTPUT: u64 = 16;
-/// Lines of a stream that wait for the reader.
+/// Lines of a stream that are buffered for the reader.
 const STREAM_BUFFER: usize = 16;
 
-/// Marks of the newest lines of history in a prompt, so that a caller can see what was kept.
+/// Digests of the most recent history lines in a prompt, by which a caller can check which history
+/// was kept.
 pub fn recent_line_digests(prompt: &str) -> String {
     let lines: Vec<&str> = prompt
         .split_inclusive('\n')
         .filter(|line| line.ends_with('\n'))
         .collect();
     let newest = &lines[lines.len().saturating_sub(DIGESTED_LINES)..];
-    let marks: Vec<String> = newest.iter().map(|line| line_digest(line)).collect();
-    marks.join(",")
+    let digests: Vec<String> = newest.iter().map(|line| line_digest(line)).collect();
+    digests.join(",")
 }
 
 /// A short digest of a line.
 pub fn line_digest(line: &str) -> String {
-    digest(line.as_bytes())[..MARK_LENGTH].to_string()
+    digest(line.as_bytes())[..LINE_DIGEST_LENGTH].to_string()
 }
 
-/// A turn as it was asked.
+/// A requested turn.
 struct Turn {
     job: String,
     session: String,
@@ -54,52 +55,52 @@
 }
 
 impl Turn {
-    fn read(body: &Value) -> Turn {
+    fn from_body(body: &Value) -> Turn {
         Turn {
-            job: text(body, "job"),
-            session: text(body, "session"),
-            program: text(body, "program"),
-            prompt: text(body, "prompt"),
+            job: string_member(body, "job"),
+            session: string_member(body, "session"),
+            program: string_member(body, "program"),
+            prompt: string_member(body, "prompt"),
             max_output: body["max_output"].as_u64().unwrap_or(DEFAULT_MAX_OUTPUT),
         }
     }
 
-    /// The words that the turn puts out, which depend on the prompt alone.
-    fn output(&self) -> Vec<String> {
+    /// The words that the turn generates, which depend only on the prompt and the output limit.
+    fn output_words(&self) -> Vec<String> {
         let max_output = self.max_output as usize;
         let seed = digest(self.prompt.as_bytes());
         let head = format!("[{}]", recent_line_digests(&self.prompt));
-        let room = (max_output * BYTES_PER_TOKEN).saturating_sub(head.len());
-        let count = (room / WORD_BYTES).min(max_output / 2);
-        let words = (0..count).map(|i| {
-            let start = i % WORD_POSITIONS;
+        let available_bytes = (max_output * BYTES_PER_TOKEN).saturating_sub(head.len());
+        let count = (available_bytes / WORD_BYTES).min(max_output / 2);
+        let words = (0..count).map(|index| {
+            let start = index % WORD_OFFSETS;
             format!(" {}", &seed[start..start + WORD_BYTES - 1])
         });
         std::iter::once(head).chain(words).collect()
     }
 }
 
-/// Faults that one stream shows.
+/// The faults that affect one stream.
 struct StreamFaults {
-    is_lost: bool,
+    is_answer_lost: bool,
     is_truncated: bool,
     is_spliced: bool,
     has_repeated_piece: bool,
 }
 
-/// The caller is gone or the turn was cancelled: nothing more is sent.
-struct Stopped;
+/// The stream ended early, because the turn was cancelled or a fault truncates the stream.
+struct StreamStopped;
 
-fn line(value: &Value) -> Vec<u8> {
+fn ndjson_line(value: &Value) -> Vec<u8> {
     let mut line = serde_json::to_vec(value).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
 impl StubServer {
-    pub(super) async fn answer_turn(self: &Arc<Self>, body: &Value) -> Response {
-        let turn = Turn::read(body);
-        self.record_arrival(&turn.job);
+    pub(super) async fn handle_turn(self: &Arc<Self>, body: &Value) -> Response {
+        let turn = Turn::from_body(body);
+        self.record_late_arrival(&turn.job);
         if self.is_draining() {
             return self.reject(&turn.job);
         }
@@ -115,13 +116,13 @@
         }
     }
 
-    /// Runs the turn in a task of its own. The channel says whether it got a slot.
+    /// Executes the turn in a separate task. The channel receives whether it got a slot.
     fn spawn_turn(self: &Arc<Self>, turn: Turn, lines: Sender<Vec<u8>>) -> Receiver<bool> {
         let (accept, is_accepted) = async_channel::bounded::<bool>(1);
         let server = self.clone();
         self.runtime.spawn(async move {
             let slot = server.acquire_slot().await;
-            // Fails only when the caller is gone; the turn runs all the same.
+            // Fails only if the caller has disconnected; the turn is executed nevertheless.
             let _ = accept.try_send(slot.is_some());
             if slot.is_some() {
                 server.run_turn(turn, lines).await;
@@ -139,7 +140,7 @@
             self.runtime.sleep(STALL_TIME).await;
             return;
         }
-        let words = turn.output();
+        let words = turn.output_words();
         let faults = self.take_stream_faults();
         let Ok(pieces) = self
             .stream_pieces(&words, &faults, &execution, &lines)
@@ -148,8 +149,8 @@
             return;
         };
         let text = words.concat();
-        let placed = self.keep_turn(&turn, &text, reused);
-        if faults.is_lost {
+        let placed = self.cache_session(&turn, &text, reused);
+        if faults.is_answer_lost {
             return;
         }
         let stamped_job = self.stamped_job(turn.job);
@@ -163,8 +164,8 @@
             "placed": placed,
             "stamp": self.stamp(&stamped_job),
         });
-        // Fails only when the caller is gone.
-        let _ = lines.send(line(&end)).await;
+        // Fails only if the caller has disconnected.
+        let _ = lines.send(ndjson_line(&end)).await;
     }
 
     async fn prefill(&self, prompt_tokens: u64) {
@@ -174,54 +175,55 @@
 
     fn take_stream_faults(&self) -> StreamFaults {
         StreamFaults {
-            is_lost: self.take_fault(|faults| &mut faults.lost_answers),
+            is_answer_lost: self.take_fault(|faults| &mut faults.lost_answers),
             is_truncated: self.take_fault(|faults| &mut faults.truncated_streams),
             is_spliced: self.take_fault(|faults| &mut faults.spliced_streams),
             has_repeated_piece: self.take_fault(|faults| &mut faults.repeated_pieces),
         }
     }
 
-    /// Puts out the words piece by piece; returns how many pieces.
+    /// Generates and sends the words piece by piece; returns the number of pieces.
     async fn stream_pieces(
         &self,
         words: &[String],
         faults: &StreamFaults,
-        execution: &super::executions::LiveExecution<'_>,
+        execution: &super::executions::RunningExecution<'_>,
         lines: &Sender<Vec<u8>>,
-    ) -> Result<usize, Stopped> {
+    ) -> Result<usize, StreamStopped> {
         let mut sent_words = 0;
         for (index, piece) in words.chunks(PIECE_WORDS).enumerate() {
             let text = piece.concat();
             let duration = tokens(text.len()) * self.settings.output_us * self.slowdown();
             self.runtime.sleep(duration).await;
             if execution.take_cancelled() {
-                return Err(Stopped);
+                return Err(StreamStopped);
             }
             sent_words += piece.len();
             execution.set_output(tokens(words[..sent_words].concat().len()));
-            let is_faulty = index == FAULTY_PIECE;
-            let shown = if faults.is_spliced && is_faulty {
+            let is_faulty = index == FAULTY_PIECE_INDEX;
+            let sent_text = if faults.is_spliced && is_faulty {
                 " of another job".to_string()
             } else {
                 text
             };
-            let line = line(&json!({"n": index, "text": shown}));
-            if !faults.is_lost {
-                // A turn runs to its end though its caller be gone.
+            let line = ndjson_line(&json!({"n": index, "text": sent_text}));
+            if !faults.is_answer_lost {
+                // The errors are ignored: a turn is completed even if its caller has disconnected.
                 if faults.has_repeated_piece && is_faulty {
                     let _ = lines.send(line.clone()).await;
                 }
                 let _ = lines.send(line).await;
             }
             if faults.is_truncated && is_faulty {
-                return Err(Stopped);
+                return Err(StreamStopped);
             }
         }
         Ok(words.chunks(PIECE_WORDS).len())
     }
 
-    /// Keeps the session with the turn's output in the cache; returns the tokens placed so far.
-    fn keep_turn(&self, turn: &Turn, output: &str, reused: u64) -> u64 {
+    /// Adds the session with the turn's output to the cache; returns the tokens added to the cache
+    /// so far.
+    fn cache_session(&self, turn: &Turn, output: &str, reused: u64) -> u64 {
         let mut history = turn.prompt.clone();
         history += &serde_json::to_string(output).unwrap_or_default();
         let prefix = Prefix {
@@ -234,6 +236,6 @@
         let mut state = self.state();
         state
             .kv
-            .place(&turn.session, prefix, added, self.settings.cache_tokens)
+            .insert_prefix(&turn.session, prefix, added, self.settings.cache_tokens)
     }
 }
