--- a/yewcross-testkit/src/sim/clock.rs
+++ b/yewcross-testkit/src/sim/clock.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Sleeps for so many us, counted from this call and not from the first poll.
+    /// Sleeps for `us`, counted from this call and not from the first poll.
     pub(super) fn sleep_for(&self, us: u64) -> Sleep {
         self.sleep_until(self.now() + us)
     }
--- a/yewcross-testkit/src/sim/disk.rs
+++ b/yewcross-testkit/src/sim/disk.rs
@@ -36,7 +36,8 @@
     pub slowness: u64,
     /// Syncs are acknowledged without being performed.
     pub ignores_syncs: bool,
-    /// The machine loses power the second value's us after as many more syncs as the first value.
+    /// A planned power loss: the number of syncs that precede it, and the us between the last of
+    /// them and the power loss.
     pub planned_power_loss: Option<(u64, u64)>,
     /// Bytes that can still be written; None for no limit.
     pub free_bytes: Option<usize>,
@@ -259,7 +260,7 @@
         path.is_empty() || self.directories.contains(path)
     }
 
-    /// Reserves space for so many bytes. Fails if the disk is full or its free space is too small.
+    /// Reserves space for `bytes`. Fails if the disk is full or its free space is too small.
     fn reserve_space(&mut self, bytes: usize) -> io::Result<()> {
         let is_insufficient = self.free_bytes.is_some_and(|free| free < bytes);
         self.free_bytes = self.free_bytes.map(|free| free.saturating_sub(bytes));
--- a/yewcross-testkit/src/sim/host.rs
+++ b/yewcross-testkit/src/sim/host.rs
@@ -46,7 +46,7 @@
     NoHost,
     /// The machine is partitioned or frozen: it does not answer now.
     Unresponsive,
-    /// The machine answers after so many us.
+    /// The machine answers after `round_trip` us.
     Reachable { machine: MachineId, round_trip: u64 },
 }
 
@@ -130,7 +130,7 @@
         Connection::new(Arc::new(stream), peer)
     }
 
-    /// Runs a disk operation that takes so many us and a random addition of up to half of them.
+    /// Runs a disk operation that takes `us` plus a random addition of up to half of it.
     fn run_disk_operation<T: Send + 'static>(
         &self,
         us: u64,
@@ -141,7 +141,7 @@
         self.run_disk_operation_for(us + jitter, operation, action)
     }
 
-    /// Runs a disk operation that takes so many us on a disk without slowdown.
+    /// Runs a disk operation that takes `us` on a disk without slowdown.
     fn run_disk_operation_for<T: Send + 'static>(
         &self,
         us: u64,
--- a/yewcross-testkit/src/sim/network.rs
+++ b/yewcross-testkit/src/sim/network.rs
@@ -10,7 +10,7 @@
 /// One-way latency between two machines of one site, us.
 const LATENCY_WITHIN_SITE: u64 = 100;
 
-/// Rates at which the network disturbs traffic; 0 by default.
+/// Rates of frame faults and the extra delay of chunks; all 0 by default.
 #[derive(Clone, Copy, Default)]
 pub struct NetworkConditions {
     /// Frames between the system's processes that are dropped, per 1000.
--- a/yewcross-testkit/src/stub_server/faults.rs
+++ b/yewcross-testkit/src/stub_server/faults.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StubFaults {
-    /// Jobs that are executed without their response being sent.
+    /// Jobs that are executed but whose response is lost.
     #[serde(rename = "lose")]
     pub lost_answers: u32,
     /// Jobs that hang for a fixed time.
