--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -155,18 +155,18 @@
             .for_each(|node| node.bootstrap = true);
         let sim = Sim::new(seed, topology.site_latency);
         let site = topology.sites[0].clone();
-        let machine = sim.machine("operator", &site, machine_addr(900, 0).ip());
+        let machine = sim.add_machine("operator", &site, machine_addr(900, 0).ip());
         let operator = sim.boot(machine);
-        sim.machine("callers", &site, machine_addr(901, 0).ip());
-        sim.machine("platform", &site, topology.platform.ip());
+        sim.add_machine("callers", &site, machine_addr(901, 0).ip());
+        sim.add_machine("platform", &site, topology.platform.ip());
         topology.nodes.iter().for_each(|node| {
-            sim.machine(&node.name, &node.site, node.peer.ip());
+            sim.add_machine(&node.name, &node.site, node.peer.ip());
         });
         server_machines()
             .iter()
             .enumerate()
             .for_each(|(i, (machine, _))| {
-                sim.machine(
+                sim.add_machine(
                     machine,
                     &topology.sites[i % 4],
                     machine_addr(300 + i, 0).ip(),
@@ -427,7 +427,7 @@
                 .operator
                 .timeout(5 * SEC, core.put(base, text.clone()))
                 .await;
-            self.sim.note(&format!(
+            self.sim.append_log(&format!(
                 "put configuration {index} on version {base}: {answer:?}"
             ));
             let answer = match answer {
@@ -445,7 +445,7 @@
                     )
                     .await;
                     response.ok().and_then(|response| {
-                        self.sim.note(&format!(
+                        self.sim.append_log(&format!(
                             "put configuration {index} on version {base} over HTTP: {} {}",
                             response.0,
                             String::from_utf8_lossy(&response.2)
@@ -569,7 +569,7 @@
         self.sim.kill(machine, power_off);
         self.nodes.lock().unwrap().remove(name);
         if wipe {
-            self.sim.wipe(machine);
+            self.sim.wipe_disk(machine);
         }
         self.operator.sleep(downtime).await;
         self.boot(name);
@@ -630,7 +630,7 @@
     /// Applies one disruption and returns once it has ended.
     pub async fn inject(self: &Arc<Self>, disruption: Disruption) {
         let duration = (1 + self.operator.random() % 4) * SEC;
-        self.sim.note(&format!("disruption {disruption}"));
+        self.sim.append_log(&format!("disruption {disruption}"));
         match disruption {
             Disruption::KillFront => {
                 self.restart_node(&self.random_node(Role::Front), false, false, duration / 4)
@@ -807,7 +807,7 @@
                 });
                 self.nodes.lock().unwrap().clear();
                 if disruption == Disruption::WipeOnePowerOffRest {
-                    self.sim.wipe(self.sim.find(&wiped));
+                    self.sim.wipe_disk(self.sim.find(&wiped));
                 }
                 self.operator.sleep(SEC).await;
                 for node in &self.topology.nodes {
--- a/yewcross-testkit/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -96,7 +96,7 @@
 #[test]
 fn every_checker_can_fail() {
     for violation in ProtocolViolation::iter() {
-        let budget = (violation == ProtocolViolation::Overspends).then_some(500);
+        let budget = (violation == ProtocolViolation::BudgetIgnored).then_some(500);
         let v = judge(&run(&Plan {
             violation: Some(violation),
             budget,
@@ -114,7 +114,8 @@
             "{violation:?} went unseen: {v:?}"
         );
         assert!(
-            violation != ProtocolViolation::RunsRefused || v.iter().any(|x| x.contains("its shot")),
+            violation != ProtocolViolation::RejectedAfterExecution
+                || v.iter().any(|x| x.contains("its shot")),
             "the shot alone tells it: {v:?}"
         );
     }
@@ -392,7 +393,7 @@
     let bad = (1..=6u64)
         .filter(|s| {
             !yewcross_testkit::register_stress::violations(
-                &yewcross_testkit::register_stress::run_with_lying_disks(*s),
+                &yewcross_testkit::register_stress::run_with_ignored_syncs(*s),
             )
             .is_empty()
         })
@@ -458,8 +459,8 @@
     let sim = yewcross_testkit::sim::Sim::new(3, 500);
     let at = |i: u8| std::net::SocketAddr::from(([10, 0, 0, i], 1));
     let (a, b) = (
-        sim.boot(sim.machine("a", "z1", at(1).ip())),
-        sim.boot(sim.machine("b", "z2", at(2).ip())),
+        sim.boot(sim.add_machine("a", "z1", at(1).ip())),
+        sim.boot(sim.add_machine("b", "z2", at(2).ip())),
     );
     let (pa, pb) = (
         PeerClient::new(&a, "a", "z1", WIRE_VERSION),
