--- a/yewcross-capacity/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -123,7 +123,7 @@
 fn at_rest(seed: u64, more: usize) -> Rest {
     const SECS: u64 = 10;
     let lab = TestCluster::with_topology(seed, "kowhai", |sh| {
-        let like: ProcessSettings = sh.of(Role::Front)[0].clone();
+        let like: ProcessSettings = sh.nodes_with_role(Role::Front)[0].clone();
         (0..more).for_each(|i| {
             let at = |p: u16| {
                 std::net::SocketAddr::from(([10, 7, (i / 200) as u8, (i % 200) as u8 + 1], p))
@@ -187,8 +187,8 @@
     });
     Rest {
         nodes: lab.topology.nodes.len() as f64,
-        fronts: lab.topology.of(Role::Front).len() as f64,
-        cores: lab.topology.of(Role::Core).len() as f64,
+        fronts: lab.topology.nodes_with_role(Role::Front).len() as f64,
+        cores: lab.topology.nodes_with_role(Role::Core).len() as f64,
         servers: lab.topology.servers.len() as f64,
         kinds: kinds.collect(),
         polls: (b.1 - a.1) as f64 / s,
--- a/yewcross-capacity/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -7,20 +7,20 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_control::layout::DiskChange;
-use yewcross_testkit::caller::{self, Ask, Heard};
+use yewcross_testkit::caller::{self, Outcome, TurnRequest};
 use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
-async fn talk(lab: &Arc<TestCluster>, turns: std::ops::Range<usize>) -> Vec<caller::Seen> {
+async fn talk(lab: &Arc<TestCluster>, turns: std::ops::Range<usize>) -> Vec<caller::RequestRecord> {
     let fronts: Vec<_> = lab
         .topology
-        .of(Role::Front)
+        .nodes_with_role(Role::Front)
         .iter()
         .map(|n| n.http)
         .collect();
     let mut v = vec![];
     for t in turns {
         for s in 0..10 {
-            let a = Ask {
+            let a = TurnRequest {
                 program: "chargeback".into(),
                 budget: "chargeback".into(),
                 session: format!("p{s}"),
@@ -34,8 +34,8 @@
                 max_output: 16,
                 stream: false,
             };
-            let x = caller::turn(&lab.operator, fronts[s % fronts.len()], &a).await;
-            assert_eq!(x.heard, Heard::Done, "{x:?}");
+            let x = caller::send_turn(&lab.operator, fronts[s % fronts.len()], &a).await;
+            assert_eq!(x.outcome, Outcome::Done, "{x:?}");
             v.push(x);
         }
         lab.operator.sleep(8 * SEC).await;
@@ -44,9 +44,12 @@
 }
 
 async fn checkpoint(lab: &Arc<TestCluster>) -> Checkpoint {
-    take(&lab.operator, lab.topology.of(Role::Core)[0].http)
-        .await
-        .unwrap()
+    take(
+        &lab.operator,
+        lab.topology.nodes_with_role(Role::Core)[0].http,
+    )
+    .await
+    .unwrap()
 }
 
 #[test]
--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -13,7 +13,7 @@
 use yewcross_common::runtime::*;
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum Heard {
+pub enum Outcome {
     Done,
     /// Answered with a code.
     Code(u16),
@@ -25,7 +25,7 @@
 
 /// One request and what came of it, as the caller saw it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Seen {
+pub struct RequestRecord {
     pub at: u64,
     pub took: u64,
     pub horizon: u64,
@@ -35,7 +35,8 @@
     pub program: String,
     pub session: String,
     pub job: String,
-    pub heard: Heard,
+    #[serde(rename = "heard")]
+    pub outcome: Outcome,
     pub ran: String,
     pub retry_after: u64,
     /// The shot that the front says this answer is about.
@@ -53,13 +54,13 @@
 }
 
 #[derive(Default)]
-pub struct Diary {
-    pub seen: Mutex<Vec<Seen>>,
+pub struct RequestLog {
+    pub records: Mutex<Vec<RequestRecord>>,
     pub stop: AtomicBool,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct TurnRequest {
     pub program: String,
     pub session: String,
     pub job: String,
@@ -70,8 +71,8 @@
     pub stream: bool,
 }
 
-fn blank(runtime: &Runtime, kind: &str, a: &Ask) -> Seen {
-    Seen {
+fn blank(runtime: &Runtime, kind: &str, a: &TurnRequest) -> RequestRecord {
+    RequestRecord {
         at: runtime.now(),
         took: 0,
         horizon: a.horizon_ms * MS,
@@ -80,7 +81,7 @@
         program: a.program.clone(),
         session: a.session.clone(),
         job: a.job.clone(),
-        heard: Heard::Nothing,
+        outcome: Outcome::Nothing,
         ran: String::new(),
         retry_after: 0,
         shot: String::new(),
@@ -95,7 +96,7 @@
     }
 }
 
-fn heads(s: &mut Seen, r: &http_types::Response) {
+fn heads(s: &mut RequestRecord, r: &http_types::Response) {
     let head = |n: &str| {
         r.header(n)
             .map(|v| v.as_str().to_string())
@@ -105,14 +106,14 @@
     s.shot = head("yewcross-shot");
 }
 
-fn refused(s: &mut Seen, v: &Value) {
-    s.heard = Heard::Code(v["code"].as_u64().unwrap_or(0) as u16);
+fn refused(s: &mut RequestRecord, v: &Value) {
+    s.outcome = Outcome::Code(v["code"].as_u64().unwrap_or(0) as u16);
     s.ran = v["ran"].as_str().unwrap_or("").into();
     s.retry_after = v["retry_after"].as_u64().unwrap_or(0);
 }
 
-fn ended(s: &mut Seen, v: &Value, pieces: u64) {
-    s.heard = Heard::Done;
+fn ended(s: &mut RequestRecord, v: &Value, pieces: u64) {
+    s.outcome = Outcome::Done;
     s.ran = "done".into();
     s.output = v["usage"]["output"].as_u64().unwrap_or(0);
     s.prompt = v["usage"]["prompt"].as_u64().unwrap_or(0);
@@ -130,8 +131,8 @@
     }
 }
 
-pub async fn turn(runtime: &Runtime, to: SocketAddr, a: &Ask) -> Seen {
-    let mut s = Seen {
+pub async fn send_turn(runtime: &Runtime, to: SocketAddr, a: &TurnRequest) -> RequestRecord {
+    let mut s = RequestRecord {
         front: Some(to),
         ..blank(runtime, "turn", a)
     };
@@ -162,7 +163,7 @@
                 }
                 return Some(());
             }
-            s.heard = Heard::Cut;
+            s.outcome = Outcome::Cut;
             let mut lines = yewcross_proxy::back::ResponseLines::from_response(&mut r);
             let mut n = 0;
             while let Some(l) = lines.next(runtime, limit).await {
@@ -187,7 +188,7 @@
     s
 }
 
-pub async fn lookup(
+pub async fn send_lookup(
     runtime: &Runtime,
     to: SocketAddr,
     service: &str,
@@ -195,15 +196,15 @@
     key: &str,
     job: &str,
     horizon_ms: u64,
-) -> Seen {
-    let a = Ask {
+) -> RequestRecord {
+    let a = TurnRequest {
         program: format!("{service}/{method}"),
         session: key.into(),
         job: job.into(),
         horizon_ms,
         ..Default::default()
     };
-    let mut s = Seen {
+    let mut s = RequestRecord {
         front: Some(to),
         ..blank(runtime, "lookup", &a)
     };
@@ -221,7 +222,7 @@
         heads(&mut s, &r);
         let v: Value = serde_json::from_slice(&b).unwrap_or(Value::Null);
         if status == 200 {
-            s.heard = Heard::Done;
+            s.outcome = Outcome::Done;
             s.text = v["value"].as_str().unwrap_or("").into();
             s.server = v["stamp"]["server"].as_str().unwrap_or("").into();
             if s.text != format!("{key}={}", &digest(key.as_bytes())[..8]) {
@@ -239,9 +240,15 @@
 }
 
 /// One session's life: turns in order, each checked against what this caller knows was kept.
-pub async fn session(runtime: Runtime, sh: Arc<Topology>, d: Arc<Diary>, id: usize, turns: usize) {
+pub async fn run_session(
+    runtime: Runtime,
+    sh: Arc<Topology>,
+    d: Arc<RequestLog>,
+    id: usize,
+    turns: usize,
+) {
     let fronts: Vec<SocketAddr> = sh
-        .of(yewcross_common::process_settings::Role::Front)
+        .nodes_with_role(yewcross_common::process_settings::Role::Front)
         .iter()
         .map(|n| n.http)
         .collect();
@@ -272,7 +279,7 @@
             let s = asked.service;
             let job = format!("{name}-once-{t}");
             for _ in 0..1 + runtime.random_index(3) {
-                let seen = lookup(
+                let seen = send_lookup(
                     &runtime,
                     fronts[runtime.random_index(fronts.len())],
                     &s,
@@ -282,14 +289,14 @@
                     1500,
                 )
                 .await;
-                d.seen.lock().unwrap().push(seen);
+                d.records.lock().unwrap().push(seen);
             }
         }
         for _ in 0..runtime.random_index(3) {
             let asked =
                 sh.workload.lookups[runtime.random_index(sh.workload.lookups.len())].clone();
             let (s, m) = (asked.service, asked.method);
-            let seen = lookup(
+            let seen = send_lookup(
                 &runtime,
                 fronts[at],
                 &s,
@@ -299,7 +306,7 @@
                 1500,
             )
             .await;
-            d.seen.lock().unwrap().push(seen);
+            d.records.lock().unwrap().push(seen);
         }
         if runtime.random().is_multiple_of(4) {
             at = runtime.random_index(fronts.len());
@@ -308,7 +315,7 @@
         let text: String = (0..n / 8)
             .map(|_| format!("{:07x} ", runtime.random() & 0xfffffff))
             .collect();
-        let a = Ask {
+        let a = TurnRequest {
             program: program.clone(),
             session: name.clone(),
             job: format!("{name}-{t}"),
@@ -331,14 +338,14 @@
             );
             runtime.spawn(async move {
                 w2.sleep(w2.random() % (400 * MS)).await;
-                let s = turn(&w2, to, &a2).await;
-                d2.seen.lock().unwrap().push(s);
+                let s = send_turn(&w2, to, &a2).await;
+                d2.records.lock().unwrap().push(s);
             });
         }
         loop {
-            let mut s = turn(&runtime, fronts[at], &a).await;
-            let again = match &s.heard {
-                Heard::Done => {
+            let mut s = send_turn(&runtime, fronts[at], &a).await;
+            let again = match &s.outcome {
+                Outcome::Done => {
                     let listed = s
                         .text
                         .trim_start_matches('[')
@@ -360,17 +367,17 @@
                     known.push(mark(&line));
                     false
                 }
-                Heard::Code(c) => {
+                Outcome::Code(c) => {
                     (3000..4000).contains(c)
                         || *c == 5001
                         || *c == 4002
                         || (*c == 4001 && runtime.random().is_multiple_of(2))
                 }
-                Heard::Cut | Heard::Nothing => true,
+                Outcome::Cut | Outcome::Nothing => true,
             };
-            unsure += (s.heard != Heard::Done && s.ran != "not_run") as usize;
+            unsure += (s.outcome != Outcome::Done && s.ran != "not_run") as usize;
             let rest = s.retry_after;
-            d.seen.lock().unwrap().push(s);
+            d.records.lock().unwrap().push(s);
             tries += 1;
             if !again || tries >= 6 || d.stop.load(SeqCst) {
                 break;
@@ -387,18 +394,20 @@
 }
 
 /// Figures of a run, as a person would want them printed.
-pub fn sum(v: &[Seen]) -> Value {
+pub fn summarize(v: &[RequestRecord]) -> Value {
     let by = |k: &str| {
-        let x: Vec<&Seen> = v.iter().filter(|s| s.kind == k).collect();
-        let done: Vec<&&Seen> = x.iter().filter(|s| s.heard == Heard::Done).collect();
+        let x: Vec<&RequestRecord> = v.iter().filter(|s| s.kind == k).collect();
+        let done: Vec<&&RequestRecord> = x.iter().filter(|s| s.outcome == Outcome::Done).collect();
         let mut codes = std::collections::BTreeMap::<String, u64>::new();
-        x.iter().filter(|s| s.heard != Heard::Done).for_each(|s| {
-            let c = match &s.heard {
-                Heard::Code(c) => c.to_string(),
-                h => format!("{h:?}"),
-            };
-            *codes.entry(c).or_default() += 1;
-        });
+        x.iter()
+            .filter(|s| s.outcome != Outcome::Done)
+            .for_each(|s| {
+                let c = match &s.outcome {
+                    Outcome::Code(c) => c.to_string(),
+                    h => format!("{h:?}"),
+                };
+                *codes.entry(c).or_default() += 1;
+            });
         let mut t: Vec<u64> = done.iter().map(|s| s.took / 1000).collect();
         t.sort();
         let p = |q: usize| t.get(t.len() * q / 100).or(t.last()).cloned().unwrap_or(0);
--- a/yewcross-testkit/src/fleet.rs
+++ b/yewcross-testkit/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A whole fleet on this machine: real processes, real sockets, real files.
 
-use crate::caller::{self, Diary};
+use crate::caller::{self, RequestLog};
 use crate::stub_server::StubServerSettings;
 use crate::topology::{Topology, topology};
 use serde_json::{Value, json};
@@ -16,8 +16,8 @@
 use yewcross_common::runtime::*;
 
 pub struct Fleet {
-    pub w: Runtime,
-    pub sh: Arc<Topology>,
+    pub runtime: Runtime,
+    pub topology: Arc<Topology>,
     dir: PathBuf,
     bin: PathBuf,
     kids: BTreeMap<String, Child>,
@@ -33,7 +33,7 @@
 }
 
 impl Fleet {
-    pub fn plan(runtime: &Runtime, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
+    pub fn prepare(runtime: &Runtime, name: &str, dir: &Path, base: u16) -> Result<Fleet, String> {
         let at = |base: u16| {
             topology(name, &move |n: usize, k: u16| {
                 SocketAddr::from(([127, 0, 0, 1], base + 2 * n as u16 + k))
@@ -90,8 +90,8 @@
         }
         std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         Ok(Fleet {
-            w: runtime.clone(),
-            sh: Arc::new(sh),
+            runtime: runtime.clone(),
+            topology: Arc::new(sh),
             dir: dir.into(),
             bin,
             kids: BTreeMap::new(),
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    pub fn start_back(&mut self, s: &StubServerSettings) -> Result<(), String> {
+    pub fn start_stub_server(&mut self, s: &StubServerSettings) -> Result<(), String> {
         let f = self.dir.join(format!("{}.json", s.server));
         std::fs::write(&f, serde_json::to_vec(s).unwrap_or_default()).map_err(|e| e.to_string())?;
         self.spawn(
@@ -143,7 +143,7 @@
     }
 
     pub fn start_all(&mut self) -> Result<(), String> {
-        let sh = self.sh.clone();
+        let sh = self.topology.clone();
         let p = self.dir.join("list.json");
         std::fs::write(
             &p,
@@ -158,7 +158,9 @@
             p.display().to_string(),
         ];
         self.spawn("platform", "yewcross-lab", &args)?;
-        sh.servers.iter().try_for_each(|b| self.start_back(b))?;
+        sh.servers
+            .iter()
+            .try_for_each(|b| self.start_stub_server(b))?;
         sh.nodes.iter().try_for_each(|n| self.start_node(n))
     }
 
@@ -187,14 +189,22 @@
             .and_then(|s| s.code())
     }
 
-    pub async fn get(&self, to: SocketAddr, path: &str) -> Option<Value> {
-        let r = fetch(&self.w, to, http_types::Method::Get, path, &[], vec![], SEC)
-            .await
-            .ok()?;
+    pub async fn get_json(&self, to: SocketAddr, path: &str) -> Option<Value> {
+        let r = fetch(
+            &self.runtime,
+            to,
+            http_types::Method::Get,
+            path,
+            &[],
+            vec![],
+            SEC,
+        )
+        .await
+        .ok()?;
         serde_json::from_slice(&r.2).ok()
     }
 
-    pub async fn send(
+    pub async fn send_request(
         &self,
         to: SocketAddr,
         verb: http_types::Method,
@@ -202,39 +212,39 @@
         heads: &[(&str, String)],
         v: &[u8],
     ) -> (u16, Value) {
-        match fetch(&self.w, to, verb, path, heads, v.to_vec(), 8 * SEC).await {
+        match fetch(&self.runtime, to, verb, path, heads, v.to_vec(), 8 * SEC).await {
             Ok((s, _, b)) => (s, serde_json::from_slice(&b).unwrap_or(Value::Null)),
             Err(e) => (0, json!(e.to_string())),
         }
     }
 
     /// Waits until all know each other, founds the tier, puts the configuration.
-    pub async fn found(&self) -> Result<Value, String> {
-        let core = self.sh.of(Role::Core)[0].http;
-        let t0 = self.w.now();
-        let want = self.sh.nodes.len();
-        while self.w.now() < t0 + 20 * SEC {
+    pub async fn bootstrap(&self) -> Result<Value, String> {
+        let core = self.topology.nodes_with_role(Role::Core)[0].http;
+        let t0 = self.runtime.now();
+        let want = self.topology.nodes.len();
+        while self.runtime.now() < t0 + 20 * SEC {
             let n = self
-                .get(core, "/v1/status")
+                .get_json(core, "/v1/status")
                 .await
                 .and_then(|v| v["nodes"].as_array().map(|a| a.len()))
                 .unwrap_or(0);
             if n == want {
                 break;
             }
-            self.w.sleep(100 * MS).await;
+            self.runtime.sleep(100 * MS).await;
         }
-        let known = self.w.now() - t0;
+        let known = self.runtime.now() - t0;
         let names = |r| {
-            self.sh
-                .of(r)
+            self.topology
+                .nodes_with_role(r)
                 .iter()
                 .map(|n| n.name.clone())
                 .collect::<Vec<_>>()
         };
         let v = json!({"cores": names(Role::Core), "stores": names(Role::Store)});
         let (s, r) = self
-            .send(
+            .send_request(
                 core,
                 http_types::Method::Post,
                 "/v1/found",
@@ -245,30 +255,30 @@
         if s != 200 {
             return Err(format!("found: {s} {r}"));
         }
-        let t1 = self.w.now();
-        let (s, r) = self.put(0, 1, &self.sh.config).await;
+        let t1 = self.runtime.now();
+        let (s, r) = self.put(0, 1, &self.topology.config).await;
         if s != 200 {
             return Err(format!("config: {s} {r}"));
         }
-        let put = self.w.now() - t1;
-        while self.w.now() < t1 + 20 * SEC {
+        let put = self.runtime.now() - t1;
+        while self.runtime.now() < t1 + 20 * SEC {
             let mut ok = 0;
-            for f in self.sh.of(Role::Front) {
-                ok += self.get(f.http, "/health").await.is_some_and(|v| {
+            for f in self.topology.nodes_with_role(Role::Front) {
+                ok += self.get_json(f.http, "/health").await.is_some_and(|v| {
                     v["serving"] == json!(true) && v["versions"]["list"].as_u64() > Some(0)
                 }) as usize;
             }
-            if ok == self.sh.of(Role::Front).len() {
+            if ok == self.topology.nodes_with_role(Role::Front).len() {
                 break;
             }
-            self.w.sleep(100 * MS).await;
+            self.runtime.sleep(100 * MS).await;
         }
         Ok(json!({"all_known_ms": known / 1000, "put_ms": put / 1000, "config": r}))
     }
 
     pub async fn put(&self, core: usize, base: u64, text: &str) -> (u16, Value) {
-        let to = self.sh.of(Role::Core)[core].http;
-        self.send(
+        let to = self.topology.nodes_with_role(Role::Core)[core].http;
+        self.send_request(
             to,
             http_types::Method::Put,
             "/v1/config",
@@ -278,12 +288,12 @@
         .await
     }
 
-    pub async fn counts(&self) -> BTreeMap<String, u64> {
+    pub async fn sum_counters(&self) -> BTreeMap<String, u64> {
         let mut sum = BTreeMap::new();
         let mut add =
             |k: &str, v: &Value| *sum.entry(k.to_string()).or_default() += v.as_u64().unwrap_or(0);
-        for n in &self.sh.nodes {
-            let Some(v) = self.get(n.http, "/metrics").await else {
+        for n in &self.topology.nodes {
+            let Some(v) = self.get_json(n.http, "/metrics").await else {
                 continue;
             };
             v.as_object()
@@ -344,28 +354,29 @@
     seconds: u64,
     sessions: usize,
 ) -> Result<(), String> {
-    let mut f = Fleet::plan(&runtime, name, dir, base)?;
+    let mut f = Fleet::prepare(&runtime, name, dir, base)?;
     println!(
         "{name}: {} processes in {}",
-        f.sh.nodes.len() + f.sh.servers.len() + 1,
+        f.topology.nodes.len() + f.topology.servers.len() + 1,
         dir.display()
     );
     f.start_all()?;
-    println!("founded: {}", f.found().await?);
-    let d = Arc::new(Diary::default());
+    println!("founded: {}", f.bootstrap().await?);
+    let d = Arc::new(RequestLog::default());
     let part = seconds.max(8) * SEC / 4;
     (0..sessions).for_each(|i| {
-        runtime.spawn(caller::session(
+        runtime.spawn(caller::run_session(
             runtime.clone(),
-            f.sh.clone(),
+            f.topology.clone(),
             d.clone(),
             i,
             100_000,
         ))
     });
-    let mut c0 = f.counts().await;
+    let mut c0 = f.sum_counters().await;
     let model = |i: usize| {
-        f.sh.servers
+        f.topology
+            .servers
             .iter()
             .filter(|b| b.is_model)
             .nth(i)
@@ -377,8 +388,8 @@
         match phase {
             "drain" => {
                 let v = json!({"server": drained, "leaving": true}).to_string();
-                f.send(
-                    f.sh.platform,
+                f.send_request(
+                    f.topology.platform,
                     http_types::Method::Post,
                     "/lab/leaving",
                     &[],
@@ -388,9 +399,9 @@
             }
             // Four times the sessions: homes are full, and some turns cannot wait for theirs.
             "overload" => (0..4 * sessions).for_each(|i| {
-                runtime.spawn(caller::session(
+                runtime.spawn(caller::run_session(
                     runtime.clone(),
-                    f.sh.clone(),
+                    f.topology.clone(),
                     d.clone(),
                     10_000 + i,
                     6,
@@ -400,12 +411,12 @@
             _ => {}
         }
         runtime.sleep(part).await;
-        let c1 = f.counts().await;
+        let c1 = f.sum_counters().await;
         println!("{phase}: {}", gain(&c0, &c1));
         c0 = c1;
     }
     d.stop.store(true, SeqCst);
     runtime.sleep(3 * SEC).await;
-    println!("callers: {}", caller::sum(&d.seen.lock().unwrap()));
+    println!("callers: {}", caller::summarize(&d.records.lock().unwrap()));
     Ok(())
 }
--- a/yewcross-testkit/src/platform.rs
+++ b/yewcross-testkit/src/platform.rs
@@ -14,8 +14,8 @@
     list: Mutex<ServerList>,
     last: Mutex<u64>,
     /// us. Asked more often than this, it answers 429.
-    pub pause: u64,
-    pub refused: std::sync::atomic::AtomicU64,
+    pub min_interval: u64,
+    pub throttled_requests: std::sync::atomic::AtomicU64,
 }
 
 impl Platform {
@@ -33,8 +33,8 @@
                 servers,
             }),
             last: Mutex::new(0),
-            pause: 300 * MS,
-            refused: Default::default(),
+            min_interval: 300 * MS,
+            throttled_requests: Default::default(),
         });
         let me = p.clone();
         let h: buffered_http::Handler = Arc::new(move |j| Box::pin(answer(me.clone(), j)));
@@ -47,11 +47,11 @@
         Ok(p)
     }
 
-    pub fn list(&self) -> Vec<ListedServer> {
+    pub fn servers(&self) -> Vec<ListedServer> {
         self.list.lock().unwrap().servers.clone()
     }
 
-    pub fn edit(&self, f: impl FnOnce(&mut Vec<ListedServer>)) {
+    pub fn update_servers(&self, f: impl FnOnce(&mut Vec<ListedServer>)) {
         let mut l = self.list.lock().unwrap();
         f(&mut l.servers);
         l.revision += 1;
@@ -63,8 +63,9 @@
         (Method::Get, "/servers") => {
             let t = p.w.now();
             let mut last = p.last.lock().unwrap();
-            if *last > 0 && t < *last + p.pause {
-                p.refused.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
+            if *last > 0 && t < *last + p.min_interval {
+                p.throttled_requests
+                    .fetch_add(1, std::sync::atomic::Ordering::SeqCst);
                 let mut r = json_response(429, &json!({"why": "too often"}));
                 r.insert_header("retry-after", "1");
                 return r;
@@ -85,7 +86,7 @@
         }
         (Method::Post, "/lab/list") => match serde_json::from_slice::<Vec<ListedServer>>(&j.body) {
             Ok(v) => {
-                p.edit(|s| *s = v);
+                p.update_servers(|s| *s = v);
                 json_response(200, &json!({"ok": true}))
             }
             Err(e) => json_response(400, &json!({"why": e.to_string()})),
@@ -96,7 +97,7 @@
                 v["server"].as_str().unwrap_or("").to_string(),
                 v["leaving"].as_bool().unwrap_or(true),
             );
-            p.edit(|s| {
+            p.update_servers(|s| {
                 s.iter_mut()
                     .filter(|x| x.server == n)
                     .for_each(|x| x.leaving = on)
--- a/yewcross-testkit/src/proof/checks/answers.rs
+++ b/yewcross-testkit/src/proof/checks/answers.rs
@@ -1,6 +1,6 @@
 //! What callers were answered: complete, consistent, prompt.
 
-use crate::caller::{Heard, Seen};
+use crate::caller::{Outcome, RequestRecord};
 use crate::proof::evidence::{Disruption, Evidence};
 use std::collections::BTreeMap;
 use yewcross_common::constants::{MS, SEC};
@@ -29,7 +29,7 @@
         .collect()
 }
 
-fn is_turn(seen: &Seen) -> bool {
+fn is_turn(seen: &RequestRecord) -> bool {
     seen.kind == "turn"
 }
 
@@ -39,13 +39,13 @@
     let mut violations = vec![];
     let mut complete: BTreeMap<(&str, &str), &str> = BTreeMap::new();
     let turns = || evidence.seen.iter().filter(|seen| is_turn(seen));
-    for seen in turns().filter(|seen| seen.heard == Heard::Done) {
+    for seen in turns().filter(|seen| seen.outcome == Outcome::Done) {
         let earlier = complete.insert((&seen.session, &seen.job), &seen.text);
         if earlier.is_some_and(|text| text != seen.text) {
             violations.push(format!("6 {} was answered with two texts", seen.job));
         }
     }
-    for seen in turns().filter(|seen| seen.heard != Heard::Done && !seen.text.is_empty()) {
+    for seen in turns().filter(|seen| seen.outcome != Outcome::Done && !seen.text.is_empty()) {
         let text = complete.get(&(seen.session.as_str(), seen.job.as_str()));
         if text.is_some_and(|text| !text.starts_with(&seen.text)) {
             violations.push(format!(
@@ -60,10 +60,10 @@
 /// A front that was itself disrupted, or partitioned, may leave a caller without an answer; no
 /// other may, whatever goes on.
 pub(super) fn dropped(evidence: &Evidence) -> Vec<String> {
-    let is_dropped = |seen: &Seen| {
-        seen.heard == Heard::Cut || (seen.heard == Heard::Nothing && seen.took > PROMPT)
+    let is_dropped = |seen: &RequestRecord| {
+        seen.outcome == Outcome::Cut || (seen.outcome == Outcome::Nothing && seen.took > PROMPT)
     };
-    let is_excused = |seen: &Seen| {
+    let is_excused = |seen: &RequestRecord| {
         let front = seen.front.and_then(|front| evidence.fronts.get(&front));
         let front = front.map_or("", |front| front.name.as_str());
         evidence.disruptions.iter().any(|disruption| {
@@ -80,7 +80,7 @@
                 "11 {} at {} got {:?} after {} ms from a front that was not struck",
                 seen.job,
                 seen.at,
-                seen.heard,
+                seen.outcome,
                 seen.took / 1000
             )
         })
@@ -88,7 +88,7 @@
 }
 
 /// Whether the request was under way during the disruption, or soon after it.
-fn meets(seen: &Seen, disruption: &Disruption) -> bool {
+fn meets(seen: &RequestRecord, disruption: &Disruption) -> bool {
     seen.at < disruption.at + DISRUPTION_TIME && seen.at + seen.took > disruption.at
 }
 
@@ -101,16 +101,17 @@
 /// What is given up is rejected at once, with a time to come back; never near the deadline for the
 /// sake of waiting.
 pub(super) fn late_rejections(evidence: &Evidence) -> Vec<String> {
-    let is_given_up = |seen: &&Seen| matches!(seen.heard, Heard::Code(3001..=3004 | 3006..=3009));
+    let is_given_up =
+        |seen: &&RequestRecord| matches!(seen.outcome, Outcome::Code(3001..=3004 | 3006..=3009));
     let rejected = || evidence.seen.iter().filter(is_given_up);
     let without_time = rejected().filter(|seen| seen.retry_after == 0).map(|seen| {
         format!(
             "13 {} was refused with {:?} and no time to come back",
-            seen.job, seen.heard
+            seen.job, seen.outcome
         )
     });
     // A front that froze, or a site that was partitioned, cannot answer meanwhile.
-    let is_excused = |seen: &Seen| evidence.disruptions.iter().any(|d| meets(seen, d));
+    let is_excused = |seen: &RequestRecord| evidence.disruptions.iter().any(|d| meets(seen, d));
     let held_back = rejected()
         .filter(|seen| seen.took > seen.horizon * 6 / 10 && !is_excused(seen))
         .map(|seen| {
@@ -119,7 +120,7 @@
                 seen.job,
                 seen.took / 1000,
                 seen.horizon / 1000,
-                seen.heard
+                seen.outcome
             )
         });
     without_time
@@ -131,7 +132,7 @@
 /// Only a front that was itself disrupted, or partitioned from its caller, may answer later than
 /// the deadline.
 fn ended_late(evidence: &Evidence) -> impl Iterator<Item = String> {
-    let is_excused = |seen: &Seen| {
+    let is_excused = |seen: &RequestRecord| {
         let mut silencing = evidence.disruptions.iter().filter(|d| silences_fronts(d));
         silencing.any(|disruption| meets(seen, disruption))
     };
@@ -144,7 +145,7 @@
                 "13 {} {} ended with {:?} {} ms after its horizon",
                 seen.kind,
                 seen.job,
-                seen.heard,
+                seen.outcome,
                 (seen.took - seen.horizon) / 1000
             )
         })
--- a/yewcross-testkit/src/proof/checks/availability.rs
+++ b/yewcross-testkit/src/proof/checks/availability.rs
@@ -1,6 +1,6 @@
 //! How soon requests are served again after a fault.
 
-use crate::caller::{Heard, Seen};
+use crate::caller::{Outcome, RequestRecord};
 use crate::proof::evidence::{Disruption, Evidence, FrontMachine};
 use std::collections::BTreeMap;
 use yewcross_common::constants::{MS, SEC};
@@ -25,18 +25,18 @@
 /// Done; or answered that its twin, asked at another front at the same time, is running, and that
 /// one was done; or that its budget is spent, where budgets are small; or that its service is not
 /// allowed, while that is withdrawn.
-fn is_served(evidence: &Evidence, seen: &Seen) -> bool {
-    let is_done_twin = |other: &Seen| {
-        other.heard == Heard::Done
+fn is_served(evidence: &Evidence, seen: &RequestRecord) -> bool {
+    let is_done_twin = |other: &RequestRecord| {
+        other.outcome == Outcome::Done
             && other.kind == seen.kind
             && other.job == seen.job
             && other.session == seen.session
     };
-    match seen.heard {
-        Heard::Done => true,
-        Heard::Code(4002) => evidence.seen.iter().any(is_done_twin),
-        Heard::Code(3005) => evidence.has_small_budgets,
-        Heard::Code(2006) => evidence.withdrawals.iter().any(|withdrawal| {
+    match seen.outcome {
+        Outcome::Done => true,
+        Outcome::Code(4002) => evidence.seen.iter().any(is_done_twin),
+        Outcome::Code(3005) => evidence.has_small_budgets,
+        Outcome::Code(2006) => evidence.withdrawals.iter().any(|withdrawal| {
             seen.at + WITHDRAWAL_MARGIN > withdrawal.from
                 && seen.at < withdrawal.until + WITHDRAWAL_MARGIN
         }),
@@ -86,7 +86,7 @@
         if requests.len() < ENOUGH_REQUESTS {
             continue;
         }
-        let is_served = |seen: &&&Seen| is_served(evidence, seen);
+        let is_served = |seen: &&&RequestRecord| is_served(evidence, seen);
         let served = requests.iter().filter(is_served).count();
         // In a crowd many are rightly told to come back; then some of each kind must get through.
         let is_enough = if is_crowded {
@@ -105,8 +105,8 @@
 }
 
 /// Requests from 9 to 14 s after the time: by kind, and by kind and program, site and front.
-fn requests_after(evidence: &Evidence, at: u64) -> BTreeMap<String, Vec<&Seen>> {
-    let mut groups: BTreeMap<String, Vec<&Seen>> = BTreeMap::new();
+fn requests_after(evidence: &Evidence, at: u64) -> BTreeMap<String, Vec<&RequestRecord>> {
+    let mut groups: BTreeMap<String, Vec<&RequestRecord>> = BTreeMap::new();
     let observed = evidence.seen.iter().filter(|seen| {
         seen.at >= at + RECOVERY_TIME
             && seen.at < at + OBSERVED_UNTIL
--- a/yewcross-testkit/src/proof/checks/configuration.rs
+++ b/yewcross-testkit/src/proof/checks/configuration.rs
@@ -1,6 +1,6 @@
 //! Which configuration was in force where, and what operators were answered.
 
-use crate::caller::Seen;
+use crate::caller::RequestRecord;
 use crate::proof::evidence::{Ack, Evidence};
 use std::collections::BTreeMap;
 use yewcross_common::constants::SEC;
@@ -29,7 +29,7 @@
     violations
 }
 
-fn served_under_old(evidence: &Evidence, seen: &Seen) -> Option<String> {
+fn served_under_old(evidence: &Evidence, seen: &RequestRecord) -> Option<String> {
     if seen.config == 0 || seen.ran == "not_run" {
         return None;
     }
--- a/yewcross-testkit/src/proof/checks/execution.rs
+++ b/yewcross-testkit/src/proof/checks/execution.rs
@@ -1,6 +1,6 @@
 //! What ran where, and how often: at most once, within budgets, only where allowed.
 
-use crate::caller::Seen;
+use crate::caller::RequestRecord;
 use crate::proof::evidence::{Account, Evidence, Withdrawal};
 use crate::stub_server::Execution;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,7 @@
         .map(|execution| (execution.job.as_str(), execution.attempt.as_str()))
         .collect();
     // A lookup without a job of its own goes by its attempt's name.
-    let has_run = |seen: &Seen| {
+    let has_run = |seen: &RequestRecord| {
         [&seen.job, &seen.shot]
             .into_iter()
             .any(|job| ran.contains(&(job.as_str(), seen.shot.as_str())))
@@ -59,14 +59,14 @@
         .map(|seen| {
             format!(
                 "3 {} {} at {} was told {:?}, not run, and its shot {} ran",
-                seen.kind, seen.job, seen.at, seen.heard, seen.shot
+                seen.kind, seen.job, seen.at, seen.outcome, seen.shot
             )
         })
         .collect()
 }
 
 fn rejected_jobs_that_ran(evidence: &Evidence) -> Vec<String> {
-    let mut answers: BTreeMap<(&str, &str), Vec<&Seen>> = BTreeMap::new();
+    let mut answers: BTreeMap<(&str, &str), Vec<&RequestRecord>> = BTreeMap::new();
     for seen in evidence.seen.iter().filter(|seen| !seen.job.is_empty()) {
         let job = (seen.session.as_str(), seen.job.as_str());
         answers.entry(job).or_default().push(seen);
--- a/yewcross-testkit/src/proof/cluster/mod.rs
+++ b/yewcross-testkit/src/proof/cluster/mod.rs
@@ -6,7 +6,7 @@
 mod startup;
 
 use super::evidence::{Account, Ack, Departure, Disruption, Withdrawal};
-use crate::caller::Diary;
+use crate::caller::RequestLog;
 use crate::platform::Platform;
 use crate::sim::{MachineId, Sim};
 use crate::stub_server::{ExecutionLog, StubServer, StubServerSettings};
@@ -51,7 +51,7 @@
     /// What ran at the servers.
     pub execution_log: Arc<ExecutionLog>,
     /// What callers were answered.
-    pub diary: Arc<Diary>,
+    pub diary: Arc<RequestLog>,
     /// The operator's runtime, which no fault touches.
     pub operator: Runtime,
     /// The latest process of each machine.
@@ -203,7 +203,7 @@
 
     /// Names of the topology's nodes of a role.
     pub fn names(&self, role: Role) -> Vec<String> {
-        let nodes = self.topology.of(role);
+        let nodes = self.topology.nodes_with_role(role);
         nodes.iter().map(|node| node.name.clone()).collect()
     }
 
--- a/yewcross-testkit/src/proof/cluster/operator.rs
+++ b/yewcross-testkit/src/proof/cluster/operator.rs
@@ -135,7 +135,7 @@
 
     /// Starts a node that was not there before and, where it has a disk, admits it.
     pub(in crate::proof) async fn add_node(self: &Arc<Self>, role: Role) -> String {
-        let model = self.topology.of(role)[0].clone();
+        let model = self.topology.nodes_with_role(role)[0].clone();
         let host = FIRST_ADDED_NODE_ADDRESS + role as usize;
         let name = format!("{}-new", model.name);
         let settings = ProcessSettings {
--- a/yewcross-testkit/src/proof/cluster/startup.rs
+++ b/yewcross-testkit/src/proof/cluster/startup.rs
@@ -38,7 +38,10 @@
 
     fn boot_platform(self: &Arc<Self>, runtime: Runtime) {
         let previous = self.platform.lock().unwrap().clone();
-        let list = previous.map_or_else(|| self.topology.server_list(), |platform| platform.list());
+        let list = previous.map_or_else(
+            || self.topology.server_list(),
+            |platform| platform.servers(),
+        );
         let cluster = self.clone();
         runtime.clone().spawn(async move {
             let at = cluster.topology.platform;
@@ -53,7 +56,7 @@
         machine: MachineId,
         settings: ProcessSettings,
     ) {
-        let costs = self.topology.costs.of(settings.role);
+        let costs = self.topology.costs.for_role(settings.role);
         self.sim.set_costs(machine, costs);
         let cluster = self.clone();
         runtime.clone().spawn(async move {
--- a/yewcross-testkit/src/proof/evidence.rs
+++ b/yewcross-testkit/src/proof/evidence.rs
@@ -1,6 +1,6 @@
 //! What a run recorded, and nothing else: the checkers judge it.
 
-use crate::caller::Seen;
+use crate::caller::RequestRecord;
 use crate::stub_server::{Execution, LateArrival};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
 #[derive(Clone)]
 pub struct Evidence {
     /// What callers were answered.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<RequestRecord>,
     /// What ran at the servers.
     pub executions: Vec<Execution>,
     /// What reached servers that were draining.
--- a/yewcross-testkit/src/proof/faults/load.rs
+++ b/yewcross-testkit/src/proof/faults/load.rs
@@ -76,7 +76,7 @@
         let machine = self.sim.machine(crowd.machine, site, ip);
         let runtime = self.sim.boot(machine);
         for caller in 0..crowd.callers {
-            runtime.spawn(caller::session(
+            runtime.spawn(caller::run_session(
                 runtime.clone(),
                 topology.clone(),
                 self.diary.clone(),
--- a/yewcross-testkit/src/proof/faults/servers.rs
+++ b/yewcross-testkit/src/proof/faults/servers.rs
@@ -24,7 +24,7 @@
     pub(super) fn edit_server_list(&self, edit: impl FnOnce(&mut Vec<ListedServer>)) {
         let platform = self.platform.lock().unwrap().clone();
         if let Some(platform) = platform {
-            platform.edit(edit);
+            platform.update_servers(edit);
         }
     }
 
@@ -98,7 +98,7 @@
         let platform = self.platform.lock().unwrap().clone();
         self.list_as_draining(&server, true);
         // Knowable from the list once the platform's own pause has passed.
-        let pause = platform.map_or(0, |platform| platform.pause);
+        let pause = platform.map_or(0, |platform| platform.min_interval);
         self.operator.sleep(pause).await;
         self.drain_server(&server);
         self.sleep_seconds(6).await;
--- a/yewcross-testkit/src/proof/long_day.rs
+++ b/yewcross-testkit/src/proof/long_day.rs
@@ -116,7 +116,7 @@
     while !cluster.diary.stop.load(SeqCst) {
         count += 1;
         let session = 1000 * (caller + 1) + count;
-        caller::session(
+        caller::run_session(
             runtime.clone(),
             cluster.topology.clone(),
             cluster.diary.clone(),
@@ -132,7 +132,7 @@
 
 /// Ends the session in every program: the caller does not know in which one it was.
 async fn end_session(cluster: &TestCluster, runtime: &Runtime, session: usize) {
-    let front = cluster.topology.of(Role::Front)[0].http;
+    let front = cluster.topology.nodes_with_role(Role::Front)[0].http;
     for turns in &cluster.topology.workload.turns {
         let body = json!({"program": turns.program, "session": format!("s{session}")});
         // A session that is not ended is forgotten in time.
@@ -156,7 +156,7 @@
         tasks: counts.tasks,
         files: counts.files,
         lines: cluster.sim.log().len(),
-        done: cluster.diary.seen.lock().unwrap().len(),
+        done: cluster.diary.records.lock().unwrap().len(),
     }
 }
 
@@ -172,7 +172,7 @@
     let programs = cluster.topology.workload.turns.iter();
     let programs = programs.map(|turns| turns.program.clone());
     Evidence {
-        seen: cluster.diary.seen.lock().unwrap().clone(),
+        seen: cluster.diary.records.lock().unwrap().clone(),
         executions: cluster.execution_log.executions.lock().unwrap().clone(),
         late_arrivals: vec![],
         departures: vec![],
--- a/yewcross-testkit/src/proof/run.rs
+++ b/yewcross-testkit/src/proof/run.rs
@@ -74,7 +74,7 @@
     let figures = figures(&cluster);
     let progress = progress.lock().unwrap();
     Evidence {
-        seen: cluster.diary.seen.lock().unwrap().clone(),
+        seen: cluster.diary.records.lock().unwrap().clone(),
         executions: cluster.execution_log.executions.lock().unwrap().clone(),
         late_arrivals: cluster.execution_log.late_arrivals.lock().unwrap().clone(),
         departures: cluster.departures.lock().unwrap().clone(),
@@ -165,7 +165,7 @@
 }
 
 async fn replace_fronts(cluster: &Arc<TestCluster>, violation: ProtocolViolation) {
-    for front in cluster.topology.of(Role::Front) {
+    for front in cluster.topology.nodes_with_role(Role::Front) {
         let machine = cluster.sim.find(&front.name);
         cluster.sim.kill(machine, false);
         let runtime = cluster.sim.boot(machine);
@@ -182,7 +182,7 @@
 fn start_callers(cluster: &Arc<TestCluster>, sessions: usize) {
     let runtime = cluster.sim.boot(cluster.sim.find("callers"));
     for session in 0..sessions {
-        runtime.spawn(caller::session(
+        runtime.spawn(caller::run_session(
             runtime.clone(),
             cluster.topology.clone(),
             cluster.diary.clone(),
@@ -329,7 +329,7 @@
         })
         .collect();
     json!({
-        "callers": caller::sum(&cluster.diary.seen.lock().unwrap()),
+        "callers": caller::summarize(&cluster.diary.records.lock().unwrap()),
         "fronts": sums.fronts,
         "messages": sums.messages,
         "bytes_within": sums.bytes_within,
--- a/yewcross-testkit/src/proof/sweep.rs
+++ b/yewcross-testkit/src/proof/sweep.rs
@@ -4,7 +4,7 @@
 use super::evidence::Evidence;
 use super::run::run;
 use super::scenario::Plan;
-use crate::caller::Heard;
+use crate::caller::Outcome;
 use std::collections::VecDeque;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -78,13 +78,13 @@
     for (at, machine, text) in &evidence.log {
         *report += &format!("\n  {:>10.3} {machine}: {text}", *at as f64 / 1e6);
     }
-    for seen in evidence.seen.iter().filter(|s| s.heard != Heard::Done) {
+    for seen in evidence.seen.iter().filter(|s| s.outcome != Outcome::Done) {
         *report += &format!(
             "\n  {:>10.3} {} {} {:?} took {} ms",
             seen.at as f64 / 1e6,
             seen.kind,
             seen.job,
-            seen.heard,
+            seen.outcome,
             seen.took / 1000
         );
     }
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -161,7 +161,11 @@
     }
 
     pub fn names(&self, r: Role) -> Vec<String> {
-        self.sh.of(r).iter().map(|n| n.name.clone()).collect()
+        self.sh
+            .nodes_with_role(r)
+            .iter()
+            .map(|n| n.name.clone())
+            .collect()
     }
 
     pub fn boot(self: &Arc<Self>, name: &str) {
@@ -169,7 +173,7 @@
         self.sim.power_on(m);
         let w = self.sim.boot(m);
         let Some(st) = self.startup(name) else { return };
-        self.sim.set_costs(m, self.sh.costs.of(st.role));
+        self.sim.set_costs(m, self.sh.costs.for_role(st.role));
         let (me, n) = (self.clone(), name.to_string());
         self.nodes.lock().unwrap().remove(name);
         w.clone().spawn(async move {
@@ -283,7 +287,7 @@
         let names = |r| self.names(r);
         let v = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)})
             .to_string();
-        let to = self.sh.of(Role::Core)[0].http;
+        let to = self.sh.nodes_with_role(Role::Core)[0].http;
         let _ = yewcross_common::buffered_http::fetch(
             &self.op,
             to,
@@ -402,7 +406,7 @@
         // What the platform's probes of readiness tell; all while none is in.
         let fronts: Fronts = Arc::new(move || {
             let g = me.nodes.lock().unwrap();
-            let fs = me.sh.of(Role::Front);
+            let fs = me.sh.nodes_with_role(Role::Front);
             let ready = |n: &str| {
                 matches!(g.get(n), Some(Node::Front(f)) if f.ready())
                     && me.sim.is_up(me.sim.find(n))
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -21,9 +21,9 @@
 use yewcross_control::api::*;
 
 /// `number mark`; the tree is empty.
-pub struct Numbered;
+pub struct NumberedTextFormat;
 
-impl ConfigurationFormat for Numbered {
+impl ConfigurationFormat for NumberedTextFormat {
     fn read(&self, text: &[u8]) -> Result<Configuration, Vec<InvalidSetting>> {
         match self.number(text) {
             Some(_) => Configuration::read(b"{}"),
@@ -44,13 +44,13 @@
 }
 
 /// A front as far as it concerns the control plane. It notes every configuration that it holds.
-pub struct Bare {
+pub struct StubFront {
     pub members: Arc<Membership>,
-    pub book: Arc<DocumentCache>,
-    pub seen: Mutex<Vec<(u64, u64, String)>>,
+    pub documents: Arc<DocumentCache>,
+    pub configuration_history: Mutex<Vec<(u64, u64, String)>>,
 }
 
-impl RequestHandler for Bare {
+impl RequestHandler for StubFront {
     fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
             let t = match p.decode::<PeerRequest>() {
@@ -66,9 +66,9 @@
                     ballot: epoch,
                     ..
                 }) => {
-                    self.book.apply(&name, seq, epoch, p.payload);
+                    self.documents.apply(&name, seq, epoch, p.payload);
                     PeerResponse::DocumentApplied {
-                        version: self.book.document(&name).version,
+                        version: self.documents.document(&name).version,
                     }
                 }
                 Some(PeerRequest::PublishDelta {
@@ -79,15 +79,20 @@
                     base_digest,
                     ..
                 }) => {
-                    let _ =
-                        self.book
-                            .apply_delta(&name, base, &base_digest, seq, epoch, &p.payload);
+                    let _ = self.documents.apply_delta(
+                        &name,
+                        base,
+                        &base_digest,
+                        seq,
+                        epoch,
+                        &p.payload,
+                    );
                     PeerResponse::DocumentApplied {
-                        version: self.book.document(&name).version,
+                        version: self.documents.document(&name).version,
                     }
                 }
                 Some(PeerRequest::ServersLeaving { servers, .. }) => {
-                    self.book.mark_leaving(&servers);
+                    self.documents.mark_leaving(&servers);
                     PeerResponse::Ok
                 }
                 _ => PeerResponse::Rejected(Code::BadField),
@@ -100,9 +105,9 @@
     }
 }
 
-impl Bare {
-    pub fn text(&self) -> String {
-        serde_json::from_slice::<ConfigDoc>(&self.book.document("config").content)
+impl StubFront {
+    pub fn configuration_text(&self) -> String {
+        serde_json::from_slice::<ConfigDoc>(&self.documents.document("config").content)
             .map(|d| d.text)
             .unwrap_or_default()
     }
@@ -110,14 +115,14 @@
 
 pub struct Tier {
     pub sim: Sim,
-    pub op: Runtime,
-    pub cores: usize,
-    pub specs: Mutex<BTreeMap<String, ProcessSettings>>,
-    pub control: Mutex<BTreeMap<String, Arc<Control>>>,
-    pub fronts: Mutex<BTreeMap<String, Arc<Bare>>>,
+    pub operator: Runtime,
+    pub core_count: usize,
+    pub settings: Mutex<BTreeMap<String, ProcessSettings>>,
+    pub control_nodes: Mutex<BTreeMap<String, Arc<Control>>>,
+    pub fronts: Mutex<BTreeMap<String, Arc<StubFront>>>,
 }
 
-pub fn addr(n: usize) -> SocketAddr {
+pub fn node_address(n: usize) -> SocketAddr {
     SocketAddr::new(IpAddr::from([10, 1, 0, n as u8 + 1]), 7000)
 }
 
@@ -134,32 +139,32 @@
         let op = sim.boot(m);
         let t = Arc::new(Tier {
             sim,
-            op,
-            cores: counts[0],
-            specs: Default::default(),
-            control: Default::default(),
+            operator: op,
+            core_count: counts[0],
+            settings: Default::default(),
+            control_nodes: Default::default(),
             fronts: Default::default(),
         });
         let mut n = 0;
         for ((role, tag), k) in ROLES.into_iter().zip(counts) {
             for i in 0..k {
-                t.add(&format!("{tag}{}", i + 1), role, i % 4, n, lost);
+                t.add_node(&format!("{tag}{}", i + 1), role, i % 4, n, lost);
                 n += 1;
             }
         }
         t
     }
 
-    pub fn add(&self, name: &str, role: Role, site: usize, n: usize, lost: usize) {
+    pub fn add_node(&self, name: &str, role: Role, site: usize, n: usize, lost: usize) {
         let site = format!("z{}", site + 1);
-        self.sim.machine(name, &site, addr(n).ip());
+        self.sim.machine(name, &site, node_address(n).ip());
         let st = ProcessSettings {
             name: name.into(),
             role,
             site,
-            peer: addr(n),
-            http: SocketAddr::new(addr(n).ip(), 7001),
-            seeds: (0..self.cores.min(3)).map(addr).collect(),
+            peer: node_address(n),
+            http: SocketAddr::new(node_address(n).ip(), 7001),
+            seeds: (0..self.core_count.min(3)).map(node_address).collect(),
             data: "d".into(),
             platform: None,
             threads: 1,
@@ -171,19 +176,19 @@
                 ..Default::default()
             },
         };
-        self.specs.lock().unwrap().insert(name.into(), st);
+        self.settings.lock().unwrap().insert(name.into(), st);
     }
 
     /// Starts a platform that lists these servers, and tells all machines that start later of it.
-    pub async fn list_servers(&self, servers: Vec<ListedServer>) -> Arc<Platform> {
+    pub async fn start_platform(&self, servers: Vec<ListedServer>) -> Arc<Platform> {
         let at = SocketAddr::new(IpAddr::from([10, 9, 0, 1]), 80);
-        self.specs
+        self.settings
             .lock()
             .unwrap()
             .values_mut()
             .filter(|s| s.role == Role::Core)
             .for_each(|s| s.platform = Some(at));
-        Platform::start(&self.op, at, servers).await.unwrap()
+        Platform::start(&self.operator, at, servers).await.unwrap()
     }
 
     /// Holds back what flows from one machine to each of the others.
@@ -203,8 +208,8 @@
     }
 
     /// Machines that hold the duties at this moment.
-    pub fn on_duty(&self) -> Vec<String> {
-        self.control
+    pub fn acting_holders(&self) -> Vec<String> {
+        self.control_nodes
             .lock()
             .unwrap()
             .iter()
@@ -213,8 +218,8 @@
             .collect()
     }
 
-    pub fn names(&self, r: Role) -> Vec<String> {
-        self.specs
+    pub fn names_with_role(&self, r: Role) -> Vec<String> {
+        self.settings
             .lock()
             .unwrap()
             .values()
@@ -227,17 +232,17 @@
         let m = self.sim.find(name);
         self.sim.power_on(m);
         let w = self.sim.boot(m);
-        let mut st = self.specs.lock().unwrap()[name].clone();
+        let mut st = self.settings.lock().unwrap()[name].clone();
         st.bootstrap = first;
         if !first {
             // The operator's list of now, which may name the machine itself or ones that are down.
-            let g = self.specs.lock().unwrap();
+            let g = self.settings.lock().unwrap();
             let mut v: Vec<SocketAddr> = g
                 .values()
                 .filter(|s| s.role == Role::Core)
                 .map(|s| s.peer)
                 .collect();
-            v.rotate_left(self.sim.rand() as usize % self.cores.max(1));
+            v.rotate_left(self.sim.rand() as usize % self.core_count.max(1));
             v.truncate(3);
             st.seeds = v;
         }
@@ -246,7 +251,7 @@
             if st.role == Role::Front {
                 let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
                 let members = Membership::new(&w, &st, &peers, "");
-                let book = DocumentCache::with_format(&w, Arc::new(Numbered));
+                let book = DocumentCache::with_format(&w, Arc::new(NumberedTextFormat));
                 let follow = DocumentWatcher::without_leases(
                     &members,
                     &book,
@@ -254,10 +259,10 @@
                     true,
                     st.bounds.apply * MS,
                 );
-                let b = Arc::new(Bare {
+                let b = Arc::new(StubFront {
                     members: members.clone(),
-                    book,
-                    seen: Default::default(),
+                    documents: book,
+                    configuration_history: Default::default(),
                 });
                 let door = w.bind(st.peer).await.unwrap();
                 w.spawn(peers.serve(door, b.clone()));
@@ -265,17 +270,28 @@
                 w.spawn(follow.run());
                 me.fronts.lock().unwrap().insert(n, b.clone());
                 loop {
-                    let l = b.book.changed.listen();
-                    let (p, t) = (b.book.document("config").version, b.text());
-                    let new = b.seen.lock().unwrap().last().is_none_or(|x| x.1 != p);
+                    let l = b.documents.changed.listen();
+                    let (p, t) = (
+                        b.documents.document("config").version,
+                        b.configuration_text(),
+                    );
+                    let new = b
+                        .configuration_history
+                        .lock()
+                        .unwrap()
+                        .last()
+                        .is_none_or(|x| x.1 != p);
                     if new && !t.is_empty() {
-                        b.seen.lock().unwrap().push((w.now(), p, t));
+                        b.configuration_history
+                            .lock()
+                            .unwrap()
+                            .push((w.now(), p, t));
                     }
                     l.await;
                 }
             }
             let o = Options {
-                configuration_format: Arc::new(Numbered),
+                configuration_format: Arc::new(NumberedTextFormat),
                 put_acknowledgement: PutAcknowledgement::Decided,
                 bind_http: false,
                 maintains_layout: true,
@@ -284,7 +300,7 @@
             };
             match Control::start_with(&w, st, o).await {
                 Ok(c) => {
-                    me.control.lock().unwrap().insert(n, c);
+                    me.control_nodes.lock().unwrap().insert(n, c);
                 }
                 Err(e) => panic!("{n} does not start: {e}"),
             }
@@ -292,58 +308,58 @@
     }
 
     pub fn boot_all(self: &Arc<Self>) {
-        let v: Vec<String> = self.specs.lock().unwrap().keys().cloned().collect();
+        let v: Vec<String> = self.settings.lock().unwrap().keys().cloned().collect();
         v.iter().for_each(|n| self.boot(n, true));
     }
 
     pub fn kill(&self, name: &str, power: bool) {
         self.sim.kill(self.sim.find(name), power);
-        self.control.lock().unwrap().remove(name);
+        self.control_nodes.lock().unwrap().remove(name);
         self.fronts.lock().unwrap().remove(name);
     }
 
-    pub fn at(&self, name: &str) -> Option<Arc<Control>> {
-        self.control.lock().unwrap().get(name).cloned()
+    pub fn control_node(&self, name: &str) -> Option<Arc<Control>> {
+        self.control_nodes.lock().unwrap().get(name).cloned()
     }
 
-    pub fn front(&self, name: &str) -> Option<Arc<Bare>> {
+    pub fn front(&self, name: &str) -> Option<Arc<StubFront>> {
         self.fronts.lock().unwrap().get(name).cloned()
     }
 
     /// An order run on the node itself; none where the node dies, or is silent for a second.
-    pub async fn on<T: Send + 'static>(
+    pub async fn run_on<T: Send + 'static>(
         &self,
         name: &str,
         f: impl FnOnce(Arc<Control>) -> BoxFuture<'static, T>,
     ) -> Option<T> {
-        let c = self.at(name)?;
+        let c = self.control_node(name)?;
         let (tx, rx) = async_channel::bounded(1);
         let go = f(c.clone());
         c.runtime.spawn(async move {
             let _ = tx.try_send(go.await);
         });
-        self.op.timeout(SEC, rx.recv()).await?.ok()
+        self.operator.timeout(SEC, rx.recv()).await?.ok()
     }
 
-    pub async fn put(&self, name: &str, base: u64, text: &str) -> Option<PutAnswer> {
+    pub async fn put_configuration(&self, name: &str, base: u64, text: &str) -> Option<PutAnswer> {
         let text = text.as_bytes().to_vec();
-        self.on(name, move |c| {
+        self.run_on(name, move |c| {
             Box::pin(async move { c.put(base, text).await })
         })
         .await
     }
 
-    pub async fn read(&self, name: &str) -> Option<ReadAnswer> {
-        self.on(name, |c| Box::pin(async move { c.read_config().await }))
+    pub async fn read_configuration(&self, name: &str) -> Option<ReadAnswer> {
+        self.run_on(name, |c| Box::pin(async move { c.read_config().await }))
             .await
     }
 
     /// Names behind the seats, and whether no change is under way, as a majority of the core disks
     /// has it.
-    pub async fn seats(&self) -> Option<(BTreeSet<String>, BTreeSet<String>, bool)> {
-        for n in self.names(Role::Core) {
+    pub async fn layout_members(&self) -> Option<(BTreeSet<String>, BTreeSet<String>, bool)> {
+        for n in self.names_with_role(Role::Core) {
             let got = self
-                .on(&n, |c| {
+                .run_on(&n, |c| {
                     Box::pin(async move { c.registers.read_newest("layout", SEC).await.ok() })
                 })
                 .await
@@ -368,78 +384,85 @@
 
     /// Waits until these and no others have seats, on the disks that they have now, and no change
     /// is under way.
-    pub async fn seated(&self, core: &[String], store: &[String], us: u64) -> Option<u64> {
-        let t0 = self.op.now();
-        while self.op.now() < t0 + us {
-            if let Some((c, s, still)) = self.seats().await {
+    pub async fn wait_for_members(
+        &self,
+        core: &[String],
+        store: &[String],
+        us: u64,
+    ) -> Option<u64> {
+        let t0 = self.operator.now();
+        while self.operator.now() < t0 + us {
+            if let Some((c, s, still)) = self.layout_members().await {
                 let set = |v: &[String]| v.iter().cloned().collect::<BTreeSet<String>>();
                 let own = core.iter().chain(store).all(|n| {
-                    self.at(n).is_some_and(|x| {
+                    self.control_node(n).is_some_and(|x| {
                         let l = x.documents.layout.load();
                         l.1.core.current.contains(&x.storage.disk_id)
                             || l.1.store.current.contains(&x.storage.disk_id)
                     })
                 });
                 if still && own && c == set(core) && s == set(store) {
-                    return Some(self.op.now() - t0);
+                    return Some(self.operator.now() - t0);
                 }
             }
-            self.op.sleep(20 * MS).await;
+            self.operator.sleep(20 * MS).await;
         }
         None
     }
 
     /// Puts until it is acknowledged, as an operator does.
-    pub async fn put_surely(&self, base: u64, text: &str) -> u64 {
-        let t0 = self.op.now();
-        let v = self.names(Role::Core);
+    pub async fn put_until_acknowledged(&self, base: u64, text: &str) -> u64 {
+        let t0 = self.operator.now();
+        let v = self.names_with_role(Role::Core);
         for i in 0..200 {
-            if let Some(PutAnswer::InForce(_)) = self.put(&v[i % v.len()], base, text).await {
-                return self.op.now() - t0;
+            if let Some(PutAnswer::InForce(_)) =
+                self.put_configuration(&v[i % v.len()], base, text).await
+            {
+                return self.operator.now() - t0;
             }
-            self.op.sleep(50 * MS).await;
+            self.operator.sleep(50 * MS).await;
         }
         panic!("{text} is not acknowledged")
     }
 
     /// Puts at one core until it is acknowledged; us that it took.
-    pub async fn put_at(&self, core: &str, base: u64, text: &str) -> u64 {
-        let t0 = self.op.now();
+    pub async fn put_at_until_acknowledged(&self, core: &str, base: u64, text: &str) -> u64 {
+        let t0 = self.operator.now();
         for _ in 0..200 {
-            if let Some(PutAnswer::InForce(_)) = self.put(core, base, text).await {
-                return self.op.now() - t0;
+            if let Some(PutAnswer::InForce(_)) = self.put_configuration(core, base, text).await {
+                return self.operator.now() - t0;
             }
-            self.op.sleep(10 * MS).await;
+            self.operator.sleep(10 * MS).await;
         }
         panic!("{text} is not acknowledged by {core}")
     }
 
     /// us until every front that runs holds the text.
-    pub async fn adopted(&self, text: &str, us: u64) -> Option<u64> {
-        let t0 = self.op.now();
-        while self.op.now() < t0 + us {
+    pub async fn wait_until_adopted(&self, text: &str, us: u64) -> Option<u64> {
+        let t0 = self.operator.now();
+        while self.operator.now() < t0 + us {
             if self
                 .fronts
                 .lock()
                 .unwrap()
                 .values()
-                .all(|f| f.text() == text)
+                .all(|f| f.configuration_text() == text)
             {
-                return Some(self.op.now() - t0);
+                return Some(self.operator.now() - t0);
             }
-            self.op.sleep(5 * MS).await;
+            self.operator.sleep(5 * MS).await;
         }
         None
     }
 }
 
-pub fn play<T: Send + 'static>(
+pub fn run_script<T: Send + 'static>(
     t: &Arc<Tier>,
     f: impl FnOnce(Arc<Tier>) -> BoxFuture<'static, T>,
 ) -> T {
     let out: Arc<Mutex<Option<T>>> = Default::default();
     let (o, go) = (out.clone(), f(t.clone()));
-    t.op.spawn(async move {
+    t.operator.spawn(async move {
         let x = go.await;
         *o.lock().unwrap() = Some(x);
     });
@@ -457,7 +480,7 @@
     })
 }
 
-pub fn tell(t: &Tier) -> String {
+pub fn format_log(t: &Tier) -> String {
     t.sim
         .log()
         .iter()
@@ -465,10 +488,13 @@
         .collect()
 }
 
-pub async fn up(t: &Arc<Tier>) -> u64 {
+pub async fn boot_and_wait(t: &Arc<Tier>) -> u64 {
     t.boot_all();
-    let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-    t.seated(&c, &s, 10 * SEC)
+    let (c, s) = (
+        t.names_with_role(Role::Core),
+        t.names_with_role(Role::Store),
+    );
+    t.wait_for_members(&c, &s, 10 * SEC)
         .await
-        .unwrap_or_else(|| panic!("not founded\n{}", tell(t)))
+        .unwrap_or_else(|| panic!("not founded\n{}", format_log(t)))
 }
--- a/yewcross-testkit/src/topology.rs
+++ b/yewcross-testkit/src/topology.rs
@@ -54,7 +54,7 @@
 impl RoleCosts {
     /// Small machines with slow disks. 20 us a task and 3 ns a byte are what the daemons' release
     /// builds took.
-    pub fn small(sync_us: u64) -> RoleCosts {
+    pub fn small_machines(sync_us: u64) -> RoleCosts {
         let costs = |core_percent| MachineCosts {
             core_percent,
             poll_us: 20,
@@ -69,7 +69,7 @@
     }
 
     /// Costs of a machine of the role.
-    pub fn of(&self, role: Role) -> MachineCosts {
+    pub fn for_role(&self, role: Role) -> MachineCosts {
         match role {
             Role::Front => self.front,
             Role::Core => self.core,
@@ -331,7 +331,7 @@
     let lookups = (0..sizes.lookups).map(|i| lookup_server(i, &names, &sites, address));
     let servers = models.chain(lookups).collect();
     let costs = if name == "metered" {
-        RoleCosts::small(2 * MS)
+        RoleCosts::small_machines(2 * MS)
     } else {
         RoleCosts::default()
     };
@@ -364,7 +364,7 @@
     }
 
     /// The nodes of a role.
-    pub fn of(&self, role: Role) -> Vec<&ProcessSettings> {
+    pub fn nodes_with_role(&self, role: Role) -> Vec<&ProcessSettings> {
         self.nodes.iter().filter(|node| node.role == role).collect()
     }
 }
--- a/yewcross-testkit/tests/behaviour.rs
+++ b/yewcross-testkit/tests/behaviour.rs
@@ -10,7 +10,7 @@
 use yewcross_common::constants::*;
 use yewcross_testkit::proof::{Fault, Plan, each, run};
 use yewcross_testkit::sim::Sim;
-use yewcross_testkit::tier::{Tier, play, up};
+use yewcross_testkit::tier::{Tier, boot_and_wait, run_script};
 
 /// A row's name, and the run that it stands for.
 struct Row {
@@ -47,19 +47,19 @@
 
 fn control(seed: u64) -> u128 {
     let tier = Tier::new(seed, [4, 4, 2], 1);
-    play(&tier, |tier| {
+    run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
-            tier.put_surely(0, "1 first").await;
+            boot_and_wait(&tier).await;
+            tier.put_until_acknowledged(0, "1 first").await;
             tier.kill("core1", true);
-            tier.put_surely(1, "2 without a core").await;
+            tier.put_until_acknowledged(1, "2 without a core").await;
             tier.kill("store1", true);
-            tier.put_surely(2, "3 without a store").await;
+            tier.put_until_acknowledged(2, "3 without a store").await;
             tier.boot("core1", false);
             tier.boot("store1", false);
-            tier.op.sleep(4 * SEC).await;
-            tier.put_surely(3, "4 all are back").await;
-            tier.op.sleep(SEC).await;
+            tier.operator.sleep(4 * SEC).await;
+            tier.put_until_acknowledged(3, "4 all are back").await;
+            tier.operator.sleep(SEC).await;
         })
     });
     tier.sim.fingerprint()
--- a/yewcross-testkit/tests/calls.rs
+++ b/yewcross-testkit/tests/calls.rs
@@ -45,7 +45,7 @@
 async fn slow_a_front(t: &Tier) {
     let fronts = t.names(Role::Front);
     let machine = t.sim.find(&fronts[t.op.random_index(fronts.len())]);
-    let usual = t.sh.costs.of(Role::Front);
+    let usual = t.sh.costs.for_role(Role::Front);
     let mut slow = usual;
     slow.core_percent = (usual.core_percent / SLOW_TO).max(1);
     t.sim.set_costs(machine, slow);
--- a/yewcross-testkit/tests/catching_up.rs
+++ b/yewcross-testkit/tests/catching_up.rs
@@ -36,17 +36,22 @@
 
 /// Puts the orders evenly over the span, at any core that answers.
 async fn put_all(tier: Arc<Tier>, progress: Arc<Progress>) {
-    let begin = tier.op.now();
-    let cores = tier.names(Role::Core);
+    let begin = tier.operator.now();
+    let cores = tier.names_with_role(Role::Core);
     for number in 2..=ORDERS + 1 {
         let due = begin + (number - 2) * SPAN / ORDERS;
-        tier.op.sleep(due.saturating_sub(tier.op.now())).await;
+        tier.operator
+            .sleep(due.saturating_sub(tier.operator.now()))
+            .await;
         loop {
-            let core = &cores[tier.op.random() as usize % cores.len()];
-            if let Some(PutAnswer::InForce(_)) = tier.put(core, number - 1, &text(number)).await {
+            let core = &cores[tier.operator.random() as usize % cores.len()];
+            if let Some(PutAnswer::InForce(_)) = tier
+                .put_configuration(core, number - 1, &text(number))
+                .await
+            {
                 break;
             }
-            tier.op.sleep(10 * MS).await;
+            tier.operator.sleep(10 * MS).await;
         }
         progress.newest.store(number, SeqCst);
     }
@@ -60,7 +65,7 @@
         Away::Frozen => tier.sim.freeze(machine),
         Away::CutOff => {
             let all: Vec<String> = tier
-                .specs
+                .settings
                 .lock()
                 .unwrap()
                 .keys()
@@ -83,9 +88,9 @@
 
 /// The number of the configuration that the machine holds.
 fn held(tier: &Tier, name: &str) -> u64 {
-    let page = match (tier.at(name), tier.front(name)) {
+    let page = match (tier.control_node(name), tier.front(name)) {
         (Some(control), _) => control.documents.document("config"),
-        (_, Some(front)) => front.book.document("config"),
+        (_, Some(front)) => front.documents.document("config"),
         _ => return 0,
     };
     yewcross_common::protocol::ConfigDoc::decode(&page.content).map_or(0, |d| d.number)
@@ -93,52 +98,52 @@
 
 /// us from its return until the machine holds what was newest then.
 async fn caught_up(tier: Arc<Tier>, name: &'static str, newest: u64, limit: u64) -> u64 {
-    let begin = tier.op.now();
+    let begin = tier.operator.now();
     while held(&tier, name) < newest {
-        tier.op.sleep(5 * MS).await;
+        tier.operator.sleep(5 * MS).await;
         assert!(
-            tier.op.now() < begin + limit,
+            tier.operator.now() < begin + limit,
             "{name} holds {} of {newest}\n{}",
             held(&tier, name),
-            tell(&tier)
+            format_log(&tier)
         );
     }
-    tier.op.now() - begin
+    tier.operator.now() - begin
 }
 
 /// Whatever the core answers an operator is no older than what was acknowledged before it was
 /// asked.
 async fn read_back(tier: Arc<Tier>, core: &'static str, progress: Arc<Progress>) -> u64 {
-    let begin = tier.op.now();
+    let begin = tier.operator.now();
     let mut first = None;
-    while tier.op.now() < begin + 3 * SEC {
+    while tier.operator.now() < begin + 3 * SEC {
         let newest = progress.newest.load(SeqCst);
-        if let Some(ReadAnswer::Text(number, _)) = tier.read(core).await {
+        if let Some(ReadAnswer::Text(number, _)) = tier.read_configuration(core).await {
             assert!(
                 number >= newest,
                 "{core} answers {number}, and {newest} was acknowledged\n{}",
-                tell(&tier)
+                format_log(&tier)
             );
-            first.get_or_insert(tier.op.now() - begin);
+            first.get_or_insert(tier.operator.now() - begin);
         }
-        tier.op.sleep(20 * MS).await;
+        tier.operator.sleep(20 * MS).await;
     }
-    first.unwrap_or_else(|| panic!("{core} answers no read\n{}", tell(&tier)))
+    first.unwrap_or_else(|| panic!("{core} answers no read\n{}", format_log(&tier)))
 }
 
 /// us until each machine holds the newest, and until the core answers an operator.
 fn run(seed: u64, away: Away, gone_for: u64) -> BTreeMap<&'static str, u64> {
     let tier = Tier::new(seed, [4, 4, 4], 1);
-    play(&tier, |tier| {
+    run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
-            tier.put_surely(0, &text(1)).await;
-            tier.op.sleep(2 * SEC).await;
+            boot_and_wait(&tier).await;
+            tier.put_until_acknowledged(0, &text(1)).await;
+            tier.operator.sleep(2 * SEC).await;
             let files = |tier: &Tier| -> BTreeMap<String, usize> {
                 let names = tier
-                    .names(Role::Core)
+                    .names_with_role(Role::Core)
                     .into_iter()
-                    .chain(tier.names(Role::Store));
+                    .chain(tier.names_with_role(Role::Store));
                 names
                     .map(|n| (n.clone(), tier.sim.disk(tier.sim.find(&n), |d| d.files())))
                     .collect()
@@ -146,17 +151,17 @@
             let before = files(&tier);
             let progress: Arc<Progress> = Default::default();
             progress.newest.store(1, SeqCst);
-            tier.op.spawn(put_all(tier.clone(), progress.clone()));
-            tier.op.sleep(SEC).await;
+            tier.operator.spawn(put_all(tier.clone(), progress.clone()));
+            tier.operator.sleep(SEC).await;
             LOST.iter().for_each(|n| leave(&tier, n, away));
-            tier.op.sleep(gone_for).await;
+            tier.operator.sleep(gone_for).await;
             let newest = progress.newest.load(SeqCst);
             LOST.iter().for_each(|n| come_back(&tier, n, away));
             let times: Arc<Mutex<BTreeMap<&str, u64>>> = Default::default();
             let (done_tx, done) = async_channel::unbounded();
             for name in LOST {
                 let (tier, times, done_tx) = (tier.clone(), times.clone(), done_tx.clone());
-                tier.op.clone().spawn(async move {
+                tier.operator.clone().spawn(async move {
                     let us = caught_up(tier, name, newest, 10 * SEC).await;
                     times.lock().unwrap().insert(name, us);
                     let _ = done_tx.send(()).await;
@@ -168,13 +173,17 @@
                 let _ = done.recv().await;
             }
             while !progress.ended.load(SeqCst) {
-                tier.op.sleep(100 * MS).await;
+                tier.operator.sleep(100 * MS).await;
             }
-            tier.adopted(&text(ORDERS + 1), 2 * SEC)
+            tier.wait_until_adopted(&text(ORDERS + 1), 2 * SEC)
                 .await
-                .unwrap_or_else(|| panic!("{}", tell(&tier)));
-            tier.op.sleep(5 * SEC).await;
-            let document = tier.at("core1").unwrap().documents.document("config");
+                .unwrap_or_else(|| panic!("{}", format_log(&tier)));
+            tier.operator.sleep(5 * SEC).await;
+            let document = tier
+                .control_node("core1")
+                .unwrap()
+                .documents
+                .document("config");
             assert!(
                 document.content.len() < TEXT + 100 * RETAINED_ORDERS_MAX,
                 "{}",
--- a/yewcross-testkit/tests/charges.rs
+++ b/yewcross-testkit/tests/charges.rs
@@ -27,7 +27,7 @@
     lab.sim.run(10 * SEC, || false);
     let of = |r| {
         lab.sim
-            .processor_time_used(lab.sim.find(&lab.topology.of(r)[0].name))
+            .processor_time_used(lab.sim.find(&lab.topology.nodes_with_role(r)[0].name))
     };
     let all = || [Role::Front, Role::Core, Role::Store].map(of);
     let a = all();
@@ -67,7 +67,7 @@
         me.operator.sleep(4 * SEC).await;
         let w = me.sim.boot(me.sim.find("callers"));
         (0..sessions).for_each(|i| {
-            w.spawn(yewcross_testkit::caller::session(
+            w.spawn(yewcross_testkit::caller::run_session(
                 w.clone(),
                 me.topology.clone(),
                 me.diary.clone(),
@@ -80,11 +80,13 @@
     let store = lab.sim.processor_time_used(lab.sim.find("store1"));
     let d: Arc<_> = lab.diary.clone();
     let n = d
-        .seen
+        .records
         .lock()
         .unwrap()
         .iter()
-        .filter(|s| s.kind == "turn" && matches!(s.heard, yewcross_testkit::caller::Heard::Done))
+        .filter(|s| {
+            s.kind == "turn" && matches!(s.outcome, yewcross_testkit::caller::Outcome::Done)
+        })
         .count();
     (n, store)
 }
@@ -92,7 +94,7 @@
 #[test]
 fn slow_disks_and_small_processors_bound_what_is_served() {
     let (free, _) = done(RoleCosts::default(), 150);
-    let (small, used) = done(RoleCosts::small(2 * MS), 150);
+    let (small, used) = done(RoleCosts::small_machines(2 * MS), 150);
     println!(
         "done by 150 sessions: free {free}, charged {small}, store1 used {} ms",
         used / MS
--- a/yewcross-testkit/tests/contact.rs
+++ b/yewcross-testkit/tests/contact.rs
@@ -19,7 +19,7 @@
 
 /// What a core says when it is asked for news of everything.
 async fn news(t: &Arc<Tier>, name: &str) -> (PeerResponse, PeerResponse) {
-    let asked = t.on(name, |c| {
+    let asked = t.run_on(name, |c| {
         Box::pin(async move {
             let newer = c
                 .handle(
@@ -49,7 +49,7 @@
     });
     asked
         .await
-        .unwrap_or_else(|| panic!("{name} is silent\n{}", tell(t)))
+        .unwrap_or_else(|| panic!("{name} is silent\n{}", format_log(t)))
 }
 
 async fn says_nothing(t: &Arc<Tier>, name: &str) {
@@ -63,12 +63,12 @@
             }
         ),
         "{newer:?}\n{}",
-        tell(t)
+        format_log(t)
     );
     assert!(
         matches!(page, PeerResponse::Rejected(_)),
         "{page:?}\n{}",
-        tell(t)
+        format_log(t)
     );
 }
 
@@ -77,18 +77,18 @@
     for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
         for (i, how) in PARTITIONS.into_iter().enumerate() {
             let t = Tier::new(6000 + 10 * size as u64 + i as u64, counts, lost);
-            play(&t, |t| {
+            run_script(&t, |t| {
                 Box::pin(async move {
-                    up(&t).await;
-                    t.put_surely(0, "5 a").await;
-                    t.op.sleep(2 * SEC).await;
-                    let cores = t.names(Role::Core);
-                    let victim = cores[t.op.random() as usize % cores.len()].clone();
+                    boot_and_wait(&t).await;
+                    t.put_until_acknowledged(0, "5 a").await;
+                    t.operator.sleep(2 * SEC).await;
+                    let cores = t.names_with_role(Role::Core);
+                    let victim = cores[t.operator.random() as usize % cores.len()].clone();
                     let other = cores.iter().find(|n| **n != victim).unwrap().clone();
                     partition_core(&t, &victim, how);
-                    t.op.sleep(NOTICED).await;
+                    t.operator.sleep(NOTICED).await;
                     let takes = t
-                        .at(&victim)
+                        .control_node(&victim)
                         .unwrap()
                         .registers
                         .prepared_ballots
@@ -96,53 +96,58 @@
                     for base in 5..12u64 {
                         let next = format!("{} b", base + 1);
                         assert_eq!(
-                            t.put(&other, base, &next).await,
+                            t.put_configuration(&other, base, &next).await,
                             Some(PutAnswer::InForce(base + 1)),
                             "{}",
-                            tell(&t)
+                            format_log(&t)
                         );
                         says_nothing(&t, &victim).await;
-                        let t0 = t.op.now();
+                        let t0 = t.operator.now();
                         assert_eq!(
-                            t.put(&victim, base, "99 c").await,
+                            t.put_configuration(&victim, base, "99 c").await,
                             Some(PutAnswer::NoMajority)
                         );
                         assert_eq!(
-                            t.put(&victim, base, &next).await,
+                            t.put_configuration(&victim, base, &next).await,
                             Some(PutAnswer::NoMajority)
                         );
-                        assert_eq!(t.read(&victim).await, Some(ReadAnswer::Unavailable));
-                        assert!(t.op.now() < t0 + SEC, "operators wait");
-                        t.op.sleep(SEC).await;
+                        assert_eq!(
+                            t.read_configuration(&victim).await,
+                            Some(ReadAnswer::Unavailable)
+                        );
+                        assert!(t.operator.now() < t0 + SEC, "operators wait");
+                        t.operator.sleep(SEC).await;
                     }
                     let retired = t
-                        .on(&victim, |c| {
+                        .run_on(&victim, |c| {
                             Box::pin(async move { c.retire_begin("store1").await })
                         })
                         .await;
                     assert_eq!(retired, Some(RetireOutcome::Unavailable));
-                    let c = t.at(&victim).unwrap();
+                    let c = t.control_node(&victim).unwrap();
                     assert!(!c.has_quorum_contact());
                     assert_eq!(
                         c.registers.prepared_ballots.load(SeqCst),
                         takes,
                         "it takes keys from their owners\n{}",
-                        tell(&t)
+                        format_log(&t)
                     );
                     t.sim.heal();
-                    let t0 = t.op.now();
-                    while t.read(&victim).await != Some(ReadAnswer::Text(12, "12 b".into())) {
-                        t.op.sleep(20 * MS).await;
+                    let t0 = t.operator.now();
+                    while t.read_configuration(&victim).await
+                        != Some(ReadAnswer::Text(12, "12 b".into()))
+                    {
+                        t.operator.sleep(20 * MS).await;
                         assert!(
-                            t.op.now() < t0 + 5 * SEC,
+                            t.operator.now() < t0 + 5 * SEC,
                             "{how:?}: no contact after the cut\n{}",
-                            tell(&t)
+                            format_log(&t)
                         );
                     }
                     println!(
                         "{} cores, {how:?}: reads again {} ms after the cut",
                         counts[0],
-                        (t.op.now() - t0) / MS
+                        (t.operator.now() - t0) / MS
                     );
                 })
             });
@@ -155,22 +160,22 @@
 fn a_core_that_restarts_alone_gives_no_news() {
     for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
         let t = Tier::new(6100 + size as u64, counts, lost);
-        play(&t, |t| {
+        run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "5 a").await;
-                t.op.sleep(2 * SEC).await;
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "5 a").await;
+                t.operator.sleep(2 * SEC).await;
                 t.kill("core2", true);
                 partition_core(&t, "core2", Partition::Both);
                 t.boot("core2", false);
                 for _ in 0..20 {
-                    t.op.sleep(100 * MS).await;
-                    if t.at("core2").is_some() {
+                    t.operator.sleep(100 * MS).await;
+                    if t.control_node("core2").is_some() {
                         says_nothing(&t, "core2").await;
                     }
                 }
                 t.sim.heal();
-                t.op.sleep(4 * SEC).await;
+                t.operator.sleep(4 * SEC).await;
                 let (newer, _) = news(&t, "core2").await;
                 assert!(
                     matches!(
@@ -181,7 +186,7 @@
                         }
                     ),
                     "{newer:?}\n{}",
-                    tell(&t)
+                    format_log(&t)
                 );
             })
         });
@@ -197,27 +202,27 @@
     for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
         for (i, how) in PARTITIONS.into_iter().enumerate() {
             let t = Tier::new(6200 + 10 * size as u64 + i as u64, counts, lost);
-            let us = play(&t, |t| {
+            let us = run_script(&t, |t| {
                 Box::pin(async move {
-                    up(&t).await;
-                    t.put_surely(0, "5 a").await;
-                    t.op.sleep(2 * SEC).await;
+                    boot_and_wait(&t).await;
+                    t.put_until_acknowledged(0, "5 a").await;
+                    t.operator.sleep(2 * SEC).await;
                     partition_core(&t, "core1", how);
-                    t.block_from("core2", &t.names(Role::Front));
-                    t.op.sleep(NOTICED).await;
+                    t.block_from("core2", &t.names_with_role(Role::Front));
+                    t.operator.sleep(NOTICED).await;
                     let mut worst = 0;
                     for base in 5..15u64 {
                         let next = format!("{} b", base + 1);
                         assert_eq!(
-                            t.put("core2", base, &next).await,
+                            t.put_configuration("core2", base, &next).await,
                             Some(PutAnswer::InForce(base + 1)),
                             "{}",
-                            tell(&t)
+                            format_log(&t)
                         );
                         let us = t
-                            .adopted(&next, 4 * SEC)
+                            .wait_until_adopted(&next, 4 * SEC)
                             .await
-                            .unwrap_or_else(|| panic!("{how:?}\n{}", tell(&t)));
+                            .unwrap_or_else(|| panic!("{how:?}\n{}", format_log(&t)));
                         worst = worst.max(us);
                     }
                     worst
--- a/yewcross-testkit/tests/control.rs
+++ b/yewcross-testkit/tests/control.rs
@@ -19,9 +19,9 @@
         (5, [3, 4, 2], 1),
     ] {
         let t = Tier::new(seed, counts, lost);
-        let us = play(&t, |t| Box::pin(async move { up(&t).await }));
+        let us = run_script(&t, |t| Box::pin(async move { boot_and_wait(&t).await }));
         println!("{counts:?}: seated after {} ms", us / MS);
-        assert!(us < 4 * SEC, "{counts:?} {us}\n{}", tell(&t));
+        assert!(us < 4 * SEC, "{counts:?} {us}\n{}", format_log(&t));
     }
 }
 
@@ -32,30 +32,33 @@
     let mut worst = 0;
     for seed in 0..40 {
         let t = Tier::new(100 + seed, [4, 4, 3], 1);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                let all: Vec<String> = t.specs.lock().unwrap().keys().cloned().collect();
+                let all: Vec<String> = t.settings.lock().unwrap().keys().cloned().collect();
                 for n in all {
-                    let (me, w) = (t.clone(), t.op.clone());
-                    t.op.spawn(async move {
+                    let (me, w) = (t.clone(), t.operator.clone());
+                    t.operator.spawn(async move {
                         w.sleep(w.random() % (1500 * MS)).await;
                         me.boot(&n, true);
                     });
                 }
-                let power = t.op.random().is_multiple_of(2);
-                t.op.sleep(t.op.random() % (2 * SEC)).await;
-                let n = format!("core{}", 1 + t.op.random() % 3);
-                if t.at(&n).is_some() {
+                let power = t.operator.random().is_multiple_of(2);
+                t.operator.sleep(t.operator.random() % (2 * SEC)).await;
+                let n = format!("core{}", 1 + t.operator.random() % 3);
+                if t.control_node(&n).is_some() {
                     t.kill(&n, power);
-                    t.op.sleep(500 * MS).await;
+                    t.operator.sleep(500 * MS).await;
                     t.boot(&n, false);
                 }
-                let (c, s) = (t.names(Role::Core), t.names(Role::Store));
+                let (c, s) = (
+                    t.names_with_role(Role::Core),
+                    t.names_with_role(Role::Store),
+                );
                 let us = t
-                    .seated(&c, &s, 20 * SEC)
+                    .wait_for_members(&c, &s, 20 * SEC)
                     .await
-                    .unwrap_or_else(|| panic!("not founded\n{}", tell(&t)));
-                t.put_surely(0, "5 a").await;
+                    .unwrap_or_else(|| panic!("not founded\n{}", format_log(&t)));
+                t.put_until_acknowledged(0, "5 a").await;
                 us
             })
         });
@@ -68,14 +71,14 @@
 #[test]
 fn a_put_costs_little_and_is_adopted_at_once() {
     let t = Tier::new(11, [4, 4, 12], 1);
-    let v = play(&t, |t| {
+    let v = run_script(&t, |t| {
         Box::pin(async move {
-            up(&t).await;
+            boot_and_wait(&t).await;
             let mut v = vec![];
             let mut base = 0;
             for i in 1..=6u64 {
                 let syncs = |t: &Tier| {
-                    t.control
+                    t.control_nodes
                         .lock()
                         .unwrap()
                         .values()
@@ -83,13 +86,13 @@
                         .sum::<u64>()
                 };
                 let (s0, text) = (syncs(&t), format!("{} text", 10 * i));
-                let ack = t.put_surely(base, &text).await;
-                let all = t.adopted(&text, 2 * SEC).await.unwrap();
-                t.op.sleep(300 * MS).await;
+                let ack = t.put_until_acknowledged(base, &text).await;
+                let all = t.wait_until_adopted(&text, 2 * SEC).await.unwrap();
+                t.operator.sleep(300 * MS).await;
                 v.push((ack, all, syncs(&t) - s0));
                 base = 10 * i;
                 assert_eq!(
-                    t.read("core3").await,
+                    t.read_configuration("core3").await,
                     Some(ReadAnswer::Text(base, text.as_str().into()))
                 );
             }
@@ -108,13 +111,13 @@
 #[test]
 fn numbers_and_bases_are_held_to() {
     let t = Tier::new(12, [4, 4, 2], 1);
-    play(&t, |t| {
+    run_script(&t, |t| {
         Box::pin(async move {
             t.boot_all();
-            t.put_surely(0, "5 a").await;
+            t.put_until_acknowledged(0, "5 a").await;
             let put = |n: &'static str, base: u64, text: &'static str| {
                 let t = t.clone();
-                async move { t.put(n, base, text).await.unwrap() }
+                async move { t.put_configuration(n, base, text).await.unwrap() }
             };
             assert_eq!(put("core2", 0, "5 a").await, PutAnswer::InForce(5));
             assert_eq!(put("core2", 0, "6 b").await, PutAnswer::Conflict(5));
@@ -131,7 +134,7 @@
             assert_eq!(put("core2", 5, "9 b").await, PutAnswer::InForce(9));
             assert_eq!(put("core4", 5, "9 c").await, PutAnswer::Conflict(10));
             assert_eq!(
-                t.read("core2").await,
+                t.read_configuration("core2").await,
                 Some(ReadAnswer::Text(10, "10 c".into()))
             );
         })
@@ -144,23 +147,33 @@
     let mut worst = 0;
     for seed in 0..10 {
         let t = Tier::new(40 + seed, [4, 4, 10], 1);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "5 a").await;
-                t.op.sleep(2 * SEC).await;
-                let cores: Vec<usize> = t.names(Role::Core).iter().map(|n| t.sim.find(n)).collect();
-                let fronts: Vec<usize> =
-                    t.names(Role::Front).iter().map(|n| t.sim.find(n)).collect();
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "5 a").await;
+                t.operator.sleep(2 * SEC).await;
+                let cores: Vec<usize> = t
+                    .names_with_role(Role::Core)
+                    .iter()
+                    .map(|n| t.sim.find(n))
+                    .collect();
+                let fronts: Vec<usize> = t
+                    .names_with_role(Role::Front)
+                    .iter()
+                    .map(|n| t.sim.find(n))
+                    .collect();
                 // Nothing that the putter sends arrives, at fronts.
                 t.sim.partition(&[cores[1]], &fronts);
                 let mut ok = false;
                 while !ok {
-                    ok = matches!(t.put("core2", 5, "6 b").await, Some(PutAnswer::InForce(6)));
+                    ok = matches!(
+                        t.put_configuration("core2", 5, "6 b").await,
+                        Some(PutAnswer::InForce(6))
+                    );
                 }
-                t.adopted("6 b", 5 * SEC)
+                t.wait_until_adopted("6 b", 5 * SEC)
                     .await
-                    .unwrap_or_else(|| panic!("{}", tell(&t)))
+                    .unwrap_or_else(|| panic!("{}", format_log(&t)))
             })
         });
         worst = worst.max(us);
@@ -172,19 +185,22 @@
 #[test]
 fn a_front_that_restarts_has_it_at_once() {
     let t = Tier::new(60, [4, 4, 6], 1);
-    let us = play(&t, |t| {
+    let us = run_script(&t, |t| {
         Box::pin(async move {
-            up(&t).await;
-            t.put_surely(0, "5 a").await;
-            t.op.sleep(SEC).await;
+            boot_and_wait(&t).await;
+            t.put_until_acknowledged(0, "5 a").await;
+            t.operator.sleep(SEC).await;
             t.kill("front2", false);
-            t.op.sleep(300 * MS).await;
+            t.operator.sleep(300 * MS).await;
             t.boot("front2", false);
-            let t0 = t.op.now();
-            while t.front("front2").is_none_or(|f| f.text() != "5 a") {
-                t.op.sleep(2 * MS).await;
+            let t0 = t.operator.now();
+            while t
+                .front("front2")
+                .is_none_or(|f| f.configuration_text() != "5 a")
+            {
+                t.operator.sleep(2 * MS).await;
             }
-            t.op.now() - t0
+            t.operator.now() - t0
         })
     });
     println!("{} us", us);
@@ -194,10 +210,10 @@
 /// Two operators race; cores are cut off, killed and lose power; frames are lost.
 fn race(seed: u64) -> (usize, usize) {
     let t = Tier::new(seed, [4, 4, 4], 1);
-    play(&t, |t| {
+    run_script(&t, |t| {
         Box::pin(async move {
-            up(&t).await;
-            t.put_surely(0, "1 first").await;
+            boot_and_wait(&t).await;
+            t.put_until_acknowledged(0, "1 first").await;
             t.sim.set_network_conditions(NetworkConditions {
                 drop_per_mille: 10,
                 duplicate_per_mille: 20,
@@ -207,23 +223,24 @@
             // Text, base, and the answer; what was told of each.
             let told: Arc<Mutex<Vec<(String, u64, PutAnswer)>>> = Default::default();
             let (dx, done) = async_channel::bounded(2);
-            let end = t.op.now() + 20 * SEC;
+            let end = t.operator.now() + 20 * SEC;
             for who in 0..2u64 {
                 let (t, told, dx) = (t.clone(), told.clone(), dx.clone());
-                t.op.clone().spawn(async move {
-                    let cores = t.names(Role::Core);
+                t.operator.clone().spawn(async move {
+                    let cores = t.names_with_role(Role::Core);
                     let mut nth = 0;
-                    while t.op.now() < end {
+                    while t.operator.now() < end {
                         nth += 1;
-                        let core = || cores[t.op.random() as usize % cores.len()].clone();
-                        let Some(ReadAnswer::Text(base, _)) = t.read(&core()).await else {
-                            t.op.sleep(50 * MS).await;
+                        let core = || cores[t.operator.random() as usize % cores.len()].clone();
+                        let Some(ReadAnswer::Text(base, _)) = t.read_configuration(&core()).await
+                        else {
+                            t.operator.sleep(50 * MS).await;
                             continue;
                         };
-                        t.op.sleep(t.op.random() % (30 * MS)).await;
-                        let text = format!("{} by {who} {nth}", base + 1 + t.op.random() % 3);
+                        t.operator.sleep(t.operator.random() % (30 * MS)).await;
+                        let text = format!("{} by {who} {nth}", base + 1 + t.operator.random() % 3);
                         for _ in 0..12 {
-                            let a = t.put(&core(), base, &text).await;
+                            let a = t.put_configuration(&core(), base, &text).await;
                             if let Some(a) = a.clone() {
                                 told.lock().unwrap().push((text.clone(), base, a));
                             }
@@ -237,49 +254,49 @@
                             ) {
                                 break;
                             }
-                            t.op.sleep(100 * MS).await;
+                            t.operator.sleep(100 * MS).await;
                         }
-                        t.op.sleep(t.op.random() % (200 * MS)).await;
+                        t.operator.sleep(t.operator.random() % (200 * MS)).await;
                     }
                     let _ = dx.send(()).await;
                 });
             }
-            while t.op.now() < end {
-                let n = format!("core{}", 1 + t.op.random() % 4);
+            while t.operator.now() < end {
+                let n = format!("core{}", 1 + t.operator.random() % 4);
                 let m = t.sim.find(&n);
                 let others: Vec<usize> = t
-                    .names(Role::Core)
+                    .names_with_role(Role::Core)
                     .iter()
                     .filter(|x| **x != n)
                     .map(|x| t.sim.find(x))
                     .collect();
-                match t.op.random() % 4 {
+                match t.operator.random() % 4 {
                     0 => {
                         t.sim.partition(&[m], &others);
-                        t.op.sleep(t.op.random() % (2 * SEC)).await;
+                        t.operator.sleep(t.operator.random() % (2 * SEC)).await;
                         t.sim.heal();
                     }
                     1 => {
                         t.sim.freeze(m);
-                        t.op.sleep(t.op.random() % (2 * SEC)).await;
+                        t.operator.sleep(t.operator.random() % (2 * SEC)).await;
                         t.sim.thaw(m);
                     }
                     k => {
                         t.kill(&n, k == 2);
-                        t.op.sleep(200 * MS + t.op.random() % SEC).await;
+                        t.operator.sleep(200 * MS + t.operator.random() % SEC).await;
                         t.boot(&n, false);
                     }
                 }
-                t.op.sleep(t.op.random() % (1500 * MS)).await;
+                t.operator.sleep(t.operator.random() % (1500 * MS)).await;
             }
             let _ = (done.recv().await, done.recv().await);
             t.sim.heal();
             t.sim.set_network_conditions(NetworkConditions::default());
-            t.op.sleep(4 * SEC).await;
+            t.operator.sleep(4 * SEC).await;
             let mut last = vec![];
-            for n in t.names(Role::Core) {
-                let Some(ReadAnswer::Text(v, s)) = t.read(&n).await else {
-                    panic!("{n} cannot read\n{}", tell(&t))
+            for n in t.names_with_role(Role::Core) {
+                let Some(ReadAnswer::Text(v, s)) = t.read_configuration(&n).await else {
+                    panic!("{n} cannot read\n{}", format_log(&t))
                 };
                 last.push((v, s.to_string()));
             }
@@ -310,7 +327,7 @@
                 .collect();
             assert!(refused.iter().all(|r| !acks.contains_key(*r)), "both told");
             for (n, f) in t.fronts.lock().unwrap().iter() {
-                let seen = f.seen.lock().unwrap();
+                let seen = f.configuration_history.lock().unwrap();
                 assert!(seen.windows(2).all(|w| w[0].1 < w[1].1), "{n} went back");
                 seen.iter().for_each(|s| {
                     assert!(
@@ -319,7 +336,7 @@
                         s.2
                     )
                 });
-                assert_eq!(f.text(), last[0].1, "{n}");
+                assert_eq!(f.configuration_text(), last[0].1, "{n}");
             }
             (acks.len(), refused.len())
         })
@@ -341,21 +358,24 @@
         .enumerate()
     {
         let t = Tier::new(300 + i as u64, [4, 4, 3], 1);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "5 a").await;
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "5 a").await;
                 t.kill(n, true);
                 t.sim.wipe(t.sim.find(n));
-                t.op.sleep(1500 * MS).await;
+                t.operator.sleep(1500 * MS).await;
                 t.boot(n, false);
-                let (c, s) = (t.names(Role::Core), t.names(Role::Store));
+                let (c, s) = (
+                    t.names_with_role(Role::Core),
+                    t.names_with_role(Role::Store),
+                );
                 let us = t
-                    .seated(&c, &s, 10 * SEC)
+                    .wait_for_members(&c, &s, 10 * SEC)
                     .await
-                    .unwrap_or_else(|| panic!("{n}\n{}", tell(&t)));
+                    .unwrap_or_else(|| panic!("{n}\n{}", format_log(&t)));
                 assert_eq!(
-                    t.read("core3").await,
+                    t.read_configuration("core3").await,
                     Some(ReadAnswer::Text(5, "5 a".into()))
                 );
                 us
@@ -372,60 +392,66 @@
 fn a_lost_machine_is_replaced_by_another() {
     for (i, n) in ["core2", "store2"].into_iter().enumerate() {
         let t = Tier::new(320 + i as u64, [4, 4, 3], 1);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "5 a").await;
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "5 a").await;
                 t.kill(n, true);
-                t.op.sleep(1200 * MS).await;
+                t.operator.sleep(1200 * MS).await;
                 let role = if n.starts_with("core") {
                     Role::Core
                 } else {
                     Role::Store
                 };
-                t.add("spare", role, 1, 50, 1);
-                t.specs.lock().unwrap().remove(n);
+                t.add_node("spare", role, 1, 50, 1);
+                t.settings.lock().unwrap().remove(n);
                 t.boot("spare", false);
-                let (c, s) = (t.names(Role::Core), t.names(Role::Store));
+                let (c, s) = (
+                    t.names_with_role(Role::Core),
+                    t.names_with_role(Role::Store),
+                );
                 let us = t
-                    .seated(&c, &s, 10 * SEC)
+                    .wait_for_members(&c, &s, 10 * SEC)
                     .await
-                    .unwrap_or_else(|| panic!("{n}\n{}", tell(&t)));
+                    .unwrap_or_else(|| panic!("{n}\n{}", format_log(&t)));
                 assert_eq!(
-                    t.read("core1").await,
+                    t.read_configuration("core1").await,
                     Some(ReadAnswer::Text(5, "5 a".into()))
                 );
                 us
             })
         });
         println!("{n}: {} ms", us / MS);
-        assert!(us < 3_500 * MS, "{us}\n{}", tell(&t));
+        assert!(us < 3_500 * MS, "{us}\n{}", format_log(&t));
     }
 }
 
 #[test]
 fn machines_may_be_added() {
     let t = Tier::new(330, [4, 4, 3], 1);
-    play(&t, |t| {
+    run_script(&t, |t| {
         Box::pin(async move {
-            up(&t).await;
-            t.put_surely(0, "5 a").await;
-            t.add("core9", Role::Core, 1, 50, 1);
-            t.add("store9", Role::Store, 2, 51, 1);
-            t.add("front9", Role::Front, 2, 52, 1);
+            boot_and_wait(&t).await;
+            t.put_until_acknowledged(0, "5 a").await;
+            t.add_node("core9", Role::Core, 1, 50, 1);
+            t.add_node("store9", Role::Store, 2, 51, 1);
+            t.add_node("front9", Role::Front, 2, 52, 1);
             ["core9", "store9", "front9"]
                 .iter()
                 .for_each(|n| t.boot(n, false));
-            let (c, s) = (t.names(Role::Core), t.names(Role::Store));
+            let (c, s) = (
+                t.names_with_role(Role::Core),
+                t.names_with_role(Role::Store),
+            );
             let us = t
-                .seated(&c, &s, 10 * SEC)
+                .wait_for_members(&c, &s, 10 * SEC)
                 .await
-                .unwrap_or_else(|| panic!("{}", tell(&t)));
+                .unwrap_or_else(|| panic!("{}", format_log(&t)));
             println!("{} ms", us / MS);
             assert!(us < 2 * SEC);
-            assert_eq!(t.front("front9").unwrap().text(), "5 a");
+            assert_eq!(t.front("front9").unwrap().configuration_text(), "5 a");
             assert_eq!(
-                t.read("core9").await,
+                t.read_configuration("core9").await,
                 Some(ReadAnswer::Text(5, "5 a".into()))
             );
         })
@@ -439,19 +465,19 @@
     for (i, role) in [Role::Core, Role::Store].into_iter().enumerate() {
         for k in 0..6 {
             let t = Tier::new(340 + 10 * i as u64 + k, [4, 4, 3], 1);
-            play(&t, |t| {
+            run_script(&t, |t| {
                 Box::pin(async move {
-                    up(&t).await;
-                    t.put_surely(0, "5 a").await;
-                    t.add("extra", role, 1, 50, 1);
+                    boot_and_wait(&t).await;
+                    t.put_until_acknowledged(0, "5 a").await;
+                    t.add_node("extra", role, 1, 50, 1);
                     t.boot("extra", false);
-                    t.op.sleep(40 * MS + k * 30 * MS).await;
+                    t.operator.sleep(40 * MS + k * 30 * MS).await;
                     t.kill("extra", true);
-                    t.op.sleep(8 * SEC).await;
-                    let (.., still) = t.seats().await.unwrap();
-                    assert!(still, "a change does not end\n{}", tell(&t));
-                    t.put_surely(5, "6 b").await;
-                    t.specs.lock().unwrap().remove("extra");
+                    t.operator.sleep(8 * SEC).await;
+                    let (.., still) = t.layout_members().await.unwrap();
+                    assert!(still, "a change does not end\n{}", format_log(&t));
+                    t.put_until_acknowledged(5, "6 b").await;
+                    t.settings.lock().unwrap().remove("extra");
                 })
             });
         }
@@ -461,14 +487,14 @@
 #[test]
 fn a_store_may_be_retired() {
     let t = Tier::new(350, [4, 4, 3], 1);
-    play(&t, |t| {
+    run_script(&t, |t| {
         Box::pin(async move {
-            up(&t).await;
-            t.put_surely(0, "5 a").await;
+            boot_and_wait(&t).await;
+            t.put_until_acknowledged(0, "5 a").await;
             let begin = |n: &'static str, m: &'static str| {
                 let t = t.clone();
                 async move {
-                    t.on(n, move |c| Box::pin(async move { c.retire_begin(m).await }))
+                    t.run_on(n, move |c| Box::pin(async move { c.retire_begin(m).await }))
                         .await
                         .unwrap()
                 }
@@ -476,7 +502,7 @@
             let state = |n: &'static str, m: &'static str| {
                 let t = t.clone();
                 async move {
-                    t.on(n, move |c| Box::pin(async move { c.retire_state(m).await }))
+                    t.run_on(n, move |c| Box::pin(async move { c.retire_state(m).await }))
                         .await
                         .unwrap()
                 }
@@ -487,19 +513,19 @@
             assert_eq!(begin("core2", "store2").await, RetireOutcome::Begun);
             assert_eq!(begin("core3", "store2").await, RetireOutcome::Begun);
             assert_eq!(begin("core4", "store1").await, RetireOutcome::TooFew);
-            let t0 = t.op.now();
+            let t0 = t.operator.now();
             while state("core3", "store2").await != RetireState::Finished {
-                t.op.sleep(20 * MS).await;
-                assert!(t.op.now() < t0 + 5 * SEC, "{}", tell(&t));
+                t.operator.sleep(20 * MS).await;
+                assert!(t.operator.now() < t0 + 5 * SEC, "{}", format_log(&t));
             }
-            println!("{} ms", (t.op.now() - t0) / MS);
+            println!("{} ms", (t.operator.now() - t0) / MS);
             // It goes on running, and comes back empty: it has no seat.
-            t.op.sleep(2 * SEC).await;
+            t.operator.sleep(2 * SEC).await;
             t.kill("store2", true);
             t.sim.wipe(t.sim.find("store2"));
             t.boot("store2", false);
-            t.op.sleep(3 * SEC).await;
-            let (_, s, still) = t.seats().await.unwrap();
+            t.operator.sleep(3 * SEC).await;
+            let (_, s, still) = t.layout_members().await.unwrap();
             assert!(still && !s.contains("store2") && s.len() == 3, "{s:?}");
             assert_eq!(state("core1", "store2").await, RetireState::Finished);
         })
@@ -517,40 +543,49 @@
     ] {
         for k in 0..6 {
             let t = Tier::new(400 + 20 * seed + k, counts, lost);
-            play(&t, |t| {
+            run_script(&t, |t| {
                 Box::pin(async move {
-                    up(&t).await;
-                    t.put_surely(0, "5 a").await;
-                    let cores = t.names(Role::Core);
+                    boot_and_wait(&t).await;
+                    t.put_until_acknowledged(0, "5 a").await;
+                    let cores = t.names_with_role(Role::Core);
                     loop {
-                        let n = &cores[t.op.random() as usize % cores.len()];
-                        if let Some(PutAnswer::InForce(6)) = t.put(n, 5, "6 b").await {
+                        let n = &cores[t.operator.random() as usize % cores.len()];
+                        if let Some(PutAnswer::InForce(6)) = t.put_configuration(n, 5, "6 b").await
+                        {
                             break;
                         }
                     }
-                    let all: Vec<String> = t.specs.lock().unwrap().keys().cloned().collect();
+                    let all: Vec<String> = t.settings.lock().unwrap().keys().cloned().collect();
                     all.iter().for_each(|n| t.kill(n, true));
                     let mut v = cores.clone();
                     (0..lost).for_each(|_| {
-                        t.sim
-                            .wipe(t.sim.find(&v.swap_remove(t.op.random() as usize % v.len())))
+                        t.sim.wipe(
+                            t.sim
+                                .find(&v.swap_remove(t.operator.random() as usize % v.len())),
+                        )
                     });
-                    t.op.sleep(700 * MS).await;
+                    t.operator.sleep(700 * MS).await;
                     all.iter().for_each(|n| t.boot(n, false));
-                    let t0 = t.op.now();
+                    let t0 = t.operator.now();
                     for n in &cores {
-                        while t.read(n).await != Some(ReadAnswer::Text(6, "6 b".into())) {
-                            t.op.sleep(50 * MS).await;
-                            assert!(t.op.now() < t0 + 5 * SEC, "{n} does not know\n{}", tell(&t));
+                        while t.read_configuration(n).await
+                            != Some(ReadAnswer::Text(6, "6 b".into()))
+                        {
+                            t.operator.sleep(50 * MS).await;
+                            assert!(
+                                t.operator.now() < t0 + 5 * SEC,
+                                "{n} does not know\n{}",
+                                format_log(&t)
+                            );
                         }
                     }
-                    t.adopted("6 b", 2 * SEC)
+                    t.wait_until_adopted("6 b", 2 * SEC)
                         .await
-                        .unwrap_or_else(|| panic!("{}", tell(&t)));
-                    let s = t.names(Role::Store);
-                    t.seated(&cores, &s, 6 * SEC)
+                        .unwrap_or_else(|| panic!("{}", format_log(&t)));
+                    let s = t.names_with_role(Role::Store);
+                    t.wait_for_members(&cores, &s, 6 * SEC)
                         .await
-                        .unwrap_or_else(|| panic!("{}", tell(&t)));
+                        .unwrap_or_else(|| panic!("{}", format_log(&t)));
                 })
             });
         }
@@ -562,12 +597,12 @@
 fn duties_are_taken_over() {
     for power in [false, true] {
         let t = Tier::new(500, [4, 4, 6], 1);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.op.sleep(2 * SEC).await;
+                boot_and_wait(&t).await;
+                t.operator.sleep(2 * SEC).await;
                 let on = |t: &Tier| {
-                    t.control
+                    t.control_nodes
                         .lock()
                         .unwrap()
                         .iter()
@@ -578,12 +613,12 @@
                 let was = on(&t);
                 assert_eq!(was.len(), 1);
                 t.kill(&was[0], power);
-                let t0 = t.op.now();
+                let t0 = t.operator.now();
                 while on(&t).is_empty() {
-                    t.op.sleep(10 * MS).await;
-                    assert!(t.op.now() < t0 + 5 * SEC);
+                    t.operator.sleep(10 * MS).await;
+                    assert!(t.operator.now() < t0 + 5 * SEC);
                 }
-                t.op.now() - t0
+                t.operator.now() - t0
             })
         });
         println!("power {power}: {} ms", us / MS);
@@ -596,7 +631,7 @@
 fn many_small_machines_stay_cheap() {
     let t = Tier::new(600, [8, 9, 55], 2);
     for (r, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
-        t.names(r).iter().for_each(|n| {
+        t.names_with_role(r).iter().for_each(|n| {
             t.sim.set_costs(
                 t.sim.find(n),
                 MachineCosts {
@@ -608,26 +643,26 @@
             )
         });
     }
-    let (found, put, all, quiet, kinds) = play(&t, |t| {
+    let (found, put, all, quiet, kinds) = run_script(&t, |t| {
         Box::pin(async move {
-            let found = up(&t).await;
-            t.op.sleep(5 * SEC).await;
+            let found = boot_and_wait(&t).await;
+            t.operator.sleep(5 * SEC).await;
             let text = format!("5 {}", "x".repeat(20_000));
-            let put = t.put_surely(0, &text).await;
+            let put = t.put_until_acknowledged(0, &text).await;
             let all = t
-                .adopted(&text, 3 * SEC)
+                .wait_until_adopted(&text, 3 * SEC)
                 .await
-                .unwrap_or_else(|| panic!("{}", tell(&t)));
-            t.op.sleep(5 * SEC).await;
+                .unwrap_or_else(|| panic!("{}", format_log(&t)));
+            t.operator.sleep(5 * SEC).await;
             let used = |t: &Tier, r| {
-                t.names(r)
+                t.names_with_role(r)
                     .iter()
                     .map(|n| t.sim.processor_time_used(t.sim.find(n)))
                     .collect::<Vec<u64>>()
             };
             let sum = |t: &Tier| {
                 let mut m: BTreeMap<&str, u64> = BTreeMap::new();
-                t.control.lock().unwrap().values().for_each(|c| {
+                t.control_nodes.lock().unwrap().values().for_each(|c| {
                     c.peers
                         .metrics
                         .kinds
@@ -642,7 +677,7 @@
                 [Role::Core, Role::Store, Role::Front].map(|r| used(&t, r)),
                 sum(&t),
             );
-            t.op.sleep(20 * SEC).await;
+            t.operator.sleep(20 * SEC).await;
             let (b, kb) = (
                 [Role::Core, Role::Store, Role::Front].map(|r| used(&t, r)),
                 sum(&t),
@@ -686,10 +721,10 @@
 /// acknowledged stays readable; in the end every machine has a seat.
 fn wear(seed: u64, counts: [usize; 3], lost: usize) -> u64 {
     let t = Tier::new(seed, counts, lost);
-    play(&t, |t| {
+    run_script(&t, |t| {
         Box::pin(async move {
-            up(&t).await;
-            t.put_surely(0, "1 a").await;
+            boot_and_wait(&t).await;
+            t.put_until_acknowledged(0, "1 a").await;
             let (mut base, mut spare, mut worst) = (1u64, 60, 0);
             t.sim.set_network_conditions(NetworkConditions {
                 drop_per_mille: 5,
@@ -699,23 +734,23 @@
             });
             for _ in 0..14 {
                 let mut all: Vec<String> = t
-                    .names(Role::Core)
+                    .names_with_role(Role::Core)
                     .into_iter()
-                    .chain(t.names(Role::Store))
+                    .chain(t.names_with_role(Role::Store))
                     .collect();
-                let down = 200 * MS + t.op.random() % (2 * SEC);
+                let down = 200 * MS + t.operator.random() % (2 * SEC);
                 let mut back: Vec<(String, bool)> = vec![];
                 for _ in 0..lost {
-                    let n = all.swap_remove(t.op.random() as usize % all.len());
-                    let role = t.specs.lock().unwrap()[&n].role;
-                    match t.op.random() % 5 {
+                    let n = all.swap_remove(t.operator.random() as usize % all.len());
+                    let role = t.settings.lock().unwrap()[&n].role;
+                    match t.operator.random() % 5 {
                         0 => {
                             t.kill(&n, false);
                             back.push((n, false));
                         }
                         1 | 2 => {
                             t.kill(&n, true);
-                            if t.op.random().is_multiple_of(2) {
+                            if t.operator.random().is_multiple_of(2) {
                                 t.sim.wipe(t.sim.find(&n));
                             }
                             back.push((n, false));
@@ -723,9 +758,9 @@
                         3 => {
                             spare += 1;
                             t.kill(&n, true);
-                            t.specs.lock().unwrap().remove(&n);
+                            t.settings.lock().unwrap().remove(&n);
                             let name = format!("other{spare}");
-                            t.add(&name, role, spare % 4, spare, lost);
+                            t.add_node(&name, role, spare % 4, spare, lost);
                             back.push((name, false));
                         }
                         _ => {
@@ -734,10 +769,10 @@
                         }
                     }
                 }
-                t.op.sleep(down / 2).await;
+                t.operator.sleep(down / 2).await;
                 let next = format!("{} b", base + 1);
-                worst = worst.max(t.put_surely(base, &next).await);
-                t.op.sleep(down / 2).await;
+                worst = worst.max(t.put_until_acknowledged(base, &next).await);
+                t.operator.sleep(down / 2).await;
                 back.iter().for_each(|(n, frozen)| {
                     if *frozen {
                         t.sim.thaw(t.sim.find(n))
@@ -747,22 +782,26 @@
                 });
                 base += 1;
                 // Whole again within the bound, then the next.
-                t.op.sleep(4_200 * MS).await;
+                t.operator.sleep(4_200 * MS).await;
                 assert_eq!(
-                    t.read(&t.names(Role::Core)[0]).await,
+                    t.read_configuration(&t.names_with_role(Role::Core)[0])
+                        .await,
                     Some(ReadAnswer::Text(base, next.as_str().into())),
                     "{}",
-                    tell(&t)
+                    format_log(&t)
                 );
             }
             t.sim.set_network_conditions(NetworkConditions::default());
-            let (c, s) = (t.names(Role::Core), t.names(Role::Store));
-            t.seated(&c, &s, 8 * SEC)
+            let (c, s) = (
+                t.names_with_role(Role::Core),
+                t.names_with_role(Role::Store),
+            );
+            t.wait_for_members(&c, &s, 8 * SEC)
                 .await
-                .unwrap_or_else(|| panic!("seed {seed}: no end\n{}", tell(&t)));
-            t.adopted(&format!("{base} b"), 2 * SEC)
+                .unwrap_or_else(|| panic!("seed {seed}: no end\n{}", format_log(&t)));
+            t.wait_until_adopted(&format!("{base} b"), 2 * SEC)
                 .await
-                .unwrap_or_else(|| panic!("{}", tell(&t)));
+                .unwrap_or_else(|| panic!("{}", format_log(&t)));
             worst
         })
     })
@@ -787,21 +826,21 @@
 fn the_core_comes_back_whole() {
     for power in [false, true] {
         let t = Tier::new(800, [5, 5, 6], 2);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "5 a").await;
-                t.op.sleep(3 * SEC).await;
-                let cores = t.names(Role::Core);
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "5 a").await;
+                t.operator.sleep(3 * SEC).await;
+                let cores = t.names_with_role(Role::Core);
                 cores.iter().for_each(|n| t.kill(n, power));
-                t.op.sleep(800 * MS).await;
+                t.operator.sleep(800 * MS).await;
                 cores.iter().for_each(|n| t.boot(n, false));
-                let t0 = t.op.now();
-                t.put_surely(5, "6 b").await;
-                let us = t.op.now() - t0;
-                t.adopted("6 b", 2 * SEC)
+                let t0 = t.operator.now();
+                t.put_until_acknowledged(5, "6 b").await;
+                let us = t.operator.now() - t0;
+                t.wait_until_adopted("6 b", 2 * SEC)
                     .await
-                    .unwrap_or_else(|| panic!("{}", tell(&t)));
+                    .unwrap_or_else(|| panic!("{}", format_log(&t)));
                 us
             })
         });
--- a/yewcross-testkit/tests/core_outages.rs
+++ b/yewcross-testkit/tests/core_outages.rs
@@ -25,56 +25,61 @@
     let runs: Vec<u64> = (0..6).collect();
     let late = yewcross_testkit::proof::each(runs, |nth| {
         let tier = small_machines(9200 + nth, [8, 9, 30], 2);
-        let (read, held) = play(&tier, |tier| {
+        let (read, held) = run_script(&tier, |tier| {
             Box::pin(async move {
                 let orders = begin(&tier).await;
-                tier.op.sleep(2 * SEC + tier.op.random() % SEC).await;
+                tier.operator
+                    .sleep(2 * SEC + tier.operator.random() % SEC)
+                    .await;
                 let before = orders.newest.load(SeqCst);
                 while orders.newest.load(SeqCst) == before {
-                    tier.op.sleep(MS).await;
+                    tier.operator.sleep(MS).await;
                 }
                 let acknowledged = orders.newest.load(SeqCst);
                 orders.ended.store(true, SeqCst);
-                let (cores, stores) = (tier.names(Role::Core), tier.names(Role::Store));
-                let holder = tier.on_duty().first().cloned().unwrap();
+                let (cores, stores) = (
+                    tier.names_with_role(Role::Core),
+                    tier.names_with_role(Role::Store),
+                );
+                let holder = tier.acting_holders().first().cloned().unwrap();
                 let other = cores.iter().find(|name| **name != holder).unwrap().clone();
                 let lost = if nth % 2 == 0 {
                     vec![holder, other]
                 } else {
                     vec![holder, stores[0].clone()]
                 };
-                let all: Vec<String> = tier.specs.lock().unwrap().keys().cloned().collect();
+                let all: Vec<String> = tier.settings.lock().unwrap().keys().cloned().collect();
                 all.iter().for_each(|name| tier.kill(name, true));
                 lost.iter()
                     .for_each(|name| tier.sim.wipe(tier.sim.find(name)));
-                tier.op.sleep(600 * MS).await;
+                tier.operator.sleep(600 * MS).await;
                 all.iter().for_each(|name| tier.boot(name, false));
-                let begin = tier.op.now();
+                let begin = tier.operator.now();
                 let reader = cores.iter().find(|name| !lost.contains(name)).unwrap();
                 loop {
-                    match tier.read(reader).await {
+                    match tier.read_configuration(reader).await {
                         Some(ReadAnswer::Text(number, _)) if number >= acknowledged => break,
                         Some(ReadAnswer::Text(number, _)) => panic!(
                             "{number} is read, {acknowledged} was acknowledged\n{}",
-                            tell(&tier)
+                            format_log(&tier)
                         ),
-                        _ => tier.op.sleep(20 * MS).await,
+                        _ => tier.operator.sleep(20 * MS).await,
                     }
                     assert!(
-                        tier.op.now() < begin + 30 * SEC,
+                        tier.operator.now() < begin + 30 * SEC,
                         "not read back\n{}",
-                        tell(&tier)
+                        format_log(&tier)
                     );
                 }
-                let read = tier.op.now() - begin;
-                let holds = |front: &Arc<Bare>| {
+                let read = tier.operator.now() - begin;
+                let holds = |front: &Arc<StubFront>| {
                     front
-                        .text()
+                        .configuration_text()
                         .split(' ')
                         .next()
                         .is_some_and(|n| n.parse::<u64>().unwrap_or(0) >= acknowledged)
                 };
-                let fronts = tier.names(Role::Front).len();
+                let fronts = tier.names_with_role(Role::Front).len();
                 while tier
                     .fronts
                     .lock()
@@ -84,14 +89,14 @@
                     .count()
                     < fronts
                 {
-                    tier.op.sleep(20 * MS).await;
+                    tier.operator.sleep(20 * MS).await;
                     assert!(
-                        tier.op.now() < begin + 30 * SEC,
+                        tier.operator.now() < begin + 30 * SEC,
                         "not held by all\n{}",
-                        tell(&tier)
+                        format_log(&tier)
                     );
                 }
-                (read, tier.op.now() - begin)
+                (read, tier.operator.now() - begin)
             })
         });
         println!(
@@ -114,33 +119,33 @@
         .enumerate()
     {
         let tier = Tier::new(9300 + nth as u64, counts, lost);
-        let (read, sent_on) = play(&tier, |tier| {
+        let (read, sent_on) = run_script(&tier, |tier| {
             Box::pin(async move {
-                up(&tier).await;
-                tier.put_surely(0, "1 first").await;
-                let cores = tier.names(Role::Core);
+                boot_and_wait(&tier).await;
+                tier.put_until_acknowledged(0, "1 first").await;
+                let cores = tier.names_with_role(Role::Core);
                 let (mut newest, mut read, mut sent_on) = (1, 0, 0);
                 for _ in 0..4 {
                     let machines: Vec<usize> =
                         cores.iter().map(|name| tier.sim.find(name)).collect();
                     let (left, right) = machines.split_at(machines.len() / 2);
                     tier.sim.partition(left, right);
-                    let end = tier.op.now() + 3 * SEC;
-                    while tier.op.now() < end {
-                        let core = &cores[tier.op.random() as usize % cores.len()];
+                    let end = tier.operator.now() + 3 * SEC;
+                    while tier.operator.now() < end {
+                        let core = &cores[tier.operator.random() as usize % cores.len()];
                         if let Some(PutAnswer::InForce(number)) = tier
-                            .put(core, newest, &format!("{} next", newest + 1))
+                            .put_configuration(core, newest, &format!("{} next", newest + 1))
                             .await
                         {
                             newest = number;
                         }
                         for core in &cores {
-                            match tier.read(core).await {
+                            match tier.read_configuration(core).await {
                                 Some(ReadAnswer::Text(number, _)) => {
                                     assert!(
                                         number >= newest,
                                         "{core} reads {number} of {newest}\n{}",
-                                        tell(&tier)
+                                        format_log(&tier)
                                     );
                                     read += 1;
                                 }
@@ -150,7 +155,7 @@
                     }
                     tier.sim.heal();
                     newest = read_surely(&tier, newest).await;
-                    tier.op.sleep(SEC).await;
+                    tier.operator.sleep(SEC).await;
                 }
                 (read, sent_on)
             })
@@ -167,14 +172,14 @@
 /// The number in force once a majority answers: an order that was under way may have been taken.
 async fn read_surely(tier: &Arc<Tier>, at_least: u64) -> u64 {
     for _ in 0..200 {
-        if let Some(ReadAnswer::Text(number, _)) = tier.read("core1").await {
+        if let Some(ReadAnswer::Text(number, _)) = tier.read_configuration("core1").await {
             assert!(
                 number >= at_least,
                 "{number} is read, {at_least} was acknowledged"
             );
             return number;
         }
-        tier.op.sleep(50 * MS).await;
+        tier.operator.sleep(50 * MS).await;
     }
-    panic!("no read after the cut\n{}", tell(tier))
+    panic!("no read after the cut\n{}", format_log(tier))
 }
--- a/yewcross-testkit/tests/defects.rs
+++ b/yewcross-testkit/tests/defects.rs
@@ -37,7 +37,7 @@
     at.iter()
         .filter_map(|a| {
             lab.topology
-                .of(Role::Store)
+                .nodes_with_role(Role::Store)
                 .iter()
                 .find(|n| n.peer == *a)
                 .map(|n| n.name.clone())
@@ -367,7 +367,7 @@
             lab.sim.set_receive_window(4 << 10);
             let (f, to) = (
                 lab.front("front1").unwrap(),
-                lab.topology.of(Role::Front)[0].http,
+                lab.topology.nodes_with_role(Role::Front)[0].http,
             );
             let body = |n: &str| {
                 format!(
@@ -584,7 +584,7 @@
                 let body = r#"{"program":"chargeback","session":"s","job":"j","budget":"chargeback","horizon_ms":6000,"messages":[{"role":"user","text":"hi"}],"max_output":600,"stream":true}"#;
                 let mut c = lab
                     .operator
-                    .connect(lab.topology.of(Role::Front)[0].http)
+                    .connect(lab.topology.nodes_with_role(Role::Front)[0].http)
                     .await
                     .unwrap();
                 c.write_all(
--- a/yewcross-testkit/tests/disk.rs
+++ b/yewcross-testkit/tests/disk.rs
@@ -14,7 +14,7 @@
 use yewcross_control::api::{PutAnswer, ReadAnswer};
 use yewcross_state::segment_log::{self, LogRecord};
 use yewcross_testkit::sim::Sim;
-use yewcross_testkit::tier::{Tier, play, tell, up};
+use yewcross_testkit::tier::{Tier, boot_and_wait, format_log, run_script};
 
 const KEY: &str = "session/a";
 
@@ -385,15 +385,15 @@
 
 /// us until the node takes part again.
 async fn until_restored(tier: &Tier, name: &str, us: u64) -> Option<u64> {
-    let since = tier.op.now();
-    while tier.op.now() < since + us {
+    let since = tier.operator.now();
+    while tier.operator.now() < since + us {
         if tier
-            .at(name)
+            .control_node(name)
             .is_some_and(|c| !c.storage.failed.load(SeqCst))
         {
-            return Some(tier.op.now() - since);
+            return Some(tier.operator.now() - since);
         }
-        tier.op.sleep(5 * MS).await;
+        tier.operator.sleep(5 * MS).await;
     }
     None
 }
@@ -406,31 +406,31 @@
     for (seed, trouble) in (0..6).flat_map(|seed| [(seed, Trouble::Full), (seed, Trouble::Errors)])
     {
         let tier = Tier::new(4000 + seed, [4, 4, 3], 1);
-        let us = play(&tier, move |t| {
+        let us = run_script(&tier, move |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "1 a").await;
-                let id = t.at("core2").unwrap().storage.disk_id.clone();
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "1 a").await;
+                let id = t.control_node("core2").unwrap().storage.disk_id.clone();
                 set(&t, "core2", trouble, true);
                 for (base, text) in [(1, "2 b"), (2, "3 c"), (3, "4 d")] {
-                    t.put_surely(base, text).await;
-                    t.op.sleep(SEC).await;
+                    t.put_until_acknowledged(base, text).await;
+                    t.operator.sleep(SEC).await;
                 }
                 assert!(
-                    t.at("core2").unwrap().storage.failed.load(SeqCst),
+                    t.control_node("core2").unwrap().storage.failed.load(SeqCst),
                     "{trouble:?} is not noticed\n{}",
-                    tell(&t)
+                    format_log(&t)
                 );
                 set(&t, "core2", trouble, false);
                 let us = until_restored(&t, "core2", 10 * SEC).await;
-                let us = us.unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
-                assert_eq!(t.at("core2").unwrap().storage.disk_id, id);
-                t.op.sleep(4 * SEC).await;
+                let us = us.unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", format_log(&t)));
+                assert_eq!(t.control_node("core2").unwrap().storage.disk_id, id);
+                t.operator.sleep(4 * SEC).await;
                 t.kill("core3", true);
-                t.put_surely(4, "5 e").await;
+                t.put_until_acknowledged(4, "5 e").await;
                 t.kill("core2", true);
                 t.boot("core2", false);
-                t.put_surely(5, "6 f").await;
+                t.put_until_acknowledged(5, "6 f").await;
                 us
             })
         });
@@ -447,10 +447,10 @@
     for (seed, trouble) in (0..6).flat_map(|seed| [(seed, Trouble::Full), (seed, Trouble::Errors)])
     {
         let tier = Tier::new(5000 + seed, [4, 4, 1], 1);
-        play(&tier, move |t| {
+        run_script(&tier, move |t| {
             Box::pin(async move {
-                up(&t).await;
-                let store = t.at("store1").unwrap();
+                boot_and_wait(&t).await;
+                let store = t.control_node("store1").unwrap();
                 let keep = |n: u64| {
                     let store = store.clone();
                     async move { store.turn_store.append(vec![ledger(n)]).recv().await == Ok(true) }
@@ -459,7 +459,7 @@
                 set(&t, "store1", trouble, true);
                 assert!(!keep(2).await);
                 assert!(store.storage.failed.load(SeqCst));
-                t.op.sleep(4 * SEC).await;
+                t.operator.sleep(4 * SEC).await;
                 assert!(
                     store.storage.failed.load(SeqCst),
                     "{trouble:?}: took part while its disk did not work"
@@ -467,7 +467,7 @@
                 set(&t, "store1", trouble, false);
                 until_restored(&t, "store1", SEC)
                     .await
-                    .unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", tell(&t)));
+                    .unwrap_or_else(|| panic!("{trouble:?}: not back\n{}", format_log(&t)));
                 let programs = |c: &yewcross_control::Control| {
                     let shelf = c.turn_store.index.lock().unwrap();
                     let mut names: Vec<String> = shelf.ledgers.keys().cloned().collect();
@@ -482,9 +482,9 @@
                 assert!(keep(3).await, "{trouble:?}: keeps nothing any more");
                 t.kill("store1", true);
                 t.boot("store1", false);
-                t.op.sleep(2 * SEC).await;
+                t.operator.sleep(2 * SEC).await;
                 assert_eq!(
-                    programs(&t.at("store1").unwrap()),
+                    programs(&t.control_node("store1").unwrap()),
                     ["p1", "p3"],
                     "{trouble:?}"
                 );
@@ -497,20 +497,20 @@
 #[test]
 fn a_disk_that_was_changed_is_not_restored() {
     let tier = Tier::new(6000, [4, 4, 1], 1);
-    play(&tier, |t| {
+    run_script(&tier, |t| {
         Box::pin(async move {
-            up(&t).await;
-            t.put_surely(0, "1 a").await;
+            boot_and_wait(&t).await;
+            t.put_until_acknowledged(0, "1 a").await;
             set(&t, "core2", Trouble::Errors, true);
-            t.put_surely(1, "2 b").await;
-            t.op.sleep(SEC).await;
-            assert!(t.at("core2").unwrap().storage.failed.load(SeqCst));
+            t.put_until_acknowledged(1, "2 b").await;
+            t.operator.sleep(SEC).await;
+            assert!(t.control_node("core2").unwrap().storage.failed.load(SeqCst));
             t.sim.wipe(t.sim.find("core2"));
             assert_eq!(
                 until_restored(&t, "core2", 5 * SEC).await,
                 None,
                 "{}",
-                tell(&t)
+                format_log(&t)
             );
         })
     });
@@ -522,10 +522,10 @@
 fn a_stalled_or_slow_core_disk_only_loses_its_vote_meanwhile() {
     for (seed, stalled) in (0..4).flat_map(|seed| [(seed, true), (seed, false)]) {
         let tier = Tier::new(7000 + seed, [4, 4, 1], 1);
-        play(&tier, move |t| {
+        run_script(&tier, move |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "1 a").await;
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "1 a").await;
                 let machine = t.sim.find("core2");
                 t.sim.disk(machine, |d| {
                     if stalled {
@@ -536,15 +536,15 @@
                 });
                 let mut worst = 0;
                 for n in 1..4 {
-                    worst = worst.max(t.put_surely(n, &format!("{} x", n + 1)).await);
-                    t.op.sleep(SEC).await;
+                    worst = worst.max(t.put_until_acknowledged(n, &format!("{} x", n + 1)).await);
+                    t.operator.sleep(SEC).await;
                 }
                 t.sim
                     .disk(machine, |d| (d.stalled, d.slowness) = (false, 1));
-                t.op.sleep(SEC).await;
-                assert!(!t.at("core2").unwrap().storage.failed.load(SeqCst));
+                t.operator.sleep(SEC).await;
+                assert!(!t.control_node("core2").unwrap().storage.failed.load(SeqCst));
                 t.kill("core3", true);
-                let after = t.put_surely(4, "5 e").await;
+                let after = t.put_until_acknowledged(4, "5 e").await;
                 println!(
                     "stalled {stalled}: puts took {} ms at most meanwhile, {} ms after",
                     worst / MS,
@@ -558,8 +558,8 @@
 
 /// The newest configuration as a majority has it.
 async fn newest(tier: &Tier) -> Option<String> {
-    for name in tier.names(Role::Core) {
-        if let Some(ReadAnswer::Text(_, text)) = tier.read(&name).await {
+    for name in tier.names_with_role(Role::Core) {
+        if let Some(ReadAnswer::Text(_, text)) = tier.read_configuration(&name).await {
             return Some(text.to_string());
         }
     }
@@ -570,34 +570,37 @@
 /// them a second later: what was acknowledged is there, the order can be sent again, and in the end
 /// every machine has its seat.
 async fn orders_outlast_herds(t: &Arc<Tier>, power: bool) {
-    let (cores, stores) = (t.names(Role::Core), t.names(Role::Store));
+    let (cores, stores) = (
+        t.names_with_role(Role::Core),
+        t.names_with_role(Role::Store),
+    );
     let all: Vec<String> = cores.iter().chain(&stores).cloned().collect();
     for base in 0..4 {
-        let (tier, moment, machines) = (t.clone(), t.op.random() % (30 * MS), all.clone());
-        t.op.spawn(async move {
-            tier.op.sleep(moment).await;
+        let (tier, moment, machines) = (t.clone(), t.operator.random() % (30 * MS), all.clone());
+        t.operator.spawn(async move {
+            tier.operator.sleep(moment).await;
             machines.iter().for_each(|n| tier.kill(n, power));
         });
         let text = format!("{} r", base + 1);
         let answer = t
-            .put(&cores[base as usize % cores.len()], base, &text)
+            .put_configuration(&cores[base as usize % cores.len()], base, &text)
             .await;
-        t.op.sleep(SEC).await;
+        t.operator.sleep(SEC).await;
         all.iter().for_each(|n| t.boot(n, false));
-        t.op.sleep(3 * SEC).await;
+        t.operator.sleep(3 * SEC).await;
         if matches!(answer, Some(PutAnswer::InForce(_))) {
             assert_eq!(
                 newest(t).await,
                 Some(text.clone()),
                 "acknowledged and gone\n{}",
-                tell(t)
+                format_log(t)
             );
         }
-        t.put_surely(base, &text).await;
+        t.put_until_acknowledged(base, &text).await;
     }
-    t.seated(&cores, &stores, 10 * SEC)
+    t.wait_for_members(&cores, &stores, 10 * SEC)
         .await
-        .unwrap_or_else(|| panic!("not whole\n{}", tell(t)));
+        .unwrap_or_else(|| panic!("not whole\n{}", format_log(t)));
 }
 
 const SIZES: [([usize; 3], usize); 3] = [([4, 4, 2], 1), ([5, 5, 2], 2), ([8, 8, 2], 2)];
@@ -607,9 +610,9 @@
 fn acknowledged_configurations_outlast_a_loss_of_power_of_all() {
     for (seed, (counts, lost)) in (0..8).flat_map(|seed| SIZES.map(|size| (seed, size))) {
         let tier = Tier::new(8000 + seed, counts, lost);
-        play(&tier, |t| {
+        run_script(&tier, |t| {
             Box::pin(async move {
-                up(&t).await;
+                boot_and_wait(&t).await;
                 orders_outlast_herds(&t, true).await;
             })
         });
@@ -622,22 +625,22 @@
 fn acknowledged_configurations_outlast_herd_kills_and_clock_steps() {
     for (seed, (counts, lost)) in (0..8).flat_map(|seed| SIZES.map(|size| (seed, size))) {
         let tier = Tier::new(8500 + seed, counts, lost);
-        play(&tier, |t| {
+        run_script(&tier, |t| {
             Box::pin(async move {
-                up(&t).await;
+                boot_and_wait(&t).await;
                 let steps = t.clone();
-                t.op.spawn(async move {
+                t.operator.spawn(async move {
                     let machines: Vec<String> =
-                        steps.specs.lock().unwrap().keys().cloned().collect();
+                        steps.settings.lock().unwrap().keys().cloned().collect();
                     loop {
                         for name in machines
                             .iter()
-                            .filter(|_| steps.op.random().is_multiple_of(3))
+                            .filter(|_| steps.operator.random().is_multiple_of(3))
                         {
-                            let ms = (steps.op.random() % 4_000) as i64 - 2_000;
+                            let ms = (steps.operator.random() % 4_000) as i64 - 2_000;
                             steps.sim.set_clock_skew(steps.sim.find(name), ms);
                         }
-                        steps.op.sleep(700 * MS).await;
+                        steps.operator.sleep(700 * MS).await;
                     }
                 });
                 orders_outlast_herds(&t, false).await;
@@ -651,10 +654,10 @@
 #[test]
 fn a_start_is_logged_in_one_line() {
     let tier = Tier::new(9000, [8, 9, 61], 2);
-    play(&tier, |t| {
+    run_script(&tier, |t| {
         Box::pin(async move {
-            up(&t).await;
-            t.op.sleep(4 * SEC).await;
+            boot_and_wait(&t).await;
+            t.operator.sleep(4 * SEC).await;
             let lines = |what: &str| {
                 t.sim
                     .log()
@@ -666,12 +669,12 @@
                 lines("members known: 8 core, 9 store, 61 front"),
                 1,
                 "{}",
-                tell(&t)
+                format_log(&t)
             );
-            assert_eq!(lines("member "), 0, "{}", tell(&t));
+            assert_eq!(lines("member "), 0, "{}", format_log(&t));
             t.kill("front7", true);
-            t.op.sleep(10 * SEC).await;
-            assert!(lines("member front7 Removed") == 1, "{}", tell(&t));
+            t.operator.sleep(10 * SEC).await;
+            assert!(lines("member front7 Removed") == 1, "{}", format_log(&t));
         })
     });
 }
--- a/yewcross-testkit/tests/doors.rs
+++ b/yewcross-testkit/tests/doors.rs
@@ -7,7 +7,7 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_common::protocol::{PeerRequest, PeerResponse};
-use yewcross_testkit::caller::{self, Heard};
+use yewcross_testkit::caller::{self, Outcome};
 use yewcross_testkit::http_transcript::{exchange, request};
 use yewcross_testkit::proof::with_cluster;
 
@@ -78,8 +78,8 @@
             Box::pin(async move {
                 let mut r = fastrand::Rng::with_seed(51);
                 let (f, c) = (
-                    lab.topology.of(Role::Front)[0].clone(),
-                    lab.topology.of(Role::Core)[0].clone(),
+                    lab.topology.nodes_with_role(Role::Front)[0].clone(),
+                    lab.topology.nodes_with_role(Role::Core)[0].clone(),
                 );
                 let conf = lab.config.lock().unwrap().to_string();
                 let found =
@@ -146,7 +146,7 @@
                         .await;
                 }
                 lab.operator.sleep(3 * SEC).await;
-                let a = caller::Ask {
+                let a = caller::TurnRequest {
                     program: "chargeback".into(),
                     session: "sound".into(),
                     job: "sound".into(),
@@ -156,14 +156,14 @@
                     max_output: 16,
                     stream: false,
                 };
-                let last = caller::turn(&lab.operator, f.http, &a).await;
+                let last = caller::send_turn(&lab.operator, f.http, &a).await;
                 let odd = lab
                     .control("store1")
                     .unwrap()
                     .peers
                     .rejected_frames
                     .load(SeqCst);
-                (answers, bad, (last.heard, lab.version().await), odd)
+                (answers, bad, (last.outcome, lab.version().await), odd)
             })
         },
     );
@@ -172,7 +172,7 @@
     );
     assert!(bad.is_empty(), "{bad:?}");
     assert!(answers > 300);
-    assert_eq!(last, (Heard::Done, 2));
+    assert_eq!(last, (Outcome::Done, 2));
 }
 
 /// Settings at the ends of their ranges overflowed: a session to be kept for ever was forgotten at
@@ -271,7 +271,7 @@
                 lab.operator.sleep(2 * SEC).await;
                 let mut done = 0;
                 for i in 0..12 {
-                    let a = caller::Ask {
+                    let a = caller::TurnRequest {
                         program: "chargeback".into(),
                         session: format!("s{i}"),
                         job: "j".into(),
@@ -281,11 +281,14 @@
                         max_output: 16,
                         stream: true,
                     };
-                    done +=
-                        (caller::turn(&lab.operator, lab.topology.of(Role::Front)[i % 2].http, &a)
-                            .await
-                            .heard
-                            == Heard::Done) as usize;
+                    done += (caller::send_turn(
+                        &lab.operator,
+                        lab.topology.nodes_with_role(Role::Front)[i % 2].http,
+                        &a,
+                    )
+                    .await
+                    .outcome
+                        == Outcome::Done) as usize;
                 }
                 done
             })
--- a/yewcross-testkit/tests/duty.rs
+++ b/yewcross-testkit/tests/duty.rs
@@ -45,26 +45,30 @@
             since: Default::default(),
         });
         let (me, t) = (watch.clone(), t.clone());
-        t.op.clone().spawn(async move {
+        t.operator.clone().spawn(async move {
             let mut terms: [BTreeMap<u64, u64>; 2] = Default::default();
             while me.on.load(SeqCst) {
                 me.look(&t, &mut terms);
-                t.op.sleep(MS).await;
+                t.operator.sleep(MS).await;
             }
         });
         watch
     }
 
     fn look(&self, t: &Tier, terms: &mut [BTreeMap<u64, u64>; 2]) {
-        let (now, holders) = (t.op.now(), t.on_duty());
-        assert!(holders.len() <= 1, "two on duty: {holders:?}\n{}", tell(t));
+        let (now, holders) = (t.operator.now(), t.acting_holders());
+        assert!(
+            holders.len() <= 1,
+            "two on duty: {holders:?}\n{}",
+            format_log(t)
+        );
         if !holders.is_empty() {
             *self.since.lock().unwrap() = now;
         }
         let gap = now - *self.since.lock().unwrap();
         let mut longest = self.longest_gap.lock().unwrap();
         *longest = gap.max(*longest);
-        for c in t.control.lock().unwrap().values() {
+        for c in t.control_nodes.lock().unwrap().values() {
             let (layout, list) = (c.documents.layout.load(), c.documents.server_list.load());
             for (written, (version, term)) in terms
                 .iter_mut()
@@ -74,13 +78,13 @@
                     *written.entry(version).or_insert(term),
                     term,
                     "two documents under one version\n{}",
-                    tell(t)
+                    format_log(t)
                 );
                 let falls = written
                     .range(..version)
                     .next_back()
                     .is_some_and(|(_, earlier)| *earlier > term);
-                assert!(!falls, "a term fell\n{}", tell(t));
+                assert!(!falls, "a term fell\n{}", format_log(t));
             }
         }
     }
@@ -98,10 +102,10 @@
 
 /// us until every front holds a list in which the server is leaving.
 async fn list_known(t: &Tier, server: &str, us: u64) -> Option<u64> {
-    let t0 = t.op.now();
-    while t.op.now() < t0 + us {
-        let knows = |b: &Arc<Bare>| {
-            b.book
+    let t0 = t.operator.now();
+    while t.operator.now() < t0 + us {
+        let knows = |b: &Arc<StubFront>| {
+            b.documents
                 .server_list
                 .load()
                 .1
@@ -110,9 +114,9 @@
                 .any(|s| s.server == server && s.leaving)
         };
         if t.fronts.lock().unwrap().values().all(knows) {
-            return Some(t.op.now() - t0);
+            return Some(t.operator.now() - t0);
         }
-        t.op.sleep(10 * MS).await;
+        t.operator.sleep(10 * MS).await;
     }
     None
 }
@@ -121,33 +125,35 @@
 /// every second.
 fn holder_cut_off(seed: u64, counts: [usize; 3], lost: usize, how: Partition) -> (u64, u64) {
     let t = Tier::new(seed, counts, lost);
-    play(&t, |t| {
+    run_script(&t, |t| {
         Box::pin(async move {
             let platform = t
-                .list_servers((0..20).map(|n| server(n, false)).collect())
+                .start_platform((0..20).map(|n| server(n, false)).collect())
                 .await;
-            up(&t).await;
-            t.op.sleep(3 * SEC + t.op.random() % SEC).await;
+            boot_and_wait(&t).await;
+            t.operator.sleep(3 * SEC + t.operator.random() % SEC).await;
             let watch = Watch::start(&t);
             let holder = t
-                .on_duty()
+                .acting_holders()
                 .first()
                 .cloned()
-                .unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
-            watch.begin(t.op.now());
+                .unwrap_or_else(|| panic!("nobody on duty\n{}", format_log(&t)));
+            watch.begin(t.operator.now());
             partition_core(&t, &holder, how);
             let mut slowest = 0;
             for n in 0..20 {
-                let t0 = t.op.now();
-                platform.edit(|v| v[n].leaving = true);
+                let t0 = t.operator.now();
+                platform.update_servers(|v| v[n].leaving = true);
                 let us = list_known(&t, &format!("s{n}"), 20 * SEC).await;
                 slowest = slowest.max(us.unwrap_or_else(|| {
-                    panic!("{holder} {how:?}: the list is not read\n{}", tell(&t))
+                    panic!("{holder} {how:?}: the list is not read\n{}", format_log(&t))
                 }));
-                t.op.sleep(SEC.saturating_sub(t.op.now() - t0)).await;
+                t.operator
+                    .sleep(SEC.saturating_sub(t.operator.now() - t0))
+                    .await;
             }
             t.sim.heal();
-            t.op.sleep(5 * SEC).await;
+            t.operator.sleep(5 * SEC).await;
             (watch.end(), slowest)
         })
     })
@@ -183,7 +189,7 @@
     for (size, (counts, lost)) in TIER_SIZES.into_iter().enumerate() {
         for power in [false, true] {
             let t = Tier::new(5300 + 10 * size as u64 + power as u64, counts, lost);
-            t.names(Role::Core).iter().for_each(|n| {
+            t.names_with_role(Role::Core).iter().for_each(|n| {
                 t.sim.set_costs(
                     t.sim.find(n),
                     MachineCosts {
@@ -194,25 +200,37 @@
                     },
                 )
             });
-            let (us, terms) = play(&t, |t| {
+            let (us, terms) = run_script(&t, |t| {
                 Box::pin(async move {
-                    t.list_servers(vec![server(1, false)]).await;
-                    up(&t).await;
-                    t.op.sleep(3 * SEC).await;
-                    let cores = t.names(Role::Core);
+                    t.start_platform(vec![server(1, false)]).await;
+                    boot_and_wait(&t).await;
+                    t.operator.sleep(3 * SEC).await;
+                    let cores = t.names_with_role(Role::Core);
                     let watch = Watch::start(&t);
-                    let was = t.at(&t.on_duty()[0]).unwrap().acting_term().unwrap();
+                    let was = t
+                        .control_node(&t.acting_holders()[0])
+                        .unwrap()
+                        .acting_term()
+                        .unwrap();
                     cores.iter().for_each(|n| t.kill(n, power));
-                    t.op.sleep(500 * MS).await;
+                    t.operator.sleep(500 * MS).await;
                     cores.iter().for_each(|n| t.boot(n, false));
-                    let t0 = t.op.now();
-                    while t.on_duty().is_empty() {
-                        t.op.sleep(MS).await;
-                        assert!(t.op.now() < t0 + 10 * SEC, "nobody on duty\n{}", tell(&t));
+                    let t0 = t.operator.now();
+                    while t.acting_holders().is_empty() {
+                        t.operator.sleep(MS).await;
+                        assert!(
+                            t.operator.now() < t0 + 10 * SEC,
+                            "nobody on duty\n{}",
+                            format_log(&t)
+                        );
                     }
-                    let us = t.op.now() - t0;
-                    let is = t.at(&t.on_duty()[0]).unwrap().acting_term().unwrap();
-                    t.op.sleep(3 * SEC).await;
+                    let us = t.operator.now() - t0;
+                    let is = t
+                        .control_node(&t.acting_holders()[0])
+                        .unwrap()
+                        .acting_term()
+                        .unwrap();
+                    t.operator.sleep(3 * SEC).await;
                     watch.end();
                     (us, (was, is))
                 })
@@ -237,48 +255,48 @@
     for seed in 0..24u64 {
         let (counts, lost) = TIER_SIZES[seed as usize % TIER_SIZES.len()];
         let t = Tier::new(5400 + seed, counts, lost);
-        let gap = play(&t, |t| {
+        let gap = run_script(&t, |t| {
             Box::pin(async move {
                 let platform = t
-                    .list_servers((0..20).map(|n| server(n, false)).collect())
+                    .start_platform((0..20).map(|n| server(n, false)).collect())
                     .await;
-                up(&t).await;
-                t.op.sleep(3 * SEC).await;
+                boot_and_wait(&t).await;
+                t.operator.sleep(3 * SEC).await;
                 let watch = Watch::start(&t);
                 for n in 0..4 {
                     let holder = t
-                        .on_duty()
+                        .acting_holders()
                         .first()
                         .cloned()
-                        .unwrap_or_else(|| panic!("nobody on duty\n{}", tell(&t)));
-                    let term = t.at(&holder).unwrap().acting_term().unwrap();
-                    watch.begin(t.op.now());
-                    platform.edit(|v| v[2 * n].leaving = true);
-                    t.op.sleep(t.op.random() % (700 * MS)).await;
+                        .unwrap_or_else(|| panic!("nobody on duty\n{}", format_log(&t)));
+                    let term = t.control_node(&holder).unwrap().acting_term().unwrap();
+                    watch.begin(t.operator.now());
+                    platform.update_servers(|v| v[2 * n].leaving = true);
+                    t.operator.sleep(t.operator.random() % (700 * MS)).await;
                     t.sim.freeze(t.sim.find(&holder));
-                    t.op.sleep(t.op.random() % (3 * SEC)).await;
-                    platform.edit(|v| v[2 * n + 1].leaving = true);
-                    t.op.sleep(2 * SEC).await;
+                    t.operator.sleep(t.operator.random() % (3 * SEC)).await;
+                    platform.update_servers(|v| v[2 * n + 1].leaving = true);
+                    t.operator.sleep(2 * SEC).await;
                     let now = t
-                        .on_duty()
+                        .acting_holders()
                         .first()
                         .cloned()
-                        .unwrap_or_else(|| panic!("nobody took over\n{}", tell(&t)));
+                        .unwrap_or_else(|| panic!("nobody took over\n{}", format_log(&t)));
                     assert_ne!(now, holder);
                     t.sim.thaw(t.sim.find(&holder));
-                    t.op.sleep(2 * SEC).await;
-                    assert_ne!(t.at(&holder).unwrap().acting_term(), Some(term));
-                    for name in t.names(Role::Front) {
+                    t.operator.sleep(2 * SEC).await;
+                    assert_ne!(t.control_node(&holder).unwrap().acting_term(), Some(term));
+                    for name in t.names_with_role(Role::Front) {
                         let held = t
                             .front(&name)
                             .unwrap()
-                            .book
+                            .documents
                             .server_list
                             .load()
                             .1
                             .servers
                             .clone();
-                        assert_eq!(held, platform.list(), "{name}\n{}", tell(&t));
+                        assert_eq!(held, platform.servers(), "{name}\n{}", format_log(&t));
                     }
                 }
                 watch.end()
@@ -297,10 +315,10 @@
     for seed in 0..30u64 {
         let (counts, lost) = TIER_SIZES[seed as usize % TIER_SIZES.len()];
         let t = Tier::new(5500 + seed, counts, lost);
-        play(&t, |t| {
+        run_script(&t, |t| {
             Box::pin(async move {
-                t.list_servers(vec![server(1, false)]).await;
-                up(&t).await;
+                t.start_platform(vec![server(1, false)]).await;
+                boot_and_wait(&t).await;
                 let watch = Watch::start(&t);
                 t.sim.set_network_conditions(NetworkConditions {
                     drop_per_mille: 10,
@@ -309,30 +327,30 @@
                     max_jitter: 2000,
                 });
                 for _ in 0..10 {
-                    let cores = t.names(Role::Core);
-                    let any = |t: &Tier| cores[t.op.random() as usize % cores.len()].clone();
+                    let cores = t.names_with_role(Role::Core);
+                    let any = |t: &Tier| cores[t.operator.random() as usize % cores.len()].clone();
                     let victim = t
-                        .on_duty()
+                        .acting_holders()
                         .first()
                         .cloned()
-                        .filter(|_| !t.op.random().is_multiple_of(3))
+                        .filter(|_| !t.operator.random().is_multiple_of(3))
                         .unwrap_or_else(|| any(&t));
-                    match t.op.random() % 5 {
+                    match t.operator.random() % 5 {
                         0 => t.sim.freeze(t.sim.find(&victim)),
-                        1 => t.kill(&victim, t.op.random().is_multiple_of(2)),
+                        1 => t.kill(&victim, t.operator.random().is_multiple_of(2)),
                         n => partition_core(&t, &victim, PARTITIONS[n as usize - 2]),
                     }
-                    t.op.sleep(t.op.random() % (3 * SEC)).await;
+                    t.operator.sleep(t.operator.random() % (3 * SEC)).await;
                     t.sim.heal();
                     t.sim.thaw(t.sim.find(&victim));
-                    if t.at(&victim).is_none() {
+                    if t.control_node(&victim).is_none() {
                         t.boot(&victim, false);
                     }
-                    t.op.sleep(t.op.random() % (2 * SEC)).await;
+                    t.operator.sleep(t.operator.random() % (2 * SEC)).await;
                 }
                 t.sim.set_network_conditions(NetworkConditions::default());
-                t.op.sleep(4 * SEC).await;
-                assert_eq!(t.on_duty().len(), 1, "{}", tell(&t));
+                t.operator.sleep(4 * SEC).await;
+                assert_eq!(t.acting_holders().len(), 1, "{}", format_log(&t));
                 watch.end();
             })
         });
--- a/yewcross-testkit/tests/histories.rs
+++ b/yewcross-testkit/tests/histories.rs
@@ -67,12 +67,12 @@
 
 impl Caller {
     fn random_core(&self) -> String {
-        let cores = self.tier.names(Role::Core);
-        cores[self.tier.op.random() as usize % cores.len()].clone()
+        let cores = self.tier.names_with_role(Role::Core);
+        cores[self.tier.operator.random() as usize % cores.len()].clone()
     }
 
     fn record(&self, begin: u64, call: ConfigCall, answer: Option<ConfigAnswer>) {
-        let at = self.tier.op.now();
+        let at = self.tier.operator.now();
         self.calls.lock().unwrap().push(Operation {
             begin,
             call,
@@ -81,12 +81,12 @@
     }
 
     async fn read(&self) -> Option<u64> {
-        let begin = self.tier.op.now();
+        let begin = self.tier.operator.now();
         let core = self.random_core();
         let got = if self.broken == Some(Broken::ReadOnHand) {
             self.read_on_hand(&core)
         } else {
-            self.tier.read(&core).await
+            self.tier.read_configuration(&core).await
         };
         match got {
             Some(ReadAnswer::Text(number, text)) => {
@@ -110,20 +110,31 @@
     }
 
     fn read_on_hand(&self, core: &str) -> Option<ReadAnswer> {
-        let document =
-            ConfigDoc::decode(&self.tier.at(core)?.documents.document("config").content).ok()?;
+        let document = ConfigDoc::decode(
+            &self
+                .tier
+                .control_node(core)?
+                .documents
+                .document("config")
+                .content,
+        )
+        .ok()?;
         Some(ReadAnswer::Text(document.number, document.text.into()))
     }
 
     /// Sends an order once. Where its answer is lost, the operator knows nothing.
     async fn send(&self, order: &Sent, answer_is_lost: bool) -> Option<ConfigAnswer> {
-        let begin = self.tier.op.now();
+        let begin = self.tier.operator.now();
         let core = self.random_core();
         let got = match self.broken {
             Some(Broken::AnyBase | Broken::NoMemory | Broken::TextAlone) => {
                 self.put_broken(&core, order).await
             }
-            _ => self.tier.put(&core, order.base, &order.text).await,
+            _ => {
+                self.tier
+                    .put_configuration(&core, order.base, &order.text)
+                    .await
+            }
         };
         let answer = got.and_then(|a| match a {
             PutAnswer::InForce(number) => Some(ConfigAnswer::Taken { number }),
@@ -149,7 +160,7 @@
     async fn put_broken(&self, core: &str, order: &Sent) -> Option<PutAnswer> {
         let (order, broken) = (order.clone(), self.broken);
         self.tier
-            .on(core, move |c| {
+            .run_on(core, move |c| {
                 Box::pin(async move {
                     let got = c
                         .registers
@@ -188,7 +199,7 @@
 
     /// Orders one change after another, as an operator does, until the time is over.
     async fn operate(&self, who: usize, until: u64) {
-        let op = &self.tier.op;
+        let op = &self.tier.operator;
         let mut taken: Vec<Sent> = vec![];
         let mut nth = 0;
         while op.now() < until {
@@ -221,7 +232,7 @@
     /// Sends the text of a taken order on top of itself, or of what is newest: another order, which
     /// is never taken.
     async fn send_on_another_base(&self, taken: &Sent) {
-        let base = if self.tier.op.random().is_multiple_of(2) {
+        let base = if self.tier.operator.random().is_multiple_of(2) {
             Some(taken.number)
         } else {
             self.read().await
@@ -239,14 +250,14 @@
     /// was taken.
     async fn send_until_clear(&self, order: &Sent) -> Option<bool> {
         for _ in 0..12 {
-            let answer_is_lost = self.tier.op.random().is_multiple_of(6);
+            let answer_is_lost = self.tier.operator.random().is_multiple_of(6);
             match self.send(order, answer_is_lost).await {
                 Some(ConfigAnswer::Taken { .. }) => return Some(true),
                 Some(ConfigAnswer::Conflict { .. } | ConfigAnswer::Invalid) => return Some(false),
                 _ => {
                     self.tier
-                        .op
-                        .sleep(60 * MS + self.tier.op.random() % (60 * MS))
+                        .operator
+                        .sleep(60 * MS + self.tier.operator.random() % (60 * MS))
                         .await
                 }
             }
@@ -258,22 +269,22 @@
 /// ChangeError with as many machines as may be lost at once, one kind after another, each over
 /// before the next.
 async fn trouble(tier: Arc<Tier>, plan: Plan) {
-    let until = tier.op.now() + plan.length;
+    let until = tier.operator.now() + plan.length;
     let mut spare = 60;
-    while tier.op.now() < until {
-        let mut machines: Vec<String> = tier.names(Role::Core);
+    while tier.operator.now() < until {
+        let mut machines: Vec<String> = tier.names_with_role(Role::Core);
         let mut back: Vec<String> = vec![];
         let mut settle = 300 * MS;
         for _ in 0..plan.tolerance {
-            let name = machines.swap_remove(tier.op.random() as usize % machines.len());
+            let name = machines.swap_remove(tier.operator.random() as usize % machines.len());
             let machine = tier.sim.find(&name);
             let others: Vec<usize> = tier
-                .names(Role::Core)
+                .names_with_role(Role::Core)
                 .iter()
                 .filter(|n| **n != name)
                 .map(|n| tier.sim.find(n))
                 .collect();
-            match tier.op.random() % 8 {
+            match tier.operator.random() % 8 {
                 0 => tier.sim.partition(&[machine], &others),
                 1 => others.iter().for_each(|o| tier.sim.block(machine, *o)),
                 2 => others.iter().for_each(|o| tier.sim.block(*o, machine)),
@@ -288,7 +299,7 @@
                     },
                 ),
                 5 => {
-                    tier.kill(&name, tier.op.random().is_multiple_of(2));
+                    tier.kill(&name, tier.operator.random().is_multiple_of(2));
                     back.push(name);
                 }
                 6 => {
@@ -300,25 +311,27 @@
                 _ => {
                     spare += 1;
                     tier.kill(&name, true);
-                    tier.specs.lock().unwrap().remove(&name);
+                    tier.settings.lock().unwrap().remove(&name);
                     let other = format!("other{spare}");
-                    tier.add(&other, Role::Core, spare % 4, spare, plan.tolerance);
+                    tier.add_node(&other, Role::Core, spare % 4, spare, plan.tolerance);
                     back.push(other);
                     settle = 4_200 * MS;
                 }
             }
         }
-        tier.op
-            .sleep(300 * MS + tier.op.random() % (2_500 * MS))
+        tier.operator
+            .sleep(300 * MS + tier.operator.random() % (2_500 * MS))
             .await;
         tier.sim.heal();
-        for name in tier.names(Role::Core) {
+        for name in tier.names_with_role(Role::Core) {
             tier.sim.thaw(tier.sim.find(&name));
             tier.sim
                 .set_costs(tier.sim.find(&name), MachineCosts::default());
         }
         back.iter().for_each(|n| tier.boot(n, false));
-        tier.op.sleep(settle + tier.op.random() % SEC).await;
+        tier.operator
+            .sleep(settle + tier.operator.random() % SEC)
+            .await;
     }
 }
 
@@ -346,15 +359,15 @@
         refused.remove(&text);
     }
     for (name, front) in tier.fronts.lock().unwrap().iter() {
-        let seen = front.seen.lock().unwrap();
+        let seen = front.configuration_history.lock().unwrap();
         assert!(seen.windows(2).all(|w| w[0].1 < w[1].1), "{name} went back");
         assert!(
             seen.iter().all(|s| !refused.contains(&s.2)),
             "{name} adopted what was refused"
         );
-        assert_eq!(front.book.conflicts.load(SeqCst), 0, "{name}");
+        assert_eq!(front.documents.conflicts.load(SeqCst), 0, "{name}");
     }
-    for (name, control) in tier.control.lock().unwrap().iter() {
+    for (name, control) in tier.control_nodes.lock().unwrap().iter() {
         assert_eq!(control.documents.conflicts.load(SeqCst), 0, "{name}");
     }
 }
@@ -364,9 +377,9 @@
     let tier = Tier::new(plan.seed, plan.counts, plan.tolerance);
     let calls: Calls = Default::default();
     let recorded = calls.clone();
-    play(&tier, move |tier| {
+    run_script(&tier, move |tier| {
         Box::pin(async move {
-            up(&tier).await;
+            boot_and_wait(&tier).await;
             let caller = |tier: &Arc<Tier>| Caller {
                 tier: tier.clone(),
                 calls: recorded.clone(),
@@ -384,11 +397,11 @@
                 delay_per_mille: 20,
                 max_jitter: 500,
             });
-            let until = tier.op.now() + plan.length;
+            let until = tier.operator.now() + plan.length;
             let (done_tx, done) = async_channel::unbounded();
             for who in 0..plan.operators {
                 let (caller, done_tx) = (caller(&tier), done_tx.clone());
-                tier.op.spawn(async move {
+                tier.operator.spawn(async move {
                     caller.operate(who, until).await;
                     let _ = done_tx.send(()).await;
                 });
@@ -399,11 +412,12 @@
             }
             tier.sim
                 .set_network_conditions(NetworkConditions::default());
-            tier.op.sleep(4 * SEC).await;
-            for core in tier.names(Role::Core) {
-                let begin = tier.op.now();
-                let Some(ReadAnswer::Text(number, text)) = tier.read(&core).await else {
-                    panic!("{core} cannot read\n{}", tell(&tier))
+            tier.operator.sleep(4 * SEC).await;
+            for core in tier.names_with_role(Role::Core) {
+                let begin = tier.operator.now();
+                let Some(ReadAnswer::Text(number, text)) = tier.read_configuration(&core).await
+                else {
+                    panic!("{core} cannot read\n{}", format_log(&tier))
                 };
                 caller(&tier).record(
                     begin,
@@ -453,7 +467,11 @@
         "seed {} cores {} tolerance {} operators {}: {outcome:?} {verdict:?}",
         plan.seed, plan.counts[0], plan.tolerance, plan.operators
     );
-    assert!(verdict.holds(), "{plan:?}: {verdict:#?}\n{}", tell(&tier));
+    assert!(
+        verdict.holds(),
+        "{plan:?}: {verdict:#?}\n{}",
+        format_log(&tier)
+    );
     check_fronts(&tier, &calls);
     assert!(outcome.calls > 200 && outcome.taken > 30, "{outcome:?}");
     assert!(outcome.slowest < 4 * SEC, "{outcome:?}");
@@ -521,7 +539,7 @@
     match call {
         RetireCall::Begin => {
             let got = tier
-                .on(core, move |c| {
+                .run_on(core, move |c| {
                     Box::pin(async move { c.retire_begin(&node).await })
                 })
                 .await?;
@@ -534,7 +552,7 @@
         }
         RetireCall::Read => {
             let got = tier
-                .on(core, move |c| {
+                .run_on(core, move |c| {
                     Box::pin(async move { c.retire_state(&node).await })
                 })
                 .await?;
@@ -560,32 +578,32 @@
     let tier = Tier::new(seed, plan.counts, plan.tolerance);
     let calls: Arc<Mutex<Vec<Operation<RetireRegister>>>> = Default::default();
     let recorded = calls.clone();
-    play(&tier, move |tier| {
+    run_script(&tier, move |tier| {
         Box::pin(async move {
-            up(&tier).await;
+            boot_and_wait(&tier).await;
             tier.sim.set_network_conditions(NetworkConditions {
                 drop_per_mille: 5,
                 duplicate_per_mille: 20,
                 delay_per_mille: 20,
                 max_jitter: 500,
             });
-            let until = tier.op.now() + plan.length;
+            let until = tier.operator.now() + plan.length;
             let (done_tx, done) = async_channel::unbounded();
             for _ in 0..3 {
                 let (tier, recorded, done_tx) = (tier.clone(), recorded.clone(), done_tx.clone());
-                tier.op.clone().spawn(async move {
-                    while tier.op.now() < until {
-                        let cores = tier.names(Role::Core);
-                        let core = &cores[tier.op.random() as usize % cores.len()];
-                        let call = if tier.op.random().is_multiple_of(12) {
+                tier.operator.clone().spawn(async move {
+                    while tier.operator.now() < until {
+                        let cores = tier.names_with_role(Role::Core);
+                        let core = &cores[tier.operator.random() as usize % cores.len()];
+                        let call = if tier.operator.random().is_multiple_of(12) {
                             RetireCall::Begin
                         } else {
                             RetireCall::Read
                         };
-                        let begin = tier.op.now();
+                        let begin = tier.operator.now();
                         let answer = ask_retire(&tier, core, "store2", call).await;
                         let ended = answer.map(|answer| Ended {
-                            at: tier.op.now(),
+                            at: tier.operator.now(),
                             answer,
                         });
                         // A read without an answer has no effect.
@@ -595,7 +613,9 @@
                                 .unwrap()
                                 .push(Operation { begin, call, ended });
                         }
-                        tier.op.sleep(tier.op.random() % (150 * MS)).await;
+                        tier.operator
+                            .sleep(tier.operator.random() % (150 * MS))
+                            .await;
                     }
                     let _ = done_tx.send(()).await;
                 });
--- a/yewcross-testkit/tests/kv_share.rs
+++ b/yewcross-testkit/tests/kv_share.rs
@@ -4,15 +4,15 @@
 use std::sync::atomic::Ordering::SeqCst;
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
-use yewcross_testkit::caller::{self, Ask, Heard, Seen};
+use yewcross_testkit::caller::{self, Outcome, RequestRecord, TurnRequest};
 use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 use yewcross_testkit::stub_server::StubFaults;
 
 const KEY: &str = "session/chargeback/s";
 
 /// One turn of the session at the nth front; the first says so many bytes.
-async fn say(lab: &Arc<TestCluster>, front: usize, turn: usize, first: usize) -> Seen {
-    let a = Ask {
+async fn say(lab: &Arc<TestCluster>, front: usize, turn: usize, first: usize) -> RequestRecord {
+    let a = TurnRequest {
         program: "chargeback".into(),
         budget: "chargeback".into(),
         session: "s".into(),
@@ -26,7 +26,12 @@
         max_output: 16,
         stream: true,
     };
-    caller::turn(&lab.operator, lab.topology.of(Role::Front)[front].http, &a).await
+    caller::send_turn(
+        &lab.operator,
+        lab.topology.nodes_with_role(Role::Front)[front].http,
+        &a,
+    )
+    .await
 }
 
 fn models(lab: &TestCluster) -> Vec<String> {
@@ -83,7 +88,7 @@
     );
     // 10,000 tokens read anew take 1.2 s; the import under way meanwhile would take minutes.
     println!("cold at {} after {} ms", s.server, s.took / 1000);
-    assert_eq!((s.heard, s.reused, unready), (Heard::Done, 0, 1));
+    assert_eq!((s.outcome, s.reused, unready), (Outcome::Done, 0, 1));
     assert!(
         s.server != home && s.took < 1_500 * MS,
         "{} ms at {}",
@@ -128,7 +133,10 @@
             s.reused,
             s.prompt
         );
-        assert_eq!((spare, &s.heard), (vec![s.server.clone()], &Heard::Done));
+        assert_eq!(
+            (spare, &s.outcome),
+            (vec![s.server.clone()], &Outcome::Done)
+        );
         assert!(
             100 * s.reused >= KV_WARM_PERCENT * s.prompt && s.took < 300 * MS,
             "{s:?}"
@@ -148,7 +156,7 @@
             Box::pin(async move {
                 let imports = |lab: &Arc<TestCluster>| count(lab, |c| c.imports.load(SeqCst));
                 for t in 0..6 {
-                    assert_eq!(say(&lab, 0, t, 40_000).await.heard, Heard::Done);
+                    assert_eq!(say(&lab, 0, t, 40_000).await.outcome, Outcome::Done);
                     lab.operator.sleep(5 * SEC).await;
                 }
                 let (steady, skipped) = (
--- a/yewcross-testkit/tests/one_proposer.rs
+++ b/yewcross-testkit/tests/one_proposer.rs
@@ -25,7 +25,7 @@
 const BALLOTS_A_TERM: u64 = 12;
 
 fn ballots(tier: &Tier) -> u64 {
-    tier.control
+    tier.control_nodes
         .lock()
         .unwrap()
         .values()
@@ -34,7 +34,7 @@
 }
 
 fn terms(tier: &Tier) -> u64 {
-    tier.control
+    tier.control_nodes
         .lock()
         .unwrap()
         .values()
@@ -44,12 +44,12 @@
 
 /// us from now until a core is on duty, and until an order is acknowledged.
 async fn back_after(tier: &Arc<Tier>, orders: &Orders) -> (u64, u64) {
-    let (begin, limit) = (tier.op.now(), 30 * SEC);
+    let (begin, limit) = (tier.operator.now(), 30 * SEC);
     let (mut duty, mut order) = (0, 0);
-    while tier.op.now() < begin + limit && (duty == 0 || order == 0) {
-        tier.op.sleep(5 * MS).await;
-        let since = tier.op.now() - begin;
-        if duty == 0 && !tier.on_duty().is_empty() {
+    while tier.operator.now() < begin + limit && (duty == 0 || order == 0) {
+        tier.operator.sleep(5 * MS).await;
+        let since = tier.operator.now() - begin;
+        if duty == 0 && !tier.acting_holders().is_empty() {
             duty = since;
         }
         if order == 0 && orders.last_at.load(SeqCst) > begin {
@@ -66,18 +66,22 @@
     let runs: Vec<(u64, bool)> = (0..6).map(|nth| (8800 + nth, nth % 2 == 1)).collect();
     let late = yewcross_testkit::proof::each(runs, |(seed, power)| {
         let tier = small_machines(seed, [8, 9, 55], 2);
-        let times = play(&tier, |tier| {
+        let times = run_script(&tier, |tier| {
             Box::pin(async move {
                 let orders = begin(&tier).await;
                 let mut times = vec![];
                 for _ in 0..3 {
-                    tier.op.sleep(3 * SEC + tier.op.random() % SEC).await;
-                    let cores = tier.names(Role::Core);
+                    tier.operator
+                        .sleep(3 * SEC + tier.operator.random() % SEC)
+                        .await;
+                    let cores = tier.names_with_role(Role::Core);
                     cores.iter().for_each(|name| tier.kill(name, power));
-                    tier.op.sleep(700 * MS).await;
+                    tier.operator.sleep(700 * MS).await;
                     for name in &cores {
                         tier.boot(name, false);
-                        tier.op.sleep(tier.op.random() % (10 * MS)).await;
+                        tier.operator
+                            .sleep(tier.operator.random() % (10 * MS))
+                            .await;
                     }
                     times.push(back_after(&tier, &orders).await);
                 }
@@ -114,13 +118,13 @@
 fn a_write_that_one_disk_holds_does_not_hold_the_core_up() {
     for seed in 0..4u64 {
         let tier = small_machines(8900 + seed, [8, 9, 12], 2);
-        let (duty, order) = play(&tier, |tier| {
+        let (duty, order) = run_script(&tier, |tier| {
             Box::pin(async move {
-                up(&tier).await;
-                tier.put_surely(0, "1 first").await;
-                tier.op.sleep(3 * SEC).await;
-                let cores = tier.names(Role::Core);
-                let writer = tier.on_duty().first().cloned().unwrap();
+                boot_and_wait(&tier).await;
+                tier.put_until_acknowledged(0, "1 first").await;
+                tier.operator.sleep(3 * SEC).await;
+                let cores = tier.names_with_role(Role::Core);
+                let writer = tier.acting_holders().first().cloned().unwrap();
                 let witness = cores.iter().find(|name| **name != writer).unwrap().clone();
                 let others: Vec<String> = cores
                     .iter()
@@ -129,10 +133,10 @@
                     .collect();
                 tier.block_from(&writer, &others);
                 let text = format!("2 undecided {}", "x".repeat(TEXT));
-                tier.put(&writer, 1, &text).await;
+                tier.put_configuration(&writer, 1, &text).await;
                 tier.sim.heal();
                 cores.iter().for_each(|name| tier.kill(name, false));
-                tier.op.sleep(300 * MS).await;
+                tier.operator.sleep(300 * MS).await;
                 cores.iter().for_each(|name| tier.boot(name, false));
                 let orders = operators_at(&tier, 1);
                 let times = back_after(&tier, &orders).await;
@@ -148,7 +152,7 @@
         assert!(
             duty < DUTY_WITHIN && order < ORDER_WITHIN,
             "{duty} {order}\n{}",
-            tell(&tier)
+            format_log(&tier)
         );
     }
 }
@@ -159,14 +163,14 @@
 fn many_orders_neither_move_the_lease_nor_prepare_ballots() {
     for seed in 0..3u64 {
         let tier = small_machines(9000 + seed, [8, 9, 55], 2);
-        let (decided, pause, ballots, terms) = play(&tier, |tier| {
+        let (decided, pause, ballots, terms) = run_script(&tier, |tier| {
             Box::pin(async move {
                 let orders = begin(&tier).await;
-                tier.op.sleep(SEC).await;
+                tier.operator.sleep(SEC).await;
                 let before = (ballots(&tier), terms(&tier));
                 orders.decided.store(0, SeqCst);
                 orders.longest_pause.store(0, SeqCst);
-                tier.op.sleep(20 * SEC).await;
+                tier.operator.sleep(20 * SEC).await;
                 orders.ended.store(true, SeqCst);
                 let decided = orders.decided.load(SeqCst);
                 (
@@ -209,22 +213,22 @@
     let mut worst = 0;
     for seed in 0..4u64 {
         let tier = small_machines(9100 + seed, [8, 9, 55], 2);
-        let us = play(&tier, |tier| {
+        let us = run_script(&tier, |tier| {
             Box::pin(async move {
                 let platform = tier
-                    .list_servers(vec![server(1, false), server(2, false)])
+                    .start_platform(vec![server(1, false), server(2, false)])
                     .await;
                 let orders = begin(&tier).await;
-                tier.op.sleep(3 * SEC).await;
-                let cores = tier.names(Role::Core);
+                tier.operator.sleep(3 * SEC).await;
+                let cores = tier.names_with_role(Role::Core);
                 cores.iter().for_each(|name| tier.kill(name, seed % 2 == 1));
-                platform.edit(|list| list[0].leaving = true);
-                tier.op.sleep(700 * MS).await;
+                platform.update_servers(|list| list[0].leaving = true);
+                tier.operator.sleep(700 * MS).await;
                 cores.iter().for_each(|name| tier.boot(name, false));
-                let begin = tier.op.now();
-                let knows = |front: &Arc<Bare>| {
+                let begin = tier.operator.now();
+                let knows = |front: &Arc<StubFront>| {
                     front
-                        .book
+                        .documents
                         .server_list
                         .load()
                         .1
@@ -233,11 +237,15 @@
                         .all(|s| s.server != "s1" || s.leaving)
                 };
                 while !tier.fronts.lock().unwrap().values().all(knows) {
-                    tier.op.sleep(5 * MS).await;
-                    assert!(tier.op.now() < begin + 30 * SEC, "{}", tell(&tier));
+                    tier.operator.sleep(5 * MS).await;
+                    assert!(
+                        tier.operator.now() < begin + 30 * SEC,
+                        "{}",
+                        format_log(&tier)
+                    );
                 }
                 orders.ended.store(true, SeqCst);
-                tier.op.now() - begin
+                tier.operator.now() - begin
             })
         });
         println!("seed {seed}: all fronts know after {} ms", us / MS);
@@ -252,20 +260,20 @@
 #[test]
 fn a_holder_that_cannot_take_the_documents_gives_the_lease_up() {
     let tier = Tier::new(9400, [8, 5, 4], 2);
-    let (longest, terms, back) = play(&tier, |tier| {
+    let (longest, terms, back) = run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
-            tier.op.sleep(2 * SEC).await;
-            let holder = tier.on_duty().first().cloned().unwrap();
+            boot_and_wait(&tier).await;
+            tier.operator.sleep(2 * SEC).await;
+            let holder = tier.acting_holders().first().cloned().unwrap();
             let others: Vec<String> = tier
-                .names(Role::Core)
+                .names_with_role(Role::Core)
                 .into_iter()
                 .filter(|name| *name != holder)
                 .collect();
             let kept: Vec<u64> = others
                 .iter()
                 .map(|name| {
-                    tier.at(name)
+                    tier.control_node(name)
                         .unwrap()
                         .replica
                         .layout_version
@@ -273,37 +281,41 @@
                 })
                 .collect();
             tier.kill(&holder, true);
-            let (mut longest, mut since, mut last) = (0, tier.op.now(), None);
-            let end = tier.op.now() + 12 * SEC;
-            while tier.op.now() < end {
-                tier.op.sleep(5 * MS).await;
+            let (mut longest, mut since, mut last) = (0, tier.operator.now(), None);
+            let end = tier.operator.now() + 12 * SEC;
+            while tier.operator.now() < end {
+                tier.operator.sleep(5 * MS).await;
                 let now_held = others
                     .iter()
-                    .find_map(|name| tier.at(name).unwrap().lease_term());
+                    .find_map(|name| tier.control_node(name).unwrap().lease_term());
                 if now_held != last {
-                    (since, last) = (tier.op.now(), now_held);
+                    (since, last) = (tier.operator.now(), now_held);
                 }
                 longest = longest.max(if now_held.is_some() {
-                    tier.op.now() - since
+                    tier.operator.now() - since
                 } else {
                     0
                 });
-                assert!(tier.on_duty().is_empty(), "{}", tell(&tier));
+                assert!(tier.acting_holders().is_empty(), "{}", format_log(&tier));
             }
             let terms = terms(&tier);
             others.iter().zip(kept).for_each(|(name, layout)| {
-                tier.at(name)
+                tier.control_node(name)
                     .unwrap()
                     .replica
                     .layout_version
                     .store(layout, SeqCst)
             });
-            let begin = tier.op.now();
-            while tier.on_duty().is_empty() {
-                tier.op.sleep(5 * MS).await;
-                assert!(tier.op.now() < begin + 10 * SEC, "{}", tell(&tier));
+            let begin = tier.operator.now();
+            while tier.acting_holders().is_empty() {
+                tier.operator.sleep(5 * MS).await;
+                assert!(
+                    tier.operator.now() < begin + 10 * SEC,
+                    "{}",
+                    format_log(&tier)
+                );
             }
-            (longest, terms, tier.op.now() - begin)
+            (longest, terms, tier.operator.now() - begin)
         })
     });
     println!(
