--- a/yewcross-testkit/tests/orders.rs
+++ b/yewcross-testkit/tests/orders.rs
@@ -11,7 +11,7 @@
 /// number.
 async fn put_many(tier: &Arc<Tier>, base: u64, count: u64) -> u64 {
     for number in base + 1..=base + count {
-        tier.put_surely(number - 1, &format!("{number} one of many"))
+        tier.put_until_acknowledged(number - 1, &format!("{number} one of many"))
             .await;
     }
     base + count
@@ -22,24 +22,25 @@
 #[test]
 fn an_order_whose_answer_was_lost_is_known_after_many_others() {
     let tier = Tier::new(7101, [4, 4, 2], 1);
-    play(&tier, |tier| {
+    run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
-            tier.put_surely(0, "1 first").await;
-            let sent = tier.op.now();
-            tier.put_surely(1, "2 the answer is lost").await;
+            boot_and_wait(&tier).await;
+            tier.put_until_acknowledged(0, "1 first").await;
+            let sent = tier.operator.now();
+            tier.put_until_acknowledged(1, "2 the answer is lost").await;
             let newest = put_many(&tier, 2, 100).await;
-            let took = tier.op.now() - sent;
+            let took = tier.operator.now() - sent;
             println!("100 orders took {} ms", took / MS);
             assert!(took < 4 * SEC, "the orders took {took} us");
             for core in ["core1", "core2", "core3", "core4"] {
                 assert_eq!(
-                    tier.put(core, 1, "2 the answer is lost").await,
+                    tier.put_configuration(core, 1, "2 the answer is lost")
+                        .await,
                     Some(PutAnswer::InForce(2)),
                     "{core}"
                 );
                 assert_eq!(
-                    tier.put(core, 1, "2 another text").await,
+                    tier.put_configuration(core, 1, "2 another text").await,
                     Some(PutAnswer::Conflict(newest)),
                     "{core}"
                 );
@@ -51,8 +52,8 @@
 /// What every core answers to an order, each from the copy that it has applied or by the proposer.
 async fn put_everywhere(tier: &Arc<Tier>, base: u64, text: &str) -> Vec<Option<PutAnswer>> {
     let mut answers = vec![];
-    for core in tier.names(Role::Core) {
-        answers.push(tier.put(&core, base, text).await);
+    for core in tier.names_with_role(Role::Core) {
+        answers.push(tier.put_configuration(&core, base, text).await);
     }
     answers
 }
@@ -79,8 +80,8 @@
             "{when}: {text} on a version that never was: {on_another:?}"
         );
     }
-    for core in tier.names(Role::Core) {
-        let newest = tier.read(&core).await;
+    for core in tier.names_with_role(Role::Core) {
+        let newest = tier.read_configuration(&core).await;
         assert_eq!(newest, Some(ReadAnswer::Text(12, "12 c".into())), "{when}");
     }
 }
@@ -91,27 +92,27 @@
 #[test]
 fn an_old_text_on_a_newer_version_is_refused_at_every_core() {
     let tier = Tier::new(7131, [4, 4, 2], 1);
-    play(&tier, |tier| {
+    run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
+            boot_and_wait(&tier).await;
             for (base, text) in [(0, "5 a"), (5, "9 b"), (9, "12 c")] {
-                tier.put_surely(base, text).await;
+                tier.put_until_acknowledged(base, text).await;
             }
-            tier.op.sleep(SEC).await;
+            tier.operator.sleep(SEC).await;
             check_taken_orders(&tier, "at once").await;
             for (power, when) in [(false, "after a restart"), (true, "after a loss of power")] {
-                let cores = tier.names(Role::Core);
+                let cores = tier.names_with_role(Role::Core);
                 cores.iter().for_each(|core| tier.kill(core, power));
-                tier.op.sleep(300 * MS).await;
+                tier.operator.sleep(300 * MS).await;
                 cores.iter().for_each(|core| tier.boot(core, false));
-                tier.op.sleep(6 * SEC).await;
+                tier.operator.sleep(6 * SEC).await;
                 check_taken_orders(&tier, when).await;
             }
             tier.kill("core2", true);
             tier.sim.wipe(tier.sim.find("core2"));
-            tier.op.sleep(300 * MS).await;
+            tier.operator.sleep(300 * MS).await;
             tier.boot("core2", false);
-            tier.op.sleep(6 * SEC).await;
+            tier.operator.sleep(6 * SEC).await;
             check_taken_orders(&tier, "with a core that lost its disk").await;
         })
     });
@@ -122,12 +123,12 @@
 #[test]
 fn an_old_text_is_refused_on_the_newest_version_once_its_digest_is_gone() {
     let tier = Tier::new(7141, [4, 4, 2], 1);
-    play(&tier, |tier| {
+    run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
+            boot_and_wait(&tier).await;
             let newest = put_many(&tier, 0, RETAINED_ORDERS_MAX as u64 + 20).await;
             // Every core holds the newest version.
-            tier.op.sleep(SEC).await;
+            tier.operator.sleep(SEC).await;
             for number in [1, 10] {
                 let text = format!("{number} one of many");
                 let on_newest = put_everywhere(&tier, newest, &text).await;
@@ -154,30 +155,38 @@
 #[test]
 fn many_readers_do_not_slow_orders_down() {
     let tier = Tier::new(7111, [4, 4, 2], 1);
-    let (slowest, takes, reads) = play(&tier, |tier| {
+    let (slowest, takes, reads) = run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
-            tier.put_surely(0, "1 first").await;
-            tier.put_at("core2", 1, "2 the usual owner").await;
+            boot_and_wait(&tier).await;
+            tier.put_until_acknowledged(0, "1 first").await;
+            tier.put_at_until_acknowledged("core2", 1, "2 the usual owner")
+                .await;
             let reads = Arc::new(AtomicU64::new(0));
-            let end = tier.op.now() + 10 * SEC;
-            for core in tier.names(Role::Core).into_iter().cycle().take(12) {
+            let end = tier.operator.now() + 10 * SEC;
+            for core in tier
+                .names_with_role(Role::Core)
+                .into_iter()
+                .cycle()
+                .take(12)
+            {
                 let (tier, reads) = (tier.clone(), reads.clone());
-                tier.op.clone().spawn(async move {
-                    while tier.op.now() < end {
+                tier.operator.clone().spawn(async move {
+                    while tier.operator.now() < end {
                         if tier
-                            .read(&core)
+                            .read_configuration(&core)
                             .await
                             .is_some_and(|r| r != ReadAnswer::Unavailable)
                         {
                             reads.fetch_add(1, SeqCst);
                         }
-                        tier.op.sleep(tier.op.random() % (10 * MS)).await;
+                        tier.operator
+                            .sleep(tier.operator.random() % (10 * MS))
+                            .await;
                     }
                 });
             }
             let takes = |tier: &Tier| {
-                tier.control
+                tier.control_nodes
                     .lock()
                     .unwrap()
                     .values()
@@ -186,13 +195,13 @@
             };
             let before = takes(&tier);
             let (mut base, mut slowest) = (2, 0);
-            while tier.op.now() < end {
+            while tier.operator.now() < end {
                 slowest = slowest.max(
-                    tier.put_at("core2", base, &format!("{} next", base + 1))
+                    tier.put_at_until_acknowledged("core2", base, &format!("{} next", base + 1))
                         .await,
                 );
                 base += 1;
-                tier.op.sleep(20 * MS).await;
+                tier.operator.sleep(20 * MS).await;
             }
             (slowest, takes(&tier) - before, reads.load(SeqCst))
         })
@@ -211,11 +220,11 @@
 #[test]
 fn documents_that_skip_versions_leave_no_files_behind() {
     let tier = Tier::new(7121, [4, 4, 2], 1);
-    let (before, after) = play(&tier, |tier| {
+    let (before, after) = run_script(&tier, |tier| {
         Box::pin(async move {
-            up(&tier).await;
-            tier.op.sleep(2 * SEC).await;
-            let store = tier.at("store1").unwrap();
+            boot_and_wait(&tier).await;
+            tier.operator.sleep(2 * SEC).await;
+            let store = tier.control_node("store1").unwrap();
             let files = |tier: &Tier| tier.sim.disk(tier.sim.find("store1"), |d| d.files());
             let before = files(&tier);
             let layout = store.documents.document("layout");
@@ -226,7 +235,7 @@
                     layout.ballot,
                     layout.content.to_vec()
                 ));
-                tier.op.sleep(50 * MS).await;
+                tier.operator.sleep(50 * MS).await;
             }
             (before, files(&tier))
         })
--- a/yewcross-testkit/tests/proof.rs
+++ b/yewcross-testkit/tests/proof.rs
@@ -156,7 +156,7 @@
 #[test]
 fn every_check_sees_its_own_tampering() {
     use yewcross_common::constants::{MS, SEC};
-    use yewcross_testkit::caller::{Heard, Seen};
+    use yewcross_testkit::caller::{Outcome, RequestRecord};
     use yewcross_testkit::proof::{Ack, Cap, Departure, Evidence, Withdrawal};
     use yewcross_testkit::stub_server::LateArrival;
     let clean = run(&Plan::new(21, "small", &[Fault::KillStore]));
@@ -164,21 +164,23 @@
     let done = |e: &Evidence| {
         e.seen
             .iter()
-            .position(|s| s.kind == "turn" && s.heard == Heard::Done && !s.text.is_empty())
+            .position(|s| s.kind == "turn" && s.outcome == Outcome::Done && !s.text.is_empty())
             .unwrap()
     };
-    let again = move |e: &mut Evidence, f: &dyn Fn(&mut Seen)| {
+    let again = move |e: &mut Evidence, f: &dyn Fn(&mut RequestRecord)| {
         let mut s = e.seen[done(e)].clone();
         f(&mut s);
         e.seen.push(s);
     };
-    let no = |s: &mut Seen, c: u16, ran: &str| (s.heard, s.ran) = (Heard::Code(c), ran.into());
-    let after = |e: &mut Evidence, pick: &dyn Fn(&Seen) -> bool| {
+    let no = |s: &mut RequestRecord, c: u16, ran: &str| {
+        (s.outcome, s.ran) = (Outcome::Code(c), ran.into())
+    };
+    let after = |e: &mut Evidence, pick: &dyn Fn(&RequestRecord) -> bool| {
         let t = e.disruptions.last().unwrap().at;
         e.seen
             .iter_mut()
             .filter(|s| s.at > t && pick(s))
-            .for_each(|s| (s.heard, s.retry_after) = (Heard::Code(3006), 1));
+            .for_each(|s| (s.outcome, s.retry_after) = (Outcome::Code(3006), 1));
     };
     let withdrawal = |subject: &str| Withdrawal {
         from: 10 * SEC,
@@ -236,8 +238,8 @@
             "6 ",
             Box::new(|e| {
                 again(e, &|s| {
-                    (s.heard, s.ran, s.text) =
-                        (Heard::Code(4001), "may_have_run".into(), "other".into())
+                    (s.outcome, s.ran, s.text) =
+                        (Outcome::Code(4001), "may_have_run".into(), "other".into())
                 })
             }),
         ),
@@ -260,8 +262,8 @@
             "8 ",
             Box::new(|e| {
                 again(e, &|s| {
-                    (s.config, s.heard, s.ran, s.at) =
-                        (1, Heard::Code(4001), "may_have_run".into(), 20 * SEC)
+                    (s.config, s.outcome, s.ran, s.at) =
+                        (1, Outcome::Code(4001), "may_have_run".into(), 20 * SEC)
                 })
             }),
         ),
@@ -309,7 +311,7 @@
             "10 ",
             Box::new(|e| e.withdrawals.push(withdrawal("settlement/"))),
         ),
-        ("11 ", Box::new(|e| again(e, &|s| s.heard = Heard::Cut))),
+        ("11 ", Box::new(|e| again(e, &|s| s.outcome = Outcome::Cut))),
         (
             "12 ",
             Box::new(|e| after(e, &|s| s.program == "chargeback")),
--- a/yewcross-testkit/tests/real.rs
+++ b/yewcross-testkit/tests/real.rs
@@ -11,7 +11,7 @@
 use yewcross_common::process_settings::{Role, exit};
 use yewcross_common::runtime::Runtime;
 use yewcross_common::runtime::os::OsRuntime;
-use yewcross_testkit::caller::{self, Ask, Diary, Heard};
+use yewcross_testkit::caller::{self, Outcome, RequestLog, TurnRequest};
 use yewcross_testkit::fleet::Fleet;
 use yewcross_testkit::stub_server::StubServerSettings;
 
@@ -22,8 +22,8 @@
     d
 }
 
-fn ask(job: &str) -> Ask {
-    Ask {
+fn ask(job: &str) -> TurnRequest {
+    TurnRequest {
         program: "chargeback".into(),
         budget: "chargeback".into(),
         session: job.into(),
@@ -48,26 +48,32 @@
     let w = OsRuntime::start(".", 2);
     let d = dir("fleet");
     smol::block_on(async {
-        let mut f = Fleet::plan(&w, "small", &d, 0).unwrap();
+        let mut f = Fleet::prepare(&w, "small", &d, 0).unwrap();
         f.start_all().unwrap();
-        f.found().await.unwrap();
-        let fronts: Vec<_> =
-            f.sh.of(Role::Front)
-                .iter()
-                .map(|n| (n.name.clone(), n.http))
-                .collect();
+        f.bootstrap().await.unwrap();
+        let fronts: Vec<_> = f
+            .topology
+            .nodes_with_role(Role::Front)
+            .iter()
+            .map(|n| (n.name.clone(), n.http))
+            .collect();
         let (f1, f2) = (fronts[0].1, fronts[1].1);
         until(&w, 10, "the platform's list", async || {
-            matches!(caller::turn(&w, f1, &ask("warm")).await.heard, Heard::Done)
-                && matches!(caller::turn(&w, f2, &ask("warm2")).await.heard, Heard::Done)
+            matches!(
+                caller::send_turn(&w, f1, &ask("warm")).await.outcome,
+                Outcome::Done
+            ) && matches!(
+                caller::send_turn(&w, f2, &ask("warm2")).await.outcome,
+                Outcome::Done
+            )
         })
         .await;
 
-        let diary = Arc::new(Diary::default());
+        let diary = Arc::new(RequestLog::default());
         (0..6).for_each(|i| {
-            w.spawn(caller::session(
+            w.spawn(caller::run_session(
                 w.clone(),
-                f.sh.clone(),
+                f.topology.clone(),
                 diary.clone(),
                 i,
                 1000,
@@ -75,25 +81,27 @@
         });
 
         // A store and a core are killed outright; a peer talks half a frame and goes quiet.
-        let mut half = std::net::TcpStream::connect(f.sh.of(Role::Store)[1].peer).unwrap();
+        let mut half =
+            std::net::TcpStream::connect(f.topology.nodes_with_role(Role::Store)[1].peer).unwrap();
         half.write_all(&[0, 0, 0, 0, 200]).unwrap();
         f.kill("store1");
         f.kill("core2");
-        let n0 = diary.seen.lock().unwrap().len();
+        let n0 = diary.records.lock().unwrap().len();
         until(&w, 12, "turns after the kills", async || {
-            diary.seen.lock().unwrap()[n0..]
+            diary.records.lock().unwrap()[n0..]
                 .iter()
-                .filter(|s| s.kind == "turn" && s.heard == Heard::Done)
+                .filter(|s| s.kind == "turn" && s.outcome == Outcome::Done)
                 .count()
                 >= 5
         })
         .await;
-        let st: Vec<_> =
-            f.sh.nodes
-                .iter()
-                .filter(|n| ["store1", "core2"].contains(&n.name.as_str()))
-                .cloned()
-                .collect();
+        let st: Vec<_> = f
+            .topology
+            .nodes
+            .iter()
+            .filter(|n| ["store1", "core2"].contains(&n.name.as_str()))
+            .cloned()
+            .collect();
         st.iter().for_each(|n| f.start_node(n).unwrap());
 
         // A front frozen past its lease refuses as "not run" when it wakes, then serves again.
@@ -102,30 +110,36 @@
         until(&w, 4, "the lease to pass", async || w.now() > t0 + 2 * SEC).await;
         f.signal("front1", "-CONT");
         until(&w, 5, "front1 to serve again", async || {
-            f.get(f1, "/health")
+            f.get_json(f1, "/health")
                 .await
                 .is_some_and(|v| v["serving"] == json!(true))
         })
         .await;
 
         // Another server at a known server's address is never given a job.
-        let b = f.sh.servers.iter().find(|b| b.is_model).cloned().unwrap();
+        let b = f
+            .topology
+            .servers
+            .iter()
+            .find(|b| b.is_model)
+            .cloned()
+            .unwrap();
         f.kill(&b.server);
         let other = StubServerSettings {
             server: "x9".into(),
             ..b.clone()
         };
-        f.start_back(&other).unwrap();
-        let n1 = diary.seen.lock().unwrap().len();
+        f.start_stub_server(&other).unwrap();
+        let n1 = diary.records.lock().unwrap().len();
         until(&w, 12, "turns beside the stranger", async || {
-            diary.seen.lock().unwrap()[n1..]
+            diary.records.lock().unwrap()[n1..]
                 .iter()
-                .filter(|s| s.kind == "turn" && s.heard == Heard::Done)
+                .filter(|s| s.kind == "turn" && s.outcome == Outcome::Done)
                 .count()
                 >= 5
         })
         .await;
-        let ran = f.get(other.addr, "/lab/runs").await.unwrap();
+        let ran = f.get_json(other.addr, "/lab/runs").await.unwrap();
         assert_eq!(
             ran.as_array().map(|a| a.len()),
             Some(0),
@@ -152,8 +166,8 @@
         })
         .await;
         assert!(matches!(
-            caller::turn(&w, f1, &ask("reloaded")).await.heard,
-            Heard::Done
+            caller::send_turn(&w, f1, &ask("reloaded")).await.outcome,
+            Outcome::Done
         ));
 
         // A planned stop answers what it has read.
@@ -162,12 +176,12 @@
         (0..12).for_each(|i| {
             let (w2, tx) = (w.clone(), tx.clone());
             w.spawn(async move {
-                let s = caller::turn(&w2, f2, &ask(&format!("last{i}"))).await;
+                let s = caller::send_turn(&w2, f2, &ask(&format!("last{i}"))).await;
                 let _ = tx.send(s).await;
             })
         });
         until(&w, 5, "the turns to be read", async || {
-            f.get(f2, "/metrics")
+            f.get_json(f2, "/metrics")
                 .await
                 .is_some_and(|v| v["busy"].as_u64() > Some(6))
         })
@@ -176,18 +190,18 @@
         let mut done = 0;
         for _ in 0..12 {
             let s = rx.recv().await.unwrap();
-            assert!(!matches!(s.heard, Heard::Cut), "{s:?}");
+            assert!(!matches!(s.outcome, Outcome::Cut), "{s:?}");
             assert!(
-                s.heard != Heard::Nothing || s.took < 100 * MS,
+                s.outcome != Outcome::Nothing || s.took < 100 * MS,
                 "read and dropped: {s:?}"
             );
-            done += (s.heard == Heard::Done) as usize;
+            done += (s.outcome == Outcome::Done) as usize;
         }
         assert!(done >= 6, "{done} of 12 were done");
         assert_eq!(f.wait_exit("front2"), Some(exit::OK));
 
-        let seen = diary.seen.lock().unwrap().clone();
-        println!("{}", caller::sum(&seen));
+        let seen = diary.records.lock().unwrap().clone();
+        println!("{}", caller::summarize(&seen));
         let faults: Vec<_> = seen.iter().filter(|s| !s.fault.is_empty()).collect();
         assert!(faults.is_empty(), "{faults:?}");
     });
--- a/yewcross-testkit/tests/seats.rs
+++ b/yewcross-testkit/tests/seats.rs
@@ -24,12 +24,14 @@
 const STORE_WHOLE: u64 = 4 * SEC / 3;
 
 fn is_whole(t: &Tier, name: &str) -> bool {
-    let Some(c) = t.at(name) else { return false };
+    let Some(c) = t.control_node(name) else {
+        return false;
+    };
     // As the newest layout that any core process holds has it.
     let layouts = t
-        .names(Role::Core)
+        .names_with_role(Role::Core)
         .into_iter()
-        .filter_map(|n| t.at(&n))
+        .filter_map(|n| t.control_node(&n))
         .map(|x| x.documents.layout.load_full());
     let Some(l) = layouts.max_by_key(|l| l.0) else {
         return false;
@@ -40,17 +42,17 @@
 
 /// us until the machine's disk has its seat and no change of its group is under way.
 async fn whole(t: &Arc<Tier>, name: &str, us: u64) -> u64 {
-    let t0 = t.op.now();
+    let t0 = t.operator.now();
     while !is_whole(t, name) {
-        t.op.sleep(5 * MS).await;
+        t.operator.sleep(5 * MS).await;
         assert!(
-            t.op.now() < t0 + us,
+            t.operator.now() < t0 + us,
             "{name} is not whole after {} ms\n{}",
             us / MS,
-            tell(t)
+            format_log(t)
         );
     }
-    t.op.now() - t0
+    t.operator.now() - t0
 }
 
 fn lose(t: &Tier, name: &str) {
@@ -61,10 +63,10 @@
 /// Turns of some bytes, each on as many stores as a front writes it to, with an entry in its
 /// program's ledger.
 async fn load(t: &Arc<Tier>, turns: usize, bytes: usize, lost: usize) -> Vec<String> {
-    let stores = t.names(Role::Store);
+    let stores = t.names_with_role(Role::Store);
     let mut ids = vec![];
     let mut rows: Vec<Vec<StoredTurn>> = vec![vec![]; stores.len()];
-    let end = t.at(&stores[0]).unwrap().members.clock().0;
+    let end = t.control_node(&stores[0]).unwrap().members.clock().0;
     for i in 0..turns {
         let id = format!("turn-{i}");
         let turn = Turn {
@@ -81,7 +83,7 @@
             program: format!("program-{}", i % 50),
             ended_at_ms: end,
         };
-        let first = t.op.random() as usize;
+        let first = t.operator.random() as usize;
         (0..=lost).for_each(|k| rows[(first + k) % stores.len()].push(row.clone()));
         ids.push(id);
     }
@@ -96,7 +98,7 @@
             };
             let ledgers: Vec<LedgerRecord> = part.iter().map(entry).collect();
             let told = t
-                .on(name, |c| {
+                .run_on(name, |c| {
                     Box::pin(async move {
                         c.turn_store
                             .store_records(c.documents.layout.load().0, part, ledgers)
@@ -113,17 +115,21 @@
 /// Every turn, and its entry in the ledger, is on more present disks than may be lost.
 fn assert_kept(t: &Tier, ids: &[String], copies: usize) {
     let stores: Vec<_> = t
-        .names(Role::Store)
+        .names_with_role(Role::Store)
         .into_iter()
         .filter(|n| is_whole(t, n))
-        .filter_map(|n| t.at(&n))
+        .filter_map(|n| t.control_node(&n))
         .collect();
     for (i, id) in ids.iter().enumerate() {
         let holders = stores
             .iter()
             .filter(|c| c.turn_store.index.lock().unwrap().get(id).is_some())
             .count();
-        assert!(holders >= copies, "{id} is on {holders} disks\n{}", tell(t));
+        assert!(
+            holders >= copies,
+            "{id} is on {holders} disks\n{}",
+            format_log(t)
+        );
         let program = format!("program-{}", i % 50);
         let knows = |c: &yewcross_control::Control| {
             c.turn_store
@@ -138,7 +144,7 @@
         assert!(
             ledgers >= copies,
             "the entry of {id} is on {ledgers} disks\n{}",
-            tell(t)
+            format_log(t)
         );
     }
 }
@@ -146,7 +152,7 @@
 /// The bench's small machines: a third of a core, syncs of 2 ms.
 fn burden(t: &Tier) {
     for (role, share) in [(Role::Core, 11), (Role::Store, 30), (Role::Front, 12)] {
-        t.names(role).iter().for_each(|n| {
+        t.names_with_role(role).iter().for_each(|n| {
             t.sim.set_costs(
                 t.sim.find(n),
                 MachineCosts {
@@ -171,20 +177,23 @@
     ] {
         for core in ["core1", "core3", "core4"] {
             let t = Tier::new(900 + seed, counts, lost);
-            let us = play(&t, |t| {
+            let us = run_script(&t, |t| {
                 Box::pin(async move {
-                    up(&t).await;
-                    t.put_surely(0, "5 a").await;
+                    boot_and_wait(&t).await;
+                    t.put_until_acknowledged(0, "5 a").await;
                     lose(&t, "store1");
                     (0..lost).for_each(|i| t.sim.freeze(t.sim.find(&format!("store{}", i + 2))));
-                    t.op.sleep(500 * MS).await;
+                    t.operator.sleep(500 * MS).await;
                     t.boot("store1", false);
-                    t.op.sleep(1_500 * MS).await;
+                    t.operator.sleep(1_500 * MS).await;
                     lose(&t, core);
-                    t.op.sleep(1_200 * MS).await;
+                    t.operator.sleep(1_200 * MS).await;
                     t.boot(core, false);
                     let us = whole(&t, core, CORE_WHOLE).await;
-                    assert_eq!(t.read(core).await, Some(ReadAnswer::Text(5, "5 a".into())));
+                    assert_eq!(
+                        t.read_configuration(core).await,
+                        Some(ReadAnswer::Text(5, "5 a".into()))
+                    );
                     (0..lost).for_each(|i| t.sim.thaw(t.sim.find(&format!("store{}", i + 2))));
                     whole(&t, "store1", 4 * SEC).await;
                     us
@@ -206,37 +215,37 @@
     bounds: (u64, u64),
 ) -> (u64, u64) {
     let t = Tier::new(seed, counts, lost);
-    play(&t, |t| {
+    run_script(&t, |t| {
         Box::pin(async move {
-            up(&t).await;
+            boot_and_wait(&t).await;
             burden(&t);
-            t.put_surely(0, "5 a").await;
+            t.put_until_acknowledged(0, "5 a").await;
             let ids = load(&t, 3_000, 2_000, lost).await;
             let (mut core, mut store) = (0, 0);
             for round in 0..4 {
                 let stores: Vec<String> = (0..lost)
                     .map(|i| format!("store{}", 1 + (round * lost + i) % counts[1]))
                     .collect();
-                let has_duty = |n: &String| t.at(n).is_some_and(|c| c.is_acting_holder());
-                let mut cores = t.names(Role::Core);
+                let has_duty = |n: &String| t.control_node(n).is_some_and(|c| c.is_acting_holder());
+                let mut cores = t.names_with_role(Role::Core);
                 cores.rotate_left(round % counts[0]);
                 let lost_core = cores
                     .into_iter()
                     .find(|n| has_duty(n) == with_duty)
                     .unwrap();
                 stores.iter().for_each(|n| lose(&t, n));
-                t.op.sleep(1_200 * MS).await;
+                t.operator.sleep(1_200 * MS).await;
                 stores.iter().for_each(|n| t.boot(n, false));
-                t.op.sleep(30 * MS).await;
+                t.operator.sleep(30 * MS).await;
                 lose(&t, &lost_core);
                 for n in &stores {
                     store = store.max(30 * MS + whole(&t, n, bounds.1).await);
                 }
-                t.op.sleep(1_200 * MS).await;
+                t.operator.sleep(1_200 * MS).await;
                 t.boot(&lost_core, false);
                 core = core.max(whole(&t, &lost_core, bounds.0).await);
                 assert_kept(&t, &ids, lost + 1);
-                t.op.sleep(2 * SEC).await;
+                t.operator.sleep(2 * SEC).await;
             }
             (core, store)
         })
@@ -291,15 +300,15 @@
 fn race(t: &Arc<Tier>, end: u64) {
     for nth in 0..8 {
         let t = t.clone();
-        t.op.clone().spawn(async move {
-            let cores = t.names(Role::Core);
-            while t.op.now() < end {
-                let core = &cores[t.op.random() as usize % cores.len()];
-                if let Some(ReadAnswer::Text(base, _)) = t.read(core).await {
+        t.operator.clone().spawn(async move {
+            let cores = t.names_with_role(Role::Core);
+            while t.operator.now() < end {
+                let core = &cores[t.operator.random() as usize % cores.len()];
+                if let Some(ReadAnswer::Text(base, _)) = t.read_configuration(core).await {
                     let text = format!("{} by {nth} {}", base + 1, "x".repeat(30_000));
-                    t.put(core, base, &text).await;
+                    t.put_configuration(core, base, &text).await;
                 }
-                t.op.sleep(t.op.random() % (200 * MS)).await;
+                t.operator.sleep(t.operator.random() % (200 * MS)).await;
             }
         });
     }
@@ -309,25 +318,25 @@
 fn a_core_seat_is_whole_while_operators_race() {
     for (i, (counts, lost)) in SIZES.into_iter().enumerate() {
         let t = Tier::new(970 + i as u64, counts, lost);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
+                boot_and_wait(&t).await;
                 burden(&t);
-                t.put_surely(0, "1 a").await;
-                race(&t, t.op.now() + 20 * SEC);
+                t.put_until_acknowledged(0, "1 a").await;
+                race(&t, t.operator.now() + 20 * SEC);
                 let mut worst = 0;
                 for round in 0..4 {
-                    let mut cores = t.names(Role::Core);
+                    let mut cores = t.names_with_role(Role::Core);
                     cores.rotate_left(round % counts[0]);
                     let core = cores
                         .into_iter()
-                        .find(|n| t.at(n).is_some_and(|c| !c.is_acting_holder()))
+                        .find(|n| t.control_node(n).is_some_and(|c| !c.is_acting_holder()))
                         .unwrap();
                     lose(&t, &core);
-                    t.op.sleep(1_200 * MS).await;
+                    t.operator.sleep(1_200 * MS).await;
                     t.boot(&core, false);
                     worst = worst.max(whole(&t, &core, CORE_WHOLE).await);
-                    t.op.sleep(2 * SEC).await;
+                    t.operator.sleep(2 * SEC).await;
                 }
                 worst
             })
@@ -343,24 +352,24 @@
     let mut worst = 0;
     for seed in 0..24u64 {
         let t = Tier::new(1000 + seed, [5, 7, 3], 2);
-        let us = play(&t, |t| {
+        let us = run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
-                t.put_surely(0, "5 a").await;
+                boot_and_wait(&t).await;
+                t.put_until_acknowledged(0, "5 a").await;
                 let ids = load(&t, 400, 500, 2).await;
                 let role = if seed % 2 == 0 { "store" } else { "core" };
                 let (first, second) = (format!("{role}2"), format!("{role}5"));
                 lose(&t, &first);
-                t.op.sleep(700 * MS).await;
+                t.operator.sleep(700 * MS).await;
                 t.boot(&first, false);
-                t.op.sleep(seed / 2 * 25 * MS).await;
+                t.operator.sleep(seed / 2 * 25 * MS).await;
                 lose(&t, &second);
-                t.op.sleep(700 * MS).await;
+                t.operator.sleep(700 * MS).await;
                 t.boot(&second, false);
                 let us = whole(&t, &second, STORE_WHOLE).await;
                 whole(&t, &first, STORE_WHOLE).await;
                 assert_kept(&t, &ids, 3);
-                t.put_surely(5, "6 b").await;
+                t.put_until_acknowledged(5, "6 b").await;
                 us
             })
         });
@@ -380,40 +389,40 @@
             ([5, 9, 3], 2)
         };
         let t = Tier::new(1100 + seed, counts, lost);
-        play(&t, |t| {
+        run_script(&t, |t| {
             Box::pin(async move {
-                up(&t).await;
+                boot_and_wait(&t).await;
                 let ids = load(&t, 400, 500, lost).await;
                 let begun = t
-                    .on("core1", |c| {
+                    .run_on("core1", |c| {
                         Box::pin(async move { c.retire_begin("store2").await })
                     })
                     .await;
                 assert_eq!(begun, Some(RetireOutcome::Begun));
-                let t0 = t.op.now();
+                let t0 = t.operator.now();
                 while t
-                    .on("core2", |c| {
+                    .run_on("core2", |c| {
                         Box::pin(async move { c.retire_state("store2").await })
                     })
                     .await
                     != Some(RetireState::Finished)
                 {
-                    t.op.sleep(2 * MS).await;
-                    assert!(t.op.now() < t0 + 3 * SEC, "{}", tell(&t));
+                    t.operator.sleep(2 * MS).await;
+                    assert!(t.operator.now() < t0 + 3 * SEC, "{}", format_log(&t));
                 }
-                let mut others = t.names(Role::Store);
+                let mut others = t.names_with_role(Role::Store);
                 others.retain(|n| n != "store2");
                 let shift = seed as usize % others.len();
                 others.rotate_left(shift);
                 others.truncate(lost);
                 lose(&t, "store2");
                 others.iter().for_each(|n| lose(&t, n));
-                t.op.sleep(700 * MS).await;
+                t.operator.sleep(700 * MS).await;
                 others.iter().for_each(|n| t.boot(n, false));
                 for n in &others {
                     whole(&t, n, STORE_WHOLE).await;
                 }
-                t.specs.lock().unwrap().remove("store2");
+                t.settings.lock().unwrap().remove("store2");
                 assert_kept(&t, &ids, lost + 1);
             })
         });
@@ -449,7 +458,7 @@
 }
 
 fn node(name: &str, role: Role, disk: &str) -> Node {
-    let at = addr(name.bytes().map(|b| b as usize).sum::<usize>() % 200);
+    let at = node_address(name.bytes().map(|b| b as usize).sum::<usize>() % 200);
     let wire = WIRE_VERSION;
     Node {
         name: name.into(),
--- a/yewcross-testkit/tests/stored_data.rs
+++ b/yewcross-testkit/tests/stored_data.rs
@@ -41,7 +41,7 @@
 use yewcross_state::turn_store::TurnIndex;
 use yewcross_testkit::proof::{TestCluster, with_cluster};
 use yewcross_testkit::sim::Sim;
-use yewcross_testkit::tier::{Tier, play, tell, up};
+use yewcross_testkit::tier::{Tier, boot_and_wait, format_log, run_script};
 
 /// Files of a folder, or named values, in the order of their names.
 type Files = BTreeMap<String, Vec<u8>>;
@@ -432,11 +432,11 @@
 
 /// The store that owns a key.
 fn owner_of(tier: &Tier, key: &str) -> Arc<Control> {
-    let any = tier.at("store1").unwrap();
+    let any = tier.control_node("store1").unwrap();
     let at = replicas_by_preference(&any.documents, &any.members, key)[0];
-    tier.names(Role::Store)
+    tier.names_with_role(Role::Store)
         .iter()
-        .filter_map(|name| tier.at(name))
+        .filter_map(|name| tier.control_node(name))
         .find(|c| c.settings.peer == at)
         .unwrap()
 }
@@ -520,7 +520,7 @@
 }
 
 async fn keep_turns(tier: &Tier, items: Vec<LogRecord>) {
-    let store = tier.at("store1").unwrap();
+    let store = tier.control_node("store1").unwrap();
     assert_eq!(store.turn_store.append(items).recv().await, Ok(true));
 }
 
@@ -557,7 +557,7 @@
     tier.kill("store1", false);
     tear_log(tier, "store1").await;
     tier.boot("store1", false);
-    tier.op.sleep(5 * SEC).await;
+    tier.operator.sleep(5 * SEC).await;
     keep_turns(
         tier,
         vec![
@@ -574,12 +574,12 @@
     for name in machines_with_disks() {
         told.insert(
             format!("identity {name}"),
-            tier.at(&name).unwrap().storage.disk_id.clone(),
+            tier.control_node(&name).unwrap().storage.disk_id.clone(),
         );
     }
     for (role, key) in stored_keys() {
         let control = if role == "core" {
-            tier.at("core1").unwrap()
+            tier.control_node("core1").unwrap()
         } else {
             owner_of(tier, &key)
         };
@@ -589,14 +589,22 @@
     }
     let peers: Vec<String> = machines_with_disks()
         .iter()
-        .map(|n| tier.at(n).unwrap().settings.peer.to_string())
+        .map(|n| tier.control_node(n).unwrap().settings.peer.to_string())
         .collect();
     told.insert("peers".into(), peers.join(" "));
     told.insert(
         "log".into(),
-        tell_shelf(&tier.at("store1").unwrap().turn_store.index.lock().unwrap()),
+        tell_shelf(
+            &tier
+                .control_node("store1")
+                .unwrap()
+                .turn_store
+                .index
+                .lock()
+                .unwrap(),
+        ),
     );
-    let holder = tier.at(&tier.on_duty()[0]).unwrap();
+    let holder = tier.control_node(&tier.acting_holders()[0]).unwrap();
     told.insert(
         "lease term".into(),
         holder.lease_term().unwrap().to_string(),
@@ -620,17 +628,17 @@
 
 fn write_folders() {
     let tier = Tier::new(77, COUNTS, 1);
-    let told = play(&tier, |t| {
+    let told = run_script(&tier, |t| {
         Box::pin(async move {
-            let _platform = t.list_servers(listed()).await;
-            up(&t).await;
-            t.put_surely(0, "5 first").await;
-            t.put_surely(5, "9 second").await;
-            t.put_surely(9, "12 third").await;
+            let _platform = t.start_platform(listed()).await;
+            boot_and_wait(&t).await;
+            t.put_until_acknowledged(0, "5 first").await;
+            t.put_until_acknowledged(5, "9 second").await;
+            t.put_until_acknowledged(9, "12 third").await;
             write_log(&t).await;
-            t.op.sleep(20 * SEC).await;
+            t.operator.sleep(20 * SEC).await;
             run_session(&t).await;
-            t.op.sleep(2 * SEC).await;
+            t.operator.sleep(2 * SEC).await;
             let told = acknowledged(&t).await;
             machines_with_disks()
                 .iter()
@@ -830,11 +838,13 @@
     let told = read_fixture("acknowledged.txt");
     let term: u64 = text_of(&told, "lease term").parse().unwrap();
     let tier = stored_tier(78);
-    let lease = play(&tier, move |t| {
+    let lease = run_script(&tier, move |t| {
         Box::pin(async move {
             t.boot("core1", false);
-            t.op.sleep(2 * SEC).await;
-            let core = t.at("core1").unwrap_or_else(|| panic!("{}", tell(&t)));
+            t.operator.sleep(2 * SEC).await;
+            let core = t
+                .control_node("core1")
+                .unwrap_or_else(|| panic!("{}", format_log(&t)));
             let candidate = Candidate {
                 disk: "other".into(),
                 process: 1,
@@ -882,11 +892,11 @@
     for name in machines_with_disks() {
         let tier = stored_tier(79);
         let machine = name.clone();
-        let (peers, number, layout) = play(&tier, move |t| {
+        let (peers, number, layout) = run_script(&tier, move |t| {
             Box::pin(async move {
                 t.boot(&machine, false);
-                t.op.sleep(SEC).await;
-                let node = t.at(&machine).unwrap();
+                t.operator.sleep(SEC).await;
+                let node = t.control_node(&machine).unwrap();
                 let known: Vec<String> = node
                     .members
                     .persisted_peers
@@ -968,23 +978,26 @@
         .iter()
         .for_each(|name| _ = stored_record(name, SESSION));
     let tier = stored_tier(80);
-    play(&tier, |t| {
+    run_script(&tier, |t| {
         Box::pin(async move {
             machines_with_disks()
                 .iter()
                 .for_each(|name| t.boot(name, false));
-            let (cores, stores) = (t.names(Role::Core), t.names(Role::Store));
-            t.seated(&cores, &stores, 20 * SEC)
+            let (cores, stores) = (
+                t.names_with_role(Role::Core),
+                t.names_with_role(Role::Store),
+            );
+            t.wait_for_members(&cores, &stores, 20 * SEC)
                 .await
-                .unwrap_or_else(|| panic!("{}", tell(&t)));
-            t.op.sleep(3 * SEC).await;
+                .unwrap_or_else(|| panic!("{}", format_log(&t)));
+            t.operator.sleep(3 * SEC).await;
             assert_eq!(
-                t.read("core2").await,
+                t.read_configuration("core2").await,
                 Some(ReadAnswer::Text(12, "12 third".into()))
             );
-            t.put_surely(5, "9 second").await;
+            t.put_until_acknowledged(5, "9 second").await;
             assert_eq!(
-                t.put("core1", 5, "10 other").await,
+                t.put_configuration("core1", 5, "10 other").await,
                 Some(PutAnswer::Conflict(12))
             );
 
@@ -1001,7 +1014,7 @@
                 matches!(told, PeerResponse::Rejected(Code::StillRunning)),
                 "{told:?}"
             );
-            t.op.sleep(SEC).await;
+            t.operator.sleep(SEC).await;
 
             let reserve = |entry: &str, limit| PeerRequest::ReserveBudget {
                 budget: BUDGET.into(),
@@ -1031,7 +1044,7 @@
                 "a line is written otherwise than before"
             );
 
-            t.put_surely(12, "13 fourth").await;
+            t.put_until_acknowledged(12, "13 fourth").await;
         })
     });
 }
--- a/yewcross-testkit/tests/support/operators.rs
+++ b/yewcross-testkit/tests/support/operators.rs
@@ -6,7 +6,7 @@
 use yewcross_common::process_settings::Role;
 use yewcross_control::api::PutAnswer;
 use yewcross_testkit::sim::MachineCosts;
-use yewcross_testkit::tier::{Tier, up};
+use yewcross_testkit::tier::{Tier, boot_and_wait};
 
 const OPERATORS: u64 = 8;
 /// bytes. A text as long as those of some sixty routes.
@@ -35,20 +35,20 @@
 
 /// An operator that builds on the newest version it has heard of, at any core, twice a second.
 async fn operate(tier: Arc<Tier>, orders: Arc<Orders>, operator: u64) {
-    let cores = tier.names(Role::Core);
+    let cores = tier.names_with_role(Role::Core);
     while !orders.ended.load(SeqCst) {
         let base = orders.newest.load(SeqCst);
         let text = format!("{} by{operator} {}", base + 1, "x".repeat(TEXT));
-        let core = &cores[tier.op.random() as usize % cores.len()];
-        match tier.put(core, base, &text).await {
-            Some(PutAnswer::InForce(number)) => orders.acknowledged(tier.op.now(), number),
+        let core = &cores[tier.operator.random() as usize % cores.len()];
+        match tier.put_configuration(core, base, &text).await {
+            Some(PutAnswer::InForce(number)) => orders.acknowledged(tier.operator.now(), number),
             Some(PutAnswer::Conflict(number)) => {
                 orders.newest.fetch_max(number, SeqCst);
             }
             _ => {}
         }
-        tier.op
-            .sleep(100 * MS + tier.op.random() % (800 * MS))
+        tier.operator
+            .sleep(100 * MS + tier.operator.random() % (800 * MS))
             .await;
     }
 }
@@ -63,7 +63,7 @@
             byte_ns: 10,
             sync_us: 500,
         };
-        for name in tier.names(role) {
+        for name in tier.names_with_role(role) {
             tier.sim.set_costs(tier.sim.find(&name), costs);
         }
     }
@@ -72,9 +72,9 @@
 
 /// Bootstraps the tier, puts a first configuration and lets operators begin.
 pub async fn begin(tier: &Arc<Tier>) -> Arc<Orders> {
-    up(tier).await;
-    tier.op.sleep(4 * SEC).await;
-    tier.put_surely(0, "1 first").await;
+    boot_and_wait(tier).await;
+    tier.operator.sleep(4 * SEC).await;
+    tier.put_until_acknowledged(0, "1 first").await;
     operators_at(tier, 1)
 }
 
@@ -82,9 +82,9 @@
 pub fn operators_at(tier: &Arc<Tier>, version: u64) -> Arc<Orders> {
     let orders: Arc<Orders> = Default::default();
     orders.newest.store(version, SeqCst);
-    orders.last_at.store(tier.op.now(), SeqCst);
+    orders.last_at.store(tier.operator.now(), SeqCst);
     for operator in 0..OPERATORS {
-        tier.op
+        tier.operator
             .spawn(operate(tier.clone(), orders.clone(), operator));
     }
     orders
--- a/yewcross-testkit/tests/support/partitions.rs
+++ b/yewcross-testkit/tests/support/partitions.rs
@@ -20,7 +20,7 @@
 
 /// Partitions the core from the other cores.
 pub fn partition_core(tier: &Tier, core: &str, how: Partition) {
-    let cores = tier.names(Role::Core);
+    let cores = tier.names_with_role(Role::Core);
     if matches!(how, Partition::Outward | Partition::Both) {
         tier.block_from(core, &cores);
     }
--- a/yewcross-testkit/tests/transcripts.rs
+++ b/yewcross-testkit/tests/transcripts.rs
@@ -59,7 +59,7 @@
 fn play(role: Role, steps: Vec<Step>, edit: fn(&mut serde_json::Value)) -> String {
     with_cluster(4242, edit, move |lab| {
         Box::pin(async move {
-            let to = lab.topology.of(role)[0].http;
+            let to = lab.topology.nodes_with_role(role)[0].http;
             let mut out = String::new();
             for (name, parts, pause) in steps {
                 let parts: Vec<&[u8]> = parts.iter().map(|p| p.as_slice()).collect();
