--- a/yewcross-testkit/src/caller.rs
+++ b/yewcross-testkit/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: sessions that speak turn after turn, lookups between, all of it written down.
+//! Callers: sessions that send one turn after another, with lookups in between. Every request and
+//! its result is recorded.
 
 use crate::stub_server::{MARKS, mark};
 use crate::topology::Topology;
@@ -12,75 +13,106 @@
 use yewcross_common::hash::digest;
 use yewcross_common::runtime::*;
 
+/// How a request ended, as the caller saw it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Outcome {
+    /// Answered completely.
     Done,
-    /// Answered with a code.
+    /// Answered with an error code.
     Code(u16),
-    /// The stream stopped without its end line.
+    /// The stream ended, or the time limit passed, before the end line arrived.
     Cut,
-    /// The connection failed before any answer.
+    /// No answer arrived: the connection failed or the time limit passed.
     Nothing,
 }
 
-/// One request and what came of it, as the caller saw it.
+/// One request and its result, as the caller saw them.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRecord {
+    /// µs at which the request was started.
     pub at: u64,
+    /// µs from the start of the request to the end of its answer.
     pub took: u64,
+    /// Time limit of the request, in µs.
     pub horizon: u64,
+    /// `turn` or `lookup`.
     pub kind: String,
-    /// Where it was asked.
+    /// Address of the front that the request was sent to.
     pub front: Option<SocketAddr>,
+    /// Program of a turn, or `service/method` of a lookup.
     pub program: String,
+    /// Session of a turn, or key of a lookup.
     pub session: String,
+    /// Job id of the request; empty if it has none.
     pub job: String,
+    /// How the request ended.
     #[serde(rename = "heard")]
     pub outcome: Outcome,
+    /// Whether the request was executed: the `ran` field of an error answer, or `done` for a
+    /// completed turn.
     pub ran: String,
+    /// Seconds after which the front asks for a retry; 0 if it gives none.
     pub retry_after: u64,
-    /// The shot that the front says this answer is about.
+    /// Shot id in the answer's `yewcross-shot` header.
     pub shot: String,
+    /// Text of a turn's answer, or the value of a lookup.
     pub text: String,
+    /// Output tokens.
     pub output: u64,
+    /// Prompt tokens.
     pub prompt: u64,
+    /// Prompt tokens that the server reused from its cache.
     pub reused: u64,
+    /// Server that executed the request.
     pub server: String,
+    /// Whether the answer was replayed from an earlier execution of the same job.
     pub replayed: bool,
-    /// Version of the configuration the front says it used.
+    /// Version of the configuration that the front used, by its own account.
     pub config: u64,
-    /// What was wrong with the answer itself, if anything.
+    /// Description of an inconsistency in the answer; empty if there is none.
     pub fault: String,
 }
 
+/// Records of all requests of a run, shared by its callers.
 #[derive(Default)]
 pub struct RequestLog {
+    /// The records, in the order in which the requests ended.
     pub records: Mutex<Vec<RequestRecord>>,
+    /// Set to make the callers stop after their current request.
     pub stop: AtomicBool,
 }
 
+/// A turn as a caller requests it.
 #[derive(Clone, Debug, Default)]
 pub struct TurnRequest {
+    /// The program.
     pub program: String,
+    /// The session that the turn belongs to.
     pub session: String,
+    /// Job id; retries of the turn use the same one.
     pub job: String,
+    /// The budget that the turn spends.
     pub budget: String,
+    /// Time limit in ms.
     pub horizon_ms: u64,
+    /// Text of the user's message.
     pub text: String,
+    /// Maximum number of output tokens.
     pub max_output: u64,
+    /// Whether the answer is streamed.
     pub stream: bool,
 }
 
-fn blank(runtime: &Runtime, kind: &str, a: &TurnRequest) -> RequestRecord {
+fn empty_record(runtime: &Runtime, kind: &str, request: &TurnRequest) -> RequestRecord {
     RequestRecord {
         at: runtime.now(),
         took: 0,
-        horizon: a.horizon_ms * MS,
+        horizon: request.horizon_ms * MS,
         kind: kind.into(),
         front: None,
-        program: a.program.clone(),
-        session: a.session.clone(),
-        job: a.job.clone(),
+        program: request.program.clone(),
+        session: request.session.clone(),
+        job: request.job.clone(),
         outcome: Outcome::Nothing,
         ran: String::new(),
         retry_after: 0,
@@ -96,328 +128,377 @@
     }
 }
 
-fn heads(s: &mut RequestRecord, r: &http_types::Response) {
-    let head = |n: &str| {
-        r.header(n)
-            .map(|v| v.as_str().to_string())
+/// Copies the configuration version and the shot id from the headers of a response.
+fn record_headers(record: &mut RequestRecord, response: &http_types::Response) {
+    let header = |name: &str| {
+        response
+            .header(name)
+            .map(|values| values.as_str().to_string())
             .unwrap_or_default()
     };
-    s.config = head("yewcross-config").parse().unwrap_or(0);
-    s.shot = head("yewcross-shot");
+    record.config = header("yewcross-config").parse().unwrap_or(0);
+    record.shot = header("yewcross-shot");
 }
 
-fn refused(s: &mut RequestRecord, v: &Value) {
-    s.outcome = Outcome::Code(v["code"].as_u64().unwrap_or(0) as u16);
-    s.ran = v["ran"].as_str().unwrap_or("").into();
-    s.retry_after = v["retry_after"].as_u64().unwrap_or(0);
+fn record_error(record: &mut RequestRecord, answer: &Value) {
+    record.outcome = Outcome::Code(answer["code"].as_u64().unwrap_or(0) as u16);
+    record.ran = answer["ran"].as_str().unwrap_or("").into();
+    record.retry_after = answer["retry_after"].as_u64().unwrap_or(0);
 }
 
-fn ended(s: &mut RequestRecord, v: &Value, pieces: u64) {
-    s.outcome = Outcome::Done;
-    s.ran = "done".into();
-    s.output = v["usage"]["output"].as_u64().unwrap_or(0);
-    s.prompt = v["usage"]["prompt"].as_u64().unwrap_or(0);
-    s.reused = v["usage"]["reused"].as_u64().unwrap_or(0);
-    s.server = v["stamp"]["server"].as_str().unwrap_or("").into();
-    s.replayed = v["replayed"] == json!(true);
-    if v["pieces"] != json!(pieces) {
-        s.fault = format!("{pieces} pieces came, {} were sent", v["pieces"]);
+/// Records a completed turn and checks its end line against the `pieces` pieces that were received.
+fn record_completion(record: &mut RequestRecord, end: &Value, pieces: u64) {
+    record.outcome = Outcome::Done;
+    record.ran = "done".into();
+    record.output = end["usage"]["output"].as_u64().unwrap_or(0);
+    record.prompt = end["usage"]["prompt"].as_u64().unwrap_or(0);
+    record.reused = end["usage"]["reused"].as_u64().unwrap_or(0);
+    record.server = end["stamp"]["server"].as_str().unwrap_or("").into();
+    record.replayed = end["replayed"] == json!(true);
+    if end["pieces"] != json!(pieces) {
+        record.fault = format!("received {pieces} pieces, expected {}", end["pieces"]);
     }
-    if v["digest"] != json!(digest(s.text.as_bytes())) {
-        s.fault = "digest differs".into();
+    if end["digest"] != json!(digest(record.text.as_bytes())) {
+        record.fault = "the digest in the end line does not match the received text".into();
     }
-    if v["stamp"]["job"] != json!(s.job) {
-        s.fault = format!("stamped for job {}", v["stamp"]["job"]);
+    if end["stamp"]["job"] != json!(record.job) {
+        record.fault = format!("the answer is stamped for job {}", end["stamp"]["job"]);
     }
 }
 
-pub async fn send_turn(runtime: &Runtime, to: SocketAddr, a: &TurnRequest) -> RequestRecord {
-    let mut s = RequestRecord {
-        front: Some(to),
-        ..blank(runtime, "turn", a)
+/// Sends one turn and records its result. Waits up to 4 s longer than the turn's time limit.
+pub async fn send_turn(
+    runtime: &Runtime,
+    front: SocketAddr,
+    request: &TurnRequest,
+) -> RequestRecord {
+    let mut record = RequestRecord {
+        front: Some(front),
+        ..empty_record(runtime, "turn", request)
     };
-    let body = json!({"program": a.program, "session": a.session, "job": a.job, "budget": a.budget, "horizon_ms": a.horizon_ms,
-        "messages": [{"role": "user", "text": a.text}], "max_output": a.max_output, "stream": a.stream});
+    let body = json!({"program": request.program, "session": request.session, "job": request.job, "budget": request.budget, "horizon_ms": request.horizon_ms,
+        "messages": [{"role": "user", "text": request.text}], "max_output": request.max_output, "stream": request.stream});
     let body = serde_json::to_vec(&body).unwrap_or_default();
-    let limit = a.horizon_ms * MS + 4 * SEC;
-    let r = runtime
-        .timeout(limit, async {
-            let c = runtime.connect(to).await.ok()?;
-            let mut r =
-                buffered_http::send_request(&c, http_types::Method::Post, "/v1/turn", &[], body)
-                    .await
-                    .ok()?;
-            heads(&mut s, &r);
-            if !a.stream || !r.status().is_success() {
-                let b = buffered_http::read_response_body(&mut r, MAX_FRAME_BYTES)
+    let timeout = request.horizon_ms * MS + 4 * SEC;
+    let result = runtime
+        .timeout(timeout, async {
+            let connection = runtime.connect(front).await.ok()?;
+            let mut response = buffered_http::send_request(
+                &connection,
+                http_types::Method::Post,
+                "/v1/turn",
+                &[],
+                body,
+            )
+            .await
+            .ok()?;
+            record_headers(&mut record, &response);
+            if !request.stream || !response.status().is_success() {
+                let bytes = buffered_http::read_response_body(&mut response, MAX_FRAME_BYTES)
                     .await
                     .ok();
-                let v: Value = b
-                    .and_then(|b| serde_json::from_slice(&b).ok())
+                let answer: Value = bytes
+                    .and_then(|bytes| serde_json::from_slice(&bytes).ok())
                     .unwrap_or(Value::Null);
-                if r.status().is_success() && v["end"] == json!(true) {
-                    s.text = v["text"].as_str().unwrap_or("").into();
-                    ended(&mut s, &v, 1);
+                if response.status().is_success() && answer["end"] == json!(true) {
+                    record.text = answer["text"].as_str().unwrap_or("").into();
+                    record_completion(&mut record, &answer, 1);
                 } else {
-                    refused(&mut s, &v);
+                    record_error(&mut record, &answer);
                 }
                 return Some(());
             }
-            s.outcome = Outcome::Cut;
-            let mut lines = yewcross_proxy::back::ResponseLines::from_response(&mut r);
-            let mut n = 0;
-            while let Some(l) = lines.next(runtime, limit).await {
-                let v: Value = serde_json::from_slice(&l).unwrap_or(Value::Null);
-                if v["end"] == json!(true) {
-                    ended(&mut s, &v, n);
-                } else if v["broken"] == json!(true) {
-                    refused(&mut s, &v);
+            record.outcome = Outcome::Cut;
+            let mut lines = yewcross_proxy::back::ResponseLines::from_response(&mut response);
+            let mut pieces = 0;
+            while let Some(line) = lines.next(runtime, timeout).await {
+                let value: Value = serde_json::from_slice(&line).unwrap_or(Value::Null);
+                if value["end"] == json!(true) {
+                    record_completion(&mut record, &value, pieces);
+                } else if value["broken"] == json!(true) {
+                    record_error(&mut record, &value);
                 } else {
-                    if v["n"] != json!(n) {
-                        s.fault = format!("piece {} where {n} was due", v["n"]);
+                    if value["n"] != json!(pieces) {
+                        record.fault =
+                            format!("received piece {}, expected piece {pieces}", value["n"]);
                     }
-                    n += 1;
-                    s.text += v["text"].as_str().unwrap_or("");
+                    pieces += 1;
+                    record.text += value["text"].as_str().unwrap_or("");
                 }
             }
             Some(())
         })
         .await;
-    let _ = r;
-    s.took = runtime.now() - s.at;
-    s
+    let _ = result;
+    record.took = runtime.now() - record.at;
+    record
 }
 
+/// Sends one lookup and records its result. Waits up to 3 s longer than its time limit.
 pub async fn send_lookup(
     runtime: &Runtime,
-    to: SocketAddr,
+    front: SocketAddr,
     service: &str,
     method: &str,
     key: &str,
     job: &str,
     horizon_ms: u64,
 ) -> RequestRecord {
-    let a = TurnRequest {
+    let request = TurnRequest {
         program: format!("{service}/{method}"),
         session: key.into(),
         job: job.into(),
         horizon_ms,
         ..Default::default()
     };
-    let mut s = RequestRecord {
-        front: Some(to),
-        ..blank(runtime, "lookup", &a)
+    let mut record = RequestRecord {
+        front: Some(front),
+        ..empty_record(runtime, "lookup", &request)
     };
     let body = json!({"service": service, "method": method, "key": key, "horizon_ms": horizon_ms, "job": job});
-    let r = buffered_http::fetch(
+    let response = buffered_http::fetch(
         runtime,
-        to,
+        front,
         http_types::Method::Post,
         "/v1/lookup",
         &[],
         serde_json::to_vec(&body).unwrap_or_default(),
         horizon_ms * MS + 3 * SEC,
     );
-    if let Ok((status, r, b)) = r.await {
-        heads(&mut s, &r);
-        let v: Value = serde_json::from_slice(&b).unwrap_or(Value::Null);
+    if let Ok((status, response, bytes)) = response.await {
+        record_headers(&mut record, &response);
+        let answer: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
         if status == 200 {
-            s.outcome = Outcome::Done;
-            s.text = v["value"].as_str().unwrap_or("").into();
-            s.server = v["stamp"]["server"].as_str().unwrap_or("").into();
-            if s.text != format!("{key}={}", &digest(key.as_bytes())[..8]) {
-                s.fault = "value of another key".into();
+            record.outcome = Outcome::Done;
+            record.text = answer["value"].as_str().unwrap_or("").into();
+            record.server = answer["stamp"]["server"].as_str().unwrap_or("").into();
+            if record.text != format!("{key}={}", &digest(key.as_bytes())[..8]) {
+                record.fault = "the value belongs to another key".into();
             }
-            if v["stamp"]["job"] != json!(job) {
-                s.fault = "stamped for another job".into();
+            if answer["stamp"]["job"] != json!(job) {
+                record.fault = "the answer is stamped for another job".into();
             }
         } else {
-            refused(&mut s, &v);
+            record_error(&mut record, &answer);
         }
     }
-    s.took = runtime.now() - s.at;
-    s
+    record.took = runtime.now() - record.at;
+    record
 }
 
-/// One session's life: turns in order, each checked against what this caller knows was kept.
+/// Runs one session: up to `turn_count` turns in order, with lookups in between. Checks that each
+/// turn's prompt contains the earlier turns that are known to have been stored.
 pub async fn run_session(
     runtime: Runtime,
-    sh: Arc<Topology>,
-    d: Arc<RequestLog>,
+    topology: Arc<Topology>,
+    log: Arc<RequestLog>,
     id: usize,
-    turns: usize,
+    turn_count: usize,
 ) {
-    let fronts: Vec<SocketAddr> = sh
+    let fronts: Vec<SocketAddr> = topology
         .nodes_with_role(yewcross_common::process_settings::Role::Front)
         .iter()
-        .map(|n| n.http)
+        .map(|node| node.http)
         .collect();
-    let total: u32 = sh.workload.turns.iter().map(|t| t.weight).sum();
-    let mut x = (runtime.random() % total as u64) as u32;
-    let kind = sh.workload.turns.iter().find(|t| {
-        let hit = x < t.weight;
-        x = x.wrapping_sub(t.weight);
-        hit
+    let total_weight: u32 = topology.workload.turns.iter().map(|turn| turn.weight).sum();
+    let mut random_weight = (runtime.random() % total_weight as u64) as u32;
+    let kind = topology.workload.turns.iter().find(|turn| {
+        let is_chosen = random_weight < turn.weight;
+        random_weight = random_weight.wrapping_sub(turn.weight);
+        is_chosen
     });
     let Some(kind) = kind.cloned() else {
         return;
     };
-    let (program, budget, max) = (kind.program, kind.budget, kind.max_output_tokens);
-    let (first, later) = (kind.first_message_bytes, kind.later_message_bytes);
+    let (program, budget, max_output) = (kind.program, kind.budget, kind.max_output_tokens);
+    let (first_bytes, later_bytes) = (kind.first_message_bytes, kind.later_message_bytes);
     let name = format!("s{id}");
-    let mut known: Vec<String> = vec![];
-    let mut unsure = 0usize;
-    let mut at = runtime.random_index(fronts.len());
-    for t in 0..turns {
-        if d.stop.load(SeqCst) {
+    // Marks of the turns that were answered, which are therefore stored.
+    let mut stored_marks: Vec<String> = vec![];
+    // Number of attempts that may have stored a turn which this caller has no mark of.
+    let mut uncertain_attempts = 0usize;
+    let mut front = runtime.random_index(fronts.len());
+    for turn in 0..turn_count {
+        if log.stop.load(SeqCst) {
             return;
         }
         if runtime.random().is_multiple_of(6) {
-            // Once only: the same id again and again, at any front, whatever was said.
-            let asked =
-                sh.workload.lookups[runtime.random_index(sh.workload.lookups.len())].clone();
-            let s = asked.service;
-            let job = format!("{name}-once-{t}");
+            // A method that runs at most once per job id: sends the same id up to three times, each
+            // time to any front and whatever the answer was.
+            let method = topology.workload.lookups
+                [runtime.random_index(topology.workload.lookups.len())]
+            .clone();
+            let service = method.service;
+            let job = format!("{name}-once-{turn}");
             for _ in 0..1 + runtime.random_index(3) {
-                let seen = send_lookup(
+                let record = send_lookup(
                     &runtime,
                     fronts[runtime.random_index(fronts.len())],
-                    &s,
+                    &service,
                     "confirm",
                     &job,
                     &job,
                     1500,
                 )
                 .await;
-                d.records.lock().unwrap().push(seen);
+                log.records.lock().unwrap().push(record);
             }
         }
         for _ in 0..runtime.random_index(3) {
-            let asked =
-                sh.workload.lookups[runtime.random_index(sh.workload.lookups.len())].clone();
-            let (s, m) = (asked.service, asked.method);
-            let seen = send_lookup(
+            let lookup = topology.workload.lookups
+                [runtime.random_index(topology.workload.lookups.len())]
+            .clone();
+            let (service, method) = (lookup.service, lookup.method);
+            let record = send_lookup(
                 &runtime,
-                fronts[at],
-                &s,
-                &m,
+                fronts[front],
+                &service,
+                &method,
                 &format!("k{}", runtime.random() % 1000),
                 "",
                 1500,
             )
             .await;
-            d.records.lock().unwrap().push(seen);
+            log.records.lock().unwrap().push(record);
         }
         if runtime.random().is_multiple_of(4) {
-            at = runtime.random_index(fronts.len());
+            front = runtime.random_index(fronts.len());
         }
-        let n = if t == 0 { first } else { later };
-        let text: String = (0..n / 8)
+        let message_bytes = if turn == 0 { first_bytes } else { later_bytes };
+        let text: String = (0..message_bytes / 8)
             .map(|_| format!("{:07x} ", runtime.random() & 0xfffffff))
             .collect();
-        let a = TurnRequest {
+        let request = TurnRequest {
             program: program.clone(),
             session: name.clone(),
-            job: format!("{name}-{t}"),
+            job: format!("{name}-{turn}"),
             budget: budget.clone(),
             horizon_ms: 6000,
             text,
-            max_output: max,
+            max_output,
             stream: !runtime.random().is_multiple_of(4),
         };
-        let mut tries = 0;
-        let twin = runtime.random().is_multiple_of(8);
-        let before = known.len();
-        if twin {
-            // An impatient caller: the same job at another front at the same time.
-            let (w2, d2, a2, to) = (
+        let mut attempts = 0;
+        let has_duplicate = runtime.random().is_multiple_of(8);
+        let stored_before = stored_marks.len();
+        if has_duplicate {
+            // A caller that does not wait for the answer: the same job is sent to another front
+            // concurrently.
+            let (duplicate_runtime, duplicate_log, duplicate_request, duplicate_front) = (
                 runtime.clone(),
-                d.clone(),
-                a.clone(),
+                log.clone(),
+                request.clone(),
                 fronts[runtime.random_index(fronts.len())],
             );
             runtime.spawn(async move {
-                w2.sleep(w2.random() % (400 * MS)).await;
-                let s = send_turn(&w2, to, &a2).await;
-                d2.records.lock().unwrap().push(s);
+                duplicate_runtime
+                    .sleep(duplicate_runtime.random() % (400 * MS))
+                    .await;
+                let record =
+                    send_turn(&duplicate_runtime, duplicate_front, &duplicate_request).await;
+                duplicate_log.records.lock().unwrap().push(record);
             });
         }
         loop {
-            let mut s = send_turn(&runtime, fronts[at], &a).await;
-            let again = match &s.outcome {
+            let mut record = send_turn(&runtime, fronts[front], &request).await;
+            let is_retried = match &record.outcome {
                 Outcome::Done => {
-                    let listed = s
+                    let listed = record
                         .text
                         .trim_start_matches('[')
                         .split(']')
                         .next()
                         .unwrap_or("")
                         .to_string();
-                    let mut have = listed.split(',');
-                    let due = known.len().saturating_sub(MARKS.saturating_sub(unsure));
-                    if !s.replayed && !known[due..].iter().all(|k| have.any(|h| h == k)) {
-                        s.fault = format!("forgot a turn: knew {known:?}, prompt had [{listed}]");
+                    let mut listed_marks = listed.split(',');
+                    // An answer lists the newest `MARKS` marks, and each uncertain attempt may
+                    // occupy one of them.
+                    let first_expected = stored_marks
+                        .len()
+                        .saturating_sub(MARKS.saturating_sub(uncertain_attempts));
+                    if !record.replayed
+                        && !stored_marks[first_expected..]
+                            .iter()
+                            .all(|expected| listed_marks.any(|mark| mark == expected))
+                    {
+                        record.fault = format!(
+                            "an earlier turn is missing: stored {stored_marks:?}, prompt had [{listed}]"
+                        );
                     }
-                    let msgs = json!([{"role": "user", "text": a.text}]);
+                    let messages = json!([{"role": "user", "text": request.text}]);
                     let line = format!(
                         "{}\t{}\n",
-                        msgs,
-                        serde_json::to_string(&s.text).unwrap_or_default()
+                        messages,
+                        serde_json::to_string(&record.text).unwrap_or_default()
                     );
-                    known.push(mark(&line));
+                    stored_marks.push(mark(&line));
                     false
                 }
-                Outcome::Code(c) => {
-                    (3000..4000).contains(c)
-                        || *c == 5001
-                        || *c == 4002
-                        || (*c == 4001 && runtime.random().is_multiple_of(2))
+                Outcome::Code(code) => {
+                    (3000..4000).contains(code)
+                        || *code == 5001
+                        || *code == 4002
+                        || (*code == 4001 && runtime.random().is_multiple_of(2))
                 }
                 Outcome::Cut | Outcome::Nothing => true,
             };
-            unsure += (s.outcome != Outcome::Done && s.ran != "not_run") as usize;
-            let rest = s.retry_after;
-            d.records.lock().unwrap().push(s);
-            tries += 1;
-            if !again || tries >= 6 || d.stop.load(SeqCst) {
+            uncertain_attempts +=
+                (record.outcome != Outcome::Done && record.ran != "not_run") as usize;
+            let retry_after = record.retry_after;
+            log.records.lock().unwrap().push(record);
+            attempts += 1;
+            if !is_retried || attempts >= 6 || log.stop.load(SeqCst) {
                 break;
             }
             runtime
-                .sleep(rest.max(1) * SEC / 2 + runtime.random() % (SEC / 2))
+                .sleep(retry_after.max(1) * SEC / 2 + runtime.random() % (SEC / 2))
                 .await;
-            at = runtime.random_index(fronts.len());
+            front = runtime.random_index(fronts.len());
         }
-        // The twin may have been done though this one gave up.
-        unsure += (twin && known.len() == before) as usize;
+        // The duplicate may have succeeded although this attempt gave up.
+        uncertain_attempts += (has_duplicate && stored_marks.len() == stored_before) as usize;
         runtime.sleep(runtime.random() % (2 * SEC)).await;
     }
 }
 
-/// Figures of a run, as a person would want them printed.
-pub fn summarize(v: &[RequestRecord]) -> Value {
-    let by = |k: &str| {
-        let x: Vec<&RequestRecord> = v.iter().filter(|s| s.kind == k).collect();
-        let done: Vec<&&RequestRecord> = x.iter().filter(|s| s.outcome == Outcome::Done).collect();
+/// Figures of a run for people to read: counts, error codes, latencies in ms and up to three
+/// faults, for turns and for lookups.
+pub fn summarize(records: &[RequestRecord]) -> Value {
+    let figures = |kind: &str| {
+        let all: Vec<&RequestRecord> = records
+            .iter()
+            .filter(|record| record.kind == kind)
+            .collect();
+        let done: Vec<&&RequestRecord> = all
+            .iter()
+            .filter(|record| record.outcome == Outcome::Done)
+            .collect();
         let mut codes = std::collections::BTreeMap::<String, u64>::new();
-        x.iter()
-            .filter(|s| s.outcome != Outcome::Done)
-            .for_each(|s| {
-                let c = match &s.outcome {
-                    Outcome::Code(c) => c.to_string(),
-                    h => format!("{h:?}"),
+        all.iter()
+            .filter(|record| record.outcome != Outcome::Done)
+            .for_each(|record| {
+                let code = match &record.outcome {
+                    Outcome::Code(code) => code.to_string(),
+                    outcome => format!("{outcome:?}"),
                 };
-                *codes.entry(c).or_default() += 1;
+                *codes.entry(code).or_default() += 1;
             });
-        let mut t: Vec<u64> = done.iter().map(|s| s.took / 1000).collect();
-        t.sort();
-        let p = |q: usize| t.get(t.len() * q / 100).or(t.last()).cloned().unwrap_or(0);
-        let faults: Vec<&str> = x
+        let mut latencies: Vec<u64> = done.iter().map(|record| record.took / 1000).collect();
+        latencies.sort();
+        let percentile = |percent: usize| {
+            latencies
+                .get(latencies.len() * percent / 100)
+                .or(latencies.last())
+                .cloned()
+                .unwrap_or(0)
+        };
+        let faults: Vec<&str> = all
             .iter()
-            .filter(|s| !s.fault.is_empty())
-            .map(|s| s.fault.as_str())
+            .filter(|record| !record.fault.is_empty())
+            .map(|record| record.fault.as_str())
             .take(3)
             .collect();
-        json!({"asked": x.len(), "done": done.len(), "not_done_by_code": codes, "ms_p50": p(50), "ms_p99": p(99), "faults": faults})
+        json!({"asked": all.len(), "done": done.len(), "not_done_by_code": codes, "ms_p50": percentile(50), "ms_p99": percentile(99), "faults": faults})
     };
-    json!({"turns": by("turn"), "lookups": by("lookup")})
+    json!({"turns": figures("turn"), "lookups": figures("lookup")})
 }
--- a/yewcross-testkit/src/main.rs
+++ b/yewcross-testkit/src/main.rs
@@ -10,81 +10,86 @@
 use yewcross_testkit::{fleet, platform, proof, register_stress};
 
 xflags::xflags! {
-    /// Stand-ins, callers, local fleets and the simulator of yewcross.
+    /// Stub servers, callers, local fleets and the simulator of yewcross.
     cmd yewcross-lab {
-        /// Bring up a whole fleet on this machine, run traffic and three breakdowns, print figures.
+        /// Run a local fleet with traffic and three faults, and print figures.
         cmd up {
-            /// kowhai, consorcio or small
+            /// kowhai, consorcio or small (default kowhai)
             optional --shape shape: String
-            /// Folder for startup files, data and logs (default: a new one in the temporary
-            /// folder).
+            /// Directory for startup files, data and logs (default: a new one in the temporary
+            /// directory).
             optional --dir dir: PathBuf
-            /// First port (default: the first run of ports that nobody holds).
+            /// First port, 1024 to 60000 (default: the first free range of ports).
             optional --base base: u16
             /// Seconds of traffic (default 40).
             optional --seconds seconds: u64
-            /// Sessions that speak at once (default 24).
+            /// Number of concurrent sessions (default 24).
             optional --sessions sessions: usize
         }
-        /// Run simulated fleets through breakdowns; every seed is judged.
+        /// Run simulated fleets with faults and check every run.
         cmd sim {
-            /// kowhai, consorcio or small (default small)
+            /// kowhai, consorcio, small, metered, wide or disks (default small)
             optional --shape shape: String
-            /// Breakdowns in turn, joined by +; "each" runs every one alone, "pairs" draws two per
-            /// seed.
+            /// Faults in order, joined by +; "each" runs every fault alone, "pairs" draws two at
+            /// random per seed (default calm).
             optional --acts acts: String
             /// First seed (default 1).
             optional --from from: u64
-            /// How many seeds (default 1).
+            /// Number of seeds (default 1).
             optional --count count: u64
             /// Budget in tokens for each program.
             optional --budget budget: u64
-            /// Switch kv_share off, to compare.
+            /// Disable kv_share, for comparison.
             optional --no-share
-            /// Let lost turns be sent again.
+            /// Allow lost turns to be sent again.
             optional --repeatable
-            /// Let all programs spend from one budget.
+            /// Make all programs spend from one budget.
             optional --one-purse
-            /// Print the readable trace.
+            /// Print a readable trace.
             optional --trace
         }
-        /// Grind the register alone: many owners, few keys, failing disks and links.
+        /// Stress the register alone: many proposers, few keys, failing disks and links.
         cmd grind {
             /// First seed (default 1).
             optional --from from: u64
-            /// How many seeds (default 1).
+            /// Number of seeds (default 1).
             optional --count count: u64
-            /// Print the readable trace.
+            /// Print a readable trace.
             optional --trace
         }
-        /// Run one stand-in back end.
+        /// Run one stub server.
         cmd standin {
+            /// JSON file with the settings of the server.
             required --spec file: String
         }
-        /// Run the stand-in platform list.
+        /// Run the stub platform, which lists the servers.
         cmd platform {
+            /// Address to bind.
             required --at addr: String
+            /// JSON file with the listed servers.
             required --list file: String
         }
     }
 }
 
-/// Seconds of traffic and callers at once of `up`, unless given.
+/// Seconds of traffic of `up`, unless given.
 const DEFAULT_SECONDS: u64 = 40;
+/// Number of concurrent sessions of `up`, unless given.
 const DEFAULT_SESSIONS: usize = 24;
-/// Ports that may be the first one.
-const BASE_PORTS: std::ops::RangeInclusive<u16> = 1024..=60_000;
+/// Range of the first port of `up`.
+const FIRST_PORTS: std::ops::RangeInclusive<u16> = 1024..=60_000;
 
-fn exit_with(code: i32, why: &str) -> ! {
-    eprintln!("{why}");
+fn exit_with(code: i32, reason: &str) -> ! {
+    eprintln!("{reason}");
     std::process::exit(code)
 }
 
-fn exit_by_count(bad_runs: usize) -> ! {
-    std::process::exit(if bad_runs == 0 { exit::OK } else { 1 })
+/// Exits with 0 if no run failed, else with 1.
+fn exit_by_failures(failed_runs: usize) -> ! {
+    std::process::exit(if failed_runs == 0 { exit::OK } else { 1 })
 }
 
-fn read<T: for<'a> serde::Deserialize<'a>>(path: &str) -> T {
+fn read_json<T: for<'a> serde::Deserialize<'a>>(path: &str) -> T {
     let bytes = std::fs::read(path)
         .unwrap_or_else(|error| exit_with(exit::BAD_STARTUP, &format!("{path}: {error}")));
     serde_json::from_slice(&bytes)
@@ -93,10 +98,13 @@
 
 fn seeds(from: Option<u64>, count: Option<u64>) -> std::ops::Range<u64> {
     let from = from.unwrap_or(1);
-    let to = from
-        .checked_add(count.unwrap_or(1))
-        .unwrap_or_else(|| exit_with(exit::USAGE, "--from, --count: past the last seed"));
-    from..to
+    let end = from.checked_add(count.unwrap_or(1)).unwrap_or_else(|| {
+        exit_with(
+            exit::USAGE,
+            "--from, --count: the range extends past the last seed",
+        )
+    });
+    from..end
 }
 
 fn up(options: Up) {
@@ -105,7 +113,7 @@
     let name = format!("yewcross-{}", std::process::id());
     let dir = options.dir.unwrap_or(std::env::temp_dir().join(name));
     let base = options.base.unwrap_or(0);
-    if base > 0 && !BASE_PORTS.contains(&base) {
+    if base > 0 && !FIRST_PORTS.contains(&base) {
         exit_with(exit::USAGE, "--base: must be 1024 to 60000");
     }
     let seconds = options.seconds.unwrap_or(DEFAULT_SECONDS);
@@ -114,7 +122,7 @@
     result.unwrap_or_else(|error| exit_with(1, &error));
 }
 
-/// Plans of one seed: the faults as `--acts` says.
+/// Plans of one seed, with the faults that `--acts` selects.
 fn plans(seed: u64, topology: &str, acts: &str) -> Vec<Plan> {
     let all: Vec<Fault> = Fault::iter().collect();
     match acts {
@@ -145,7 +153,7 @@
         exit_with(
             exit::USAGE,
             &format!(
-                "--shape: no shape {name}; there are kowhai, consorcio, small, metered, wide, disks"
+                "--shape: no shape {name}; available: kowhai, consorcio, small, metered, wide, disks"
             ),
         );
     }
@@ -159,12 +167,12 @@
         plan.repeatable = options.repeatable;
         plan.single_budget = options.one_purse;
     }
-    exit_by_count(proof::sweep(all, options.trace))
+    exit_by_failures(proof::sweep(all, options.trace))
 }
 
 fn serve_stub(options: Standin) -> ! {
     let runtime = OsRuntime::start(".", 1);
-    let settings = read(&options.spec);
+    let settings = read_json(&options.spec);
     let started = smol::block_on(StubServer::start(&runtime, settings, Default::default()));
     let _server = started.unwrap_or_else(|error| exit_with(exit::CANNOT_BIND, &error.to_string()));
     smol::block_on(std::future::pending())
@@ -172,12 +180,12 @@
 
 fn serve_platform(options: Platform) -> ! {
     let runtime = OsRuntime::start(".", 1);
-    let at = options
+    let address = options
         .at
         .parse()
-        .unwrap_or_else(|_| exit_with(exit::USAGE, "--at: not an address"));
-    let list = read(&options.list);
-    let started = smol::block_on(platform::Platform::start(&runtime, at, list));
+        .unwrap_or_else(|_| exit_with(exit::USAGE, "--at: not a socket address"));
+    let list = read_json(&options.list);
+    let started = smol::block_on(platform::Platform::start(&runtime, address, list));
     let _platform =
         started.unwrap_or_else(|error| exit_with(exit::CANNOT_BIND, &error.to_string()));
     smol::block_on(std::future::pending())
@@ -189,7 +197,7 @@
         YewcrossLabCmd::Sim(options) => simulate(options),
         YewcrossLabCmd::Grind(options) => {
             let seeds = seeds(options.from, options.count).collect();
-            exit_by_count(register_stress::sweep(seeds, options.trace))
+            exit_by_failures(register_stress::sweep(seeds, options.trace))
         }
         YewcrossLabCmd::Standin(options) => serve_stub(options),
         YewcrossLabCmd::Platform(options) => serve_platform(options),
--- a/yewcross-testkit/src/proof/checks/answers.rs
+++ b/yewcross-testkit/src/proof/checks/answers.rs
@@ -17,7 +17,7 @@
     let faulty = evidence.seen.iter().filter(|seen| !seen.fault.is_empty());
     faulty
         .map(|seen| {
-            let checker = if seen.fault.starts_with("forgot") {
+            let checker = if seen.fault.starts_with("an earlier turn is missing") {
                 5
             } else if seen.fault.contains("piece") || seen.fault.contains("digest") {
                 6
--- a/yewcross-testkit/src/tier.rs
+++ b/yewcross-testkit/src/tier.rs
@@ -1,5 +1,5 @@
-//! A tier in the simulator whose control plane keeps itself, for the tests of orders, seats and
-//! duties.
+//! A simulated tier whose control plane maintains its own layout, for tests of configuration
+//! updates, operator orders, replica placement and the lease.
 
 use crate::platform::Platform;
 use crate::sim::Sim;
@@ -20,7 +20,9 @@
 use yewcross_control::Control;
 use yewcross_control::api::*;
 
-/// `number mark`; the tree is empty.
+/// A configuration format whose text is `NUMBER MARK`: the version number, a space and any text
+/// that distinguishes this version from others with the same number. The parsed configuration is
+/// always empty.
 pub struct NumberedTextFormat;
 
 impl ConfigurationFormat for NumberedTextFormat {
@@ -43,38 +45,46 @@
     }
 }
 
-/// A front as far as it concerns the control plane. It notes every configuration that it holds.
+/// A front reduced to what the control plane interacts with: it takes part in the membership
+/// protocol and applies published documents. It records every configuration that it adopts.
 pub struct StubFront {
     pub members: Arc<Membership>,
     pub documents: Arc<DocumentCache>,
+    /// The time in µs, the document version and the text of each configuration, in the order of
+    /// adoption.
     pub configuration_history: Mutex<Vec<(u64, u64, String)>>,
 }
 
 impl RequestHandler for StubFront {
-    fn handle(self: Arc<Self>, p: Envelope) -> BoxFuture<'static, Reply> {
+    fn handle(self: Arc<Self>, envelope: Envelope) -> BoxFuture<'static, Reply> {
         Box::pin(async move {
-            let t = match p.decode::<PeerRequest>() {
+            let response = match envelope.decode::<PeerRequest>() {
                 Some(
-                    a @ (PeerRequest::Probe { .. }
+                    request @ (PeerRequest::Probe { .. }
                     | PeerRequest::ProbeOnBehalf { .. }
                     | PeerRequest::ExchangeMembership { .. }
                     | PeerRequest::MembershipUpdate { .. }),
-                ) => self.members.handle(a).await,
+                ) => self.members.handle(request).await,
                 Some(PeerRequest::PublishDocument {
                     name,
-                    version: seq,
-                    ballot: epoch,
+                    version: document_version,
+                    ballot: document_ballot,
                     ..
                 }) => {
-                    self.documents.apply(&name, seq, epoch, p.payload);
+                    self.documents.apply(
+                        &name,
+                        document_version,
+                        document_ballot,
+                        envelope.payload,
+                    );
                     PeerResponse::DocumentApplied {
                         version: self.documents.document(&name).version,
                     }
                 }
                 Some(PeerRequest::PublishDelta {
                     name,
-                    version: seq,
-                    ballot: epoch,
+                    version: document_version,
+                    ballot: document_ballot,
                     base,
                     base_digest,
                     ..
@@ -83,9 +93,9 @@
                         &name,
                         base,
                         &base_digest,
-                        seq,
-                        epoch,
-                        &p.payload,
+                        document_version,
+                        document_ballot,
+                        &envelope.payload,
                     );
                     PeerResponse::DocumentApplied {
                         version: self.documents.document(&name).version,
@@ -98,7 +108,7 @@
                 _ => PeerResponse::Rejected(Code::BadField),
             };
             Reply {
-                message: serde_json::to_vec(&t).unwrap(),
+                message: serde_json::to_vec(&response).unwrap(),
                 payload: vec![],
             }
         })
@@ -106,26 +116,38 @@
 }
 
 impl StubFront {
+    /// Text of the configuration that the front holds; empty if it holds none.
     pub fn configuration_text(&self) -> String {
         serde_json::from_slice::<ConfigDoc>(&self.documents.document("config").content)
-            .map(|d| d.text)
+            .map(|document| document.text)
             .unwrap_or_default()
     }
 }
 
+/// A simulated tier of cores, stores and fronts, one process on each machine.
 pub struct Tier {
+    /// The simulation that the machines belong to.
     pub sim: Sim,
+    /// Runtime of the operator's machine, which is not part of the tier and on which test scripts
+    /// run.
     pub operator: Runtime,
+    /// Number of cores that the tier was created with.
     pub core_count: usize,
+    /// Settings of every machine's process, running or not, by machine name.
     pub settings: Mutex<BTreeMap<String, ProcessSettings>>,
+    /// Running core and store processes by machine name.
     pub control_nodes: Mutex<BTreeMap<String, Arc<Control>>>,
+    /// Running fronts by machine name.
     pub fronts: Mutex<BTreeMap<String, Arc<StubFront>>>,
 }
 
-pub fn node_address(n: usize) -> SocketAddr {
-    SocketAddr::new(IpAddr::from([10, 1, 0, n as u8 + 1]), 7000)
+/// Peer address of the machine with this index; indices count through all roles.
+pub fn node_address(index: usize) -> SocketAddr {
+    SocketAddr::new(IpAddr::from([10, 1, 0, index as u8 + 1]), 7000)
 }
 
+/// Roles and the prefixes of their machines' names, in the order in which [`Tier::new`] counts
+/// them.
 pub const ROLES: [(Role, &str); 3] = [
     (Role::Core, "core"),
     (Role::Store, "store"),
@@ -133,37 +155,41 @@
 ];
 
 impl Tier {
+    /// Creates the machines of a tier, none of them running yet. `counts` holds the number of
+    /// cores, stores and fronts; `lost` is the number of lost machines that the tier must tolerate
+    /// (`Bounds::lost`).
     pub fn new(seed: u64, counts: [usize; 3], lost: usize) -> Arc<Tier> {
         let sim = Sim::new(seed, 900);
-        let m = sim.machine("operator", "z1", IpAddr::from([10, 9, 0, 1]));
-        let op = sim.boot(m);
-        let t = Arc::new(Tier {
+        let machine = sim.machine("operator", "z1", IpAddr::from([10, 9, 0, 1]));
+        let operator = sim.boot(machine);
+        let tier = Arc::new(Tier {
             sim,
-            operator: op,
+            operator,
             core_count: counts[0],
             settings: Default::default(),
             control_nodes: Default::default(),
             fronts: Default::default(),
         });
-        let mut n = 0;
-        for ((role, tag), k) in ROLES.into_iter().zip(counts) {
-            for i in 0..k {
-                t.add_node(&format!("{tag}{}", i + 1), role, i % 4, n, lost);
-                n += 1;
+        let mut index = 0;
+        for ((role, prefix), count) in ROLES.into_iter().zip(counts) {
+            for i in 0..count {
+                tier.add_node(&format!("{prefix}{}", i + 1), role, i % 4, index, lost);
+                index += 1;
             }
         }
-        t
+        tier
     }
 
-    pub fn add_node(&self, name: &str, role: Role, site: usize, n: usize, lost: usize) {
+    /// Adds a machine at the address with this index and defines the settings of its process.
+    pub fn add_node(&self, name: &str, role: Role, site: usize, index: usize, lost: usize) {
         let site = format!("z{}", site + 1);
-        self.sim.machine(name, &site, node_address(n).ip());
-        let st = ProcessSettings {
+        self.sim.machine(name, &site, node_address(index).ip());
+        let settings = ProcessSettings {
             name: name.into(),
             role,
             site,
-            peer: node_address(n),
-            http: SocketAddr::new(node_address(n).ip(), 7001),
+            peer: node_address(index),
+            http: SocketAddr::new(node_address(index).ip(), 7001),
             seeds: (0..self.core_count.min(3)).map(node_address).collect(),
             data: "d".into(),
             platform: None,
@@ -176,121 +202,130 @@
                 ..Default::default()
             },
         };
-        self.settings.lock().unwrap().insert(name.into(), st);
+        self.settings.lock().unwrap().insert(name.into(), settings);
     }
 
-    /// Starts a platform that lists these servers, and tells all machines that start later of it.
+    /// Starts a platform that lists these servers and sets it as the platform of all cores that
+    /// boot later.
     pub async fn start_platform(&self, servers: Vec<ListedServer>) -> Arc<Platform> {
-        let at = SocketAddr::new(IpAddr::from([10, 9, 0, 1]), 80);
+        let address = SocketAddr::new(IpAddr::from([10, 9, 0, 1]), 80);
         self.settings
             .lock()
             .unwrap()
             .values_mut()
-            .filter(|s| s.role == Role::Core)
-            .for_each(|s| s.platform = Some(at));
-        Platform::start(&self.operator, at, servers).await.unwrap()
+            .filter(|settings| settings.role == Role::Core)
+            .for_each(|settings| settings.platform = Some(address));
+        Platform::start(&self.operator, address, servers)
+            .await
+            .unwrap()
     }
 
-    /// Holds back what flows from one machine to each of the others.
+    /// Blocks the traffic from one machine to each of the others.
     pub fn block_from(&self, name: &str, others: &[String]) {
         others
             .iter()
-            .filter(|o| *o != name)
-            .for_each(|o| self.sim.block(self.sim.find(name), self.sim.find(o)));
+            .filter(|other| *other != name)
+            .for_each(|other| self.sim.block(self.sim.find(name), self.sim.find(other)));
     }
 
-    /// Holds back what flows to one machine from each of the others.
+    /// Blocks the traffic to one machine from each of the others.
     pub fn block_to(&self, name: &str, others: &[String]) {
         others
             .iter()
-            .filter(|o| *o != name)
-            .for_each(|o| self.sim.block(self.sim.find(o), self.sim.find(name)));
+            .filter(|other| *other != name)
+            .for_each(|other| self.sim.block(self.sim.find(other), self.sim.find(name)));
     }
 
-    /// Machines that hold the duties at this moment.
+    /// Names of the processes that act as the lease holder at this moment.
     pub fn acting_holders(&self) -> Vec<String> {
         self.control_nodes
             .lock()
             .unwrap()
             .iter()
-            .filter(|c| c.1.is_acting_holder())
-            .map(|c| c.0.clone())
+            .filter(|node| node.1.is_acting_holder())
+            .map(|node| node.0.clone())
             .collect()
     }
 
-    pub fn names_with_role(&self, r: Role) -> Vec<String> {
+    /// Names of all machines of a role, running or not.
+    pub fn names_with_role(&self, role: Role) -> Vec<String> {
         self.settings
             .lock()
             .unwrap()
             .values()
-            .filter(|s| s.role == r)
-            .map(|s| s.name.clone())
+            .filter(|settings| settings.role == role)
+            .map(|settings| settings.name.clone())
             .collect()
     }
 
-    pub fn boot(self: &Arc<Self>, name: &str, first: bool) {
-        let m = self.sim.find(name);
-        self.sim.power_on(m);
-        let w = self.sim.boot(m);
-        let mut st = self.settings.lock().unwrap()[name].clone();
-        st.bootstrap = first;
-        if !first {
-            // The operator's list of now, which may name the machine itself or ones that are down.
-            let g = self.settings.lock().unwrap();
-            let mut v: Vec<SocketAddr> = g
+    /// Powers a machine on and starts its process. With `bootstrap` the process may write the first
+    /// layout of the tier; without, it joins the existing tier through up to three random cores.
+    pub fn boot(self: &Arc<Self>, name: &str, bootstrap: bool) {
+        let machine = self.sim.find(name);
+        self.sim.power_on(machine);
+        let runtime = self.sim.boot(machine);
+        let mut settings = self.settings.lock().unwrap()[name].clone();
+        settings.bootstrap = bootstrap;
+        if !bootstrap {
+            // The operator's current list, which may contain the machine itself or machines that
+            // are down.
+            let all_settings = self.settings.lock().unwrap();
+            let mut seeds: Vec<SocketAddr> = all_settings
                 .values()
-                .filter(|s| s.role == Role::Core)
-                .map(|s| s.peer)
+                .filter(|settings| settings.role == Role::Core)
+                .map(|settings| settings.peer)
                 .collect();
-            v.rotate_left(self.sim.rand() as usize % self.core_count.max(1));
-            v.truncate(3);
-            st.seeds = v;
+            seeds.rotate_left(self.sim.rand() as usize % self.core_count.max(1));
+            seeds.truncate(3);
+            settings.seeds = seeds;
         }
-        let (me, n) = (self.clone(), name.to_string());
-        w.clone().spawn(async move {
-            if st.role == Role::Front {
-                let peers = PeerClient::new(&w, &st.name, &st.site, st.wire);
-                let members = Membership::new(&w, &st, &peers, "");
-                let book = DocumentCache::with_format(&w, Arc::new(NumberedTextFormat));
-                let follow = DocumentWatcher::without_leases(
+        let (tier, name) = (self.clone(), name.to_string());
+        runtime.clone().spawn(async move {
+            if settings.role == Role::Front {
+                let peers =
+                    PeerClient::new(&runtime, &settings.name, &settings.site, settings.wire);
+                let members = Membership::new(&runtime, &settings, &peers, "");
+                let documents = DocumentCache::with_format(&runtime, Arc::new(NumberedTextFormat));
+                let watcher = DocumentWatcher::without_leases(
                     &members,
-                    &book,
-                    &st.name,
+                    &documents,
+                    &settings.name,
                     true,
-                    st.bounds.apply * MS,
+                    settings.bounds.apply * MS,
                 );
-                let b = Arc::new(StubFront {
+                let front = Arc::new(StubFront {
                     members: members.clone(),
-                    documents: book,
+                    documents,
                     configuration_history: Default::default(),
                 });
-                let door = w.bind(st.peer).await.unwrap();
-                w.spawn(peers.serve(door, b.clone()));
-                w.spawn(members.run());
-                w.spawn(follow.run());
-                me.fronts.lock().unwrap().insert(n, b.clone());
+                let listener = runtime.bind(settings.peer).await.unwrap();
+                runtime.spawn(peers.serve(listener, front.clone()));
+                runtime.spawn(members.run());
+                runtime.spawn(watcher.run());
+                tier.fronts.lock().unwrap().insert(name, front.clone());
                 loop {
-                    let l = b.documents.changed.listen();
-                    let (p, t) = (
-                        b.documents.document("config").version,
-                        b.configuration_text(),
+                    let changed = front.documents.changed.listen();
+                    let (version, text) = (
+                        front.documents.document("config").version,
+                        front.configuration_text(),
                     );
-                    let new = b
+                    let is_new = front
                         .configuration_history
                         .lock()
                         .unwrap()
                         .last()
-                        .is_none_or(|x| x.1 != p);
-                    if new && !t.is_empty() {
-                        b.configuration_history
-                            .lock()
-                            .unwrap()
-                            .push((w.now(), p, t));
+                        .is_none_or(|last| last.1 != version);
+                    if is_new && !text.is_empty() {
+                        front.configuration_history.lock().unwrap().push((
+                            runtime.now(),
+                            version,
+                            text,
+                        ));
                     }
-                    l.await;
+                    changed.await;
                 }
             }
-            let o = Options {
+            let options = Options {
                 configuration_format: Arc::new(NumberedTextFormat),
                 put_acknowledgement: PutAcknowledgement::Decided,
                 bind_http: false,
@@ -298,111 +333,127 @@
                 outranks_younger_process: true,
                 ..Default::default()
             };
-            match Control::start_with(&w, st, o).await {
-                Ok(c) => {
-                    me.control_nodes.lock().unwrap().insert(n, c);
+            match Control::start_with(&runtime, settings, options).await {
+                Ok(control) => {
+                    tier.control_nodes.lock().unwrap().insert(name, control);
                 }
-                Err(e) => panic!("{n} does not start: {e}"),
+                Err(error) => panic!("{name} failed to start: {error}"),
             }
         });
     }
 
+    /// Boots every machine of a tier that has no layout yet.
     pub fn boot_all(self: &Arc<Self>) {
-        let v: Vec<String> = self.settings.lock().unwrap().keys().cloned().collect();
-        v.iter().for_each(|n| self.boot(n, true));
+        let names: Vec<String> = self.settings.lock().unwrap().keys().cloned().collect();
+        names.iter().for_each(|name| self.boot(name, true));
     }
 
-    pub fn kill(&self, name: &str, power: bool) {
-        self.sim.kill(self.sim.find(name), power);
+    /// Ends a machine's process at once; with `loses_power` the machine goes down too, without a
+    /// reset to its peers, and unsynced bytes may be lost.
+    pub fn kill(&self, name: &str, loses_power: bool) {
+        self.sim.kill(self.sim.find(name), loses_power);
         self.control_nodes.lock().unwrap().remove(name);
         self.fronts.lock().unwrap().remove(name);
     }
 
+    /// The core or store process that runs on the machine.
     pub fn control_node(&self, name: &str) -> Option<Arc<Control>> {
         self.control_nodes.lock().unwrap().get(name).cloned()
     }
 
+    /// The front that runs on the machine.
     pub fn front(&self, name: &str) -> Option<Arc<StubFront>> {
         self.fronts.lock().unwrap().get(name).cloned()
     }
 
-    /// An order run on the node itself; none where the node dies, or is silent for a second.
+    /// Runs an operation in the node's own process. `None` if the node is not running, stops, or
+    /// does not answer within one second.
     pub async fn run_on<T: Send + 'static>(
         &self,
         name: &str,
-        f: impl FnOnce(Arc<Control>) -> BoxFuture<'static, T>,
+        operation: impl FnOnce(Arc<Control>) -> BoxFuture<'static, T>,
     ) -> Option<T> {
-        let c = self.control_node(name)?;
-        let (tx, rx) = async_channel::bounded(1);
-        let go = f(c.clone());
-        c.runtime.spawn(async move {
-            let _ = tx.try_send(go.await);
+        let control = self.control_node(name)?;
+        let (sender, receiver) = async_channel::bounded(1);
+        let future = operation(control.clone());
+        control.runtime.spawn(async move {
+            let _ = sender.try_send(future.await);
         });
-        self.operator.timeout(SEC, rx.recv()).await?.ok()
+        self.operator.timeout(SEC, receiver.recv()).await?.ok()
     }
 
+    /// Puts a configuration at the node; `None` as for [`Tier::run_on`].
     pub async fn put_configuration(&self, name: &str, base: u64, text: &str) -> Option<PutAnswer> {
         let text = text.as_bytes().to_vec();
-        self.run_on(name, move |c| {
-            Box::pin(async move { c.put(base, text).await })
+        self.run_on(name, move |control| {
+            Box::pin(async move { control.put(base, text).await })
         })
         .await
     }
 
+    /// Reads the configuration at the node; `None` as for [`Tier::run_on`].
     pub async fn read_configuration(&self, name: &str) -> Option<ReadAnswer> {
-        self.run_on(name, |c| Box::pin(async move { c.read_config().await }))
-            .await
+        self.run_on(name, |control| {
+            Box::pin(async move { control.read_config().await })
+        })
+        .await
     }
 
-    /// Names behind the seats, and whether no change is under way, as a majority of the core disks
-    /// has it.
+    /// Names of the core replicas and of the store replicas, and whether no replica change is in
+    /// progress, according to a majority of the core disks. `None` if no core can read the layout.
     pub async fn layout_members(&self) -> Option<(BTreeSet<String>, BTreeSet<String>, bool)> {
-        for n in self.names_with_role(Role::Core) {
-            let got = self
-                .run_on(&n, |c| {
-                    Box::pin(async move { c.registers.read_newest("layout", SEC).await.ok() })
+        for name in self.names_with_role(Role::Core) {
+            let newest = self
+                .run_on(&name, |control| {
+                    Box::pin(async move { control.registers.read_newest("layout", SEC).await.ok() })
                 })
                 .await
                 .flatten();
-            if let Some((_, _, raw)) = got.filter(|g| g.0 > 0) {
-                let l: Layout = serde_json::from_slice(&raw).unwrap();
-                let f = |g: &ReplicaGroup| {
-                    g.current
+            if let Some((_, _, content)) = newest.filter(|value| value.0 > 0) {
+                let layout: Layout = serde_json::from_slice(&content).unwrap();
+                let member_names = |group: &ReplicaGroup| {
+                    group
+                        .current
                         .iter()
-                        .map(|d| l.names[d].clone())
+                        .map(|disk| layout.names[disk].clone())
                         .collect::<BTreeSet<_>>()
                 };
                 return Some((
-                    f(&l.core),
-                    f(&l.store),
-                    l.core.previous.is_empty() && l.store.previous.is_empty(),
+                    member_names(&layout.core),
+                    member_names(&layout.store),
+                    layout.core.previous.is_empty() && layout.store.previous.is_empty(),
                 ));
             }
         }
         None
     }
 
-    /// Waits until these and no others have seats, on the disks that they have now, and no change
-    /// is under way.
+    /// Waits until exactly these machines are core and store replicas, each with its current disk,
+    /// and no replica change is in progress. Returns the time in µs that it took, or `None` after
+    /// `timeout` µs.
     pub async fn wait_for_members(
         &self,
         core: &[String],
         store: &[String],
-        us: u64,
+        timeout: u64,
     ) -> Option<u64> {
-        let t0 = self.operator.now();
-        while self.operator.now() < t0 + us {
-            if let Some((c, s, still)) = self.layout_members().await {
-                let set = |v: &[String]| v.iter().cloned().collect::<BTreeSet<String>>();
-                let own = core.iter().chain(store).all(|n| {
-                    self.control_node(n).is_some_and(|x| {
-                        let l = x.documents.layout.load();
-                        l.1.core.current.contains(&x.storage.disk_id)
-                            || l.1.store.current.contains(&x.storage.disk_id)
+        let started = self.operator.now();
+        while self.operator.now() < started + timeout {
+            if let Some((core_members, store_members, is_settled)) = self.layout_members().await {
+                let set = |names: &[String]| names.iter().cloned().collect::<BTreeSet<String>>();
+                let all_disks_assigned = core.iter().chain(store).all(|name| {
+                    self.control_node(name).is_some_and(|control| {
+                        let layout = control.documents.layout.load();
+                        layout.1.core.current.contains(&control.storage.disk_id)
+                            || layout.1.store.current.contains(&control.storage.disk_id)
                     })
                 });
-                if still && own && c == set(core) && s == set(store) {
-                    return Some(self.operator.now() - t0);
+                if is_settled
+                    && all_disks_assigned
+                    && core_members == set(core)
+                    && store_members == set(store)
+                {
+                    return Some(self.operator.now() - started);
                 }
             }
             self.operator.sleep(20 * MS).await;
@@ -410,45 +461,49 @@
         None
     }
 
-    /// Puts until it is acknowledged, as an operator does.
+    /// Puts a configuration at one core after another until it is acknowledged. Returns the time in
+    /// µs that it took; panics after 200 attempts.
     pub async fn put_until_acknowledged(&self, base: u64, text: &str) -> u64 {
-        let t0 = self.operator.now();
-        let v = self.names_with_role(Role::Core);
+        let started = self.operator.now();
+        let cores = self.names_with_role(Role::Core);
         for i in 0..200 {
-            if let Some(PutAnswer::InForce(_)) =
-                self.put_configuration(&v[i % v.len()], base, text).await
+            if let Some(PutAnswer::InForce(_)) = self
+                .put_configuration(&cores[i % cores.len()], base, text)
+                .await
             {
-                return self.operator.now() - t0;
+                return self.operator.now() - started;
             }
             self.operator.sleep(50 * MS).await;
         }
-        panic!("{text} is not acknowledged")
+        panic!("no core acknowledged configuration {text} in 200 attempts")
     }
 
-    /// Puts at one core until it is acknowledged; us that it took.
+    /// Puts a configuration at one core until it is acknowledged. Returns the time in µs that it
+    /// took; panics after 200 attempts.
     pub async fn put_at_until_acknowledged(&self, core: &str, base: u64, text: &str) -> u64 {
-        let t0 = self.operator.now();
+        let started = self.operator.now();
         for _ in 0..200 {
             if let Some(PutAnswer::InForce(_)) = self.put_configuration(core, base, text).await {
-                return self.operator.now() - t0;
+                return self.operator.now() - started;
             }
             self.operator.sleep(10 * MS).await;
         }
-        panic!("{text} is not acknowledged by {core}")
+        panic!("{core} did not acknowledge configuration {text} in 200 attempts")
     }
 
-    /// us until every front that runs holds the text.
-    pub async fn wait_until_adopted(&self, text: &str, us: u64) -> Option<u64> {
-        let t0 = self.operator.now();
-        while self.operator.now() < t0 + us {
+    /// Waits until every running front holds the configuration text. Returns the time in µs that it
+    /// took, or `None` after `timeout` µs.
+    pub async fn wait_until_adopted(&self, text: &str, timeout: u64) -> Option<u64> {
+        let started = self.operator.now();
+        while self.operator.now() < started + timeout {
             if self
                 .fronts
                 .lock()
                 .unwrap()
                 .values()
-                .all(|f| f.configuration_text() == text)
+                .all(|front| front.configuration_text() == text)
             {
-                return Some(self.operator.now() - t0);
+                return Some(self.operator.now() - started);
             }
             self.operator.sleep(5 * MS).await;
         }
@@ -456,45 +511,55 @@
     }
 }
 
+/// Runs a script on the operator's machine until it ends, and returns its result. After 300
+/// simulated seconds it prints the last 60 log lines and panics.
 pub fn run_script<T: Send + 'static>(
-    t: &Arc<Tier>,
-    f: impl FnOnce(Arc<Tier>) -> BoxFuture<'static, T>,
+    tier: &Arc<Tier>,
+    script: impl FnOnce(Arc<Tier>) -> BoxFuture<'static, T>,
 ) -> T {
-    let out: Arc<Mutex<Option<T>>> = Default::default();
-    let (o, go) = (out.clone(), f(t.clone()));
-    t.operator.spawn(async move {
-        let x = go.await;
-        *o.lock().unwrap() = Some(x);
+    let result: Arc<Mutex<Option<T>>> = Default::default();
+    let (script_result, future) = (result.clone(), script(tier.clone()));
+    tier.operator.spawn(async move {
+        let value = future.await;
+        *script_result.lock().unwrap() = Some(value);
     });
-    t.sim.run(300 * SEC, || out.lock().unwrap().is_some());
-    let x = out.lock().unwrap().take();
-    x.unwrap_or_else(|| {
-        t.sim
+    tier.sim.run(300 * SEC, || result.lock().unwrap().is_some());
+    let value = result.lock().unwrap().take();
+    value.unwrap_or_else(|| {
+        tier.sim
             .log()
             .iter()
             .rev()
             .take(60)
             .rev()
-            .for_each(|l| eprintln!("{} {} {}", l.0 / MS, l.1, l.2));
-        panic!("the script did not end")
+            .for_each(|line| eprintln!("{} {} {}", line.0 / MS, line.1, line.2));
+        panic!("the test script did not end within 300 simulated seconds")
     })
 }
 
-pub fn format_log(t: &Tier) -> String {
-    t.sim
+/// The simulation's log so far, one line each: time in ms, machine and message.
+pub fn format_log(tier: &Tier) -> String {
+    tier.sim
         .log()
         .iter()
-        .map(|l| format!("{} {} {}\n", l.0 / MS, l.1, l.2))
+        .map(|line| format!("{} {} {}\n", line.0 / MS, line.1, line.2))
         .collect()
 }
 
-pub async fn boot_and_wait(t: &Arc<Tier>) -> u64 {
-    t.boot_all();
-    let (c, s) = (
-        t.names_with_role(Role::Core),
-        t.names_with_role(Role::Store),
+/// Boots all machines and waits until all cores and stores are replicas. Returns the time in µs
+/// that it took; panics after 10 s.
+pub async fn boot_and_wait(tier: &Arc<Tier>) -> u64 {
+    tier.boot_all();
+    let (cores, stores) = (
+        tier.names_with_role(Role::Core),
+        tier.names_with_role(Role::Store),
     );
-    t.wait_for_members(&c, &s, 10 * SEC)
+    tier.wait_for_members(&cores, &stores, 10 * SEC)
         .await
-        .unwrap_or_else(|| panic!("not founded\n{}", format_log(t)))
+        .unwrap_or_else(|| {
+            panic!(
+                "the tier was not bootstrapped within 10 s\n{}",
+                format_log(tier)
+            )
+        })
 }
--- a/yewcross-testkit/src/topology.rs
+++ b/yewcross-testkit/src/topology.rs
@@ -1,4 +1,4 @@
-//! The deployments that are simulated or brought up locally: machines, servers, configuration and
+//! The deployments that are simulated or run locally: machines, servers, configuration and
 //! workload.
 
 use crate::sim::MachineCosts;
@@ -9,38 +9,39 @@
 use yewcross_common::process_settings::{ProcessSettings, Role};
 use yewcross_common::protocol::ListedServer;
 
-/// Sites over which machines and servers are spread.
+/// Number of sites over which machines and servers are spread.
 const SITES: usize = 4;
-/// Index of the first model server's address, and of the first lookup server's.
+/// Address index of the first model server.
 const FIRST_MODEL_ADDRESS: usize = 100;
+/// Address index of the first lookup server.
 const FIRST_LOOKUP_ADDRESS: usize = 200;
-/// Bytes a second between servers.
-const SERVER_LINK: u64 = 125_000_000;
+/// Bandwidth of the links between servers, in bytes per second.
+const SERVER_LINK_BANDWIDTH: u64 = 125_000_000;
 
-/// A deployment.
+/// A deployment of the tier, with its servers and its workload.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// One of `kowhai`, `consorcio`, `small`, `wide`, `metered` and `disks`.
     pub name: String,
-    /// Where machines and servers stand.
+    /// Names of the sites of machines and servers.
     pub sites: Vec<String>,
-    /// Our own processes.
+    /// Settings of the tier's own processes.
     pub nodes: Vec<ProcessSettings>,
-    /// Model and lookup servers.
+    /// Settings of the model and lookup servers.
     pub servers: Vec<StubServerSettings>,
-    /// Where the platform lists the servers.
+    /// Address of the platform, which lists the servers.
     pub platform: SocketAddr,
     /// Text of the first configuration.
     pub config: String,
-    /// us between sites, one way.
+    /// One-way latency between sites, in µs.
     pub site_latency: u64,
-    /// What callers ask.
+    /// The requests that callers send.
     pub workload: Workload,
-    /// What the machines' work costs.
+    /// Simulated CPU and disk costs of the machines.
     pub costs: RoleCosts,
 }
 
-/// What the machines of each role cost; nothing by default.
+/// Simulated costs of the machines of each role; zero by default.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoleCosts {
     /// Costs of a front's machine.
@@ -52,8 +53,8 @@
 }
 
 impl RoleCosts {
-    /// Small machines with slow disks. 20 us a task and 3 ns a byte are what the daemons' release
-    /// builds took.
+    /// Small machines with slow disks, where a sync takes `sync_us` µs. 20 µs per task and 3 ns per
+    /// byte were measured with the daemons' release builds.
     pub fn small_machines(sync_us: u64) -> RoleCosts {
         let costs = |core_percent| MachineCosts {
             core_percent,
@@ -78,24 +79,24 @@
     }
 }
 
-/// Turns of one program.
+/// The turns of one program.
 #[derive(Clone, Debug)]
 pub struct TurnWorkload {
     /// The program.
     pub program: String,
     /// The budget that its turns spend.
     pub budget: String,
-    /// Its share of all sessions, against the others' weights.
+    /// Share of all sessions, relative to the weights of the other programs.
     pub weight: u32,
-    /// Size of a session's first message.
+    /// Size of the first message of a session, in bytes.
     pub first_message_bytes: usize,
-    /// Size of its later messages.
+    /// Size of each later message of a session, in bytes.
     pub later_message_bytes: usize,
-    /// Most tokens that a turn may put out.
+    /// Maximum number of output tokens of a turn.
     pub max_output_tokens: u64,
 }
 
-/// Lookups of one method.
+/// The lookups of one method.
 #[derive(Clone, Debug)]
 pub struct LookupWorkload {
     /// The service.
@@ -104,26 +105,27 @@
     pub method: String,
 }
 
-/// What callers ask.
+/// The requests that callers send.
 #[derive(Clone, Debug)]
 pub struct Workload {
     /// Turns by program.
     pub turns: Vec<TurnWorkload>,
-    /// Lookups by method, each as frequent as the others.
+    /// Lookups by method, all equally frequent.
     pub lookups: Vec<LookupWorkload>,
 }
 
-/// Gives each process an address: on one machine by port, in the simulator by host.
+/// Maps the index of a process and of its listener (0 or 1) to an address. Addresses differ by port
+/// on a local machine and by host in the simulator.
 pub type Addresses = dyn Fn(usize, u16) -> SocketAddr;
 
-/// How many processes and servers a deployment has.
+/// Number of processes and servers of a deployment.
 struct Sizes {
     fronts: usize,
     cores: usize,
     stores: usize,
     models: usize,
     lookups: usize,
-    /// us
+    /// One-way latency between sites, in µs.
     site_latency: u64,
 }
 
@@ -149,9 +151,10 @@
     }
 }
 
-/// Names of programs and lookup methods, which differ between the two deployments.
+/// Names of a deployment's programs, services and lookup methods. `consorcio` has its own; all
+/// other deployments share those of `kowhai`.
 struct Names {
-    /// Service and method.
+    /// Services and methods.
     lookups: [(&'static str, &'static str); 3],
     common_program: &'static str,
     rare_program: &'static str,
@@ -174,7 +177,7 @@
 };
 
 impl Names {
-    /// The methods that a deployment with so many lookup servers uses.
+    /// The services and methods that a deployment with this number of lookup servers uses.
     fn used_lookups(&self, servers: usize) -> &[(&'static str, &'static str)] {
         &self.lookups[..servers.min(self.lookups.len())]
     }
@@ -187,16 +190,16 @@
     address: &Addresses,
 ) -> Vec<ProcessSettings> {
     let mut nodes = vec![];
-    for (role, count, tag) in [
+    for (role, count, prefix) in [
         (Role::Core, sizes.cores, "core"),
         (Role::Store, sizes.stores, "store"),
         (Role::Front, sizes.fronts, "front"),
     ] {
         for i in 0..count {
-            // The platform has the first index.
+            // Index 0 is the platform.
             let index = nodes.len() + 1;
             nodes.push(ProcessSettings {
-                name: format!("{tag}{}", i + 1),
+                name: format!("{prefix}{}", i + 1),
                 role,
                 site: sites[i % SITES].clone(),
                 peer: address(index, 0),
@@ -227,7 +230,7 @@
         prefill_us_per_1000: 120 * MS,
         output_us: 4 * MS,
         cache_tokens: 200_000,
-        link_bytes_per_second: SERVER_LINK,
+        link_bytes_per_second: SERVER_LINK_BANDWIDTH,
         weights: "w1".into(),
     }
 }
@@ -249,7 +252,7 @@
         prefill_us_per_1000: 0,
         output_us: 4 * MS,
         cache_tokens: 0,
-        link_bytes_per_second: SERVER_LINK,
+        link_bytes_per_second: SERVER_LINK_BANDWIDTH,
         weights: String::new(),
     }
 }
@@ -316,7 +319,7 @@
     Workload { turns, lookups }
 }
 
-/// The deployment of that name, or None if there is none.
+/// The deployment with this name, or `None` if there is none.
 pub fn topology(name: &str, address: &Addresses) -> Option<Topology> {
     let sizes = Sizes::named(name)?;
     let names = if name == "consorcio" {
