--- a/yewcross-testkit/src/main.rs
+++ b/yewcross-testkit/src/main.rs
@@ -48,7 +48,7 @@
             /// Print a readable trace.
             optional --trace
         }
-        /// Stress the register alone: many proposers, few keys, failing disks and links.
+        /// Stress the register alone: all stores change a few keys while disks and links fail.
         cmd grind {
             /// First seed (default 1).
             optional --from from: u64
@@ -118,7 +118,9 @@
     }
     let seconds = options.seconds.unwrap_or(DEFAULT_SECONDS);
     let sessions = options.sessions.unwrap_or(DEFAULT_SESSIONS);
-    let result = smol::block_on(fleet::up(runtime, &topology, &dir, base, seconds, sessions));
+    let result = smol::block_on(fleet::run_demonstration(
+        runtime, &topology, &dir, base, seconds, sessions,
+    ));
     result.unwrap_or_else(|error| exit_with(1, &error));
 }
 
