--- a/yewcross-capacity/tests/capacity.rs
+++ b/yewcross-capacity/tests/capacity.rs
@@ -149,7 +149,7 @@
 fn measure_idle_rates(seed: u64, additional_fronts: usize) -> IdleRates {
     const SECONDS: u64 = 10;
     let cluster = TestCluster::with_topology(seed, "kowhai", |topology| {
-        let template: ProcessSettings = topology.of(Role::Front)[0].clone();
+        let template: ProcessSettings = topology.nodes_with_role(Role::Front)[0].clone();
         (0..additional_fronts).for_each(|i| {
             let address = |port: u16| {
                 std::net::SocketAddr::from(([10, 7, (i / 200) as u8, (i % 200) as u8 + 1], port))
@@ -223,8 +223,8 @@
     });
     IdleRates {
         nodes: cluster.topology.nodes.len() as f64,
-        fronts: cluster.topology.of(Role::Front).len() as f64,
-        cores: cluster.topology.of(Role::Core).len() as f64,
+        fronts: cluster.topology.nodes_with_role(Role::Front).len() as f64,
+        cores: cluster.topology.nodes_with_role(Role::Core).len() as f64,
         servers: cluster.topology.servers.len() as f64,
         requests: requests.collect(),
         polls: (after.1 - before.1) as f64 / seconds,
--- a/yewcross-capacity/tests/exact.rs
+++ b/yewcross-capacity/tests/exact.rs
@@ -7,21 +7,24 @@
 use yewcross_common::constants::*;
 use yewcross_common::process_settings::Role;
 use yewcross_control::layout::DiskChange;
-use yewcross_testkit::caller::{self, Ask, Heard};
+use yewcross_testkit::caller::{self, Outcome, TurnRequest};
 use yewcross_testkit::proof::{TestCluster, with_cluster_of};
 
 /// Runs these turns of ten sessions, distributed over all fronts, and checks that each succeeds.
-async fn run_turns(cluster: &Arc<TestCluster>, turns: std::ops::Range<usize>) -> Vec<caller::Seen> {
+async fn run_turns(
+    cluster: &Arc<TestCluster>,
+    turns: std::ops::Range<usize>,
+) -> Vec<caller::RequestRecord> {
     let fronts: Vec<_> = cluster
         .topology
-        .of(Role::Front)
+        .nodes_with_role(Role::Front)
         .iter()
         .map(|front| front.http)
         .collect();
     let mut results = vec![];
     for turn in turns {
         for session in 0..10 {
-            let request = Ask {
+            let request = TurnRequest {
                 program: "chargeback".into(),
                 budget: "chargeback".into(),
                 session: format!("p{session}"),
@@ -36,8 +39,9 @@
                 stream: false,
             };
             let result =
-                caller::turn(&cluster.operator, fronts[session % fronts.len()], &request).await;
-            assert_eq!(result.heard, Heard::Done, "{result:?}");
+                caller::send_turn(&cluster.operator, fronts[session % fronts.len()], &request)
+                    .await;
+            assert_eq!(result.outcome, Outcome::Done, "{result:?}");
             results.push(result);
         }
         cluster.operator.sleep(8 * SEC).await;
@@ -46,9 +50,12 @@
 }
 
 async fn take_cluster_checkpoint(cluster: &Arc<TestCluster>) -> Checkpoint {
-    take_checkpoint(&cluster.operator, cluster.topology.of(Role::Core)[0].http)
-        .await
-        .unwrap()
+    take_checkpoint(
+        &cluster.operator,
+        cluster.topology.nodes_with_role(Role::Core)[0].http,
+    )
+    .await
+    .unwrap()
 }
 
 #[test]
--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -217,7 +217,7 @@
     /// Names of all nodes with a role.
     pub fn node_names(&self, role: Role) -> Vec<String> {
         self.topology
-            .of(role)
+            .nodes_with_role(role)
             .iter()
             .map(|node| node.name.clone())
             .collect()
@@ -232,7 +232,7 @@
             return;
         };
         self.sim
-            .set_costs(machine, self.topology.costs.of(settings.role));
+            .set_costs(machine, self.topology.costs.for_role(settings.role));
         let (tier, node_name) = (self.clone(), name.to_string());
         self.nodes.lock().unwrap().remove(name);
         runtime.clone().spawn(async move {
@@ -370,7 +370,7 @@
         let names = |role| self.node_names(role);
         let request = serde_json::json!({"cores": names(Role::Core), "stores": names(Role::Store)})
             .to_string();
-        let addr = self.topology.of(Role::Core)[0].http;
+        let addr = self.topology.nodes_with_role(Role::Core)[0].http;
         let _ = yewcross_common::buffered_http::fetch(
             &self.operator,
             addr,
@@ -506,9 +506,9 @@
         // The fronts that pass the platform's readiness probes; all fronts if none passes.
         let fronts: Fronts = Arc::new(move || {
             let nodes = tier.nodes.lock().unwrap();
-            let fronts = tier.topology.of(Role::Front);
+            let fronts = tier.topology.nodes_with_role(Role::Front);
             let is_ready = |name: &str| {
-                matches!(nodes.get(name), Some(Node::Front(front)) if front.ready())
+                matches ! ( nodes . get ( name ) , Some ( Node::Front ( front ) ) if front . ready ( ) )
                     && tier.sim.is_up(tier.sim.find(name))
             };
             let ready: Vec<_> = fronts
