--- a/yewcross-testkit/src/routed/tier.rs
+++ b/yewcross-testkit/src/routed/tier.rs
@@ -508,7 +508,7 @@
             let nodes = tier.nodes.lock().unwrap();
             let fronts = tier.topology.nodes_with_role(Role::Front);
             let is_ready = |name: &str| {
-                matches ! ( nodes . get ( name ) , Some ( Node::Front ( front ) ) if front . ready ( ) )
+                matches!(nodes.get(name), Some(Node::Front(front)) if front.ready())
                     && tier.sim.is_up(tier.sim.find(name))
             };
             let ready: Vec<_> = fronts
